--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,13 +1,13 @@
 """Recovery of the whole fleet from a power loss.
 
-    python -m benchmarks.recovery [--short] [--seed N] [--only PART ...]
+    python -m benchmarks.recovery [--short] [--seed N] [--only PART ...] [--before FOLDER] [--at-once N]
 
 Parts: `points` (a recorded run of the store, cut at each of its steps and judged; bugs of order planted),
 `torn` (files cut at random bytes and bits turned, of this store and of SQLite), `store` (memory, CPU, syncs
 and bytes of each; time to read), `power` (real processes that lose power at once: who says what, what is
-served).
-The rest of what the issue asks (24 proxies, scripts by seed, in turns with recovery off) is owed; see
-docs/ROADMAP.md.
+served), `outages` (24 proxies in two tiers before 48 nodos, ten scripts of how power returns, each with
+recovery on, off, and with the program of `--before`, a checkout; not with --short, for each takes a minute).
+Virtual time at 200 proxies is owed; see docs/ROADMAP.md.
 """
 
 from __future__ import annotations
@@ -26,6 +26,7 @@
 from pathlib import Path
 from random import Random
 from statistics import median
+from typing import Any
 
 from benchmarks.proof import Proof, run
 from granitepoint.recovery.facts import Fact, Keyed, Server, State, put
@@ -33,10 +34,14 @@
 from granitepoint.recovery.store import Found, Owner, Refused, Store, read_store
 from rigs.fleet.world import Setup, World, world
 from rigs.kit import until
+from rigs.program import ROOT
 from rigs.recovery.broken import FAULTY, PLANTED
 from rigs.recovery.points import recorded, wrong
 
-PARTS = ("points", "torn", "store", "power")
+PARTS = ("points", "torn", "store", "power", "outages")
+SCRIPTS = 10
+LATEST = 30.0  # s from the last nodo's start, by which service is to be back
+SLACK = 2.0  # s, the window over which service is judged to be back
 OWNER = Owner("p0", "m0")
 BATCH = 20  # records that are made safe together
 
@@ -346,6 +351,60 @@
     return found
 
 
+# -- outages -----------------------------------------------------------------------------------------
+
+
+async def played(script: int, seed: int, *more: str) -> dict[str, Any]:
+    """One outage, in a process of its own."""
+    command = ["-m", "rigs.recovery.outage", "--script", str(script), "--seed", str(seed), *more]
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, *command, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+    )
+    out, _ = await process.communicate()
+    if process.returncode:
+        raise RuntimeError(f"script {script} {' '.join(more)}: it ended with {process.returncode}")
+    found: dict[str, Any] = json.loads(out)
+    return found
+
+
+async def outages(proof: Proof, before: Path | None, at_once: int) -> None:
+    ways: dict[str, tuple[str, ...]] = {"on": (), "off": ("--off",)}
+    if before is not None:
+        ways["before"] = ("--off", "--root", str(before))
+    room = asyncio.Semaphore(at_once)
+
+    async def one(script: int, way: str) -> dict[str, Any]:
+        async with room:
+            return await played(script, proof.seed, *ways[way])
+
+    results: dict[str, list[dict[str, Any]]] = {way: [] for way in ways}
+    for script in range(SCRIPTS):
+        some = await asyncio.gather(*(one(script, way) for way in ways))
+        for way, found in zip(ways, some, strict=True):
+            results[way].append(found)
+            shown = "never" if found["back"] is None else f"{found['back']:.1f} s"
+            proof.figure(
+                f"outage_{script}_{way}", shown,
+                f"back, {found['falls']} nodos fell, {found['refused']:.1f} refusals a first try, "
+                f"{found['keyed_twice']} keys ran twice, usual {found['usual']:.0f}: {found['script']}",
+            )  # fmt: skip
+    on, off = results["on"], results["off"]
+    never = float("inf")
+
+    def back(found: dict[str, Any]) -> float:
+        return never if found["back"] is None else float(found["back"])
+
+    for found, without in zip(on, off, strict=True):
+        name = found["script"]
+        proof.claim(not found["falls"], f"{found['falls']} nodos were pushed over: {name}")
+        proof.claim(not found["broken"], f"rules broken: {name}: {found['broken'][:2]}")
+        proof.claim(not found["raised"], f"exceptions in logs: {name}")
+        proof.claim(back(found) <= LATEST, f"not back within {LATEST:.0f} s: {name}")
+        proof.claim(back(found) <= back(without) + SLACK, f"back later than without: {name}")
+    worse = [found for found in off if found["falls"] or found["back"] is None]
+    proof.claim(worse, "without recovery nothing falls in any script, so this proves nothing")
+
+
 async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
     parts = [part for part in PARTS if part in (wanted.only or PARTS)]
     if "points" in parts:
@@ -357,10 +416,14 @@
             stores(proof, pool)
     if "power" in parts:
         await power(proof)
+    if "outages" in parts and not proof.short:
+        await outages(proof, wanted.before, wanted.at_once)
 
 
 def more(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--only", nargs="+", choices=PARTS, help="these parts alone")
+    parser.add_argument("--before", type=Path, metavar="FOLDER", help="a checkout to compare outages with")
+    parser.add_argument("--at-once", type=int, default=3, help="outages side by side")
 
 
 if __name__ == "__main__":
--- a/granitepoint/assembly.py
+++ b/granitepoint/assembly.py
@@ -12,7 +12,7 @@
 import math
 import time
 from collections import Counter
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
 from granitepoint.net.config import Config
@@ -242,6 +242,13 @@
     return list(read_keys(operator.budgets.keys_file).values())
 
 
+def shown_by_parts(words: Mapping[int, bytes]) -> dict[str, str]:
+    """What a member's parts say of themselves to the fleet, for staff, by the part's name."""
+    from granitepoint.recovery.census import PORT, shown
+
+    return {"recovery": shown(words[PORT])} if PORT in words else {}
+
+
 def outer_filters(
     budgets: Budgets | None, called: str, config: Config, recovery: Recovery | None = None
 ) -> tuple[Filter, ...]:
--- a/granitepoint/fleet/__main__.py
+++ b/granitepoint/fleet/__main__.py
@@ -19,6 +19,8 @@
 from granitepoint.fleet.entries import first_run
 from granitepoint.fleet.guard import Seals
 from granitepoint.fleet.pages import Page, Row, question, read_page, remarks
+from granitepoint.fleet.states import LIVING
+from granitepoint.fleet.transport import unpack_words
 from granitepoint.fleet.wire import MOST_DATAGRAM, Malformed
 from granitepoint.operator import OperatorError
 from granitepoint.operator.schema import address_fault
@@ -96,9 +98,17 @@
             f"{row.name:<20}{row.state.value:<9}{row.phase.name.lower():<10}{row.tier:<12}{row.zone:<8}"
             f"{row.address:<22}{flying:<10}{listed:<9}{heard:<8}{row.incarnation}"
         )
+    lines += [f"{row.name}: {part}: {said}" for row in rows for part, said in parts(row).items()]
     return lines + remarks(page, rows)
 
 
+def parts(row: Row) -> dict[str, str]:
+    """What the parts of one that lives say of themselves."""
+    from granitepoint.assembly import shown_by_parts
+
+    return shown_by_parts(unpack_words(row.word)) if row.state in LIVING else {}
+
+
 def as_json(page: Page, rows: list[Row]) -> str:
     members = [
         {
@@ -113,6 +123,7 @@
             "in_flight_tenths": row.tenths,
             "list_version": row.list_version,
             "heard_s_ago": row.heard,
+            "parts": parts(row),
         }
         for row in rows
     ]
--- a/granitepoint/recovery/census.py
+++ b/granitepoint/recovery/census.py
@@ -25,6 +25,7 @@
 from granitepoint.recovery.phases import PATIENCE, Phase
 from granitepoint.recovery.trust import Loss
 
+PORT = 2  # of this part's words and datagrams, among those that stand on the fleet
 WORD = struct.Struct("!BBI")  # version and phase; bits; wall time of the last loss, s, 0: none that it knows
 WORD_VERSION = 1
 KEPT, KNOWN = 0x01, 0x02  # bits: its machine kept its power since the process before; whether it can tell
@@ -54,6 +55,17 @@
     return Said(Phase(first & 0x0F), bool(bits & KEPT) if bits & KNOWN else None, lost_at)
 
 
+def shown(word: bytes) -> str:
+    """A member's word, for staff."""
+    said = unpack(word)
+    if said is None:
+        return "not known to this version"
+    marks: dict[bool | None, str] = {True: ", its machine kept its power", False: ", its machine booted anew"}
+    power = marks.get(said.kept, "")
+    lost = f", all lost power at {said.lost_at}" if said.lost_at else ""
+    return f"{said.phase.name.lower()}{power}{lost}"
+
+
 @dataclass(frozen=True, slots=True)
 class Peer:
     """Another proxy, as the view has it. `said`: by its own answer to this process, for what the view still
@@ -63,6 +75,7 @@
     zone: str
     lives: bool
     said: Said | None
+    tier: str = ""
 
     @property
     def survivor(self) -> bool:
--- a/granitepoint/recovery/facts.py
+++ b/granitepoint/recovery/facts.py
@@ -188,18 +188,6 @@
             if isinstance(gone, Keyed):
                 self.blind[kind] = max(self.blind.get(kind, 0.0), gone.until)
 
-    def forget(self, now: float) -> list[Record]:
-        """What has run its time; the records that say so."""
-        over = [
-            key
-            for key, fact in self.tables[Keyed.KIND].items()
-            if isinstance(fact, Keyed) and fact.until < now
-        ]
-        records = [drop(Keyed.KIND, key) for key in over]
-        for record in records:
-            self.apply(record)
-        return records
-
     def records(self) -> Iterator[Record]:
         """The least that makes this state anew."""
         for kind, until in self.blind.items():
--- a/granitepoint/recovery/keeper.py
+++ b/granitepoint/recovery/keeper.py
@@ -41,9 +41,7 @@
         self.changed = threading.Condition()
         self.stopping = False
         self.said = self.safe = 0  # records
-        self.slowest = 0.0  # s of a batch
         self.store: Store | None = None
-        self.replaced = False  # read anew: the process before this one had gone on writing until then
         self._look()
         self.thread = threading.Thread(target=self._run, name="recovery store", daemon=True)
 
@@ -145,7 +143,6 @@
         return bool(self.waiting) and self.health is Health.OPEN
 
     def _flush(self, batch: dict[tuple[str, str], Record]) -> None:
-        begun = self.clock.now()
         try:
             if self._begun():
                 assert self.store is not None
@@ -157,7 +154,6 @@
                 with self.changed:
                     self.safe = self.said - len(self.waiting)
                     self.changed.notify_all()
-                self.slowest = max(self.slowest, self.clock.now() - begun)
                 return
         except OSError as fault:
             self._go(Health.FAILING, f"{self.folder.path}: {fault.strerror}")
@@ -174,7 +170,6 @@
             self._look()
             if self.folder.held < 0:
                 return False
-            self.replaced = True
         store = self.make(self.folder, self.owner)
         self.store = store
         store.begin(replace(self.found, state=self.found.state.copy()), self.clock.wall())
--- a/granitepoint/recovery/service.py
+++ b/granitepoint/recovery/service.py
@@ -32,7 +32,7 @@
 from granitepoint.operator import OperatorError, Problem, load
 from granitepoint.operator import Recovery as Settings
 from granitepoint.recovery.advice import Bookings
-from granitepoint.recovery.census import Finding, Peer, Said, pack, unpack, what_happened
+from granitepoint.recovery.census import PORT, Finding, Peer, Said, pack, unpack, what_happened
 from granitepoint.recovery.facts import Boot, Keyed, Maintenance, Member, Server, Source
 from granitepoint.recovery.folder import Folder, mark
 from granitepoint.recovery.keeper import Keeper
@@ -44,7 +44,6 @@
 
 log = logging.getLogger("granitepoint.recovery")
 
-PORT = 2  # of this part's words and datagrams, among those that stand on the fleet
 TICK = 0.25  # s between two looks
 QUESTION, ANSWER = b"?", b"!"  # to members: what do you say of your recovery?
 MOST_ASKED = 4  # members at one look, of the own zone and of others
@@ -277,7 +276,7 @@
             elif said is not None and process in self.begun_together:
                 said = Said(Phase.RAMP, said.kept, said.lost_at)
             lives = member.state in ("alive", "suspect") and member.phase != "leaving"
-            found.append(Peer(member.name, member.zone, lives, said))
+            found.append(Peer(member.name, member.zone, lives, said, member.tier))
         return found
 
     def _inquire(self) -> None:
@@ -306,7 +305,9 @@
         if self.view is not None:
             self._inquire()
         peers = self.peers() if self.view is not None else []
-        expected = max(self.proxy.balancers, len(self.before) + 1) if self.view is not None else 1
+        expected = max(self.proxy.balancers, len(self.config.peers.all), len(self.before) + 1)
+        if self.view is None:
+            expected = 1
         finding = what_happened(
             self.proxy.zone, self.kept, peers, self.before, expected, now - self.began
         )
@@ -318,7 +319,8 @@
             self.finding = finding
             if finding.loss is Loss.FLEET and not self.lost_at:
                 self.lost_at = int(self.clock.wall())
-        living = [peer.name for peer in peers if peer.lives]
+        # Who shares its servers: those of other tiers take no turns at them.
+        living = [peer.name for peer in peers if peer.lives and peer.tier == self.config.tier]
         if self.lists.happened(self._lost(), living):
             self.push(self.lists.all_in_force())
 
@@ -366,6 +368,7 @@
             gone = self.lists.end()
             if gone.backends:
                 self.push(gone)
+            self._let_go()
 
     def _say(self) -> None:
         """Its phase, to the fleet."""
@@ -396,7 +399,10 @@
             self.list_news = False
             self._keep_servers(now)
         while self.open_keys and self.open_keys[0][0] < time.monotonic():
-            keeper.drop(Keyed.KIND, self.open_keys.popleft()[1])
+            key = self.open_keys.popleft()[1]
+            keeper.drop(Keyed.KIND, key)
+            assert self.found is not None
+            self.found.state.tables[Keyed.KIND].pop(key, None)
         if self.maintained is not None:
             out = dict(self.maintained())
             for name, since in out.items():
@@ -440,6 +446,15 @@
                 self.keeper.put(key, Keyed(cls, group, now, now + lasts))
                 self.open_keys.append((time.monotonic() + lasts, key))
 
+    def _let_go(self) -> None:
+        """Each request that is kept from before ends its own span from now on, by no wall clock."""
+        if self.found is None:
+            return
+        now = time.monotonic()
+        kept = self.found.state.tables[Keyed.KIND].items()
+        spans = {key: fact.until - fact.at for key, fact in kept if isinstance(fact, Keyed)}
+        self.open_keys = deque(sorted([*self.open_keys, *((now + span, key) for key, span in spans.items())]))
+
     def forget_request(self, key: str) -> None:
         if self.keeper is not None:
             self.keeper.drop(Keyed.KIND, key)
--- a/granitepoint/recovery/trust.py
+++ b/granitepoint/recovery/trust.py
@@ -134,11 +134,6 @@
     return Verdict(row.by(situation.loss), row.why)
 
 
-def cold(zone: str, situation: Situation) -> bool:
-    """Whether a server of this zone is cold whatever a list says of its start."""
-    return situation.loss in (Loss.FLEET, Loss.UNKNOWN) or zone in situation.lost
-
-
 class Repeat(Enum):
     """What may be done with a request of which it is known that it may have run."""
 
@@ -148,13 +143,13 @@
 
 
 def repeat(fact: Keyed, situation: Situation) -> Repeat:
-    """After a loss no server of the group that lost power remembers a key; and the clock that says that its
-    time is over has to be one that can be believed."""
+    """After a loss no server of the group that lost power remembers a key, and no clock ends that: one that
+    has jumped ahead would say that its time is over. Elsewhere the clock has to be believable."""
+    if situation.loss in (Loss.FLEET, Loss.UNKNOWN):
+        return Repeat.NEVER
+    if fact.group in situation.lost or (situation.lost and fact.group in ("", "all")):
+        return Repeat.NEVER
     believed = not situation.clock_went_back and fact.at <= situation.now + AHEAD
     if believed and situation.now > fact.until:
         return Repeat.FORGOTTEN
-    if not fact.group or not believed or situation.loss in (Loss.FLEET, Loss.UNKNOWN):
-        return Repeat.NEVER
-    if fact.group in situation.lost or (situation.lost and fact.group == "all"):
-        return Repeat.NEVER
-    return Repeat.IN_GROUP
+    return Repeat.IN_GROUP if fact.group and believed else Repeat.NEVER
--- a/rigs/backend.py
+++ b/rigs/backend.py
@@ -15,7 +15,7 @@
 import httptools
 
 from rigs.kit import listen
-from rigs.ledger import OPEN, Attempt, Ledger, Start
+from rigs.ledger import Attempt, Ledger, Start
 
 LOAD = b"inflight=0,queue=0"
 
@@ -65,6 +65,15 @@
             self.ledger.starts.append(Start(self.name, time.monotonic(), self.capacity))
         return self.address
 
+    def load(self) -> bytes:
+        """What a probe is told."""
+        return LOAD
+
+    def begin(self, connection: _Connection, attempt: Attempt, incoming: Incoming) -> None:
+        """Works on a call that has come."""
+        attempt.ran, attempt.ran_at = True, time.monotonic()
+        self.loop.call_later(self.service, connection.served, attempt, incoming)
+
     def stop(self) -> None:
         """As a process that dies: connections are reset, new ones refused."""
         if self.server is not None:
@@ -121,7 +130,7 @@
                 if wait:
                     backend.loop.call_later(wait, self._answer, LOAD)
                 else:
-                    self._answer(LOAD)
+                    self._answer(backend.load())
             return
         now = time.monotonic()
         call = self.headers[b"x-call-id"].decode()
@@ -133,24 +142,29 @@
             call, backend.name, backend.zone, begun, key=key, work=backend.service, proxy=via, whole=now
         )
         if not backend.silent:
-            attempt.ran, attempt.ran_at = True, now
             cls = self.target[1:].split(b"/", 1)[0].decode()
             due = now + budget_of(self.headers.get(b"x-budget", b""))
             incoming = Incoming(cls, call, key, due, self.headers.get(b"tier-budget", b""))
             wait = max(0.0, backend.paused_until - now)
             if wait:
-                attempt.ran, attempt.ran_at = False, OPEN
                 backend.loop.call_later(wait, self._resumed, attempt, incoming)
             else:
-                backend.loop.call_later(backend.service, self._served, attempt, incoming)
+                backend.begin(self, attempt, incoming)
 
     def _resumed(self, attempt: Attempt, incoming: Incoming) -> None:
         """After a pause: whose connection has ended meanwhile is not begun."""
         if self.transport is not None:
-            attempt.ran, attempt.ran_at = True, time.monotonic()
-            self.backend.loop.call_later(self.backend.service, self._served, attempt, incoming)
+            self.backend.begin(self, attempt, incoming)
+
+    def refuse(self, attempt: Attempt) -> None:
+        """Turned away unseen, and marked so."""
+        attempt.refused = True
+        if self.transport is not None:
+            attempt.ended = time.monotonic()
+            self._answer(b"", 503, b"X-Rejected: 1\r\n")
 
-    def _served(self, attempt: Attempt, incoming: Incoming) -> None:
+    def served(self, attempt: Attempt, incoming: Incoming) -> None:
+        """Its own work is done."""
         if self.backend.further is None:
             self._end(attempt, True)
             return
@@ -164,9 +178,9 @@
             attempt.ended = time.monotonic()
             self._answer(b"done " + attempt.call.encode(), 200 if well else 500)
 
-    def _answer(self, body: bytes, code: int = 200) -> None:
+    def _answer(self, body: bytes, code: int = 200, more: bytes = b"") -> None:
         if self.transport is not None:
-            head = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (code, len(body))
+            head = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n" % (code, len(body), more)
             self.transport.write(head + body)
 
 
--- a/rigs/callers.py
+++ b/rigs/callers.py
@@ -147,7 +147,8 @@
         self.unsent += 1
         self._over(call, -1)
 
-    def ended(self, call: str, at: float, code: int, left: bool = False) -> None:
+    def ended(self, call: str, at: float, code: int, left: bool = False, advice: float = 0.0) -> None:
+        """`advice`: s of its Retry-After."""
         self.codes[-1 if left else code] += 1
         self.ledger.answers.append(Answer(call, at, code, left))
         self._over(call, code)
@@ -171,6 +172,7 @@
         self.parser: Any = None
         self.timer: asyncio.TimerHandle | None = None
         self.idle_since = 0.0
+        self.advice = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -188,7 +190,7 @@
         if self.transport is None:
             self.callers.loop.call_soon(self.callers.not_sent, call)
             return
-        self.call = call
+        self.call, self.advice = call, 0.0
         self.parser = httptools.HttpResponseParser(self)
         now = time.monotonic()
         self.timer = self.callers.loop.call_later(cls.budget + GIVE_UP, self._give_up, now + cls.budget)
@@ -205,6 +207,10 @@
             return
         self.parser.feed_data(data)
 
+    def on_header(self, name: bytes, value: bytes) -> None:
+        if name.lower() == b"retry-after":
+            self.advice = float(value)
+
     def on_message_complete(self) -> None:
         keep = self.parser.should_keep_alive()
         self._end(self.parser.get_status_code())
@@ -219,7 +225,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if call:
-            self.callers.ended(call, time.monotonic(), code)
+            self.callers.ended(call, time.monotonic(), code, advice=self.advice)
 
     def _give_up(self, due: float) -> None:
         call, self.call = self.call, ""
--- a/rigs/fleet/world.py
+++ b/rigs/fleet/world.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, TypeVar
 
 from granitepoint.fleet.guard import Seals
 from granitepoint.fleet.pages import Page, Row, question, read_page
@@ -40,6 +40,7 @@
 KEY = "0123456789abcdef" * 4  # of fleets whose datagrams are sealed
 TOLD = ("granitepoint.fleet", "granitepoint.recovery", "ERROR", "Traceback")  # lines that are kept
 GARBAGE = 64  # bytes of a datagram of a storm
+W = TypeVar("W", bound="World")
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,10 +109,7 @@
         self.relay = Datagrams(setup.members, self.port, self.network)
         self.ledger = Ledger()
         self.seats = [Seat(number, f"p{number}", folder / f"p{number}") for number in range(setup.members)]
-        self.nodos = [
-            Backend(self.ledger, f"n{number}", "abc"[number % 3], capacity=4.0)
-            for number in range(setup.nodos)
-        ]
+        self.nodos = [self.nodo(number) for number in range(setup.nodos)]
         self.padrons: list[Padron] = []
         self.callers: list[Callers] = []
         self.pipes: list[Pipe] = []
@@ -128,6 +126,35 @@
     def living(self) -> list[Seat]:
         return [seat for seat in self.seats if seat.alive and not seat.stopped]
 
+    # what a rig of its own may make another way
+    def nodo(self, number: int) -> Backend:
+        return Backend(self.ledger, f"n{number}", "abc"[number % 3], capacity=4.0)
+
+    def before(self, seat: Seat) -> list[Backend]:
+        """The servers that it stands before."""
+        return self.nodos
+
+    async def way(self, seat: Seat, number: int, nodo: Backend) -> str:
+        """The address by which its list names the server."""
+        pipe = Pipe(lambda: address_of(nodo.address))
+        seat.pipes.append(pipe)
+        return await pipe.start(f"127.79.{number}.{seat.number + 1}", self.http)
+
+    def users(self, seat: Seat) -> Callers:
+        return Callers(self.ledger, (host(77, seat.number), self.http), seat.name, self.setup.seed)
+
+    def asks(self, callers: Callers) -> bool:
+        """Whether they do so by themselves."""
+        return True
+
+    def peers(self, seat: Seat) -> list[str]:
+        """Of its tier; its own stands at its place."""
+        return self.relay.addresses()
+
+    def place(self, seat: Seat) -> dict[str, Any]:
+        """Settings: where in its tier it stands."""
+        return {"balancers": self.setup.members, "me": seat.number}
+
     # making it
     async def begin(self) -> None:
         await self.relay.start()
@@ -142,7 +169,8 @@
         self.observer.begin()
         if self.setup.rate:
             for callers in self.callers:
-                self._task(callers.run(3600.0, self.setup.rate, wait=False))
+                if self.asks(callers):
+                    self._task(callers.run(3600.0, self.setup.rate, wait=False))
 
     async def _surround(self, seat: Seat) -> None:
         """Its list, its ways to the servers, and its callers."""
@@ -153,22 +181,17 @@
         padron = Padron(self.ledger, self.setup.seed + seat.number, proxy=seat.name)
         at = await padron.start()
         self.padrons.append(padron)
-        for number, nodo in enumerate(self.nodos):
-            pipe = Pipe(lambda nodo=nodo: address_of(nodo.address))  # type: ignore[misc]
-            address = await pipe.start(f"127.79.{number}.{seat.number + 1}", self.http)
-            seat.pipes.append(pipe)
-            padron.put(entry(nodo.name, address, zone=nodo.zone))
+        for number, nodo in enumerate(self.before(seat)):
+            padron.put(entry(nodo.name, await self.way(seat, number, nodo), zone=nodo.zone))
         pipe = Pipe(lambda: address_of(at))
         await pipe.start(f"127.79.250.{seat.number + 1}", self.http)
         seat.pipes.append(pipe)
         self.pipes += seat.pipes
-        self.callers.append(
-            Callers(self.ledger, (host(77, seat.number), self.http), seat.name, self.setup.seed)
-        )
+        self.callers.append(self.users(seat))
 
     def _config(self, seat: Seat) -> dict[str, Any]:
         number = seat.number
-        peers = self.relay.addresses()
+        peers = self.peers(seat)
         known = [item for item in self.padrons[number].entries.values() if item["status"] == "Ready"]
         limits: dict[str, Any] = {
             "send_cap": 5, "may_duplicate": False, "may_cancel": True, "probes": True, "conn_idle": 30.0,
@@ -182,8 +205,7 @@
         contract = {**settings()["contract"], "cold": self.setup.cold}
         return configuration(
             seat.name, f"{host(77, number)}:{self.http}", f"127.79.250.{number + 1}:{self.http}", known, more,
-            balancers=self.setup.members, me=number, zone="abc"[number % 3], policy_limits=limits,
-            contract=contract,
+            zone="abc"[number % 3], policy_limits=limits, contract=contract, **self.place(seat),
         )  # fmt: skip
 
     def _operator(self, seat: Seat) -> str:
@@ -492,8 +514,14 @@
 
     # what it judges
     def equal(self, since: float = 0.0, settled: bool = False) -> bool:
-        """Whether all the living see the same, and that is the living; by answers after `since`."""
-        seats = self.world.living
+        """Whether all the living of each fleet see the same, and that is the living; by answers after
+        `since`."""
+        fleets: dict[tuple[str, ...], list[Seat]] = {}
+        for seat in self.world.living:
+            fleets.setdefault(tuple(self.world.peers(seat)), []).append(seat)
+        return all(self._equal(seats, since, settled) for seats in fleets.values())
+
+    def _equal(self, seats: list[Seat], since: float, settled: bool) -> bool:
         pages = [self.pages.get(seat.name) for seat in seats]
         if any(page is None or page[0] < since for page in pages):
             return False
@@ -541,11 +569,15 @@
 
 
 @contextlib.asynccontextmanager
-async def world(setup: Setup) -> AsyncIterator[World]:
+async def made(kind: type[W], setup: Setup) -> AsyncIterator[W]:
     with tempfile.TemporaryDirectory() as text:
-        made = World(setup, Path(text))
+        one = kind(setup, Path(text))
         try:
-            await made.begin()
-            yield made
+            await one.begin()
+            yield one
         finally:
-            await made.end()
+            await one.end()
+
+
+def world(setup: Setup) -> contextlib.AbstractAsyncContextManager[World]:
+    return made(World, setup)
--- a/rigs/padron.py
+++ b/rigs/padron.py
@@ -46,7 +46,8 @@
         self.silent = False
 
     async def start(self) -> str:
-        self.server, self.address = await listen(lambda: _Connection(self))
+        """Listens where it did before, if it did."""
+        self.server, self.address = await listen(lambda: _Connection(self), self.address)
         return self.address
 
     def stop(self) -> None:
--- a/tests/recovery/test_power.py
+++ b/tests/recovery/test_power.py
@@ -4,12 +4,15 @@
 
 import asyncio
 import re
+import time
 from collections.abc import Callable, Coroutine
 from typing import Any
 
 from granitepoint.recovery.facts import Maintenance, put
 from granitepoint.recovery.folder import Folder
+from granitepoint.recovery.service import name_of
 from granitepoint.recovery.store import Owner, Store, read_store
+from rigs.callers import MIX, Class
 from rigs.fleet.world import Seat, Setup, World, world
 from rigs.kit import until
 
@@ -148,3 +151,137 @@
             assert "ramp" not in power.path(seat)
 
     played(work)
+
+
+async def everybody_back(made: World) -> None:
+    for seat in made.seats:
+        made.start(seat.number)
+    for number in range(len(made.nodos)):
+        await made.nodo_on(number)
+
+
+def test_power_is_lost_again_in_the_middle_of_the_ramp() -> None:
+    async def work(made: World, power: Power) -> None:
+        for _ in range(2):
+            power.mark()
+            made.power_off()
+            await everybody_back(made)
+            await until(lambda: all("ramp" in power.path(seat) for seat in made.seats), "the ramp", 60)
+        await power.steady()
+        for seat in made.seats:
+            assert power.happened(seat) == ["everybody did"] and power.path(seat)[0] == "dark"
+
+    played(work)
+
+
+def test_stores_that_were_swapped_and_clocks_that_jumped_keep_nobody_from_recovery() -> None:
+    """p0 and p1 have each other's store, p2's clock went a week ahead, p3's back to 1970, p4's a day."""
+
+    async def work(made: World, power: Power) -> None:
+        made.power_off()
+        await until(lambda: not made.living, "dark", 10)
+        one, other = (made.seats[number].folder / "store" for number in (0, 1))
+        spare = one.with_name("spare")
+        one.rename(spare)
+        other.rename(one)
+        spare.rename(other)
+        for number, jump in ((2, 7 * 86_400.0), (3, -time.time()), (4, 86_400.0)):
+            made.turn_clock(number, wall=jump)
+        await everybody_back(made)
+        await power.steady()
+        for seat in made.seats:
+            assert power.happened(seat) == ["everybody did"]
+            assert ("store: not for this process" in power.lines(seat)) is (seat.number < 2)
+        served = sum(callers.codes[200] for callers in made.callers)
+        await until(lambda: sum(callers.codes[200] for callers in made.callers) > served + 50, "service", 20)
+
+    played(work)
+
+
+def test_a_keyed_request_that_was_out_at_the_loss_is_not_sent_again_for_its_caller() -> None:
+    """Nor where the clock says that its time is long over: it went a day ahead in the dark."""
+
+    async def work(made: World, power: Power) -> None:
+        for nodo in made.nodos:
+            nodo.service = 2.0
+        reserva = next(cls for cls in MIX if cls.name == "reserva")
+        keys = [f"key-{number}" for number in range(4)]
+        for key in keys:
+            made.callers[0].send(reserva, key)
+        await until(lambda: {a.key for a in made.ledger.attempts}.issuperset(keys), "out", 10)
+        store = Folder(made.seats[0].folder / "store")
+        known = {name_of("reserva", key.encode()) for key in keys}
+        await until(lambda: known <= set(read_store(store, None).state.tables["keyed"]), "noted", 10)
+        made.power_off()
+        for nodo in made.nodos:
+            nodo.service = 0.01
+        made.turn_clock(0, wall=86_400.0)
+        await everybody_back(made)
+        codes = []
+        for key in keys:
+            codes.append(await until_taken(made, reserva, key))
+        assert codes == [504] * len(keys)
+        assert [sum(a.key == key for a in made.ledger.attempts) for key in keys] == [1] * len(keys)
+        await power.steady()
+
+    played(work)
+
+
+async def until_taken(made: World, cls: Class, key: str) -> int:
+    """The code of a call to the first proxy, once it is there."""
+    while (code := await made.callers[0].call(cls, key)) in (-1, 0, 503):
+        await asyncio.sleep(0.1)
+    return code
+
+
+def test_a_proxy_that_crashes_in_a_loop_is_no_power_loss() -> None:
+    async def work(made: World, power: Power) -> None:
+        for _ in range(5):
+            made.kill(0)
+            made.start(0)
+            await until(lambda: "recovery:" in power.lines(made.seats[0]), "it looks round", 30)
+            power.mark()
+        await power.steady(made.seats[0])
+        assert "ramp" not in power.path(made.seats[0])
+        assert all(power.happened(seat) == [] for seat in made.seats[1:])
+
+    played(work)
+
+
+def test_an_empty_list_after_the_loss_is_not_believed() -> None:
+    async def work(made: World, power: Power) -> None:
+        made.power_off()
+        whole = [dict(padron.entries) for padron in made.padrons]
+        for padron in made.padrons:
+            padron.index, padron.entries, padron.changed = 0, {}, {}  # it counts anew
+        await everybody_back(made)
+        marks = [callers.codes[200] for callers in made.callers]
+        await until(
+            lambda: all(
+                callers.codes[200] > mark + 5 for callers, mark in zip(made.callers, marks, strict=True)
+            ),
+            "service by each proxy", 40,
+        )  # fmt: skip
+        assert all("a list of 0 servers is not believed" in power.lines(seat) for seat in made.seats)
+        for padron, entries in zip(made.padrons, whole, strict=True):
+            for item in entries.values():
+                padron.put(item)
+        await power.steady()
+
+    played(work)
+
+
+def test_two_halves_that_can_not_hear_each_other() -> None:
+    """Neither hears more than half: each holds it for the worst once it has asked for long enough."""
+
+    async def work(made: World, power: Power) -> None:
+        made.network.parts.append([frozenset((0, 2, 4)), frozenset((1, 3, 5))])
+        made.power_off()
+        await everybody_back(made)
+        await power.steady()
+        for seat in made.seats:
+            assert power.happened(seat) == ["everybody did"]
+            assert "held for the worst" in power.lines(seat)
+        made.network.parts.clear()
+
+    played(work)
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -143,7 +143,6 @@
     for record in state.records():
         copy.apply(record)
     assert same(copy, state)
-    assert [record["key"] for record in state.forget(98.0)] == ["k3", "k4"]
     server = {"put": "server", "key": "n"}
     for bad in (server, {**server, "address": 5}, {"put": "server"}):
         with pytest.raises(ValueError):
@@ -169,7 +168,7 @@
     first.put("n3", Maintenance(3.0))
     assert not second.settle(0.2)
     first.stop()
-    assert second.settle(5) and second.replaced
+    assert second.settle(5)
     second.stop()
     assert set(read_store(Folder(tmp_path), None).state.tables["maintenance"]) == {"n1", "n2", "n3"}
 
--- a/tests/recovery/test_trust.py
+++ b/tests/recovery/test_trust.py
@@ -7,6 +7,8 @@
 
 import pytest
 
+from granitepoint.interface import ServerEntry
+from granitepoint.net.listing import Listed, Listing
 from granitepoint.recovery.__main__ import main
 from granitepoint.recovery.facts import (
     KINDS,
@@ -21,8 +23,9 @@
     put,
 )
 from granitepoint.recovery.folder import Folder
+from granitepoint.recovery.overlay import Overlay
 from granitepoint.recovery.store import Found, Owner, Store
-from granitepoint.recovery.trust import TABLE, Loss, Repeat, Situation, Trust, cold, judge, repeat
+from granitepoint.recovery.trust import TABLE, Loss, Repeat, Situation, Trust, judge, repeat
 
 NOW = 1_800_000_000.0
 A = frozenset("a")
@@ -74,7 +77,10 @@
     for loss, expected in cases.items():
         lost = A if loss is Loss.ZONE else frozenset()
         assert repeat(fact, Situation(NOW, loss, lost)) is expected
-        assert repeat(fact, Situation(NOW + 6, loss, lost)) is Repeat.FORGOTTEN
+        # After a loss no clock ends it: it may have jumped ahead by a day.
+        over = Repeat.FORGOTTEN if expected is Repeat.IN_GROUP else Repeat.NEVER
+        assert repeat(fact, Situation(NOW + 6, loss, lost)) is over
+        assert repeat(fact, Situation(NOW + 86_400, loss, lost)) is over
         # A clock that can't be believed ends nothing.
         assert repeat(fact, Situation(NOW + 6, loss, lost, NOW + 3600)) is Repeat.NEVER
         assert repeat(fact, Situation(0.0, loss, lost)) is Repeat.NEVER
@@ -85,12 +91,21 @@
 
 
 def test_after_a_loss_servers_are_cold_whatever_a_list_says() -> None:
-    told = {loss: tuple(cold(zone, Situation(NOW, loss, A)) for zone in "ab") for loss in Loss}
-    assert told == {
-        Loss.PROCESS: (True, False), Loss.MACHINE: (True, False), Loss.ZONE: (True, False),
-        Loss.FLEET: (True, True), Loss.UNKNOWN: (True, True),
-    }  # fmt: skip
-    assert not cold("a", Situation(NOW, Loss.PROCESS))
+    lists = Overlay("p0", 24.0, 100.0)
+    listed = [
+        Listed(("10.0.0.1", 80), ServerEntry(number, zone, started_at=7.0), f"n{number}")
+        for number, zone in enumerate("ab")
+    ]
+    lists.overlay(Listing(1, True, listed))
+
+    def starts(lost: frozenset[str] | None) -> list[float]:
+        lists.happened(lost, ["p1", "p2"])
+        return [item.entry.started_at for item in lists.all_in_force().backends]
+
+    assert starts(frozenset()) == [7.0, 7.0]
+    assert starts(A) == [100.0, 7.0] and starts(None) == [100.0, 100.0]
+    lists.answered(1, 103.0)
+    assert starts(None) == [100.0, 103.0]
 
 
 def test_the_command_shows_verifies_and_forgets(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
