--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -40,17 +40,30 @@
 CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
 PATIENCE = (0.5, 1.0)  # of its class's time for which a caller waits
 CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICES["nucleo"] / CALLS_EACH  # requests a second
-CALM, OVER = 0.5, 1.5  # of it
-HALF, HALF_SHORT = 15.0, 4.5  # s of each half
+# of it
+CALM = 0.5
+OVER = 1.5
+# s of each half
+HALF = 15.0
+HALF_SHORT = 4.5
 WARM = 1.5  # s of calls before, which count for nothing
-TURNS, TURNS_SHORT = 3, 1  # of each, on and off
-HANGS, HANGS_SHORT = 6, 2  # in an overloaded half
+# of each, on and off
+TURNS = 3
+TURNS_SHORT = 1
+# in an overloaded half
+HANGS = 6
+HANGS_SHORT = 2
 HANG = 1.0  # s for which a server takes calls and answers none
 ALLOWANCE = 0.02  # s after the caller's time in which work may be seen to begin: two processes' scheduling
-LOOPED, LOOPED_SHORT = 60, 10  # calls in each kind of loop
+# calls in each kind of loop
+LOOPED = 60
+LOOPED_SHORT = 10
 MOST_HOPS = 3
-HISTORIES, HISTORIES_SHORT = 100_000, 2_000
-CALLS, CALLS_SHORT = 8000, 400  # of the measurement of CPU, each turn
+HISTORIES = 100_000
+HISTORIES_SHORT = 2_000
+# of the measurement of CPU, each turn
+CALLS = 8000
+CALLS_SHORT = 400
 SAME = 0.02  # of worth: what two calm halves may differ by
 
 
@@ -153,7 +166,8 @@
     mine = {t.call: t for t in ledger.taken if t.call.startswith("edge-") and begun <= t.at < ended}
     answers = {answer.call: answer for answer in ledger.answers}
     for call, taken in mine.items():
-        cls, answer = CLASSES[taken.cls], answers.get(call)
+        cls = CLASSES[taken.cls]
+        answer = answers.get(call)
         into.calls += 1
         into.offered += cls.worth
         if answer is not None and answer.code == 200 and not answer.left:
@@ -231,8 +245,11 @@
             proof.figure(
                 f"{word}_{name}_inner", part.inner, f"s of the inner tier, {part.used:.2f} of it in time"
             )
-            proof.figure(f"{word}_{name}_begun_late", len(part.late),
-                         f"works for nobody, the latest {max(part.late, default=0.0):.3f} s")  # fmt: skip
+            proof.figure(
+                f"{word}_{name}_begun_late",
+                len(part.late),
+                f"works for nobody, the latest {max(part.late, default=0.0):.3f} s",
+            )
             proof.figure(
                 f"{word}_{name}_attempts", part.most_attempts, "that reached an application, at the most"
             )
--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -188,8 +188,10 @@
 async def script(fleet: Fleet, size: Size, windows: list[tuple[str, float, float]]) -> None:
     """Expiries one after another, with the partitions and the empty ensemble between them."""
     pending: list[asyncio.Task[None]] = []
-    stops = {(place + 1) * size.expiries // (len(size.partitions) + 2): length
-             for place, length in enumerate(size.partitions)}  # fmt: skip
+    stops = {
+        (place + 1) * size.expiries // (len(size.partitions) + 2): length
+        for place, length in enumerate(size.partitions)
+    }
     for number in range(size.expiries):
         if number in stops:
             await settle(fleet, pending)
@@ -261,9 +263,16 @@
                 'snapshot = "{folder}/nodes"\n'
             )
             proxies[name] = await stack.enter_async_context(
-                proxy(name, fleet.padron.address, known, operator if name[0] == "m" else "",
-                      {"auth": f"{name}:secret"}, balancers=3, me=len(proxies))
-            )  # fmt: skip
+                proxy(
+                    name,
+                    fleet.padron.address,
+                    known,
+                    operator if name[0] == "m" else "",
+                    {"auth": f"{name}:secret"},
+                    balancers=3,
+                    me=len(proxies),
+                )
+            )
         await asyncio.sleep(2.0)
         begun = time.monotonic()
         callers = {
@@ -315,7 +324,8 @@
         for name, last in loss.last.items():
             (ours if name[0] == "m" else theirs).append(max(0.0, last - loss.at))
     proof.claim(ours, "no nodo that was lost had been sent to before")
-    ours, theirs = ours or [0.0], theirs or [0.0]
+    ours = ours or [0.0]
+    theirs = theirs or [0.0]
     proof.figure("last_send_by_session", median(ours), "s after the loss, median")
     proof.figure("last_send_by_session_worst", max(ours), "s after the loss")
     proof.figure("last_send_by_padron", median(theirs), "s after the loss, median")
@@ -376,7 +386,8 @@
         await service.stop()
     proof.figure("memory_of_10000_nodes", sizes[LISTED] - sizes[1], "MB more than with one")
     proof.figure("memory_with_10000_nodes", sizes[LISTED], "MB in all")
-    tree, merger = Tree(), Merger(SHARE, 10.0)
+    tree = Tree()
+    merger = Merger(SHARE, 10.0)
     nodes = [many(number) for number in range(LISTED)]
     tree.preload(nodes)
     merger.told(MEMBERSHIP, [listed(node, 0.0) for node in nodes], 0.0)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -38,7 +38,9 @@
 
 PARTS = ("real", "scale", "seeds", "against", "model", "fuzz", "cost")
 SETTLING = 10.0  # periods within which all views of the living are equal after the last fault
-MEDIAN_BEYOND, WORST_BEYOND = 3.0, 6.0  # periods from a crash to its being known, beyond its suspicion
+# periods from a crash to its being known, beyond its suspicion
+MEDIAN_BEYOND = 3.0
+WORST_BEYOND = 6.0
 FLAT = 1.5  # bytes a member and period at the largest size, against the smallest
 PERIOD = 0.5  # s, on real processes
 EAGER = 2.0  # periods of suspicion in the comparison: short enough that slow members die of it
@@ -62,25 +64,31 @@
             Fault(do="kill", at=random.uniform(0, 1), who=(some[0],), lasts=random.uniform(5, 7)),
             Fault(do="stop", at=random.uniform(0, 1), who=(some[1],), lasts=random.uniform(0.3, 1.2)),
             Fault(do="restart", at=random.uniform(1, 3), who=(some[2],)),
-            random.choice([
-                lossy,
-                Fault(do="delay", at=0.5, who=("all",), by=0.02, share=0.05, lasts=4.0),
-                Fault(do="duplicate", at=0.5, who=("all",), share=0.3, lasts=4.0),
-                Fault(do="corrupt", at=0.5, who=("all",), share=0.1, lasts=4.0),
-            ]),
-            random.choice([
-                Fault(do="partition", at=1.0, groups=(",".join(half), ",".join(rest)), lasts=5.0),
-                Fault(do="cut", at=1.0, who=(some[3],), to=(some[4],), lasts=5.0),
-                Fault(do="cut", at=1.0, who=(some[3],), to=tuple(half), lasts=5.0),
-                Fault(do="storm", at=1.0, who=(some[3],), share=1000, lasts=3.0),
-            ]),
-            random.choice([
-                Fault(do="term", at=2.0, who=(some[5],), lasts=4.0),
-                Fault(do="clock", at=1.0, who=(some[5],), by=-3600.0),
-                Fault(do="reset", at=1.0, who=(some[5],)),
-                Fault(do="drain", at=1.0, who=("n1",), lasts=3.0),
-            ]),
-        ]  # fmt: skip
+            random.choice(
+                [
+                    lossy,
+                    Fault(do="delay", at=0.5, who=("all",), by=0.02, share=0.05, lasts=4.0),
+                    Fault(do="duplicate", at=0.5, who=("all",), share=0.3, lasts=4.0),
+                    Fault(do="corrupt", at=0.5, who=("all",), share=0.1, lasts=4.0),
+                ]
+            ),
+            random.choice(
+                [
+                    Fault(do="partition", at=1.0, groups=(",".join(half), ",".join(rest)), lasts=5.0),
+                    Fault(do="cut", at=1.0, who=(some[3],), to=(some[4],), lasts=5.0),
+                    Fault(do="cut", at=1.0, who=(some[3],), to=tuple(half), lasts=5.0),
+                    Fault(do="storm", at=1.0, who=(some[3],), share=1000, lasts=3.0),
+                ]
+            ),
+            random.choice(
+                [
+                    Fault(do="term", at=2.0, who=(some[5],), lasts=4.0),
+                    Fault(do="clock", at=1.0, who=(some[5],), by=-3600.0),
+                    Fault(do="reset", at=1.0, who=(some[5],)),
+                    Fault(do="drain", at=1.0, who=("n1",), lasts=3.0),
+                ]
+            ),
+        ]
         found.append(faults if turn else faults[:3])
     return found
 
@@ -112,7 +120,8 @@
     setup = Setup(members=members, nodos=4 if proof.short else 8, rate=1.0, period=PERIOD, seed=seed)
     beyond: list[tuple[float, float]] = []
     settled: list[float] = []
-    played = cuts = 0
+    played = 0
+    cuts = 0
     false = []
     begun = time.monotonic()
     async with world(setup) as w:
@@ -149,7 +158,8 @@
                 false += [d for d in w.observer.false_deaths() if d in fresh]
         # Crashes with nothing else about them.
         for number in Random(seed).sample(range(members), 2 if proof.short else 8):
-            mark, at = len(w.observer.changes), time.monotonic()
+            mark = len(w.observer.changes)
+            at = time.monotonic()
             name = w.seats[number].name
             w.kill(number)
             await w.observer.settle(60)
@@ -174,10 +184,11 @@
         codes = sum((callers.codes for callers in w.callers), start=type(w.callers[0].codes)())
         served = codes[200] / max(1, sum(codes.values()))
         dead_at_end = [
-            seat.name for seat in w.living
+            seat.name
+            for seat in w.living
             for other in w.living
             if (page := w.observer.pages.get(other.name)) and page[1].living != len(w.living)
-        ]  # fmt: skip
+        ]
         revived = w.observer.resurrections()
         proof.figure("real_span", time.monotonic() - begun, "s")
         proof.figure("real_faults", played, "faults")
@@ -185,7 +196,8 @@
         proof.figure("real_calls", sum(codes.values()), f"calls, {served:.3f} served")
     proof.figure("real_settled", median(settled), "periods after the last fault, median")
     proof.figure("real_settled_worst", max(settled), "periods")
-    own, first = [late[0] for late in beyond], [late[1] for late in beyond]
+    own = [late[0] for late in beyond]
+    first = [late[1] for late in beyond]
     proof.figure(
         "real_crash_known", median(own), f"periods beyond each view's suspicion, median of {len(own)}"
     )
@@ -241,7 +253,9 @@
         bed = Bed(size, Timing(period=1.0), seed)
         bed.adopt()
         gc.freeze()  # at 10,000 members a collection looks through a hundred million entries
-        began, sent, count = bed.now, bed.bytes, bed.datagrams
+        began = bed.now
+        sent = bed.bytes
+        count = bed.datagrams
         known, suspicion = crashed(bed, 1)
         bed.run(began + 30.0)  # one crash each 30 periods
         periods = bed.now - began
@@ -277,15 +291,19 @@
         mixed = random.sample(names, members)
         faults.append(
             Fault(
-                do=deed, at=random.uniform(0, 15), who=("all",) if random.random() < 0.3 and deed in (
-                    "loss", "delay", "duplicate", "corrupt") else who,
+                do=deed,
+                at=random.uniform(0, 15),
+                who=("all",)
+                if random.random() < 0.3 and deed in ("loss", "delay", "duplicate", "corrupt")
+                else who,
                 to=tuple(random.sample(names, random.randint(1, members // 2))),
                 groups=(",".join(mixed[:cut]), ",".join(mixed[cut:])),
-                lasts=random.uniform(0.5, 12), share=random.uniform(0.02, 0.2),
+                lasts=random.uniform(0.5, 12),
+                share=random.uniform(0.02, 0.2),
                 by=random.uniform(0.005, 0.1) if deed == "delay" else random.choice([-3600.0, 3600.0, -5.0]),
                 name=random.choice(["wall", "monotonic"]),
             )
-        )  # fmt: skip
+        )
     return Script(Top(members=members), tuple(faults))
 
 
@@ -402,8 +420,10 @@
 
     def __init__(self, members: int, seed: int, slow: dict[int, list[tuple[float, float]]]) -> None:
         self.random = Random(seed)
-        self.members, self.slow = members, slow
-        self.false = self.bytes = 0
+        self.members = members
+        self.slow = slow
+        self.false = 0
+        self.bytes = 0
 
     def run(self, periods: int) -> None:
         heard = [[0.0] * self.members for _ in range(self.members)]
@@ -438,7 +458,8 @@
     random = Random(f"slow {seed}")
     found: Spells = {}
     for member in random.sample(range(members), max(1, int(members * share))):
-        at, spells = random.uniform(0, 2), []
+        at = random.uniform(0, 2)
+        spells = []
         while at < periods:
             lasts = random.uniform(0.3, 3.6)
             spells.append((at, at + lasts))
@@ -456,7 +477,8 @@
         for begun, ended in spells:
             bed.call(begun, bed.stop, member)
             bed.call(ended, bed.go_on, member)
-    healthy = ill = 0
+    healthy = 0
+    ill = 0
     names = {bed.members[member].name for member in slow}
 
     def watch(member: Member, change: Change) -> None:
@@ -478,12 +500,21 @@
     beats.run(int(periods))
     beating = beats.bytes / members / periods
     proof.figure("against_members", members, f"members, one of twenty slow, {periods:.0f} periods")
-    proof.figure("against_healthy", f"{ours[0]} ours, {plain[0]} plain SWIM",
-                 "views in which a healthy member was dead")  # fmt: skip
-    proof.figure("against_slow", f"{ours[1]} ours, {plain[1]} plain SWIM, {beats.false} heartbeats",
-                 "views in which a slow member was dead")  # fmt: skip
-    proof.figure("against_bytes", f"{ours[2]:.0f} ours, {plain[2]:.0f} plain SWIM, {beating:.0f} heartbeats",
-                 "bytes a member and period")  # fmt: skip
+    proof.figure(
+        "against_healthy",
+        f"{ours[0]} ours, {plain[0]} plain SWIM",
+        "views in which a healthy member was dead",
+    )
+    proof.figure(
+        "against_slow",
+        f"{ours[1]} ours, {plain[1]} plain SWIM, {beats.false} heartbeats",
+        "views in which a slow member was dead",
+    )
+    proof.figure(
+        "against_bytes",
+        f"{ours[2]:.0f} ours, {plain[2]:.0f} plain SWIM, {beating:.0f} heartbeats",
+        "bytes a member and period",
+    )
     proof.claim(ours[0] == 0, f"{ours[0]} healthy members were declared dead")
     proof.claim(ours[0] + ours[1] < plain[0] + plain[1], "plain SWIM has no more false deaths than ours")
     proof.claim(ours[2] < beating, "heartbeats to all cost no more than ours")
@@ -514,7 +545,8 @@
 
 def fuzz(proof: Proof, seed: int) -> None:
     count = 5_000 if proof.short else 100_000
-    random, seals = Random(seed), Seals()
+    random = Random(seed)
+    seals = Seals()
     bed = Bed(8, Timing(), seed)
     kept: list[bytes] = []
     bed.network.seen = lambda data: kept.append(data) if len(kept) < 5000 else None
@@ -525,7 +557,9 @@
     bed.run(12.0)
     core = bed.members[0].core
     assert core is not None
-    longer = raised = answered = 0
+    longer = 0
+    raised = 0
+    answered = 0
     middle = 0
     for number in range(count):
         data = bytearray(random.choice(kept) if number % 4 else random.randbytes(random.randint(0, 300)))
@@ -602,8 +636,12 @@
 
 
 VIRTUAL: dict[str, Callable[[Proof, int], None]] = {
-    "model": checked, "fuzz": fuzz, "against": against, "seeds": seeds, "scale": scale
-}  # fmt: skip
+    "model": checked,
+    "fuzz": fuzz,
+    "against": against,
+    "seeds": seeds,
+    "scale": scale,
+}
 
 
 def apart(part: str, short: bool, seed: int) -> Noted:
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -33,7 +33,9 @@
 
 CONNECTIONS = 8
 TURNS = 5
-CALLS, CALLS_SHORT = 6000, 2500  # of one turn of each
+# of one turn of each
+CALLS = 6000
+CALLS_SHORT = 2500
 BACKENDS = 4
 MOST_REFUSED = 0.001  # share of the calls
 NODES = 87
@@ -83,8 +85,10 @@
     """So many calls over a few connections, each with one call at a time."""
 
     def __init__(self, name: str, calls: int) -> None:
-        self.name, self.left = name, calls
-        self.count = self.served = 0
+        self.name = name
+        self.left = calls
+        self.count = 0
+        self.served = 0
         self.open = CONNECTIONS
         self.done = asyncio.Event()
 
@@ -152,7 +156,8 @@
             )
             at[name] = started.process.pid, started.address
         found: dict[str, list[float]] = {name: [] for name in at}
-        served = asked = 0
+        served = 0
+        asked = 0
         for turn in range(turns + 1):
             names = list(at) if turn % 2 else list(reversed(at))
             for name in names:
@@ -163,7 +168,8 @@
                 used = (cpu(pid) - before) / calls * 1e6
                 if turn:  # the first warms up
                     found[name].append(used)
-                    served, asked = served + drive.served, asked + calls
+                    served = served + drive.served
+                    asked = asked + calls
     await service.stop()
     padron.stop()
     for backend in backends:
--- a/benchmarks/proof.py
+++ b/benchmarks/proof.py
@@ -17,7 +17,9 @@
     """Figures and claims of one run."""
 
     def __init__(self, name: str, short: bool, seed: int) -> None:
-        self.name, self.short, self.seed = name, short, seed
+        self.name = name
+        self.short = short
+        self.seed = seed
         self.figures: dict[str, tuple[float | str, str]] = {}
         self.failed: list[str] = []
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -41,20 +41,22 @@
 BATCH = 20  # records that are made safe together
 
 
-
 # -- crash points ------------------------------------------------------------------------------------
 
 
 def points(proof: Proof) -> None:
     runs, batches = (4, 20) if proof.short else (40, 60)
-    judged = bad = steps = 0
+    judged = 0
+    bad = 0
+    steps = 0
     for seed in range(runs):
         tape, states = recorded(Store, proof.seed * 1000 + seed, batches)
         found = list(wrong(tape, states))
         steps += len(tape.steps)
         judged += len(found)
         bad += sum(map(bool, found))
-    faulty = worse = 0
+    faulty = 0
+    worse = 0
     places = range(0, 60, 12 if proof.short else 2)
     for at in places:
         for faults in (1, 3):
@@ -92,7 +94,8 @@
     def __init__(self, folder: Path) -> None:
         self.folder = Folder(folder)
         self.folder.make()
-        self.syncs = self.bytes = 0
+        self.syncs = 0
+        self.bytes = 0
         inner = self.folder.sync, self.folder.write, self.folder.sync_folder
 
         def sync(file: int) -> None:
@@ -107,7 +110,8 @@
             self.syncs += 1
             inner[2]()
 
-        self.folder.sync, self.folder.write = sync, write  # type: ignore[method-assign]
+        self.folder.sync = sync  # type: ignore[method-assign]
+        self.folder.write = write  # type: ignore[method-assign]
         self.folder.sync_folder = sync_folder  # type: ignore[method-assign]
         self.store = Store(self.folder, OWNER)
         self.store.begin(Found(), 0.0)
@@ -127,9 +131,10 @@
         """Each fact as text, and whether all that was found is said to be whole."""
         found = Ours.load(folder)
         told = {
-            f"{kind} {key}": json.dumps(put(key, fact)) for kind, table in found.state.tables.items()
+            f"{kind} {key}": json.dumps(put(key, fact))
+            for kind, table in found.state.tables.items()
             for key, fact in table.items()
-        }  # fmt: skip
+        }
         return told, not found.damaged
 
 
@@ -145,7 +150,8 @@
         self.base.execute("PRAGMA journal_mode=WAL")
         self.base.execute("PRAGMA synchronous=FULL")
         self.base.execute("CREATE TABLE facts (place TEXT PRIMARY KEY, said TEXT) WITHOUT ROWID")
-        self.syncs = self.bytes = 0
+        self.syncs = 0
+        self.bytes = 0
 
     def append(self, batch: list[tuple[str, Fact]]) -> None:
         self.base.execute("BEGIN IMMEDIATE")
@@ -162,7 +168,8 @@
     @staticmethod
     def load(folder: Path) -> State:
         """To what the other gives: facts with their types looked at."""
-        base, state = sqlite3.connect(folder / "facts.db"), State()
+        base = sqlite3.connect(folder / "facts.db")
+        state = State()
         for (said,) in base.execute("SELECT said FROM facts"):
             state.apply(json.loads(said))
         base.close()
@@ -212,10 +219,14 @@
         size = sum(file.stat().st_size for file in (Path(text) / "store").iterdir())
     spans.sort()
     return {
-        "cpu_us": used / batches / BATCH * 1e6, "batch_ms": median(spans) * 1e3,
-        "worst_ms": spans[-1] * 1e3, "memory_mb": memory / 1e6, "read_s": reading,
-        "syncs": (made.syncs - syncs) / batches, "size_mb": size / 1e6,
-    }  # fmt: skip
+        "cpu_us": used / batches / BATCH * 1e6,
+        "batch_ms": median(spans) * 1e3,
+        "worst_ms": spans[-1] * 1e3,
+        "memory_mb": memory / 1e6,
+        "read_s": reading,
+        "syncs": (made.syncs - syncs) / batches,
+        "size_mb": size / 1e6,
+    }
 
 
 def stores(proof: Proof, pool: ProcessPoolExecutor) -> None:
@@ -224,12 +235,17 @@
     figures = {kind.name: pool.submit(weighed, kind, count, batches).result() for kind in kinds}
     proof.figure("store_facts", count, f"servers, as many keyed requests, {batches} batches of {BATCH}")
     units = {
-        "cpu_us": "us of CPU a record", "batch_ms": "ms of a batch, median", "worst_ms": "ms, worst",
-        "memory_mb": "MB more than before", "read_s": "s to read it all", "syncs": "syncs a batch",
+        "cpu_us": "us of CPU a record",
+        "batch_ms": "ms of a batch, median",
+        "worst_ms": "ms, worst",
+        "memory_mb": "MB more than before",
+        "read_s": "s to read it all",
+        "syncs": "syncs a batch",
         "size_mb": "MB on the disk",
-    }  # fmt: skip
+    }
     for what, unit in units.items():
-        ours, other = figures["ours"][what], figures["sqlite"][what]
+        ours = figures["ours"][what]
+        other = figures["sqlite"][what]
         proof.figure(f"store_{what}", f"{ours:.3g} ours, {other:.3g} SQLite", unit)
     proof.claim(figures["ours"]["read_s"] < 2.0, "reading takes over 2 s")
 
@@ -243,7 +259,8 @@
     kinds: tuple[type[Ours] | type[Database], ...] = (Ours, Database)
     for kind in kinds:
         kept: dict[str, list[float]] = {"cut": [], "turned": []}
-        silent = false = 0
+        silent = 0
+        false = 0
         with tempfile.TemporaryDirectory() as text:
             made = kind(Path(text) / "store")
             for at in range(0, len(told), 4):
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -33,13 +33,20 @@
 from rigs.world import EDGE, world
 
 CORPUS = Path(__file__).parent.parent / "tests" / "corpus" / "good"
-MUTATIONS, MUTATIONS_SHORT = 2000, 150
-EDITS, EDITS_SHORT = 500, 50
-SIDECARS, NODES = 37, 87
+MUTATIONS = 2000
+MUTATIONS_SHORT = 150
+EDITS = 500
+EDITS_SHORT = 50
+SIDECARS = 37
+NODES = 87
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "application.toml"
-RATE, RATE_SHORT = 120.0, 60.0  # calls a second
+# calls a second
+RATE = 120.0
+RATE_SHORT = 60.0
 ROUNDS = 5
-AWAY, AWAY_SHORT = 2.0, 0.5  # s for which an application is down
+# s for which an application is down
+AWAY = 2.0
+AWAY_SHORT = 0.5
 SETTLE = 1.0  # s of traffic before and after
 LONGEST = 600.0  # s of it at the most
 LEAST_SERVED = 0.9  # of all calls: one of two servers of a tier is away for most of the time
@@ -125,9 +132,14 @@
 
 
 BREAKS: dict[Mutation, str] = {
-    once_is_retried: "R202", hedged: "R202", key_leaves_its_group: "R202", key_is_forgotten: "R202",
-    stopped_too_soon: "R201", drained_too_long: "R203", pushed_over: "R204",
-}  # fmt: skip
+    once_is_retried: "R202",
+    hedged: "R202",
+    key_leaves_its_group: "R202",
+    key_is_forgotten: "R202",
+    stopped_too_soon: "R201",
+    drained_too_long: "R203",
+    pushed_over: "R204",
+}
 
 
 def harmless(text: str, random: Random) -> str:
@@ -187,7 +199,8 @@
         begun = loop.time()
         calling = asyncio.create_task(callers.run(LONGEST, rate, wait=False))
         await asyncio.sleep(SETTLE)
-        ended, back = [], []
+        ended = []
+        back = []
         for _ in range(rounds):
             for host in made.hosts:
                 before = host.application.seen
@@ -207,7 +220,8 @@
         longest = max(cls.budget for cls in made.classes.values()) + GIVE_UP
         await until(lambda: not callers.open, "the last answers", longest + 1.0)
         span = loop.time() - begun
-        codes, total = callers.codes, callers.codes.total()
+        codes = callers.codes
+        total = callers.codes.total()
         lost = codes[0] + codes[-1] + callers.unsent
         broken = made.ledger.audit({name: cls.effect for name, cls in made.classes.items()})
         inner = sum(taken.proxy != EDGE for taken in made.ledger.taken)
--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -33,8 +33,14 @@
 from rigs.program import Program, proxy, settings
 from rigs.wsnode import WsNode
 
-TUNNEL = {"name": "vigia", "value": 1.0, "objective": 1.0, "deadline": 3.0, "effect": "repeatable",
-          "stream": True}  # fmt: skip
+TUNNEL = {
+    "name": "vigia",
+    "value": 1.0,
+    "objective": 1.0,
+    "deadline": 3.0,
+    "effect": "repeatable",
+    "stream": True,
+}
 DRAIN = 2.0  # s that a node that drains may be held, of rule 3
 SLACK = 0.05  # s, of the ledger's audit
 STEP = 50  # sessions that are begun at once
@@ -135,7 +141,8 @@
         speaking = asyncio.create_task(speak(kiosks, draw))
         await asyncio.sleep(size.calm)
         quarter = size.nodes // 4
-        draining, killed = nodes[:quarter], nodes[quarter : 2 * quarter]
+        draining = nodes[:quarter]
+        killed = nodes[quarter : 2 * quarter]
         left_at: dict[str, float] = {}
         hit = sum(len(node.open) for node in draining + killed)
         before = len(kiosks.connects)
@@ -210,9 +217,12 @@
 
 def fuzz_frames(seed: int, count: int) -> Found:
     """Seeded streams of good, odd and broken frames, cut anywhere."""
-    draw, found = Random(seed), Found()
+    draw = Random(seed)
+    found = Found()
     for _ in range(count):
-        data, codec, place = stream(draw), Codec(False, 4096), 0
+        data = stream(draw)
+        codec = Codec(False, 4096)
+        place = 0
         try:
             while place < len(data):
                 step = draw.randrange(1, len(data) + 1)
@@ -232,10 +242,12 @@
     """Seeded histories of the session table: how many gave a message two outcomes, or did not add up."""
     wrong = 0
     for number in range(count):
-        draw, book = Random(f"{seed} {number}"), Book(20_000)
+        draw = Random(f"{seed} {number}")
+        book = Book(20_000)
         numbers: dict[tuple[int, str], int] = {}
         for now in range(draw.randrange(5, 60)):
-            token, id = str(draw.randrange(3)), str(draw.randrange(IDS))
+            token = str(draw.randrange(3))
+            id = str(draw.randrange(IDS))
             session = book.sessions.get(token)
             if session is None:
                 book.begin(token, "", "p")
@@ -352,7 +364,8 @@
 
 
 async def measured(pid: int, work: list[Any], count: int) -> tuple[float, float]:
-    used, begun = cpu(pid), time.monotonic()
+    used = cpu(pid)
+    begun = time.monotonic()
     await asyncio.gather(*work)
     return (cpu(pid) - used) / count, count / (time.monotonic() - begun)
 
--- a/granitepoint/assembly.py
+++ b/granitepoint/assembly.py
@@ -93,9 +93,7 @@
             if self.recovery is not None:
                 self.operations.maintenance.restore(self.recovery.kept_out)
                 self.recovery.lists.out = frozenset()  # staff put it back by the console
-        self.driver = Driver(
-            config, outer_filters(budgets, called, config, self.recovery), chained(overlays)
-        )
+        self.driver = Driver(config, outer_filters(budgets, called, config, self.recovery), chained(overlays))
         self.subsystems: list[Subsystem] = []
         if membership is not None:
             from granitepoint.membership.source import Membership as Source
@@ -106,12 +104,16 @@
         if budgets is not None:
             self.subsystems.append(budgets)
         self.server = Server(
-            self.driver.effects, self.driver, config.sockets, config.memory_mb, self.driver.pages(),
+            self.driver.effects,
+            self.driver,
+            config.sockets,
+            config.memory_mb,
+            self.driver.pages(),
             takes=self.driver.takes,
             tally=self.operations.figures if self.operations is not None else None,
             reserved=self.operations.descriptors if self.operations is not None else 0,
             most_body=MOST_LENGTH,
-        )  # fmt: skip
+        )
         self.fleet = fleet_of(fleet, config, self.driver, fleet_keys) if fleet is not None else None
         if self.fleet is not None:
             self.subsystems.append(self.fleet)
@@ -123,13 +125,15 @@
             self.subsystems.append(self.front)
 
     def _attach(self, recovery: Recovery) -> None:
-        operations, driver = self.operations, self.driver
+        operations = self.operations
+        driver = self.driver
         after = operations.maintenance.overlay if operations is not None else lambda listing: listing
         fleet = self.fleet  # view, channel and word
         recovery.attach(driver, lambda listing: driver.in_force(after(listing)), fleet, fleet, fleet)
         if operations is not None:
             recovery.maintained = lambda: operations.maintenance.out
-        driver.witness, driver.advise = recovery.witness, recovery.advise
+        driver.witness = recovery.witness
+        driver.advise = recovery.advise
         self.subsystems.append(recovery)
 
     async def start(self) -> None:
@@ -252,7 +256,10 @@
     from granitepoint.budgets.calls import OuterFilter
 
     classes = {cls.name: cls for cls in config.settings.classes}
-    return (*first, OuterFilter(budgets, called, classes, config.settings.max_attempts),)
+    return (
+        *first,
+        OuterFilter(budgets, called, classes, config.settings.max_attempts),
+    )
 
 
 def inner_filters(budgets: Budgets | None, classes: dict[str, RequestClass]) -> tuple[Filter, ...]:
--- a/granitepoint/benchlink.py
+++ b/granitepoint/benchlink.py
@@ -187,7 +187,8 @@
     """The instances of this process and the process-wide server lists that events refer to."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
-        self.source, self.sink = source, sink
+        self.source = source
+        self.sink = sink
         self.instances: dict[str, Balancer] = {}
         self.lists: dict[int, list[api.ServerEntry]] = {}
         self.pending: dict[str, list[api.Event]] = {}
@@ -227,7 +228,9 @@
             self.replies.clear()
 
     def read_batch(self) -> None:
-        readers, pending, readline = READERS, self.pending, self.source.readline
+        readers = READERS
+        pending = self.pending
+        readline = self.source.readline
         while True:
             line = readline()
             if not line:
--- a/granitepoint/budgets/calls.py
+++ b/granitepoint/budgets/calls.py
@@ -36,7 +36,8 @@
     """Of one process. Raises OperatorError where the key file can't be used."""
 
     def __init__(self, settings: Settings, mark: str) -> None:
-        self.settings, self.mark = settings, settings.mark or mark
+        self.settings = settings
+        self.mark = settings.mark or mark
         self.keys = read_keys(settings.keys_file)
         self.correlation = Correlation()
         self.open: dict[int, OuterTicket] = {}  # calls below an account, by the account's identity
@@ -114,7 +115,8 @@
         self.budgets = budgets
 
     def arrival(self, request: Request, give_up: Callable[[], None]) -> InnerTicket | Turned:
-        budgets, cls = self.budgets, self.classes[request.cls]
+        budgets = self.budgets
+        cls = self.classes[request.cls]
         now = time.monotonic()
         due = request.came + min(request.budget, cls.deadline)
         found = None
@@ -147,7 +149,11 @@
     def __init__(
         self, filter: InnerFilter, request: Request, account: Account, cls: RequestClass, told: bool
     ) -> None:
-        self.filter, self.request, self.account, self.cls, self.told = filter, request, account, cls, told
+        self.filter = filter
+        self.request = request
+        self.account = account
+        self.cls = cls
+        self.told = told
         self.due = account.due
         self.share = share_of(account, cls, time.monotonic() + filter.usual[cls.name].quick)
         self.entry: Entry | None = None
@@ -190,7 +196,9 @@
     def __init__(self, budgets: Budgets, called: str, classes: Mapping[str, RequestClass], most: int) -> None:
         """`called`: the tier, or "" where that is not known; `most`: attempts that any call may have."""
         super().__init__(classes)
-        self.budgets, self.called, self.most = budgets, called, most
+        self.budgets = budgets
+        self.called = called
+        self.most = most
         self.transit = Transit()
 
     def retuned(self, settings: ProxySettings) -> None:
@@ -198,7 +206,8 @@
         self.most = settings.max_attempts
 
     def arrival(self, request: Request, give_up: Callable[[], None]) -> OuterTicket | Turned:
-        budgets, cls = self.budgets, self.classes[request.cls]
+        budgets = self.budgets
+        cls = self.classes[request.cls]
         now = time.monotonic()
         entry = None if budgets.settings.edge else self._entry(request)
         if entry is not None and entry.ended is not None and not entry.gone:
@@ -240,10 +249,17 @@
     stops = True
 
     def __init__(
-        self, filter: OuterFilter, request: Request, account: Account, cls: RequestClass,
+        self,
+        filter: OuterFilter,
+        request: Request,
+        account: Account,
+        cls: RequestClass,
         give_up: Callable[[], None],
-    ) -> None:  # fmt: skip
-        self.filter, self.request, self.account, self.cls = filter, request, account, cls
+    ) -> None:
+        self.filter = filter
+        self.request = request
+        self.account = account
+        self.cls = cls
         self.give_up = give_up
         self.due = account.due
         self.share = share_of(account, cls, time.monotonic() + filter.usual[cls.name].quick)
@@ -256,7 +272,8 @@
 
     def sending(self, timeout: float) -> bytes | None:
         now = time.monotonic()
-        account, filter = self.account, self.filter
+        account = self.account
+        filter = self.filter
         most = min(self.cls.attempts or filter.most, filter.most)
         lent = account.begin(max(1, min(most - self.begun, account.free)))
         if lent is None:
@@ -265,14 +282,20 @@
         self.lent = lent
         less = filter.transit.mean + MARGIN
         budget = header.Budget(
-            min(timeout, account.due - now) - less, account.aim - now - less, lent.attempts, account.worth,
-            account.cls, account.path, account.tree,
-        )  # fmt: skip
+            min(timeout, account.due - now) - less,
+            account.aim - now - less,
+            lent.attempts,
+            account.worth,
+            account.cls,
+            account.path,
+            account.tree,
+        )
         value = header.write(budget, self.request.id, filter.budgets.keys)
         return header.FIELD + b": " + value + b"\r\n"
 
     def returned(self, exchange: Exchange, status: Status) -> None:
-        lent, self.lent = self.lent, None
+        lent = self.lent
+        self.lent = None
         if lent is None:
             return
         words = [value for name, value in exchange.headers if name == header.FIELD] if exchange.code else []
--- a/granitepoint/budgets/header.py
+++ b/granitepoint/budgets/header.py
@@ -41,10 +41,22 @@
 NUMBER = rb"(0|[1-9][0-9]{0,14})"
 NAME = rb"[a-z][a-z0-9_-]{0,62}"
 VALUE = re.compile(
-    rb"1;t=" + NUMBER + rb";o=" + NUMBER + rb";a=" + NUMBER + rb";w=" + NUMBER + rb";c=(" + NAME
-    + rb");p=(" + NAME
-    + rb"(?:\." + NAME + rb"){0,%d});i=([0-9a-f]{16});k=([a-z0-9]{1,16});m=([0-9a-f]{32})" % (MOST_HOPS - 1)
-)  # fmt: skip
+    rb"1;t="
+    + NUMBER
+    + rb";o="
+    + NUMBER
+    + rb";a="
+    + NUMBER
+    + rb";w="
+    + NUMBER
+    + rb";c=("
+    + NAME
+    + rb");p=("
+    + NAME
+    + rb"(?:\."
+    + NAME
+    + rb"){0,%d});i=([0-9a-f]{16});k=([a-z0-9]{1,16});m=([0-9a-f]{32})" % (MOST_HOPS - 1)
+)
 SPENT = re.compile(rb"1;s=" + NUMBER + rb";q=" + NUMBER)
 REFERENCE = re.compile(rb"ref;([0-9a-f]{16})")
 Keys = Mapping[bytes, bytes]  # by id; the first signs, all are accepted
--- a/granitepoint/budgets/keys.py
+++ b/granitepoint/budgets/keys.py
@@ -8,7 +8,9 @@
 from granitepoint.operator.reader import OperatorError, Problem
 
 MOST_KEYS = 2  # the one in use and the one before, while they are rotated
-LEAST_BYTES, MOST_BYTES = 16, 64  # of a key
+# of a key
+LEAST_BYTES = 16
+MOST_BYTES = 64
 MOST_FILE = 1024  # bytes
 LINE = re.compile(r"([a-z0-9]{1,16}) ([0-9a-f]+)")
 EXAMPLE = 'write a line "k1 " and 32 to 128 small hex digits'
--- a/granitepoint/fleet/__main__.py
+++ b/granitepoint/fleet/__main__.py
@@ -38,7 +38,8 @@
     """One socket, and the numbers of its questions."""
 
     def __init__(self, at: tuple[str, int], seals: Seals) -> None:
-        self.at, self.seals = at, seals
+        self.at = at
+        self.seals = seals
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.connect(at)
         self.run, self.life = first_run(time.time()), 1 + secrets.randbelow(65535)
--- a/granitepoint/fleet/base.py
+++ b/granitepoint/fleet/base.py
@@ -64,8 +64,13 @@
     times: int  # in a row; named from ODD on
 
 
-WAYS = ("", "answers no probe of ours: only through others", "hears us, and we don't hear it",
-        "we hear it, and it does not hear us", "neither way directly: only through others")  # fmt: skip
+WAYS = (
+    "",
+    "answers no probe of ours: only through others",
+    "hears us, and we don't hear it",
+    "we hear it, and it does not hear us",
+    "neither way directly: only through others",
+)
 
 
 @dataclass(slots=True)
@@ -140,7 +145,8 @@
         self.claimants: set[Address] = set()  # others who want this name
         self.strangers: set[Address] = set()  # of other fleets
         self.corrections = 0  # that are left in this period
-        self.probing = self.retrying = False
+        self.probing = False
+        self.retrying = False
         self.health = 0
         self.counts = Counts()
         self.number = 0  # of datagrams
@@ -156,7 +162,8 @@
         self.gossiping = False
         self.ring: list[Key] = []
         self.retries: list[Address] = []
-        self.now, self.offset = now, 0.0
+        self.now = now
+        self.offset = 0.0
         self.started = now
         self.timers: list[Timer] = []
         self.timer_count = 0
@@ -275,9 +282,19 @@
         if self.now - self.table.changed_at < QUIET * self.timing.period:
             flags |= wire.CHANGING
         data = self.seals.seal(
-            wire.write(kind, self.fleet, self.key, self.incarnation, self.number, self.table.digest,
-                       self.phase, flags, self.figures, writer.parts)
-        )  # fmt: skip
+            wire.write(
+                kind,
+                self.fleet,
+                self.key,
+                self.incarnation,
+                self.number,
+                self.table.digest,
+                self.phase,
+                flags,
+                self.figures,
+                writer.parts,
+            )
+        )
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
         self.out.append((address, data))
@@ -300,7 +317,8 @@
 
     def _draw(self, count: int, without: Iterable[Key]) -> list[Key]:
         """Different living members, but this one and those."""
-        order, barred = self.table.order, {self.key, *without}
+        order = self.table.order
+        barred = {self.key, *without}
         if len(order) <= count + len(barred):
             found = [key for key in order if key not in barred]
             self.random.shuffle(found)
--- a/granitepoint/fleet/core.py
+++ b/granitepoint/fleet/core.py
@@ -60,7 +60,10 @@
 
     def take(self) -> Taken:
         found = Taken(self.out, self.table.changes, self.deliveries, self.notes)
-        self.out, self.table.changes, self.deliveries, self.notes = [], [], [], []
+        self.out = []
+        self.table.changes = []
+        self.deliveries = []
+        self.notes = []
         return found
 
     # events
@@ -76,7 +79,8 @@
         phase = self.phase if phase is None else phase
         word = self.word if word is None else word
         if (phase, word) != (self.phase, self.word):
-            self.phase, self.word = phase, word
+            self.phase = phase
+            self.word = word
             wait = self.said_at + self.timing.period - self.now
             self._set(max(0.0, wait), "say")  # one that comes meanwhile goes with it
 
@@ -258,16 +262,21 @@
     def _row(self, key: Key) -> bytes:
         held = self.table.held(key)
         assert held is not None
-        state, reach, heard = self.table.state(key), self.reach.get(key), self.heard.get(key)
+        state = self.table.state(key)
+        reach = self.reach.get(key)
+        heard = self.heard.get(key)
         gone = self.table.gone.get(key)
         at = self.now if key == self.key else heard.at if heard else gone.at if gone else None
         ago = 0xFFFFFFFF if at is None else min(0xFFFFFFFE, int(max(0.0, self.now - at) * 1000))
         figures = self.figures if key == self.key else heard.figures if heard else Figures()
         way = WAYS.index(reach.way) if reach is not None and reach.times >= ODD else 0
         seen = wire.SEEN.pack(
-            list(State).index(state), way, figures.tenths,
-            (figures.list_version % wire.MOST_LIST).to_bytes(3, "big"), ago,
-        )  # fmt: skip
+            list(State).index(state),
+            way,
+            figures.tenths,
+            (figures.list_version % wire.MOST_LIST).to_bytes(3, "big"),
+            ago,
+        )
         record = wire.pack_record(said_of(held))
         return bytes((len(record),)) + record + seen
 
@@ -277,7 +286,8 @@
         mine = entries[self.key]
         self.identity.incarnation = mine.incarnation
         self.table.entries, self.table.order, self.table.digest = dict(entries), list(order), digest
-        self.phase, self.word = mine.phase, mine.word
+        self.phase = mine.phase
+        self.word = mine.word
         self.timers = [timer for timer in self.timers if timer[2] != "join"]
         heapq.heapify(self.timers)
         self.identity.standing = Standing.MEMBER
--- a/granitepoint/fleet/guard.py
+++ b/granitepoint/fleet/guard.py
@@ -44,7 +44,8 @@
         return data + self._mac(self.made[0], data)
 
     def holds(self, data: bytes) -> bool:
-        said, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
+        said = data[:-TAG_BYTES]
+        tag = data[-TAG_BYTES:]
         if not self.made:
             return tag == zlib.crc32(said).to_bytes(4, "big") + bytes(4)
         return any(hmac.compare_digest(tag, self._mac(made, said)) for made in self.made)
--- a/granitepoint/fleet/identity.py
+++ b/granitepoint/fleet/identity.py
@@ -26,7 +26,8 @@
 
 class Identity:
     def __init__(self, record: Record, incarnation: Incarnation) -> None:
-        self.record, self.incarnation = record, incarnation
+        self.record = record
+        self.incarnation = incarnation
         self.standing = Standing.JOINING
         self.outranked: dict[int, int] = {}  # lives, and the run that they had
         self.rival: Incarnation | None = None
@@ -61,7 +62,8 @@
             return ""
         if address is None:
             return ""  # who tells the whole record will come
-        self.rival, self.rival_address = said, address
+        self.rival = said
+        self.rival_address = address
         self.before = self.standing
         if self.standing is Standing.JOINING:
             self.standing = Standing.CONTEST
--- a/granitepoint/fleet/joining.py
+++ b/granitepoint/fleet/joining.py
@@ -30,9 +30,13 @@
 class Joining(Probing):
     def _timed(self) -> dict[str, Callable[[int, bytes], None]]:
         return {
-            **super()._timed(), "join": self._join, "retry": self._retry, "contest": self._contest,
-            "say": self._say_now, "introduce": self._introduce,
-        }  # fmt: skip
+            **super()._timed(),
+            "join": self._join,
+            "retry": self._retry,
+            "contest": self._contest,
+            "say": self._say_now,
+            "introduce": self._introduce,
+        }
 
     # what it says of itself
     def _claim(self, reason: str) -> None:
@@ -168,7 +172,8 @@
         self._set(RETRY_EVERY * self.timing.period * self.random.uniform(0.9, 1.1), "retry")
         if self.standing is Standing.CONFLICT:
             self.identity.reconsider()
-            self.joins, self.welcomed = 0, False
+            self.joins = 0
+            self.welcomed = False
             self._set(0.0, "join")
             return
         if self.everyone is not None and self.alone:
--- a/granitepoint/fleet/pages.py
+++ b/granitepoint/fleet/pages.py
@@ -77,7 +77,8 @@
     if not seals.holds(data):
         raise Malformed("spoilt, or sealed with another key")
     message = wire.read(data)
-    page, total = message.one(Section.PAGE), message.one(Section.TOTAL)
+    page = message.one(Section.PAGE)
+    total = message.one(Section.TOTAL)
     if message.kind != Kind.PAGE or page is None or total is None or len(total) < wire.PART.size:
         raise Malformed("no page of a view")
     rows, living, dead, left, changes, bits, instances = wire.PART.unpack_from(total)
--- a/granitepoint/fleet/probing.py
+++ b/granitepoint/fleet/probing.py
@@ -39,9 +39,14 @@
 class Probing(Comparing):
     def _timed(self) -> dict[str, Callable[[int, bytes], None]]:
         return {
-            **super()._timed(), "probe": self._begin_probe, "again": self._again, "ask": self._ask,
-            "verdict": self._verdict, "relay": self._relay_over, "suspicion": self._suspicion_due,
-        }  # fmt: skip
+            **super()._timed(),
+            "probe": self._begin_probe,
+            "again": self._again,
+            "ask": self._ask,
+            "verdict": self._verdict,
+            "relay": self._relay_over,
+            "suspicion": self._suspicion_due,
+        }
 
     def _void(self, timer: Timer) -> bool:
         return timer[2] in OF_A_PROBE and timer[3] not in self.probes
@@ -180,10 +185,12 @@
                 self.notes.append(f"{self._name(key)}: reached directly again")
 
     def _relay(self, message: Datagram, source: Address) -> None:
-        target, number = message.one(Section.TARGET), message.probe()
+        target = message.one(Section.TARGET)
+        number = message.probe()
         if target is None or len(target) < 12 or number is None or len(self.relays) >= MOST_RELAYS:
             return
-        key, address = target[:6], wire.unpack_address(target[6:])
+        key = target[:6]
+        address = wire.unpack_address(target[6:])
         held = self.table.entries.get(key)
         if held is None or held.record.address != address or message.sender not in self.table.entries:
             return  # only who is known is asked, for who is known
--- a/granitepoint/fleet/states.py
+++ b/granitepoint/fleet/states.py
@@ -50,7 +50,9 @@
     FORGET = "forget"
 
 
-S, H, D = State, Happening, Step
+S = State
+H = Happening
+D = Step
 TABLE: dict[tuple[State, Happening], tuple[State, Step]] = {
     (S.UNKNOWN, H.ALIVE_NEWER): (S.ALIVE, D.TAKE),
     (S.UNKNOWN, H.SUSPECT_NEWER): (S.SUSPECT, D.SUSPICION),
--- a/granitepoint/fleet/sync.py
+++ b/granitepoint/fleet/sync.py
@@ -80,7 +80,8 @@
 def differing(table: Table, value: bytes) -> list[Prefix]:
     """The parts that the other side has otherwise."""
     depth, path = prefix = _whole(value)
-    mine, theirs = TREE.unpack(_tree(table, prefix)), TREE.unpack(value)
+    mine = TREE.unpack(_tree(table, prefix))
+    theirs = TREE.unpack(value)
     return [
         (depth + 1, path << 4 | branch)
         for branch in range(BRANCHES)
--- a/granitepoint/fleet/timing.py
+++ b/granitepoint/fleet/timing.py
@@ -51,7 +51,8 @@
 
     def suspect_for(self, living: int, confirmations: int) -> float:
         """s, by how many others than the first say the same (Lifeguard, 4.2)."""
-        least, most = self.shortest(living), self.longest(living)
+        least = self.shortest(living)
+        most = self.longest(living)
         enough = min(CONFIRMATIONS, max(0, living - 2))
         if confirmations >= enough:
             return least
--- a/granitepoint/fleet/transport.py
+++ b/granitepoint/fleet/transport.py
@@ -72,7 +72,8 @@
         everyone: Address | None = None,
     ) -> None:
         self.everyone = everyone
-        self.listen, self.address = listen, address
+        self.listen = listen
+        self.address = address
         self.to = {numbered(number): peer for number, peer in enumerate(peers)}
         self.of = {peer: called for called, peer in self.to.items()}
         self.seeds = tuple(dict.fromkeys((*self.to, *members)))
@@ -133,7 +134,9 @@
     ) -> None:
         """Raises ConfigError."""
         self.loop = asyncio.get_running_loop()
-        self.settings, self.driver, self.clock = settings, driver, clock
+        self.settings = settings
+        self.driver = driver
+        self.clock = clock
         self.by_settings = config.settings.balancers
         self.place = place_of(settings, config)
         self.core = Core(
@@ -218,11 +221,17 @@
         held = [*table.entries.values(), *(gone.entry for gone in table.gone.values())]
         return [
             Member(
-                entry.key, entry.name, entry.record.tier, entry.record.zone, tuple(entry.incarnation),
-                table.state(entry.key).value, entry.phase.name.lower(), unpack_words(entry.word),
+                entry.key,
+                entry.name,
+                entry.record.tier,
+                entry.record.zone,
+                tuple(entry.incarnation),
+                table.state(entry.key).value,
+                entry.phase.name.lower(),
+                unpack_words(entry.word),
             )
             for entry in held
-        ]  # fmt: skip
+        ]
 
     def watch(self, callback: Callable[[Change], None]) -> None:
         self.watchers.append(callback)
@@ -288,7 +297,8 @@
         now = self.clock.now()
         counts = self.core.counts
         if not 0 <= now - self.since < 1.0:
-            self.since, self.looked_at = now, 0
+            self.since = now
+            self.looked_at = 0
             self.sources.clear()
         self.looked_at += 1
         if self.looked_at > MOST_PER_S:
@@ -297,7 +307,8 @@
         if len(data) > MOST_DATAGRAM:
             counts.refuse("malformed")
             return
-        host, source = addr[0], (addr[0], addr[1])
+        host = addr[0]
+        source = (addr[0], addr[1])
         if len(self.sources) < MOST_SOURCES or host in self.sources:
             mine = self.sources[host] = self.sources.get(host, 0) + 1
             if mine > MOST_PER_SOURCE:
@@ -378,7 +389,8 @@
         if not 0 <= now - self.lines_since < LOG_SPAN:
             if self.lines > MOST_LINES:
                 log.warning("%d lines were left out", self.lines - MOST_LINES)
-            self.lines_since, self.lines = now, 0
+            self.lines_since = now
+            self.lines = 0
         self.lines += 1
         if self.lines <= MOST_LINES:
             log.info(line)  # each is a template of its own, so that the log's bound on repeats passes it
@@ -405,9 +417,11 @@
 
 def unpack_words(word: bytes) -> dict[int, bytes]:
     """What parts said, by port; what can't be read is nothing."""
-    found, at = {}, 0
+    found = {}
+    at = 0
     while at + 2 <= len(word):
-        port, size = word[at], word[at + 1]
+        port = word[at]
+        size = word[at + 1]
         if at + 2 + size > len(word):
             break
         found[port] = word[at + 2 : at + 2 + size]
--- a/granitepoint/fleet/wire.py
+++ b/granitepoint/fleet/wire.py
@@ -69,7 +69,9 @@
 FIXED = HEADER.size + BODY_BYTES + TAG_BYTES
 UNTOLD = 255  # tenths in flight that are not told
 MOST_LIST = 1 << 24
-CHANGING, MINORITY = 0x04, 0x08  # bits of the header's flags
+# bits of the header's flags
+CHANGING = 0x04
+MINORITY = 0x08
 BRANCHES = 16
 MOST_ADDRESSES = 4096  # that are remembered as text and bytes
 TREE = struct.Struct("!BH" + "8s" * BRANCHES)
@@ -201,11 +203,14 @@
     bits = value[15]
     if bits & 3 > Claim.LEFT:
         raise Malformed("a claim that is none")
-    claim, rest, accuser = Claim(bits & 3), value[16:], b""
+    claim = Claim(bits & 3)
+    rest = value[16:]
+    accuser = b""
     if claim is Claim.SUSPECT:
         if len(rest) < KEY_BYTES:
             raise Malformed("a suspicion without who has it")
-        accuser, rest = rest[:KEY_BYTES], rest[KEY_BYTES:]
+        accuser = rest[:KEY_BYTES]
+        rest = rest[KEY_BYTES:]
         if accuser == bytes(KEY_BYTES):
             accuser = b""
     if len(rest) > MOST_WORD:
@@ -218,7 +223,8 @@
 
 def pack_record(said: Said) -> bytes:
     assert said.record is not None
-    update, record = pack_update(said), said.record
+    update = pack_update(said)
+    record = said.record
     parts = [bytes((len(update),)), update]
     for text in (record.name, record.tier, record.zone):
         data = text.encode()
@@ -314,9 +320,17 @@
     run, life, beat = incarnation
     head = HEADER.pack(VERSION, kind, fleet, BODY_BYTES)
     body = BODY.pack(
-        sender, run >> 8, run & 0xFF, life, beat, number, digest.to_bytes(8, "big"), phase | flags,
-        figures.tenths, (figures.list_version % MOST_LIST).to_bytes(3, "big"),
-    )  # fmt: skip
+        sender,
+        run >> 8,
+        run & 0xFF,
+        life,
+        beat,
+        number,
+        digest.to_bytes(8, "big"),
+        phase | flags,
+        figures.tenths,
+        (figures.list_version % MOST_LIST).to_bytes(3, "big"),
+    )
     return b"".join((head, body, *parts))
 
 
@@ -340,7 +354,8 @@
     incarnation = Incarnation(run << 8 | low, life, beat)
     if not incarnation.run or not number:
         raise Malformed("a run or a number of nought")
-    at, end = HEADER.size + length, len(data) - TAG_BYTES
+    at = HEADER.size + length
+    end = len(data) - TAG_BYTES
     sections = []
     while at < end:
         if at + 2 > end or at + 2 + data[at + 1] > end:
@@ -348,7 +363,16 @@
         sections.append((data[at], data[at + 2 : at + 2 + data[at + 1]]))
         at += 2 + data[at + 1]
     return Datagram(
-        version, kind, sender, incarnation, number, int.from_bytes(digest, "big"), Phase(flags & 3),
-        bool(flags & CHANGING), bool(flags & MINORITY),
-        Figures(tenths, int.from_bytes(listed, "big")), len(data), sections,
-    )  # fmt: skip
+        version,
+        kind,
+        sender,
+        incarnation,
+        number,
+        int.from_bytes(digest, "big"),
+        Phase(flags & 3),
+        bool(flags & CHANGING),
+        bool(flags & MINORITY),
+        Figures(tenths, int.from_bytes(listed, "big")),
+        len(data),
+        sections,
+    )
--- a/granitepoint/http2/outcomes.py
+++ b/granitepoint/http2/outcomes.py
@@ -41,7 +41,10 @@
     ANSWERED = "answered"
 
 
-U, P, W, E = Phase.UNSENT, Phase.PARTIAL, Phase.WHOLE, Phase.ENDED
+U = Phase.UNSENT
+P = Phase.PARTIAL
+W = Phase.WHOLE
+E = Phase.ENDED
 
 # (phase, event): the next phase, and what is proved; None: nothing yet, or nothing new.
 TABLE: dict[tuple[Phase, Event], tuple[Phase, Ran | None]] = {
--- a/granitepoint/logic.py
+++ b/granitepoint/logic.py
@@ -106,19 +106,33 @@
 OPEN_LEAST = 0.3  # mean latencies by which a server with an open connection is preferred at least
 OPEN_MEMORY = 30  # sends over which new and open connections are compared
 ADVICE = 0.25  # procQ that a refused client is told to stay away
-TICK_TOKEN, ASK_TOKEN = 1, 2
+TICK_TOKEN = 1
+ASK_TOKEN = 2
 MOST_LATENCIES = 8.0  # mean latencies that a failed attempt counts as at most
 
 
 # -- obligations -----------------------------------------------------------------------------------------
 class Attempt:
     __slots__ = (
-        "call", "counted", "idle", "late", "load", "number", "opened", "rescued", "sent_at", "server",
+        "call",
+        "counted",
+        "idle",
+        "late",
+        "load",
+        "number",
+        "opened",
+        "rescued",
+        "sent_at",
+        "server",
         "status",
     )
 
     def __init__(self, call: Call, number: int, server: Server, sent_at: float, load: float) -> None:
-        self.call, self.number, self.server, self.sent_at, self.load = call, number, server, sent_at, load
+        self.call = call
+        self.number = number
+        self.server = server
+        self.sent_at = sent_at
+        self.load = load
         self.status = -1  # still out
         self.counted = True  # takes a place in W
         self.late = False  # has been counted as late
@@ -149,13 +163,19 @@
     def __init__(
         self, id: int, cls: Kind, worth: float, arrived: float, deadline: float, useful: float
     ) -> None:
-        self.id, self.cls, self.worth, self.arrived = id, cls, worth, arrived
-        self.deadline, self.useful_until = deadline, useful
+        self.id = id
+        self.cls = cls
+        self.worth = worth
+        self.arrived = arrived
+        self.deadline = deadline
+        self.useful_until = useful
         self.order = (-worth, arrived, id)
         self.most_attempts = cls.most_attempts
         self.attempts: list[Attempt] = []
         self.out = 0
-        self.ended = self.streaming = self.queued = False
+        self.ended = False
+        self.streaming = False
+        self.queued = False
         self.asked: list[Server] | None = None  # servers probed for this call alone
         self.asked_until = 0.0
 
@@ -269,8 +289,12 @@
     def __init__(self, cls: RequestClass, stage: int, most_attempts: int) -> None:
         self.name = cls.name
         self.most_attempts = min(cls.attempts or most_attempts, most_attempts)
-        self.worth, self.aim, self.deadline, self.effect = cls.worth, cls.aim, cls.deadline, cls.effect
-        self.group, self.window = cls.group, cls.window
+        self.worth = cls.worth
+        self.aim = cls.aim
+        self.deadline = cls.deadline
+        self.effect = cls.effect
+        self.group = cls.group
+        self.window = cls.window
         self.late_counts = cls.late_worth > 0
         # The target of an inner call: a caller makes about two calls, one after another, at each tier.
         self.least_target = TARGET * cls.aim / 2**stage
@@ -280,12 +304,16 @@
         self.base = math.inf  # s, the mean latency when little is in the way
         self.mean = Mean(self.least_target / 2)
         self.budgets: deque[float] = deque(maxlen=BUDGETS)
-        self.usual, self.fresh_budgets = 0.0, 0
+        self.usual = 0.0
+        self.fresh_budgets = 0
         self.rank = cls.worth  # its worth among the classes when calls are refused for theirs
 
     def inherit(self, old: Kind) -> None:
         """What was learned of the class under its settings before."""
-        self.base, self.mean, self.budgets, self.usual = old.base, old.mean, old.budgets, old.usual
+        self.base = old.base
+        self.mean = old.mean
+        self.budgets = old.budgets
+        self.usual = old.usual
 
     def set_rank(self, others: Iterable[Kind]) -> None:
         """A class is refused before another only if its calls are worth less both by the call and by the time
@@ -293,9 +321,10 @@
         quick class that gets nothing at an instance with many calls, for no gain in worth. Harm: a wrong mean
         makes two classes share what one of them should bear."""
         dearer = (
-            other.worth for other in others
+            other.worth
+            for other in others
             if other.worth > self.worth and self.worth * other.mean.value >= other.worth * self.mean.value
-        )  # fmt: skip
+        )
         self.rank = max(dearer, default=self.worth)
 
     def learn_base(self, span: float) -> None:
@@ -345,7 +374,8 @@
         self.least = LEAST_WINDOW
         self.starting = True  # W grows by half each round until the first bad sign
         self.good_row = 0  # answers in time on end while W was what limited
-        self.cut, self.tie = -math.inf, 0.0
+        self.cut = -math.inf
+        self.tie = 0.0
 
     @property
     def proc(self) -> float:
@@ -380,7 +410,8 @@
             self.window += FIRST_STEP if quick else LATE_SHARE / (1 - LATE_SHARE) * self.step()
 
     def bad(self) -> None:
-        self.starting, self.good_row = False, 0
+        self.starting = False
+        self.good_row = 0
         self.window = max(self.least, self.window - self.step())
 
     def rescale(self, ratio: float) -> None:
@@ -399,7 +430,8 @@
     def set_cut(self) -> None:
         target = self.drop()
         if target <= 0:
-            self.cut, self.tie = -math.inf, 0.0
+            self.cut = -math.inf
+            self.tie = 0.0
             return
         count = len(self.history)
         below = 0.0
@@ -410,7 +442,8 @@
             share = counts[worth] / count
             if below + share >= target - 1e-12:
                 # Worth has few levels: ties at the cut are refused by chance, up to the target.
-                self.cut, self.tie = worth, (target - below) / share
+                self.cut = worth
+                self.tie = (target - below) / share
                 return
             below += share
 
@@ -436,8 +469,11 @@
         self.fresh()
 
     def told(self, entry: ServerEntry) -> None:
-        self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
-        self.hint, self.started_at = max(entry.weight, 1e-3), entry.started_at
+        self.zone = entry.zone
+        self.cell = entry.cell
+        self.state = entry.state
+        self.hint = max(entry.weight, 1e-3)
+        self.started_at = entry.started_at
         self.ramp_from = entry.started_at
         self.wanted = entry.wanted  # it is owed a call
         self.not_before = entry.not_before
@@ -446,15 +482,19 @@
         """Forget what was learned: the process is another one."""
         self.heard_at = -math.inf  # its last answer to a call or a probe, whatever it said
         self.breaks = 0  # connections broken or refused since
-        self.load_sum = self.latency_sum = 0.0
+        self.load_sum = 0.0
+        self.latency_sum = 0.0
         self.errors = 0.0  # running share of errors
         self.failing: dict[str, tuple[float, float]] = {}  # by class: share not served, as of when
-        self.usual = self.last_report = 0.0
+        self.usual = 0.0
+        self.last_report = 0.0
         self.reported_at = -math.inf
         self.since = 0  # own sends less own answers since the report
         self.slow_streak = 0
         self.used_at = -math.inf  # the last send or answer
-        self.most_out, self.most_out_until = 0, 0.0  # while it has no room for more connections
+        # while it has no room for more connections
+        self.most_out = 0
+        self.most_out_until = 0.0
         self.unopened = 0  # connects that failed since one that served
         self.fail_streak = 0
 
@@ -471,7 +511,8 @@
         self.mean_load = Mean(1.0)
         self.zone_load: dict[str, Mean] = {}  # reported calls for each unit of size
         self.errors = Mean(0.0)
-        self.send_rate = self.peak_rate = 0.0
+        self.send_rate = 0.0
+        self.peak_rate = 0.0
         self.unit = 0.1  # s, the mean latency of a call
         self.aim = max(cls.aim for cls in settings.classes)
         self.idle_safe = settings.conn_idle  # s without use after which a connection is still trusted
@@ -489,13 +530,15 @@
                     self.known[entry.server] = Server(entry, self.random.random())
                 continue
             restarted = entry.started_at > server.started_at
-            ramp_from, wanted = server.ramp_from, server.wanted
+            ramp_from = server.ramp_from
+            wanted = server.wanted
             server.told(entry)
             server.wanted |= wanted and server.state is ServerState.SERVING
             if restarted:
                 server.fresh()
                 server.tokens = 1.0 if server.wanted else self.random.random()
-                server.ejected_until, server.trial = 0.0, False
+                server.ejected_until = 0.0
+                server.trial = False
             else:
                 server.ramp_from = max(ramp_from, entry.started_at)
         if event.kind is not ListKind.INCREMENTAL:
@@ -618,7 +661,8 @@
 
     def pick(self, call: Call, gate: Obligations, now: float) -> tuple[Server, float] | None:
         best: Server | None = None
-        best_cost = best_load = math.inf
+        best_cost = math.inf
+        best_load = math.inf
         tried = {attempt.server.id for attempt in call.attempts}
         mean_hint = self.hint_mean if self.pool else 1.0
         crossing = CROSSING * self.settings.price_crossing * self.aim / self.unit
@@ -645,7 +689,9 @@
                 # Cold beside idle warm ones it would get nothing, and who put it back would think it lost.
                 cost = 0.0
             if cost < best_cost and gate.may_send(call, server, now):
-                best, best_cost, best_load = server, cost, load
+                best = server
+                best_cost = cost
+                best_load = load
         return (best, best_load) if best is not None else None
 
     # connections
@@ -684,7 +730,8 @@
 
     # health
     def heard(self, server: Server, now: float) -> None:
-        server.heard_at, server.breaks = now, 0
+        server.heard_at = now
+        server.breaks = 0
 
     def eject(self, server: Server, now: float, hard: bool) -> bool:
         if server.ejected_until:
@@ -702,7 +749,8 @@
         server.ejected_until = 0.0
         server.trial = True
         server.errors = 0.0
-        server.slow_streak = server.fail_streak = 0
+        server.slow_streak = 0
+        server.fail_streak = 0
         server.since = server.out
 
     def report(self, server: Server, report: dict[str, float] | None, now: float) -> None:
@@ -736,7 +784,8 @@
         self.queue: list[Call] = []
         self.out: dict[tuple[int, int], Attempt] = {}
         self.busy = 0  # attempts that take a place in W
-        self.arrivals = self.sends = 0
+        self.arrivals = 0
+        self.sends = 0
         self.retry_tokens = RETRY_BURST
         self.probe_tokens = FIRST_PROBES
         self.asks = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
@@ -809,7 +858,8 @@
     # events
     def on_instances(self, count: int) -> None:
         """Fewer share the servers, so each may take more of what all may; or more, and less."""
-        self.instances, self.told_instances = max(1, count), True
+        self.instances = max(1, count)
+        self.told_instances = True
         self.servers.share = self.settings.balancers / self.instances
         self.set_quotas()
         self.admission.set_least(len(self.servers.known), self.instances)
@@ -838,7 +888,8 @@
         else:
             if event.kind is not ListKind.SAVED:
                 self.watch_fails = 0
-                self.told_at, self.doubt_at = self.now, math.inf
+                self.told_at = self.now
+                self.doubt_at = math.inf
             self.servers.take_list(event, self.now)
             self.admission.set_least(len(self.servers.known), self.instances)
 
@@ -931,7 +982,10 @@
         attempt = self.out.pop((event.call, event.attempt), None)
         if attempt is None:
             return
-        call, server, cls, now = attempt.call, attempt.server, attempt.call.cls, self.now
+        call = attempt.call
+        server = attempt.server
+        cls = attempt.call.cls
+        now = self.now
         status = event.status
         busy = self.busy
         server.out -= 1
@@ -965,7 +1019,10 @@
 
     def learn(self, attempt: Attempt, status: int, elapsed: float, busy: int) -> None:
         """What an outcome says of procQ, W and the server."""
-        cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
+        cls = attempt.call.cls
+        server = attempt.server
+        admission = self.admission
+        servers = self.servers
         now = self.now
         if status in (Status.CANCELLED, Status.MOOT):
             return
@@ -1024,7 +1081,8 @@
             server.last_ok = now
             if attempt.opened:
                 server.unopened = 0
-            server.slow_streak = server.fail_streak = 0
+            server.slow_streak = 0
+            server.fail_streak = 0
             if server.trial:
                 server.trial = False
             elif server.ejections and not server.ejected_until:
@@ -1037,7 +1095,8 @@
                 # push its calls, and connections, onto the rest. Use what is open. One failure may be chance.
                 server.unopened += 1
                 if server.unopened >= UNOPENED:
-                    server.most_out, server.most_out_until = max(1, server.out), now + CONNECTIONS_FULL
+                    server.most_out = max(1, server.out)
+                    server.most_out_until = now + CONNECTIONS_FULL
             failed = False  # nothing was answered: no sign of one that fails what it gets
         elif status == Status.TIMEOUT:
             servers.lost_idle(attempt, now)
@@ -1083,10 +1142,12 @@
         now = self.now
         span = now - self.last_step
         self.last_step = now
-        admission, servers = self.admission, self.servers
+        admission = self.admission
+        servers = self.servers
         admission.observe_rate(self.arrivals, span)
         servers.send_rate += (self.sends / span - servers.send_rate) * min(1.0, span / MEMORY)
-        self.arrivals = self.sends = 0
+        self.arrivals = 0
+        self.sends = 0
         for name, quota in self.quota.items():
             self.quota_left[name] = min(max(1.0, quota), self.quota_left[name] + quota * span)
         for cls in self.kinds.values():
@@ -1110,7 +1171,8 @@
     def watch(self) -> None:
         if (not self.watching and self.now >= self.watch_at) or self.now >= self.doubt_at:
             self.watching = True
-            self.told_at, self.doubt_at = self.now, math.inf
+            self.told_at = self.now
+            self.doubt_at = math.inf
             self.actions.append(Watch(True))
 
     def doubt(self) -> None:
@@ -1125,7 +1187,8 @@
     def watch_ages(self) -> None:
         """A hung server finishes nothing: the calls that are out tell by their age."""
         now = self.now
-        total = counted = 0.0
+        total = 0.0
+        counted = 0.0
         stuck: list[Attempt] = []
         for attempt in self.out.values():
             if attempt.call.streaming:
@@ -1217,7 +1280,8 @@
     def dispatch(self) -> None:
         place = 0
         now = self.now
-        queue, servers = self.queue, self.servers
+        queue = self.queue
+        servers = self.servers
         while place < len(queue) and self.busy + 1 <= self.admission.window:
             call = queue[place]
             if self.busy and call.useful_until - now < call.cls.mean.value and not call.out:
@@ -1241,7 +1305,8 @@
             idle = servers.idle(server, now)
             if idle > servers.idle_safe and servers.opening < OPEN_DEAR:
                 self.actions.append(CloseIdle(server.id))
-                idle, server.used_at = 0.0, -math.inf
+                idle = 0.0
+                server.used_at = -math.inf
             opened = server.used_at < now - self.settings.conn_idle
             attempt = self.gate.send(call, server, now, until - now, load)
             del queue[place]
@@ -1249,7 +1314,9 @@
             if attempt is None:
                 continue
             self.out[(call.id, attempt.number)] = attempt
-            attempt.idle, attempt.opened, server.used_at = idle, opened, now
+            attempt.idle = idle
+            attempt.opened = opened
+            server.used_at = now
             server.out += 1
             server.since += 1
             server.wanted = False
--- a/granitepoint/membership/jute.py
+++ b/granitepoint/membership/jute.py
@@ -190,7 +190,8 @@
     __slots__ = ("at", "data")
 
     def __init__(self, data: bytes, at: int = 0) -> None:
-        self.data, self.at = data, at
+        self.data = data
+        self.at = at
 
     def take(self, size: int) -> bytes:
         if size < 0 or self.at + size > len(self.data):
@@ -312,7 +313,10 @@
 
 def read_connect(data: bytes) -> Connect:
     source = Reader(data)
-    version, zxid, timeout, session = source.int32(), source.int64(), source.int32(), source.int64()
+    version = source.int32()
+    zxid = source.int64()
+    timeout = source.int32()
+    session = source.int64()
     password = source.buffer() or b""
     return Connect(zxid, timeout, session, password, source.flag() if source.left else False, version)
 
@@ -334,7 +338,9 @@
 
 def read_connected(data: bytes) -> Connected:
     source = Reader(data)
-    version, timeout, session = source.int32(), source.int32(), source.int64()
+    version = source.int32()
+    timeout = source.int32()
+    session = source.int64()
     password = source.buffer() or b""
     # Servers before 3.4 leave the last field out.
     return Connected(timeout, session, password, source.flag() if source.left else False, version)
@@ -445,7 +451,9 @@
     """The answer to a multi or multiRead: where one part of a multi failed, each part has an error."""
     results: list[Result] = []
     while True:
-        op, done, err = source.int32(), source.flag(), source.int32()
+        op = source.int32()
+        done = source.flag()
+        err = source.int32()
         if done:
             return results
         if op == Op.ERROR:
--- a/granitepoint/membership/merger.py
+++ b/granitepoint/membership/merger.py
@@ -40,7 +40,8 @@
 MEMORY = 60.0  # s for which an end is remembered that nobody contradicts: the padron lists late, up to 44 s
 MOST_ENDED = 20_000  # names whose end is remembered
 HOLD = 600.0  # s after which a held loss may be believed
-MEMBERSHIP, PADRON = "membership", "padron"
+MEMBERSHIP = "membership"
+PADRON = "padron"
 ORDER = (MEMBERSHIP, PADRON)  # who is believed first where none is fresher
 HEALTHS = (Health.FRESH, Health.STALE, Health.UNREACHABLE, Health.NEVER_HEARD)
 
@@ -160,7 +161,8 @@
             return
         if len(losing) > mine.allowed(now) and self._holds(mine, losing):
             for name in losing:
-                mine.opinions[name].held, mine.opinions[name].held_since = True, now
+                mine.opinions[name].held = True
+                mine.opinions[name].held_since = now
             mine.held += len(losing)
             self.notes.append(
                 f"source {source} lost {len(losing)} of {mine.ready} servers within {mine.within:g} s: "
@@ -219,7 +221,8 @@
             opinion.listed = listed
             if opinion.word is not word:
                 source.ready += (word is Word.READY) - (opinion.word is Word.READY)
-                opinion.word, opinion.since = word, now
+                opinion.word = word
+                opinion.since = now
         else:
             source.opinions[name] = Opinion(listed, word, now)
             source.ready += word is Word.READY
@@ -233,7 +236,8 @@
             source.held -= 1
             opinion.held = False
         source.ready -= opinion.word is Word.READY
-        opinion.word, opinion.since = word, now
+        opinion.word = word
+        opinion.since = now
         if word is Word.LOST:
             self.windows.append((now + WINDOW, name))
         self._touch((name,))
@@ -267,7 +271,8 @@
         """What has changed since the last call, as an incremental list; None where nothing has."""
         self.tick(now)
         found = []
-        dirty, self.dirty = self.dirty, {}
+        dirty = self.dirty
+        self.dirty = {}
         for name in dirty:
             before = self.decided.get(name)
             after = self._decide(name, now)
@@ -298,7 +303,8 @@
         return [self.decided[name].listed for name in sorted(self.decided)]
 
     def take_notes(self) -> list[str]:
-        notes, self.notes = self.notes, []
+        notes = self.notes
+        self.notes = []
         return notes
 
     def _note(self, name: str, state: str, decision: Decision) -> None:
@@ -345,11 +351,13 @@
         self.tombs.pop(name, None)
         source, opinion = opinions[0]
         entry = replace(opinion.listed.entry)
-        speaker, why = source.name, AGREED
+        speaker = source.name
+        why = AGREED
         ends = [(s, o) for (s, o), word in zip(opinions, words, strict=True) if word in ENDS]
         if ends:
             entry.state = ServerState.DRAINING
-            speaker, why = ends[0][0].name, f"{ends[0][1].word.value}, which beats ready (rule 2)"
+            speaker = ends[0][0].name
+            why = f"{ends[0][1].word.value}, which beats ready (rule 2)"
             if len(ends) == len(opinions):
                 why = "its session is lost" if ends[0][1].word is Word.LOST else AGREED
         else:
--- a/granitepoint/membership/nodes.py
+++ b/granitepoint/membership/nodes.py
@@ -20,7 +20,8 @@
 
 MOST_DATA = 4096  # bytes of a node; what is larger is no registration
 MOST_NAME = 255  # letters
-READY, TERMINATING = "Ready", "Terminating"
+READY = "Ready"
+TERMINATING = "Terminating"
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitepoint/membership/register.py
+++ b/granitepoint/membership/register.py
@@ -45,7 +45,9 @@
         on_registered: Callable[[], None] | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.node, self.on_registered, self.random = node, on_registered, random
+        self.node = node
+        self.on_registered = on_registered
+        self.random = random
         self.parent = settings.path.rstrip("/")
         self.path = f"{self.parent}/{node.name}"
         self.acl = jute.CREATOR_ACL if settings.auth_file else jute.OPEN_ACL
--- a/granitepoint/membership/session.py
+++ b/granitepoint/membership/session.py
@@ -45,7 +45,8 @@
     """Frames of one connection."""
 
     def __init__(self, on_frame: Callable[[bytes], None], on_lost: Callable[[], None]) -> None:
-        self.on_frame, self.on_lost = on_frame, on_lost
+        self.on_frame = on_frame
+        self.on_lost = on_lost
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
 
@@ -92,10 +93,15 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.servers = list(servers)
-        self.wanted_timeout, self.connect_timeout = timeout, connect_timeout
+        self.wanted_timeout = timeout
+        self.connect_timeout = connect_timeout
         self.timeout = timeout  # as negotiated
-        self.on_state, self.on_event, self.random = on_state, on_event, random
-        self.chroot, self.auth, self.read_only = chroot, auth, read_only
+        self.on_state = on_state
+        self.on_event = on_event
+        self.random = random
+        self.chroot = chroot
+        self.auth = auth
+        self.read_only = read_only
         self.state = State.CLOSED
         self.id, self.password = 0, bytes(jute.PASSWORD)
         self.last_zxid = 0
@@ -110,7 +116,8 @@
         self._pending: deque[tuple[int, asyncio.Future[jute.Reader]]] = deque()
         self._connecting: asyncio.Future[jute.Connected] | None = None
         self._down: asyncio.Event = asyncio.Event()
-        self._heard = self._sent = 0.0
+        self._heard = 0.0
+        self._sent = 0.0
         self._overdue: asyncio.TimerHandle | None = None
         self._round: deque[Address] = deque()
         self._failures = 0
@@ -312,7 +319,8 @@
         offered = self.id
         async with asyncio.timeout(self.connect_timeout):
             await self.loop.create_connection(lambda: wire, *at)
-            self._wire, self.at = wire, at
+            self._wire = wire
+            self.at = at
             self._connecting = self.loop.create_future()
             hello = jute.Connect(
                 self.last_zxid, int(self.wanted_timeout * 1000), self.id, self.password, self.read_only
@@ -333,7 +341,9 @@
             self._happen(Happening.REFUSED if offered else Happening.DOWN)
             self._forget_session()
             return
-        self.id, self.password, self.timeout = taken.session, taken.password, taken.timeout / 1000
+        self.id = taken.session
+        self.password = taken.password
+        self.timeout = taken.timeout / 1000
         self._failures = 0
         if self.auth is not None:
             wire.write(jute.request(Xid.AUTH, Op.AUTH, jute.auth_body("digest", self.auth)))
@@ -351,7 +361,8 @@
 
     async def _keep(self, wire: _Wire, down: asyncio.Event) -> None:
         """Pings, and leaves a server that says nothing."""
-        ping, silence = self.timeout * PING_SHARE, self.timeout * SILENCE_SHARE
+        ping = self.timeout * PING_SHARE
+        silence = self.timeout * SILENCE_SHARE
         while not down.is_set():
             now = self.loop.time()
             if now >= self._heard + silence:
@@ -390,7 +401,9 @@
 
     def _drop(self) -> None:
         """The connection is over, however it ended."""
-        wire, self._wire, self.at = self._wire, None, None
+        wire = self._wire
+        self._wire = None
+        self.at = None
         self._connecting = None
         if wire is not None:
             wire.abort()
@@ -406,7 +419,8 @@
             self._happen(Happening.OVERDUE)
 
     def _fail_pending(self) -> None:
-        pending, self._pending = self._pending, deque()
+        pending = self._pending
+        self._pending = deque()
         for _, answer in pending:
             if not answer.done():
                 answer.set_exception(ConnectionLost("the connection broke before the answer"))
@@ -447,8 +461,10 @@
                 log.error(
                     "service %s:%d: its zxid went back from 0x%x to 0x%x, as after a restore from a backup; "
                     "what is known is kept. If the restore was wanted, send SIGHUP",
-                    *(self.at or ("?", 0)), self.last_zxid, zxid,
-                )  # fmt: skip
+                    *(self.at or ("?", 0)),
+                    self.last_zxid,
+                    zxid,
+                )
                 if self._wire is not None:
                     self._wire.abort()
                 return
@@ -488,7 +504,8 @@
         self.on_event(event.type, self.relative(event.path))
 
     def _happen(self, happening: Happening) -> None:
-        before, self.state = self.state, after(self.state, happening)
+        before = self.state
+        self.state = after(self.state, happening)
         if before is not self.state:
             log.info("session 0x%x: %s -> %s (%s)", self.id, before.value, self.state.value, happening.value)
             self.on_state(self.state)
--- a/granitepoint/membership/source.py
+++ b/granitepoint/membership/source.py
@@ -55,7 +55,8 @@
 
     def __init__(self, settings: Settings, seat: Seat, config: Config) -> None:
         self.loop = asyncio.get_running_loop()
-        self.settings, self.seat = settings, seat
+        self.settings = settings
+        self.seat = seat
         # Each proxy draws its own: thousands that read at one moment would be the storm they wait out.
         self.random = Random(f"{config.name} {config.seed}")
         self.merger = Merger(settings.mass_loss_share, settings.mass_loss_within)
@@ -96,7 +97,8 @@
         if self.settings.snapshot:
             self._preload(Path(self.settings.snapshot), now)
         discovery = self.seat.discovery
-        discovery.on_list, discovery.on_failed = self._padron_list, self._padron_failed
+        discovery.on_list = self._padron_list
+        discovery.on_failed = self._padron_failed
         self._give(now)
         self.session.start()
         self._spawn(self._ticking())
@@ -128,8 +130,10 @@
         servers = [address(server) for server in new.servers]
         self.settings = new
         for source in self.merger.sources.values():
-            source.share, source.within = new.mass_loss_share, new.mass_loss_within
-        self.session.wanted_timeout, self.session.connect_timeout = new.session_timeout, new.connect_timeout
+            source.share = new.mass_loss_share
+            source.within = new.mass_loss_within
+        self.session.wanted_timeout = new.session_timeout
+        self.session.connect_timeout = new.connect_timeout
         self.session.read_only = new.read_only
         changed = credentials != self.session.auth
         self.session.auth = credentials
@@ -322,7 +326,8 @@
         if self.losses and now < self.judged_from:
             self._soon(self.judged_from - now)
         elif self.losses:
-            losses, self.losses = self.losses, {}
+            losses = self.losses
+            self.losses = {}
             self.merger.ended(MEMBERSHIP, losses, now, Word.LOST)
         self._give(now)
 
@@ -349,9 +354,11 @@
                 self.merger.health_is(PADRON, Health.UNREACHABLE)
             self._give(now)
             if self.write_due and self.settings.snapshot and now >= self.written_at + SNAPSHOT_SPACING:
-                self.written_at, self.write_due = now, False
+                self.written_at = now
+                self.write_due = False
                 # In a thread: the disk may take its time, and calls do not wait for it.
-                path, nodes = Path(self.settings.snapshot), self._to_keep()
+                path = Path(self.settings.snapshot)
+                nodes = self._to_keep()
                 await self.loop.run_in_executor(None, self._write_now, path, nodes)
 
     # the snapshot
--- a/granitepoint/membership/states.py
+++ b/granitepoint/membership/states.py
@@ -39,7 +39,8 @@
     """A happening that the state can't have: a fault of this program."""
 
 
-S, H = State, Happening
+S = State
+H = Happening
 TABLE: dict[tuple[State, Happening], State] = {
     (S.CLOSED, H.OPEN): S.CONNECTING,
     (S.CLOSED, H.CLOSE): S.CLOSED,
--- a/granitepoint/membership/tree.py
+++ b/granitepoint/membership/tree.py
@@ -89,7 +89,8 @@
         if (stat.czxid, stat.mzxid) == (known.czxid, known.mzxid):
             return changes
         recreated = known.czxid not in (0, stat.czxid)
-        known.czxid, known.mzxid = stat.czxid, stat.mzxid
+        known.czxid = stat.czxid
+        known.mzxid = stat.mzxid
         try:
             if stat.owner == 0:
                 raise ValueError("it is not ephemeral, so its end would never be told")
@@ -139,7 +140,8 @@
     def forget_versions(self) -> None:
         """Another ensemble: its zxids tell nothing of the old one's."""
         for known in self.known.values():
-            known.czxid = known.mzxid = 0
+            known.czxid = 0
+            known.mzxid = 0
         self.heard = False
         self.wanted.clear()
 
--- a/granitepoint/net/bodies.py
+++ b/granitepoint/net/bodies.py
@@ -73,8 +73,9 @@
 
     def taken(self) -> list[bytes]:
         """All that waits; it is let go where the body is passed on."""
-        parts, self.parts, self.waiting = self.parts, [], 0
+        parts = self.parts
+        self.parts = []
+        self.waiting = 0
         if self.on_room is not None:
             self.on_room()
         return parts
-
--- a/granitepoint/net/config.py
+++ b/granitepoint/net/config.py
@@ -40,7 +40,8 @@
     def peers(self) -> Peers:
         """Read when it is wanted: a proxy that speaks to no peer does not mind what stands there. Raises
         ValueError."""
-        listen, named = self.raw.get("peer_listen"), self.raw.get("peers") or []
+        listen = self.raw.get("peer_listen")
+        named = self.raw.get("peers") or []
         if not isinstance(named, list):
             raise ValueError("peers is no list")
         everyone = self.raw.get("peers_all")
--- a/granitepoint/net/discovery.py
+++ b/granitepoint/net/discovery.py
@@ -42,7 +42,8 @@
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None
+        self.transport = None
+        self.parser = None
         self._fail(ConnectionError("discovery closed the connection"))
 
     def data_received(self, data: bytes) -> None:
@@ -93,7 +94,8 @@
                 self.parser = httptools.HttpResponseParser(self)
                 self.body.clear()
                 self.raw = 0
-                self.rest, self.limit = rest, limit
+                self.rest = rest
+                self.limit = limit
                 self.answer = loop.create_future()
                 self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {at[0]}:{at[1]}\r\n\r\n".encode())
                 return await self.answer
@@ -101,7 +103,8 @@
             self.close()
             raise
         finally:
-            self.answer = self.limit = None
+            self.answer = None
+            self.limit = None
 
 
 class Discovery:
@@ -121,7 +124,8 @@
         self.version: int | None = version  # None: nothing is known of this server's versions yet
         self.pace = pace
         self.random = Random(seed)
-        self.on_list, self.on_failed = on_list, on_failed
+        self.on_list = on_list
+        self.on_failed = on_failed
         self._watch: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
 
@@ -131,7 +135,8 @@
             self.watch(True)
 
     def retune(self, pace: Freshness) -> None:
-        before, self.pace = self.pace, pace
+        before = self.pace
+        self.pace = pace
         if not before.pushed:
             self.start()
 
@@ -146,7 +151,8 @@
         """Another server from now on. What the old one may still say is not heard, and its versions tell
         nothing of the new one's: the whole list comes first, at once, and changes from there."""
         self.stop()
-        self.at, self.version = at, None
+        self.at = at
+        self.version = None
         self.watch(True)
 
     def fetch(self) -> None:
@@ -168,7 +174,8 @@
         owed = loop.time() + self.pace.moved if self.version is None else -math.inf  # until then one is owed
         try:
             while True:
-                begun, pace = loop.time(), self.pace
+                begun = loop.time()
+                pace = self.pace
                 if self.version is None:
                     fault = await self._ask(channel, "/v1/servers", pace.first)
                 else:
@@ -176,7 +183,9 @@
                     target = f"/v1/servers?from={self.version}&hold_ms={hold * 1000:.0f}"
                     fault = await self._ask(channel, target, hold + (pace.patience if waits else pace.call))
                 if fault is None:
-                    waits, owed, failed = True, -math.inf, 0
+                    waits = True
+                    owed = -math.inf
+                    failed = 0
                     await asyncio.sleep(max(0.0, begun + LEAST_SPACING - loop.time()))
                     continue
                 silent = isinstance(fault, TimeoutError)
--- a/granitepoint/net/driver.py
+++ b/granitepoint/net/driver.py
@@ -38,11 +38,16 @@
 WRITTEN_AT_ONCE = 64 * 1024  # bytes of a body that is joined to its head; a longer one is not copied
 PROBE_TIMEOUT = 0.2  # s; a report that comes later is of no use
 DROPPED = HOP_BY_HOP | {b"x-load-report", b"x-rejected"}
-READY, NOT_READY = Page(200, b"ok\n"), Page(503, b"not ready\n")
+READY = Page(200, b"ok\n")
+NOT_READY = Page(503, b"not ready\n")
 REPORT_FIELDS = {
-    "inflight": "busy_reqs", "queue": "pending", "util": "cpu_share",
-    "latency_ms": "svc_ms", "qps": "served_ps", "eps": "failed_ps",
-}  # fmt: skip
+    "inflight": "busy_reqs",
+    "queue": "pending",
+    "util": "cpu_share",
+    "latency_ms": "svc_ms",
+    "qps": "served_ps",
+    "eps": "failed_ps",
+}
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
@@ -72,11 +77,23 @@
     """A taken request that is owed its answer."""
 
     __slots__ = (
-        "attempts", "deadline", "exchange", "number", "open", "ran", "reply", "request", "tickets", "timer",
-    )  # fmt: skip
+        "attempts",
+        "deadline",
+        "exchange",
+        "number",
+        "open",
+        "ran",
+        "reply",
+        "request",
+        "tickets",
+        "timer",
+    )
 
     def __init__(self, number: int, request: Request, reply: Reply, deadline: float) -> None:
-        self.number, self.request, self.reply, self.deadline = number, request, reply, deadline
+        self.number = number
+        self.request = request
+        self.reply = reply
+        self.deadline = deadline
         self.open = True
         self.attempts = 0
         self.ran = False  # some attempt may have run
@@ -98,7 +115,8 @@
         self.takes = taken_by(filters)
         self.dropped = DROPPED | self.takes
         self.loop = asyncio.get_running_loop()
-        self.config, self.settings = config, config.settings
+        self.config = config
+        self.settings = config.settings
         self.effects = {cls.name: config.forms.get(cls.name, cls.effect) for cls in self.settings.classes}
         self.deadlines = {cls.name: cls.deadline for cls in self.settings.classes}
         self.balancer = Balancer(self.settings, config.seed)
@@ -110,7 +128,8 @@
         self.calls: dict[int, OpenCall] = {}
         self.out: dict[int, Exchange] = {}  # attempts, by call: also of calls whose caller has left
         self.ids: set[bytes] = set()  # of the calls in the table, and of attempts still out
-        self.calls_taken = self.calls_answered = 0
+        self.calls_taken = 0
+        self.calls_answered = 0
         self.witness: Callable[[int, api.Status], None] | None = None  # sees the end of attempts and probes
         self.advise: Callable[[float], float] | None = None  # has the last word on the wait of a refusal
         self.probes = 0
@@ -139,9 +158,13 @@
         except ValueError as fault:
             raise ConfigError(f"bad configuration: known: {fault}") from None
         self.discovery = Discovery(
-            config.discovery, known.version, pace_of(self.settings), config.seed,
-            self.take_list, self.list_failed,
-        )  # fmt: skip
+            config.discovery,
+            known.version,
+            pace_of(self.settings),
+            config.seed,
+            self.take_list,
+            self.list_failed,
+        )
         self.known = known
         if overlay is not None:
             known = overlay(known)
@@ -180,7 +203,8 @@
     def _flush(self) -> None:
         self.flush_at = None
         now = self.flushed = time.monotonic()
-        events, self.events = self.events, []
+        events = self.events
+        self.events = []
         try:
             actions = self.balancer.handle(now, events)
         except Exception:
@@ -413,7 +437,8 @@
                 log.error("call %d: a second attempt while one is out", call.number)
             self._push(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
             return
-        request, body = call.request, call.request.body
+        request = call.request
+        body = call.request.body
         timeout = min(action.timeout, call.deadline - time.monotonic())
         more = b""
         for ticket in call.tickets:
@@ -489,7 +514,9 @@
     ) -> None:
         """The call is over as far as it is decided on; to the module it is a stream until its end."""
 
-        begun, call_number = exchange.started_at, call.number  # nothing else of them is kept for so long
+        # nothing else of them is kept for so long
+        begun = exchange.started_at
+        call_number = call.number
 
         def over(status: api.Status) -> None:
             elapsed = time.monotonic() - begun
--- a/granitepoint/net/freshness.py
+++ b/granitepoint/net/freshness.py
@@ -62,6 +62,15 @@
     call = owed / 2  # two fit
     first = moved / 2
     return Freshness(
-        False, HOLD, HOLD_SPREAD * HOLD, patience, owed, call, SPACING, call, min(CONNECT, call / 2), moved,
+        False,
+        HOLD,
+        HOLD_SPREAD * HOLD,
+        patience,
+        owed,
+        call,
+        SPACING,
+        call,
+        min(CONNECT, call / 2),
+        moved,
         first,
-    )  # fmt: skip
+    )
--- a/granitepoint/net/polling.py
+++ b/granitepoint/net/polling.py
@@ -21,7 +21,8 @@
 
 def ended(transports: Iterable[asyncio.BaseTransport]) -> list[asyncio.BaseTransport]:
     """Those whose peer sends no more, whatever bytes lie before its end."""
-    poll, asked = select.poll(), {}
+    poll = select.poll()
+    asked = {}
     for transport in transports:
         number = transport.get_extra_info("socket").fileno()
         asked[number] = transport
--- a/granitepoint/net/server.py
+++ b/granitepoint/net/server.py
@@ -48,12 +48,21 @@
     b"host x-call-id x-budget x-caller cookie x-again x-call-cost idempotency-key".split()
 )
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found",
-    408: b"Request Timeout", 409: b"Conflict",
-    413: b"Content Too Large", 426: b"Upgrade Required", 429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large", 500: b"Internal Server Error",
-    502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
-}  # fmt: skip
+    200: b"OK",
+    400: b"Bad Request",
+    403: b"Forbidden",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    426: b"Upgrade Required",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 NO_FIELDS: frozenset[bytes] = frozenset()
 NO_HEADERS: tuple[tuple[bytes, bytes], ...] = ()
 
@@ -192,7 +201,8 @@
     effect = effects.get(cls)
     if effect is None:
         raise BadRequest(404, "no such class")
-    id, key = _one(headers, b"x-call-id"), _one(headers, b"idempotency-key")
+    id = _one(headers, b"x-call-id")
+    key = _one(headers, b"idempotency-key")
     if not id:
         raise BadRequest(400, "X-Call-Id is missing")
     budget = BUDGET.fullmatch(_one(headers, b"x-budget"))
@@ -242,10 +252,37 @@
     """One caller's connection: requests one after another, each with exactly one answer."""
 
     __slots__ = (
-        "answering", "body", "broken", "call", "coded", "current", "early", "extra", "full", "head_done",
-        "head_size", "headers", "held", "inside", "keep_alive", "last", "leaving", "left", "parser", "paused",
-        "raw", "server", "since", "source", "strides", "switching", "table", "target", "transport", "waiting",
-    )  # fmt: skip
+        "answering",
+        "body",
+        "broken",
+        "call",
+        "coded",
+        "current",
+        "early",
+        "extra",
+        "full",
+        "head_done",
+        "head_size",
+        "headers",
+        "held",
+        "inside",
+        "keep_alive",
+        "last",
+        "leaving",
+        "left",
+        "parser",
+        "paused",
+        "raw",
+        "server",
+        "since",
+        "source",
+        "strides",
+        "switching",
+        "table",
+        "target",
+        "transport",
+        "waiting",
+    )
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -259,7 +296,9 @@
         self.early: Request | None = None  # the one that comes now, handed on before its end
         self.held = 0  # bytes of the pool
         self.source: Source | None = None  # of an answer that comes on
-        self.coded = self.last = False  # how it is written: in chunks; as the last on this connection
+        # how it is written: in chunks; as the last on this connection
+        self.coded = False
+        self.last = False
         self.left = 0  # bytes that the peer had not taken at the last look
         self.head_size = 0
         self.raw = 0  # bytes as they came, since the last whole request
@@ -285,16 +324,20 @@
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None  # the parser holds this object: a cycle that would wait for gc
+        # the parser holds this object: a cycle that would wait for gc
+        self.transport = None
+        self.parser = None
         self.leaving = True
         self.waiting.clear()
         self.server.place(self, None)
         self.server.connections.discard(self)
         self._free()
-        source, self.source = self.source, None
+        source = self.source
+        self.source = None
         if source is not None:
             source.drop()
-        call, self.call = self.call, None
+        call = self.call
+        self.call = None
         if call is not None:
             self.server.handler.left(call)
 
@@ -362,7 +405,8 @@
     def _too_soon(self) -> None:
         """Who asked for an upgrade sent more before it was granted."""
         self.broken = True
-        call, self.call = self.call, None
+        call = self.call
+        self.call = None
         if call is not None:
             self.server.handler.left(call)
         if self.answering:
@@ -374,9 +418,12 @@
         assert transport is not None
         self.server.place(self, None)
         self.server.connections.discard(self)
-        self.answering = self.switching = False
+        self.answering = False
+        self.switching = False
         self.leaving = True
-        self.call = self.transport = self.parser = None
+        self.call = None
+        self.transport = None
+        self.parser = None
         transport.write(head)
         return transport
 
@@ -393,7 +440,8 @@
             self.waiting[-1] = bad, False
         elif self.answering and self.source is None:
             # It is with the handler, which can't have the rest of it: nothing ran.
-            call, self.call = self.call, None
+            call = self.call
+            self.call = None
             if call is not None:
                 self.server.handler.left(call)
             self.answer(bad.code, NO_HEADERS, f"{bad}\n".encode())
@@ -404,7 +452,8 @@
         self.target = b""
         self.headers, self.body = [], Body()
         self.early = None
-        self.head_size = self.strides = 0
+        self.head_size = 0
+        self.strides = 0
 
     def on_url(self, part: bytes) -> None:
         self.target += part
@@ -432,7 +481,8 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, chunk: bytes) -> None:
-        body, server = self.body, self.server
+        body = self.body
+        server = self.server
         if body.size + len(chunk) > server.most_body:
             raise BadRequest(413, "body too large")
         if body.kept and body.size + len(chunk) > MOST_BODY:
@@ -466,12 +516,18 @@
 
     def _read(self) -> Request:
         return read_request(
-            self.parser.get_method(), self.target, self.headers, self.body, time.monotonic(),
-            self.server.effects, self.server.takes,
-        )  # fmt: skip
+            self.parser.get_method(),
+            self.target,
+            self.headers,
+            self.body,
+            time.monotonic(),
+            self.server.effects,
+            self.server.takes,
+        )
 
     def on_message_complete(self) -> None:
-        self.inside = self.head_done = False
+        self.inside = False
+        self.head_done = False
         self.raw = 0
         body = self.body
         if self.early is not None:
@@ -613,7 +669,8 @@
 
     def _over(self, code: int) -> None:
         """The open request is, and what it held."""
-        current, self.current = self.current, None
+        current = self.current
+        self.current = None
         self.answering = False
         self._free()
         if current is None:
@@ -713,13 +770,19 @@
         most_body: int = MOST_BODY,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.effects, self.handler = effects, handler
-        self.pages, self.never_ran, self.takes = pages, never_ran, takes
-        self.tally, self.most_body = tally, most_body
+        self.effects = effects
+        self.handler = handler
+        self.pages = pages
+        self.never_ran = never_ran
+        self.takes = takes
+        self.tally = tally
+        self.most_body = most_body
         self.upgrades: Upgrades | None = None  # who takes requests for these; None: they are refused
         self.buffer = memoryview(bytearray(READ))  # what is read goes through it at once
         self.pooled = 0  # bytes of bodies that are held, beyond MOST_BODY each
-        self.sockets, self.memory_mb, self.reserved = sockets, memory_mb, reserved
+        self.sockets = sockets
+        self.memory_mb = memory_mb
+        self.reserved = reserved
         self.set_bounds(1.0)
         self.connections: set[ClientConnection] = set()
         self.fresh: dict[ClientConnection, None] = {}  # owe a whole request
@@ -731,7 +794,8 @@
 
     def set_bounds(self, share: float) -> None:
         """On the callers' connections, where this process has this share of its descriptors and memory."""
-        sockets, memory_mb = int(self.sockets * share), self.memory_mb * share
+        sockets = int(self.sockets * share)
+        memory_mb = self.memory_mb * share
         others = int(sockets * UPSTREAM_SHARE) + min(RESERVE, sockets // 10) + self.reserved
         free = max(1.0, memory_mb - BASE_MEMORY)
         self.pool = int(free * POOL_SHARE * 1e6) if self.most_body > MOST_BODY else 0  # bytes
--- a/granitepoint/net/upstream.py
+++ b/granitepoint/net/upstream.py
@@ -47,8 +47,25 @@
     """
 
     __slots__ = (
-        "body", "code", "connection", "counts", "done", "due", "elapsed", "headers", "length", "loop",
-        "may_start", "payload", "request", "sent", "source", "started_at", "status", "timer", "upstream",
+        "body",
+        "code",
+        "connection",
+        "counts",
+        "done",
+        "due",
+        "elapsed",
+        "headers",
+        "length",
+        "loop",
+        "may_start",
+        "payload",
+        "request",
+        "sent",
+        "source",
+        "started_at",
+        "status",
+        "timer",
+        "upstream",
     )
 
     def __init__(
@@ -64,10 +81,14 @@
         """`counts`: it is an attempt of a call, not a probe, and its answer may be passed on as it comes:
         then `source` is set with OK, and who is called gives it a sink. `payload`: the body behind `request`.
         """
-        self.upstream, self.request, self.counts, self.payload = upstream, request, counts, payload
+        self.upstream = upstream
+        self.request = request
+        self.counts = counts
+        self.payload = payload
         self.source: Connection | None = None
         self.length: int | None = None  # of the answer that `source` brings; None: it ends when it ends
-        self.may_start, self.done = may_start, done
+        self.may_start = may_start
+        self.done = done
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
         self.status: Status | None = None
@@ -87,7 +108,8 @@
         self.status = status
         self.elapsed = time.monotonic() - self.started_at
         self.timer.cancel()
-        connection, self.connection = self.connection, None
+        connection = self.connection
+        self.connection = None
         if connection is not None:
             connection.abandon()
         try:
@@ -136,12 +158,17 @@
     ) -> None:
         """It is answered, and the answer comes on."""
         self.connection = None
-        self.code, self.headers, self.source, self.length = code, headers, source, length
+        self.code = code
+        self.headers = headers
+        self.source = source
+        self.length = length
         self.end(Status.OK)
 
     def answered(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.connection = None
-        self.code, self.headers, self.body = code, headers, body
+        self.code = code
+        self.headers = headers
+        self.body = body
         if code == 200:
             self.end(Status.OK)
         elif code in (503, 504) and any(name == b"x-rejected" and value == b"1" for name, value in headers):
@@ -171,10 +198,12 @@
 
     def switched(self, headers: list[tuple[bytes, bytes]], connection: Connection, rest: bytes) -> None:
         self.connection = None
-        self.code, self.headers = 101, headers
+        self.code = 101
+        self.headers = headers
         fault = self.switch.proven(headers)
         if fault is None:
-            self.taken, self.rest = connection, rest
+            self.taken = connection
+            self.rest = rest
             self.end(Status.OK)
             return
         log.warning("%s declines an upgrade with a 101: %s", self.upstream.address, fault)
@@ -196,10 +225,28 @@
     """One connection to a backend; carries one exchange at a time."""
 
     __slots__ = (
-        "answer", "body", "exchange", "full", "head_done", "headers", "holding", "idle_since", "last",
-        "length", "moved_at", "parser", "paused", "raw", "rest", "sink", "size", "transport", "until_close",
-        "upstream", "writing",
-    )  # fmt: skip
+        "answer",
+        "body",
+        "exchange",
+        "full",
+        "head_done",
+        "headers",
+        "holding",
+        "idle_since",
+        "last",
+        "length",
+        "moved_at",
+        "parser",
+        "paused",
+        "raw",
+        "rest",
+        "sink",
+        "size",
+        "transport",
+        "until_close",
+        "upstream",
+        "writing",
+    )
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
@@ -208,8 +255,12 @@
         self.parser: Any = None  # one for each exchange: nothing of the last answer can reach the next
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
-        self.raw = self.size = 0  # bytes of this answer as they came; of its body
-        self.head_done = self.until_close = self.last = False
+        # bytes of this answer as they came; of its body
+        self.raw = 0
+        self.size = 0
+        self.head_done = False
+        self.until_close = False
+        self.last = False
         self.answer: tuple[int, bool] | None = None  # whole, not handed on yet: its code, and whether to keep
         self.idle_since = 0.0
         self.length: int | None = None  # of this answer, where it tells
@@ -227,13 +278,16 @@
         self.upstream.owner.made += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None  # the parser holds this object: a cycle that would wait for gc
+        # the parser holds this object: a cycle that would wait for gc
+        self.transport = None
+        self.parser = None
         self._let_go()
         self.upstream.lost(self)
         if self.sink is not None:
             self._end_relay().broken_off()
         if self.exchange is not None:
-            exchange, self.exchange = self.exchange, None
+            exchange = self.exchange
+            self.exchange = None
             # Once its last byte has left this process the backend may have run it: never a resend.
             exchange.end(Status.RESET if exchange.sent else Status.CONNECT_FAILED)
 
@@ -281,14 +335,19 @@
         """The answer is whole."""
         assert self.answer is not None
         (code, keep), self.answer = self.answer, None
-        headers, self.headers = self.headers, []
-        body, self.body = b"".join(self.body), []
-        exchange, self.exchange, self.parser = self.exchange, None, None
+        headers = self.headers
+        self.headers = []
+        body = b"".join(self.body)
+        self.body = []
+        exchange = self.exchange
+        self.exchange = None
+        self.parser = None
         sink = self._end_relay() if self.sink is not None else None
         keep = keep and self.writing is None  # else the rest of the request would be read as another
         self._let_go()
         if code == 101 and isinstance(exchange, SwitchExchange):
-            rest, self.rest = self.rest, b""
+            rest = self.rest
+            self.rest = b""
             exchange.switched(headers, self, rest)
             return
         if keep:
@@ -318,8 +377,10 @@
         if self.transport is None or self.transport.is_closing():
             return  # its connection is lost, and about to say so
         self.exchange = None
-        headers, self.headers = self.headers, []
-        body, self.body = self.body, []
+        headers = self.headers
+        self.headers = []
+        body = self.body
+        self.body = []
         self.moved_at = time.monotonic()
         exchange.streamed(self.parser.get_status_code(), headers, self, self.length)
         if self.sink is None:
@@ -334,7 +395,8 @@
         self.upstream.owner.relays.add(self)
 
     def _end_relay(self) -> Sink:
-        sink, self.sink = self.sink, None
+        sink = self.sink
+        self.sink = None
         assert sink is not None
         self.upstream.owner.relays.discard(self)
         return sink
@@ -384,7 +446,9 @@
 
     def more(self) -> None:
         """bodies.Reader: writes what there is as far as the backend takes it."""
-        body, transport, exchange = self.writing, self.transport, self.exchange
+        body = self.writing
+        transport = self.transport
+        exchange = self.exchange
         if body is None or transport is None or self.full:
             return
         if not body.kept and body.parts:
@@ -400,7 +464,8 @@
         if self.full:  # not all has left, and the backend can't have it whole
             return
         if body.whole and (body.kept or not body.parts):
-            body.reader = self.writing = None
+            body.reader = None
+            self.writing = None
             if exchange is not None:
                 exchange.written()
 
@@ -477,9 +542,12 @@
         assert self.transport is not None
         self.exchange = exchange
         self.parser = httptools.HttpResponseParser(self)
-        self.headers, self.body = [], []
-        self.raw = self.size = 0
-        self.head_done = self.until_close = False
+        self.headers = []
+        self.body = []
+        self.raw = 0
+        self.size = 0
+        self.head_done = False
+        self.until_close = False
         self.length = None
         body = exchange.payload
         if body is None:
@@ -487,7 +555,8 @@
             exchange.written()
             return
         self.transport.set_write_buffer_limits(high=0)  # so that it tells when all has left
-        self.writing, body.reader = body, self
+        self.writing = body
+        body.reader = self
         self.transport.writelines([exchange.request, *body.parts] if body.kept else [exchange.request])
         self.more()
 
@@ -521,7 +590,10 @@
     __slots__ = ("address", "connections", "heard_at", "idle", "owner", "started_at", "state")
 
     def __init__(self, owner: Upstreams, address: Address, started_at: float, state: ServerState) -> None:
-        self.owner, self.address, self.started_at, self.state = owner, address, started_at, state
+        self.owner = owner
+        self.address = address
+        self.started_at = started_at
+        self.state = state
         self.connections: set[Connection] = set()
         self.heard_at = 0.0  # when it last sent anything
         self.idle: list[Connection] = []
@@ -534,7 +606,8 @@
         """The connection used last: the others grow old and are closed. One that was in use just now only
         where there is no other."""
         now = time.monotonic()
-        oldest, settled = now - self.owner.idle_for, now - SETTLE
+        oldest = now - self.owner.idle_for
+        settled = now - SETTLE
         while self.idle:
             place = len(self.idle) - 1
             while place and self.idle[place].idle_since > settled:
@@ -613,7 +686,8 @@
                 upstream.renew()
                 if self.on_leaving is not None:
                     self.on_leaving(upstream)
-            upstream.address, upstream.started_at = listed.address, entry.started_at
+            upstream.address = listed.address
+            upstream.started_at = entry.started_at
             upstream.state = entry.state
         for server, upstream in list(self.by_id.items()):
             if listing.whole and server not in named:
@@ -652,7 +726,8 @@
 
     async def _connect(self, exchange: Exchange, upstream: Upstream) -> None:
         connection = Connection(upstream)
-        at, since = upstream.address, upstream.started_at
+        at = upstream.address
+        since = upstream.started_at
         try:
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.create_connection(lambda: connection, *at)
--- a/granitepoint/operations/console.py
+++ b/granitepoint/operations/console.py
@@ -26,8 +26,12 @@
 LINGER = 1.0  # s in which an answer must have been taken
 SWEEP = 0.5  # s between looks for connections whose time is up
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    503: "Service Unavailable",
+}
 
 
 class Word(NamedTuple):
@@ -88,7 +92,8 @@
         self.console.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None
+        self.transport = None
+        self.parser = None
         self.console.calls.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
--- a/granitepoint/operations/figures.py
+++ b/granitepoint/operations/figures.py
@@ -5,7 +5,8 @@
 from collections import Counter
 
 PREFIX = "edge_edge"
-COUNTER, GAUGE = "c", "g"
+COUNTER = "c"
+GAUGE = "g"
 OUTCOMES = {200: "success", 429: "busy", 503: "busy"}  # by the answer's status; any other is a failure
 WORDS = ("success", "busy", "failure")
 
@@ -15,7 +16,8 @@
 
     def __init__(self) -> None:
         self.calls: dict[str, Counter[str]] = {}
-        self.reconfig_ok = self.reconfig_failed = 0
+        self.reconfig_ok = 0
+        self.reconfig_failed = 0
 
     def ended(self, cls: str, code: int) -> None:
         self.known(cls)[OUTCOMES.get(code, "failure")] += 1
--- a/granitepoint/operations/maintenance.py
+++ b/granitepoint/operations/maintenance.py
@@ -28,7 +28,8 @@
 
     def __init__(self, wall_offset: float, cold_for: float) -> None:
         """`cold_for`: s for which a backend that came back counts as cold."""
-        self.wall_offset, self.cold_for = wall_offset, cold_for
+        self.wall_offset = wall_offset
+        self.cold_for = cold_for
         self.out: dict[str, float] = {}  # since when, by name
         self.back: dict[str, float] = {}  # put back when
         self.listed: dict[str, Listed] = {}  # as the sources have them now
@@ -117,10 +118,12 @@
         raw = json.loads(text)
         if not isinstance(raw, Mapping) or raw.get("version") != 1:
             raise ValueError("not a record of maintenance")
-        out, back = _times(raw.get("out")), _times(raw.get("back"))
+        out = _times(raw.get("out"))
+        back = _times(raw.get("back"))
         taken_out = [name for name in out if name not in self.out]
         put_back = [name for name, at in back.items() if self.back.get(name) != at]
-        self.out, self.back = out, {}
+        self.out = out
+        self.back = {}
         self.owed -= out.keys()
         gone = self._changed(taken_out)
         return Listing(0, False, gone.backends + self._returned(put_back, back).backends)
--- a/granitepoint/operations/office.py
+++ b/granitepoint/operations/office.py
@@ -32,8 +32,10 @@
 MOST_WAIT = 3.0  # s for which a second process waits for its list before it listens
 QUEUED = 0.25  # s for which connections that were dealt to a listener before may still come up
 LOOK = 0.1  # s between looks at the record: a call at another process of this proxy holds here too
-YES, NO_SUCH = Word(200, "ok\n"), Word(404, "no such backend\n")
-NOT_READY, NOT_KEPT = Word(503, "not ready\n"), Word(503, "the record could not be written\n")
+YES = Word(200, "ok\n")
+NO_SUCH = Word(404, "no such backend\n")
+NOT_READY = Word(503, "not ready\n")
+NOT_KEPT = Word(503, "the record could not be written\n")
 
 
 def own_path(config: Config, what: str) -> Path:
@@ -67,7 +69,8 @@
 
     async def start(self, driver: Driver, server: Server) -> None:
         """Raises OSError where the console can't listen."""
-        self.driver, self.server = driver, server
+        self.driver = driver
+        self.server = server
         assert self.config.console is not None
         await self.console.listen(self.config.console)
         self._look()
@@ -131,13 +134,15 @@
 
     # console.Office
     def health(self) -> Word:
-        server, driver = self.server, self.driver
+        server = self.server
+        driver = self.driver
         if server is None or driver is None or server.listener is None or server.draining:
             return NOT_READY
         return YES if driver.upstreams.ready else NOT_READY
 
     def stats(self) -> Word:
-        server, driver = self.server, self.driver
+        server = self.server
+        driver = self.driver
         assert server is not None and driver is not None
         gauges = {
             "inflight": server.inflight,
--- a/granitepoint/operator/__init__.py
+++ b/granitepoint/operator/__init__.py
@@ -16,5 +16,16 @@
     load,
 )
 
-__all__ = ["Budgets", "Fleet", "Membership", "Operator", "OperatorError", "Problem", "Recovery",
-"Registration", "WebSocket", "load", "read_text"]
+__all__ = [
+    "Budgets",
+    "Fleet",
+    "Membership",
+    "Operator",
+    "OperatorError",
+    "Problem",
+    "Recovery",
+    "Registration",
+    "WebSocket",
+    "load",
+    "read_text",
+]
--- a/granitepoint/operator/codes.py
+++ b/granitepoint/operator/codes.py
@@ -103,7 +103,8 @@
 
 def _read(table: str) -> dict[str, Code]:
     found: dict[str, Code] = {}
-    code = title = ""
+    code = ""
+    title = ""
     lines: list[str] = []
     for line in [*table.strip().splitlines(), ""]:
         if line.startswith(" "):
--- a/granitepoint/operator/reader.py
+++ b/granitepoint/operator/reader.py
@@ -113,7 +113,8 @@
             value, code, fault = _typed(kind, raw[field.name])
             check = field.metadata["check"]
             if fault is None and check is not None:
-                code, fault = "S105", check(value)
+                code = "S105"
+                fault = check(value)
             if fault is not None:
                 path_of = (*path, field.name)
                 self.wrong(path_of, code, f"{field.name} {fault}", f"write {field.name} = {text}")
--- a/granitepoint/operator/schema.py
+++ b/granitepoint/operator/schema.py
@@ -204,9 +204,11 @@
     store: str = key(str, '"/var/lib/willowwing/p0" (a folder of this proxy\'s own)', "", _folder)
     machine_mark: str = key(str, '"/etc/machine-id" (the same for one machine)', "/etc/machine-id", _folder)
     boot_mark: str = key(
-        str, '"/proc/sys/kernel/random/boot_id" (another after each boot)',
-        "/proc/sys/kernel/random/boot_id", _folder,
-    )  # fmt: skip
+        str,
+        '"/proc/sys/kernel/random/boot_id" (another after each boot)',
+        "/proc/sys/kernel/random/boot_id",
+        _folder,
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,9 +225,13 @@
 
 
 TABLES: dict[str, type] = {
-    "membership": Membership, "registration": Registration, "budgets": Budgets, "websocket": WebSocket,
-    "fleet": Fleet, "recovery": Recovery,
-}  # fmt: skip
+    "membership": Membership,
+    "registration": Registration,
+    "budgets": Budgets,
+    "websocket": WebSocket,
+    "fleet": Fleet,
+    "recovery": Recovery,
+}
 
 
 def load(file: str) -> Operator:
@@ -294,26 +300,48 @@
     if not isinstance(table, WebSocket):
         return
     if not table.messages and not table.tunnels:
-        reader.wrong(path, "S107", "[websocket] with neither messages nor tunnels serves nobody",
-                     'write messages = ["pantalla"], or leave the table out')  # fmt: skip
+        reader.wrong(
+            path,
+            "S107",
+            "[websocket] with neither messages nor tunnels serves nobody",
+            'write messages = ["pantalla"], or leave the table out',
+        )
     for name in sorted(set(table.messages) & set(table.tunnels)):
-        reader.wrong((*path, "tunnels"), "S107", f"{name} is a route of messages and of tunnels",
-                     "give each route one mode")  # fmt: skip
+        reader.wrong(
+            (*path, "tunnels"),
+            "S107",
+            f"{name} is a route of messages and of tunnels",
+            "give each route one mode",
+        )
     if table.burst < table.messages_per_s / 10:
-        reader.wrong((*path, "burst"), "S107", "burst holds less than 0.1 s of messages_per_s",
-                     f"write burst = {table.messages_per_s / 10:g} or more")  # fmt: skip
+        reader.wrong(
+            (*path, "burst"),
+            "S107",
+            "burst holds less than 0.1 s of messages_per_s",
+            f"write burst = {table.messages_per_s / 10:g} or more",
+        )
     for name in ("sessions_per_client", "sessions_per_tenant"):
         if getattr(table, name) > table.sessions:
-            reader.wrong((*path, name), "S107", f"{name} is over sessions = {table.sessions}",
-                         f"write {name} = {table.sessions} or less")  # fmt: skip
+            reader.wrong(
+                (*path, name),
+                "S107",
+                f"{name} is over sessions = {table.sessions}",
+                f"write {name} = {table.sessions} or less",
+            )
     if table.unread_bytes < table.message_bytes:
-        reader.wrong((*path, "unread_bytes"), "S107",
-                     "unread_bytes is under message_bytes: one long outcome would close its session",
-                     f"write unread_bytes = {table.message_bytes} or more")  # fmt: skip
+        reader.wrong(
+            (*path, "unread_bytes"),
+            "S107",
+            "unread_bytes is under message_bytes: one long outcome would close its session",
+            f"write unread_bytes = {table.message_bytes} or more",
+        )
     if table.ping_timeout > table.ping_every:
-        reader.wrong((*path, "ping_every"), "S107",
-                     "ping_timeout is over ping_every: a silent peer would be awaited past its next ping",
-                     f"write ping_every = {table.ping_timeout:g} or more, or less ping_timeout")  # fmt: skip
+        reader.wrong(
+            (*path, "ping_every"),
+            "S107",
+            "ping_timeout is over ping_every: a silent peer would be awaited past its next ping",
+            f"write ping_every = {table.ping_timeout:g} or more, or less ping_timeout",
+        )
 
 
 LEAST_SUSPICION = 1.0  # periods: a probe with its helpers takes nearly one
@@ -324,25 +352,36 @@
     if not isinstance(table, Fleet):
         return
     if table.suspicion < LEAST_SUSPICION:
-        reader.wrong((*path, "suspicion"), "S107",
-                     "suspicion is shorter than a probe round: who is slow once is dead before it is asked "
-                     "again",
-                     "write suspicion = 3.0, or at least 1.0")  # fmt: skip
+        reader.wrong(
+            (*path, "suspicion"),
+            "S107",
+            "suspicion is shorter than a probe round: who is slow once is dead before it is asked " "again",
+            "write suspicion = 3.0, or at least 1.0",
+        )
     if table.memory < 10 * table.suspicion * table.period:
-        reader.wrong((*path, "memory"), "S107",
-                     "memory is shorter than ten suspicions: the dead would be forgotten while some still "
-                     "hold them for alive, and come back",
-                     f"write memory = {10 * table.suspicion * table.period:g} or more")  # fmt: skip
+        reader.wrong(
+            (*path, "memory"),
+            "S107",
+            "memory is shorter than ten suspicions: the dead would be forgotten while some still "
+            "hold them for alive, and come back",
+            f"write memory = {10 * table.suspicion * table.period:g} or more",
+        )
     own = table.address or table.listen
     if table.members and not [at for at in table.members if at != own]:
-        reader.wrong((*path, "members"), "S107", "a fleet with one member, itself, has nobody to see",
-                     "name the others, or leave the table out")  # fmt: skip
+        reader.wrong(
+            (*path, "members"),
+            "S107",
+            "a fleet with one member, itself, has nobody to see",
+            "name the others, or leave the table out",
+        )
     if table.own_network and not (table.listen and table.members):
         missing = "listen" if not table.listen else "members"
-        reader.wrong((*path, "own_network"), "S107",
-                     f"own_network = true without {missing}: the platform is not asked, and nobody else says "
-                     "it",
-                     'write listen = "HOST:PORT" and members = [...]')  # fmt: skip
+        reader.wrong(
+            (*path, "own_network"),
+            "S107",
+            f"own_network = true without {missing}: the platform is not asked, and nobody else says " "it",
+            'write listen = "HOST:PORT" and members = [...]',
+        )
     networks = [ipaddress.IPv4Network(network) for network in table.networks]
     for at in (table.listen, table.address, *table.members):
         host = at.rpartition(":")[0]
@@ -354,6 +393,9 @@
             reader.wrong(path, "S105", f"{host} is no IPv4 address", "write numbers; there is no DNS")
             continue
         if not number.is_unspecified and not any(number in network for network in networks):
-            reader.wrong((*path, "networks"), "S107",
-                         f"{host} lies in none of the networks, so its datagrams would be dropped",
-                         f'add "{host}/32", or the network that it is in')  # fmt: skip
+            reader.wrong(
+                (*path, "networks"),
+                "S107",
+                f"{host} lies in none of the networks, so its datagrams would be dropped",
+                f'add "{host}/32", or the network that it is in',
+            )
--- a/granitepoint/recovery/__main__.py
+++ b/granitepoint/recovery/__main__.py
@@ -65,15 +65,23 @@
     lost = frozenset({zone}) if loss is Loss.ZONE else frozenset()
     situation = Situation(now, loss, lost, found.state.newest, bool(found.damaged))
     if as_json:
-        print(json.dumps(
-            {
-                "generation": found.generation, "written": found.at, "torn_bytes": found.torn,
-                "damaged": found.damaged, "loss": loss.value, "clock_went_back": situation.clock_went_back,
-                "blind_until": found.state.blind,
-                "facts": [{"kind": kind, "name": name, **row} for kind, name, row in rows(found, situation)],
-            },
-            indent=1,
-        ))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "generation": found.generation,
+                    "written": found.at,
+                    "torn_bytes": found.torn,
+                    "damaged": found.damaged,
+                    "loss": loss.value,
+                    "clock_went_back": situation.clock_went_back,
+                    "blind_until": found.state.blind,
+                    "facts": [
+                        {"kind": kind, "name": name, **row} for kind, name, row in rows(found, situation)
+                    ],
+                },
+                indent=1,
+            )
+        )
         return DAMAGED if found.damaged else 0
     print(f"generation {found.generation}, begun {ago(found.at, now)}; judged as: {loss.value}")
     if situation.clock_went_back:
--- a/granitepoint/recovery/advice.py
+++ b/granitepoint/recovery/advice.py
@@ -29,7 +29,9 @@
     def __init__(self, seed: int, cold_from: float, cold_for: float, longest: float) -> None:
         """`longest`: s of an advice, by the settings; 0: none may be given."""
         self.random = Random(seed)
-        self.cold_from, self.cold_for, self.longest = cold_from, cold_for, longest
+        self.cold_from = cold_from
+        self.cold_for = cold_for
+        self.longest = longest
         self.rate = FIRST_RATE  # calls a second of a warm server, for this proxy
         self.next = 0.0  # the first moment that is not booked
         self.answered = 0
@@ -47,7 +49,8 @@
         if span > 0 and capacity > 0:
             seen = (answered - self.answered) / span / capacity
             self.rate = max(seen, self.rate + SMOOTH * (seen - self.rate), FIRST_RATE / 4)
-        self.looked, self.answered = now, answered
+        self.looked = now
+        self.answered = answered
 
     def advise(self, now: float, begun: Collection[float]) -> float:
         """s, 0: nothing may be said."""
--- a/granitepoint/recovery/census.py
+++ b/granitepoint/recovery/census.py
@@ -27,7 +27,9 @@
 
 WORD = struct.Struct("!BBI")  # version and phase; bits; wall time of the last loss, s, 0: none that it knows
 WORD_VERSION = 1
-KEPT, KNOWN = 0x01, 0x02  # bits: its machine kept its power since the process before; whether it can tell
+# bits: its machine kept its power since the process before; whether it can tell
+KEPT = 0x01
+KNOWN = 0x02
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitepoint/recovery/facts.py
+++ b/granitepoint/recovery/facts.py
@@ -113,12 +113,9 @@
 }
 FIELDS = {name: {item.name: item.type for item in fields(cls)} for name, cls in KINDS.items()}
 REQUIRED = {
-    name: {item.name for item in fields(cls) if item.default is MISSING}
-    for name, cls in KINDS.items()
+    name: {item.name for item in fields(cls) if item.default is MISSING} for name, cls in KINDS.items()
 }
-TYPES: dict[Any, tuple[type, ...]] = {
-    "int": (int,), "float": (int, float), "str": (str,), "bool": (bool,)
-}  # fmt: skip
+TYPES: dict[Any, tuple[type, ...]] = {"int": (int,), "float": (int, float), "str": (str,), "bool": (bool,)}
 BLIND = "blind"  # of kinds, until when; not a kind of its own
 
 
@@ -136,7 +133,8 @@
 
 def read_fact(kind: str, raw: Mapping[str, Any]) -> Fact:
     """Raises Malformed."""
-    cls, wanted = KINDS[kind], FIELDS[kind]
+    cls = KINDS[kind]
+    wanted = FIELDS[kind]
     values = {name: value for name, value in raw.items() if name in wanted}
     for name, value in values.items():
         types = TYPES[wanted[name]]
--- a/granitepoint/recovery/keeper.py
+++ b/granitepoint/recovery/keeper.py
@@ -34,13 +34,19 @@
         self, folder: Folder, owner: Owner, clock: Clock, make: Callable[[Folder, Owner], Store] = Store
     ) -> None:
         """Reads, and takes the lock where it is free. Never raises for what is wrong with the folder."""
-        self.folder, self.owner, self.clock, self.make = folder, owner, clock, make
-        self.health, self.why = Health.FAILING, ""
+        self.folder = folder
+        self.owner = owner
+        self.clock = clock
+        self.make = make
+        self.health = Health.FAILING
+        self.why = ""
         self.found = Found()
         self.waiting: dict[tuple[str, str], Record] = {}
         self.changed = threading.Condition()
         self.stopping = False
-        self.said = self.safe = 0  # records
+        # records
+        self.said = 0
+        self.safe = 0
         self.slowest = 0.0  # s of a batch
         self.store: Store | None = None
         self.replaced = False  # read anew: the process before this one had gone on writing until then
@@ -122,7 +128,8 @@
 
     def _go(self, health: Health, why: str) -> None:
         if (health, why) != (self.health, self.why):
-            self.health, self.why = health, why
+            self.health = health
+            self.why = why
             level = logging.INFO if health in (Health.OPEN, Health.CLOSED) else logging.ERROR
             log.log(level, "store: %s%s", health.value, f": {why}" if why else "")
 
@@ -134,7 +141,8 @@
                 self.changed.wait_for(lambda: self.stopping or self._due(), RETRY)
             with self.changed:  # what comes within a moment goes with it
                 self.changed.wait_for(lambda: self.stopping, FLUSH)
-                batch, self.waiting = self.waiting, {}
+                batch = self.waiting
+                self.waiting = {}
             if batch or self.health is not Health.OPEN:
                 self._flush(batch)
         if self.store is not None:
--- a/granitepoint/recovery/overlay.py
+++ b/granitepoint/recovery/overlay.py
@@ -22,7 +22,9 @@
     """Times are monotonic, s. `now` never goes back."""
 
     def __init__(self, me: str, cold_for: float, began: float) -> None:
-        self.me, self.cold_for, self.began = me, cold_for, began
+        self.me = me
+        self.cold_for = cold_for
+        self.began = began
         self.listed: dict[str, Listed] = {}  # by the sources
         self.known: dict[str, Listed] = {}  # by the sources or from before, while recovery lasts
         self.numbers: dict[int, str] = {}
@@ -100,7 +102,8 @@
         order = tuple(sorted({self.me, *proxies}))
         changed = (lost, order) != (self.lost, self.proxies)
         relevant = changed and (bool(lost) or lost is None or bool(self.lost) or self.lost is None)
-        self.lost, self.proxies = lost, order
+        self.lost = lost
+        self.proxies = order
         return relevant
 
     def end(self) -> Listing:
--- a/granitepoint/recovery/phases.py
+++ b/granitepoint/recovery/phases.py
@@ -42,9 +42,12 @@
 
 
 ADMITS = {
-    Phase.DARK: Admits.NOTHING, Phase.GATHERING: Admits.COLD, Phase.PROVISIONAL: Admits.COLD,
-    Phase.RAMP: Admits.WARM, Phase.STEADY: Admits.ALL,
-}  # fmt: skip
+    Phase.DARK: Admits.NOTHING,
+    Phase.GATHERING: Admits.COLD,
+    Phase.PROVISIONAL: Admits.COLD,
+    Phase.RAMP: Admits.WARM,
+    Phase.STEADY: Admits.ALL,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,23 +109,34 @@
     return seen.warm
 
 
-P, G = Phase, Guard
+P = Phase
+G = Guard
 TABLE: dict[Phase, tuple[tuple[Guard, Phase], ...]] = {  # the first guard that holds counts
     P.DARK: ((G.OVER, P.STEADY), (G.SERVERS, P.GATHERING)),
     P.GATHERING: (
-        (G.OVER, P.STEADY), (G.NO_SERVERS, P.DARK), (G.ALONE, P.STEADY), (G.LOST, P.PROVISIONAL),
+        (G.OVER, P.STEADY),
+        (G.NO_SERVERS, P.DARK),
+        (G.ALONE, P.STEADY),
+        (G.LOST, P.PROVISIONAL),
         (G.ASKED, P.PROVISIONAL),
     ),
     P.PROVISIONAL: (
-        (G.OVER, P.STEADY), (G.NO_SERVERS, P.DARK), (G.ALONE, P.STEADY), (G.FELL, P.PROVISIONAL),
-        (G.SURE, P.RAMP), (G.WAITED, P.RAMP),
+        (G.OVER, P.STEADY),
+        (G.NO_SERVERS, P.DARK),
+        (G.ALONE, P.STEADY),
+        (G.FELL, P.PROVISIONAL),
+        (G.SURE, P.RAMP),
+        (G.WAITED, P.RAMP),
     ),
     P.RAMP: (
-        (G.OVER, P.STEADY), (G.NO_SERVERS, P.DARK), (G.ALONE, P.STEADY), (G.FELL, P.PROVISIONAL),
+        (G.OVER, P.STEADY),
+        (G.NO_SERVERS, P.DARK),
+        (G.ALONE, P.STEADY),
+        (G.FELL, P.PROVISIONAL),
         (G.WARM, P.STEADY),
     ),
     P.STEADY: (),
-}  # fmt: skip
+}
 
 
 def step(phase: Phase, seen: Seen) -> tuple[Phase, Guard | None]:
--- a/granitepoint/recovery/records.py
+++ b/granitepoint/recovery/records.py
@@ -69,7 +69,9 @@
 def _line(line: bytes, generation: int) -> tuple[int, int, Record] | None:
     """Its number, the first of its batch, and what it says."""
     try:
-        number, first, check = int(line[:8], 16), int(line[9:17], 16), int(line[18:26], 16)
+        number = int(line[:8], 16)
+        first = int(line[9:17], 16)
+        check = int(line[18:26], 16)
     except ValueError:
         return None
     text = line[HEAD:]
--- a/granitepoint/recovery/service.py
+++ b/granitepoint/recovery/service.py
@@ -46,7 +46,9 @@
 
 PORT = 2  # of this part's words and datagrams, among those that stand on the fleet
 TICK = 0.25  # s between two looks
-QUESTION, ANSWER = b"?", b"!"  # to members: what do you say of your recovery?
+# to members: what do you say of your recovery?
+QUESTION = b"?"
+ANSWER = b"!"
 MOST_ASKED = 4  # members at one look, of the own zone and of others
 MOST_ANSWERS = 20_000  # members
 PROBES = 4.0  # a second of a server that does not answer yet, by all proxies together
@@ -71,10 +73,15 @@
     """A keyed or unsafe request, from its first attempt on: net.filters.Ticket."""
 
     __slots__ = ("cls", "key", "recovery", "sent")
-    due, attempts, share, stops = math.inf, 0, 1.0, False
+    due = math.inf
+    attempts = 0
+    share = 1.0
+    stops = False
 
     def __init__(self, recovery: Recovery, key: str, cls: str) -> None:
-        self.recovery, self.key, self.cls = recovery, key, cls
+        self.recovery = recovery
+        self.key = key
+        self.cls = cls
         self.sent = False
 
     def sending(self, timeout: float) -> bytes | None:
@@ -104,7 +111,9 @@
 
     def __init__(self, settings: Settings, config: Config, clock: Clock) -> None:
         """Reads the store, if there is one; nothing that is wrong with it keeps the proxy from serving."""
-        self.settings, self.config, self.clock = settings, config, clock
+        self.settings = settings
+        self.config = config
+        self.clock = clock
         self.proxy = config.settings
         self.name = config.name or f"{config.listen[0]}:{config.listen[1]}"
         self.boot = mark(Path(settings.boot_mark))
@@ -125,9 +134,11 @@
         self.random = Random(config.seed)
         limits = self.proxy
         self.bookings = Bookings(
-            config.seed, limits.cold_from, limits.cold_for,
+            config.seed,
+            limits.cold_from,
+            limits.cold_for,
             limits.max_wait_advice if limits.may_advise_wait else 0.0,
-        )  # fmt: skip
+        )
         self.answers: dict[bytes, Said] = {}  # of members, to this process
         self.asking = 0
         self.view: View | None = None
@@ -137,7 +148,9 @@
         self.push: Callable[[Listing], None] = lambda listing: None
         self.maintained: Callable[[], Mapping[str, float]] | None = None
         self.listed_by_source = False
-        self.looks, self.looked = 1.0, config.settings.me  # probes that are left, and whose turn it is
+        # probes that are left, and whose turn it is
+        self.looks = 1.0
+        self.looked = config.settings.me
         self.timer: asyncio.TimerHandle | None = None
         self.said = b""
         self.lost_at = 0  # wall time at which this process found that everybody had lost power
@@ -155,11 +168,13 @@
         """What the store says of before, as far as it is trusted while nothing else is known."""
         if self.found is None:
             return
-        state, situation = self.found.state, self.situation
+        state = self.found.state
+        situation = self.situation
         self.before = [
-            (name, fact.zone) for name, fact in state.tables[Member.KIND].items()
+            (name, fact.zone)
+            for name, fact in state.tables[Member.KIND].items()
             if isinstance(fact, Member) and judge(fact, situation).trust is not Trust.IGNORED
-        ]  # fmt: skip
+        ]
         servers = []
         for name, fact in state.tables[Server.KIND].items():
             if isinstance(fact, Server) and judge(fact, situation).trust is not Trust.IGNORED:
@@ -170,9 +185,10 @@
                     log.error("store: the address of %s can't be read: %.60s", name, fact.address)
         self.lists.before(servers)
         self.kept_out = {
-            name: fact.at for name, fact in state.tables[Maintenance.KIND].items()
+            name: fact.at
+            for name, fact in state.tables[Maintenance.KIND].items()
             if isinstance(fact, Maintenance) and not fact.back
-        }  # fmt: skip
+        }
         self.lists.out = frozenset(self.kept_out)
 
     # what the assembly hands in
@@ -185,7 +201,10 @@
         word: Word | None,
     ) -> None:
         """`push`: brings a change of the list into force."""
-        self.driver, self.push, self.view, self.word = driver, push, view, word
+        self.driver = driver
+        self.push = push
+        self.view = view
+        self.word = word
         self.channel = channel
         if channel is not None:
             channel.receive(PORT, self._told)
@@ -197,9 +216,12 @@
     def situation(self) -> Situation:
         found = self.found
         return Situation(
-            self.clock.wall(), self.finding.loss, self.finding.lost or frozenset(), self.last_seen,
+            self.clock.wall(),
+            self.finding.loss,
+            self.finding.lost or frozenset(),
+            self.last_seen,
             bool(found is not None and found.damaged),
-        )  # fmt: skip
+        )
 
     # net.sources.Subsystem
     def start(self) -> None:
@@ -271,7 +293,8 @@
         for member in self.view.members():
             if member.key == self.view.me or member.state == "left":
                 continue
-            said, process = self.answers.get(member.key), (member.name, member.incarnation[:2])
+            said = self.answers.get(member.key)
+            process = (member.name, member.incarnation[:2])
             if said is not None and said.phase is not Phase.STEADY:
                 self.begun_together.add(process)
             elif said is not None and process in self.begun_together:
@@ -307,9 +330,7 @@
             self._inquire()
         peers = self.peers() if self.view is not None else []
         expected = max(self.proxy.balancers, len(self.before) + 1) if self.view is not None else 1
-        finding = what_happened(
-            self.proxy.zone, self.kept, peers, self.before, expected, now - self.began
-        )
+        finding = what_happened(self.proxy.zone, self.kept, peers, self.before, expected, now - self.began)
         if finding.loss is not self.finding.loss or finding.lost != self.finding.lost:
             stands = self.finding.loss in ALONE and finding.loss not in ALONE
             if stands or (finding.loss is Loss.UNKNOWN and self.finding.loss is not Loss.UNKNOWN):
@@ -360,7 +381,8 @@
         now = time.monotonic()
         before = f"{self.phase.name.lower()} -> {phase.name.lower()}"
         log.info("recovery: %s after %.2f s: %s", before, now - self.since, why)
-        self.phase, self.since = phase, now
+        self.phase = phase
+        self.since = now
         if phase is Phase.STEADY:
             self.list_news = True
             gone = self.lists.end()
@@ -508,10 +530,14 @@
 def listed_of(name: str, fact: Server) -> Listed:
     """Raises ValueError."""
     entry = ServerEntry(
-        server_id(name), fact.zone, fact.kind, fact.group,
-        ServerState.DRAINING if fact.draining else ServerState.SERVING, fact.weight,
+        server_id(name),
+        fact.zone,
+        fact.kind,
+        fact.group,
+        ServerState.DRAINING if fact.draining else ServerState.SERVING,
+        fact.weight,
         max(1e-3, fact.since - WALL_OFFSET) if fact.since else 0.0,
-    )  # fmt: skip
+    )
     return Listed(address_of(fact.address), entry, name)
 
 
@@ -520,6 +546,12 @@
     host, port = item.address
     since = entry.started_at + WALL_OFFSET if entry.started_at else 0.0
     return Server(
-        f"{host}:{port}", entry.zone, entry.kind, entry.cell, entry.weight,
-        entry.state is ServerState.DRAINING, round(since, 3), now,
-    )  # fmt: skip
+        f"{host}:{port}",
+        entry.zone,
+        entry.kind,
+        entry.cell,
+        entry.weight,
+        entry.state is ServerState.DRAINING,
+        round(since, 3),
+        now,
+    )
--- a/granitepoint/recovery/store.py
+++ b/granitepoint/recovery/store.py
@@ -208,17 +208,21 @@
     """Writes. One thread's; all calls raise OSError, and after one nothing more is appended to the log."""
 
     def __init__(self, disk: Disk, owner: Owner, least_log: int = LEAST_LOG) -> None:
-        self.disk, self.owner, self.least_log = disk, owner, least_log
+        self.disk = disk
+        self.owner = owner
+        self.least_log = least_log
         self.turned_away: list[str] = []
         self.state = State()
         self.generation = 0
         self.log: Any = None
         self.count = 0  # records in the log
-        self.log_bytes = self.snapshot_bytes = 0
+        self.log_bytes = 0
+        self.snapshot_bytes = 0
 
     def begin(self, found: Found, now: float) -> None:
         """Goes on from what was found, in a generation of its own."""
-        self.state, self.generation = found.state, found.generation
+        self.state = found.state
+        self.generation = found.generation
         self.compact(now)
 
     def append(self, records: Iterable[Record], now: float) -> None:
@@ -236,7 +240,9 @@
             self.compact(now)
             return
         data = b"".join(lines)
-        log, self.log = self.log, None  # until it is known to be safe
+        # until it is known to be safe
+        log = self.log
+        self.log = None
         try:
             self._add(log, data)
         except OSError:
@@ -255,7 +261,8 @@
     def compact(self, now: float) -> None:
         """Begins a generation with all that is known."""
         if self.log is not None:
-            log, self.log = self.log, None
+            log = self.log
+            self.log = None
             self.disk.close(log)
         self.generation += 1
         self._snapshot(now)
@@ -277,9 +284,7 @@
         self.disk.close(file)
 
     def _write_whole(self, file: Any, now: float) -> None:
-        whole = chain(
-            [self._header("snapshot", now)], self.state.records(), [{"end": len_of(self.state)}]
-        )
+        whole = chain([self._header("snapshot", now)], self.state.records(), [{"end": len_of(self.state)}])
         self.snapshot_bytes, piece = 0, bytearray()
         for number, record in enumerate(whole):
             piece += encode(self.generation, number, 0, record)
@@ -312,20 +317,26 @@
     def _clear(self) -> None:
         """Step 4. Logs go last: one without its snapshot is seen to be old, the other way round it is not."""
         old = [
-            match for name in self.disk.names()
+            match
+            for name in self.disk.names()
             if (match := NAME.fullmatch(name)) and (int(match[2]) < self.generation or match[3])
-        ]  # fmt: skip
+        ]
         for match in sorted(old, key=lambda match: (match[1] == "log", match[2])):
             self.disk.remove(match[0])
 
     def _header(self, what: str, now: float) -> Record:
         return {
-            "format": FORMAT, "what": what, "name": self.owner.name, "machine": self.owner.machine, "at": now
-        }  # fmt: skip
+            "format": FORMAT,
+            "what": what,
+            "name": self.owner.name,
+            "machine": self.owner.machine,
+            "at": now,
+        }
 
     def close(self) -> None:
         if self.log is not None:
-            log, self.log = self.log, None
+            log = self.log
+            self.log = None
             self.disk.close(log)
 
 
--- a/granitepoint/recovery/trust.py
+++ b/granitepoint/recovery/trust.py
@@ -51,48 +51,102 @@
 
     def by(self, loss: Loss) -> Trust:
         return {
-            Loss.PROCESS: self.process, Loss.MACHINE: self.machine, Loss.ZONE: self.zone,
-            Loss.FLEET: self.fleet, Loss.UNKNOWN: self.unknown,
-        }[loss]  # fmt: skip
+            Loss.PROCESS: self.process,
+            Loss.MACHINE: self.machine,
+            Loss.ZONE: self.zone,
+            Loss.FLEET: self.fleet,
+            Loss.UNKNOWN: self.unknown,
+        }[loss]
 
 
-T, H, N = Trust.TRUSTED, Trust.HINT, Trust.IGNORED
+T = Trust.TRUSTED
+H = Trust.HINT
+N = Trust.IGNORED
 EVER = float("inf")
 TABLE: dict[str, Row] = {
     Boot.KIND: Row(
-        T, T, T, T, T, EVER, T, T,
+        T,
+        T,
+        T,
+        T,
+        T,
+        EVER,
+        T,
+        T,
         "it only counts starts, and one that is counted twice harms nobody",
     ),
     Source.KIND: Row(
-        T, T, H, H, H, LIST_FOR, H, N,
+        T,
+        T,
+        H,
+        H,
+        H,
+        LIST_FOR,
+        H,
+        N,
         "a version may be compared as long as its source has kept count; after a loss of its own machine a "
         "source may count anew, and then a higher number is no newer list",
     ),
     Server.KIND: Row(
-        T, H, H, H, H, LIST_FOR, H, H,
+        T,
+        H,
+        H,
+        H,
+        H,
+        LIST_FOR,
+        H,
+        H,
         "servers stay where they are for longer than proxies live; but whether one still serves is only "
         "known when it answers, so after more than this process's own end an address is a place to probe",
     ),
     Maintenance.KIND: Row(
-        T, T, T, T, T, EVER, T, T,
+        T,
+        T,
+        T,
+        T,
+        T,
+        EVER,
+        T,
+        T,
         "a machine that was out stays out until staff or the agreed order say otherwise: a call too few is "
         "no harm, one to an open machine is",
     ),
     Member.KIND: Row(
-        H, H, H, H, H, MEMBERS_FOR, N, H,
+        H,
+        H,
+        H,
+        H,
+        H,
+        MEMBERS_FOR,
+        N,
+        H,
         "who was there is asked first; whether it lives it says itself",
     ),
     Learned.KIND: Row(
-        T, N, N, N, N, LEARNED_FOR, N, N,
+        T,
+        N,
+        N,
+        N,
+        N,
+        LEARNED_FOR,
+        N,
+        N,
         "a server's pace is that of its caches and neighbours, and these went with the power; nothing "
         "learned of a warm server may be held of a cold one",
     ),
     Keyed.KIND: Row(
-        T, T, T, T, T, EVER, T, T,
+        T,
+        T,
+        T,
+        T,
+        T,
+        EVER,
+        T,
+        T,
         "to hold that a request may have run keeps its effect from coming twice; it ends by its own time, "
         "and where the clock can't be believed by none",
     ),
-}  # fmt: skip
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitepoint/settings.py
+++ b/granitepoint/settings.py
@@ -31,7 +31,10 @@
     return FieldError(f"field {key} {fault}: {text!r}; write {instead}")
 
 
-TEXT, WHOLE, NUMBER, TRUTH = "a text", "a whole number", "a number", "true or false"
+TEXT = "a text"
+WHOLE = "a whole number"
+NUMBER = "a number"
+TRUTH = "true or false"
 
 
 class _Pairs(Fields):
@@ -165,7 +168,8 @@
     tenants = []
     for n in range(_count(params, "tenants", 0)):
         path = f"tenants.{n}."
-        quota, share = field_number(params, path + "quota_rps"), field_number(params, path + "portion", 0.0)
+        quota = field_number(params, path + "quota_rps")
+        share = field_number(params, path + "portion", 0.0)
         tenants.append(api.Tenant(field_text(params, path + "name"), quota, share))
     discovery = field_text(params, "discovery")
     if discovery not in DISCOVERY:
--- a/granitepoint/sidecar/admission.py
+++ b/granitepoint/sidecar/admission.py
@@ -11,7 +11,9 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-SLOWEST_ADVICE, QUICKEST_ADVICE = 1.0, 0.05  # s of Retry-After: for an application that is down, that is busy
+# s of Retry-After: for an application that is down, that is busy
+SLOWEST_ADVICE = 1.0
+QUICKEST_ADVICE = 0.05
 EASE = 0.1  # weight of the newest call's time in the mean
 SILENCES = 2  # probes one after another without an answer that make an application slow
 
@@ -37,21 +39,40 @@
     BROKEN = "broken"  # a connection ended under a call or a probe
 
 
-S, H = State, Heard
+S = State
+H = Heard
 TABLE: dict[State, dict[Heard, State]] = {
-    S.STARTING: {H.HEALTHY: S.UP, H.UNHEALTHY: S.STARTING, H.SILENT: S.STARTING,
-                 H.REFUSED: S.STARTING, H.BROKEN: S.STARTING},
-    S.UP:       {H.HEALTHY: S.UP, H.UNHEALTHY: S.UNREADY, H.SILENT: S.SUSPECT,
-                 H.REFUSED: S.DOWN, H.BROKEN: S.SUSPECT},
-    S.SUSPECT:  {H.HEALTHY: S.UP, H.UNHEALTHY: S.UNREADY, H.SILENT: S.SLOW,
-                 H.REFUSED: S.DOWN, H.BROKEN: S.SUSPECT},
-    S.SLOW:     {H.HEALTHY: S.UP, H.UNHEALTHY: S.UNREADY, H.SILENT: S.SLOW,
-                 H.REFUSED: S.DOWN, H.BROKEN: S.SLOW},
-    S.UNREADY:  {H.HEALTHY: S.UP, H.UNHEALTHY: S.UNREADY, H.SILENT: S.SLOW,
-                 H.REFUSED: S.DOWN, H.BROKEN: S.UNREADY},
-    S.DOWN:     {H.HEALTHY: S.UP, H.UNHEALTHY: S.DOWN, H.SILENT: S.DOWN,
-                 H.REFUSED: S.DOWN, H.BROKEN: S.DOWN},
-}  # fmt: skip
+    S.STARTING: {
+        H.HEALTHY: S.UP,
+        H.UNHEALTHY: S.STARTING,
+        H.SILENT: S.STARTING,
+        H.REFUSED: S.STARTING,
+        H.BROKEN: S.STARTING,
+    },
+    S.UP: {
+        H.HEALTHY: S.UP,
+        H.UNHEALTHY: S.UNREADY,
+        H.SILENT: S.SUSPECT,
+        H.REFUSED: S.DOWN,
+        H.BROKEN: S.SUSPECT,
+    },
+    S.SUSPECT: {
+        H.HEALTHY: S.UP,
+        H.UNHEALTHY: S.UNREADY,
+        H.SILENT: S.SLOW,
+        H.REFUSED: S.DOWN,
+        H.BROKEN: S.SUSPECT,
+    },
+    S.SLOW: {H.HEALTHY: S.UP, H.UNHEALTHY: S.UNREADY, H.SILENT: S.SLOW, H.REFUSED: S.DOWN, H.BROKEN: S.SLOW},
+    S.UNREADY: {
+        H.HEALTHY: S.UP,
+        H.UNHEALTHY: S.UNREADY,
+        H.SILENT: S.SLOW,
+        H.REFUSED: S.DOWN,
+        H.BROKEN: S.UNREADY,
+    },
+    S.DOWN: {H.HEALTHY: S.UP, H.UNHEALTHY: S.DOWN, H.SILENT: S.DOWN, H.REFUSED: S.DOWN, H.BROKEN: S.DOWN},
+}
 TAKING = frozenset((State.UP, State.SUSPECT))  # in which the application is given calls
 
 
@@ -75,8 +96,10 @@
     """For one application. `T`: a call, as its holder names it; each is begun, refused or left once."""
 
     def __init__(self, slots: int, waiting: int, cold_from: float, cold_for: float, warm_up: bool) -> None:
-        self.slots, self.most_waiting = slots, waiting
-        self.cold_from, self.cold_for = cold_from, cold_for if warm_up else 0.0
+        self.slots = slots
+        self.most_waiting = waiting
+        self.cold_from = cold_from
+        self.cold_for = cold_for if warm_up else 0.0
         self.state = State.STARTING
         self.draining = False
         self.out = 0  # calls that the application has
--- a/granitepoint/sidecar/checking.py
+++ b/granitepoint/sidecar/checking.py
@@ -75,7 +75,8 @@
             problems.append(_at(operator.file, "name", "F311", text, "give each fleet a name of its own"))
             continue
         for name in ("period", "suspicion", "memory"):
-            wanted, found = getattr(theirs, name), getattr(mine, name)
+            wanted = getattr(theirs, name)
+            found = getattr(mine, name)
             if wanted != found:
                 text = f"{name} is {found:g} here and {wanted:g} in {other.file}, of the same fleet"
                 problems.append(_at(operator.file, name, "F312", text, f"write {name} = {wanted:g}"))
--- a/granitepoint/sidecar/description.py
+++ b/granitepoint/sidecar/description.py
@@ -98,8 +98,14 @@
         for number, line in enumerate(text.splitlines(), 1):
             odd = ODD_NUMBER.search(line.split("#", 1)[0])
             if odd:
-                problem = Problem(name, number, "S110", f"{odd[1]} is written in another base",
-                                  f"write {int(odd[1], 0)}", odd.start(1) + 1)  # fmt: skip
+                problem = Problem(
+                    name,
+                    number,
+                    "S110",
+                    f"{odd[1]} is written in another base",
+                    f"write {int(odd[1], 0)}",
+                    odd.start(1) + 1,
+                )
                 layers.problems.append(problem)
         layers.lay(name, text, raw)
     if environment:
@@ -125,8 +131,12 @@
                 continue
             path = FilePath(name).parent / entry
             if not path.resolve().is_relative_to(root):
-                layers.wrong(("include",), "C006", f"{entry} leads out of {root.name}",
-                             "put the file into the description's folder")  # fmt: skip
+                layers.wrong(
+                    ("include",),
+                    "C006",
+                    f"{entry} leads out of {root.name}",
+                    "put the file into the description's folder",
+                )
             elif str(path) in (*way, name):
                 layers.wrong(("include",), "C006", f"{entry} includes itself", "take it out")
             elif len(found) >= MOST_FILES:
@@ -238,9 +248,16 @@
     if top is None or features is None or any(not problem.warning for problem in layers.problems):
         return None
     description = Description(
-        layers.file, top, found["class"], found["route"], found["tier"], found["tenant"], tuple(sidecars),
-        features, budgets,
-    )  # fmt: skip
+        layers.file,
+        top,
+        found["class"],
+        found["route"],
+        found["tier"],
+        found["tenant"],
+        tuple(sidecars),
+        features,
+        budgets,
+    )
     for finding in fleet.check(description):
         layers.wrong(finding.path, finding.code, finding.text, finding.instead)
     return description
--- a/granitepoint/sidecar/fleet.py
+++ b/granitepoint/sidecar/fleet.py
@@ -66,21 +66,41 @@
     for name, tier in d.tiers.items():
         for cls in tier.classes:
             if cls not in d.classes:
-                yield Finding(d.file, ("tier", name, "classes"), "F306", f"no class {cls} is described",
-                              f"add a table [class.{cls}], or take it out here")  # fmt: skip
+                yield Finding(
+                    d.file,
+                    ("tier", name, "classes"),
+                    "F306",
+                    f"no class {cls} is described",
+                    f"add a table [class.{cls}], or take it out here",
+                )
         for called in tier.calls:
             if called not in d.tiers:
-                yield Finding(d.file, ("tier", name, "calls"), "F306", f"no tier {called} is described",
-                              f"add a table [tier.{called}], or take it out here")  # fmt: skip
+                yield Finding(
+                    d.file,
+                    ("tier", name, "calls"),
+                    "F306",
+                    f"no tier {called} is described",
+                    f"add a table [tier.{called}], or take it out here",
+                )
     served = {cls for tier in d.tiers.values() for cls in tier.classes}
     for cls in d.classes:
         if d.tiers and cls not in served:
-            yield Finding(d.file, ("class", cls), "F306", f"no tier serves the class {cls}",
-                          "name it in the `classes` of a tier")  # fmt: skip
+            yield Finding(
+                d.file,
+                ("class", cls),
+                "F306",
+                f"no tier serves the class {cls}",
+                "name it in the `classes` of a tier",
+            )
     for route in d.routes:
         if route not in d.classes:
-            yield Finding(d.file, ("route", route), "F306", f"a route for {route}, which is no class",
-                          f"add a table [class.{route}], or take the route out")  # fmt: skip
+            yield Finding(
+                d.file,
+                ("route", route),
+                "F306",
+                f"a route for {route}, which is no class",
+                f"add a table [class.{route}], or take the route out",
+            )
     for number, sidecar in enumerate(d.sidecars):
         yield from _sidecar(d, ("sidecar", str(number)), sidecar)
 
@@ -88,49 +108,93 @@
 def _sidecar(d: Description, path: Path, sidecar: Sidecar) -> Iterator[Finding]:
     tier = d.tiers.get(sidecar.tier)
     if tier is None:
-        yield Finding(d.file, (*path, "tier"), "F306", f"no tier {sidecar.tier} is described",
-                      f"add a table [tier.{sidecar.tier}]")  # fmt: skip
+        yield Finding(
+            d.file,
+            (*path, "tier"),
+            "F306",
+            f"no tier {sidecar.tier} is described",
+            f"add a table [tier.{sidecar.tier}]",
+        )
         return
     if sidecar.zone not in tier.zones:
-        yield Finding(d.file, (*path, "zone"), "S107", f"{sidecar.tier} has no servers in {sidecar.zone}",
-                      "write one of " + ", ".join(tier.zones))  # fmt: skip
+        yield Finding(
+            d.file,
+            (*path, "zone"),
+            "S107",
+            f"{sidecar.tier} has no servers in {sidecar.zone}",
+            "write one of " + ", ".join(tier.zones),
+        )
     for called in tier.calls:
         if called not in sidecar.outbound:
-            yield Finding(d.file, path, "S103", f"{sidecar.tier} calls {called}, and no listener is for it",
-                          f'write {called} = "127.0.0.1:PORT" in its outbound')  # fmt: skip
+            yield Finding(
+                d.file,
+                path,
+                "S103",
+                f"{sidecar.tier} calls {called}, and no listener is for it",
+                f'write {called} = "127.0.0.1:PORT" in its outbound',
+            )
     share = sidecar.sockets // (len(sidecar.outbound) + 1)
     if share < LEAST_SOCKETS:
         least = LEAST_SOCKETS * (len(sidecar.outbound) + 1)
-        yield Finding(d.file, (*path, "sockets"), "S107",
-                      f"{sidecar.sockets} descriptors leave {share} for each listener, which needs "
-                      f"{LEAST_SOCKETS}", f"write sockets = {least} or more")  # fmt: skip
+        yield Finding(
+            d.file,
+            (*path, "sockets"),
+            "S107",
+            f"{sidecar.sockets} descriptors leave {share} for each listener, which needs " f"{LEAST_SOCKETS}",
+            f"write sockets = {least} or more",
+        )
     most = int(share * UPSTREAM_SHARE)
     if sidecar.slots > most:
-        yield Finding(d.file, (*path, "slots"), "S107",
-                      f"{sidecar.slots} calls at a time need as many connections to the application, and "
-                      f"{sidecar.sockets} descriptors leave {most}",
-                      f"write slots = {most}, or more sockets")  # fmt: skip
+        yield Finding(
+            d.file,
+            (*path, "slots"),
+            "S107",
+            f"{sidecar.slots} calls at a time need as many connections to the application, and "
+            f"{sidecar.sockets} descriptors leave {most}",
+            f"write slots = {most}, or more sockets",
+        )
     for called in sidecar.outbound:
         if called in d.tiers and not d.padron(called):
             instead = f'write padron = "HOST:PORT" in [tier.{called}], or before the first table'
-            yield Finding(d.file, (*path, "outbound", called), "S103",
-                          f"nobody tells the nodes of {called}: there is no padron", instead)  # fmt: skip
+            yield Finding(
+                d.file,
+                (*path, "outbound", called),
+                "S103",
+                f"nobody tells the nodes of {called}: there is no padron",
+                instead,
+            )
         if called not in tier.calls:
-            yield Finding(d.file, (*path, "outbound", called), "S107", f"{sidecar.tier} never calls {called}",
-                          f"take it out, or name {called} in the tier's `calls`")  # fmt: skip
+            yield Finding(
+                d.file,
+                (*path, "outbound", called),
+                "S107",
+                f"{sidecar.tier} never calls {called}",
+                f"take it out, or name {called} in the tier's `calls`",
+            )
 
 
 def _classes(d: Description) -> Iterator[Finding]:
     for name, cls in d.classes.items():
         if cls.aim > cls.deadline:
-            yield Finding(d.file, ("class", name, "aim"), "S107", "its aim lies behind its deadline",
-                          f"write an aim of at most {cls.deadline:g} s")  # fmt: skip
+            yield Finding(
+                d.file,
+                ("class", name, "aim"),
+                "S107",
+                "its aim lies behind its deadline",
+                f"write an aim of at most {cls.deadline:g} s",
+            )
         if cls.effect == "by-key" and not cls.window:
-            yield Finding(d.file, ("class", name), "S103", "repeats are dropped by key, and not for how long",
-                          'write window = "6s"')  # fmt: skip
+            yield Finding(
+                d.file,
+                ("class", name),
+                "S103",
+                "repeats are dropped by key, and not for how long",
+                'write window = "6s"',
+            )
         if cls.effect != "by-key" and cls.window:
-            yield Finding(d.file, ("class", name, "window"), "S107", f"{cls.effect} has no window",
-                          "take it out")  # fmt: skip
+            yield Finding(
+                d.file, ("class", name, "window"), "S107", f"{cls.effect} has no window", "take it out"
+            )
 
 
 def _rules(d: Description) -> Iterator[Finding]:
@@ -159,15 +223,21 @@
         if slowest is not None:
             example = rulemodel.rule_one(slowest, d.classes[slowest], tier)
             if example is not None:
-                yield Finding(d.file, (*path, "stop_after"), RULES[1], str(example),
-                              f'write stop_after = "{d.classes[slowest].deadline:g}s" or more')  # fmt: skip
+                yield Finding(
+                    d.file,
+                    (*path, "stop_after"),
+                    RULES[1],
+                    str(example),
+                    f'write stop_after = "{d.classes[slowest].deadline:g}s" or more',
+                )
         example = rulemodel.rule_three(tier_name, tier)
         if example is not None:
             yield Finding(d.file, (*path, "drain"), RULES[3], str(example), 'write drain = "2s" or less')
         example = rulemodel.rule_four(tier_name, tier)
         if example is not None:
-            yield Finding(d.file, (*path, "push"), RULES[4], str(example),
-                          f"write a push below {tier.survives:g}")  # fmt: skip
+            yield Finding(
+                d.file, (*path, "push"), RULES[4], str(example), f"write a push below {tier.survives:g}"
+            )
 
 
 def _tiers(d: Description) -> Iterator[Finding]:
@@ -175,17 +245,26 @@
         for cls_name in tier.classes:
             cls = d.classes.get(cls_name)
             if cls and cls.effect == "by-key" and cls.group == "zone" and len(tier.zones) == 1:
-                yield Finding(d.file, ("class", cls_name, "group"), "F308",
-                              f"{name} has one zone, and {cls_name} is dropped by zone",
-                              'write group = "all", or add the other zones')  # fmt: skip
+                yield Finding(
+                    d.file,
+                    ("class", cls_name, "group"),
+                    "F308",
+                    f"{name} has one zone, and {cls_name} is dropped by zone",
+                    'write group = "all", or add the other zones',
+                )
 
 
 def _tenants(d: Description) -> Iterator[Finding]:
     total = sum(tenant.share for tenant in d.tenants.values())
     if total > 1.0 + 1e-9:
         last = list(d.tenants)[-1]
-        yield Finding(d.file, ("tenant", last, "share"), "F305", f"the shares add up to {total:.0%}",
-                      f"write at most {max(0.0, 1 - total + d.tenants[last].share):.2g} here")  # fmt: skip
+        yield Finding(
+            d.file,
+            ("tenant", last, "share"),
+            "F305",
+            f"the shares add up to {total:.0%}",
+            f"write at most {max(0.0, 1 - total + d.tenants[last].share):.2g} here",
+        )
 
 
 def _budgets(d: Description) -> Iterator[Finding]:
@@ -193,29 +272,46 @@
     if budgets is None:
         return
     if budgets.attempts > d.top.attempts_over_tiers:
-        yield Finding(d.file, ("budgets", "attempts"), "S107",
-                      f"a tree of calls may have {budgets.attempts} attempts, and attempts_over_tiers says "
-                      f"{d.top.attempts_over_tiers}",
-                      f"write {d.top.attempts_over_tiers} or fewer")  # fmt: skip
+        yield Finding(
+            d.file,
+            ("budgets", "attempts"),
+            "S107",
+            f"a tree of calls may have {budgets.attempts} attempts, and attempts_over_tiers says "
+            f"{d.top.attempts_over_tiers}",
+            f"write {d.top.attempts_over_tiers} or fewer",
+        )
     longest = max((_depth(_calls([d]), name, frozenset()) for name in d.tiers), default=1)
     each = max((route.attempts for route in d.routes.values()), default=1)
     if longest <= MOST_HOPS and not reaches(budgets.attempts, longest, budgets.calls_per_request, each):
         enough = budgets.attempts
         while not reaches(enough, longest, budgets.calls_per_request, each):
             enough *= 2
-        yield Finding(d.file, ("budgets", "attempts"), "S107",
-                      f"{budgets.attempts} attempts don't reach every call of {longest} tiers that make "
-                      f"{budgets.calls_per_request} calls each",
-                      f"write up to {enough}, or fewer calls_per_request")  # fmt: skip
+        yield Finding(
+            d.file,
+            ("budgets", "attempts"),
+            "S107",
+            f"{budgets.attempts} attempts don't reach every call of {longest} tiers that make "
+            f"{budgets.calls_per_request} calls each",
+            f"write up to {enough}, or fewer calls_per_request",
+        )
     if longest > MOST_HOPS:
-        yield Finding(d.file, ("budgets",), "S107", f"{longest} tiers, and a budget passes {MOST_HOPS}",
-                      "call fewer tiers one below another")  # fmt: skip
+        yield Finding(
+            d.file,
+            ("budgets",),
+            "S107",
+            f"{longest} tiers, and a budget passes {MOST_HOPS}",
+            "call fewer tiers one below another",
+        )
     for sidecar in d.sidecars:
         if budgets.edge and sidecar.outbound:
-            yield Finding(d.file, ("budgets", "edge"), "S107",
-                          f"{sidecar.tier} on {sidecar.host} stands behind an application: with edge = true "
-                          "its calls would begin anew",
-                          "leave it out; it is for the proxy before the first tier")  # fmt: skip
+            yield Finding(
+                d.file,
+                ("budgets", "edge"),
+                "S107",
+                f"{sidecar.tier} on {sidecar.host} stands behind an application: with edge = true "
+                "its calls would begin anew",
+                "leave it out; it is for the proxy before the first tier",
+            )
             return
 
 
@@ -232,9 +328,14 @@
                 host, _, port = at.rpartition(":")
                 for other, other_what, where in claimed[sidecar.host, port]:
                     if other == host or is_any(other) or is_any(host):
-                        yield Finding(d.file, path, "F301",
-                                      f"{what} on {sidecar.host} wants {at}, and {other_what} of {where} has "
-                                      f"{other}:{port}", "give one of them another port")  # fmt: skip
+                        yield Finding(
+                            d.file,
+                            path,
+                            "F301",
+                            f"{what} on {sidecar.host} wants {at}, and {other_what} of {where} has "
+                            f"{other}:{port}",
+                            "give one of them another port",
+                        )
                         break
                 claimed[sidecar.host, port].append((host, what, f"{d.top.application} ({d.file})"))
 
@@ -249,9 +350,14 @@
     for d in descriptions:
         for name, tier in d.tiers.items():
             if opened[name] > tier.connections:
-                yield Finding(d.file, ("tier", name, "connections"), "F304",
-                              f"all sidecars may open {opened[name]} connections to a node of {name}, which "
-                              f"takes {tier.connections}", "lower per_node of the callers")  # fmt: skip
+                yield Finding(
+                    d.file,
+                    ("tier", name, "connections"),
+                    "F304",
+                    f"all sidecars may open {opened[name]} connections to a node of {name}, which "
+                    f"takes {tier.connections}",
+                    "lower per_node of the callers",
+                )
 
 
 def _same_names(descriptions: list[Description]) -> Iterator[Finding]:
@@ -267,13 +373,23 @@
             known = other.classes[name]
             for key in ("effect", "group", "window"):
                 if getattr(known, key) != getattr(cls, key):
-                    yield Finding(d.file, ("class", name, key), "F302",
-                                  f"{name}: {key} is {getattr(cls, key)!r} here and {getattr(known, key)!r} "
-                                  f"in {other.file}", "describe the class once, and include it")  # fmt: skip
+                    yield Finding(
+                        d.file,
+                        ("class", name, key),
+                        "F302",
+                        f"{name}: {key} is {getattr(cls, key)!r} here and {getattr(known, key)!r} "
+                        f"in {other.file}",
+                        "describe the class once, and include it",
+                    )
             if cls.deadline != known.deadline:
-                yield Finding(d.file, ("class", name, "deadline"), "F302",
-                              f"{name} is given up after {cls.deadline:g} s here and {known.deadline:g} s in "
-                              f"{other.file}", "give it one deadline; budgets shorten it inside")  # fmt: skip
+                yield Finding(
+                    d.file,
+                    ("class", name, "deadline"),
+                    "F302",
+                    f"{name} is given up after {cls.deadline:g} s here and {known.deadline:g} s in "
+                    f"{other.file}",
+                    "give it one deadline; budgets shorten it inside",
+                )
 
 
 def _same_tiers(descriptions: list[Description]) -> Iterator[Finding]:
@@ -283,11 +399,16 @@
         for name, tier in d.tiers.items():
             other = first.setdefault(name, d)
             for key in TIER_FACTS:
-                here, there = getattr(tier, key), getattr(other.tiers[name], key)
+                here = getattr(tier, key)
+                there = getattr(other.tiers[name], key)
                 if here != there:
-                    yield Finding(d.file, ("tier", name, key), "F310",
-                                  f"{name}: {key} is {here!r} here and {there!r} in {other.file}",
-                                  "describe the tier once, and include it")  # fmt: skip
+                    yield Finding(
+                        d.file,
+                        ("tier", name, key),
+                        "F310",
+                        f"{name}: {key} is {here!r} here and {there!r} in {other.file}",
+                        "describe the tier once, and include it",
+                    )
 
 
 def _windows(descriptions: list[Description]) -> Iterator[Finding]:
@@ -299,7 +420,8 @@
     for outer in descriptions:
         for start, tier in outer.tiers.items():
             for name in tier.classes:
-                cls, route = outer.classes.get(name), outer.routes.get(name)
+                cls = outer.classes.get(name)
+                route = outer.routes.get(name)
                 if cls is None or route is None or route.retry != "by-key" or route.attempts < 2:
                     continue
                 latest = min(route.retry_for, cls.deadline)
@@ -309,10 +431,14 @@
                         continue  # within one description rule 2 tells it
                     if known.effect == "by-key" and known.window < latest and (inner.file, name) not in told:
                         told.add((inner.file, name))
-                        yield Finding(inner.file, ("class", name, "window"), "F309",
-                                      f"{called} drops repeats of {name} for {known.window:g} s, and {start} "
-                                      f"({outer.file}) sends it again for {latest:g} s",
-                                      f'write window = "{latest:g}s" or more')  # fmt: skip
+                        yield Finding(
+                            inner.file,
+                            ("class", name, "window"),
+                            "F309",
+                            f"{called} drops repeats of {name} for {known.window:g} s, and {start} "
+                            f"({outer.file}) sends it again for {latest:g} s",
+                            f'write window = "{latest:g}s" or more',
+                        )
 
 
 def _below(calls: dict[str, list[tuple[str, Description]]], start: str) -> set[str]:
@@ -345,8 +471,13 @@
             for called, d in calls.get(name, ()):
                 if called == start and frozenset(way) not in told:
                     told.add(frozenset(way))
-                    yield Finding(d.file, ("tier", name, "calls"), "F303",
-                                  f"{' calls '.join((*way, called))}", f"take {called} out here")  # fmt: skip
+                    yield Finding(
+                        d.file,
+                        ("tier", name, "calls"),
+                        "F303",
+                        f"{' calls '.join((*way, called))}",
+                        f"take {called} out here",
+                    )
                 elif called not in way:
                     stack.append((called, (*way, called), d))
 
@@ -365,10 +496,14 @@
                 deepest = _depth(calls, start, frozenset())
                 total = route.attempts**deepest
                 if total > d.top.attempts_over_tiers:
-                    yield Finding(d.file, ("route", cls, "attempts"), "F307",
-                                  f"{route.attempts} attempts over {deepest} tiers from {start} are {total}, "
-                                  f"over the bound of {d.top.attempts_over_tiers}",
-                                  "write fewer attempts, or a higher attempts_over_tiers")  # fmt: skip
+                    yield Finding(
+                        d.file,
+                        ("route", cls, "attempts"),
+                        "F307",
+                        f"{route.attempts} attempts over {deepest} tiers from {start} are {total}, "
+                        f"over the bound of {d.top.attempts_over_tiers}",
+                        "write fewer attempts, or a higher attempts_over_tiers",
+                    )
                     break
 
 
--- a/granitepoint/sidecar/inbound.py
+++ b/granitepoint/sidecar/inbound.py
@@ -47,7 +47,9 @@
     __slots__ = ("began", "due", "exchange", "open", "reply", "request", "tickets", "timer")
 
     def __init__(self, request: Request, reply: Reply, due: float) -> None:
-        self.request, self.reply, self.due = request, reply, due
+        self.request = request
+        self.reply = reply
+        self.due = due
         self.open = True
         self.began = 0.0
         self.exchange: Exchange | None = None
@@ -113,7 +115,8 @@
         )
 
     def _load(self) -> Page:
-        out, queue = self.admission.out, len(self.admission.queue)
+        out = self.admission.out
+        queue = len(self.admission.queue)
         return Page(200 if self.admission.taking else 503, b"inflight=%d,queue=%d\n" % (out + queue, queue))
 
     # the application
@@ -333,7 +336,8 @@
     def change(self, sidecar: Sidecar) -> None:
         """On SIGHUP: slots, places to wait and the path of its health."""
         self.sidecar = sidecar
-        self.admission.slots, self.admission.most_waiting = sidecar.slots, sidecar.waiting
+        self.admission.slots = sidecar.slots
+        self.admission.most_waiting = sidecar.waiting
         self.probe_request = probe_of(sidecar)
         self._begin_more(time.monotonic())
 
--- a/granitepoint/sidecar/migrate.py
+++ b/granitepoint/sidecar/migrate.py
@@ -22,7 +22,8 @@
 def _rename(file: str, lines: Lines, place: Place, old: str, new: str) -> Problem | None:
     """Renames the key that stands there, quoted or not; what can't be told apart is left to a hand."""
     line = lines[place.line - 1]
-    before, rest = line[: place.column - 1], line[place.column - 1 :]
+    before = line[: place.column - 1]
+    rest = line[place.column - 1 :]
     found = re.match(rf"""({old}|"{old}"|'{old}')(?=\s*[=.])""", rest)
     if found is None:
         text = f"{old} is called {new} by now, and can't be renamed by a program here"
--- a/granitepoint/sidecar/platform.py
+++ b/granitepoint/sidecar/platform.py
@@ -48,7 +48,8 @@
     at = 0
     while token := TOKEN.match(text, at):
         at = token.end()
-        word, start = token[1], token.start(1)
+        word = token[1]
+        start = token.start(1)
         line = text.count("\n", 0, start) + 1
         place = Place(line, start - text.rfind("\n", 0, start))
         inside = stack[-1] if stack else None
--- a/granitepoint/sidecar/running.py
+++ b/granitepoint/sidecar/running.py
@@ -114,7 +114,8 @@
     """One sidecar's parts, from their start until the end."""
 
     def __init__(self, description: Description, sidecar: Sidecar) -> None:
-        self.description, self.sidecar = description, sidecar
+        self.description = description
+        self.sidecar = sidecar
         sockets, memory_mb = shares(sidecar)
         tier = description.tiers[sidecar.tier]
         self.budgets = None
@@ -149,8 +150,10 @@
         """The node is there once the application can work, says Terminating while it can't, and begins anew
         with it."""
         assert self.registrar is not None
-        inbound, node = self.inbound, self.registrar.node
-        begun, ready = False, False
+        inbound = self.inbound
+        node = self.registrar.node
+        begun = False
+        ready = False
         while True:
             inbound.changed.clear()
             state = inbound.admission.state
@@ -159,7 +162,8 @@
                 self.registrar.say(dataclasses.replace(node, since_ms=since_ms))
                 if not begun:
                     self.registrar.start()
-                begun = ready = True
+                begun = True
+                ready = True
             elif ready and state not in TAKING:
                 self.registrar.say(self.registrar.node.draining())
                 ready = False
@@ -179,7 +183,8 @@
             return late
         if self.budgets is not None:
             self.budgets.reread_keys()
-        self.description, self.sidecar = new, sidecar
+        self.description = new
+        self.sidecar = sidecar
         for called, proxy in self.outbound.items():
             proxy.move(address(new.padron(called)))
         self.inbound.change(sidecar)
@@ -236,8 +241,11 @@
         names = ", ".join(late[:MOST_SAID]) + (
             f" and {len(late) - MOST_SAID} more" if late[MOST_SAID:] else ""
         )
-        log.error("reload: %s: S109: %s can't change while it runs: start it anew; all stays as it was",
-                  wanted.file, names)  # fmt: skip
+        log.error(
+            "reload: %s: S109: %s can't change while it runs: start it anew; all stays as it was",
+            wanted.file,
+            names,
+        )
         return
     log.info("reload: %s is in force", wanted.file)
 
--- a/granitepoint/sidecar/toml.py
+++ b/granitepoint/sidecar/toml.py
@@ -59,8 +59,11 @@
     if d.budgets is not None:
         lines += table(d.budgets, "[budgets]")
     for name, entries in (
-        ("class", d.classes), ("route", d.routes), ("tier", d.tiers), ("tenant", d.tenants)
-    ):  # fmt: skip
+        ("class", d.classes),
+        ("route", d.routes),
+        ("tier", d.tiers),
+        ("tenant", d.tenants),
+    ):
         for key, value in entries.items():
             lines += table(value, f"[{name}.{key}]")
     for sidecar in d.sidecars:
--- a/granitepoint/sidecar/write.py
+++ b/granitepoint/sidecar/write.py
@@ -26,7 +26,9 @@
 FORMS = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
 # How a call is treated follows from its route; what it looks like (method, key) from its class.
 TREATMENTS = {"never": "once", "never-ran": "once", "by-key": "by_key", "always": "repeatable"}
-CONNECT_TIMEOUT, CONN_IDLE = 0.25, 15.0  # s
+# s
+CONNECT_TIMEOUT = 0.25
+CONN_IDLE = 15.0
 QUANTUM = 0.005  # s
 MOST_HELD = 4000  # calls that one listener holds
 REPORTS = {"probe": "on_probe", "answer": "inline", "none": "off"}
@@ -78,11 +80,16 @@
     order = list(description.tiers)
     grades = []
     for name in names:
-        cls, route = description.classes[name], routes[name]
+        cls = description.classes[name]
+        route = routes[name]
         effect = TREATMENTS[route.retry]
         grade: dict[str, Any] = {
-            "name": name, "value": cls.worth, "objective": cls.aim, "deadline": cls.deadline, "effect": effect
-        }  # fmt: skip
+            "name": name,
+            "value": cls.worth,
+            "objective": cls.aim,
+            "deadline": cls.deadline,
+            "effect": effect,
+        }
         grade["attempts"] = 1 if route.retry == "never" else route.attempts
         if effect == "by_key":
             grade |= {"group": route.retry_within, "window": min(route.retry_for, cls.window)}
--- a/granitepoint/websocket/codec.py
+++ b/granitepoint/websocket/codec.py
@@ -79,7 +79,9 @@
 
     def __init__(self, most: int) -> None:
         self.most = most  # bytes of a message
-        self.announced = self.frames = 0  # of the message that comes now
+        # of the message that comes now
+        self.announced = 0
+        self.frames = 0
         self.fault: Fault | None = None
 
     def frame_inbound_header(
@@ -88,7 +90,8 @@
         if opcode.iscontrol():
             return RsvBits(False, False, False)
         if opcode is not Opcode.CONTINUATION:
-            self.announced = self.frames = 0
+            self.announced = 0
+            self.frames = 0
         self.announced += payload_length
         self.frames += 1
         if self.announced > self.most:
@@ -119,12 +122,14 @@
             for frame in self._frames.received_frames():
                 yield self._event(frame)
         except ParseFailed as fault:
-            found, self._bounds.fault = self._bounds.fault, None
+            found = self._bounds.fault
+            self._bounds.fault = None
             raise (found or Fault(int(fault.code), str(fault))) from None
 
     @staticmethod
     def _event(frame: Frame) -> Event:
-        opcode, payload = frame.opcode, frame.payload
+        opcode = frame.opcode
+        payload = frame.payload
         if opcode is Opcode.CLOSE:
             assert isinstance(payload, tuple)
             return Close(int(payload[0]), payload[1])
--- a/granitepoint/websocket/deflate.py
+++ b/granitepoint/websocket/deflate.py
@@ -17,7 +17,9 @@
 FLOOR = 16 * 1024  # bytes that any message may unpack to, whatever its ratio
 TAIL = b"\x00\x00\xff\xff"  # what a sender leaves off (RFC 7692, 7.2.1)
 STEP = 16 * 1024  # bytes that are unpacked at once
-LEAST_BITS, MOST_BITS = 9, 15  # zlib has no raw window of 8
+# zlib has no raw window of 8
+LEAST_BITS = 9
+MOST_BITS = 15
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,12 +49,17 @@
         good = True
         for param in params:
             key, _, value = param.partition(b"=")
-            key, value = key.strip(), value.strip().strip(b'"')
+            key = key.strip()
+            value = value.strip().strip(b'"')
             if key in given:
                 good = False
             given[key] = value
-        known = {b"server_no_context_takeover", b"client_no_context_takeover",
-                 b"server_max_window_bits", b"client_max_window_bits"}  # fmt: skip
+        known = {
+            b"server_no_context_takeover",
+            b"client_no_context_takeover",
+            b"server_max_window_bits",
+            b"client_max_window_bits",
+        }
         if not good or not given.keys() <= known:
             continue
         server = _bits(given.get(b"server_max_window_bits", b"15"))
@@ -76,9 +83,13 @@
 
     def __init__(self, agreed: Agreed, most: int, ratio: float) -> None:
         """`most`: bytes of a message, unpacked; `ratio`: unpacked bytes for each that came."""
-        self.agreed, self.most, self.ratio = agreed, most, ratio
+        self.agreed = agreed
+        self.most = most
+        self.ratio = ratio
         self.unpacker: zlib._Decompress | None = None  # while a packed message comes
-        self.came = self.made = 0  # bytes of it
+        # bytes of it
+        self.came = 0
+        self.made = 0
         self.control = False  # the frame that comes now is a control frame
 
     def frame_inbound_header(
@@ -89,7 +100,8 @@
             return CloseReason.PROTOCOL_ERROR  # RFC 7692, 6.1: only on a message's first frame
         if rsv.rsv1:
             self.unpacker = zlib.decompressobj(-self.agreed.client_bits)
-            self.came = self.made = 0
+            self.came = 0
+            self.made = 0
         return RsvBits(rsv.rsv1, False, False)
 
     def frame_inbound_payload_data(
--- a/granitepoint/websocket/envelope.py
+++ b/granitepoint/websocket/envelope.py
@@ -71,7 +71,8 @@
     key = _text(raw, "key", id, FIELD)
     subject = _text(raw, "subject", id, FIELD)
     body = raw.get("body", "")
-    again, seen = raw.get("again", False), raw.get("seen", -1)
+    again = raw.get("again", False)
+    seen = raw.get("seen", -1)
     if not isinstance(body, str):
         raise Malformed('"body" must be a string', id)
     if not isinstance(again, bool):
@@ -109,9 +110,14 @@
     """The first message on each connection. `open_ids`: messages of the session that still have no outcome;
     `lost`: outcomes that the client may not have read and that are not kept any more."""
     return _json(
-        {"session": token, "resumed": resumed, "resume_ms": int(resume_within * 1e3), "open": open_ids,
-         "lost": lost}
-    )  # fmt: skip
+        {
+            "session": token,
+            "resumed": resumed,
+            "resume_ms": int(resume_within * 1e3),
+            "open": open_ids,
+            "lost": lost,
+        }
+    )
 
 
 def outcome(n: int, id: str, code: int, body: bytes, wait: float = 0.0, dropped: bool = False) -> str:
