--- a/granitepoint/websocket/front.py
+++ b/granitepoint/websocket/front.py
@@ -78,7 +78,9 @@
 
     def __init__(self, settings: WebSocket, config: Config, driver: Driver, server: Server) -> None:
         """`config`: of the whole process. Raises ConfigError where a tunnel's class can't be one."""
-        self.settings, self.driver, self.server = settings, driver, server
+        self.settings = settings
+        self.driver = driver
+        self.server = server
         for cls in settings.tunnels:
             if driver.effects.get(cls) is not Effect.REPEATABLE:
                 raise ConfigError(f"[websocket] tunnels: {cls} is no repeatable class of the settings")
@@ -138,7 +140,8 @@
         return None
 
     def _asked(self, connection: ClientConnection, upgrade: Upgrade) -> object | None:
-        settings, headers = self.settings, upgrade.headers
+        settings = self.settings
+        headers = upgrade.headers
         opening = read_opening(upgrade.method, upgrade.version, headers, upgrade.body)
         check_origin(opening, settings.origins)
         path = urlsplit(upgrade.target.decode("latin-1"))
@@ -174,7 +177,9 @@
         self, connection: ClientConnection, opening: Opening, protocol: bytes, owner: Owner
     ) -> Peer:
         """The client's 101, and its connection as frames."""
-        extension, extensions, settings = b"", [], self.settings
+        extension = b""
+        extensions = []
+        settings = self.settings
         if settings.deflate:
             agreed = negotiate(opening.extensions, settings.deflate_window_bits)
             if agreed is not None:
@@ -187,19 +192,26 @@
         return peer
 
     def _begin_talk(
-        self, connection: ClientConnection, opening: Opening, query: dict[str, list[str]], client: str,
+        self,
+        connection: ClientConnection,
+        opening: Opening,
+        query: dict[str, list[str]],
+        client: str,
         tenant: str,
-    ) -> None:  # fmt: skip
-        token, seen = query.get("session", [""])[0], query.get("seen", ["0"])[0]
+    ) -> None:
+        token = query.get("session", [""])[0]
+        seen = query.get("seen", ["0"])[0]
         if not seen.isascii() or not seen.isdecimal() or len(seen) > 15:
             raise Declined(400, "seen must be the number of an outcome")
-        book, now = self.book, time.monotonic()
+        book = self.book
+        now = time.monotonic()
         protocol = choose(opening, self.settings.subprotocols)
         found = book.resume(token, tenant, None) if token else None
         if found is None:
             while len(book.sessions) >= 2 * self.settings.sessions and self.talks.make_room():
                 pass  # those that wait for their client are bounded, too
-            session, before = book.begin(secrets.token_urlsafe(16), tenant, None), None
+            session = book.begin(secrets.token_urlsafe(16), tenant, None)
+            before = None
         else:
             session, before = found
         self.doors.enter(client, tenant)
@@ -212,9 +224,14 @@
         self.talks.begin(talk, found is not None, int(seen))
 
     def _begin_tunnel(
-        self, connection: ClientConnection, upgrade: Upgrade, opening: Opening, cls: str, client: str,
+        self,
+        connection: ClientConnection,
+        upgrade: Upgrade,
+        opening: Opening,
+        cls: str,
+        client: str,
         tenant: str,
-    ) -> object | None:  # fmt: skip
+    ) -> object | None:
         headers = [pair for pair in upgrade.headers if pair[0] not in OWN_FIELDS]
         names = {name for name, _ in headers}
         if b"x-call-id" not in names:  # a browser sends none
@@ -231,7 +248,8 @@
         return driver.opened(request, tunnel)
 
     def open_tunnel(self, tunnel: Tunnel) -> None:
-        upstream, node = tunnel.upstream, tunnel.node.peer
+        upstream = tunnel.upstream
+        node = tunnel.node.peer
         assert upstream is not None and node is not None
         self.peers[node] = None
         self.tunnels.setdefault(upstream, {})[tunnel] = None
@@ -273,7 +291,8 @@
     # time
     def _sweep(self) -> None:
         self.sweeping = self.loop.call_later(SWEEP, self._sweep)
-        settings, now = self.settings, time.monotonic()
+        settings = self.settings
+        now = time.monotonic()
         for peer in list(self.peers):
             if peer.transport is None:
                 del self.peers[peer]
@@ -301,7 +320,8 @@
         nothing."""
         if self.draining:
             return
-        self.draining, self.end_by = True, end_by
+        self.draining = True
+        self.end_by = end_by
         span = max(0.0, min(DRAIN_SPAN, end_by - time.monotonic() - 2 * STEP))
         tunnels = [tunnel for here in self.tunnels.values() for tunnel in here]
         for number, tunnel in enumerate(tunnels):
--- a/granitepoint/websocket/handshake.py
+++ b/granitepoint/websocket/handshake.py
@@ -30,7 +30,8 @@
 
     def __init__(self, code: int, text: str, headers: Headers = ()) -> None:
         super().__init__(text)
-        self.code, self.headers = code, headers
+        self.code = code
+        self.headers = headers
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitepoint/websocket/limits.py
+++ b/granitepoint/websocket/limits.py
@@ -11,7 +11,8 @@
     __slots__ = ("at", "tokens")
 
     def __init__(self, burst: float, now: float) -> None:
-        self.tokens, self.at = burst, now
+        self.tokens = burst
+        self.at = now
 
     def take(self, now: float, rate: float, burst: float) -> bool:
         """One token, of `rate` new ones a second and `burst` at the most. A clock that steps back gives
--- a/granitepoint/websocket/messages.py
+++ b/granitepoint/websocket/messages.py
@@ -32,7 +32,9 @@
     __slots__ = ("call", "id", "parts", "session", "size", "source", "talks")
 
     def __init__(self, talks: Talks, session: Session, id: str) -> None:
-        self.talks, self.session, self.id = talks, session, id
+        self.talks = talks
+        self.session = session
+        self.id = id
         self.call: Any = None  # the driver's, once it has it
         self.source: Source | None = None
         self.parts: list[bytes] = []  # of an answer that comes on
@@ -69,7 +71,8 @@
             self.talks.settle(self.session, self.id, 502, b"the answer broke off\n")
 
     def _too_long(self) -> None:
-        source, self.source = self.source, None
+        source = self.source
+        self.source = None
         self.parts.clear()
         if source is not None:
             source.drop()
@@ -77,7 +80,8 @@
 
     def left(self, handler: Any) -> None:
         """Nobody waits for it any more."""
-        source, self.source = self.source, None
+        source = self.source
+        self.source = None
         if source is not None:
             source.drop()
         elif self.call is not None:
@@ -90,7 +94,9 @@
     __slots__ = ("bad", "bucket", "client", "parts", "peer", "session", "size", "talks")
 
     def __init__(self, talks: Talks, session: Session, client: str, now: float) -> None:
-        self.talks, self.session, self.client = talks, session, client
+        self.talks = talks
+        self.session = session
+        self.client = client
         self.peer: Peer | None = None
         self.parts: list[str] | None = None  # of a message that comes in pieces
         self.size = 0
@@ -112,7 +118,9 @@
                 return
             if not piece.last:
                 return
-            text, self.parts, self.size = "".join(self.parts), None, 0
+            text = "".join(self.parts)
+            self.parts = None
+            self.size = 0
         self.talks.said(self, text)
 
     def ended(self, code: int, reason: str) -> None:
@@ -133,7 +141,8 @@
 
     def tell(self, text: str) -> bool:
         """False: it may not have arrived."""
-        front, peer = self.talks.front, self.peer
+        front = self.talks.front
+        peer = self.peer
         if peer is None or not peer.send(text):
             return False
         if peer.unsent > front.settings.unread_bytes:
@@ -147,7 +156,8 @@
     """All sessions of message mode."""
 
     def __init__(self, front: Front) -> None:
-        self.front, self.book = front, front.book
+        self.front = front
+        self.book = front.book
 
     def begin(self, talk: Talk, resumed: bool, seen: int) -> None:
         """The hello, and what a session that was resumed is owed."""
@@ -164,7 +174,8 @@
 
     def said(self, talk: Talk, text: str) -> None:
         """A whole message."""
-        settings, now = self.front.settings, time.monotonic()
+        settings = self.front.settings
+        now = time.monotonic()
         try:
             call = envelope.read(text)
         except envelope.Malformed as fault:
@@ -196,7 +207,8 @@
 
     def _call(self, reply: MessageReply, call: envelope.Call, now: float) -> None:
         """Hands it to the driver."""
-        driver, session = self.front.driver, reply.session
+        driver = self.front.driver
+        session = reply.session
         effect = driver.effects.get(call.cls)
         if effect is None:
             self.settle(session, call.id, 404, b"no such class\n")
@@ -219,9 +231,14 @@
             headers.append((b"x-again", b"1"))
         try:
             request: Request = read_request(
-                b"GET" if get else b"POST", f"/{call.cls}{call.path}".encode(), headers, Body.of(call.body),
-                now, driver.effects, driver.takes,
-            )  # fmt: skip
+                b"GET" if get else b"POST",
+                f"/{call.cls}{call.path}".encode(),
+                headers,
+                Body.of(call.body),
+                now,
+                driver.effects,
+                driver.takes,
+            )
         except BadRequest as bad:
             self.settle(session, call.id, bad.code, f"{bad}\n".encode())
             return
--- a/granitepoint/websocket/peer.py
+++ b/granitepoint/websocket/peer.py
@@ -15,7 +15,9 @@
 from granitepoint.websocket.limits import Bucket
 
 MOST_FRAMES = 128  # that are looked at in one turn of the loop; the rest waits for the next
-CONTROLS_PER_S, CONTROLS_BURST = 20.0, 40.0  # pings and pongs that one peer may send
+# pings and pongs that one peer may send
+CONTROLS_PER_S = 20.0
+CONTROLS_BURST = 40.0
 CLOSE_WAIT = 1.0  # s for the other's close frame, and then for the end of the connection
 HIGH_WATER = 16 * 1024  # bytes that are not taken at which writing is said to be held up
 
@@ -41,9 +43,24 @@
 
 class Peer(asyncio.BufferedProtocol):
     __slots__ = (
-        "closed_at", "codec", "controls", "faulty", "heard_at", "held", "owner", "pinged_at", "ponged",
-        "resuming", "said_ended", "scratch", "server", "state", "stuck_at", "stuck_size", "transport",
-    )  # fmt: skip
+        "closed_at",
+        "codec",
+        "controls",
+        "faulty",
+        "heard_at",
+        "held",
+        "owner",
+        "pinged_at",
+        "ponged",
+        "resuming",
+        "said_ended",
+        "scratch",
+        "server",
+        "state",
+        "stuck_at",
+        "stuck_size",
+        "transport",
+    )
 
     def __init__(
         self, transport: asyncio.Transport, codec: Codec, owner: Owner, scratch: memoryview, server: bool
@@ -52,7 +69,10 @@
         and ends it first (RFC 6455, 7.1.1)."""
         now = time.monotonic()
         self.transport: asyncio.Transport | None = transport
-        self.codec, self.owner, self.scratch, self.server = codec, owner, scratch, server
+        self.codec = codec
+        self.owner = owner
+        self.scratch = scratch
+        self.server = server
         self.state = State.OPEN
         self.heard_at = now
         self.pinged_at = 0.0  # when the ping that has no answer yet was sent
@@ -61,8 +81,12 @@
         self.resuming = False  # a further turn will look at what has come
         self.ponged: bytes | None = None  # the last ping that is owed its pong
         self.controls = Bucket(CONTROLS_BURST, now)
-        self.said_ended = self.faulty = False  # `faulty`: it ended by the other's fault
-        self.stuck_size, self.stuck_at = 0, now  # bytes not taken at the last look, and since when
+        # `faulty`: it ended by the other's fault
+        self.said_ended = False
+        self.faulty = False
+        # bytes not taken at the last look, and since when
+        self.stuck_size = 0
+        self.stuck_at = now
         transport.set_write_buffer_limits(high=HIGH_WATER)
         transport.set_protocol(self)
 
@@ -113,7 +137,8 @@
         except Fault as fault:
             self.fail(fault.code, str(fault))
         if self.ponged is not None:
-            data, self.ponged = self.ponged, None
+            data = self.ponged
+            self.ponged = None
             if self.state is not State.CLOSED:
                 self._write(self.codec.pong(data))
         if not left and not self.held and self.state is not State.CLOSED:
@@ -247,7 +272,8 @@
                 self.abort()
             return
         if self.held:  # what it says is not looked at, so it can't be heard
-            self.pinged_at, self.heard_at = 0.0, now
+            self.pinged_at = 0.0
+            self.heard_at = now
         elif self.pinged_at:
             if self.heard_at > self.pinged_at:
                 self.pinged_at = 0.0
--- a/granitepoint/websocket/sessions.py
+++ b/granitepoint/websocket/sessions.py
@@ -37,7 +37,8 @@
     __slots__ = ("bytes", "gone_at", "kept", "last", "lost", "open", "peer", "tenant", "token")
 
     def __init__(self, token: str, tenant: str) -> None:
-        self.token, self.tenant = token, tenant
+        self.token = token
+        self.tenant = tenant
         self.open: dict[str, Any] = {}  # by id; the value is whose who works on it
         self.kept: dict[int, Outcome] = {}  # by number, the oldest first
         self.bytes = 0  # of these
@@ -97,7 +98,8 @@
 
     def __init__(self, pool: int) -> None:
         """`pool`: bytes of outcomes that are kept, of all sessions together."""
-        self.pool, self.bytes = pool, 0
+        self.pool = pool
+        self.bytes = 0
         self.sessions: dict[str, Session] = {}
         self.detached: dict[Session, None] = {}  # the longest ago first
 
@@ -112,13 +114,15 @@
         session = self.sessions.get(token)
         if session is None or session.tenant != tenant:
             return None
-        before, session.peer = session.peer, peer
+        before = session.peer
+        session.peer = peer
         self.detached.pop(session, None)
         return session, before
 
     def detach(self, session: Session, now: float) -> None:
         """Its connection has ended without a goodbye."""
-        session.peer, session.gone_at = None, now
+        session.peer = None
+        session.gone_at = now
         self.detached[session] = None
 
     def end(self, session: Session) -> list[Any]:
--- a/granitepoint/websocket/tunnel.py
+++ b/granitepoint/websocket/tunnel.py
@@ -33,7 +33,8 @@
     __slots__ = ("client", "peer", "tunnel")
 
     def __init__(self, tunnel: Tunnel, client: bool) -> None:
-        self.tunnel, self.client = tunnel, client
+        self.tunnel = tunnel
+        self.client = client
         self.peer: Peer | None = None
 
     def came(self, piece: Piece) -> None:
@@ -59,15 +60,25 @@
     """net.server.Reply for the handshake, net.driver.Switch for its attempts."""
 
     __slots__ = (
-        "asking", "bucket", "client", "connection", "from_client", "front", "node", "opening", "origin",
-        "over", "tenant",
-    )  # fmt: skip
+        "asking",
+        "bucket",
+        "client",
+        "connection",
+        "from_client",
+        "front",
+        "node",
+        "opening",
+        "origin",
+        "over",
+        "tenant",
+    )
 
     def __init__(self, front: Front, connection: Any, opening: Opening, client: str, tenant: str) -> None:
         self.front = front
         self.connection: Any = connection  # these three until the 101
         self.opening: Opening | None = opening
-        self.from_client, self.tenant = client, tenant
+        self.from_client = client
+        self.tenant = tenant
         self.asking: Asking | None = Asking(opening.protocols)
         self.client, self.node = Side(self, True), Side(self, False)
         self.origin: Connection | None = None  # the node's connection, as the pool counts it
@@ -100,20 +111,27 @@
         self.front.left(self.from_client, self.tenant)
 
     def switched(
-        self, connection: Connection, headers: list[tuple[bytes, bytes]], rest: bytes,
+        self,
+        connection: Connection,
+        headers: list[tuple[bytes, bytes]],
+        rest: bytes,
         over: Callable[[Status], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A node has taken it: both ends are frames from here on."""
-        front, transport = self.front, connection.transport
+        front = self.front
+        transport = connection.transport
         opening = self.opening
         assert transport is not None and opening is not None
-        self.origin, self.over = connection, over
+        self.origin = connection
+        self.over = over
         most = front.settings.message_bytes
         chosen = next((value for name, value in headers if name == b"sec-websocket-protocol"), b"")
         node = Peer(transport, Codec(True, most), self.node, front.scratch, server=False)
         self.node.peer = node
         self.client.peer = front.hand_over(self.connection, opening, chosen, self.client)
-        self.connection = self.opening = self.asking = None
+        self.connection = None
+        self.opening = None
+        self.asking = None
         front.open_tunnel(self)
         node.behind(rest)
 
@@ -154,12 +172,14 @@
         if side.client:
             self.front.left(self.from_client, self.tenant)
         elif self.origin is not None:
-            origin, self.origin = self.origin, None
+            origin = self.origin
+            self.origin = None
             self.front.closed_tunnel(self, origin.upstream)
             origin.connection_lost(None)
 
     def tell(self, status: Status) -> None:
-        over, self.over = self.over, None
+        over = self.over
+        self.over = None
         if over is not None:
             over(status)
 
--- a/rigs/backend.py
+++ b/rigs/backend.py
@@ -45,8 +45,11 @@
         for a call (calls to the next tier), and whether it succeeded."""
         self.further = further
         self.loop = asyncio.get_running_loop()
-        self.ledger, self.name, self.zone = ledger, name, zone
-        self.service, self.capacity = service, capacity
+        self.ledger = ledger
+        self.name = name
+        self.zone = zone
+        self.service = service
+        self.capacity = capacity
         self.silent = False
         self.paused_until = 0.0  # monotonic: takes calls meanwhile, and works on them after
         self.connections: set[_Connection] = set()
@@ -93,7 +96,8 @@
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = self.parser = None
+        self.transport = None
+        self.parser = None
         self.backend.connections.discard(self)
         if self.attempt is not None:
             self.attempt.ended = min(self.attempt.ended, time.monotonic())
@@ -104,7 +108,8 @@
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        self.target, self.headers = b"", {}
+        self.target = b""
+        self.headers = {}
 
     def on_url(self, url: bytes) -> None:
         self.target += url
@@ -113,7 +118,8 @@
         self.headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        begun, self.begun = self.begun, 0.0
+        begun = self.begun
+        self.begun = 0.0
         backend = self.backend
         if self.target in (b"/load", b"/healthz"):
             if not backend.silent:
@@ -133,13 +139,15 @@
             call, backend.name, backend.zone, begun, key=key, work=backend.service, proxy=via, whole=now
         )
         if not backend.silent:
-            attempt.ran, attempt.ran_at = True, now
+            attempt.ran = True
+            attempt.ran_at = now
             cls = self.target[1:].split(b"/", 1)[0].decode()
             due = now + budget_of(self.headers.get(b"x-budget", b""))
             incoming = Incoming(cls, call, key, due, self.headers.get(b"tier-budget", b""))
             wait = max(0.0, backend.paused_until - now)
             if wait:
-                attempt.ran, attempt.ran_at = False, OPEN
+                attempt.ran = False
+                attempt.ran_at = OPEN
                 backend.loop.call_later(wait, self._resumed, attempt, incoming)
             else:
                 backend.loop.call_later(backend.service, self._served, attempt, incoming)
--- a/rigs/callers.py
+++ b/rigs/callers.py
@@ -38,10 +38,17 @@
 EFFECTS = {cls.name: cls.effect for cls in MIX}
 GRADES: list[dict[str, Any]] = [
     {"name": "stock", "value": 12.0, "objective": 0.5, "deadline": 1.2, "effect": "repeatable"},
-    {"name": "reserva", "value": 1.0, "objective": 1.5, "deadline": 4.0, "effect": "by_key",
-     "group": "zone", "window": 6.0},
+    {
+        "name": "reserva",
+        "value": 1.0,
+        "objective": 1.5,
+        "deadline": 4.0,
+        "effect": "by_key",
+        "group": "zone",
+        "window": 6.0,
+    },
     {"name": "canje", "value": 1.0, "objective": 2.5, "deadline": 6.0, "effect": "once"},
-]  # fmt: skip
+]
 
 
 def request(cls: Class, call: str, via: str = "", key: str = "", more: str = "") -> bytes:
@@ -74,7 +81,9 @@
         mix: Sequence[Class] = MIX,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.ledger, self.name, self.mix = ledger, name, mix
+        self.ledger = ledger
+        self.name = name
+        self.mix = mix
         self.proxies = [proxy]  # connections are dealt out among them in turn
         self.random = Random(f"{name} {seed}")
         self.idle: list[_Connection] = []
@@ -215,14 +224,16 @@
             self.close()
 
     def _end(self, code: int) -> None:
-        call, self.call = self.call, ""
+        call = self.call
+        self.call = ""
         if self.timer is not None:
             self.timer.cancel()
         if call:
             self.callers.ended(call, time.monotonic(), code)
 
     def _give_up(self, due: float) -> None:
-        call, self.call = self.call, ""
+        call = self.call
+        self.call = ""
         self.callers.ended(call, due, 0, left=True)
         self.close()
 
--- a/rigs/chain.py
+++ b/rigs/chain.py
@@ -58,10 +58,16 @@
         for number in range(hosts):
             sidecars.append(
                 Sidecar(
-                    f"h-{number}", ZONES[number % 2], name, STARTED, STARTED, slots=SLOTS[name], waiting=64,
+                    f"h-{number}",
+                    ZONES[number % 2],
+                    name,
+                    STARTED,
+                    STARTED,
+                    slots=SLOTS[name],
+                    waiting=64,
                     outbound={called: STARTED for called in calls},
                 )
-            )  # fmt: skip
+            )
     if misroute:
         described[TIERS[tiers]] = Tier(ZONES, tuple(CLASSES), hosts, padron=STARTED, stop_after=3.0)
     top = Top(2, "chain", padron=STARTED)
@@ -143,8 +149,11 @@
                 hour = "3600" if number % 4 < 2 else "-3600"
                 if number % 2:
                     skews[f"{sidecar.tier}-{sidecar.host}"] = [
-                        f"--wall={hour}", f"--step={hour}", "--at=2", f"--monotonic={number * 1000}"
-                    ]  # fmt: skip
+                        f"--wall={hour}",
+                        f"--step={hour}",
+                        "--at=2",
+                        f"--monotonic={number * 1000}",
+                    ]
         routes = {TIERS[tiers]: TIERS[0]} if misroute else {}
         async with world(description, usual, routes, skews, edge, older) as made:
             yield Chain(made, keys)
@@ -174,8 +183,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m rigs.chain", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)  # fmt: skip
+    parser = argparse.ArgumentParser(
+        prog="python -m rigs.chain", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--tiers", type=int, default=2, choices=(1, 2, 3))
     parser.add_argument("--hosts", type=int, default=2, choices=(1, 2, 3, 4))
     parser.add_argument("--budgets", default="on", choices=("on", "off"))
--- a/rigs/coordination.py
+++ b/rigs/coordination.py
@@ -39,7 +39,9 @@
 from granitepoint.membership.jute import Err, Event, Op, Reader, ServiceError, Stat, Writer
 
 EXPIRY_STEP = 0.05  # s between looks at sessions
-LEAST_TIMEOUT, MOST_TIMEOUT = 200, 40_000  # ms that a session is granted
+# ms that a session is granted
+LEAST_TIMEOUT = 200
+MOST_TIMEOUT = 40_000
 SYNC_CONNECTED = 3  # state in a notification
 FOUR_LETTERS = {b"ruok": b"imok", b"isro": b"rw", b"srvr": b"Zookeeper version: 3.8.0\n"}
 WRITE_OPS = frozenset((Op.CREATE, Op.CREATE2, Op.CREATE_CONTAINER, Op.DELETE, Op.SET_DATA, Op.MULTI))
@@ -239,7 +241,8 @@
             if found is None or found.password != wanted.password:
                 return None
             session = found
-            session.timeout, session.heard = timeout, now
+            session.timeout = timeout
+            session.heard = now
             if session.connection is not None and session.connection is not connection:
                 session.connection.drop()
         session.connection = connection
@@ -329,7 +332,8 @@
     """One of the ensemble: a listener and its connections."""
 
     def __init__(self, service: Service, number: int) -> None:
-        self.service, self.number = service, number
+        self.service = service
+        self.number = number
         self.connections: set[Connection] = set()
         self.address = ("127.0.0.1", 0)
         self.mode = ""  # "", "silent" or "reset"
@@ -359,7 +363,8 @@
 
     def mend(self) -> None:
         """What was sent meanwhile is lost, as the connections that carried it are."""
-        was, self.mode = self.mode, ""
+        was = self.mode
+        self.mode = ""
         if was == "silent":
             self.drop_all()
 
@@ -370,7 +375,8 @@
 
 class Connection(asyncio.Protocol):
     def __init__(self, server: Server) -> None:
-        self.server, self.service = server, server.service
+        self.server = server
+        self.service = server.service
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.session: SessionRecord | None = None
@@ -462,7 +468,8 @@
         assert self.session is not None
         self.session.heard = time.monotonic()
         source = Reader(frame)
-        xid, op = source.int32(), source.int32()
+        xid = source.int32()
+        op = source.int32()
         self.service.requests[op] += 1
         try:
             if self.server.read_only and op in WRITE_OPS:
@@ -478,7 +485,8 @@
             self.service.loop.call_later(0.01, self.drop)
 
     def _do(self, op: int, source: Reader) -> bytes:
-        tree, session = self.service.tree, self.session
+        tree = self.service.tree
+        session = self.session
         assert session is not None
         if op == Op.PING:
             return b""
@@ -498,17 +506,21 @@
         if op == Op.EXISTS:
             return self._exists(source.string(), source.flag())
         if op == Op.GET_DATA:
-            path, watch = source.string(), source.flag()
+            path = source.string()
+            watch = source.flag()
             node = self._allowed(path, 1)
             if watch:
                 self.data.add(path)
             return node.stat().write(Writer().buffer(node.data)).whole()
         if op == Op.SET_DATA:
-            path, data, version = source.string(), source.buffer() or b"", source.int32()
+            path = source.string()
+            data = source.buffer() or b""
+            version = source.int32()
             self._allowed(path, 2)
             return tree.set_data(path, data, version).write(Writer()).whole()
         if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2):
-            path, watch = source.string(), source.flag()
+            path = source.string()
+            watch = source.flag()
             node = self._allowed(path, 1)
             if watch:
                 self.child.add(path)
@@ -523,7 +535,8 @@
             self._set_watches(source, op == Op.SET_WATCHES2)
             return b""
         if op == Op.ADD_WATCH and self.service.persistent_watches:
-            path, mode = source.string(), source.int32()
+            path = source.string()
+            mode = source.int32()
             (self.recursive if mode else self.persistent).add(path)
             return Writer().int32(0).whole()
         if op == Op.REMOVE_WATCHES:
@@ -534,7 +547,8 @@
         raise ServiceError(Err.UNIMPLEMENTED)
 
     def _create(self, source: Reader) -> str:
-        path, data = source.string(), source.buffer() or b""
+        path = source.string()
+        data = source.buffer() or b""
         acl = source.vector(lambda: jute.read_acl(source))
         flags = source.int32()
         assert self.session is not None
@@ -583,18 +597,22 @@
             {n: set(s.nodes) for n, s in self.service.sessions.items()},
         )
         fired: list[tuple[int, str]] = []
-        real, tree.fire = tree.fire, lambda event, path: fired.append((event, path))
+        real = tree.fire
+        tree.fire = lambda event, path: fired.append((event, path))
         done: list[tuple[int, bytes]] = []
         failed: ServiceError | None = None
         try:
             while True:
-                op, last, _ = source.int32(), source.flag(), source.int32()
+                op = source.int32()
+                last = source.flag()
+                _ = source.int32()
                 if last:
                     break
                 if failed is not None:
                     raise failed
                 if op == Op.CHECK:
-                    path, version = source.string(), source.int32()
+                    path = source.string()
+                    version = source.int32()
                     if tree.node(path).version != version and version != -1:
                         raise ServiceError(Err.BAD_VERSION, path)
                     done.append((op, b""))
@@ -608,7 +626,8 @@
             tree.fire = real
         body = Writer()
         if failed is not None:
-            tree.zxid, tree.nodes = before[0], before[1]
+            tree.zxid = before[0]
+            tree.nodes = before[1]
             for number, nodes in before[2].items():
                 self.service.sessions[number].nodes = nodes
             codes = [int(Err.OK)] * len(done) + [int(failed.code)]
@@ -623,7 +642,8 @@
 
     def _auth(self, source: Reader) -> bytes:
         source.int32()
-        scheme, auth = source.string(), source.buffer() or b""
+        scheme = source.string()
+        auth = source.buffer() or b""
         user, _, password = auth.decode("utf-8", "replace").partition(":")
         known = self.service.credentials
         if scheme != "digest" or (known and known.get(user) != password):
@@ -736,8 +756,11 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m rigs.coordination", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)  # fmt: skip
+    parser = argparse.ArgumentParser(
+        prog="python -m rigs.coordination",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--ensemble", type=int, default=1, choices=range(1, 10), metavar="SERVERS")
     parser.add_argument("--script", type=Path, metavar="FILE")
--- a/rigs/fleet/__main__.py
+++ b/rigs/fleet/__main__.py
@@ -65,7 +65,8 @@
 async def real(script: Script, network: Network) -> int:
     top = script.top
     async with world(Setup(members=top.members, seed=top.seed, period=PERIOD)) as w:
-        w.network.replayed, w.network.transcript = network.replayed, network.transcript
+        w.network.replayed = network.replayed
+        w.network.transcript = network.transcript
         await w.observer.settle(SETTLING, True)
         player = Player(script, w, lambda line: print(line, flush=True))
         w.observer.on_event = player.seen
@@ -78,7 +79,8 @@
             return 1
         await w.quiet()
         w.observer.read_logs()
-        revived, broken = w.observer.resurrections(), w.audit()
+        revived = w.observer.resurrections()
+        broken = w.audit()
         print(f"settled {took / PERIOD:.2f} periods after the end; deaths told: {len(w.observer.deaths())}")
         print(f"dead that came back: {len(revived)}; rules broken: {len(broken)}")
         for violation in broken[:3]:
--- a/rigs/fleet/bed.py
+++ b/rigs/fleet/bed.py
@@ -59,7 +59,10 @@
     ) -> None:
         """`named`: each knows the others' addresses; else only the one that reaches all."""
         self.named = named
-        self.timing, self.seed, self.make, self.seals = timing, seed, make, seals
+        self.timing = timing
+        self.seed = seed
+        self.make = make
+        self.seals = seals
         self.random = Random(seed)
         self.network = network or Network(seed)
         self.now = 0.0
@@ -143,11 +146,20 @@
         wall = WALL + self.now + member.wall
         seed = hash_of(self.seed, number, member.lives)
         member.core = self.make(
-            "fleet", record, seeds, self.timing, seed, self._reading(member), wall, self.seals,
+            "fleet",
+            record,
+            seeds,
+            self.timing,
+            seed,
+            self._reading(member),
+            wall,
+            self.seals,
             None if self.named else EVERYONE,
-        )  # fmt: skip
+        )
         member.core.phase = Phase.SERVING
-        member.stopped, member.inbox, member.woken = False, [], -1.0
+        member.stopped = False
+        member.inbox = []
+        member.woken = -1.0
         self._after(member)
 
     def adopt(self) -> None:
@@ -159,16 +171,23 @@
             run = Incarnation(first_run(WALL), member.number % 65535 + 1, 0)
             item = entry(key_of(member.name), run, Claim.ALIVE, record)
             entries[item.key] = item
-        order, digest = sorted(entries), 0
+        order = sorted(entries)
+        digest = 0
         for item in entries.values():
             digest ^= item.tag
         for member in self.members:
             member.lives += 1
             own = entries[key_of(member.name)]
             member.core = self.make(
-                "fleet", own.record, [], self.timing, hash_of(self.seed, member.number, 1), self.now, WALL,
+                "fleet",
+                own.record,
+                [],
+                self.timing,
+                hash_of(self.seed, member.number, 1),
+                self.now,
+                WALL,
                 self.seals,
-            )  # fmt: skip
+            )
             member.core.adopt(entries, order, digest)
             self._after(member)
 
@@ -193,7 +212,8 @@
         member.woken = -1.0
         core = member.core
         core.tick(self._reading(member))  # a process that wakes finds its timers due first
-        inbox, member.inbox = member.inbox, []
+        inbox = member.inbox
+        member.inbox = []
         for source, data in inbox:
             core.datagram(self._reading(member), source, data)
         self._after(member)
@@ -234,7 +254,8 @@
     """rigs.fleet.script.Ground on a bed; it also sees whom a view brings back from the dead."""
 
     def __init__(self, bed: Bed) -> None:
-        self.bed, self.network = bed, bed.network
+        self.bed = bed
+        self.network = bed.network
         self.buried: dict[tuple[str, bytes], set[Incarnation]] = {}
         self.revived: list[str] = []
         self.on_event: Callable[[str], None] | None = None
--- a/rigs/fleet/model.py
+++ b/rigs/fleet/model.py
@@ -20,7 +20,9 @@
 MOST_MESSAGES = 2  # under way at a time, of which each may come again and again
 MOST_BEAT = 1
 MOST_RUN = 3
-A, B, SUBJECT = 0, 1, 2
+A = 0
+B = 1
+SUBJECT = 2
 FIRST = Incarnation(2, 1, 0)
 SECOND = Incarnation(1, 2, 0)  # after a restart: its clock went back
 TableOf = Mapping[tuple[State, Happening], tuple[State, Step]]
@@ -88,8 +90,11 @@
 def hear(rules: Rules, held: Held, incarnation: Incarnation, claim: Claim) -> Held:
     what = happening(held.incarnation, (incarnation, claim))
     if not rules.newest and what is Happening.OLDER:
-        what = {Claim.ALIVE: Happening.ALIVE_NEWER, Claim.SUSPECT: Happening.SUSPECT_NEWER,
-                Claim.LEFT: Happening.LEFT_NEWER}[claim]  # fmt: skip
+        what = {
+            Claim.ALIVE: Happening.ALIVE_NEWER,
+            Claim.SUSPECT: Happening.SUSPECT_NEWER,
+            Claim.LEFT: Happening.LEFT_NEWER,
+        }[claim]
     after, step = rules.table[held.state, what]
     if step in (Step.NOTHING, Step.CORRECT, Step.CONFIRM):
         return Held(after, held.incarnation)
--- a/rigs/fleet/relay.py
+++ b/rigs/fleet/relay.py
@@ -25,7 +25,8 @@
     """The address by which one member is known."""
 
     def __init__(self, relay: Datagrams, number: int) -> None:
-        self.relay, self.number = relay, number
+        self.relay = relay
+        self.number = number
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -41,10 +42,13 @@
 class Datagrams:
     def __init__(self, members: int, port: int, network: Network) -> None:
         self.loop = asyncio.get_running_loop()
-        self.members, self.port, self.network = members, port, network
+        self.members = members
+        self.port = port
+        self.network = network
         self.known = [_Known(self, number) for number in range(members)]
         self.number_of = {host(77, number): number for number in range(members)}
-        self.carried = self.bytes = 0
+        self.carried = 0
+        self.bytes = 0
         self.started = self.loop.time()
 
     def addresses(self) -> list[str]:
@@ -53,8 +57,9 @@
     async def start(self) -> None:
         for number, known in enumerate(self.known):
             await self.loop.create_datagram_endpoint(
-                lambda known=known: known, local_addr=(host(78, number), self.port)  # type: ignore[misc]
-            )  # fmt: skip
+                lambda known=known: known,  # type: ignore[misc]
+                local_addr=(host(78, number), self.port),
+            )
 
     def stop(self) -> None:
         for known in self.known:
@@ -88,7 +93,8 @@
 
 class _Side(asyncio.Protocol):
     def __init__(self, pipe: Pipe, other: _Side | None = None) -> None:
-        self.pipe, self.other = pipe, other
+        self.pipe = pipe
+        self.other = other
         self.transport: asyncio.Transport | None = None
         self.early = b""
 
--- a/rigs/fleet/script.py
+++ b/rigs/fleet/script.py
@@ -191,7 +191,8 @@
     """Plays a script's faults; who watches the views says what happens in them."""
 
     def __init__(self, script: Script, ground: Ground, tell: Callable[[str], None] | None = None) -> None:
-        self.script, self.ground = script, ground
+        self.script = script
+        self.ground = ground
         self.tell = tell or (lambda line: None)
         self.waiting: list[Fault] = []
         self.played = 0
@@ -216,7 +217,8 @@
 
     def play(self, fault: Fault) -> None:
         self.played += 1
-        ground, members = self.ground, self.script.top.members
+        ground = self.ground
+        members = self.script.top.members
         self.tell(f"{fault.do} {' '.join(fault.who or fault.groups)}")
         undo: list[Callable[[], None]] = []
         if fault.do == "drain":
@@ -228,7 +230,8 @@
             ground.network.parts.append(groups)
             undo.append(lambda: ground.network.parts.remove(groups))
         elif fault.do == "cut":
-            who, to = numbers(fault.who, members), numbers(fault.to, members)
+            who = numbers(fault.who, members)
+            to = numbers(fault.to, members)
             ground.network.cut(who, to)
             undo.append(lambda: ground.network.cut(who, to, -1))
         elif fault.do in ("loss", "delay", "duplicate", "corrupt"):
@@ -247,7 +250,8 @@
             step()
 
     def _weather(self, fault: Fault, who: list[int]) -> list[Callable[[], None]]:
-        network, members = self.ground.network, self.script.top.members
+        network = self.ground.network
+        members = self.script.top.members
         changes: dict[str, Any]
         if fault.do == "delay":
             changes = {"delay": fault.by, "jitter": fault.share}
--- a/rigs/fleet/world.py
+++ b/rigs/fleet/world.py
@@ -102,7 +102,8 @@
 
     def __init__(self, setup: Setup, folder: Path) -> None:
         self.loop = asyncio.get_running_loop()
-        self.setup, self.folder = setup, folder
+        self.setup = setup
+        self.folder = folder
         self.network = Network(setup.seed, usual=(0.0, 0.0))
         self.port, self.http = free_port(), free_port()
         self.relay = Datagrams(setup.members, self.port, self.network)
@@ -171,20 +172,35 @@
         peers = self.relay.addresses()
         known = [item for item in self.padrons[number].entries.values() if item["status"] == "Ready"]
         limits: dict[str, Any] = {
-            "send_cap": 5, "may_duplicate": False, "may_cancel": True, "probes": True, "conn_idle": 30.0,
-            "connect_timeout": 0.15, "most_held": 20000, "retry_after": True, "max_retry_after": 2.0,
+            "send_cap": 5,
+            "may_duplicate": False,
+            "may_cancel": True,
+            "probes": True,
+            "conn_idle": 30.0,
+            "connect_timeout": 0.15,
+            "most_held": 20000,
+            "retry_after": True,
+            "max_retry_after": 2.0,
             "peers": True,
-        }  # fmt: skip
+        }
         more = {
             "seed": f"{Random(f'{self.setup.seed} {number} {seat.lives}').getrandbits(62):x}",
-            "peer_listen": f"{host(77, number)}:{self.port}", "peers": peers,
-        }  # fmt: skip
+            "peer_listen": f"{host(77, number)}:{self.port}",
+            "peers": peers,
+        }
         contract = {**settings()["contract"], "cold": self.setup.cold}
         return configuration(
-            seat.name, f"{host(77, number)}:{self.http}", f"127.79.250.{number + 1}:{self.http}", known, more,
-            balancers=self.setup.members, me=number, zone="abc"[number % 3], policy_limits=limits,
+            seat.name,
+            f"{host(77, number)}:{self.http}",
+            f"127.79.250.{number + 1}:{self.http}",
+            known,
+            more,
+            balancers=self.setup.members,
+            me=number,
+            zone="abc"[number % 3],
+            policy_limits=limits,
             contract=contract,
-        )  # fmt: skip
+        )
 
     def _operator(self, seat: Seat) -> str:
         setup = self.setup
@@ -261,7 +277,8 @@
             return
         seat.name = name or seat.name
         seat.lives += 1
-        seat.program, seat.stopped = None, False
+        seat.program = None
+        seat.stopped = False
         self._task(self._launch(seat))
 
     def kill(self, number: int) -> None:
--- a/rigs/kiosks.py
+++ b/rigs/kiosks.py
@@ -64,7 +64,10 @@
 
 class Kiosk(asyncio.Protocol):
     def __init__(self, owner: Kiosks, name: str, path: str, comes_back: bool) -> None:
-        self.owner, self.name, self.path, self.comes_back = owner, name, path, comes_back
+        self.owner = owner
+        self.name = name
+        self.path = path
+        self.comes_back = comes_back
         self.talks = path.startswith(TALKS)
         self.transport: Any = None
         self.frames: FrameProtocol | None = None
@@ -73,7 +76,9 @@
         self.seen = 0
         self.count = 0
         self.open: dict[str, asyncio.TimerHandle] = {}
-        self.up = self.over = False  # in frames; wanted no more
+        # in frames; wanted no more
+        self.up = False
+        self.over = False
         self.parts: list[str] = []
         self.texts: list[str] = []  # what a tunnel brought
         self.served = 0  # outcomes that were
@@ -85,7 +90,8 @@
     # connections
     async def connect(self) -> None:
         owner = self.owner
-        self.told, self.closed_with = None, 1006
+        self.told = None
+        self.closed_with = 1006
         owner.connects.append(time.monotonic())
         try:
             await owner.loop.create_connection(lambda: self, *owner.random.choice(owner.proxies))
@@ -110,7 +116,9 @@
     def connection_lost(self, exc: Exception | None) -> None:
         if self.up:
             self.owner.closes[self.closed_with] += 1
-        self.transport, self.up, self.parser = None, False, None
+        self.transport = None
+        self.up = False
+        self.parser = None
         self.parts = []
         self._later()
 
@@ -152,7 +160,8 @@
             elif frame.opcode is not Opcode.PONG:
                 self.parts.append(str(frame.payload))
                 if frame.message_finished and frame.frame_finished:
-                    text, self.parts = "".join(self.parts), []
+                    text = "".join(self.parts)
+                    self.parts = []
                     self._text(text)
 
     def on_message_complete(self) -> None:
--- a/rigs/ledger.py
+++ b/rigs/ledger.py
@@ -255,7 +255,8 @@
         for start in self.starts:
             mine = sorted(work.get(start.server, ()), key=lambda attempt: attempt.begun)
             mine = [a for a in mine if start.at <= a.begun <= start.at + rules.cold_for]
-            total, tail = 0.0, 0
+            total = 0.0
+            tail = 0
             for attempt in mine:
                 total += attempt.work
                 while mine[tail].begun < attempt.begun - rules.fall_within:
@@ -270,5 +271,9 @@
 
 
 KINDS: dict[str, Callable[..., object]] = {
-    "taken": Taken, "answers": Answer, "attempts": Attempt, "told": Told, "starts": Start
-}  # fmt: skip
+    "taken": Taken,
+    "answers": Answer,
+    "attempts": Attempt,
+    "told": Told,
+    "starts": Start,
+}
--- a/rigs/padron.py
+++ b/rigs/padron.py
@@ -34,7 +34,9 @@
     ) -> None:
         """`proxy`: the one that asks it, where each has its own."""
         self.loop = asyncio.get_running_loop()
-        self.ledger, self.late, self.proxy = ledger, late, proxy
+        self.ledger = ledger
+        self.late = late
+        self.proxy = proxy
         self.random = Random(seed)
         self.index = 1
         self.entries: dict[str, Entry] = {}
--- a/rigs/program.py
+++ b/rigs/program.py
@@ -25,30 +25,54 @@
 def settings(**changes: Any) -> dict[str, Any]:
     """The platform's settings of a first tier that asks discovery and probes."""
     return {
-        "balancers": 1, "me": 0, "stage": 0, "stages": ["portal"], "zone": "a", "dcs": ["a", "b", "c"],
-        "discovery": "ask", "quantum": 0.005, "grades": GRADES, "tenants": [],
+        "balancers": 1,
+        "me": 0,
+        "stage": 0,
+        "stages": ["portal"],
+        "zone": "a",
+        "dcs": ["a", "b", "c"],
+        "discovery": "ask",
+        "quantum": 0.005,
+        "grades": GRADES,
+        "tenants": [],
         "report": {"names": ["busy_reqs", "pending"], "via": "on_probe"},
         "policy_limits": {
-            "send_cap": 5, "may_duplicate": False, "may_cancel": True, "probes": True, "conn_idle": 30.0,
-            "connect_timeout": 0.15, "most_held": 20000, "retry_after": True, "max_retry_after": 2.0,
+            "send_cap": 5,
+            "may_duplicate": False,
+            "may_cancel": True,
+            "probes": True,
+            "conn_idle": 30.0,
+            "connect_timeout": 0.15,
+            "most_held": 20000,
+            "retry_after": True,
+            "max_retry_after": 2.0,
         },
         "contract": {
-            "must_ask_in": 10.0, "grace_to_answer": 0.02, "drain_grace": 2.0, "cold_from": 0.16, "cold": 24.0,
-            "fall_multiple": 3.0, "overload_for": 3.0,
+            "must_ask_in": 10.0,
+            "grace_to_answer": 0.02,
+            "drain_grace": 2.0,
+            "cold_from": 0.16,
+            "cold": 24.0,
+            "fall_multiple": 3.0,
+            "overload_for": 3.0,
         },
         **changes,
-    }  # fmt: skip
+    }
 
 
 class Ports:
     """Ports for programs that are told theirs. Nobody else gets one between the choice and the listening:
     they lie below those that the kernel deals out, and no other process of this machine has this block."""
 
-    FIRST, BLOCK, BLOCKS = 10_240, 100, 220  # ports 10,240 to 32,239
+    # ports 10,240 to 32,239
+    FIRST = 10_240
+    BLOCK = 100
+    BLOCKS = 220
 
     def __init__(self) -> None:
         self.claim = socket.socket(socket.AF_UNIX)  # holds the block for as long as this process lives
-        self.first, self.given = 0, 0
+        self.first = 0
+        self.given = 0
         begin = os.getpid() % self.BLOCKS
         for block in (*range(begin, self.BLOCKS), *range(begin)):
             with contextlib.suppress(OSError):
@@ -81,7 +105,9 @@
     """A running proxy."""
 
     def __init__(self, process: asyncio.subprocess.Process, address: tuple[str, int], log: Path) -> None:
-        self.process, self.address, self.log = process, address, log
+        self.process = process
+        self.address = address
+        self.log = log
 
     def cpu(self) -> float:
         """s of CPU that it has used (proc(5), utime and stime)."""
--- a/rigs/recovery/broken.py
+++ b/rigs/recovery/broken.py
@@ -11,7 +11,8 @@
     """The rename comes before the data is safe."""
 
     def _write_whole(self, file: Any, now: float) -> None:
-        sync, self.disk.sync = self.disk.sync, lambda file: None  # type: ignore[method-assign]
+        sync = self.disk.sync
+        self.disk.sync = lambda file: None  # type: ignore[method-assign]
         try:
             super()._write_whole(file, now)
         finally:
@@ -26,7 +27,8 @@
         self.disk.rename(name + ".part", name)
 
     def _begin_log(self, now: float) -> None:
-        sync, self.disk.sync_folder = self.disk.sync_folder, lambda: None  # type: ignore[method-assign]
+        sync = self.disk.sync_folder
+        self.disk.sync_folder = lambda: None  # type: ignore[method-assign]
         try:
             super()._begin_log(now)
         finally:
--- a/rigs/recovery/disk.py
+++ b/rigs/recovery/disk.py
@@ -47,7 +47,9 @@
             self.files[name] = len(self.inodes)
             self.inodes.append(bytearray(data))
         self.steps: list[Step] = []
-        self.said = self.safe = 0  # records, told by who drives the store
+        # records, told by who drives the store
+        self.said = 0
+        self.safe = 0
         self.fails: Callable[[str, str], int] | None = None  # of a deed and a name: an errno, or 0
 
     def _step(self, do: str, name: str = "", to: str = "", inode: int = -1, data: bytes = b"") -> None:
@@ -120,7 +122,8 @@
             inodes[step.inode].pending.append(step.data)
         elif step.do == "sync":
             inode = inodes[step.inode]
-            inode.safe, inode.pending = inode.whole, []
+            inode.safe = inode.whole
+            inode.pending = []
         elif step.do == "sync folder":
             for item in pending:
                 _rename(names, item)
--- a/rigs/relay.py
+++ b/rigs/relay.py
@@ -49,7 +49,8 @@
 
     async def _connect(self) -> None:
         _, other = await asyncio.get_running_loop().create_connection(_Side, *self.to)
-        other.other, self.other = self, other
+        other.other = self
+        self.other = other
         if self.early and other.transport is not None:
             other.transport.write(self.early)
 
--- a/rigs/skew.py
+++ b/rigs/skew.py
@@ -32,13 +32,15 @@
 
     with open(file, "rb") as source:
         said = mmap.mmap(source.fileno(), STEER.size, prot=mmap.PROT_READ)
-    real_wall, real_now = time.time, Clock.now
+    real_wall = time.time
+    real_now = Clock.now
     time.time = lambda: real_wall() + STEER.unpack_from(said)[0]
     Clock.now = lambda self: real_now(self) + STEER.unpack_from(said)[1]  # type: ignore[method-assign]
 
 
 def skew(wall: float, step: float, at: float, monotonic: float) -> None:
-    real_wall, real_monotonic = time.time, time.monotonic
+    real_wall = time.time
+    real_monotonic = time.monotonic
     begun = real_monotonic()
 
     def skewed_wall() -> float:
@@ -50,8 +52,9 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    parser = argparse.ArgumentParser(prog="python -m rigs.skew", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)  # fmt: skip
+    parser = argparse.ArgumentParser(
+        prog="python -m rigs.skew", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--wall", type=float, default=0.0)
     parser.add_argument("--step", type=float, default=0.0)
     parser.add_argument("--at", type=float, default=0.0)
--- a/rigs/trial.py
+++ b/rigs/trial.py
@@ -23,7 +23,9 @@
 LOOK = 0.5  # s between two looks at a terminal
 LINE = 1.0  # s between two lines elsewhere
 MOST_ROWS = 24
-HOME, CLEAR = "\x1b[H", "\x1b[J"  # ECMA-48: cursor to the top left, erase to the end
+# ECMA-48: cursor to the top left, erase to the end
+HOME = "\x1b[H"
+CLEAR = "\x1b[J"
 
 
 def rows(world: World, passed: float, seconds: float) -> list[str]:
@@ -88,8 +90,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m rigs.trial", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)  # fmt: skip
+    parser = argparse.ArgumentParser(
+        prog="python -m rigs.trial", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("file", metavar="FILE")
     parser.add_argument("--environment", default="")
     parser.add_argument("--seconds", type=float, default=10.0)
--- a/rigs/world.py
+++ b/rigs/world.py
@@ -54,22 +54,28 @@
     """One sidecar with its application."""
 
     def __init__(self, world: World, sidecar: Sidecar) -> None:
-        self.world, self.sidecar = world, sidecar
+        self.world = world
+        self.sidecar = sidecar
         self.name = f"{sidecar.tier}-{sidecar.host}"
         self.application = Backend(
-            world.ledger, self.name, world.group(sidecar.zone),
-            world.habits.services.get(sidecar.tier, world.habits.service), further=self.further,
-        )  # fmt: skip
+            world.ledger,
+            self.name,
+            world.group(sidecar.zone),
+            world.habits.services.get(sidecar.tier, world.habits.service),
+            further=self.further,
+        )
         self.outbound: dict[str, Callers] = {}
         self.process: asyncio.subprocess.Process | None = None
-        self.file, self.log = world.folder / f"{self.name}.toml", world.folder / f"{self.name}.log"
+        self.file = world.folder / f"{self.name}.toml"
+        self.log = world.folder / f"{self.name}.log"
         self.code: int | None = None  # of its last process
         self.listed = entry(self.name, sidecar.inbound, zone=sidecar.zone)
 
     async def further(self, incoming: Incoming) -> bool:
         """What the application does for a call: so many calls, one after another, to each tier that it calls
         and that serves the class."""
-        habits, cls = self.world.habits, self.world.classes[incoming.cls]
+        habits = self.world.habits
+        cls = self.world.classes[incoming.cls]
         more = f"Tier-Budget: {incoming.budget.decode()}" if habits.copies_budget and incoming.budget else ""
         of = incoming.call if habits.extends_ids else ""
         for called, callers in self.outbound.items():
@@ -113,7 +119,8 @@
             self.process = await asyncio.create_subprocess_exec(
                 *command, cwd=ROOT, env=environ, stdout=sink, stderr=sink
             )
-        process, program = self.process, Program(self.process, address(sidecar.inbound), self.log)
+        process = self.process
+        program = Program(self.process, address(sidecar.inbound), self.log)
         await until(lambda: process.returncode is not None or program.up(), f"{self.name} ready")
         if process.returncode is not None:
             raise RuntimeError(f"{self.name} ended with {process.returncode}: {self.log.read_text()[-2000:]}")
@@ -152,7 +159,10 @@
         skews: Mapping[str, list[str]],
         older: frozenset[str],
     ) -> None:
-        self.folder, self.habits, self.routes, self.skews = folder, habits, routes, skews
+        self.folder = folder
+        self.habits = habits
+        self.routes = routes
+        self.skews = skews
         self.older = older  # tiers whose sidecars know of no budgets
         self.parents: dict[str, str] = {}  # a call that an application made, and the one that it made it for
         self.ledger = Ledger()
@@ -168,11 +178,19 @@
         self.hosts = [Host(self, sidecar) for sidecar in self.description.sidecars]
         manned = {host.sidecar.tier for host in self.hosts}
         self.plain = [
-            (name, Backend(self.ledger, f"{name}-{number}", self.group(tier.zones[number % len(tier.zones)]),
-                           habits.services.get(name, habits.service)))
-            for name, tier in self.description.tiers.items() if name not in manned
+            (
+                name,
+                Backend(
+                    self.ledger,
+                    f"{name}-{number}",
+                    self.group(tier.zones[number % len(tier.zones)]),
+                    habits.services.get(name, habits.service),
+                ),
+            )
+            for name, tier in self.description.tiers.items()
+            if name not in manned
             for number in range(min(PLAIN_NODES, tier.nodes))
-        ]  # fmt: skip
+        ]
         self.edge: Program | None = None
         self.callers: Callers | None = None
 
@@ -185,11 +203,14 @@
         service."""
         sidecars = tuple(
             replace(
-                sidecar, inbound=loopback(), application=loopback(), registration=None,
+                sidecar,
+                inbound=loopback(),
+                application=loopback(),
+                registration=None,
                 outbound={called: loopback() for called in sidecar.outbound},
             )
             for sidecar in description.sidecars[:MOST_SIDECARS]
-        )  # fmt: skip
+        )
         return replace(description, sidecars=sidecars)
 
     def put(self, tier: str, item: dict[str, object]) -> None:
@@ -217,8 +238,9 @@
     def edge_settings(self) -> dict[str, object]:
         """Of the proxy before the first tier, as if it were a sidecar that calls it."""
         tier = self.description.tiers[self.entry]
-        sidecar = Sidecar("edge", tier.zones[0], "edge", "127.0.0.1:1", "127.0.0.1:1",
-                          outbound={self.entry: "127.0.0.1:1"})  # fmt: skip
+        sidecar = Sidecar(
+            "edge", tier.zones[0], "edge", "127.0.0.1:1", "127.0.0.1:1", outbound={self.entry: "127.0.0.1:1"}
+        )
         alone = replace(self.description, sidecars=(sidecar,))
         made = platform(alone, sidecar, self.entry)
         # Callers here never try again by themselves: one that waits less than another has not waited before.
--- a/rigs/wsnode.py
+++ b/rigs/wsnode.py
@@ -35,10 +35,25 @@
     "silent",  # nothing more is looked at or said, the connection stays
     "mute",  # reads on, answers nothing, not even pings
     "slow",  # reads nothing for a while, so that the sender's buffers fill
-    "reset", "close", "masked", "reserved", "opcode", "utf8", "long", "unasked", "close-1",
+    "reset",
+    "close",
+    "masked",
+    "reserved",
+    "opcode",
+    "utf8",
+    "long",
+    "unasked",
+    "close-1",
     # Of the handshake, whatever `after` says:
-    "decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late",
-)  # fmt: skip
+    "decline",
+    "reject",
+    "wrong-key",
+    "no-answer",
+    "plain",
+    "extension",
+    "behind",
+    "late",
+)
 HANDSHAKE = frozenset(("decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late"))
 SLOW = 0.5  # s
 
@@ -89,7 +104,11 @@
         service: float = 0.002,
         zone: str = "a",
     ) -> None:
-        self.ledger, self.name, self.faults, self.service, self.zone = ledger, name, faults, service, zone
+        self.ledger = ledger
+        self.name = name
+        self.faults = faults
+        self.service = service
+        self.zone = zone
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
         self.address = ""
@@ -121,9 +140,11 @@
         self.transport: Any = None
         self.head = bytearray()
         self.frames: FrameProtocol | None = None
-        self.number = self.messages = 0
+        self.number = 0
+        self.messages = 0
         self.parts: list[Any] = []
-        self.mute = self.dead = False
+        self.mute = False
+        self.dead = False
         self.attempt: Attempt | None = None
         self.close_code = 1006
 
@@ -170,7 +191,8 @@
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(LOAD), LOAD))
             return
         now = time.monotonic()
-        call, key = fields.get(b"x-call-id", b"").decode(), fields.get(b"idempotency-key", b"").decode()
+        call = fields.get(b"x-call-id", b"").decode()
+        key = fields.get(b"idempotency-key", b"").decode()
         via = fields.get(b"x-via", b"").decode()
         self.attempt = attempt = self.node.ledger.attempt(
             call, self.node.name, self.node.zone, now, key=key, proxy=via, whole=now
@@ -178,7 +200,8 @@
         if fields.get(b"upgrade", b"").lower() == b"websocket":
             self._upgrade(fields, attempt)
             return
-        attempt.ran, attempt.ran_at = True, now
+        attempt.ran = True
+        attempt.ran_at = now
         self.node.loop.call_later(self.node.service, self._served, attempt)
 
     def _served(self, attempt: Attempt) -> None:
@@ -225,8 +248,10 @@
         if self.transport is None:
             return
         self.frames = FrameProtocol(client=False, extensions=[])
-        head = (b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-                b"Sec-WebSocket-Accept: " + accept + b"\r\n" + more + b"\r\n")  # fmt: skip
+        head = (
+            b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
+            b"Sec-WebSocket-Accept: " + accept + b"\r\n" + more + b"\r\n"
+        )
         behind = bytes(self.frames.send_data("behind")) if what == "behind" else b""
         self.transport.write(head + behind)
         self.node.open.add(self)
@@ -251,7 +276,8 @@
                 elif frame.opcode is not Opcode.PONG:
                     self.parts.append(frame.payload)
                     if frame.message_finished and frame.frame_finished:
-                        parts, self.parts = self.parts, []
+                        parts = self.parts
+                        self.parts = []
                         self._message(("" if isinstance(frame.payload, str) else b"").join(parts))
         except ParseFailed:
             if self.transport is not None:
@@ -314,8 +340,11 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m rigs.wsnode", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)  # fmt: skip
+    parser = argparse.ArgumentParser(
+        prog="python -m rigs.wsnode",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--script", type=Path)
     parser.add_argument("--seconds", type=float, default=60.0, help="then it ends")
--- a/tests/budgets/test_accounts.py
+++ b/tests/budgets/test_accounts.py
@@ -63,9 +63,16 @@
 
 @pytest.mark.parametrize(
     ("attempts", "tiers", "calls", "reach"),
-    [(1, 1, 2, True), (3, 2, 2, False), (4, 2, 2, True), (3, 3, 1, False), (4, 3, 1, True), (13, 3, 2, False),
-     (14, 3, 2, True)],
-)  # fmt: skip
+    [
+        (1, 1, 2, True),
+        (3, 2, 2, False),
+        (4, 2, 2, True),
+        (3, 3, 1, False),
+        (4, 3, 1, True),
+        (13, 3, 2, False),
+        (14, 3, 2, True),
+    ],
+)
 def test_how_far_attempts_reach(attempts: int, tiers: int, calls: int, reach: bool) -> None:
     assert reaches(attempts, tiers, calls, 3) is reach
 
--- a/tests/budgets/test_calls.py
+++ b/tests/budgets/test_calls.py
@@ -65,9 +65,13 @@
 
 
 def request(
-    id: bytes = b"9b1f03aa5c7e2d41", cls: str = "canje", budget: float = 5.0, key: bytes = b"",
-    value: bytes | None = None, values: tuple[bytes, ...] = (),
-) -> Request:  # fmt: skip
+    id: bytes = b"9b1f03aa5c7e2d41",
+    cls: str = "canje",
+    budget: float = 5.0,
+    key: bytes = b"",
+    value: bytes | None = None,
+    values: tuple[bytes, ...] = (),
+) -> Request:
     """As the listener reads it, with these fields Tier-Budget."""
     headers = [(b"host", b"x"), (b"x-call-id", id), (b"x-budget", b"%dm" % (budget * 1000))]
     if cls == "reserva":
@@ -82,9 +86,13 @@
 
 
 def brought(
-    id: bytes = b"9b1f03aa5c7e2d41", time_left: float = 2.0, aim: float = 1.0, attempts: int = 6,
-    worth: float = 1.0, path: tuple[str, ...] = ("edge",),
-) -> bytes:  # fmt: skip
+    id: bytes = b"9b1f03aa5c7e2d41",
+    time_left: float = 2.0,
+    aim: float = 1.0,
+    attempts: int = 6,
+    worth: float = 1.0,
+    path: tuple[str, ...] = ("edge",),
+) -> bytes:
     return header.write(Budget(time_left, aim, attempts, worth, "canje", path, "f" * 16), id, KEYS)
 
 
@@ -99,7 +107,8 @@
     """An exchange that came to this."""
 
     def __init__(self, code: int = 200, value: bytes | None = None, elapsed: float = 0.1) -> None:
-        self.code, self.elapsed = code, elapsed
+        self.code = code
+        self.elapsed = elapsed
         self.headers = [] if value is None else [(header.FIELD, value)]
 
 
@@ -130,14 +139,19 @@
     unsigned = good.rpartition(b";m=")[0]
     bad: dict[str, tuple[bytes, ...]] = {
         "none": (),
-        "forged": (header.write(Budget(3600.0, 3600.0, 9999, 1e6, "canje", ("edge",), "f" * 16),
-                                b"9b1f03aa5c7e2d41", {b"k1": b"guess" * 4}),),
+        "forged": (
+            header.write(
+                Budget(3600.0, 3600.0, 9999, 1e6, "canje", ("edge",), "f" * 16),
+                b"9b1f03aa5c7e2d41",
+                {b"k1": b"guess" * 4},
+            ),
+        ),
         "another call's": (brought(id=b"another", worth=1e6),),
         "negative": (good.replace(b"t=3600000000", b"t=-1"),),
         "huge": (unsigned.replace(b"a=9999", b"a=" + b"9" * 400) + b";m=" + b"0" * 32,),
         "doubled": (good, good),
         "garbage": (b"\xff;;==",),
-    }  # fmt: skip
+    }
     process = Process(tmp_path, attempts=5)
     with caplog.at_level(logging.WARNING):
         ticket = process.inner.arrival(request(values=bad[kind]), nothing)
@@ -232,7 +246,8 @@
     tmp_path: Path,
 ) -> None:
     process = Process(tmp_path)
-    gone, answered = process.request(brought(b"a"), id=b"a"), process.request(brought(b"b"), id=b"b")
+    gone = process.request(brought(b"a"), id=b"a")
+    answered = process.request(brought(b"b"), id=b"b")
     references = process.reference(gone), process.reference(answered)
     gone.ended(False)
     answered.ended(True)
@@ -356,7 +371,8 @@
     for _ in range(LEAST_SAMPLES):
         process.inner.usual["canje"].learn(0.4)
         process.outer.usual["canje"].learn(0.2)
-    soon, later = process.request(brought(aim=0.3)), process.request(brought(b"b", aim=0.6), id=b"b")
+    soon = process.request(brought(aim=0.3))
+    later = process.request(brought(b"b", aim=0.6), id=b"b")
     assert soon.share == pytest.approx(0.05) and later.share == 1.0
     assert process.call(process.reference(soon), id=b"x").share == 1.0
     late = process.request(brought(b"c", aim=0.1), id=b"c")
@@ -365,7 +381,8 @@
 
 # keys
 def test_keys_are_rotated_under_traffic_without_a_refusal(tmp_path: Path) -> None:
-    one, two = Process(tmp_path, "edge", edge=True), Process(tmp_path, "portal")
+    one = Process(tmp_path, "edge", edge=True)
+    two = Process(tmp_path, "portal")
     new = "k2 " + "cd" * 16 + "\n"
     steps = [(one, KEY + new), (two, KEY + new), (one, new + KEY), (two, new + KEY), (one, new), (two, new)]
     for place, (process, text) in enumerate([(one, KEY), *steps]):
--- a/tests/budgets/test_chain.py
+++ b/tests/budgets/test_chain.py
@@ -227,7 +227,8 @@
 
     async def test() -> None:
         async with running(2, 1, habits=HABITS) as made:
-            callers, edge = made.world.callers, made.world.edge
+            callers = made.world.callers
+            edge = made.world.edge
             assert callers is not None and edge is not None
             programs = [edge]
             for host in made.world.hosts:
@@ -246,7 +247,8 @@
                         await until(program.up, "an answer after the signal")
                     await served(3)  # while some have these keys and others don't
 
-            old, new = made.keys.read_text(), "k2 " + "cd" * 16 + "\n"
+            old = made.keys.read_text()
+            new = "k2 " + "cd" * 16 + "\n"
             calling = asyncio.create_task(callers.run(30.0, 60.0, wait=False))
             for text in (old + new, new + old, new):
                 await rotate(text)
--- a/tests/budgets/test_ends.py
+++ b/tests/budgets/test_ends.py
@@ -87,7 +87,8 @@
             await asyncio.sleep(0.1)
             writer.transport.abort()  # after the caller has gone
 
-        one, two = await Backend(behave).start(), await Backend(behave).start()
+        one = await Backend(behave).start()
+        two = await Backend(behave).start()
         async with edge([one.address, two.address]) as program:
             caller = await caller_of(program)
             caller.send("canje", "a" * 16, budget="5000m")
--- a/tests/budgets/test_header.py
+++ b/tests/budgets/test_header.py
@@ -44,8 +44,11 @@
         return
     found = read(write(budget, CALL, KEYS), CALL, KEYS)
     assert (found.attempts, found.cls, found.path, found.tree) == (
-        budget.attempts, budget.cls, budget.path, budget.tree
-    )  # fmt: skip
+        budget.attempts,
+        budget.cls,
+        budget.path,
+        budget.tree,
+    )
     assert found.time == pytest.approx(budget.time, abs=2e-6)
     assert found.worth == pytest.approx(budget.worth, abs=2e-3)
 
@@ -67,18 +70,35 @@
 @pytest.mark.parametrize(
     ("old", "new"),
     [
-        (b"t=1200000", b"t=-1"), (b"t=1200000", b"t=01"), (b"t=1200000", b"t=1e6"), (b"t=1200000", b"t="),
-        (b"t=1200000", b"t=+5"), (b"t=1200000", b"t=" + b"9" * 16), (b"t=1200000", b"t=\xd9\xa1"),
-        (b"t=1200000", b"t=999999999999999"), (b"a=4", b"a=10000"), (b"w=12000", b"w=1000000001"),
-        (b"a=4", b"a=4;a=5"), (b"c=stock", b"c=Stock"), (b"c=stock", b"c="), (b"c=stock", b"c=st\xc3\xb6ck"),
-        (b"p=edge.portal", b"p="), (b"p=edge.portal", b"p=edge..portal"),
+        (b"t=1200000", b"t=-1"),
+        (b"t=1200000", b"t=01"),
+        (b"t=1200000", b"t=1e6"),
+        (b"t=1200000", b"t="),
+        (b"t=1200000", b"t=+5"),
+        (b"t=1200000", b"t=" + b"9" * 16),
+        (b"t=1200000", b"t=\xd9\xa1"),
+        (b"t=1200000", b"t=999999999999999"),
+        (b"a=4", b"a=10000"),
+        (b"w=12000", b"w=1000000001"),
+        (b"a=4", b"a=4;a=5"),
+        (b"c=stock", b"c=Stock"),
+        (b"c=stock", b"c="),
+        (b"c=stock", b"c=st\xc3\xb6ck"),
+        (b"p=edge.portal", b"p="),
+        (b"p=edge.portal", b"p=edge..portal"),
         (b"p=edge.portal", b"p=edge.portal."),
-        (b"p=edge.portal", b"p=" + b".".join([b"a"] * 9)), (b"i=00ff00ff00ff00ff", b"i=00FF00FF00FF00FF"),
-        (b"i=00ff00ff00ff00ff", b"i=00ff"), (b"1;", b"2;"), (b"1;", b" 1;"),
-        (b";a=", b"; a="), (b"k=k1", b"k=k1 "),
-        (b"o=500000;a=4", b"a=4;o=500000"), (b"o=500000;", b""), (b"o=500000", b"o=3600000001"),
+        (b"p=edge.portal", b"p=" + b".".join([b"a"] * 9)),
+        (b"i=00ff00ff00ff00ff", b"i=00FF00FF00FF00FF"),
+        (b"i=00ff00ff00ff00ff", b"i=00ff"),
+        (b"1;", b"2;"),
+        (b"1;", b" 1;"),
+        (b";a=", b"; a="),
+        (b"k=k1", b"k=k1 "),
+        (b"o=500000;a=4", b"a=4;o=500000"),
+        (b"o=500000;", b""),
+        (b"o=500000", b"o=3600000001"),
     ],
-)  # fmt: skip
+)
 def test_what_is_not_of_the_form_is_refused_though_it_is_signed(old: bytes, new: bytes) -> None:
     read(signed(GOOD), CALL, KEYS)
     assert old in GOOD
@@ -107,7 +127,8 @@
 
 
 def test_both_keys_are_accepted_while_they_are_rotated_and_the_first_signs() -> None:
-    before, after = {b"k0": KEYS[b"k0"]}, {b"k1": KEYS[b"k1"], b"k0": KEYS[b"k0"]}
+    before = {b"k0": KEYS[b"k0"]}
+    after = {b"k1": KEYS[b"k1"], b"k0": KEYS[b"k0"]}
     assert read(write(BUDGET, CALL, before), CALL, after) == BUDGET
     assert b";k=k1;" in write(BUDGET, CALL, after)
     with pytest.raises(Malformed, match="k1 is not known"):
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -149,7 +149,8 @@
     seen = watch(bed)
     groups = [frozenset(range(9)), frozenset(range(9, 14))]
     bed.network.parts.append(groups)
-    large, small = bed.members[:9], bed.members[9:]
+    large = bed.members[:9]
+    small = bed.members[9:]
     until(bed, lambda: all(len(core(m).table) == 9 for m in large), 15)
     until(bed, lambda: all(len(core(m).table) == 5 for m in small), 15)
     assert not core(large[0]).minority and core(small[0]).minority
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -71,7 +71,8 @@
 @given(st.integers(1, 300), st.data())
 def test_all_shares_together_stay_under_the_bound(by_settings: int, data: st.DataObject) -> None:
     """Parted into any groups that see only themselves; each by its rule."""
-    left, total = by_settings, 0.0
+    left = by_settings
+    total = 0.0
     while left:
         group = data.draw(st.integers(1, left))
         left -= group
--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -20,21 +20,40 @@
 NAMES = st.text(st.characters(whitelist_categories=["Lu", "Ll", "Nd"]), min_size=1, max_size=10)
 SAIDS = st.builds(
     lambda name, run, life, beat, claim, phase, word, sure, zone: Said(
-        key_of(name), Incarnation(run, life, beat), claim, phase, word,
-        key_of("a") if claim is Claim.SUSPECT else b"", sure,
+        key_of(name),
+        Incarnation(run, life, beat),
+        claim,
+        phase,
+        word,
+        key_of("a") if claim is Claim.SUSPECT else b"",
+        sure,
         Record(name, ("10.0.0.9", 7946), "portal", zone),
     ),
-    NAMES, st.integers(1, (1 << 40) - 1), st.integers(0, 65535), st.integers(0, 65535),
-    st.sampled_from(Claim), st.sampled_from(Phase), st.binary(max_size=24), st.booleans(),
+    NAMES,
+    st.integers(1, (1 << 40) - 1),
+    st.integers(0, 65535),
+    st.integers(0, 65535),
+    st.sampled_from(Claim),
+    st.sampled_from(Phase),
+    st.binary(max_size=24),
+    st.booleans(),
     st.sampled_from(["", "a", "santiago-norte"]),
-)  # fmt: skip
+)
 
 
 def datagram(*parts: bytes, kind: int = Kind.GOSSIP, number: int = 1, fleet: bytes = b"flee") -> bytes:
     return wire.write(
-        cast(Kind, kind), fleet, key_of("p0"), Incarnation(5, 6, 7), number, 1 << 63, Phase.DRAINING,
-        wire.CHANGING, Figures(3, 70_000), parts,
-    )  # fmt: skip
+        cast(Kind, kind),
+        fleet,
+        key_of("p0"),
+        Incarnation(5, 6, 7),
+        number,
+        1 << 63,
+        Phase.DRAINING,
+        wire.CHANGING,
+        Figures(3, 70_000),
+        parts,
+    )
 
 
 @given(SAIDS)
@@ -42,8 +61,11 @@
     assert wire.unpack_record(wire.pack_record(said)) == said
     short = wire.unpack_update(wire.pack_update(said))
     assert (short.key, short.incarnation, short.claim, short.word) == (
-        said.key, said.incarnation, said.claim, said.word
-    )  # fmt: skip
+        said.key,
+        said.incarnation,
+        said.claim,
+        said.word,
+    )
 
 
 def test_a_whole_datagram() -> None:
@@ -67,8 +89,13 @@
 
 def test_a_newer_version_is_read_as_far_as_it_is_known() -> None:
     """Two bytes more in the header, a section and a kind of its own: skipped, and the rest is heard."""
-    said = Said(key_of("p9"), Incarnation(9, 9, 0), Claim.ALIVE, Phase.SERVING,
-                record=Record("p9", ("10.0.0.9", 7946)))  # fmt: skip
+    said = Said(
+        key_of("p9"),
+        Incarnation(9, 9, 0),
+        Claim.ALIVE,
+        Phase.SERVING,
+        record=Record("p9", ("10.0.0.9", 7946)),
+    )
     writer = Writer()
     writer.parts += [bytes((199, 3)), b"new"]
     writer.said(said)
@@ -94,7 +121,9 @@
 
 
 def test_keys_are_rotated_and_strangers_keys_are_none() -> None:
-    old, new, other = b"o" * 16, b"n" * 16, b"x" * 16
+    old = b"o" * 16
+    new = b"n" * 16
+    other = b"x" * 16
     data = Seals([old]).seal(datagram())
     assert Seals([new, old]).holds(data) and not Seals([new]).holds(data)
     assert not Seals([other]).holds(data) and not Seals().holds(data)
@@ -102,7 +131,9 @@
 
 @given(st.lists(st.integers(1, 3 * WINDOW), max_size=200))
 def test_a_number_is_taken_once_and_not_when_it_is_too_old(numbers: list[int]) -> None:
-    window, taken, highest = Numbers(), set[int](), 0
+    window = Numbers()
+    taken = set[int]()
+    highest = 0
     for number in numbers:
         wanted = number not in taken and number > highest - WINDOW
         assert window.fresh(b"abcdef", (1, 1), number) == wanted
@@ -113,7 +144,8 @@
 
 def test_fuzzed_datagrams_raise_nothing_and_no_answer_is_longer_than_its_question() -> None:
     """Garbage; then real ones of a fleet with bytes turned and the checksum made right again."""
-    random, seals = Random(1), Seals()
+    random = Random(1)
+    seals = Seals()
     bed = Bed(6, Timing(), 1)
     kept: list[bytes] = []
     bed.network.seen = kept.append
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -288,9 +288,14 @@
 def test_staff_read_a_view_and_the_exit_code_says_whether_it_has_settled() -> None:
     async def ask(*arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "granitepoint.fleet", "view", *arguments,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "granitepoint.fleet",
+            "view",
+            *arguments,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+        )
         out, _ = await process.communicate()
         return process.returncode or 0, out.decode()
 
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -23,14 +23,17 @@
 from rigs.program import free_port, settings
 
 PEERS: dict[str, Any] = {
-    "peer_listen": "127.0.0.1:0", "peers": ["127.9.0.1:7946", "127.9.0.2:7946", "127.9.0.3:7946"]
-}  # fmt: skip
+    "peer_listen": "127.0.0.1:0",
+    "peers": ["127.9.0.1:7946", "127.9.0.2:7946", "127.9.0.3:7946"],
+}
 
 
 class Driver:
     """transport.Proxied."""
 
-    load, list_version, ready = 0.25, 41, True
+    load = 0.25
+    list_version = 41
+    ready = True
 
     def __init__(self) -> None:
         self.counts: list[int] = []
@@ -173,9 +176,11 @@
         asked, _ = await loop.create_datagram_endpoint(Asked, local_addr=("127.0.0.1", 0))
         everyone = ":".join(map(str, asked.get_extra_info("sockname")))
         made = Fleet(
-            Settings("portal", period=0.1), config(True, peer_listen="127.0.0.1:0", peers_all=everyone),
-            Driver(), Clock(),
-        )  # fmt: skip
+            Settings("portal", period=0.1),
+            config(True, peer_listen="127.0.0.1:0", peers_all=everyone),
+            Driver(),
+            Clock(),
+        )
         made.start()
         await until(lambda: Kind.JOIN in kinds, "asked")
         assert not made.settled
--- a/tests/http2/test_outcomes.py
+++ b/tests/http2/test_outcomes.py
@@ -101,10 +101,12 @@
 @pytest.mark.parametrize(
     ("phase", "event"),
     [
-        (Phase.WHOLE, Event.CUT), (Phase.WHOLE, Event.RESET), (Phase.WHOLE, Event.BROKEN),
+        (Phase.WHOLE, Event.CUT),
+        (Phase.WHOLE, Event.RESET),
+        (Phase.WHOLE, Event.BROKEN),
         (Phase.WHOLE, Event.GIVEN_UP),
     ],
-)  # fmt: skip
+)
 def test_the_model_finds_each_line_that_would_be_too_bold(
     phase: Phase, event: Event, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/membership/test_jute.py
+++ b/tests/membership/test_jute.py
@@ -21,8 +21,11 @@
 
 
 REQUESTS = {
-    "create": (kazoo.Create("/a/b", b"x", OPEN, 1), Op.CREATE,
-               jute.create_body("/a/b", b"x", jute.OPEN_ACL, Create.EPHEMERAL)),
+    "create": (
+        kazoo.Create("/a/b", b"x", OPEN, 1),
+        Op.CREATE,
+        jute.create_body("/a/b", b"x", jute.OPEN_ACL, Create.EPHEMERAL),
+    ),
     "delete": (kazoo.Delete("/a", 3), Op.DELETE, jute.delete_body("/a", 3)),
     "exists": (kazoo.Exists("/a", True), Op.EXISTS, jute.read_body("/a", True)),
     "getData": (kazoo.GetData("/ñ", None), Op.GET_DATA, jute.read_body("/ñ", False)),
@@ -32,13 +35,25 @@
     "check": (kazoo.CheckVersion("/a", 4), Op.CHECK, jute.check_body("/a", 4)),
     "auth": (kazoo.Auth(0, "digest", "u:p"), Op.AUTH, jute.auth_body("digest", b"u:p")),
     "multi": (
-        kazoo.Transaction([kazoo.Create("/a", b"x", OPEN, 0), kazoo.Delete("/b", -1),
-                           kazoo.SetData("/c", b"y", 2), kazoo.CheckVersion("/d", 1)]), Op.MULTI,
-        jute.multi_body([Operation(Op.CREATE, jute.create_body("/a", b"x", jute.OPEN_ACL, Create.PERSISTENT)),
-                         Operation(Op.DELETE, jute.delete_body("/b")),
-                         Operation(Op.SET_DATA, jute.set_data_body("/c", b"y", 2)),
-                         Operation(Op.CHECK, jute.check_body("/d", 1))])),
-}  # fmt: skip
+        kazoo.Transaction(
+            [
+                kazoo.Create("/a", b"x", OPEN, 0),
+                kazoo.Delete("/b", -1),
+                kazoo.SetData("/c", b"y", 2),
+                kazoo.CheckVersion("/d", 1),
+            ]
+        ),
+        Op.MULTI,
+        jute.multi_body(
+            [
+                Operation(Op.CREATE, jute.create_body("/a", b"x", jute.OPEN_ACL, Create.PERSISTENT)),
+                Operation(Op.DELETE, jute.delete_body("/b")),
+                Operation(Op.SET_DATA, jute.set_data_body("/c", b"y", 2)),
+                Operation(Op.CHECK, jute.check_body("/d", 1)),
+            ]
+        ),
+    ),
+}
 
 
 @pytest.mark.parametrize(("stock", "op", "ours"), REQUESTS.values(), ids=REQUESTS)
@@ -124,7 +139,8 @@
 
 def test_frames_are_taken_whole_however_they_come() -> None:
     data = jute.request(1, Op.PING) + jute.request(2, Op.SYNC, jute.path_body("/a"))
-    buffer, found = bytearray(), []
+    buffer = bytearray()
+    found = []
     for byte in data:
         buffer.append(byte)
         found += jute.frames(buffer)
--- a/tests/membership/test_merger.py
+++ b/tests/membership/test_merger.py
@@ -14,7 +14,9 @@
 from granitepoint.net.listing import Listed, server_id
 from granitepoint.net.sources import Health
 
-READY, DRAINING, GONE = ServerState.SERVING, ServerState.DRAINING, ServerState.GONE
+READY = ServerState.SERVING
+DRAINING = ServerState.DRAINING
+GONE = ServerState.GONE
 
 
 def entry(
--- a/tests/membership/test_register.py
+++ b/tests/membership/test_register.py
@@ -186,9 +186,14 @@
                 '[registration]\nname = "s-7"\naddress = "127.0.0.1:8087"\nzone = "b"\ndrain = 0.2\n'
             )
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "granitepoint.membership.register", "--operator", str(file), cwd=ROOT,
+                sys.executable,
+                "-m",
+                "granitepoint.membership.register",
+                "--operator",
+                str(file),
+                cwd=ROOT,
                 stderr=asyncio.subprocess.DEVNULL,
-            )  # fmt: skip
+            )
             await until(lambda: held(service, "s-7") is not None, "the registration")
             found = held(service, "s-7")
             assert found is not None and (found.zone, found.status) == ("b", "Ready") and found.since_ms > 0
@@ -204,9 +209,14 @@
         file = tmp_path / "operator.toml"
         file.write_text('[membership]\nservers = ["127.0.0.1:1"]\npath = "/a"\n')
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "granitepoint.membership.register", "--operator", str(file), cwd=ROOT,
+            sys.executable,
+            "-m",
+            "granitepoint.membership.register",
+            "--operator",
+            str(file),
+            cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+        )
         _, said = await process.communicate()
         assert process.returncode == 2 and b"[registration] are needed" in said
 
--- a/tests/membership/test_session.py
+++ b/tests/membership/test_session.py
@@ -111,7 +111,8 @@
 def test_paths_are_below_the_chroot() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            plain, rooted = Client(service), Client(service, chroot="/prod")
+            plain = Client(service)
+            rooted = Client(service, chroot="/prod")
             await plain.reaches(State.CONNECTED)
             await rooted.reaches(State.CONNECTED)
             await plain.session.ensure("/prod")
@@ -206,7 +207,8 @@
 
     async def test() -> None:
         async with ensemble() as service:
-            client, other = Client(service), Client(service)
+            client = Client(service)
+            other = Client(service)
             await client.reaches(State.CONNECTED)
             await other.reaches(State.CONNECTED)
             await other.session.ensure("/p")
@@ -239,7 +241,8 @@
 def test_a_persistent_recursive_watch_lives_through_reconnects_and_names_each_change() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            client, other = Client(service), Client(service)
+            client = Client(service)
+            other = Client(service)
             await client.reaches(State.CONNECTED)
             await other.reaches(State.CONNECTED)
             await other.session.ensure("/p")
@@ -308,7 +311,8 @@
     async def test() -> None:
         async with ensemble(1) as service:
             service.credentials = {"u": "p"}
-            good, nobody = Client(service, auth=b"u:p"), Client(service)
+            good = Client(service, auth=b"u:p")
+            nobody = Client(service)
             await good.reaches(State.CONNECTED)
             await nobody.reaches(State.CONNECTED)
             await good.session.create("/mine", b"x", acl=CREATOR_ACL)
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -447,7 +447,8 @@
 
     async def test() -> None:
         async with watched(watch, reads_per_s=100.0) as (service, proxy):
-            before, begun = proxy.membership.reads_done, time.monotonic()
+            before = proxy.membership.reads_done
+            begun = time.monotonic()
             for number in range(1000):
                 name = NAMES[number % 9]
                 service.tree.set_data(f"{PATH}/{name}", node(name, at(name)).data(), -1)
@@ -456,7 +457,8 @@
             service.tree.set_data(f"{PATH}/s-8", node("s-8", "127.0.0.1:8").draining().data(), -1)
             await proxy.serves(NAMES[:8])
             await proxy.is_fresh()
-            reads, span = proxy.membership.reads_done - before, time.monotonic() - begun
+            reads = proxy.membership.reads_done - before
+            span = time.monotonic() - begun
             assert reads <= 100.0 * (span + source.BURST) + 2
 
     run(test)
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -30,7 +30,9 @@
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, connection: int) -> None:
         self.method, self.target, _ = line.split(" ")
-        self.headers, self.body, self.connection = headers, body, connection
+        self.headers = headers
+        self.body = body
+        self.connection = connection
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
@@ -65,7 +67,8 @@
         self.healthy: bool | None = True  # what a probe is told; None: nothing
         self.probed = asyncio.Event()
         self.calls: asyncio.Queue[Seen] = asyncio.Queue()
-        self.count = self.connections = 0
+        self.count = 0
+        self.connections = 0
         self.closed: asyncio.Queue[int] = asyncio.Queue()  # connections that the proxy closed
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
@@ -133,8 +136,17 @@
 
 
 def endpoint(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
-    return {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "status": status,
-            "weight": 1.0, "since_ms": 0, **more}  # fmt: skip
+    return {
+        "name": name,
+        "address": address,
+        "zone": "a",
+        "type": "m",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0,
+        **more,
+    }
 
 
 def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
@@ -143,14 +155,17 @@
 
 class Answer:
     def __init__(self, line: str, headers: dict[str, str], body: bytes) -> None:
-        self.code, self.headers, self.body = int(line.split(" ")[1]), headers, body
+        self.code = int(line.split(" ")[1])
+        self.headers = headers
+        self.body = body
 
 
 class Caller:
     """One caller's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
 
     def send(self, cls: str, id: str, budget: str = "1000m", body: bytes = b"", **headers: str) -> None:
         method = "GET" if cls == "stock" else "POST"
@@ -189,7 +204,10 @@
     def __init__(
         self, process: asyncio.subprocess.Process, address: tuple[str, int], path: Path, first: dict[str, Any]
     ) -> None:
-        self.process, self.address, self.path, self.first = process, address, path, first
+        self.process = process
+        self.address = address
+        self.path = path
+        self.first = first
 
     async def caller(self) -> Caller:
         return Caller(*await asyncio.open_connection(*self.address))
@@ -214,8 +232,15 @@
 
 def config(discovery: str, known: dict[str, Any], listen: str, /, **changes: Any) -> dict[str, Any]:
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": changes.pop("sockets", 1024)}
-    return {"name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-            "limits": limits, "known": known, "settings": copy.deepcopy({**SETTINGS, **changes})}  # fmt: skip
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": limits,
+        "known": known,
+        "settings": copy.deepcopy({**SETTINGS, **changes}),
+    }
 
 
 def loads(*prefixes: str) -> bool:
--- a/tests/operations/test_console.py
+++ b/tests/operations/test_console.py
@@ -76,7 +76,8 @@
     for backend in backends.values():
         await backend.start()
     known = listing(1, *(endpoint(name, backend.address) for name, backend in backends.items()))
-    listen, console = free_port(), free_port()
+    listen = free_port()
+    console = free_port()
     with tempfile.TemporaryDirectory() as folder:
         raw = config(discovery.address, known, f"127.0.0.1:{listen}", **changes)
         raw["console"] = f"127.0.0.1:{console}"
@@ -167,9 +168,11 @@
             code = b"500 X" if seen.target.startswith("/reserva") else b"200 X"
             writer.write(b"HTTP/1.1 " + code + b"\r\nContent-Length: 2\r\n\r\nok")
 
-        discovery, backend = await Discovery().start(), Backend(behave)
+        discovery = await Discovery().start()
+        backend = Backend(behave)
         async with staffed({"s-1": backend}, discovery) as node:
-            caller, held = await node.caller(), await node.caller()
+            caller = await node.caller()
+            held = await node.caller()
             for n in range(3):
                 assert (await caller.call("stock", f"a{n}")).code == 200
             assert (await caller.call("reserva", "b")).code != 200
@@ -195,7 +198,8 @@
     """One connection more than it holds, each with half a call."""
 
     async def test() -> None:
-        discovery, backend = await Discovery().start(), Backend()
+        discovery = await Discovery().start()
+        backend = Backend()
         async with staffed({"s-1": backend}, discovery) as node:
             held = [await asyncio.open_connection(*node.console) for _ in range(MOST_CONSOLE + 4)]
             for _, writer in held:
@@ -213,7 +217,9 @@
 
 def test_a_backend_that_is_out_gets_nothing_and_one_call_soon_after_it_is_back() -> None:
     async def test() -> None:
-        discovery, one, two = await Discovery().start(), Backend(), Backend()
+        discovery = await Discovery().start()
+        one = Backend()
+        two = Backend()
         async with staffed({"s-1": one, "s-2": two}, discovery) as node:
             caller = await node.caller()
             assert (await node.ask("POST /backends/s-9/maint")).code == 404
@@ -235,7 +241,9 @@
 
 def test_what_is_out_stays_out_in_the_process_that_follows() -> None:
     async def test() -> None:
-        discovery, one, two = await Discovery().start(), Backend(), Backend()
+        discovery = await Discovery().start()
+        one = Backend()
+        two = Backend()
         async with staffed({"s-1": one, "s-2": two}, discovery) as node:
             assert (await node.ask("POST /backends/s-1/maint")).code == 200
             node.process.kill()
@@ -244,7 +252,8 @@
             node.process = await start_program(node.first, folder, TMPDIR=folder)
             try:
                 await until_ready(node.address)
-                before, caller = one.count, await node.caller()
+                before = one.count
+                caller = await node.caller()
                 for n in range(10):
                     assert (await caller.call("stock", f"a{n}")).code == 200
                 assert one.count == before
@@ -272,9 +281,11 @@
                 await gate.wait()
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
 
-        discovery, backend = await Discovery().start(), Backend(behave)
+        discovery = await Discovery().start()
+        backend = Backend(behave)
         async with staffed({"s-1": backend}, discovery) as node:
-            caller, held = await node.caller(), await node.caller()
+            caller = await node.caller()
+            held = await node.caller()
             held.send("canje", "held", budget="6000m")
             assert (await next_call(backend)).headers["x-call-id"] == "held"
             classes = [g for g in grades(stock={"effect": "once"}) if g["name"] != "canje"]
@@ -299,7 +310,8 @@
 
 def test_a_bad_file_changes_nothing_and_is_counted() -> None:
     async def test() -> None:
-        discovery, backend = await Discovery().start(), Backend()
+        discovery = await Discovery().start()
+        backend = Backend()
         async with staffed({"s-1": backend}, discovery) as node:
             cut = json.dumps(node.first)[:-20]
             nought = {
--- a/tests/operations/test_maintenance.py
+++ b/tests/operations/test_maintenance.py
@@ -15,7 +15,9 @@
 from granitepoint.operations.store import Store
 
 OFFSET = 1000.0  # wall less monotonic, s
-SERVING, DRAINING, GONE = ServerState.SERVING, ServerState.DRAINING, ServerState.GONE
+SERVING = ServerState.SERVING
+DRAINING = ServerState.DRAINING
+GONE = ServerState.GONE
 
 
 def listed(name: str, state: ServerState = SERVING, started_at: float = 0.0) -> Listed:
@@ -92,7 +94,8 @@
 
 
 def test_the_next_process_takes_over_what_is_out_and_what_came_back() -> None:
-    old, new = maintenance("a", "b"), maintenance("a", "b")
+    old = maintenance("a", "b")
+    new = maintenance("a", "b")
     old.take_out("a", 2000.0)
     assert states(new.taken(old.written(2000.0))) == {"a": DRAINING}
     old.put_back("a", 2004.0)
@@ -130,7 +133,9 @@
 @given(STEPS)
 def test_whatever_is_called_and_listed_what_is_out_never_serves(steps: list[tuple[str, object]]) -> None:
     """Also over any number of upgrades: the last word on each name is the staff's."""
-    made, word, now = maintenance(*"abc"), dict.fromkeys("abc", True), 2000.0
+    made = maintenance(*"abc")
+    word = dict.fromkeys("abc", True)
+    now = 2000.0
     shown: dict[str, ServerState] = {}
     for what, of in steps:
         now += 1
@@ -156,7 +161,8 @@
 
 
 def test_two_processes_share_one_record(tmp_path: Path) -> None:
-    one, two = Store(tmp_path / "x.record"), Store(tmp_path / "x.record")
+    one = Store(tmp_path / "x.record")
+    two = Store(tmp_path / "x.record")
     assert one.news() is None
     one.write("1")
     assert one.news() is None  # its own
--- a/tests/operations/test_retune.py
+++ b/tests/operations/test_retune.py
@@ -16,9 +16,15 @@
 from rigs.program import settings
 
 RUNNING: dict[str, Any] = {
-    "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "console": "127.0.0.1:3",
-    "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384}, "known": {"index": 1}, "settings": settings(),
-}  # fmt: skip
+    "name": "n0",
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "1",
+    "console": "127.0.0.1:3",
+    "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384},
+    "known": {"index": 1},
+    "settings": settings(),
+}
 
 
 def changed(path: str, value: Any) -> str:
@@ -48,10 +54,18 @@
 
 @pytest.mark.parametrize(
     "path",
-    ["discovery", "settings", "limits.sockets", "settings.grades", "settings.contract.cold",
-     "settings.policy_limits",
-     "settings.grades.0.deadline", "settings.grades.1.window", "settings.grades.2.effect"],
-)  # fmt: skip
+    [
+        "discovery",
+        "settings",
+        "limits.sockets",
+        "settings.grades",
+        "settings.contract.cold",
+        "settings.policy_limits",
+        "settings.grades.0.deadline",
+        "settings.grades.1.window",
+        "settings.grades.2.effect",
+    ],
+)
 def test_a_key_that_is_missing_is_named(path: str) -> None:
     with pytest.raises(Unusable, match=f"{path} is missing"):
         read_file(changed(path, None), RUNNING)
@@ -85,6 +99,9 @@
     running, new = (read_settings(flatten(one)) for one in (RUNNING["settings"], raw))
     both = meanwhile(running, new)
     assert {cls.name: cls.effect for cls in both.classes} == {
-        "stock": Effect.REPEATABLE, "reserva": Effect.BY_KEY, "canje": Effect.ONCE, "express": Effect.ONCE,
-    }  # fmt: skip
+        "stock": Effect.REPEATABLE,
+        "reserva": Effect.BY_KEY,
+        "canje": Effect.ONCE,
+        "express": Effect.ONCE,
+    }
     assert meanwhile(new, new) == new
--- a/tests/operations/test_upgrades.py
+++ b/tests/operations/test_upgrades.py
@@ -115,7 +115,9 @@
     """Callers that use connections once and callers that keep them, over three upgrades in a row."""
 
     async def test() -> None:
-        discovery, one, two = await Discovery().start(), await Backend().start(), await Backend().start()
+        discovery = await Discovery().start()
+        one = await Backend().start()
+        two = await Backend().start()
         known = listing(1, endpoint("s-1", one.address), endpoint("s-2", two.address))
         listen = free_port()
         with tempfile.TemporaryDirectory() as folder:
@@ -161,7 +163,8 @@
                     asyncio.create_task(keeps(f"{kind}{n}")) for kind in ("once", "kept") for n in range(4)
                 ]
                 for _ in range(3):
-                    old, node = node, await start()
+                    old = node
+                    node = await start()
                     assert (await node.figures())["hosts_down"] == 1
                     old.terminate()
                     assert await old.code() == 0
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator/test_operator_file.py
@@ -75,7 +75,7 @@
         7,
         "unknown key reed",
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(("text", "line", "says"), BROKEN.values(), ids=BROKEN)
@@ -96,10 +96,22 @@
     )
     found = {".".join(path): (place.line, place.column) for path, place in positions(text).items()}
     assert found == {
-        "": (1, 1), "a": (1, 1), "b": (2, 1), "b.c": (3, 3), "b.c.d": (3, 3), "b.e f": (7, 1), "b.g": (11, 2),
-        "b.i": (12, 1), "b.i.0": (12, 1), "b.i.0.j": (13, 1), "b.i.1": (14, 1), "b.i.1.j": (15, 1),
-        "b.i.1.k": (16, 1), "b.i.1.k.l": (17, 1), "m": (18, 1),
-    }  # fmt: skip
+        "": (1, 1),
+        "a": (1, 1),
+        "b": (2, 1),
+        "b.c": (3, 3),
+        "b.c.d": (3, 3),
+        "b.e f": (7, 1),
+        "b.g": (11, 2),
+        "b.i": (12, 1),
+        "b.i.0": (12, 1),
+        "b.i.0.j": (13, 1),
+        "b.i.1": (14, 1),
+        "b.i.1.j": (15, 1),
+        "b.i.1.k": (16, 1),
+        "b.i.1.k.l": (17, 1),
+        "m": (18, 1),
+    }
 
 
 def test_all_problems_of_a_file_are_told_at_once(tmp_path: Path) -> None:
@@ -131,8 +143,11 @@
     example = ROOT / "deploy" / "operator.toml"
     assert load(str(example)).membership is None
     lines = example.read_text(encoding="utf-8").splitlines()
-    on = [line.removeprefix("# ") for line in lines if line.startswith(("# [", "# ")) and
-          (line.startswith("# [") or " = " in line)]  # fmt: skip
+    on = [
+        line.removeprefix("# ")
+        for line in lines
+        if line.startswith(("# [", "# ")) and (line.startswith("# [") or " = " in line)
+    ]
     file = tmp_path / "operator.toml"
     file.write_text("\n".join(on))
     operator = load(str(file))
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -63,7 +63,8 @@
     return Peer(f"p{number}", "abc"[number % 3], lives, said)
 
 
-BEGUN, UP = Phase.GATHERING, Phase.STEADY
+BEGUN = Phase.GATHERING
+UP = Phase.STEADY
 ALL = [(f"p{number}", "abc"[number % 3]) for number in range(1, 24)]
 
 
--- a/tests/recovery/test_power.py
+++ b/tests/recovery/test_power.py
@@ -45,8 +45,9 @@
         wanted = seats or tuple(self.world.seats)
         await until(
             lambda: not self.world.starting and all(self.path(seat)[-1:] == ["steady"] for seat in wanted),
-            "steady", 60,
-        )  # fmt: skip
+            "steady",
+            60,
+        )
 
 
 def played(work: Callable[[World, Power], Coroutine[Any, Any, None]]) -> None:
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -176,7 +176,8 @@
 
 def test_a_slow_or_full_disk_is_waited_for_by_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("granitepoint.recovery.keeper.RETRY", 0.05)
-    gate, synced = threading.Event(), threading.Event()
+    gate = threading.Event()
+    synced = threading.Event()
     full = [False]
 
     class Slow(Folder):
@@ -236,11 +237,17 @@
     async def life(number: int, wait: float) -> tuple[int, int]:
         """What it said was safe, and what the store holds."""
         program = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rigs.recovery.writer", str(tmp_path / f"p{number}"), f"p{number}",
-            cwd=ROOT, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "rigs.recovery.writer",
+            str(tmp_path / f"p{number}"),
+            f"p{number}",
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert program.stdout is not None
-        safe, loop = 0, asyncio.get_running_loop()
+        safe = 0
+        loop = asyncio.get_running_loop()
         due = loop.time() + wait
         while loop.time() < due or not safe:
             line = (await program.stdout.readline()).split()
--- a/tests/recovery/test_trust.py
+++ b/tests/recovery/test_trust.py
@@ -30,9 +30,14 @@
 
 def all_facts(at: float) -> list[Fact]:
     return [
-        Boot(3, at), Source(41, at), Server("10.0.0.1:80", "a", at=at), Maintenance(at, "fan"),
-        Member("portal", "a", 1, 1, at), Learned(0.2, 8.0, at), Keyed("canje", "all", at, at + 30.0),
-    ]  # fmt: skip
+        Boot(3, at),
+        Source(41, at),
+        Server("10.0.0.1:80", "a", at=at),
+        Maintenance(at, "fan"),
+        Member("portal", "a", 1, 1, at),
+        Learned(0.2, 8.0, at),
+        Keyed("canje", "all", at, at + 30.0),
+    ]
 
 
 def test_each_kind_has_a_row_and_a_reason() -> None:
@@ -68,9 +73,12 @@
 def test_a_request_that_may_have_run_is_sent_again_only_where_its_key_is_remembered() -> None:
     fact = Keyed("reserva", "a", NOW - 1, NOW + 5)
     cases = {
-        Loss.PROCESS: Repeat.IN_GROUP, Loss.MACHINE: Repeat.IN_GROUP, Loss.ZONE: Repeat.NEVER,
-        Loss.FLEET: Repeat.NEVER, Loss.UNKNOWN: Repeat.NEVER,
-    }  # fmt: skip
+        Loss.PROCESS: Repeat.IN_GROUP,
+        Loss.MACHINE: Repeat.IN_GROUP,
+        Loss.ZONE: Repeat.NEVER,
+        Loss.FLEET: Repeat.NEVER,
+        Loss.UNKNOWN: Repeat.NEVER,
+    }
     for loss, expected in cases.items():
         lost = A if loss is Loss.ZONE else frozenset()
         assert repeat(fact, Situation(NOW, loss, lost)) is expected
@@ -87,9 +95,12 @@
 def test_after_a_loss_servers_are_cold_whatever_a_list_says() -> None:
     told = {loss: tuple(cold(zone, Situation(NOW, loss, A)) for zone in "ab") for loss in Loss}
     assert told == {
-        Loss.PROCESS: (True, False), Loss.MACHINE: (True, False), Loss.ZONE: (True, False),
-        Loss.FLEET: (True, True), Loss.UNKNOWN: (True, True),
-    }  # fmt: skip
+        Loss.PROCESS: (True, False),
+        Loss.MACHINE: (True, False),
+        Loss.ZONE: (True, False),
+        Loss.FLEET: (True, True),
+        Loss.UNKNOWN: (True, True),
+    }
     assert not cold("a", Situation(NOW, Loss.PROCESS))
 
 
--- a/tests/rigs/test_coordination.py
+++ b/tests/rigs/test_coordination.py
@@ -112,7 +112,8 @@
 
 
 def test_a_stock_clients_watches_fire_once_and_in_order(ensemble: Ensemble) -> None:
-    client, other = ensemble.client(), ensemble.client()
+    client = ensemble.client()
+    other = ensemble.client()
     client.ensure_path("/p")
     seen: list[tuple[str, str]] = []
     done = threading.Semaphore(0)
--- a/tests/rigs/test_fleet_rig.py
+++ b/tests/rigs/test_fleet_rig.py
@@ -21,10 +21,10 @@
     "of whom": ('[[fault]]\nat = 1\ndo = "kill"\n', 1, "kill of whom"),
     "for how long": ('[[fault]]\nat = 1\ndo = "loss"\nwho = ["all"]\n', 1, "for how long"),
     "no such member": ("members = 1\n" + FAULT, 5, "there are members 0 to 0"),
-    "no event": ('[[fault]]\nwhen = "p1 is ill"\ndo = "kill"\nwho = ["p1"]\n', 2, "must be \"settled\""),
+    "no event": ('[[fault]]\nwhen = "p1 is ill"\ndo = "kill"\nwho = ["p1"]\n', 2, 'must be "settled"'),
     "one group": ('[[fault]]\nat = 1\ndo = "partition"\ngroups = ["p1"]\nlasts = 1.0\n', 1, "two groups"),
     "unknown key": (FAULT + "sahre = 0.1\n", 5, "write share"),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", BROKEN)
@@ -83,7 +83,8 @@
     )
     calm = tmp_path / "calm.toml"
     calm.write_text("members = 5\n")
-    first, again = tmp_path / "first", tmp_path / "again"
+    first = tmp_path / "first"
+    again = tmp_path / "again"
     assert main(["play", str(script), "--transcript", str(first)]) == 0
     lost = [line for line in first.read_text().splitlines() if json.loads(line)[5] == []]
     assert lost
--- a/tests/rigs/test_ledger.py
+++ b/tests/rigs/test_ledger.py
@@ -16,7 +16,10 @@
     ledger = Ledger()
     ledger.taken.append(Taken("c1", cls, 1.0, 3.0, "k"))
     attempt = ledger.attempt("c1", "s-1", "a", 1.01, key="k", work=0.1)
-    attempt.whole, attempt.ran, attempt.ran_at, attempt.ended = 1.02, True, 1.02, 1.2
+    attempt.whole = 1.02
+    attempt.ran = True
+    attempt.ran_at = 1.02
+    attempt.ended = 1.2
     ledger.answers.append(Answer("c1", 1.3, 200))
     ledger.told.append(Told("s-1", 0.0, "ready"))
     return ledger
@@ -24,7 +27,9 @@
 
 def again(ledger: Ledger, at: float, server: str = "s-2", group: str = "a", ran: bool = True) -> None:
     attempt = ledger.attempt("c1", server, group, at, key="k", work=0.1)
-    attempt.whole, attempt.ran, attempt.ended = at + 0.01, ran, at + 0.1
+    attempt.whole = at + 0.01
+    attempt.ran = ran
+    attempt.ended = at + 0.1
 
 
 def no_answer(ledger: Ledger) -> None:
@@ -75,7 +80,9 @@
 
 
 def forgotten(ledger: Ledger) -> None:
-    ledger.taken[0].cls, ledger.taken[0].due, ledger.answers[0].at = "reserva", 9.0, 8.0
+    ledger.taken[0].cls = "reserva"
+    ledger.taken[0].due = 9.0
+    ledger.answers[0].at = 8.0
     again(ledger, 7.2)
 
 
@@ -95,10 +102,22 @@
 
 
 BREACHES: list[tuple[int, Callable[[Ledger], None]]] = [
-    (1, no_answer), (1, two_answers), (1, late), (1, cut), (1, waited_in_vain), (1, nobodys),
-    (2, twice), (2, overlap), (2, may_have_run), (2, refused_after_it_ran), (2, other_group), (2, forgotten),
-    (3, drained), (3, drained_for_one_proxy), (4, pushed),
-]  # fmt: skip
+    (1, no_answer),
+    (1, two_answers),
+    (1, late),
+    (1, cut),
+    (1, waited_in_vain),
+    (1, nobodys),
+    (2, twice),
+    (2, overlap),
+    (2, may_have_run),
+    (2, refused_after_it_ran),
+    (2, other_group),
+    (2, forgotten),
+    (3, drained),
+    (3, drained_for_one_proxy),
+    (4, pushed),
+]
 
 
 @pytest.mark.parametrize(("rule", "plant"), BREACHES, ids=[plant.__name__ for _, plant in BREACHES])
@@ -118,7 +137,8 @@
     again(ledger, 1.25, group="a")  # within group and window
     assert ledger.audit(EFFECTS) == []
     ledger = clean()
-    ledger.attempts[0].ran, ledger.attempts[0].refused = False, True
+    ledger.attempts[0].ran = False
+    ledger.attempts[0].refused = True
     again(ledger, 1.25)  # the first was turned away unseen
     assert ledger.audit(EFFECTS) == []
     ledger = clean()
@@ -137,7 +157,8 @@
 
 
 def test_several_processes_make_one_ledger(tmp_path: Path) -> None:
-    one, two = clean(), Ledger()
+    one = clean()
+    two = Ledger()
     again(two, 1.25)
     one.write(tmp_path / "one")
     two.write(tmp_path / "two")
--- a/tests/sidecar/test_description.py
+++ b/tests/sidecar/test_description.py
@@ -27,7 +27,8 @@
 
 def split(folder: Path) -> str:
     """The classes and routes in an included file, the rest in the description."""
-    at, end = PLAIN.index("[class.stock]"), PLAIN.index("[tier.portal]")
+    at = PLAIN.index("[class.stock]")
+    end = PLAIN.index("[tier.portal]")
     put(folder, "base.toml", PLAIN[at:end])
     return put(folder, text=PLAIN[:at].replace("padron", 'include = ["base.toml"]\npadron') + PLAIN[end:])
 
@@ -85,7 +86,8 @@
 
 
 def test_a_symlink_out_of_the_folder_is_not_followed(tmp_path: Path) -> None:
-    inside, outside = tmp_path / "in", tmp_path / "out"
+    inside = tmp_path / "in"
+    outside = tmp_path / "out"
     inside.mkdir()
     outside.mkdir()
     put(outside, "base.toml", "[class.other]\n")
@@ -150,8 +152,13 @@
 def test_a_class_that_differs_between_two_descriptions(tmp_path: Path) -> None:
     one = put(tmp_path, "one.toml", PLAIN[: PLAIN.index("[[sidecar]]")])
     text = PLAIN[: PLAIN.index("[[sidecar]]")]
-    two = put(tmp_path, "two.toml", text.replace('effect = "once"', 'effect = "repeatable"').replace(
-        'deadline = "1.2s"', 'deadline = "2s"'))  # fmt: skip
+    two = put(
+        tmp_path,
+        "two.toml",
+        text.replace('effect = "once"', 'effect = "repeatable"').replace(
+            'deadline = "1.2s"', 'deadline = "2s"'
+        ),
+    )
     problems = check([one, two], "")
     assert [(Path(p.file).name, p.line, p.code) for p in problems] == [
         ("two.toml", 8, "F302"),
@@ -192,20 +199,26 @@
         (
             "[tenant.app]\n",
             '[tier.nucleo.membership]\nservers = ["h:1"]\npath = "x"\n\n[tenant.app]\n',
-            49, "S105", "path must be a path",
+            49,
+            "S105",
+            "path must be a path",
         ),
         (
             "[tenant.app]\n",
             '[tier.nucleo.membership]\nservers = ["h:1"]\npath="/x"\nconnect_timeout = 9.0\n\n[tenant.app]\n',
-            50, "S107", "connect_timeout is not below",
+            50,
+            "S107",
+            "connect_timeout is not below",
         ),
         (
             '[[sidecar]]\nhost = "h-2"',
             '[sidecar.registration]\nname = "s-1"\naddress = "10.0.0.4:8081"\n\n[[sidecar]]\nhost = "h-2"',
-            61, "S107", "no service to register with",
+            61,
+            "S107",
+            "no service to register with",
         ),
     ],
-)  # fmt: skip
+)
 def test_what_a_sidecar_needs(tmp_path: Path, old: str, new: str, line: int, code: str, says: str) -> None:
     problems = check([put(tmp_path, text=PLAIN.replace(old, new, 1))], "")
     assert [(p.line, p.code) for p in problems if says in p.text] == [(line, code)], problems
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -37,7 +37,8 @@
 
 class Side:
     def __init__(self, inbound: Inbound, application: Backend) -> None:
-        self.inbound, self.application = inbound, application
+        self.inbound = inbound
+        self.application = application
 
     @property
     def state(self) -> State:
@@ -295,7 +296,8 @@
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
-            out, waits = await made.caller(), await made.caller()
+            out = await made.caller()
+            waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
             await until(lambda: made.application.count == 1)
             answer = await waits.call("canje", "2" * 16, "150m")
@@ -315,7 +317,8 @@
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
-            out, waits = await made.caller(), await made.caller()
+            out = await made.caller()
+            waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
             await until(lambda: made.application.count == 1)
             waits.send("canje", "2" * 16, "5000m")
@@ -340,7 +343,8 @@
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
             made.inbound.admission.mean = 0.6
-            out, waits = await made.caller(), await made.caller()
+            out = await made.caller()
+            waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
             await until(lambda: made.application.count == 1)
             begun = time.monotonic()
@@ -368,7 +372,8 @@
 
     async def test() -> None:
         async with side(behave) as made:
-            first, second = await made.caller(), await made.caller()
+            first = await made.caller()
+            second = await made.caller()
             first.send("canje", "1" * 16, "5000m")
             await until(lambda: made.application.count == 1)
             answer = await second.call("canje", "1" * 16, "5000m")
@@ -568,7 +573,8 @@
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
-            out, waits = await made.caller(), await made.caller()
+            out = await made.caller()
+            waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
             await until(lambda: made.application.count == 1)
             begun = time.monotonic()
--- a/tests/sidecar/test_migrate.py
+++ b/tests/sidecar/test_migrate.py
@@ -42,7 +42,8 @@
         'listen = "10.0.0.4:8081", application = "127.0.0.1:9000"}]',
     )
     assert migrate("odd.toml", text)[0] == text
-    good, odd = put(tmp_path, "good.toml", text.replace("sidecar = ", "# ")), put(tmp_path, "odd.toml", text)
+    good = put(tmp_path, "good.toml", text.replace("sidecar = ", "# "))
+    odd = put(tmp_path, "odd.toml", text)
     assert main(["migrate", good, odd, "--in-place"]) == 1
     said = capsys.readouterr().out
     assert "odd.toml:4:1: error[C005]" in said and "write inbound in place of listen" in said
--- a/tests/sidecar/test_platform.py
+++ b/tests/sidecar/test_platform.py
@@ -100,9 +100,15 @@
     text = '{\n "a": [1, {"b:": "}"}, []],\n "c": {"d": null}}\n'
     found = {".".join(path): (place.line, place.column) for path, place in json_positions(text).items()}
     assert found == {
-        "": (1, 1), "a": (2, 2), "a.0": (2, 8), "a.1": (2, 11), "a.1.b:": (2, 12), "a.2": (2, 24),
-        "c": (3, 2), "c.d": (3, 8),
-    }  # fmt: skip
+        "": (1, 1),
+        "a": (2, 2),
+        "a.0": (2, 8),
+        "a.1": (2, 11),
+        "a.1.b:": (2, 12),
+        "a.2": (2, 24),
+        "c": (3, 2),
+        "c.d": (3, 8),
+    }
 
 
 def test_the_operators_file_is_checked_by_its_own_schema(tmp_path: Path) -> None:
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -23,7 +23,8 @@
 
     def __init__(self, application: str, padron: str) -> None:
         self.inbound, self.outbound = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
-        self.application, self.padron = application, padron
+        self.application = application
+        self.padron = padron
 
     def text(self) -> str:
         text = PLAIN.replace('padron = "10.2.0.1:8500"', f'padron = "{self.padron}"', 1)
@@ -35,7 +36,10 @@
 
 class Running:
     def __init__(self, process: asyncio.subprocess.Process, ports: Ports, file: Path, log: Path) -> None:
-        self.process, self.ports, self.file, self.log = process, ports, file, log
+        self.process = process
+        self.ports = ports
+        self.file = file
+        self.log = log
 
     async def caller(self, at: str) -> Caller:
         host, _, port = at.rpartition(":")
@@ -73,9 +77,18 @@
     log = folder / "log"
     with log.open("wb") as sink:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "granitepoint.sidecar", "run", file, "--tier", "portal", *more,
-            cwd=ROOT, stdout=sink, stderr=sink,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "granitepoint.sidecar",
+            "run",
+            file,
+            "--tier",
+            "portal",
+            *more,
+            cwd=ROOT,
+            stdout=sink,
+            stderr=sink,
+        )
     return process, log
 
 
@@ -111,9 +124,11 @@
 
 def test_calls_come_in_to_the_application_and_go_out_to_the_next_tier(tmp_path: Path) -> None:
     async def test() -> None:
-        application, nucleo = Backend(), Backend()
+        application = Backend()
+        nucleo = Backend()
         async with running(tmp_path, application, nucleo) as made:
-            inside, outside = await made.caller(made.ports.inbound), await made.caller(made.ports.outbound)
+            inside = await made.caller(made.ports.inbound)
+            outside = await made.caller(made.ports.outbound)
             assert (await inside.call("stock", "1" * 16)).code == 200 and application.count == 1
             assert (await outside.call("reserva", "2" * 16)).code == 200 and nucleo.count == 1
 
@@ -215,7 +230,9 @@
             await release.wait()
             await serve_ok(seen, writer)
 
-        application, two, padron = Backend(behave), await Backend().start(), await Discovery().start()
+        application = Backend(behave)
+        two = await Backend().start()
+        padron = await Discovery().start()
         padron.put(7, endpoint("s-2", two.address, zone="sala-a"), snapshot=True)
         async with running(tmp_path, application, Backend()) as made:
             good = made.file.read_text()
--- a/tests/sidecar/test_write.py
+++ b/tests/sidecar/test_write.py
@@ -31,8 +31,11 @@
 def test_the_proxys_own_reader_takes_what_is_written(tmp_path: Path) -> None:
     folder = written(tmp_path)
     assert set(tree(folder)) == {
-        "h-1/portal-nucleo.json", "h-1/portal-nucleo.service", "h-1/portal.service", "h-2/nucleo.service"
-    }  # fmt: skip
+        "h-1/portal-nucleo.json",
+        "h-1/portal-nucleo.service",
+        "h-1/portal.service",
+        "h-2/nucleo.service",
+    }
     config = load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")})
     classes = {cls.name: cls for cls in config.settings.classes}
     assert [cls.effect for cls in classes.values()] == [Effect.REPEATABLE, Effect.BY_KEY, Effect.ONCE]
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -77,14 +77,18 @@
 
 
 GOOD = {
-    "1xx ahead": (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-                  + OK + b"Content-Length: 2\r\n\r\nme", True),
+    "1xx ahead": (
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+        + OK
+        + b"Content-Length: 2\r\n\r\nme",
+        True,
+    ),
     "chunks and a trailer": (OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nme\r\n0\r\nX-T: 1\r\n\r\n", True),
     "noise behind": (OK + b"Content-Length: 2\r\n\r\nme\x00\x01noise", False),
     "a copy behind": ((OK + b"Content-Length: 2\r\n\r\nme") * 2, False),
     "half a copy behind": (OK + b"Content-Length: 2\r\n\r\nmeHTTP", False),
     "bad report": (OK + b"X-Load-Report: inflight=,,=\r\nContent-Length: 2\r\n\r\nme", True),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(("answer", "kept"), GOOD.values(), ids=GOOD)
@@ -248,9 +252,21 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["", "x", "inflight=", "inflight=-1", "inflight=1e300", "inflight=nan", "inflight=inf",
-             "inflight=1,inflight=9", "inflight=1,busy_reqs=9", "inflight=3,queue=-2", "inflight=7;queue=1"]
-)  # fmt: skip
+    "text",
+    [
+        "",
+        "x",
+        "inflight=",
+        "inflight=-1",
+        "inflight=1e300",
+        "inflight=nan",
+        "inflight=inf",
+        "inflight=1,inflight=9",
+        "inflight=1,busy_reqs=9",
+        "inflight=3,queue=-2",
+        "inflight=7;queue=1",
+    ],
+)
 def test_a_load_report_that_cannot_be_is_none(text: str) -> None:
     assert read_report(text.encode()) is None
     assert read_report(b"inflight=7,queue=2") == {"busy_reqs": 7.0, "pending": 2.0}
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -90,9 +90,7 @@
     await half(caller)
 
 
-@pytest.mark.parametrize(
-    ("act", "code"), [(nothing, 0), (half, 408), (drip, 408), (served_then_half, 408)]
-)  # fmt: skip
+@pytest.mark.parametrize(("act", "code"), [(nothing, 0), (half, 408), (drip, 408), (served_then_half, 408)])
 def test_a_caller_that_sends_no_whole_request_is_told_within_3_s(
     act: Callable[[Caller], Awaitable[None]], code: int
 ) -> None:
@@ -121,7 +119,8 @@
         backend = Backend(behave)
         grades = [{**grade, "objective": grade["deadline"]} for grade in GRADES]
         async with proxy({"s-1": backend}, grades=grades) as node:
-            old, silent = await node.caller(), await node.caller()
+            old = await node.caller()
+            silent = await node.caller()
             old.send("canje", "a" * 16, budget="6000m")
             await next_call(backend)
             assert await silent.ended()  # the bound has passed
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -34,7 +34,8 @@
     part = Admission(stage, Random(3))
     for _ in range(20):
         part.observe_latency(latency)
-    part.window, part.rate = window, rate
+    part.window = window
+    part.rate = rate
     part.history.extend(worths)
     return part
 
@@ -135,7 +136,9 @@
     driver = Driver(settings(classes=[cheap, dear, *settings().classes]))
     full(driver)
     part = driver.balancer.admission
-    part.latency.value, part.latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
+    # a place waits 0.4 / 2 = 0.2 s
+    part.latency.value = 0.4
+    part.latency.count = 0.0
     for kind in driver.balancer.kinds.values():
         kind.mean.value = 0.2
     # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
@@ -391,7 +394,8 @@
     driver = Driver(settings(), servers=entries(1))
     server = driver.balancer.servers.known[1]
     first = only_send(driver.arrive(1, "once"))
-    second, third = only_send(driver.arrive(2, "once")), only_send(driver.arrive(3, "once"))
+    second = only_send(driver.arrive(2, "once"))
+    third = only_send(driver.arrive(3, "once"))
     driver.settle(first, Status.OK)
     driver.settle(second, Status.CONNECT_FAILED, final=True)
     assert not server.most_out  # one may be chance
@@ -468,7 +472,8 @@
     # Found on wide+reset+stale days of central-santiago: servers turned one class away, after 354 ms each.
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
-    safe, once = driver.balancer.kinds["safe"], driver.balancer.kinds["once"]
+    safe = driver.balancer.kinds["safe"]
+    once = driver.balancer.kinds["once"]
     send = only_send(driver.arrive(1, "once"))
     driver.settle(send, Status.FULL, elapsed=0.354, final=True)
     failed = servers.known[send.server]
@@ -569,7 +574,9 @@
     """Guards against a cut that holds itself: what it refuses keeps W from filling, and so from growing."""
     balancer = Balancer(settings(classes=[SAFE, ONCE]), 1)
     balancer.handle(100.0, [ServerList(ListKind.SAVED, entries(1, 2, 3, 4))])
-    balancer.admission.cut, balancer.admission.tie, balancer.admission.window = 1.0, 1.0, 5.0
+    balancer.admission.cut = 1.0
+    balancer.admission.tie = 1.0
+    balancer.admission.window = 5.0
     said: list[Action] = []
     for call in range(8):
         said += balancer.handle(100.001 + call / 1000, [Arrival(call=call, cls="once", budget=2.0)])
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -117,7 +117,8 @@
     async def test() -> None:
         server = Server({"stock": Effect.REPEATABLE}, Answering(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
-        raws, callers = [], []
+        raws = []
+        callers = []
         for number in range(2):
             raws.append(socket.create_connection(("127.0.0.1", port)))
             raws[-1].setblocking(False)
@@ -150,7 +151,8 @@
     async def test() -> None:
         backend = Backend(hangs)
         async with proxy({"s-1": backend}, grades=grades()) as node:
-            stuck, late = await node.caller(), await node.caller()
+            stuck = await node.caller()
+            late = await node.caller()
             stuck.send("canje", "a" * 16, budget="9000m")
             await next_call(backend)
             node.terminate()
@@ -170,7 +172,8 @@
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        rest, half = asyncio.Event(), b"a" * 100_000
+        rest = asyncio.Event()
+        half = b"a" * 100_000
 
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half)
@@ -179,7 +182,8 @@
 
         backend = Backend(behave)
         async with proxy({"s-1": backend}, grades=grades()) as node:
-            caller, other = await node.caller(), await node.caller()
+            caller = await node.caller()
+            other = await node.caller()
             caller.send("canje", "a" * 16, budget="9000m")
             async with asyncio.timeout(PATIENCE):
                 assert (await caller.reader.readexactly(100_000)).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -128,7 +128,8 @@
     def __init__(self, pace: Freshness, version: int = 3) -> None:
         self.lists: asyncio.Queue[Listing] = asyncio.Queue()
         self.failed = asyncio.Event()
-        self.pace, self.version = pace, version
+        self.pace = pace
+        self.version = version
 
     async def against(self, server: Scripted) -> Discovery:
         at = await server.start()
@@ -154,7 +155,8 @@
     watch had missed counted as told."""
 
     async def test() -> None:
-        server, watched = Scripted(silent, *then, tells(4, indent=2)), Watched(QUICK)
+        server = Scripted(silent, *then, tells(4, indent=2))
+        watched = Watched(QUICK)
         discovery = await watched.against(server)
         discovery.watch(True)
         assert await server.next() == (1, "/v1/servers?from=3&hold_ms=100")
@@ -172,7 +174,8 @@
 
 def test_an_answer_that_stands_still_in_its_middle_is_given_up_before_the_wait_is_over() -> None:
     async def test() -> None:
-        server, watched = Scripted(half, tells(4)), Watched(replace(QUICK, hold=60.0, call=0.2))
+        server = Scripted(half, tells(4))
+        watched = Watched(replace(QUICK, hold=60.0, call=0.2))
         discovery = await watched.against(server)
         discovery.watch(True)
         assert (await server.next())[0] == 1
@@ -184,7 +187,8 @@
 
 def test_once_nothing_is_owed_any_more_the_module_decides_when_to_ask() -> None:
     async def test() -> None:
-        server, watched = Scripted(silent, *[busy] * 1000), Watched(replace(QUICK, owed=0.1))
+        server = Scripted(silent, *[busy] * 1000)
+        watched = Watched(replace(QUICK, owed=0.1))
         discovery = await watched.against(server)
         discovery.watch(True)
         await watched.failure()
@@ -197,7 +201,8 @@
 def test_tries_while_a_list_is_owed_lie_further_apart_each_time() -> None:
     async def test() -> None:
         pace = replace(QUICK, owed=0.5, longest=0.1)
-        server, watched = Scripted(silent, *[busy] * 1000), Watched(pace)
+        server = Scripted(silent, *[busy] * 1000)
+        watched = Watched(pace)
         discovery = await watched.against(server)
         discovery.watch(True)
         await watched.failure()
@@ -213,7 +218,8 @@
 
     async def test() -> None:
         pace = replace(QUICK, call=0.1, owed=0.0)
-        server, watched = Scripted(first), Watched(pace)
+        server = Scripted(first)
+        watched = Watched(pace)
         discovery = await watched.against(server)
         discovery.watch(True)
         await watched.failure()
@@ -239,7 +245,8 @@
 
 def test_a_version_that_goes_back_is_followed_from_where_it_is() -> None:
     async def test() -> None:
-        server, watched = Scripted(tells(2, snapshot=True), tells(1)), Watched(QUICK, version=900)
+        server = Scripted(tells(2, snapshot=True), tells(1))
+        watched = Watched(QUICK, version=900)
         discovery = await watched.against(server)
         discovery.watch(True)
         for version in (900, 2, 1):
@@ -256,7 +263,8 @@
         super().__init__()
         self.version, self.entries = 1, list[dict[str, Any]]()
         self.news = asyncio.Condition()
-        self.down = self.whole = False
+        self.down = False
+        self.whole = False
 
     async def tell(self, *entries: dict[str, Any]) -> None:
         async with self.news:
@@ -297,7 +305,9 @@
     """Nothing asked an agent before: the module waits to be told where lists are pushed."""
 
     async def test() -> None:
-        agent, leaves, stays = Agent(), Backend(), Backend()
+        agent = Agent()
+        leaves = Backend()
+        stays = Backend()
         await agent.start()
         async with proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
             assert "from=1&" in await agent.call()
@@ -309,7 +319,9 @@
 
 def test_an_agent_that_was_down_is_heard_at_its_return_though_a_call_of_before_stays_silent() -> None:
     async def test() -> None:
-        agent, leaves, stays = Agent(), Backend(), Backend()
+        agent = Agent()
+        leaves = Backend()
+        stays = Backend()
         await agent.start()
         async with proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
             await agent.call()
@@ -326,7 +338,8 @@
 def test_an_agent_that_was_silent_is_heard_within_the_grace_of_its_return() -> None:
     async def test() -> None:
         pace = freshness(False, 2.0)
-        server, watched = Scripted(), Watched(pace)
+        server = Scripted()
+        watched = Watched(pace)
         discovery = await watched.against(server)
         discovery.start()
         for _ in range(6):  # as long as it is silent, calls follow one another, each on its own connection
@@ -344,7 +357,8 @@
 def test_a_pushed_list_goes_on_after_failures_of_any_kind_and_the_module_is_not_needed() -> None:
     async def test() -> None:
         pace = replace(freshness(False, 2.0), hold=0.02, patience=0.05, call=0.05, spacing=0.01)
-        server, watched = Scripted(*[busy, resets, silent, half] * 5, tells(4)), Watched(pace)
+        server = Scripted(*[busy, resets, silent, half] * 5, tells(4))
+        watched = Watched(pace)
         discovery = await watched.against(server)
         discovery.start()
         assert (await watched.list()).version == 4
@@ -371,7 +385,10 @@
 
 def test_sighup_under_a_silent_watch_leaves_the_old_address_unheard() -> None:
     async def test() -> None:
-        old, new, leaves, stays = await SilentDiscovery().start(), Agent(), Backend(), Backend()
+        old = await SilentDiscovery().start()
+        new = Agent()
+        leaves = Backend()
+        stays = Backend()
         await new.start()
         async with proxy({"s-1": leaves, "s-2": stays}, old) as node:
             async with asyncio.timeout(PATIENCE):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -235,7 +235,8 @@
     async def test() -> None:
         late = Unreachable()
         async with before(late) as (node, _):
-            caller, stays = await node.caller(), await node.caller()
+            caller = await node.caller()
+            stays = await node.caller()
             caller.send("canje", "a" * 16, budget="8000m")
             await late.tried(1)
             stays.send("canje", "b" * 16, budget="8000m")
@@ -262,7 +263,8 @@
     """State is looked at right before the first byte, not when it is decided to send."""
 
     async def test() -> None:
-        late, stays = Unreachable(), await Backend().start()
+        late = Unreachable()
+        stays = await Backend().start()
         async with before(late) as (node, discovery):
             caller = await node.caller()
             caller.send("canje", "a" * 16, budget="8000m")
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -47,7 +47,9 @@
     caller: Caller, headers: dict[str, str], each: Callable[[], Awaitable[None]]
 ) -> tuple[str, int]:
     """Digest and length of a body that is read to its end; raises IncompleteReadError where it is cut off."""
-    digest, size, reader = hashlib.sha256(), 0, caller.reader
+    digest = hashlib.sha256()
+    size = 0
+    reader = caller.reader
     left = int(headers.get("content-length", -1))
     while left:
         if "chunked" in headers.get("transfer-encoding", ""):
@@ -73,11 +75,9 @@
 
 EXPECTED = hashlib.sha256(PIECE * (LONG // len(PIECE))).hexdigest()
 OK = b"HTTP/1.1 200 OK\r\n"
-LENGTH, CODED, ENDS = (
-    b"Content-Length: %d\r\n\r\n" % LONG,
-    b"Transfer-Encoding: chunked\r\n\r\n",
-    b"Connection: close\r\n\r\n",
-)
+LENGTH = b"Content-Length: %d\r\n\r\n" % LONG
+CODED = b"Transfer-Encoding: chunked\r\n\r\n"
+ENDS = b"Connection: close\r\n\r\n"
 
 
 def answers(way: bytes, pieces: int = LONG // len(PIECE), ends: bool = True) -> Backend:
@@ -103,7 +103,8 @@
     async def test() -> None:
         async with proxy({"s-1": answers(way)}) as node:
             caller = await node.caller()
-            before, most = memory(node), 0.0
+            before = memory(node)
+            most = 0.0
 
             async def look() -> None:
                 nonlocal most
@@ -307,7 +308,8 @@
         got: list[tuple[str, int]] = []
         async with proxy({"s-1": sink(got)}) as node:
             caller = await node.caller()
-            before, most = memory(node), 0.0
+            before = memory(node)
+            most = 0.0
             caller.writer.write(post("a" * 16, None if coded else LONG))
             for _ in range(LONG // len(PIECE)):
                 caller.writer.write(chunk(PIECE) if coded else PIECE)
@@ -332,7 +334,8 @@
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(response(503, b"", X_Rejected="1"))
 
-        full, taken = Backend(behave), sink(got)
+        full = Backend(behave)
+        taken = sink(got)
         async with proxy({"s-1": full, "s-2": taken}) as node:
             data = PIECE * 32  # 2 MB
             for n in range(20):
@@ -487,7 +490,8 @@
             """It has all of it, and says nothing."""
 
         async with proxy({"s-1": Backend(behave)}) as node:
-            caller, loop = await node.caller(), asyncio.get_running_loop()
+            caller = await node.caller()
+            loop = asyncio.get_running_loop()
             length = 6 * MB
             caller.writer.write(post("a" * 16, length, budget="500m"))
             for _ in range(length // MB):
--- a/tests/test_message_rules.py
+++ b/tests/test_message_rules.py
@@ -13,14 +13,16 @@
 
 CALL = b"X-Call-Id: 0011223344556677\r\nX-Budget: 900m\r\n"
 HOST = b"Host: x\r\n"
-GET, POST = b"GET /stock/1 HTTP/1.1\r\n", b"POST /canje/1 HTTP/1.1\r\n"
+GET = b"GET /stock/1 HTTP/1.1\r\n"
+POST = b"POST /canje/1 HTTP/1.1\r\n"
 LAST = b"\r\n0\r\n\r\n"
 CHUNKED = POST + HOST + CALL + b"Transfer-Encoding: chunked\r\n\r\n"
 HIDDEN = (
     b"POST /canje/2 HTTP/1.1\r\nHost: x\r\nX-Call-Id: 8899aabbccddeeff\r\nX-Budget: 900m\r\n"
     b"Content-Length: 0\r\n\r\n"
 )
-LENGTH, CODING = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n"
+LENGTH = b"Content-Length: 5\r\n"
+CODING = b"Transfer-Encoding: chunked\r\n"
 
 
 def get(line: bytes, headers: bytes = HOST) -> bytes:
@@ -103,7 +105,7 @@
     "trailer name that is no token": ("7.1.2", 400, CHUNKED + b"0\r\nX A: b\r\n\r\n" + HIDDEN),
     "trailer with a length": ("7.1.2", 400, CHUNKED + b"0\r\nContent-Length: 7\r\n\r\n" + HIDDEN),
     "trailer with a coding": ("7.1.2", 400, CHUNKED + b"0\r\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN),
-}  # fmt: skip
+}
 
 # What must be taken all the same.
 TAKEN: dict[str, tuple[str, bytes]] = {
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -199,7 +199,8 @@
 def test_cold_server_is_sent_no_more_than_its_budget() -> None:
     driver = Driver(settings(), servers=entries(1, 2, 3, 4))
     driver.balancer.admission.window = 20.0
-    call, out = 0, list[Send]()
+    call = 0
+    out = list[Send]()
     for _ in range(200):  # a warm phase, so that the instance knows its own rate: 40 calls a second
         call += 1
         driver.wait(0.025)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -39,7 +39,8 @@
     """What the other side knows of one call."""
 
     def __init__(self, cls: str, deadline: float) -> None:
-        self.cls, self.deadline = BY_NAME[cls], deadline
+        self.cls = BY_NAME[cls]
+        self.deadline = deadline
         self.attempts: list[tuple[int, float, Status | None]] = []
         self.ended = False
 
@@ -179,11 +180,15 @@
     driver = Driver(setup, seed, entries(*range(1, servers + 1)))
     driver.balancer.admission.window = 50.0
     chance = Random(seed)
-    call, first, out, cold = 0, driver.now, list[tuple[float, Send]](), list[float]()
+    call = 0
+    first = driver.now
+    out = list[tuple[float, Send]]()
+    cold = list[float]()
     restarted = False
     while driver.now - first < warm_up + 8.0:
         if not restarted and driver.now - first >= warm_up:
-            restarted, begun = True, driver.now
+            restarted = True
+            begun = driver.now
             driver.feed(ServerList(ListKind.INCREMENTAL, entries(1, started_at=driver.now)))
         call += 1
         said = driver.wait(chance.expovariate(rate))
@@ -207,15 +212,26 @@
 def test_a_cold_server_stays_under_what_fells_it_over_all_instances_together(seed: int) -> None:
     """By the platform's own figure: N + 3 root N + 3 calls in the time that the settings name, N being what
     they allow it then. Sixty instances hear of the restart in one moment, and each has few calls."""
-    instances, servers, rate, window, multiple = 60, 3, 240.0, 1.5, 1.5  # calls a second, of all together
+    # calls a second, of all together
+    instances = 60
+    servers = 3
+    rate = 240.0
+    window = 1.5
+    multiple = 1.5
     setup = settings(
-        fall_multiple=multiple, fall_within=window, cold_from=0.2, cold_for=30.0, balancers=instances,
+        fall_multiple=multiple,
+        fall_within=window,
+        cold_from=0.2,
+        cold_for=30.0,
+        balancers=instances,
         may_probe=True,
-    )  # fmt: skip
+    )
     fleet = [Driver(setup, seed * 1000 + n, entries(*range(1, servers + 1))) for n in range(instances)]
     chance = Random(seed)
     now = begun = fleet[0].now
-    call, restarted, cold = 0, 0.0, list[float]()
+    call = 0
+    restarted = 0.0
+    cold = list[float]()
     out: list[tuple[float, Driver, Send]] = []
 
     def until(driver: Driver, then: float) -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -133,7 +133,8 @@
                 writer.transport.abort()
 
         broken: list[Seen] = []
-        near, far = [Backend(once), Backend(once)], [Backend(once), Backend(once)]
+        near = [Backend(once), Backend(once)]
+        far = [Backend(once), Backend(once)]
         discovery = await Discovery().start()
         for backend in (*near, *far):
             await backend.start()
@@ -194,7 +195,9 @@
 
     async def test() -> None:
         discovery = await Discovery().start()
-        gone, stays, comes = Backend(), Backend(), await Backend().start()
+        gone = Backend()
+        stays = Backend()
+        comes = await Backend().start()
         async with proxy({"s-1": gone, "s-2": stays}, discovery) as node:
             async with asyncio.timeout(PATIENCE):
                 assert "from=1" in await discovery.asked.get()
@@ -223,10 +226,14 @@
 def test_one_bad_sign_at_the_start_does_not_keep_the_window_shut() -> None:
     """An instance that gets several times the others' calls: after one early error it takes the calls that
     its server bears, and does not refuse them for minutes."""
-    service, callers, wanted = 0.25, 60, 40  # s, that the server takes for each call; at once
+    # s, that the server takes for each call; at once
+    service = 0.25
+    callers = 60
+    wanted = 40
 
     async def test() -> None:
-        out = most = 0
+        out = 0
+        most = 0
         answered = asyncio.Event()
 
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
@@ -265,7 +272,9 @@
 def test_a_cheap_class_that_is_quick_is_not_refused_for_a_dearer_one_that_is_slow() -> None:
     """An instance with many times the calls that it may have out refuses by worth. Of two classes the cheaper
     one may be worth more for the time that its calls take: then both have their part."""
-    slots, spans = 4, {"reserva": 0.05, "canje": 0.2}  # s of a server's slot; worth 2 and 3
+    # s of a server's slot; worth 2 and 3
+    slots = 4
+    spans = {"reserva": 0.05, "canje": 0.2}
 
     async def test() -> None:
         codes: dict[str, Counter[int]] = {name: Counter() for name in spans}
@@ -294,8 +303,9 @@
         async with proxy({"s-1": Backend(behave)}, grades=grades) as node:
             asking = [
                 asyncio.create_task(calls(cls, 100 * place + number))
-                for place, cls in enumerate(spans) for number in range(40)
-            ]  # fmt: skip
+                for place, cls in enumerate(spans)
+                for number in range(40)
+            ]
             async with asyncio.timeout(PATIENCE):
                 await enough.wait()
             for task in asking:
@@ -334,7 +344,9 @@
 def test_a_draining_backend_gets_nothing_new_and_a_readdressed_one_no_old_connection() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
-        one, two, moved = Backend(), await Backend().start(), await Backend().start()
+        one = Backend()
+        two = await Backend().start()
+        moved = await Backend().start()
         async with proxy({"s-1": one}, discovery) as node:
             caller = await node.caller()
             assert (await caller.call("canje", "0" * 16)).code == 200
@@ -390,12 +402,13 @@
         (404, b"GET /load" + HEAD + b"X-Budget: 500m\r\n\r\n"),
         (413, b"POST /canje" + HEAD + b"X-Budget: 500m\r\nContent-Length: 50331649\r\n\r\n"),
     ],
-)  # fmt: skip
+)
 def test_bad_input_reaches_nobody_and_harms_no_other(code: int, data: bytes) -> None:
     async def test() -> None:
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
-            bad, good = await node.caller(), await node.caller()
+            bad = await node.caller()
+            good = await node.caller()
             assert (await bad.raw(data)).code == code
             assert backend.count == 0
             assert (await good.call("stock", "2" * 16)).code == 200
@@ -426,7 +439,8 @@
     async def test() -> None:
         backend = Backend(silent)
         async with proxy({"s-1": backend}) as node:
-            first, second = await node.caller(), await node.caller()
+            first = await node.caller()
+            second = await node.caller()
             first.send("canje", "e" * 16, budget="600m")
             await next_call(backend)
             assert (await second.call("canje", "e" * 16)).code == 409
@@ -461,7 +475,8 @@
 
         backend = Backend(behave)
         async with proxy({"s-1": backend}) as node:
-            held, idle = await node.caller(), await node.caller()
+            held = await node.caller()
+            idle = await node.caller()
             assert (await idle.call("stock", "1" * 16)).code == 200
             held.send("canje", "a" * 16, budget="6000m")
             await next_call(backend)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,7 +17,8 @@
     """Guards against the variable that overrides the file, and against versions of the old server."""
 
     async def test() -> None:
-        one, two = Backend(), await Backend().start()
+        one = Backend()
+        two = await Backend().start()
         async with proxy({"s-1": one}) as node:
             caller = await node.caller()
             assert (await caller.call("stock", "1" * 16)).code == 200
@@ -63,7 +64,8 @@
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"settings": {}, "discovery": 3}', DEEP])
 def test_a_file_that_cannot_be_used_changes_nothing(text: str) -> None:
     async def test() -> None:
-        backend, discovery = Backend(), await Discovery().start()
+        backend = Backend()
+        discovery = await Discovery().start()
         async with proxy({"s-1": backend}, discovery) as node:
             assert "from=1" in await first_asked(discovery)
             node.reload(text=text)
@@ -87,9 +89,11 @@
             await free.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        backend, new = Backend(behave), await Discovery().start()
+        backend = Backend(behave)
+        new = await Discovery().start()
         async with proxy({"s-1": backend}) as node:
-            caller, idle = await node.caller(), await node.caller()
+            caller = await node.caller()
+            idle = await node.caller()
             caller.send("canje", "a" * 16, budget="6000m")
             await next_call(backend)
             node.terminate()
@@ -113,7 +117,8 @@
 
         loop = asyncio.get_running_loop()
         async with proxy({f"s-{number}": Backend(behave) for number in range(3)}) as node:
-            caller, stuck = await node.caller(), await node.caller()
+            caller = await node.caller()
+            stuck = await node.caller()
             assert (await caller.call("stock", "1" * 16)).code == 200
             begun = loop.time()
             node.terminate()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,29 +34,41 @@
     for name in draw(st.lists(NAMES, min_size=1, max_size=6, unique=True)):
         deadline = draw(SPANS)
         grade = {
-            "name": name, "value": draw(st.floats(0, 50)), "deadline": deadline, "unheard": {"of": [1]},
+            "name": name,
+            "value": draw(st.floats(0, 50)),
+            "deadline": deadline,
+            "unheard": {"of": [1]},
             "objective": deadline * draw(st.floats(0.2, 1.0)),
             "effect": draw(st.sampled_from(["repeatable", "by_key", "once"])),
-        }  # fmt: skip
+        }
         if draw(st.booleans()):
             grade |= {"group": draw(st.sampled_from(["all", "zone", "cell"])), "window": draw(SPANS)}
         if draw(st.booleans()):
             grade["late_worth"] = draw(st.floats(0, 1))
         grades.append(grade)
     made: dict[str, Any] = {
-        "balancers": draw(st.integers(1, 200)), "me": 0, "grades": grades, "new_key": [1, {"deep": None}],
-        "discovery": draw(st.sampled_from(["push", "ask"])), "dcs": zones, "zone": (zones or ["nowhere"])[0],
+        "balancers": draw(st.integers(1, 200)),
+        "me": 0,
+        "grades": grades,
+        "new_key": [1, {"deep": None}],
+        "discovery": draw(st.sampled_from(["push", "ask"])),
+        "dcs": zones,
+        "zone": (zones or ["nowhere"])[0],
         "policy_limits": {
-            "send_cap": draw(st.integers(1, 6)), "may_duplicate": draw(st.booleans()),
-            "may_cancel": draw(st.booleans()), "probes": draw(st.booleans()),
+            "send_cap": draw(st.integers(1, 6)),
+            "may_duplicate": draw(st.booleans()),
+            "may_cancel": draw(st.booleans()),
+            "probes": draw(st.booleans()),
         },
         "contract": {
-            "grace_to_answer": 0.02, "drain_grace": draw(st.floats(0, 3)),
-            "cold_from": draw(st.floats(0.05, 1)), "cold": draw(st.floats(0, 30)),
+            "grace_to_answer": 0.02,
+            "drain_grace": draw(st.floats(0, 3)),
+            "cold_from": draw(st.floats(0.05, 1)),
+            "cold": draw(st.floats(0, 30)),
             "fall_multiple": draw(st.floats(1.1, 5)),
             "overload_for": draw(st.floats(0.5, 5)),
         },
-    }  # fmt: skip
+    }
     if draw(st.booleans()):
         names = draw(st.lists(NAMES, max_size=5, unique=True))
         made["tenants"] = [{"name": name, "quota_rps": draw(st.floats(0.1, 100))} for name in names]
@@ -104,24 +116,32 @@
     effects = ["repeatable", "by_key", "once"]
     made["grades"] = [
         {
-            "name": f"c{number}.{chance.randrange(999)}~x", "value": chance.uniform(0.1, 9),
+            "name": f"c{number}.{chance.randrange(999)}~x",
+            "value": chance.uniform(0.1, 9),
             "deadline": (deadline := chance.uniform(0.25, 1.5)),
             "objective": deadline * chance.uniform(0.4, 1),
-            "effect": effects[number % 3], "group": chance.choice(["all", "zone", "cell"]),
+            "effect": effects[number % 3],
+            "group": chance.choice(["all", "zone", "cell"]),
             "window": chance.uniform(0.2, 3),
         }
         for number in range(chance.randint(3, 6))
-    ]  # fmt: skip
+    ]
     made["discovery"] = chance.choice(["push", "ask"])
     made["tenants"] = [{"name": f"t-{n}", "quota_rps": 5.0} for n in range(chance.randint(0, 4))]
     made["policy_limits"] = {
-        "send_cap": chance.randint(1, 5), "may_duplicate": chance.random() < 0.5,
-        "may_cancel": chance.random() < 0.5, "probes": False,
-    }  # fmt: skip
+        "send_cap": chance.randint(1, 5),
+        "may_duplicate": chance.random() < 0.5,
+        "may_cancel": chance.random() < 0.5,
+        "probes": False,
+    }
     made["contract"] = {
-        "grace_to_answer": 0.02, "drain_grace": chance.choice([0.2, 0.5, 2.0]), "cold_from": 0.2, "cold": 8.0,
-        "fall_multiple": 2.5, "overload_for": 2.0,
-    }  # fmt: skip
+        "grace_to_answer": 0.02,
+        "drain_grace": chance.choice([0.2, 0.5, 2.0]),
+        "cold_from": 0.2,
+        "cold": 8.0,
+        "fall_multiple": 2.5,
+        "overload_for": 2.0,
+    }
     return made
 
 
@@ -130,7 +150,9 @@
     """Backends serve, fail, turn away, reset and hang; callers come at once, and some leave."""
 
     async def test() -> None:
-        settings, ledger, loop = drawn(seed), Ledger(), asyncio.get_running_loop()
+        settings = drawn(seed)
+        ledger = Ledger()
+        loop = asyncio.get_running_loop()
         chance = Random(seed)
 
         def behave(name: str) -> Any:
@@ -155,7 +177,8 @@
         async def calls(node: Any, number: int) -> None:
             grade = settings["grades"][number % len(settings["grades"])]
             caller: Caller = await node.caller()
-            id, leaves = f"{number:016x}", number % 7 == 6
+            id = f"{number:016x}"
+            leaves = number % 7 == 6
             get = grade["effect"] == "repeatable"
             key = f"Idempotency-Key: k{id}\r\n" if grade["effect"] == "by_key" else ""
             budget = grade["deadline"]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -51,7 +51,9 @@
     """The `run` line in a tree that nobody may write to."""
 
     def __init__(self, process: subprocess.Popen[bytes], folder: Path, listen: tuple[str, int]) -> None:
-        self.process, self.folder, self.listen = process, folder, listen
+        self.process = process
+        self.folder = folder
+        self.listen = listen
 
     @property
     def audit(self) -> list[str]:
@@ -105,19 +107,40 @@
     private.mkdir()
     listen = ("127.0.0.1", free_port())
     config = {
-        "name": "n0", "listen": f"127.0.0.1:{listen[1]}", "discovery": f"127.0.0.1:{free_port()}",
-        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "peer_listen": f"127.0.0.1:{free_port()}", "peers": [f"127.0.0.1:{free_port()}"],
-        "known": {"index": 1, "snapshot": True, "endpoints": [
-            {"name": "s-1", "address": f"127.0.0.1:{free_port()}", "zone": "a", "type": "m", "group": 1,
-             "status": "Ready", "weight": 1.0, "since_ms": 0}]},
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen[1]}",
+        "discovery": f"127.0.0.1:{free_port()}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "peer_listen": f"127.0.0.1:{free_port()}",
+        "peers": [f"127.0.0.1:{free_port()}"],
+        "known": {
+            "index": 1,
+            "snapshot": True,
+            "endpoints": [
+                {
+                    "name": "s-1",
+                    "address": f"127.0.0.1:{free_port()}",
+                    "zone": "a",
+                    "type": "m",
+                    "group": 1,
+                    "status": "Ready",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+            ],
+        },
         "settings": SETTINGS,
-    }  # fmt: skip
+    }
     (tmp_path / "config.json").write_text(json.dumps(config))
     environ = {
-        "PATH": os.environ["PATH"], "EDGE_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(private),
-        "PYTHONPATH": str(hooks), "AUDIT_LOG": str(tmp_path / "audit"), "PYTHONDONTWRITEBYTECODE": "1",
-    }  # fmt: skip
+        "PATH": os.environ["PATH"],
+        "EDGE_CONFIG": str(tmp_path / "config.json"),
+        "TMPDIR": str(private),
+        "PYTHONPATH": str(hooks),
+        "AUDIT_LOG": str(tmp_path / "audit"),
+        "PYTHONDONTWRITEBYTECODE": "1",
+    }
     process = subprocess.Popen(["/bin/sh", "-c", command], cwd=tree, env=environ, stderr=subprocess.DEVNULL)
     try:
         yield Started(process, tmp_path, listen)
--- a/tests/websocket/test_codec.py
+++ b/tests/websocket/test_codec.py
@@ -86,7 +86,8 @@
         + frame(0, b" mundo")
         + frame(8, struct.pack("!H", 1001) + b"x")
     )
-    codec, found = Codec(False, 1000), []
+    codec = Codec(False, 1000)
+    found = []
     for n in range(len(data)):
         codec.receive(data[n : n + 1])
         found += list(codec.events())
@@ -95,7 +96,8 @@
 
 
 def test_what_this_side_sends_the_other_reads() -> None:
-    server, client = Codec(False, 100_000), Codec(True, 100_000)
+    server = Codec(False, 100_000)
+    client = Codec(True, 100_000)
     for one, two in ((server, client), (client, server)):
         for data in ("", "ñ" * 10, b"\x00" * 70_000):
             two.receive(one.piece(data))
--- a/tests/websocket/test_front.py
+++ b/tests/websocket/test_front.py
@@ -53,7 +53,9 @@
 
 def test_where_all_hold_too_much_the_one_that_holds_most_is_closed() -> None:
     front: Any = object.__new__(Front)
-    front.pool, front.load, front.loads = 1000, 0, {}
+    front.pool = 1000
+    front.load = 0
+    front.loads = {}
     peers = [Loaded(load) for load in (300, 400, 200)]
     for peer in peers:
         front.wrote(peer)
@@ -70,7 +72,8 @@
 
 
 def test_a_session_that_has_too_much_unread_is_closed_and_told_nothing_more() -> None:
-    peer, talks = Unread(), Talks.__new__(Talks)
+    peer = Unread()
+    talks = Talks.__new__(Talks)
     talks.front = SimpleNamespace(  # type: ignore[assignment]
         settings=WebSocket(messages=("pantalla",), unread_bytes=1024), wrote=lambda peer: None
     )
@@ -106,7 +109,8 @@
 )
 def test_the_module_is_told_the_end_of_a_tunnel_once(end: Callable[[Tunnel], None], status: Status) -> None:
     """It counts the sessions of a node until then."""
-    tunnel, told = Tunnel.__new__(Tunnel), list[Status]()
+    tunnel = Tunnel.__new__(Tunnel)
+    told = list[Status]()
     tunnel.client, tunnel.node = Side(tunnel, True), Side(tunnel, False)
     tunnel.node.peer = SimpleNamespace(  # type: ignore[assignment]
         abort=lambda: tunnel.ended(tunnel.node, ABNORMAL, ""), close=lambda *how: None, faulty=False
@@ -164,9 +168,16 @@
 
     async def test() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rigs.wsnode", "--script", str(file), "--seconds", "0.2", cwd=ROOT,
+            sys.executable,
+            "-m",
+            "rigs.wsnode",
+            "--script",
+            str(file),
+            "--seconds",
+            "0.2",
+            cwd=ROOT,
             stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+        )
         out, _ = await process.communicate()
         assert process.returncode == 0 and out.startswith(b"listening 127.0.0.1:")
         assert b"sessions 0" in out
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -78,9 +78,12 @@
 
 
 def test_doubled_fields_a_body_other_methods_and_versions_are_refused() -> None:
-    for headers in ([*GOOD, (b"sec-websocket-key", KEY)], [*GOOD, (b"sec-websocket-version", b"13")],
-                    [*GOOD, (b"upgrade", b"websocket")],
-                    [*GOOD, (b"origin", b"a"), (b"origin", b"b")]):  # fmt: skip
+    for headers in (
+        [*GOOD, (b"sec-websocket-key", KEY)],
+        [*GOOD, (b"sec-websocket-version", b"13")],
+        [*GOOD, (b"upgrade", b"websocket")],
+        [*GOOD, (b"origin", b"a"), (b"origin", b"b")],
+    ):
         with pytest.raises(Declined):
             read_opening(b"GET", "1.1", headers, False)
     for method, version, body in ((b"POST", "1.1", False), (b"GET", "1.0", False), (b"GET", "1.1", True)):
@@ -122,10 +125,13 @@
     assert asking.proven(proof(asking)) is None
     assert asking.proven(proof(asking, sec_websocket_protocol=b"a")) is None
     for wrong in (
-        {"sec_websocket_accept": accept_of(KEY)}, {"upgrade": b"h2c"}, {"connection": b"close"},
-        {"sec_websocket_extensions": b"permessage-deflate"}, {"sec_websocket_protocol": b"b"},
+        {"sec_websocket_accept": accept_of(KEY)},
+        {"upgrade": b"h2c"},
+        {"connection": b"close"},
+        {"sec_websocket_extensions": b"permessage-deflate"},
+        {"sec_websocket_protocol": b"b"},
         {"sec_websocket_protocol": b"a, a"},
-    ):  # fmt: skip
+    ):
         assert asking.proven(proof(asking, **wrong)), wrong
     before = proof(asking)
     asking.lines(b"m" * 16)  # the next attempt has its own key
--- a/tests/websocket/test_sessions.py
+++ b/tests/websocket/test_sessions.py
@@ -29,10 +29,18 @@
 @pytest.mark.parametrize(
     ("text", "id"),
     [
-        ("", ""), ("nonsense", ""), ("[]", ""), ("3", ""), ("[" * 100_000, ""), ('{"class":"stock"}', ""),
-        ('{"id":7,"class":"stock"}', ""), ('{"id":"a b","class":"stock"}', ""), ('{"id":"a"}', "a"),
+        ("", ""),
+        ("nonsense", ""),
+        ("[]", ""),
+        ("3", ""),
+        ("[" * 100_000, ""),
+        ('{"class":"stock"}', ""),
+        ('{"id":7,"class":"stock"}', ""),
+        ('{"id":"a b","class":"stock"}', ""),
+        ('{"id":"a"}', "a"),
         ('{"id":"a\\r\\nx: y","class":"stock"}', ""),
-        ('{"id":"a","id":"b","class":"stock"}', ""), ('{"id":"a","class":"stock","nope":1}', "a"),
+        ('{"id":"a","id":"b","class":"stock"}', ""),
+        ('{"id":"a","class":"stock","nope":1}', "a"),
         ('{"id":"a","class":"stock","budget_ms":0}', "a"),
         ('{"id":"a","class":"stock","budget_ms":true}', "a"),
         ('{"id":"a","class":"stock","budget_ms":NaN}', "a"),
@@ -41,10 +49,12 @@
         ('{"id":"a","class":"stock","path":"/ HTTP/1.1"}', "a"),
         ('{"id":"a","class":"stock","key":"a\\r\\nx: y"}', "a"),
         ('{"id":"a","class":"stock","subject":"a;b"}', "a"),
-        ('{"id":"a","class":"stock","body":7}', "a"), ('{"id":"a","class":"stock","again":"yes"}', "a"),
-        ('{"id":"a","class":"stock","seen":1.5}', "a"), ('{"id":"a","class":"stock","body":"\\ud800"}', "a"),
+        ('{"id":"a","class":"stock","body":7}', "a"),
+        ('{"id":"a","class":"stock","again":"yes"}', "a"),
+        ('{"id":"a","class":"stock","seen":1.5}', "a"),
+        ('{"id":"a","class":"stock","body":"\\ud800"}', "a"),
     ],
-)  # fmt: skip
+)
 def test_what_is_no_envelope_is_told_so_with_its_id_where_it_has_one(text: str, id: str) -> None:
     with pytest.raises(envelope.Malformed) as fault:
         envelope.read(text)
@@ -126,10 +136,12 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(("begin", "resume", "say", "settle", "detach", "seen", "end", "sweep")),
-        st.integers(0, 3), st.integers(0, 5), st.integers(1, 9000),
+        st.integers(0, 3),
+        st.integers(0, 5),
+        st.integers(1, 9000),
     ),
     max_size=60,
-)  # fmt: skip
+)
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
@@ -137,13 +149,15 @@
 def test_no_history_gives_a_message_two_outcomes_or_keeps_beyond_the_bounds(
     steps: list[tuple[str, int, int, int]],
 ) -> None:
-    book, now = Book(20_000), 0.0
+    book = Book(20_000)
+    now = 0.0
     told: dict[tuple[int, str], set[int]] = {}
     made = 0
     alive: dict[int, int] = {}  # which session of the model has which number
     for what, which, message, size in steps:
         now += 1.0
-        token, id = str(which), str(message)
+        token = str(which)
+        id = str(message)
         session = book.sessions.get(token)
         if what == "begin" and session is None:
             book.begin(token, "", "p")
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -82,13 +82,22 @@
 
 @pytest.mark.parametrize(
     ("what", "code"),
-    [("masked", 1011), ("reserved", 1011), ("opcode", 1011), ("utf8", 1011), ("long", 1011),
-     ("unasked", 1011), ("close-1", 1011), ("reset", 1012)],
-)  # fmt: skip
+    [
+        ("masked", 1011),
+        ("reserved", 1011),
+        ("opcode", 1011),
+        ("utf8", 1011),
+        ("long", 1011),
+        ("unasked", 1011),
+        ("close-1", 1011),
+        ("reset", 1012),
+    ],
+)
 def test_a_node_that_breaks_the_protocol_or_is_lost_is_told_to_its_client_alone(what: str, code: int) -> None:
     async def test() -> None:
         async with running((Fault(what, session=1, after=1),)) as made:
-            raw, other = await made.opened(), await made.opened()
+            raw = await made.opened()
+            other = await made.opened()
             raw.send("x")
             found, said = await raw.closed()
             assert found == code and (code != 1012 or WAIT.fullmatch(said)), (found, said)
@@ -116,7 +125,8 @@
 def test_a_client_that_breaks_the_protocol_or_a_limit_is_closed_with_its_code(data: bytes, code: int) -> None:
     async def test() -> None:
         async with running() as made:
-            raw, other = await made.opened(), await made.opened()
+            raw = await made.opened()
+            other = await made.opened()
             raw.raw(data)
             assert (await raw.closed())[0] == code and await raw.ended()
             other.send("y")
@@ -250,7 +260,8 @@
 def test_a_node_that_goes_silent_after_its_101_is_left() -> None:
     async def test() -> None:
         async with running((Fault("silent", session=1, after=0),), config=QUICK) as made:
-            raw, begun = await made.opened(), time.monotonic()
+            raw = await made.opened()
+            begun = time.monotonic()
             code, said = await raw.closed()
             assert code == 1012 and WAIT.fullmatch(said)
             # 0.4 s to the ping, 0.4 s for its pong, 0.25 s between looks, and a busy machine.
@@ -298,7 +309,8 @@
 
     async def test() -> None:
         async with running(config=FREE) as made:
-            slow, quick = await made.opened(), await made.opened()
+            slow = await made.opened()
+            quick = await made.opened()
             transport = slow.writer.transport
             transport.pause_reading()  # type: ignore[attr-defined]
             before = made.program.memory()
--- a/tests/websocket/wskit.py
+++ b/tests/websocket/wskit.py
@@ -23,8 +23,14 @@
 
 PATIENCE = 20.0
 CONFIG = '[websocket]\nmessages = ["pantalla"]\ntunnels = ["vigia"]\nsessions = 64\n'
-TUNNEL = {"name": "vigia", "value": 1.0, "objective": 1.0, "deadline": 1.5, "effect": "repeatable",
-          "stream": True}  # fmt: skip
+TUNNEL = {
+    "name": "vigia",
+    "value": 1.0,
+    "objective": 1.0,
+    "deadline": 1.5,
+    "effect": "repeatable",
+    "stream": True,
+}
 ALL = [*GRADES, TUNNEL]
 
 
@@ -32,7 +38,10 @@
     """A proxy, its nodes, and what it is told."""
 
     def __init__(self, program: Program, nodes: list[WsNode], padron: Padron, ledger: Ledger) -> None:
-        self.program, self.nodes, self.padron, self.ledger = program, nodes, padron, ledger
+        self.program = program
+        self.nodes = nodes
+        self.padron = padron
+        self.ledger = ledger
         self.kiosks = Kiosks(ledger, [program.address])
 
     @staticmethod
@@ -79,7 +88,8 @@
     """A client that can do what it should not."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
         self.frames = FrameProtocol(client=True, extensions=[])
         self.queue: list[Frame] = []
 
