--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -25,16 +25,16 @@
 
 from benchmarks.per_call import Drive, cpu
 from benchmarks.proof import Proof, run
-from granitepoint.budgets.accounts import Account, Lent, root
-from granitepoint.budgets.correlation import BYTES_EACH, Correlation
-from rigs.backend import Backend
-from rigs.callers import GIVE_UP
-from rigs.chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
-from rigs.kit import until
-from rigs.ledger import Ledger
-from rigs.padron import Padron, entry
-from rigs.program import proxy
-from rigs.world import Habits
+from harness.backend import Backend
+from harness.callers import GIVE_UP
+from harness.chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
+from harness.kit import until
+from harness.ledger import Ledger
+from harness.padron import Padron, entry
+from harness.program import proxy
+from harness.world import Habits
+from service_proxy.deadlines.accounts import Account, Lent, root
+from service_proxy.deadlines.correlation import BYTES_EACH, Correlation
 
 HOSTS = 2
 CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -25,19 +25,19 @@
 from statistics import median
 
 from benchmarks.proof import Proof, run
-from granitepoint.membership.jute import OPEN_ACL, Event
-from granitepoint.membership.merger import MEMBERSHIP, Merger, Word
-from granitepoint.membership.nodes import Node, listed
-from granitepoint.membership.register import Registrar
-from granitepoint.membership.tree import Tree
-from granitepoint.operator import Membership
-from rigs.backend import Backend
-from rigs.callers import EFFECTS, Callers
-from rigs.coordination import Connection, Service, SessionRecord
-from rigs.kit import until
-from rigs.ledger import Ledger, Told
-from rigs.padron import Padron, entry
-from rigs.program import Program, proxy
+from harness.backend import Backend
+from harness.callers import EFFECTS, Callers
+from harness.coordination import Connection, Service, SessionRecord
+from harness.kit import until
+from harness.ledger import Ledger, Told
+from harness.padron import Padron, entry
+from harness.program import Program, proxy
+from service_proxy.ephemeral_nodes.jute import OPEN_ACL, Event
+from service_proxy.ephemeral_nodes.merger import MEMBERSHIP, Merger, Word
+from service_proxy.ephemeral_nodes.nodes import Node, listed
+from service_proxy.ephemeral_nodes.register import Registrar
+from service_proxy.ephemeral_nodes.tree import Tree
+from service_proxy.operator_file import Membership
 
 PARENT = "/salas/portal"
 SHARE = 0.34  # of a mass loss
@@ -413,5 +413,5 @@
 
 if __name__ == "__main__":
     # Sidecars that lose their sessions say so. Not in measure(): a test that runs it keeps its log.
-    logging.getLogger("granitepoint").setLevel(logging.CRITICAL)
+    logging.getLogger("service_proxy").setLevel(logging.CRITICAL)
     sys.exit(run("ephemeral", measure))
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,17 +24,17 @@
 
 from benchmarks.per_call import Drive, cpu
 from benchmarks.proof import Proof, run
-from granitepoint.fleet.core import Core
-from granitepoint.fleet.guard import Seals
-from granitepoint.fleet.states import State
-from granitepoint.fleet.table import Change
-from granitepoint.fleet.timing import Timing
-from rigs.fleet import model
-from rigs.fleet.bed import Bed, Member, Stage, address_of
-from rigs.fleet.network import Weather
-from rigs.fleet.script import DEEDS, Fault, Player, Script, Top
-from rigs.fleet.world import Seen, Setup, World, world
-from rigs.kit import until
+from harness.fleet import model
+from harness.fleet.bed import Bed, Member, Stage, address_of
+from harness.fleet.network import Weather
+from harness.fleet.script import DEEDS, Fault, Player, Script, Top
+from harness.fleet.world import Seen, Setup, World, world
+from harness.kit import until
+from service_proxy.fleet.core import Core
+from service_proxy.fleet.guard import Seals
+from service_proxy.fleet.states import State
+from service_proxy.fleet.table import Change
+from service_proxy.fleet.timing import Timing
 
 PARTS = ("real", "scale", "seeds", "against", "model", "fuzz", "cost")
 SETTLING = 10.0  # periods within which all views of the living are equal after the last fault
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -22,14 +22,14 @@
 import httptools
 
 from benchmarks.proof import Proof, run
-from granitepoint.membership.jute import OPEN_ACL
-from granitepoint.membership.nodes import Node
-from rigs.backend import Backend
-from rigs.callers import MIX, request
-from rigs.coordination import Service, SessionRecord
-from rigs.ledger import Ledger
-from rigs.padron import Padron, entry
-from rigs.program import ROOT, proxy
+from harness.backend import Backend
+from harness.callers import MIX, request
+from harness.coordination import Service, SessionRecord
+from harness.ledger import Ledger
+from harness.padron import Padron, entry
+from harness.program import ROOT, proxy
+from service_proxy.ephemeral_nodes.jute import OPEN_ACL
+from service_proxy.ephemeral_nodes.nodes import Node
 
 CONNECTIONS = 8
 TURNS = 5
@@ -103,7 +103,7 @@
 @contextlib.asynccontextmanager
 async def relay(to: str) -> AsyncIterator[tuple[int, tuple[str, int]]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "rigs.relay", "--to", to, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-m", "harness.relay", "--to", to, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
     assert process.stdout is not None
     try:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -28,13 +28,13 @@
 from statistics import median
 
 from benchmarks.proof import Proof, run
-from granitepoint.recovery.facts import Fact, Keyed, Server, State, put
-from granitepoint.recovery.folder import Folder
-from granitepoint.recovery.store import Found, Owner, Refused, Store, read_store
-from rigs.fleet.world import Setup, World, world
-from rigs.kit import until
-from rigs.recovery.broken import FAULTY, PLANTED
-from rigs.recovery.points import recorded, wrong
+from harness.fleet.world import Setup, World, world
+from harness.kit import until
+from harness.recovery.broken import FAULTY, PLANTED
+from harness.recovery.points import recorded, wrong
+from service_proxy.recovery.facts import Fact, Keyed, Server, State, put
+from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.store import Found, Owner, Refused, Store, read_store
 
 PARTS = ("points", "torn", "store", "power")
 OWNER = Owner("p0", "m0")
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -25,12 +25,12 @@
 from random import Random
 
 from benchmarks.proof import Proof, run
-from granitepoint.sidecar.checking import check
-from granitepoint.sidecar.description import load
-from granitepoint.sidecar.model import Description
-from rigs.callers import GIVE_UP
-from rigs.kit import until
-from rigs.world import EDGE, world
+from harness.callers import GIVE_UP
+from harness.kit import until
+from harness.world import EDGE, world
+from service_proxy.sidecar.checking import check
+from service_proxy.sidecar.description import load
+from service_proxy.sidecar.model import Description
 
 CORPUS = Path(__file__).parent.parent / "tests" / "corpus" / "good"
 MUTATIONS = 2000
--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -22,16 +22,16 @@
 
 from benchmarks.per_call import cpu, relay
 from benchmarks.proof import Proof, run
-from granitepoint.websocket.codec import Codec, Fault
-from granitepoint.websocket.sessions import Book, Outcome, Taking
-from rigs.callers import EFFECTS, GRADES, MIX
-from rigs.frames import stream
-from rigs.kiosks import Kiosk, Kiosks
-from rigs.kit import until
-from rigs.ledger import Effect, Ledger
-from rigs.padron import Padron, entry
-from rigs.program import Program, proxy, settings
-from rigs.wsnode import WsNode
+from harness.callers import EFFECTS, GRADES, MIX
+from harness.frames import stream
+from harness.kiosks import Kiosk, Kiosks
+from harness.kit import until
+from harness.ledger import Effect, Ledger
+from harness.padron import Padron, entry
+from harness.program import Program, proxy, settings
+from harness.wsnode import WsNode
+from service_proxy.websocket.codec import Codec, Fault
+from service_proxy.websocket.sessions import Book, Outcome, Taking
 
 TUNNEL = {
     "name": "vigia",
--- a/granitepoint/__init__.py
+++ b/granitepoint/__init__.py
@@ -1,71 +1,18 @@
-"""granitepoint: the decisions of a load balancer for services that call services."""
+"""Deprecated name of the package `service_proxy`.
 
-from granitepoint.interface import (
-    Action,
-    Arrival,
-    Cancel,
-    CloseIdle,
-    Effect,
-    Event,
-    Fail,
-    Fetch,
-    Gone,
-    Instances,
-    ListKind,
-    Log,
-    NewSettings,
-    Outcome,
-    PeerMessage,
-    Probe,
-    Probed,
-    Refuse,
-    RequestClass,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
-    SetTimer,
-    Settings,
-    Status,
-    StreamStarted,
-    Tell,
-    Tenant,
-    Timer,
-    Watch,
-)
-from granitepoint.logic import Balancer
+Unit files and scripts that earlier versions wrote call `python -m granitepoint...`. Each module of this
+package runs the program that has taken its place, and logs that the old name is deprecated.
+"""
 
-__all__ = [
-    "Action",
-    "Arrival",
-    "Balancer",
-    "Cancel",
-    "CloseIdle",
-    "Effect",
-    "Event",
-    "Fail",
-    "Fetch",
-    "Gone",
-    "Instances",
-    "ListKind",
-    "Log",
-    "NewSettings",
-    "Outcome",
-    "PeerMessage",
-    "Probe",
-    "Probed",
-    "Refuse",
-    "RequestClass",
-    "Send",
-    "ServerEntry",
-    "ServerList",
-    "ServerState",
-    "SetTimer",
-    "Settings",
-    "Status",
-    "StreamStarted",
-    "Tell",
-    "Tenant",
-    "Timer",
-    "Watch",
-]
+from __future__ import annotations
+
+import logging
+import runpy
+
+log = logging.getLogger(__name__)
+
+
+def run_renamed(old_module: str, new_module: str) -> None:
+    """Run `new_module` as `python -m` would, after a warning that names both modules."""
+    log.warning("deprecated_module old=%s new=%s", old_module, new_module)
+    runpy.run_module(new_module, run_name="__main__", alter_sys=True)
--- a/rigs/__init__.py
+++ b/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, scripted peers and the recorder. Loopback only; never imported by granitepoint."""
+"""Stand-ins, scripted peers and the recorder. Loopback only; never imported by service_proxy."""
--- a/rigs/backend.py
+++ b/harness/backend.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from rigs.kit import listen
-from rigs.ledger import OPEN, Attempt, Ledger, Start
+from harness.kit import listen
+from harness.ledger import OPEN, Attempt, Ledger, Start
 
 LOAD = b"inflight=0,queue=0"
 
--- a/rigs/callers.py
+++ b/harness/callers.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from rigs.ledger import Answer, Effect, Ledger, Taken
+from harness.ledger import Answer, Effect, Ledger, Taken
 
 MOST_CONNECTIONS = 400  # of one caller's pool; beyond it a request is not sent, and counted as such
 KEPT = 2.0  # s for which an idle connection is used again; the proxy closes it some seconds later
--- a/rigs/chain.py
+++ b/harness/chain.py
@@ -1,6 +1,6 @@
 """A chain of up to three tiers of real sidecars on loopback: budgets on or off, skewed clocks, misroutes.
 
-    python -m rigs.chain [--tiers 2] [--hosts 2] [--budgets on|off] [--misroute] [--skew]
+    python -m harness.chain [--tiers 2] [--hosts 2] [--budgets on|off] [--misroute] [--skew]
                          [--seconds 5] [--rate 20]
 
 Prints what became of the calls, and who worked on which request when nobody waited for it any more.
@@ -23,10 +23,10 @@
 
 import uvloop
 
-from granitepoint.operator.schema import Budgets
-from granitepoint.sidecar.model import Class, Description, Features, Route, Sidecar, Tier, Top
-from rigs.ledger import Attempt
-from rigs.world import Habits, World, world
+from harness.ledger import Attempt
+from harness.world import Habits, World, world
+from service_proxy.operator_file.schema import Budgets
+from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier, Top
 
 TIERS = ("portal", "nucleo", "almacen", "fondo")
 ZONES = ("sala-a", "sala-b")
@@ -184,7 +184,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m rigs.chain", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+        prog="python -m harness.chain",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("--tiers", type=int, default=2, choices=(1, 2, 3))
     parser.add_argument("--hosts", type=int, default=2, choices=(1, 2, 3, 4))
--- a/rigs/coordination.py
+++ b/harness/coordination.py
@@ -1,6 +1,6 @@
 """A stand-in for a coordination service: the ZooKeeper client protocol, to any client, with scripted faults.
 
-    python -m rigs.coordination --listen 127.0.0.1:0 [--ensemble 3] [--script FILE] [--seconds 600]
+    python -m harness.coordination --listen 127.0.0.1:0 [--ensemble 3] [--script FILE] [--seconds 600]
 
 It prints `listening HOST:PORT`, then one such line for each further server of the ensemble. One process holds
 all servers and one tree, so an ensemble is consistent at once; what goes wrong is the script's to say:
@@ -35,8 +35,8 @@
 from pathlib import Path
 from typing import Any, cast
 
-from granitepoint.membership import jute
-from granitepoint.membership.jute import Err, Event, Op, Reader, ServiceError, Stat, Writer
+from service_proxy.ephemeral_nodes import jute
+from service_proxy.ephemeral_nodes.jute import Err, Event, Op, Reader, ServiceError, Stat, Writer
 
 EXPIRY_STEP = 0.05  # s between looks at sessions
 # ms that a session is granted
@@ -757,7 +757,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m rigs.coordination",
+        prog="python -m harness.coordination",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/rigs/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -1,7 +1,7 @@
 """Plays a script of faults and judges the views.
 
-    python -m rigs.fleet play SCRIPT [--real] [--seed N] [--transcript FILE] [--replay FILE]
-    python -m rigs.fleet schema
+    python -m harness.fleet play SCRIPT [--real] [--seed N] [--transcript FILE] [--replay FILE]
+    python -m harness.fleet schema
 
 Without --real: the pure cores, in virtual time. --transcript writes one line for each datagram's fate,
 [s, from, to, number on that link, bytes, [[delay s, bit turned or -1], ...]]; --replay decides by such a
@@ -20,14 +20,14 @@
 
 import uvloop
 
-from granitepoint.fleet.timing import Timing
-from granitepoint.operator.reader import OperatorError, read_text
-from granitepoint.sidecar.explain import table_schema
-from rigs.fleet.bed import Bed, Stage
-from rigs.fleet.network import Network
-from rigs.fleet.script import Fault, Player, Script, Top, read
-from rigs.fleet.world import Setup, world
-from rigs.kit import until
+from harness.fleet.bed import Bed, Stage
+from harness.fleet.network import Network
+from harness.fleet.script import Fault, Player, Script, Top, read
+from harness.fleet.world import Setup, world
+from harness.kit import until
+from service_proxy.fleet.timing import Timing
+from service_proxy.operator_file.reader import OperatorError, read_text
+from service_proxy.sidecar.explain import table_schema
 
 SETTLING = 30.0  # periods that are waited for after the last fault
 PERIOD = 0.5  # s, on real processes
@@ -90,7 +90,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m rigs.fleet", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+        prog="python -m harness.fleet",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     commands = parser.add_subparsers(dest="command", required=True)
     play = commands.add_parser("play", help="play a script")
--- a/rigs/fleet/bed.py
+++ b/harness/fleet/bed.py
@@ -12,13 +12,13 @@
 from random import Random
 from typing import Any
 
-from granitepoint.fleet.core import Core
-from granitepoint.fleet.entries import Address, Claim, Incarnation, Phase, Record, entry, first_run, key_of
-from granitepoint.fleet.guard import Seals
-from granitepoint.fleet.states import LIVING, State
-from granitepoint.fleet.table import Change
-from granitepoint.fleet.timing import Timing
-from rigs.fleet.network import Network
+from harness.fleet.network import Network
+from service_proxy.fleet.core import Core
+from service_proxy.fleet.entries import Address, Claim, Incarnation, Phase, Record, entry, first_run, key_of
+from service_proxy.fleet.guard import Seals
+from service_proxy.fleet.states import LIVING, State
+from service_proxy.fleet.table import Change
+from service_proxy.fleet.timing import Timing
 
 WALL = 1_764_633_600.0  # s since 1970 at the start of a run
 EVERYONE = "10.255.255.255", 7946  # reaches all
@@ -251,7 +251,7 @@
 
 
 class Stage:
-    """rigs.fleet.script.Ground on a bed; it also sees whom a view brings back from the dead."""
+    """harness.fleet.script.Ground on a bed; it also sees whom a view brings back from the dead."""
 
     def __init__(self, bed: Bed) -> None:
         self.bed = bed
--- a/rigs/fleet/model.py
+++ b/harness/fleet/model.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from granitepoint.fleet.entries import Claim, Incarnation
-from granitepoint.fleet.states import LIVING, TABLE, Happening, State, Step, happening
+from service_proxy.fleet.entries import Claim, Incarnation
+from service_proxy.fleet.states import LIVING, TABLE, Happening, State, Step, happening
 
 MOST_MESSAGES = 2  # under way at a time, of which each may come again and again
 MOST_BEAT = 1
--- a/rigs/fleet/newer.py
+++ b/harness/fleet/newer.py
@@ -1,7 +1,7 @@
 """Runs a module as the next version of the program would speak: version 2 at each datagram's head, two bytes
 more in its header, and a section that nobody knows yet.
 
-    python -m rigs.fleet.newer MODULE [ARGUMENT...]
+    python -m harness.fleet.newer MODULE [ARGUMENT...]
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from granitepoint.fleet import wire
+from service_proxy.fleet import wire
 
 UNKNOWN = bytes((199, 3)) + b"n+1"
 
--- a/rigs/fleet/relay.py
+++ b/harness/fleet/relay.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from rigs.fleet.network import Network
+from harness.fleet.network import Network
 
 HOSTS = 200  # members for each third byte
 NOBODY = -1  # a sender that is no member
--- a/rigs/fleet/script.py
+++ b/harness/fleet/script.py
@@ -13,7 +13,7 @@
     groups = ["p0-p5", "p6-p11"]
     lasts = 10.0
 
-`python -m rigs.fleet schema` prints the JSON Schema; errors say file, line and what to write.
+`python -m harness.fleet schema` prints the JSON Schema; errors say file, line and what to write.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
-from granitepoint.operator.reader import OperatorError, Problem, Reader, between, key
-from rigs.fleet.network import Network, Weather
+from harness.fleet.network import Network, Weather
+from service_proxy.operator_file.reader import OperatorError, Problem, Reader, between, key
 
 MOST_FAULTS = 1000
 DEEDS = {
--- a/rigs/fleet/world.py
+++ b/harness/fleet/world.py
@@ -17,28 +17,28 @@
 from random import Random
 from typing import Any
 
-from granitepoint.fleet.guard import Seals
-from granitepoint.fleet.pages import Page, Row, question, read_page
-from granitepoint.fleet.wire import Malformed
-from granitepoint.net.listing import address as address_of
-from rigs.backend import Backend
-from rigs.callers import EFFECTS, Callers
-from rigs.fleet.network import Network
-from rigs.fleet.relay import Datagrams, Pipe, host
-from rigs.kit import until
-from rigs.ledger import Ledger, Violation
-from rigs.padron import Padron, entry
-from rigs.program import ROOT, Program, configuration, free_port, launch, settings
-from rigs.skew import STEER
+from harness.backend import Backend
+from harness.callers import EFFECTS, Callers
+from harness.fleet.network import Network
+from harness.fleet.relay import Datagrams, Pipe, host
+from harness.kit import until
+from harness.ledger import Ledger, Violation
+from harness.padron import Padron, entry
+from harness.program import ROOT, Program, configuration, free_port, launch, settings
+from harness.skew import STEER
+from service_proxy.fleet.guard import Seals
+from service_proxy.fleet.pages import Page, Row, question, read_page
+from service_proxy.fleet.wire import Malformed
+from service_proxy.net.listing import address as address_of
 
 LOOK = 0.1  # s between two looks of the observer at each view
 READY_STEP = 0.1  # s between two questions whether a process is ready
 READY = 90.0  # s for all processes to be up on a busy machine
 CHANGE = re.compile(
-    r"granitepoint\.fleet: change (\d+) at ([\d.]+): (\S+) (\w+) -> (\w+), (\S+), told by (\S+): (.*)"
+    r"service_proxy\.fleet: change (\d+) at ([\d.]+): (\S+) (\w+) -> (\w+), (\S+), told by (\S+): (.*)"
 )
 KEY = "0123456789abcdef" * 4  # of fleets whose datagrams are sealed
-TOLD = ("granitepoint.fleet", "granitepoint.recovery", "ERROR", "Traceback")  # lines that are kept
+TOLD = ("service_proxy.fleet", "service_proxy.recovery", "ERROR", "Traceback")  # lines that are kept
 GARBAGE = 64  # bytes of a datagram of a storm
 
 
@@ -98,7 +98,7 @@
 
 
 class World:
-    """rigs.fleet.script.Ground, on real processes."""
+    """harness.fleet.script.Ground, on real processes."""
 
     def __init__(self, setup: Setup, folder: Path) -> None:
         self.loop = asyncio.get_running_loop()
@@ -225,9 +225,9 @@
                 keys = seat.folder / "keys"
                 keys.write_text(f"k1 {KEY}\n")
                 keys.chmod(0o600)
-            through: tuple[str, ...] = ("rigs.skew", "--steer", str(seat.folder / "clock"))
+            through: tuple[str, ...] = ("harness.skew", "--steer", str(seat.folder / "clock"))
             if seat.number in self.setup.newer:
-                through += ("rigs.fleet.newer",)
+                through += ("harness.fleet.newer",)
             process = await launch(
                 seat.folder, self._config(seat), self._operator(seat), self.setup.root, through
             )
--- a/rigs/kiosks.py
+++ b/harness/kiosks.py
@@ -20,8 +20,8 @@
 import httptools
 from wsproto.frame_protocol import FrameProtocol, Opcode
 
-from rigs.callers import MIX, Class
-from rigs.ledger import Answer, Ledger, Taken
+from harness.callers import MIX, Class
+from harness.ledger import Answer, Ledger, Taken
 
 WAIT = re.compile(r"reconnect in ([0-9.]+) s")
 CODES = {"served": 200, "refused": 503, "failed": 502}
--- a/rigs/kit.py
+++ b/harness/kit.py
@@ -1,4 +1,4 @@
-"""What rigs and their tests share: a loop in a thread, and waiting for an event with a bound."""
+"""what the harness and their tests share: a loop in a thread, and waiting for an event with a bound."""
 
 from __future__ import annotations
 
--- a/rigs/padron.py
+++ b/harness/padron.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from rigs.kit import listen
-from rigs.ledger import Ledger, Told
+from harness.kit import listen
+from harness.ledger import Ledger, Told
 
 Entry = dict[str, Any]
 ENDS = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
--- a/rigs/program.py
+++ b/harness/program.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from rigs.callers import GRADES
-from rigs.kit import until
+from harness.callers import GRADES
+from harness.kit import until
 
 ROOT = Path(__file__).parent.parent
 
@@ -156,7 +156,7 @@
     """A process of the program, whose log is `folder`/log, behind what an earlier one wrote there. `through`:
     a module and its arguments that run the program's."""
     (folder / "config.json").write_text(json.dumps(raw))
-    command = [sys.executable, "-m", *through, "granitepoint"]
+    command = [sys.executable, "-m", *through, "service_proxy"]
     if operator:
         (folder / "operator.toml").write_text(operator.replace("{folder}", str(folder)))
         command += ["--operator", str(folder / "operator.toml")]
--- a/rigs/recovery/broken.py
+++ b/harness/recovery/broken.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from granitepoint.recovery.store import Store
+from service_proxy.recovery.store import Store
 
 
 class UnsyncedSnapshot(Store):
--- a/rigs/recovery/points.py
+++ b/harness/recovery/points.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator
 from random import Random
 
-from granitepoint.recovery.facts import Boot, Fact, Keyed, Learned, Maintenance, Server, State, drop, put
-from granitepoint.recovery.records import Record
-from granitepoint.recovery.store import Found, Owner, Refused, Store, read_store
-from rigs.recovery.disk import Image, Tape, cuts
+from harness.recovery.disk import Image, Tape, cuts
+from service_proxy.recovery.facts import Boot, Fact, Keyed, Learned, Maintenance, Server, State, drop, put
+from service_proxy.recovery.records import Record
+from service_proxy.recovery.store import Found, Owner, Refused, Store, read_store
 
 OWNER = Owner("p0", "m0")
 LEAST_LOG = 600  # bytes, so that a short run has several generations
--- a/rigs/recovery/writer.py
+++ b/harness/recovery/writer.py
@@ -1,6 +1,6 @@
 """A process that keeps a store and says how much of it is safe, until it is killed.
 
-    python -m rigs.recovery.writer FOLDER NAME
+    python -m harness.recovery.writer FOLDER NAME
 
 A line `safe N` for each batch; it ends by itself after a minute.
 """
@@ -11,11 +11,11 @@
 import time
 from pathlib import Path
 
-from granitepoint.clock import Clock
-from granitepoint.recovery.facts import Server, Source
-from granitepoint.recovery.folder import Folder
-from granitepoint.recovery.keeper import Keeper
-from granitepoint.recovery.store import Owner
+from service_proxy.clock import Clock
+from service_proxy.recovery.facts import Server, Source
+from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.keeper import Keeper
+from service_proxy.recovery.store import Owner
 
 LIFE = 60.0  # s
 
--- a/rigs/relay.py
+++ b/harness/relay.py
@@ -1,6 +1,6 @@
 """A bare relay on the proxy's kind of loop: bytes from each caller's connection to one of its own, and back.
 
-    python -m rigs.relay --listen 127.0.0.1:0 --to 127.0.0.1:8081
+    python -m harness.relay --listen 127.0.0.1:0 --to 127.0.0.1:8081
 
 What it costs a call is what any proxy on this loop and machine must cost; benchmarks/per_call.py subtracts
 it.
@@ -65,7 +65,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m rigs.relay")
+    parser = argparse.ArgumentParser(prog="python -m harness.relay")
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--to", required=True, metavar="HOST:PORT")
     wanted = parser.parse_args()
--- a/rigs/skew.py
+++ b/harness/skew.py
@@ -1,12 +1,12 @@
 """Runs a module as if its machine's clocks were others: a wall clock that is off or steps, another
 monotonic one.
 
-    python -m rigs.skew [--wall S] [--step S --at S] [--monotonic S] [--steer FILE] MODULE [ARGUMENT...]
+    python -m harness.skew [--wall S] [--step S --at S] [--monotonic S] [--steer FILE] MODULE [ARGUMENT...]
 
 `--wall`: seconds that the wall clock is ahead; `--step`, `--at`: so much more from so many seconds after
 the start;
 `--monotonic`: seconds that the monotonic clock is ahead, as on a machine that was started earlier. `--steer`:
-a file of two doubles, s on the wall clock and s on what `granitepoint.clock` reads of the monotonic one,
+a file of two doubles, s on the wall clock and s on what `service_proxy.clock` reads of the monotonic one,
 which another process may turn at any time.
 The machine's
 clocks stay as they are: only what this process reads through `time` is changed. For MODULE's own clock
@@ -28,7 +28,7 @@
 
 def steered(file: str) -> None:
     """From now on the file says how far this process's clocks are off."""
-    from granitepoint.clock import Clock
+    from service_proxy.clock import Clock
 
     with open(file, "rb") as source:
         said = mmap.mmap(source.fileno(), STEER.size, prot=mmap.PROT_READ)
@@ -53,7 +53,9 @@
 
 def main(argv: list[str] | None = None) -> None:
     parser = argparse.ArgumentParser(
-        prog="python -m rigs.skew", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+        prog="python -m harness.skew",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("--wall", type=float, default=0.0)
     parser.add_argument("--step", type=float, default=0.0)
--- a/rigs/trial.py
+++ b/harness/trial.py
@@ -1,8 +1,8 @@
 """A described installation, tried here: its sidecars for real, embedded stand-ins for all else, real calls.
 
-    python -m rigs.trial FILE [--environment NAME] [--seconds 10] [--rate 40]
+    python -m harness.trial FILE [--environment NAME] [--seconds 10] [--rate 40]
 
-`python -m granitepoint.sidecar try FILE` is the same, after a check of the file. A live table on a terminal,
+`python -m service_proxy.sidecar try FILE` is the same, after a check of the file. A live table on a terminal,
 else a line a second. Exit code 0 where all calls were served and no rule was broken.
 """
 
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from granitepoint.operator.reader import OperatorError
-from granitepoint.sidecar.description import load
-from granitepoint.sidecar.model import Description
-from rigs.world import World, world
+from harness.world import World, world
+from service_proxy.operator_file.reader import OperatorError
+from service_proxy.sidecar.description import load
+from service_proxy.sidecar.model import Description
 
 LOOK = 0.5  # s between two looks at a terminal
 LINE = 1.0  # s between two lines elsewhere
@@ -91,7 +91,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m rigs.trial", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+        prog="python -m harness.trial",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("file", metavar="FILE")
     parser.add_argument("--environment", default="")
--- a/rigs/world.py
+++ b/harness/world.py
@@ -17,16 +17,16 @@
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 
-from granitepoint.net.listing import address
-from granitepoint.sidecar.model import Description, Sidecar
-from granitepoint.sidecar.toml import description_text
-from granitepoint.sidecar.write import platform
-from rigs.backend import Backend, Incoming
-from rigs.callers import Callers, Class
-from rigs.kit import until
-from rigs.ledger import Effect, Ledger
-from rigs.padron import Padron, entry
-from rigs.program import ROOT, Program, free_port, proxy
+from harness.backend import Backend, Incoming
+from harness.callers import Callers, Class
+from harness.kit import until
+from harness.ledger import Effect, Ledger
+from harness.padron import Padron, entry
+from harness.program import ROOT, Program, free_port, proxy
+from service_proxy.net.listing import address
+from service_proxy.sidecar.model import Description, Sidecar
+from service_proxy.sidecar.toml import description_text
+from service_proxy.sidecar.write import platform
 
 MOST_SIDECARS = 16  # processes of one world; what the description has beyond it is left out
 PLAIN_NODES = 3  # servers of a tier that has no sidecars
@@ -111,7 +111,7 @@
         """Returns once it listens and its application was seen to work."""
         sidecar = self.sidecar
         skew = self.world.skews.get(self.name)
-        module = ["rigs.skew", *skew, "granitepoint.sidecar"] if skew else ["granitepoint.sidecar"]
+        module = ["harness.skew", *skew, "service_proxy.sidecar"] if skew else ["service_proxy.sidecar"]
         command = [sys.executable, "-m", *module, "run", str(self.file)]
         command += ["--host", sidecar.host, "--tier", sidecar.tier]
         environ = {**os.environ, "PYTHONPATH": str(ROOT)}
@@ -270,7 +270,7 @@
     older: frozenset[str] = frozenset(),
 ) -> AsyncIterator[World]:
     """All of it, ready. `routes`: a tier whose list of servers is another tier's; `skews`: arguments of
-    rigs.skew
+    harness.skew
     for some sidecars; `edge`: the operator's file of the proxy before the first tier."""
     with tempfile.TemporaryDirectory() as text:
         made = World(description, Path(text), habits or Habits(), routes or {}, skews or {}, older)
--- a/rigs/wsnode.py
+++ b/harness/wsnode.py
@@ -1,6 +1,6 @@
-"""A stand-in for a nodo that speaks WebSocket, and serves calls as rigs.backend does; with scripted faults.
+"""A stand-in for a nodo that speaks WebSocket and serves calls as harness.backend does, with scripted faults.
 
-    python -m rigs.wsnode --listen 127.0.0.1:0 [--script FILE]
+    python -m harness.wsnode --listen 127.0.0.1:0 [--script FILE]
 
 It echoes each message, begun with its own name. The script is JSON, `{"faults": [{"session": 3, "after": 2,
 "what": "silent"}]}`: what it does in its nth session (0: in each) after so many messages. `what` is one of
@@ -25,9 +25,9 @@
 import uvloop
 from wsproto.frame_protocol import CloseReason, FrameProtocol, Opcode, ParseFailed
 
-from rigs.backend import LOAD
-from rigs.kit import listen
-from rigs.ledger import Attempt, Ledger
+from harness.backend import LOAD
+from harness.kit import listen
+from harness.ledger import Attempt, Ledger
 
 GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 MOST_HEAD = 16 * 1024
@@ -341,7 +341,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m rigs.wsnode",
+        prog="python -m harness.wsnode",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/granitepoint/operations/console.py
+++ b/service_proxy/admin/console.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from granitepoint.net.listing import Address
-from granitepoint.operations.maintenance import LONGEST_NAME
+from service_proxy.admin.maintenance import LONGEST_NAME
+from service_proxy.net.listing import Address
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/operations/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -12,8 +12,8 @@
 from dataclasses import replace
 from typing import Any
 
-from granitepoint.interface import ServerState
-from granitepoint.net.listing import Listed, Listing
+from service_proxy.net.listing import Listed, Listing
+from service_proxy.policy.events import ServerState
 
 MOST_OUT = 4096  # backends out by hand; a site has hundreds at most
 LONGEST_NAME = 256  # bytes of a backend's name in the staff's calls
--- a/granitepoint/operations/office.py
+++ b/service_proxy/admin/office.py
@@ -13,18 +13,18 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from granitepoint.net.config import UNREADABLE, Config, config_error, read_config, read_text
-from granitepoint.net.discovery import WALL_OFFSET
-from granitepoint.net.driver import Driver
-from granitepoint.net.listing import Address, Listing
-from granitepoint.net.server import Server
-from granitepoint.operations import steering
-from granitepoint.operations.console import MOST_CONSOLE, Console, Word
-from granitepoint.operations.figures import Figures
-from granitepoint.operations.generations import Generations
-from granitepoint.operations.maintenance import Maintenance, Unknown
-from granitepoint.operations.retune import SETTLING, meanwhile, read_file
-from granitepoint.operations.store import Store
+from service_proxy.admin import steering
+from service_proxy.admin.console import MOST_CONSOLE, Console, Word
+from service_proxy.admin.figures import Figures
+from service_proxy.admin.generations import Generations
+from service_proxy.admin.maintenance import Maintenance, Unknown
+from service_proxy.admin.retune import SETTLING, meanwhile, read_file
+from service_proxy.admin.store import Store
+from service_proxy.net.config import UNREADABLE, Config, config_error, read_config, read_text
+from service_proxy.net.discovery import WALL_OFFSET
+from service_proxy.net.driver import Driver
+from service_proxy.net.listing import Address, Listing
+from service_proxy.net.server import Server
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/operations/retune.py
+++ b/service_proxy/admin/retune.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from granitepoint.interface import Settings
+from service_proxy.policy.events import Settings
 
 SETTLING = 0.8  # s for which callers' requests may still be of the file before
 NOT_READ_AGAIN = frozenset(("known", "seed"))  # keys that only a start takes
--- a/granitepoint/assembly.py
+++ b/service_proxy/composition.py
@@ -1,6 +1,6 @@
 """Puts a proxy together: driver, listener and what the operator's file turns on; and takes it apart again.
 
-The one place that knows every part; `python -m granitepoint` makes one, a sidecar one for each tier that it
+The one place that knows every part; `python -m service_proxy` makes one, a sidecar one for each tier that it
 calls. A part that is off is not imported.
 """
 
@@ -15,28 +15,28 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from granitepoint.net.config import Config
-from granitepoint.net.driver import Driver
-from granitepoint.net.limits import MOST_LENGTH
-from granitepoint.net.listing import Address, Listing
-from granitepoint.net.server import Server
+from service_proxy.net.config import Config
+from service_proxy.net.driver import Driver
+from service_proxy.net.limits import MOST_LENGTH
+from service_proxy.net.listing import Address, Listing
+from service_proxy.net.server import Server
 
 if TYPE_CHECKING:
-    from granitepoint.budgets.calls import Budgets
-    from granitepoint.fleet.transport import Fleet
-    from granitepoint.interface import RequestClass
-    from granitepoint.membership.register import Registrar
-    from granitepoint.net.filters import Filter
-    from granitepoint.net.sources import Subsystem
-    from granitepoint.operations.office import Operations
-    from granitepoint.operator import Budgets as BudgetSettings
-    from granitepoint.operator import Fleet as FleetSettings
-    from granitepoint.operator import Membership, Operator, Registration, WebSocket
-    from granitepoint.operator import Recovery as RecoverySettings
-    from granitepoint.recovery.service import Recovery
-    from granitepoint.websocket.front import Front
-
-log = logging.getLogger("granitepoint")
+    from service_proxy.admin.office import Operations
+    from service_proxy.deadlines.calls import Budgets
+    from service_proxy.ephemeral_nodes.register import Registrar
+    from service_proxy.fleet.transport import Fleet
+    from service_proxy.net.filters import Filter
+    from service_proxy.net.sources import Subsystem
+    from service_proxy.operator_file import Budgets as BudgetSettings
+    from service_proxy.operator_file import Fleet as FleetSettings
+    from service_proxy.operator_file import Membership, Operator, Registration, WebSocket
+    from service_proxy.operator_file import Recovery as RecoverySettings
+    from service_proxy.policy.events import RequestClass
+    from service_proxy.recovery.service import Recovery
+    from service_proxy.websocket.front import Front
+
+log = logging.getLogger("service_proxy")
 
 DRAIN_STEP = 0.01  # s between looks whether all is answered
 LAST_BYTES = 0.3  # s for the last answers to be taken; with __main__.SPARE it stays ahead of the SIGKILL
@@ -80,7 +80,7 @@
         self.config = config
         whole = config
         if websocket is not None:
-            from granitepoint.websocket.front import Front, sized
+            from service_proxy.websocket.front import Front, sized
 
             config = sized(config, websocket)
         self.operations = operations_of(config)
@@ -96,10 +96,10 @@
         self.driver = Driver(config, outer_filters(budgets, called, config, self.recovery), chained(overlays))
         self.subsystems: list[Subsystem] = []
         if membership is not None:
-            from granitepoint.membership.source import Membership as Source
+            from service_proxy.ephemeral_nodes.source import Membership as Source
 
             # Its lines are few, and say which source decided: docs/operators/ephemeral.md.
-            logging.getLogger("granitepoint.membership").setLevel(logging.INFO)
+            logging.getLogger("service_proxy.ephemeral_nodes").setLevel(logging.INFO)
             self.subsystems.append(Source(membership, self.driver, config))
         if budgets is not None:
             self.subsystems.append(budgets)
@@ -186,16 +186,16 @@
     """Where the platform names a second address."""
     if config.console is None:
         return None
-    from granitepoint.operations.office import Operations
+    from service_proxy.admin.office import Operations
 
     return Operations(config)
 
 
 def budgets_of(settings: BudgetSettings, mark: str) -> Budgets:
     """One for all listeners of a process. Raises OperatorError where the key file can't be used."""
-    from granitepoint.budgets.calls import Budgets
+    from service_proxy.deadlines.calls import Budgets
 
-    logging.getLogger("granitepoint.budgets").setLevel(logging.INFO)
+    logging.getLogger("service_proxy.deadlines").setLevel(logging.INFO)
     return Budgets(settings, mark)
 
 
@@ -207,20 +207,20 @@
             "on an installation of its own write own_network = true"
         )
         return None
-    from granitepoint.clock import Clock
-    from granitepoint.fleet.transport import Fleet
+    from service_proxy.clock import Clock
+    from service_proxy.fleet.transport import Fleet
 
     # Each change is a line of its own, and their number has a bound of its own.
-    logging.getLogger("granitepoint.fleet").setLevel(logging.INFO)
+    logging.getLogger("service_proxy.fleet").setLevel(logging.INFO)
     return Fleet(settings, config, driver, Clock(), keys)
 
 
 def recovery_of(settings: RecoverySettings, config: Config) -> Recovery:
-    from granitepoint.clock import Clock
-    from granitepoint.recovery.service import Recovery
+    from service_proxy.clock import Clock
+    from service_proxy.recovery.service import Recovery
 
     # A line for each phase, and for what is wrong with the store.
-    logging.getLogger("granitepoint.recovery").setLevel(logging.INFO)
+    logging.getLogger("service_proxy.recovery").setLevel(logging.INFO)
     return Recovery(settings, config, Clock())
 
 
@@ -241,7 +241,7 @@
     """The fleet's datagrams are sealed where there is a key file, the budgets'. Raises OperatorError."""
     if operator.fleet is None or operator.budgets is None:
         return []
-    from granitepoint.budgets.keys import read_keys
+    from service_proxy.deadlines.keys import read_keys
 
     return list(read_keys(operator.budgets.keys_file).values())
 
@@ -253,7 +253,7 @@
     first: tuple[Filter, ...] = () if recovery is None else (recovery,)
     if budgets is None:
         return first
-    from granitepoint.budgets.calls import OuterFilter
+    from service_proxy.deadlines.calls import OuterFilter
 
     classes = {cls.name: cls for cls in config.settings.classes}
     return (
@@ -266,7 +266,7 @@
     """The same before an application."""
     if budgets is None:
         return ()
-    from granitepoint.budgets.calls import InnerFilter
+    from service_proxy.deadlines.calls import InnerFilter
 
     return (InnerFilter(budgets, classes),)
 
@@ -291,7 +291,7 @@
 
 def registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
     """Keeps this machine's server registered; not started yet."""
-    from granitepoint.membership.register import registrar_of
+    from service_proxy.ephemeral_nodes.register import registrar_of
 
     return registrar_of(membership, registration, since_ms)
 
--- a/granitepoint/budgets/calls.py
+++ b/service_proxy/deadlines/calls.py
@@ -11,18 +11,18 @@
 import time
 from collections.abc import Callable, Mapping
 
-from granitepoint.budgets import header
-from granitepoint.budgets.accounts import Account, Lent, finishing, root
-from granitepoint.budgets.correlation import Correlation, Entry
-from granitepoint.budgets.keys import read_keys
-from granitepoint.budgets.usual import Transit, Usual
-from granitepoint.interface import NEVER_RAN, RequestClass, Status
-from granitepoint.interface import Settings as ProxySettings
-from granitepoint.net.filters import Headers, Turned
-from granitepoint.net.server import Request
-from granitepoint.net.upstream import Exchange
-from granitepoint.operator import Budgets as Settings
-from granitepoint.operator import OperatorError, Problem, load
+from service_proxy.deadlines import header
+from service_proxy.deadlines.accounts import Account, Lent, finishing, root
+from service_proxy.deadlines.correlation import Correlation, Entry
+from service_proxy.deadlines.keys import read_keys
+from service_proxy.deadlines.usual import Transit, Usual
+from service_proxy.net.filters import Headers, Turned
+from service_proxy.net.server import Request
+from service_proxy.net.upstream import Exchange
+from service_proxy.operator_file import Budgets as Settings
+from service_proxy.operator_file import OperatorError, Problem, load
+from service_proxy.policy.events import NEVER_RAN, RequestClass, Status
+from service_proxy.policy.events import Settings as ProxySettings
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/budgets/correlation.py
+++ b/service_proxy/deadlines/correlation.py
@@ -17,7 +17,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from granitepoint.budgets.accounts import Account
+from service_proxy.deadlines.accounts import Account
 
 MOST_REQUESTS = (
     4096  # known at a time, open and ended; the one that ended first is pushed out, then the oldest
--- a/granitepoint/budgets/keys.py
+++ b/service_proxy/deadlines/keys.py
@@ -5,7 +5,7 @@
 import os
 import re
 
-from granitepoint.operator.reader import OperatorError, Problem
+from service_proxy.operator_file.reader import OperatorError, Problem
 
 MOST_KEYS = 2  # the one in use and the one before, while they are rotated
 # of a key
--- a/granitepoint/membership/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -31,9 +31,9 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from granitepoint.interface import ServerEntry, ServerState
-from granitepoint.net.listing import Address, Listed, Listing, server_id
-from granitepoint.net.sources import Health
+from service_proxy.net.listing import Address, Listed, Listing, server_id
+from service_proxy.net.sources import Health
+from service_proxy.policy.events import ServerEntry, ServerState
 
 SAME_START = 2.0  # s by which two sources' starts of one process may differ
 WINDOW = 2.0  # s from a session's loss until its server is gone, the drain window of the rules
--- a/granitepoint/membership/nodes.py
+++ b/service_proxy/ephemeral_nodes/nodes.py
@@ -16,7 +16,7 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from granitepoint.net.listing import Listed, address, read_entry
+from service_proxy.net.listing import Listed, address, read_entry
 
 MOST_DATA = 4096  # bytes of a node; what is larger is no registration
 MOST_NAME = 255  # letters
--- a/granitepoint/membership/session.py
+++ b/service_proxy/ephemeral_nodes/session.py
@@ -16,10 +16,10 @@
 from random import Random
 from typing import cast
 
-from granitepoint.membership import jute
-from granitepoint.membership.jute import Create, Err, Event, Op, ServiceError, Stat, WatchMode, Xid
-from granitepoint.membership.states import HOPEFUL, OVER, USABLE, Happening, State, after
-from granitepoint.net.listing import Address
+from service_proxy.ephemeral_nodes import jute
+from service_proxy.ephemeral_nodes.jute import Create, Err, Event, Op, ServiceError, Stat, WatchMode, Xid
+from service_proxy.ephemeral_nodes.states import HOPEFUL, OVER, USABLE, Happening, State, after
+from service_proxy.net.listing import Address
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/membership/snapshot.py
+++ b/service_proxy/ephemeral_nodes/snapshot.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from granitepoint.membership.nodes import Node, read_node
+from service_proxy.ephemeral_nodes.nodes import Node, read_node
 
 MAGIC = b"willowwing-nodes"
 VERSION = b"1"
--- a/granitepoint/membership/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -16,19 +16,19 @@
 from random import Random
 from typing import Any, Protocol
 
-from granitepoint.membership import snapshot
-from granitepoint.membership.jute import Err, Event, ServiceError
-from granitepoint.membership.merger import MEMBERSHIP, PADRON, Merger, Word
-from granitepoint.membership.nodes import Node, listed
-from granitepoint.membership.session import Busy, ConnectionLost, Session
-from granitepoint.membership.states import USABLE, State
-from granitepoint.membership.tree import Changes, Tree
-from granitepoint.net.config import Config
-from granitepoint.net.discovery import WALL_OFFSET, Discovery
-from granitepoint.net.listing import Listed, Listing, address
-from granitepoint.net.sources import Health, Listener
-from granitepoint.operator import Membership as Settings
-from granitepoint.operator import OperatorError, Problem, load
+from service_proxy.ephemeral_nodes import snapshot
+from service_proxy.ephemeral_nodes.jute import Err, Event, ServiceError
+from service_proxy.ephemeral_nodes.merger import MEMBERSHIP, PADRON, Merger, Word
+from service_proxy.ephemeral_nodes.nodes import Node, listed
+from service_proxy.ephemeral_nodes.session import Busy, ConnectionLost, Session
+from service_proxy.ephemeral_nodes.states import USABLE, State
+from service_proxy.ephemeral_nodes.tree import Changes, Tree
+from service_proxy.net.config import Config
+from service_proxy.net.discovery import WALL_OFFSET, Discovery
+from service_proxy.net.listing import Listed, Listing, address
+from service_proxy.net.sources import Health, Listener
+from service_proxy.operator_file import Membership as Settings
+from service_proxy.operator_file import OperatorError, Problem, load
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/membership/tree.py
+++ b/service_proxy/ephemeral_nodes/tree.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from granitepoint.membership.jute import Event, Stat
-from granitepoint.membership.nodes import Node, name_fault, read_node
+from service_proxy.ephemeral_nodes.jute import Event, Stat
+from service_proxy.ephemeral_nodes.nodes import Node, name_fault, read_node
 
 MOST_NODES = 20_000  # below one path; beyond it new names are hidden, and said so
 MOST_HIDDEN = 1_000  # names whose fault is remembered, so that it is logged once
--- a/granitepoint/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -1,6 +1,6 @@
 """The command: ask a member what it sees.
 
-    python -m granitepoint.fleet view --of HOST:PORT [--json] [--watch] [--operator FILE]
+    python -m service_proxy.fleet view --of HOST:PORT [--json] [--watch] [--operator FILE]
 
 Exit code 0: settled; 3: it has not settled; 1: nobody answered; 2: the call is wrong. `--operator` names the
 file with the fleet's keys, where its datagrams are sealed. HOST:PORT is a member's `listen`, from its own
@@ -16,12 +16,12 @@
 import sys
 import time
 
-from granitepoint.fleet.entries import first_run
-from granitepoint.fleet.guard import Seals
-from granitepoint.fleet.pages import Page, Row, question, read_page, remarks
-from granitepoint.fleet.wire import MOST_DATAGRAM, Malformed
-from granitepoint.operator import OperatorError
-from granitepoint.operator.schema import address_fault
+from service_proxy.fleet.entries import first_run
+from service_proxy.fleet.guard import Seals
+from service_proxy.fleet.pages import Page, Row, question, read_page, remarks
+from service_proxy.fleet.wire import MOST_DATAGRAM, Malformed
+from service_proxy.operator_file import OperatorError
+from service_proxy.operator_file.schema import address_fault
 
 PATIENCE = 0.5  # s for one answer
 TRIES = 4  # of one question
@@ -139,15 +139,15 @@
     """Raises OperatorError."""
     if file is None:
         return Seals()
-    from granitepoint.assembly import fleet_keys
-    from granitepoint.operator import load
+    from service_proxy.composition import fleet_keys
+    from service_proxy.operator_file import load
 
     return Seals(fleet_keys(load(file)))
 
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m granitepoint.fleet",
+        prog="python -m service_proxy.fleet",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/granitepoint/fleet/base.py
+++ b/service_proxy/fleet/base.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import NamedTuple
 
-from granitepoint.fleet import sync, wire
-from granitepoint.fleet.entries import (
+from service_proxy.fleet import sync, wire
+from service_proxy.fleet.entries import (
     MOST_LIFE,
     Address,
     Claim,
@@ -26,11 +26,11 @@
     fleet_id,
     key_of,
 )
-from granitepoint.fleet.gossip import Gossip
-from granitepoint.fleet.guard import Numbers, Seals
-from granitepoint.fleet.identity import Identity, Standing
-from granitepoint.fleet.table import Table
-from granitepoint.fleet.timing import (
+from service_proxy.fleet.gossip import Gossip
+from service_proxy.fleet.guard import Numbers, Seals
+from service_proxy.fleet.identity import Identity, Standing
+from service_proxy.fleet.table import Table
+from service_proxy.fleet.timing import (
     FANOUT,
     GOSSIP_EVERY,
     LATELY,
@@ -39,7 +39,7 @@
     STALL,
     Timing,
 )
-from granitepoint.fleet.wire import Datagram, Figures, Kind, Said, Writer
+from service_proxy.fleet.wire import Datagram, Figures, Kind, Said, Writer
 
 MOST_RELAYS = 256  # probes in the stead of others that are open at once
 MOST_ROWS = 4  # of a view in one answer
--- a/granitepoint/fleet/comparing.py
+++ b/service_proxy/fleet/comparing.py
@@ -5,21 +5,21 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from granitepoint.fleet import sync
-from granitepoint.fleet.base import Base
-from granitepoint.fleet.entries import (
+from service_proxy.fleet import sync
+from service_proxy.fleet.base import Base
+from service_proxy.fleet.entries import (
     Address,
     Key,
 )
-from granitepoint.fleet.identity import Standing
-from granitepoint.fleet.timing import (
+from service_proxy.fleet.identity import Standing
+from service_proxy.fleet.timing import (
     ASK,
     MOST_TRIES,
     QUIET,
     STARVED,
     YOUNG,
 )
-from granitepoint.fleet.wire import Datagram, Kind, Section, Writer
+from service_proxy.fleet.wire import Datagram, Kind, Section, Writer
 
 
 class Comparing(Base):
--- a/granitepoint/fleet/core.py
+++ b/service_proxy/fleet/core.py
@@ -12,8 +12,8 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from granitepoint.fleet import wire
-from granitepoint.fleet.base import (
+from service_proxy.fleet import wire
+from service_proxy.fleet.base import (
     ANY_FLEET,
     MOST_CORRECTIONS,
     MOST_PATHS,
@@ -24,7 +24,7 @@
     WAYS,
     Heard,
 )
-from granitepoint.fleet.entries import (
+from service_proxy.fleet.entries import (
     Address,
     Claim,
     Entry,
@@ -32,17 +32,17 @@
     Phase,
     shown,
 )
-from granitepoint.fleet.identity import Standing
-from granitepoint.fleet.joining import Joining
-from granitepoint.fleet.states import State, Step
-from granitepoint.fleet.table import Change
-from granitepoint.fleet.timing import (
+from service_proxy.fleet.identity import Standing
+from service_proxy.fleet.joining import Joining
+from service_proxy.fleet.states import State, Step
+from service_proxy.fleet.table import Change
+from service_proxy.fleet.timing import (
     EXCHANGES,
     FANOUT,
     YOUNG,
     YOUNG_EXCHANGES,
 )
-from granitepoint.fleet.wire import Datagram, Figures, Kind, Malformed, Said, Section, Writer, said_of
+from service_proxy.fleet.wire import Datagram, Figures, Kind, Malformed, Said, Section, Writer, said_of
 
 
 class Taken(NamedTuple):
--- a/granitepoint/fleet/gossip.py
+++ b/service_proxy/fleet/gossip.py
@@ -10,8 +10,8 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from granitepoint.fleet.entries import Claim, Key
-from granitepoint.fleet.wire import Said, Writer
+from service_proxy.fleet.entries import Claim, Key
+from service_proxy.fleet.wire import Said, Writer
 
 MOST_WAITING = 1024  # changes; beyond it those that were sent last are dropped: anti-entropy finds them
 LEAST_ROOM = 24  # bytes that any change takes
--- a/granitepoint/fleet/guard.py
+++ b/service_proxy/fleet/guard.py
@@ -17,8 +17,8 @@
 from collections.abc import Iterable
 from hashlib import sha256
 
-from granitepoint.fleet.entries import Key
-from granitepoint.fleet.wire import TAG_BYTES
+from service_proxy.fleet.entries import Key
+from service_proxy.fleet.wire import TAG_BYTES
 
 WINDOW = 256  # numbers that may come out of order
 MOST_SENDERS = 20_000  # processes whose numbers are remembered; the one heard of longest ago is let go
--- a/granitepoint/fleet/identity.py
+++ b/service_proxy/fleet/identity.py
@@ -11,7 +11,7 @@
 
 from enum import Enum
 
-from granitepoint.fleet.entries import MOST_RUN, Address, Incarnation, Record
+from service_proxy.fleet.entries import MOST_RUN, Address, Incarnation, Record
 
 MOST_RIVALS = 16  # lives that are remembered as outranked
 
--- a/granitepoint/fleet/joining.py
+++ b/service_proxy/fleet/joining.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from granitepoint.fleet import sync
-from granitepoint.fleet.base import MOST_STRANGERS
-from granitepoint.fleet.entries import (
+from service_proxy.fleet import sync
+from service_proxy.fleet.base import MOST_STRANGERS
+from service_proxy.fleet.entries import (
     Address,
     Claim,
     Key,
     shown,
 )
-from granitepoint.fleet.identity import Standing
-from granitepoint.fleet.probing import Probing
-from granitepoint.fleet.states import State
-from granitepoint.fleet.timing import (
+from service_proxy.fleet.identity import Standing
+from service_proxy.fleet.probing import Probing
+from service_proxy.fleet.states import State
+from service_proxy.fleet.timing import (
     ALONE_AFTER,
     ANSWERS,
     EVERYONE_EVERY,
@@ -24,7 +24,7 @@
     JOIN_TO,
     RETRY_EVERY,
 )
-from granitepoint.fleet.wire import Datagram, Kind, Said, Section, Writer, said_of
+from service_proxy.fleet.wire import Datagram, Kind, Said, Section, Writer, said_of
 
 
 class Joining(Probing):
--- a/granitepoint/fleet/pages.py
+++ b/service_proxy/fleet/pages.py
@@ -7,12 +7,12 @@
 
 from dataclasses import dataclass
 
-from granitepoint.fleet import wire
-from granitepoint.fleet.base import ANY_FLEET, FILL, WAYS
-from granitepoint.fleet.entries import Incarnation, Phase, key_of, shown
-from granitepoint.fleet.guard import Seals
-from granitepoint.fleet.states import State
-from granitepoint.fleet.wire import Figures, Kind, Malformed, Section, Writer
+from service_proxy.fleet import wire
+from service_proxy.fleet.base import ANY_FLEET, FILL, WAYS
+from service_proxy.fleet.entries import Incarnation, Phase, key_of, shown
+from service_proxy.fleet.guard import Seals
+from service_proxy.fleet.states import State
+from service_proxy.fleet.wire import Figures, Kind, Malformed, Section, Writer
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitepoint/fleet/probing.py
+++ b/service_proxy/fleet/probing.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from granitepoint.fleet import sync, wire
-from granitepoint.fleet.base import (
+from service_proxy.fleet import sync, wire
+from service_proxy.fleet.base import (
     MOST_PATHS,
     MOST_RELAYS,
     ODD,
@@ -16,22 +16,22 @@
     Relay,
     Timer,
 )
-from granitepoint.fleet.comparing import Comparing
-from granitepoint.fleet.entries import (
+from service_proxy.fleet.comparing import Comparing
+from service_proxy.fleet.entries import (
     Address,
     Claim,
     Key,
 )
-from granitepoint.fleet.identity import Standing
-from granitepoint.fleet.states import LIVING, State, Step
-from granitepoint.fleet.timing import (
+from service_proxy.fleet.identity import Standing
+from service_proxy.fleet.states import LIVING, State, Step
+from service_proxy.fleet.timing import (
     AGAIN,
     ASK,
     GIVE_UP,
     HELPERS,
     VERDICT,
 )
-from granitepoint.fleet.wire import Datagram, Kind, Said, Section, Writer, said_of
+from service_proxy.fleet.wire import Datagram, Kind, Said, Section, Writer, said_of
 
 OF_A_PROBE = frozenset(("again", "ask", "verdict"))  # timers that an answer makes void
 
--- a/granitepoint/fleet/states.py
+++ b/service_proxy/fleet/states.py
@@ -10,7 +10,7 @@
 
 from enum import Enum
 
-from granitepoint.fleet.entries import Claim, Incarnation
+from service_proxy.fleet.entries import Claim, Incarnation
 
 Said = tuple[Incarnation, Claim]
 
--- a/granitepoint/fleet/sync.py
+++ b/service_proxy/fleet/sync.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass, field
 
-from granitepoint.fleet.entries import KEY_BYTES, Address, Entry, Key
-from granitepoint.fleet.states import State
-from granitepoint.fleet.table import NIBBLES, Table
-from granitepoint.fleet.wire import BRANCHES, NODE, TREE, Malformed, Said, Section, Writer, said_of
+from service_proxy.fleet.entries import KEY_BYTES, Address, Entry, Key
+from service_proxy.fleet.states import State
+from service_proxy.fleet.table import NIBBLES, Table
+from service_proxy.fleet.wire import BRANCHES, NODE, TREE, Malformed, Said, Section, Writer, said_of
 
 FEW = 16  # entries that are named one by one
 TAG = 4  # bytes of an entry's tag
--- a/granitepoint/fleet/table.py
+++ b/service_proxy/fleet/table.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from granitepoint.fleet.entries import Claim, Entry, Key, entry
-from granitepoint.fleet.states import TABLE, Happening, State, Step, happening
-from granitepoint.fleet.timing import CONFIRMATIONS, Timing
-from granitepoint.fleet.wire import Said
+from service_proxy.fleet.entries import Claim, Entry, Key, entry
+from service_proxy.fleet.states import TABLE, Happening, State, Step, happening
+from service_proxy.fleet.timing import CONFIRMATIONS, Timing
+from service_proxy.fleet.wire import Said
 
 MOST_MEMBERS = 20_000  # living ones; more are not taken
 MOST_GONE = 20_000  # remembered as dead or left; the one that went first is let go
--- a/granitepoint/fleet/transport.py
+++ b/service_proxy/fleet/transport.py
@@ -12,21 +12,21 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol, cast
 
-from granitepoint.clock import Clock
-from granitepoint.fleet.core import Core
-from granitepoint.fleet.entries import MOST_LABEL, MOST_NAME, MOST_WORD, Address, Key, Phase, Record
-from granitepoint.fleet.guard import Seals
-from granitepoint.fleet.share import instances
-from granitepoint.fleet.table import Change
-from granitepoint.fleet.timing import Timing
-from granitepoint.fleet.wire import MOST_DATAGRAM, MOST_LIST, Figures, Kind
-from granitepoint.net.config import Config, ConfigError
-from granitepoint.net.listing import address as address_of
-from granitepoint.net.peers import Member
-from granitepoint.operator import Fleet as Settings
-from granitepoint.operator import OperatorError, Problem, load
-
-log = logging.getLogger("granitepoint.fleet")
+from service_proxy.clock import Clock
+from service_proxy.fleet.core import Core
+from service_proxy.fleet.entries import MOST_LABEL, MOST_NAME, MOST_WORD, Address, Key, Phase, Record
+from service_proxy.fleet.guard import Seals
+from service_proxy.fleet.share import instances
+from service_proxy.fleet.table import Change
+from service_proxy.fleet.timing import Timing
+from service_proxy.fleet.wire import MOST_DATAGRAM, MOST_LIST, Figures, Kind
+from service_proxy.net.config import Config, ConfigError
+from service_proxy.net.listing import address as address_of
+from service_proxy.net.peers import Member
+from service_proxy.operator_file import Fleet as Settings
+from service_proxy.operator_file import OperatorError, Problem, load
+
+log = logging.getLogger("service_proxy.fleet")
 
 MOST_PER_S = 4000  # datagrams that are looked at; those over it are dropped unread
 MOST_PER_SOURCE = 1000  # of these from one address
--- a/granitepoint/fleet/wire.py
+++ b/service_proxy/fleet/wire.py
@@ -46,7 +46,7 @@
 from functools import lru_cache
 from ipaddress import IPv4Address
 
-from granitepoint.fleet.entries import (
+from service_proxy.fleet.entries import (
     KEY_BYTES,
     MOST_LABEL,
     MOST_NAME,
--- a/granitepoint/net/config.py
+++ b/service_proxy/net/config.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from granitepoint.interface import Effect, Settings
-from granitepoint.net.limits import LEAST_SOCKETS
-from granitepoint.net.listing import Address, address
-from granitepoint.settings import read_settings
+from service_proxy.net.limits import LEAST_SOCKETS
+from service_proxy.net.listing import Address, address
+from service_proxy.policy.events import Effect, Settings
+from service_proxy.settings import read_settings
 
 T = TypeVar("T")
 ADDRESS = "host:port, with the host as a number"
--- a/granitepoint/net/discovery.py
+++ b/service_proxy/net/discovery.py
@@ -13,8 +13,8 @@
 
 import httptools
 
-from granitepoint.net.freshness import Freshness
-from granitepoint.net.listing import Address, Listing, read_listing
+from service_proxy.net.freshness import Freshness
+from service_proxy.net.listing import Address, Listing, read_listing
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/driver.py
+++ b/service_proxy/net/driver.py
@@ -13,18 +13,18 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from granitepoint import interface as api
-from granitepoint.logic import Balancer
-from granitepoint.net.bodies import Body
-from granitepoint.net.config import Config, ConfigError
-from granitepoint.net.discovery import WALL_OFFSET, Discovery
-from granitepoint.net.fields import HOP_BY_HOP
-from granitepoint.net.filters import Filter, Ticket, Turned, ask, taken_by
-from granitepoint.net.freshness import Freshness, freshness
-from granitepoint.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
-from granitepoint.net.listing import Listing, read_listing
-from granitepoint.net.server import Page, Pages, Reply, Request
-from granitepoint.net.upstream import IDLE_SHARE, STALLED, Connection, Exchange, SwitchExchange, Upstreams
+from service_proxy.net.bodies import Body
+from service_proxy.net.config import Config, ConfigError
+from service_proxy.net.discovery import WALL_OFFSET, Discovery
+from service_proxy.net.fields import HOP_BY_HOP
+from service_proxy.net.filters import Filter, Ticket, Turned, ask, taken_by
+from service_proxy.net.freshness import Freshness, freshness
+from service_proxy.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
+from service_proxy.net.listing import Listing, read_listing
+from service_proxy.net.server import Page, Pages, Reply, Request
+from service_proxy.net.upstream import IDLE_SHARE, STALLED, Connection, Exchange, SwitchExchange, Upstreams
+from service_proxy.policy import events as api
+from service_proxy.policy.balancer import Balancer
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/filters.py
+++ b/service_proxy/net/filters.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from granitepoint.interface import Settings, Status
-from granitepoint.net.server import Request
-from granitepoint.net.upstream import Exchange
+from service_proxy.net.server import Request
+from service_proxy.net.upstream import Exchange
+from service_proxy.policy.events import Settings, Status
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
--- a/granitepoint/net/listing.py
+++ b/service_proxy/net/listing.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from granitepoint.interface import ServerEntry, ServerState
+from service_proxy.policy.events import ServerEntry, ServerState
 
 Address = tuple[str, int]
 
--- a/granitepoint/net/protocols.py
+++ b/service_proxy/net/protocols.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from granitepoint.interface import Status
+from service_proxy.policy.events import Status
 
 
 class Sink(Protocol):
--- a/granitepoint/net/server.py
+++ b/service_proxy/net/server.py
@@ -13,12 +13,12 @@
 
 import httptools
 
-from granitepoint.interface import Effect
-from granitepoint.net.bodies import Body, chunk_of
-from granitepoint.net.fields import HOP_BY_HOP, closes, read_field
-from granitepoint.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
-from granitepoint.net.polling import ended, readable, waiting
-from granitepoint.net.protocols import Source, Switch
+from service_proxy.net.bodies import Body, chunk_of
+from service_proxy.net.fields import HOP_BY_HOP, closes, read_field
+from service_proxy.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
+from service_proxy.net.polling import ended, readable, waiting
+from service_proxy.net.protocols import Source, Switch
+from service_proxy.policy.events import Effect
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/sources.py
+++ b/service_proxy/net/sources.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Protocol
 
-from granitepoint.net.listing import Listing
+from service_proxy.net.listing import Listing
 
 
 class Health(Enum):
--- a/granitepoint/net/upstream.py
+++ b/service_proxy/net/upstream.py
@@ -16,13 +16,13 @@
 
 import httptools
 
-from granitepoint.interface import ServerState, Status
-from granitepoint.net.bodies import Body, chunk_of
-from granitepoint.net.fields import closes, read_field
-from granitepoint.net.limits import LATE, MOST_LENGTH, ONE_TURN
-from granitepoint.net.listing import Address, Listing
-from granitepoint.net.polling import readable
-from granitepoint.net.protocols import Sink, Switch
+from service_proxy.net.bodies import Body, chunk_of
+from service_proxy.net.fields import closes, read_field
+from service_proxy.net.limits import LATE, MOST_LENGTH, ONE_TURN
+from service_proxy.net.listing import Address, Listing
+from service_proxy.net.polling import readable
+from service_proxy.net.protocols import Sink, Switch
+from service_proxy.policy.events import ServerState, Status
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/operator/__init__.py
+++ b/service_proxy/operator_file/__init__.py
@@ -4,8 +4,8 @@
 any subsystem's work. Importing this package imports no subsystem.
 """
 
-from granitepoint.operator.reader import OperatorError, Problem, read_text
-from granitepoint.operator.schema import (
+from service_proxy.operator_file.reader import OperatorError, Problem, read_text
+from service_proxy.operator_file.schema import (
     Budgets,
     Fleet,
     Membership,
--- a/granitepoint/operator/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from granitepoint.operator.codes import CODES
-from granitepoint.operator.positions import Path, place_of, positions
+from service_proxy.operator_file.codes import CODES
+from service_proxy.operator_file.positions import Path, place_of, positions
 
 MOST_TEXT = 1 << 20  # bytes of an operator's file; a larger one is some other file
 AT = re.compile(r"^(.*) \(at (?:line (\d+), column (\d+)|end of document)\)$")
--- a/granitepoint/operator/schema.py
+++ b/service_proxy/operator_file/schema.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitepoint.operator.positions import Path
-from granitepoint.operator.reader import OperatorError, Reader, between, key, read_text
+from service_proxy.operator_file.positions import Path
+from service_proxy.operator_file.reader import OperatorError, Reader, between, key, read_text
 
 MOST_SERVERS = 9  # of an ensemble
 LEAST_MASS = 0.05  # share; below it a single node's end would be held for a mass loss
--- a/granitepoint/logic.py
+++ b/service_proxy/policy/balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of a granitepoint instance. What goes in and out is defined in granitepoint/interface.py.
+"""All decisions of a proxy. What goes in and out is defined in service_proxy/policy/events.py.
 
 Order of the file: tunables, obligations (the gate), admission, queue, servers and the pick, the Balancer.
 One unit of time: seconds. No I/O, no clock, no globals that change; chance comes from an own seeded source.
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from granitepoint.interface import (
+from service_proxy.policy.events import (
     NEVER_RAN,
     Action,
     Arrival,
--- a/granitepoint/recovery/__main__.py
+++ b/service_proxy/recovery/__main__.py
@@ -1,8 +1,8 @@
 """The command for staff: what a store holds, whether it is whole, and one fact out of it.
 
-    python -m granitepoint.recovery show STORE [--loss WHAT] [--zone ZONE] [--json]
-    python -m granitepoint.recovery verify STORE
-    python -m granitepoint.recovery forget STORE KIND NAME
+    python -m service_proxy.recovery show STORE [--loss WHAT] [--zone ZONE] [--json]
+    python -m service_proxy.recovery verify STORE
+    python -m service_proxy.recovery forget STORE KIND NAME
 
 `show` says how far each fact would be trusted now, and why; `--loss` says what happened (process, machine,
 zone, fleet; unknown if left out). Exit code 0: done, and the store is whole; 3: it is damaged, and what is
@@ -21,11 +21,11 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.recovery.facts import KINDS, Keyed, drop
-from granitepoint.recovery.folder import Folder
-from granitepoint.recovery.records import FORMAT
-from granitepoint.recovery.store import Found, Owner, Refused, Store, read_store
-from granitepoint.recovery.trust import Loss, Situation, judge, repeat
+from service_proxy.recovery.facts import KINDS, Keyed, drop
+from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.records import FORMAT
+from service_proxy.recovery.store import Found, Owner, Refused, Store, read_store
+from service_proxy.recovery.trust import Loss, Situation, judge, repeat
 
 DAMAGED = 3
 MOST_LINES = 20  # of one kind, but with --all
@@ -151,7 +151,7 @@
 
 def main(argv: list[str] | None = None, now: float | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m granitepoint.recovery",
+        prog="python -m service_proxy.recovery",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/granitepoint/recovery/census.py
+++ b/service_proxy/recovery/census.py
@@ -22,8 +22,8 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from granitepoint.recovery.phases import PATIENCE, Phase
-from granitepoint.recovery.trust import Loss
+from service_proxy.recovery.phases import PATIENCE, Phase
+from service_proxy.recovery.trust import Loss
 
 WORD = struct.Struct("!BBI")  # version and phase; bits; wall time of the last loss, s, 0: none that it knows
 WORD_VERSION = 1
--- a/granitepoint/recovery/keeper.py
+++ b/service_proxy/recovery/keeper.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from granitepoint.clock import Clock
-from granitepoint.recovery.facts import Fact, State, drop, put
-from granitepoint.recovery.folder import Folder
-from granitepoint.recovery.records import Record
-from granitepoint.recovery.store import Found, Health, Owner, Refused, Store, read_store
+from service_proxy.clock import Clock
+from service_proxy.recovery.facts import Fact, State, drop, put
+from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.records import Record
+from service_proxy.recovery.store import Found, Health, Owner, Refused, Store, read_store
 
-log = logging.getLogger("granitepoint.recovery")
+log = logging.getLogger("service_proxy.recovery")
 
 FLUSH = 0.05  # s between two batches: what a power loss takes at the most, beside one sync
 RETRY = 5.0  # s between two tries of a disk that fails, or of a store that another process has
--- a/granitepoint/recovery/overlay.py
+++ b/service_proxy/recovery/overlay.py
@@ -10,9 +10,9 @@
 from collections.abc import Collection, Iterable
 from dataclasses import replace
 
-from granitepoint.interface import ServerState
-from granitepoint.net.listing import Listed, Listing
-from granitepoint.recovery.turns import place, wait
+from service_proxy.net.listing import Listed, Listing
+from service_proxy.policy.events import ServerState
+from service_proxy.recovery.turns import place, wait
 
 BELIEVED = 0.5  # share of those that were known, below which a whole list is not taken at its word
 BROKEN = 3  # failures in a row, of connections, after which a server that answered has fallen
--- a/granitepoint/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -18,31 +18,31 @@
 from random import Random
 from typing import Protocol
 
-from granitepoint.clock import Clock
-from granitepoint.interface import NEVER_RAN, Effect, ServerEntry, ServerState, Status
-from granitepoint.interface import Settings as ProxySettings
-from granitepoint.net.config import Config
-from granitepoint.net.discovery import WALL_OFFSET
-from granitepoint.net.filters import Headers, Ticket, Turned
-from granitepoint.net.listing import Listed, Listing, server_id
-from granitepoint.net.listing import address as address_of
-from granitepoint.net.peers import Channel, View, Word
-from granitepoint.net.server import Request
-from granitepoint.net.upstream import Exchange
-from granitepoint.operator import OperatorError, Problem, load
-from granitepoint.operator import Recovery as Settings
-from granitepoint.recovery.advice import Bookings
-from granitepoint.recovery.census import Finding, Peer, Said, pack, unpack, what_happened
-from granitepoint.recovery.facts import Boot, Keyed, Maintenance, Member, Server, Source
-from granitepoint.recovery.folder import Folder, mark
-from granitepoint.recovery.keeper import Keeper
-from granitepoint.recovery.overlay import Overlay
-from granitepoint.recovery.phases import ADMITS, ALONE, LEAST_CALM, Admits, Phase, Seen, step
-from granitepoint.recovery.store import Owner
-from granitepoint.recovery.trust import Loss, Repeat, Situation, Trust, judge, repeat
-from granitepoint.recovery.turns import FIRST
-
-log = logging.getLogger("granitepoint.recovery")
+from service_proxy.clock import Clock
+from service_proxy.net.config import Config
+from service_proxy.net.discovery import WALL_OFFSET
+from service_proxy.net.filters import Headers, Ticket, Turned
+from service_proxy.net.listing import Listed, Listing, server_id
+from service_proxy.net.listing import address as address_of
+from service_proxy.net.peers import Channel, View, Word
+from service_proxy.net.server import Request
+from service_proxy.net.upstream import Exchange
+from service_proxy.operator_file import OperatorError, Problem, load
+from service_proxy.operator_file import Recovery as Settings
+from service_proxy.policy.events import NEVER_RAN, Effect, ServerEntry, ServerState, Status
+from service_proxy.policy.events import Settings as ProxySettings
+from service_proxy.recovery.advice import Bookings
+from service_proxy.recovery.census import Finding, Peer, Said, pack, unpack, what_happened
+from service_proxy.recovery.facts import Boot, Keyed, Maintenance, Member, Server, Source
+from service_proxy.recovery.folder import Folder, mark
+from service_proxy.recovery.keeper import Keeper
+from service_proxy.recovery.overlay import Overlay
+from service_proxy.recovery.phases import ADMITS, ALONE, LEAST_CALM, Admits, Phase, Seen, step
+from service_proxy.recovery.store import Owner
+from service_proxy.recovery.trust import Loss, Repeat, Situation, Trust, judge, repeat
+from service_proxy.recovery.turns import FIRST
+
+log = logging.getLogger("service_proxy.recovery")
 
 PORT = 2  # of this part's words and datagrams, among those that stand on the fleet
 TICK = 0.25  # s between two looks
--- a/granitepoint/settings.py
+++ b/service_proxy/settings.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from granitepoint import interface as api
+from service_proxy.policy import events as api
 
 Fields = dict[str, str]
 
--- a/granitepoint/sidecar/__main__.py
+++ b/service_proxy/sidecar/__main__.py
@@ -1,14 +1,14 @@
 """The command: check descriptions, alone and as one fleet; write what one says; explain a code.
 
-    python -m granitepoint.sidecar check FILE... [--environment NAME] [--json | --sarif]
-    python -m granitepoint.sidecar write FILE -o DIR [--environment NAME] [--force]
-    python -m granitepoint.sidecar show FILE [--environment NAME]    each value in force, and where it is from
-    python -m granitepoint.sidecar diff OLD NEW       what changes for a call of each class, and for each tier
-    python -m granitepoint.sidecar schema             JSON Schema of a description
-    python -m granitepoint.sidecar explain CODE
-    python -m granitepoint.sidecar migrate FILE... [--in-place]      to this format; comments and order stay
-    python -m granitepoint.sidecar run FILE [--host NAME] [--tier NAME] [--environment NAME]
-    python -m granitepoint.sidecar try FILE [--seconds S] [--rate N]  all of it here, with embedded stand-ins
+    python -m service_proxy.sidecar check FILE... [--environment NAME] [--json | --sarif]
+    python -m service_proxy.sidecar write FILE -o DIR [--environment NAME] [--force]
+    python -m service_proxy.sidecar show FILE [--environment NAME]   each value in force, and where it is from
+    python -m service_proxy.sidecar diff OLD NEW    what changes for a call of each class, and for each tier
+    python -m service_proxy.sidecar schema             JSON Schema of a description
+    python -m service_proxy.sidecar explain CODE
+    python -m service_proxy.sidecar migrate FILE... [--in-place]      to this format; comments and order stay
+    python -m service_proxy.sidecar run FILE [--host NAME] [--tier NAME] [--environment NAME]
+    python -m service_proxy.sidecar try FILE [--seconds S] [--rate N]  all of it here, with embedded stand-ins
 
 Exit code 0: nothing wrong (warnings may be); 1: findings; 2: a file can't be read, or the call is wrong.
 """
@@ -22,19 +22,19 @@
 import sys
 from pathlib import Path
 
-from granitepoint.operator.codes import CODES
-from granitepoint.operator.reader import OperatorError, Problem, read_text
-from granitepoint.sidecar import explain, report
-from granitepoint.sidecar.checking import check, code_of
-from granitepoint.sidecar.description import Layers, load
-from granitepoint.sidecar.migrate import migrate
-from granitepoint.sidecar.model import Description
-from granitepoint.sidecar.write import replace_file, write
+from service_proxy.operator_file.codes import CODES
+from service_proxy.operator_file.reader import OperatorError, Problem, read_text
+from service_proxy.sidecar import explain, report
+from service_proxy.sidecar.checking import check, code_of
+from service_proxy.sidecar.description import Layers, load
+from service_proxy.sidecar.migrate import migrate
+from service_proxy.sidecar.model import Description
+from service_proxy.sidecar.write import replace_file, write
 
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m granitepoint.sidecar",
+        prog="python -m service_proxy.sidecar",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -76,7 +76,7 @@
     trying.add_argument("--rate", type=float, default=40.0, help="calls a second")
     wanted = parser.parse_args(argv)
     if wanted.command == "run":
-        from granitepoint.sidecar.running import run
+        from service_proxy.sidecar.running import run
 
         return run(wanted)
     if wanted.command == "try":
@@ -165,10 +165,10 @@
     if problems:
         sys.stdout.write(report.as_text(problems))
         return code_of(problems)
-    if importlib.util.find_spec("rigs") is None:
-        print("try needs the folder rigs of a checkout: call it from there", file=sys.stderr)
+    if importlib.util.find_spec("harness") is None:
+        print("try needs the folder harness of a checkout: call it from there", file=sys.stderr)
         return 2
-    command = [sys.executable, "-m", "rigs.trial", wanted.file, "--environment", wanted.environment]
+    command = [sys.executable, "-m", "harness.trial", wanted.file, "--environment", wanted.environment]
     command += ["--seconds", str(wanted.seconds), "--rate", str(wanted.rate)]
     os.execv(sys.executable, command)
 
--- a/granitepoint/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from granitepoint.operator import Operator
-from granitepoint.operator.positions import place_of, positions
-from granitepoint.operator.reader import MOST_TEXT, OperatorError, Problem, read_text
-from granitepoint.operator.schema import TABLES as OPERATORS
-from granitepoint.operator.schema import load as load_operator
-from granitepoint.sidecar import fleet
-from granitepoint.sidecar.description import Layers, load
-from granitepoint.sidecar.model import Description
-from granitepoint.sidecar.platform import Platform
-from granitepoint.sidecar.write import edited, written_here
+from service_proxy.operator_file import Operator
+from service_proxy.operator_file.positions import place_of, positions
+from service_proxy.operator_file.reader import MOST_TEXT, OperatorError, Problem, read_text
+from service_proxy.operator_file.schema import TABLES as OPERATORS
+from service_proxy.operator_file.schema import load as load_operator
+from service_proxy.sidecar import fleet
+from service_proxy.sidecar.description import Layers, load
+from service_proxy.sidecar.model import Description
+from service_proxy.sidecar.platform import Platform
+from service_proxy.sidecar.write import edited, written_here
 
 UNREADABLE = ("C001",)
 
--- a/granitepoint/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -14,16 +14,16 @@
 from pathlib import Path as FilePath
 from typing import Any
 
-from granitepoint.operator.positions import Path, Place, place_of, positions
-from granitepoint.operator.reader import OperatorError, Problem, Reader, nearest, read_text
-from granitepoint.operator.schema import (
+from service_proxy.operator_file.positions import Path, Place, place_of, positions
+from service_proxy.operator_file.reader import OperatorError, Problem, Reader, nearest, read_text
+from service_proxy.operator_file.schema import (
     Budgets,
     address_fault,
     membership_contradictions,
     registration_contradictions,
 )
-from granitepoint.sidecar import fleet
-from granitepoint.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
+from service_proxy.sidecar import fleet
+from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
 
 MOST_FILES = 32  # of one description with all it includes
 MOST_DEPTH = 32  # of tables within tables; the format has 4
--- a/granitepoint/sidecar/explain.py
+++ b/service_proxy/sidecar/explain.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from granitepoint.operator.reader import Duration
-from granitepoint.operator.schema import Budgets
-from granitepoint.sidecar import rulemodel
-from granitepoint.sidecar.model import NAME, TABLES, Class, Description, Features, Route, Sidecar, Tier, Top
+from service_proxy.operator_file.reader import Duration
+from service_proxy.operator_file.schema import Budgets
+from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar.model import NAME, TABLES, Class, Description, Features, Route, Sidecar, Tier, Top
 
 KINDS: dict[type, dict[str, Any]] = {
     str: {"type": "string"},
--- a/granitepoint/sidecar/fleet.py
+++ b/service_proxy/sidecar/fleet.py
@@ -8,12 +8,12 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from granitepoint.budgets.accounts import reaches
-from granitepoint.budgets.header import MOST_HOPS
-from granitepoint.net.limits import LEAST_SOCKETS, UPSTREAM_SHARE
-from granitepoint.operator.positions import Path
-from granitepoint.sidecar import rulemodel
-from granitepoint.sidecar.model import Description, Sidecar, is_any, name_fault
+from service_proxy.deadlines.accounts import reaches
+from service_proxy.deadlines.header import MOST_HOPS
+from service_proxy.net.limits import LEAST_SOCKETS, UPSTREAM_SHARE
+from service_proxy.operator_file.positions import Path
+from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar.model import Description, Sidecar, is_any, name_fault
 
 TIER_FACTS = ("zones", "nodes", "connections", "drain", "cold_from", "cold_for", "survives", "push")
 RULES = {1: "R201", 2: "R202", 3: "R203", 4: "R204"}
--- a/granitepoint/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -11,15 +11,15 @@
 import logging
 import time
 
-from granitepoint.interface import NEVER_RAN, Effect, ServerEntry, Status
-from granitepoint.net.fields import HOP_BY_HOP
-from granitepoint.net.filters import Filter, Headers, Ticket, Turned, ask, taken_by
-from granitepoint.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
-from granitepoint.net.listing import Listed, Listing, address
-from granitepoint.net.server import Page, Reply, Request, Server
-from granitepoint.net.upstream import Exchange, Upstreams
-from granitepoint.sidecar.admission import TAKING, Admission, Heard, State, Verdict
-from granitepoint.sidecar.model import Description, Sidecar
+from service_proxy.net.fields import HOP_BY_HOP
+from service_proxy.net.filters import Filter, Headers, Ticket, Turned, ask, taken_by
+from service_proxy.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
+from service_proxy.net.listing import Listed, Listing, address
+from service_proxy.net.server import Page, Reply, Request, Server
+from service_proxy.net.upstream import Exchange, Upstreams
+from service_proxy.policy.events import NEVER_RAN, Effect, ServerEntry, Status
+from service_proxy.sidecar.admission import TAKING, Admission, Heard, State, Verdict
+from service_proxy.sidecar.model import Description, Sidecar
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/sidecar/migrate.py
+++ b/service_proxy/sidecar/migrate.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any
 
-from granitepoint.operator.positions import Path, Place, positions
-from granitepoint.operator.reader import Problem
-from granitepoint.sidecar.model import FORMAT
+from service_proxy.operator_file.positions import Path, Place, positions
+from service_proxy.operator_file.reader import Problem
+from service_proxy.sidecar.model import FORMAT
 
 Lines = list[str]
 Step = Callable[[str, Lines, Mapping[str, Any]], Iterator[Problem]]
--- a/granitepoint/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -11,8 +11,8 @@
 import re
 from dataclasses import dataclass, field
 
-from granitepoint.operator.reader import Duration, between, key
-from granitepoint.operator.schema import Budgets, Membership, Registration, address_fault
+from service_proxy.operator_file.reader import Duration, between, key
+from service_proxy.operator_file.schema import Budgets, Membership, Registration, address_fault
 
 FORMAT = 2
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,62}")
--- a/granitepoint/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -11,13 +11,13 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from granitepoint.net.config import flatten
-from granitepoint.net.listing import address
-from granitepoint.operator.positions import Path, Place, place_of
-from granitepoint.operator.reader import MOST_TEXT, OperatorError, Problem, nearest
-from granitepoint.settings import read_settings
-from granitepoint.sidecar import rulemodel
-from granitepoint.sidecar.model import Class, Description, Route
+from service_proxy.net.config import flatten
+from service_proxy.net.listing import address
+from service_proxy.operator_file.positions import Path, Place, place_of
+from service_proxy.operator_file.reader import MOST_TEXT, OperatorError, Problem, nearest
+from service_proxy.settings import read_settings
+from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar.model import Class, Description, Route
 
 TOP = frozenset(
     "name listen discovery seed limits peer_listen peers peers_all known settings written forms".split()
--- a/granitepoint/sidecar/report.py
+++ b/service_proxy/sidecar/report.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from granitepoint.operator.codes import CODES
-from granitepoint.operator.reader import Problem
+from service_proxy.operator_file.codes import CODES
+from service_proxy.operator_file.reader import Problem
 
 SARIF = "https://json.schemastore.org/sarif-2.1.0.json"
 
--- a/granitepoint/sidecar/rulemodel.py
+++ b/service_proxy/sidecar/rulemodel.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass, replace
 
-from granitepoint.sidecar.model import Class, Route, Tier
+from service_proxy.sidecar.model import Class, Route, Tier
 
 MOST_EVENTS = 8  # of a run; every breach that these settings can make has fewer
 MOMENT = 0.001  # s by which an event comes after a limit
--- a/granitepoint/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -21,22 +21,22 @@
 
 import uvloop
 
-from granitepoint.assembly import Proxy, Sparse, budgets_of, inner_filters, registrar, settle, wind_down
-from granitepoint.interface import RequestClass
-from granitepoint.net.config import Config, ConfigError, read_config
-from granitepoint.net.listing import address
-from granitepoint.net.server import BASE_MEMORY
-from granitepoint.operator.reader import OperatorError, Problem
-from granitepoint.sidecar import report
-from granitepoint.sidecar.admission import TAKING, State
-from granitepoint.sidecar.checking import check, code_of
-from granitepoint.sidecar.description import load
-from granitepoint.sidecar.explain import effective
-from granitepoint.sidecar.inbound import EFFECTS, Inbound
-from granitepoint.sidecar.model import Description, Sidecar
-from granitepoint.sidecar.write import platform
-
-log = logging.getLogger("granitepoint.sidecar")
+from service_proxy.composition import Proxy, Sparse, budgets_of, inner_filters, registrar, settle, wind_down
+from service_proxy.net.config import Config, ConfigError, read_config
+from service_proxy.net.listing import address
+from service_proxy.net.server import BASE_MEMORY
+from service_proxy.operator_file.reader import OperatorError, Problem
+from service_proxy.policy.events import RequestClass
+from service_proxy.sidecar import report
+from service_proxy.sidecar.admission import TAKING, State
+from service_proxy.sidecar.checking import check, code_of
+from service_proxy.sidecar.description import load
+from service_proxy.sidecar.explain import effective
+from service_proxy.sidecar.inbound import EFFECTS, Inbound
+from service_proxy.sidecar.model import Description, Sidecar
+from service_proxy.sidecar.write import platform
+
+log = logging.getLogger("service_proxy.sidecar")
 
 SPARE = 0.4  # s before its SIGKILL by which all is answered
 MOST_SAID = 3  # findings in one line of the log
--- a/granitepoint/sidecar/toml.py
+++ b/service_proxy/sidecar/toml.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from granitepoint.operator.reader import Duration
-from granitepoint.sidecar.model import FORMAT, Description
+from service_proxy.operator_file.reader import Duration
+from service_proxy.sidecar.model import FORMAT, Description
 
 
 def value_of(kind: Any, value: Any) -> str:
--- a/granitepoint/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.operator.reader import Problem
-from granitepoint.sidecar.model import Description, Route, Sidecar
-from granitepoint.sidecar.toml import table
+from service_proxy.operator_file.reader import Problem
+from service_proxy.sidecar.model import Description, Route, Sidecar
+from service_proxy.sidecar.toml import table
 
 MARK = "written"
 HEAD = b"# written by granitepoint.sidecar, sha256 "
@@ -178,7 +178,7 @@
     more = f" --operator /etc/willowwing/{stem}.operator.toml" if operator else ""
     command = (
         f"Environment=EDGE_CONFIG=/etc/willowwing/{stem}.json\n"
-        f"ExecStart=/opt/willowwing/.venv/bin/python -m granitepoint{more}\n"
+        f"ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy{more}\n"
     )
     return _service(sidecar, f"proxy of {sidecar.tier} on {sidecar.host}, towards {called}", "", command, 5.0)
 
@@ -186,7 +186,7 @@
 def sidecar_unit(description: Description, sidecar: Sidecar, plain: list[str]) -> bytes:
     """Of the sidecar as one process, in place of the plain proxies: their ports are its own."""
     command = (
-        "ExecStart=/opt/willowwing/.venv/bin/python -m granitepoint.sidecar run "
+        "ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy.sidecar run "
         f"/etc/willowwing/{description.top.application}.toml --host {sidecar.host} --tier {sidecar.tier}\n"
     )
     conflicts = f"Conflicts={' '.join(plain)}\n" if plain else ""
--- a/granitepoint/websocket/deflate.py
+++ b/service_proxy/websocket/deflate.py
@@ -11,7 +11,7 @@
 
 from wsproto.frame_protocol import CloseReason, FrameDecoder, FrameProtocol, Opcode, RsvBits
 
-from granitepoint.websocket.codec import OwnExtension
+from service_proxy.websocket.codec import OwnExtension
 
 LEAST_PACKED = 256  # bytes of a message below which packing costs more than it saves
 FLOOR = 16 * 1024  # bytes that any message may unpack to, whatever its ratio
--- a/granitepoint/websocket/front.py
+++ b/service_proxy/websocket/front.py
@@ -12,17 +12,17 @@
 from dataclasses import replace
 from urllib.parse import parse_qs, urlsplit
 
-from granitepoint.interface import Effect
-from granitepoint.net.bodies import Body
-from granitepoint.net.config import Config, ConfigError
-from granitepoint.net.driver import Driver
-from granitepoint.net.limits import LEAST_SOCKETS
-from granitepoint.net.server import BASE_MEMORY, BadRequest, ClientConnection, Server, Upgrade, read_request
-from granitepoint.net.upstream import Upstream
-from granitepoint.operator import OperatorError, Problem, WebSocket, load
-from granitepoint.websocket.codec import Codec
-from granitepoint.websocket.deflate import Deflate, negotiate
-from granitepoint.websocket.handshake import (
+from service_proxy.net.bodies import Body
+from service_proxy.net.config import Config, ConfigError
+from service_proxy.net.driver import Driver
+from service_proxy.net.limits import LEAST_SOCKETS
+from service_proxy.net.server import BASE_MEMORY, BadRequest, ClientConnection, Server, Upgrade, read_request
+from service_proxy.net.upstream import Upstream
+from service_proxy.operator_file import OperatorError, Problem, WebSocket, load
+from service_proxy.policy.events import Effect
+from service_proxy.websocket.codec import Codec
+from service_proxy.websocket.deflate import Deflate, negotiate
+from service_proxy.websocket.handshake import (
     OWN_FIELDS,
     Declined,
     Opening,
@@ -31,12 +31,12 @@
     read_opening,
     response,
 )
-from granitepoint.websocket.limits import Doors
-from granitepoint.websocket.messages import Talk, Talks
-from granitepoint.websocket.peer import Owner, Peer
-from granitepoint.websocket.sessions import Book
-from granitepoint.websocket.spread import Spread, reason
-from granitepoint.websocket.tunnel import Tunnel
+from service_proxy.websocket.limits import Doors
+from service_proxy.websocket.messages import Talk, Talks
+from service_proxy.websocket.peer import Owner, Peer
+from service_proxy.websocket.sessions import Book
+from service_proxy.websocket.spread import Spread, reason
+from service_proxy.websocket.tunnel import Tunnel
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/websocket/messages.py
+++ b/service_proxy/websocket/messages.py
@@ -9,18 +9,18 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from granitepoint.interface import Effect
-from granitepoint.net.bodies import Body
-from granitepoint.net.protocols import Source
-from granitepoint.net.server import BadRequest, Request, read_request
-from granitepoint.websocket import envelope
-from granitepoint.websocket.codec import NO_STATUS, Piece
-from granitepoint.websocket.limits import Bucket
-from granitepoint.websocket.peer import Peer
-from granitepoint.websocket.sessions import MOST_OUTCOME, Outcome, Session, Taking
+from service_proxy.net.bodies import Body
+from service_proxy.net.protocols import Source
+from service_proxy.net.server import BadRequest, Request, read_request
+from service_proxy.policy.events import Effect
+from service_proxy.websocket import envelope
+from service_proxy.websocket.codec import NO_STATUS, Piece
+from service_proxy.websocket.limits import Bucket
+from service_proxy.websocket.peer import Peer
+from service_proxy.websocket.sessions import MOST_OUTCOME, Outcome, Session, Taking
 
 if TYPE_CHECKING:
-    from granitepoint.websocket.front import Front
+    from service_proxy.websocket.front import Front
 
 MOST_BAD = 8  # malformed messages of one connection before it is closed
 LEFT_FOR_GOOD = (1000, NO_STATUS)  # close codes with which a client ends its session, not only its connection
--- a/granitepoint/websocket/peer.py
+++ b/service_proxy/websocket/peer.py
@@ -10,9 +10,9 @@
 import time
 from typing import Protocol
 
-from granitepoint.websocket.closing import TABLE, Event, State, Step
-from granitepoint.websocket.codec import ABNORMAL, MOST_REASON, Close, Codec, Fault, Piece, Ping, Pong
-from granitepoint.websocket.limits import Bucket
+from service_proxy.websocket.closing import TABLE, Event, State, Step
+from service_proxy.websocket.codec import ABNORMAL, MOST_REASON, Close, Codec, Fault, Piece, Ping, Pong
+from service_proxy.websocket.limits import Bucket
 
 MOST_FRAMES = 128  # that are looked at in one turn of the loop; the rest waits for the next
 # pings and pongs that one peer may send
--- a/granitepoint/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -12,17 +12,17 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from granitepoint.interface import Status
-from granitepoint.net.upstream import Connection, Upstream
-from granitepoint.websocket.closing import State
-from granitepoint.websocket.codec import ABNORMAL, Codec, Piece
-from granitepoint.websocket.handshake import Asking, Opening
-from granitepoint.websocket.limits import Bucket
-from granitepoint.websocket.peer import Peer
-from granitepoint.websocket.spread import reason
+from service_proxy.net.upstream import Connection, Upstream
+from service_proxy.policy.events import Status
+from service_proxy.websocket.closing import State
+from service_proxy.websocket.codec import ABNORMAL, Codec, Piece
+from service_proxy.websocket.handshake import Asking, Opening
+from service_proxy.websocket.limits import Bucket
+from service_proxy.websocket.peer import Peer
+from service_proxy.websocket.spread import reason
 
 if TYPE_CHECKING:
-    from granitepoint.websocket.front import Front
+    from service_proxy.websocket.front import Front
 
 LET_GO = 0.4  # s for a node's close frame when it must be left: rule 3 has 2 s for all
 
--- a/tests/operations/test_console.py
+++ b/tests/admin/test_console.py
@@ -30,9 +30,9 @@
     until_ready,
 )
 
-from granitepoint.operations.console import MOST_CONSOLE, Word, route
-from granitepoint.operations.figures import Figures
-from rigs.program import free_port
+from harness.program import free_port
+from service_proxy.admin.console import MOST_CONSOLE, Word, route
+from service_proxy.admin.figures import Figures
 
 
 class Staffed(Proxy):
@@ -328,4 +328,4 @@
 
 
 def test_without_a_console_nothing_of_it_is_imported() -> None:
-    assert not loads("granitepoint.operations")
+    assert not loads("service_proxy.admin")
--- a/tests/operations/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.interface import ServerEntry, ServerState
-from granitepoint.net.listing import Listed, Listing, server_id
-from granitepoint.operations.maintenance import Maintenance, Unknown
-from granitepoint.operations.store import Store
+from service_proxy.admin.maintenance import Maintenance, Unknown
+from service_proxy.admin.store import Store
+from service_proxy.net.listing import Listed, Listing, server_id
+from service_proxy.policy.events import ServerEntry, ServerState
 
 OFFSET = 1000.0  # wall less monotonic, s
 SERVING = ServerState.SERVING
--- a/tests/operations/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from granitepoint.interface import Effect
-from granitepoint.net.config import flatten
-from granitepoint.operations.retune import Unusable, meanwhile, read_file
-from granitepoint.settings import read_settings
-from rigs.program import settings
+from harness.program import settings
+from service_proxy.admin.retune import Unusable, meanwhile, read_file
+from service_proxy.net.config import flatten
+from service_proxy.policy.events import Effect
+from service_proxy.settings import read_settings
 
 RUNNING: dict[str, Any] = {
     "name": "n0",
--- a/tests/operations/test_upgrades.py
+++ b/tests/admin/test_upgrades.py
@@ -15,9 +15,9 @@
 from netkit import PATIENCE, Backend, Caller, Discovery, config, endpoint, listing, run, start_program
 from test_console import Staffed
 
-from granitepoint.operations import steering
-from granitepoint.operations.generations import Generations
-from rigs.program import free_port
+from harness.program import free_port
+from service_proxy.admin import steering
+from service_proxy.admin.generations import Generations
 
 DEALT = 40  # connections in each half of the steering test
 
@@ -40,7 +40,7 @@
 
 def test_a_process_that_died_counts_no_more_though_its_file_is_left(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
-    code = f"from granitepoint.operations.generations import Generations as G; from pathlib import Path; \
+    code = f"from service_proxy.admin.generations import Generations as G; from pathlib import Path; \
 import os; G(Path({str(stem)!r})); os._exit(9)"
     assert subprocess.run([sys.executable, "-c", code], timeout=PATIENCE).returncode == 9
     left = stem.with_name("x.process.1")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
 
 def levels() -> dict[str, int]:
     """Of the root ("") and of all loggers of the program; 0 is one whose parent decides."""
-    known = [name for name in logging.Logger.manager.loggerDict if name.split(".")[0] == "granitepoint"]
+    known = [name for name in logging.Logger.manager.loggerDict if name.split(".")[0] == "service_proxy"]
     return {name: logging.getLogger(name).level for name in ["", *known]}
 
 
--- a/tests/budgets/test_accounts.py
+++ b/tests/deadlines/test_accounts.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.budgets import History, play
-from granitepoint.budgets.accounts import Account, Lent, attempt_part, call_part, finishing, reaches, root
+from service_proxy.deadlines.accounts import Account, Lent, attempt_part, call_part, finishing, reaches, root
 
 
 def outer(attempts: int, due: float = 10.0, aim: float = 5.0, worth: float = 12.0) -> Account:
--- a/tests/budgets/test_calls.py
+++ b/tests/deadlines/test_calls.py
@@ -11,18 +11,18 @@
 
 import pytest
 
-from granitepoint.budgets import header
-from granitepoint.budgets.calls import Budgets, InnerFilter, InnerTicket, OuterFilter, OuterTicket
-from granitepoint.budgets.header import Budget
-from granitepoint.budgets.usual import LEAST_SAMPLES
-from granitepoint.interface import Effect, RequestClass, Status
-from granitepoint.interface import Settings as ProxySettings
-from granitepoint.net.bodies import Body
-from granitepoint.net.filters import Turned
-from granitepoint.net.server import Request, read_request
-from granitepoint.net.upstream import Exchange
-from granitepoint.operator import Budgets as Settings
-from granitepoint.operator import OperatorError
+from service_proxy.deadlines import header
+from service_proxy.deadlines.calls import Budgets, InnerFilter, InnerTicket, OuterFilter, OuterTicket
+from service_proxy.deadlines.header import Budget
+from service_proxy.deadlines.usual import LEAST_SAMPLES
+from service_proxy.net.bodies import Body
+from service_proxy.net.filters import Turned
+from service_proxy.net.server import Request, read_request
+from service_proxy.net.upstream import Exchange
+from service_proxy.operator_file import Budgets as Settings
+from service_proxy.operator_file import OperatorError
+from service_proxy.policy.events import Effect, RequestClass, Status
+from service_proxy.policy.events import Settings as ProxySettings
 
 CLASSES = {
     "stock": RequestClass("stock", 12.0, 0.5, 1.2, effect=Effect.REPEATABLE),
@@ -445,7 +445,7 @@
 
 def test_nothing_of_it_reads_the_wall_clock() -> None:
     """A clock step of an hour can't matter to what is never looked at."""
-    for file in (Path(__file__).parent.parent.parent / "granitepoint" / "budgets").glob("*.py"):
+    for file in (Path(__file__).parent.parent.parent / "service_proxy" / "budgets").glob("*.py"):
         text = file.read_text()
         assert "time.time" not in text and "datetime" not in text, file
 
--- a/tests/budgets/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from granitepoint.net.listing import address
-from rigs.chain import ATTEMPTS, CLASSES, Chain, running
-from rigs.kit import until
-from rigs.program import Program
-from rigs.world import Habits, Host
+from harness.chain import ATTEMPTS, CLASSES, Chain, running
+from harness.kit import until
+from harness.program import Program
+from harness.world import Habits, Host
+from service_proxy.net.listing import address
 
 HABITS = Habits(passes_time=False, copies_budget=True, services={"portal": 0.004, "nucleo": 0.02})
 
--- a/tests/budgets/test_correlation.py
+++ b/tests/deadlines/test_correlation.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from granitepoint.budgets.accounts import root
-from granitepoint.budgets.correlation import KEPT, MOST_ID, Correlation, Entry
+from service_proxy.deadlines.accounts import root
+from service_proxy.deadlines.correlation import KEPT, MOST_ID, Correlation, Entry
 
 
 def known(table: Correlation, reference: str, call: bytes, key: bytes = b"", cls: str = "stock") -> Entry:
--- a/tests/budgets/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -16,8 +16,8 @@
 import pytest
 from netkit import PATIENCE, SETTINGS, Backend, Caller, Discovery, Seen, endpoint, next_call, run, serve_ok
 
-from rigs.chain import key_file
-from rigs.program import Program, proxy
+from harness.chain import key_file
+from harness.program import Program, proxy
 
 
 @contextlib.asynccontextmanager
--- a/tests/budgets/test_header.py
+++ b/tests/deadlines/test_header.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.budgets import header
-from granitepoint.budgets.header import Budget, Malformed, looped, read, write
+from service_proxy.deadlines import header
+from service_proxy.deadlines.header import Budget, Malformed, looped, read, write
 
 KEYS = {b"k1": b"a secret of the fleet", b"k0": b"the one before"}
 CALL = b"9b1f03aa5c7e2d41"
--- a/tests/budgets/test_usual.py
+++ b/tests/deadlines/test_usual.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from granitepoint.budgets.usual import LEAST_SAMPLES, SAMPLES, Transit, Usual
+from service_proxy.deadlines.usual import LEAST_SAMPLES, SAMPLES, Transit, Usual
 
 
 def learnt(*figures: float) -> Usual:
--- a/tests/membership/test_jute.py
+++ b/tests/ephemeral_nodes/test_jute.py
@@ -6,8 +6,8 @@
 import pytest
 from kazoo.security import ACL, Id
 
-from granitepoint.membership import jute
-from granitepoint.membership.jute import Create, Op, Operation, Reader, Stat, WatchMode, Writer, Xid
+from service_proxy.ephemeral_nodes import jute
+from service_proxy.ephemeral_nodes.jute import Create, Op, Operation, Reader, Stat, WatchMode, Writer, Xid
 
 OPEN = [ACL(31, Id("world", "anyone"))]
 STAT = Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
--- a/tests/membership/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.interface import ServerEntry, ServerState
-from granitepoint.membership import merger as module
-from granitepoint.membership.merger import HOLD, MEMBERSHIP, MEMORY, PADRON, WINDOW, Merger, Word
-from granitepoint.net.listing import Listed, server_id
-from granitepoint.net.sources import Health
+from service_proxy.ephemeral_nodes import merger as module
+from service_proxy.ephemeral_nodes.merger import HOLD, MEMBERSHIP, MEMORY, PADRON, WINDOW, Merger, Word
+from service_proxy.net.listing import Listed, server_id
+from service_proxy.net.sources import Health
+from service_proxy.policy.events import ServerEntry, ServerState
 
 READY = ServerState.SERVING
 DRAINING = ServerState.DRAINING
--- a/tests/membership/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -9,14 +9,14 @@
 from test_session import ensemble, run
 from test_source import put
 
-from granitepoint.membership.nodes import Node
-from rigs.backend import Backend
-from rigs.callers import EFFECTS, MIX, Callers
-from rigs.coordination import Service
-from rigs.kit import until
-from rigs.ledger import Ledger
-from rigs.padron import Padron
-from rigs.program import Program, proxy
+from harness.backend import Backend
+from harness.callers import EFFECTS, MIX, Callers
+from harness.coordination import Service
+from harness.kit import until
+from harness.ledger import Ledger
+from harness.padron import Padron
+from harness.program import Program, proxy
+from service_proxy.ephemeral_nodes.nodes import Node
 
 
 def operator(*services: Service) -> str:
--- a/tests/membership/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -13,11 +13,11 @@
 
 from test_session import ensemble, run
 
-from granitepoint.membership.nodes import Node, read_node
-from granitepoint.membership.register import Registrar
-from granitepoint.operator import Membership
-from rigs.coordination import Service
-from rigs.kit import until
+from harness.coordination import Service
+from harness.kit import until
+from service_proxy.ephemeral_nodes.nodes import Node, read_node
+from service_proxy.ephemeral_nodes.register import Registrar
+from service_proxy.operator_file import Membership
 
 ROOT = Path(__file__).parent.parent.parent
 PATH = "/salas/portal"
@@ -188,7 +188,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "granitepoint.membership.register",
+                "service_proxy.ephemeral_nodes.register",
                 "--operator",
                 str(file),
                 cwd=ROOT,
@@ -211,7 +211,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "granitepoint.membership.register",
+            "service_proxy.ephemeral_nodes.register",
             "--operator",
             str(file),
             cwd=ROOT,
--- a/tests/membership/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -12,8 +12,10 @@
 
 import pytest
 
-from granitepoint.membership import session as module
-from granitepoint.membership.jute import (
+from harness.coordination import Service
+from harness.kit import PATIENCE, until
+from service_proxy.ephemeral_nodes import session as module
+from service_proxy.ephemeral_nodes.jute import (
     CREATOR_ACL,
     OPEN_ACL,
     Create,
@@ -25,10 +27,8 @@
     create_body,
     delete_body,
 )
-from granitepoint.membership.session import Busy, ConnectionLost, Session
-from granitepoint.membership.states import State
-from rigs.coordination import Service
-from rigs.kit import PATIENCE, until
+from service_proxy.ephemeral_nodes.session import Busy, ConnectionLost, Session
+from service_proxy.ephemeral_nodes.states import State
 
 
 class Client:
--- a/tests/membership/test_snapshot.py
+++ b/tests/ephemeral_nodes/test_snapshot.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from granitepoint.membership import snapshot
-from granitepoint.membership.nodes import Node
+from service_proxy.ephemeral_nodes import snapshot
+from service_proxy.ephemeral_nodes.nodes import Node
 
 NODES = [Node(f"s-{n}", f"127.0.0.1:{8000 + n}", "a", "m", n, 1.0, 5, "Ready") for n in range(5)]
 
--- a/tests/membership/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -15,21 +15,21 @@
 from test_register import PATH, node, settings
 from test_session import ensemble, run
 
-from granitepoint.interface import ServerState
-from granitepoint.membership import snapshot, source
-from granitepoint.membership.jute import OPEN_ACL, Op
-from granitepoint.membership.nodes import Node, listed
-from granitepoint.membership.source import Membership
-from granitepoint.membership.states import State
-from granitepoint.membership.tree import Changes
-from granitepoint.net.config import Config
-from granitepoint.net.discovery import WALL_OFFSET, Discovery
-from granitepoint.net.listing import Listing
-from granitepoint.net.sources import Health
-from granitepoint.operator import Membership as Settings
-from granitepoint.operator import OperatorError
-from rigs.coordination import Service, SessionRecord
-from rigs.kit import until
+from harness.coordination import Service, SessionRecord
+from harness.kit import until
+from service_proxy.ephemeral_nodes import snapshot, source
+from service_proxy.ephemeral_nodes.jute import OPEN_ACL, Op
+from service_proxy.ephemeral_nodes.nodes import Node, listed
+from service_proxy.ephemeral_nodes.source import Membership
+from service_proxy.ephemeral_nodes.states import State
+from service_proxy.ephemeral_nodes.tree import Changes
+from service_proxy.net.config import Config
+from service_proxy.net.discovery import WALL_OFFSET, Discovery
+from service_proxy.net.listing import Listing
+from service_proxy.net.sources import Health
+from service_proxy.operator_file import Membership as Settings
+from service_proxy.operator_file import OperatorError
+from service_proxy.policy.events import ServerState
 
 NAMES = [f"s-{number}" for number in range(9)]
 
--- a/tests/membership/test_states.py
+++ b/tests/ephemeral_nodes/test_states.py
@@ -6,7 +6,16 @@
 
 import pytest
 
-from granitepoint.membership.states import HOPEFUL, OVER, TABLE, USABLE, Happening, Impossible, State, after
+from service_proxy.ephemeral_nodes.states import (
+    HOPEFUL,
+    OVER,
+    TABLE,
+    USABLE,
+    Happening,
+    Impossible,
+    State,
+    after,
+)
 
 ONLY = {  # states in which little can happen
     State.CLOSED: {Happening.OPEN, Happening.CLOSE},
--- a/tests/membership/test_tree.py
+++ b/tests/ephemeral_nodes/test_tree.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.membership import tree as tree_module
-from granitepoint.membership.jute import Event, Stat
-from granitepoint.membership.nodes import Node, name_fault, read_node
-from granitepoint.membership.tree import Tree
+from service_proxy.ephemeral_nodes import tree as tree_module
+from service_proxy.ephemeral_nodes.jute import Event, Stat
+from service_proxy.ephemeral_nodes.nodes import Node, name_fault, read_node
+from service_proxy.ephemeral_nodes.tree import Tree
 
 
 def node(name: str, **more: object) -> Node:
--- a/tests/fleet/test_bed.py
+++ b/tests/fleet/test_bed.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from granitepoint.fleet.core import Core
-from granitepoint.fleet.entries import Claim, Incarnation, Phase, Record, key_of
-from granitepoint.fleet.identity import Standing
-from granitepoint.fleet.states import State
-from granitepoint.fleet.table import Change
-from granitepoint.fleet.timing import Timing
-from granitepoint.fleet.wire import Kind, Said
-from rigs.fleet.bed import Bed, Member, address_of
-from rigs.fleet.network import Weather
+from harness.fleet.bed import Bed, Member, address_of
+from harness.fleet.network import Weather
+from service_proxy.fleet.core import Core
+from service_proxy.fleet.entries import Claim, Incarnation, Phase, Record, key_of
+from service_proxy.fleet.identity import Standing
+from service_proxy.fleet.states import State
+from service_proxy.fleet.table import Change
+from service_proxy.fleet.timing import Timing
+from service_proxy.fleet.wire import Kind, Said
 
 TIMING = Timing(period=1.0)
 Take = Callable[[Core, float, tuple[str, int], bytes], None]
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.fleet.entries import MOST_BEAT, MOST_RUN, Claim, Incarnation
-from granitepoint.fleet.share import MOST_OVER, instances
-from granitepoint.fleet.states import LIVING, TABLE, Happening, Said, State, happening, merge
-from rigs.fleet import model
+from harness.fleet import model
+from service_proxy.fleet.entries import MOST_BEAT, MOST_RUN, Claim, Incarnation
+from service_proxy.fleet.share import MOST_OVER, instances
+from service_proxy.fleet.states import LIVING, TABLE, Happening, Said, State, happening, merge
 
 INCARNATIONS = st.builds(
     Incarnation, st.integers(1, MOST_RUN), st.integers(0, 65535), st.integers(0, MOST_BEAT)
--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -9,13 +9,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.fleet import wire
-from granitepoint.fleet.core import Core
-from granitepoint.fleet.entries import Claim, Incarnation, Phase, Record, fleet_id, key_of
-from granitepoint.fleet.guard import WINDOW, Numbers, Seals
-from granitepoint.fleet.timing import Timing
-from granitepoint.fleet.wire import MOST_DATAGRAM, Figures, Kind, Said, Section, Writer
-from rigs.fleet.bed import Bed, address_of
+from harness.fleet.bed import Bed, address_of
+from service_proxy.fleet import wire
+from service_proxy.fleet.core import Core
+from service_proxy.fleet.entries import Claim, Incarnation, Phase, Record, fleet_id, key_of
+from service_proxy.fleet.guard import WINDOW, Numbers, Seals
+from service_proxy.fleet.timing import Timing
+from service_proxy.fleet.wire import MOST_DATAGRAM, Figures, Kind, Said, Section, Writer
 
 NAMES = st.text(st.characters(whitelist_categories=["Lu", "Ll", "Nd"]), min_size=1, max_size=10)
 SAIDS = st.builds(
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -13,11 +13,11 @@
 import pytest
 import uvloop
 
-from granitepoint.fleet.wire import MOST_DATAGRAM
-from rigs.fleet.relay import host
-from rigs.fleet.script import Player, read
-from rigs.fleet.world import Setup, World, world
-from rigs.kit import until
+from harness.fleet.relay import host
+from harness.fleet.script import Player, read
+from harness.fleet.world import Setup, World, world
+from harness.kit import until
+from service_proxy.fleet.wire import MOST_DATAGRAM
 
 PATIENCE = 40.0  # s; what takes longer has failed
 T = TypeVar("T")
@@ -290,7 +290,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "granitepoint.fleet",
+            "service_proxy.fleet",
             "view",
             *arguments,
             stdout=asyncio.subprocess.PIPE,
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from granitepoint.assembly import fleet_of
-from granitepoint.clock import Clock
-from granitepoint.fleet import transport
-from granitepoint.fleet.entries import key_of
-from granitepoint.fleet.identity import Standing
-from granitepoint.fleet.transport import Fleet, numbered, pack_words, unpack_words
-from granitepoint.fleet.wire import Kind
-from granitepoint.net.config import Config, ConfigError, read_config
-from granitepoint.operator import Fleet as Settings
-from granitepoint.operator import OperatorError
-from granitepoint.sidecar.checking import check
-from rigs.kit import until
-from rigs.program import free_port, settings
+from harness.kit import until
+from harness.program import free_port, settings
+from service_proxy.clock import Clock
+from service_proxy.composition import fleet_of
+from service_proxy.fleet import transport
+from service_proxy.fleet.entries import key_of
+from service_proxy.fleet.identity import Standing
+from service_proxy.fleet.transport import Fleet, numbered, pack_words, unpack_words
+from service_proxy.fleet.wire import Kind
+from service_proxy.net.config import Config, ConfigError, read_config
+from service_proxy.operator_file import Fleet as Settings
+from service_proxy.operator_file import OperatorError
+from service_proxy.sidecar.checking import check
 
 PEERS: dict[str, Any] = {
     "peer_listen": "127.0.0.1:0",
@@ -51,7 +51,7 @@
 
 def test_where_the_platform_allows_no_peers_it_is_off_and_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[str] = []
-    monkeypatch.setattr("granitepoint.assembly.log.error", said.append)
+    monkeypatch.setattr("service_proxy.composition.log.error", said.append)
 
     async def test() -> None:
         driver: Any = Driver()
--- a/tests/rigs/test_coordination.py
+++ b/tests/harness/test_coordination.py
@@ -22,8 +22,8 @@
 from kazoo.protocol.states import KazooState
 from kazoo.security import CREATOR_ALL_ACL
 
-from rigs.coordination import Service, main, read_script
-from rigs.kit import PATIENCE, LoopThread
+from harness.coordination import Service, main, read_script
+from harness.kit import PATIENCE, LoopThread
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -193,7 +193,7 @@
 def test_the_program_prints_where_it_listens_and_ends_by_itself(tmp_path: Path) -> None:
     script = tmp_path / "script"
     script.write_text('# nothing yet\n{"at": 0.1, "do": "empty"}\n')
-    command = [sys.executable, "-m", "rigs.coordination", "--ensemble", "3", "--script", str(script)]
+    command = [sys.executable, "-m", "harness.coordination", "--ensemble", "3", "--script", str(script)]
     ended = subprocess.run(
         [*command, "--seconds", "0.5"], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
     )
--- a/tests/rigs/test_fleet_rig.py
+++ b/tests/harness/test_fleet_rig.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from granitepoint.fleet.timing import Timing
-from granitepoint.operator import OperatorError
-from rigs.fleet.__main__ import main
-from rigs.fleet.bed import Bed
-from rigs.fleet.network import Network, Weather
-from rigs.fleet.script import numbers, read
+from harness.fleet.__main__ import main
+from harness.fleet.bed import Bed
+from harness.fleet.network import Network, Weather
+from harness.fleet.script import numbers, read
+from service_proxy.fleet.timing import Timing
+from service_proxy.operator_file import OperatorError
 
 FAULT = '[[fault]]\nat = 1.0\ndo = "kill"\nwho = ["p1"]\n'
 BROKEN = {
--- a/tests/rigs/test_ledger.py
+++ b/tests/harness/test_ledger.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rigs.ledger import Answer, Effect, Ledger, Rules, Start, Taken, Told
+from harness.ledger import Answer, Effect, Ledger, Rules, Start, Taken, Told
 
 EFFECTS = {"stock": Effect("repeatable"), "reserva": Effect("by_key", 6.0), "canje": Effect("once")}
 
--- a/tests/rigs/test_proofs.py
+++ b/tests/harness/test_proofs.py
@@ -10,17 +10,17 @@
 import pytest
 
 from benchmarks import budgets, ephemeral, per_call, proof, sidecar, websocket
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.description import load
-from rigs.trial import rows
-from rigs.world import world
+from harness.trial import rows
+from harness.world import world
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.description import load
 
 ROOT = Path(__file__).parent.parent.parent
 
 
 def test_a_newcomer_sees_real_calls_served() -> None:
     """As the README has it, through the tool, which starts the rigs as a program of their own."""
-    command = "-m granitepoint.sidecar try deploy/application.toml --seconds 1 --rate 30"
+    command = "-m service_proxy.sidecar try deploy/application.toml --seconds 1 --rate 30"
     done = subprocess.run(
         [sys.executable, *command.split()], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from granitepoint import (
+from service_proxy import (
     Action,
     Arrival,
     Balancer,
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from rigs.program import free_port, settings
+from harness.program import free_port, settings
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 20.0  # s; a test that waits longer has failed
@@ -248,9 +248,9 @@
     of its own."""
     code = (
         "import asyncio, sys\n"
-        "from granitepoint.assembly import Proxy\n"
-        "from granitepoint.net.config import read_config\n"
-        "from rigs.program import settings\n"
+        "from service_proxy.composition import Proxy\n"
+        "from service_proxy.net.config import read_config\n"
+        "from harness.program import settings\n"
         "raw = {'listen': '127.0.0.1:0', 'discovery': '127.0.0.1:1', 'settings': settings()}\n"
         "async def test():\n"
         "    Proxy(read_config(raw, {}), None).stop()\n"
@@ -270,7 +270,7 @@
     if isinstance(raw, dict):
         environ["EDGE_DISCOVERY"] = raw["discovery"]
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "granitepoint", cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "service_proxy", cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE
     )
 
 
--- a/tests/operator/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from granitepoint.operator import OperatorError, load
-from granitepoint.operator.positions import positions
+from service_proxy.operator_file import OperatorError, load
+from service_proxy.operator_file.positions import positions
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = '[membership]\nservers = ["127.0.0.1:2181"]\npath = "/salas/portal"\n'
@@ -155,7 +155,7 @@
 
 
 def program(*arguments: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "granitepoint", *arguments]
+    command = [sys.executable, "-m", "service_proxy", *arguments]
     return subprocess.run(command, cwd=ROOT, env={}, capture_output=True, text=True, timeout=60, check=False)
 
 
@@ -175,13 +175,14 @@
 def test_without_the_file_no_subsystem_is_imported() -> None:
     """What is off costs nothing: not an import."""
     code = (
-        "import sys, granitepoint.__main__ as m\n"
-        "import granitepoint.net.driver, granitepoint.net.server\n"
+        "import sys, service_proxy.__main__ as m\n"
+        "import service_proxy.net.driver, service_proxy.net.server\n"
         "m.main([])\n"
-        "bad = [n for n in sys.modules if n.startswith(('granitepoint.membership', 'granitepoint.operator',"
-        " 'granitepoint.budgets', 'granitepoint.sidecar', 'granitepoint.fleet', 'granitepoint.clock',"
-        " 'granitepoint.recovery',"
-        " 'granitepoint.benchlink', 'rigs'))]\n"
+        "bad = [n for n in sys.modules if n.startswith(('service_proxy.ephemeral_nodes',"
+        " 'service_proxy.operator_file',"
+        " 'service_proxy.deadlines', 'service_proxy.sidecar', 'service_proxy.fleet', 'service_proxy.clock',"
+        " 'service_proxy.recovery',"
+        " 'service_proxy.simulator_adapter', 'harness'))]\n"
         "sys.exit(' '.join(bad) or 0)"
     )
     ended = subprocess.run(
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.recovery.census import Finding, Peer, Said, lost_zones, pack, unpack, what_happened
-from granitepoint.recovery.phases import (
+from service_proxy.recovery.census import Finding, Peer, Said, lost_zones, pack, unpack, what_happened
+from service_proxy.recovery.phases import (
     ADMITS,
     PATIENCE,
     TABLE,
@@ -19,8 +19,8 @@
     holds,
     step,
 )
-from granitepoint.recovery.trust import Loss
-from granitepoint.recovery.turns import FIRST, place, wait
+from service_proxy.recovery.trust import Loss
+from service_proxy.recovery.turns import FIRST, place, wait
 
 COLD = 24.0  # s
 
--- a/tests/recovery/test_power.py
+++ b/tests/recovery/test_power.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from granitepoint.recovery.facts import Maintenance, put
-from granitepoint.recovery.folder import Folder
-from granitepoint.recovery.store import Owner, Store, read_store
-from rigs.fleet.world import Seat, Setup, World, world
-from rigs.kit import until
+from harness.fleet.world import Seat, Setup, World, world
+from harness.kit import until
+from service_proxy.recovery.facts import Maintenance, put
+from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.store import Owner, Store, read_store
 
 COLD = 2.0  # s
 PHASE = re.compile(r"recovery: (\w+) -> (\w+) after")
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from granitepoint.clock import Clock
-from granitepoint.recovery import records, store
-from granitepoint.recovery.facts import Keyed, Maintenance, Server, State, put
-from granitepoint.recovery.folder import Folder
-from granitepoint.recovery.keeper import Keeper
-from granitepoint.recovery.records import FORMAT, encode, scan
-from granitepoint.recovery.store import Found, Health, Owner, Refused, Store, read_store
-from rigs.program import ROOT
-from rigs.recovery.broken import FAULTY, PLANTED
-from rigs.recovery.disk import Tape
-from rigs.recovery.points import OWNER, recorded, same, wrong
+from harness.program import ROOT
+from harness.recovery.broken import FAULTY, PLANTED
+from harness.recovery.disk import Tape
+from harness.recovery.points import OWNER, recorded, same, wrong
+from service_proxy.clock import Clock
+from service_proxy.recovery import records, store
+from service_proxy.recovery.facts import Keyed, Maintenance, Server, State, put
+from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.keeper import Keeper
+from service_proxy.recovery.records import FORMAT, encode, scan
+from service_proxy.recovery.store import Found, Health, Owner, Refused, Store, read_store
 
 
 def test_a_cut_at_any_point_leaves_the_state_before_or_the_one_after() -> None:
@@ -157,7 +157,7 @@
 def test_a_second_process_reads_waits_for_the_lock_and_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("granitepoint.recovery.keeper.RETRY", 0.05)
+    monkeypatch.setattr("service_proxy.recovery.keeper.RETRY", 0.05)
     first = keeper(tmp_path)
     first.start()
     first.put("n1", Maintenance(1.0, "fan"))
@@ -175,7 +175,7 @@
 
 
 def test_a_slow_or_full_disk_is_waited_for_by_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("granitepoint.recovery.keeper.RETRY", 0.05)
+    monkeypatch.setattr("service_proxy.recovery.keeper.RETRY", 0.05)
     gate = threading.Event()
     synced = threading.Event()
     full = [False]
@@ -239,7 +239,7 @@
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "rigs.recovery.writer",
+            "harness.recovery.writer",
             str(tmp_path / f"p{number}"),
             f"p{number}",
             cwd=ROOT,
--- a/tests/sidecar/test_admission.py
+++ b/tests/sidecar/test_admission.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.sidecar.admission import (
+from service_proxy.sidecar.admission import (
     QUICKEST_ADVICE,
     SLOWEST_ADVICE,
     TABLE,
--- a/tests/sidecar/test_corpus.py
+++ b/tests/sidecar/test_corpus.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.checking import check
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.checking import check
 
 CORPUS = Path(__file__).parent.parent / "corpus"
 EXPECTED = [
--- a/tests/sidecar/test_description.py
+++ b/tests/sidecar/test_description.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from granitepoint.operator.codes import CODES
-from granitepoint.operator.reader import MOST_TEXT
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.checking import check
-from granitepoint.sidecar.description import load
+from service_proxy.operator_file.codes import CODES
+from service_proxy.operator_file.reader import MOST_TEXT
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.checking import check
+from service_proxy.sidecar.description import load
 
 ROOT = Path(__file__).parent.parent.parent
 PLAIN = (ROOT / "tests" / "corpus" / "good" / "plain.toml").read_text()
@@ -293,6 +293,6 @@
 
 def test_the_program_checks_from_outside(tmp_path: Path) -> None:
     file = put(tmp_path)
-    command = [sys.executable, "-m", "granitepoint.sidecar", "check", file]
+    command = [sys.executable, "-m", "service_proxy.sidecar", "check", file]
     ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
     assert (ended.returncode, ended.stdout, ended.stderr) == (0, "", "")
--- a/tests/sidecar/test_explain.py
+++ b/tests/sidecar/test_explain.py
@@ -9,8 +9,8 @@
 import pytest
 from test_description import PLAIN, ROOT, put, split
 
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.explain import schema
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.explain import schema
 
 VALIDATOR = jsonschema.Draft202012Validator(schema())
 
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -14,14 +14,14 @@
 from netkit import Backend, Caller, Seen, next_call, response, run, serve_ok
 from test_description import PLAIN
 
-from granitepoint.net.bodies import Body
-from granitepoint.net.server import Request
-from granitepoint.sidecar.admission import Heard, State
-from granitepoint.sidecar.description import Layers, build
-from granitepoint.sidecar.inbound import Inbound
-from granitepoint.sidecar.model import Description
-from rigs.kit import until
-from rigs.program import free_port
+from harness.kit import until
+from harness.program import free_port
+from service_proxy.net.bodies import Body
+from service_proxy.net.server import Request
+from service_proxy.sidecar.admission import Heard, State
+from service_proxy.sidecar.description import Layers, build
+from service_proxy.sidecar.inbound import Inbound
+from service_proxy.sidecar.model import Description
 
 
 def described(**changes: Any) -> Description:
--- a/tests/sidecar/test_migrate.py
+++ b/tests/sidecar/test_migrate.py
@@ -8,10 +8,10 @@
 import pytest
 from test_description import PLAIN, ROOT, put
 
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.checking import check
-from granitepoint.sidecar.description import load
-from granitepoint.sidecar.migrate import migrate
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.checking import check
+from service_proxy.sidecar.description import load
+from service_proxy.sidecar.migrate import migrate
 
 OLD = sorted((ROOT / "tests" / "corpus" / "old").glob("*.toml"))
 
--- a/tests/sidecar/test_platform.py
+++ b/tests/sidecar/test_platform.py
@@ -10,9 +10,9 @@
 import pytest
 from test_description import PLAIN, put
 
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.checking import check
-from granitepoint.sidecar.platform import json_positions
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.checking import check
+from service_proxy.sidecar.platform import json_positions
 
 
 def platform(tmp_path: Path) -> Path:
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -13,9 +13,9 @@
 from netkit import PATIENCE, Backend, Caller, Discovery, Seen, endpoint, next_call, run, serve_ok
 from test_description import PLAIN, ROOT, put
 
-from rigs.coordination import Service
-from rigs.kit import until
-from rigs.program import free_port
+from harness.coordination import Service
+from harness.kit import until
+from harness.program import free_port
 
 
 class Ports:
@@ -79,7 +79,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "granitepoint.sidecar",
+            "service_proxy.sidecar",
             "run",
             file,
             "--tier",
@@ -213,7 +213,7 @@
             ):
                 made.hang_up(bad)
                 line = await made.said("all stays as it was", number + 1)
-                assert line.startswith("ERROR granitepoint.sidecar: reload: ") and str(made.file) in line
+                assert line.startswith("ERROR service_proxy.sidecar: reload: ") and str(made.file) in line
             said = made.log.read_text()
             assert said.count("ERROR") == 3 and "R202" in said and "C002" in said
             assert (await (await made.caller(made.ports.inbound)).call("canje", "1" * 16)).code == 200
--- a/tests/sidecar/test_write.py
+++ b/tests/sidecar/test_write.py
@@ -11,12 +11,12 @@
 import pytest
 from test_description import PLAIN, ROOT, put
 
-from granitepoint.interface import Effect
-from granitepoint.net.config import load as load_config
-from granitepoint.operator import load as load_operator
-from granitepoint.sidecar.__main__ import main
-from granitepoint.sidecar.description import load
-from granitepoint.sidecar.toml import description_text
+from service_proxy.net.config import load as load_config
+from service_proxy.operator_file import load as load_operator
+from service_proxy.policy.events import Effect
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.description import load
+from service_proxy.sidecar.toml import description_text
 
 
 def tree(folder: Path) -> dict[str, bytes]:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -11,10 +11,10 @@
 import pytest
 from netkit import PATIENCE, Backend, Seen, proxy, response, run
 
-from granitepoint.interface import ServerEntry, ServerState
-from granitepoint.net import upstream as up
-from granitepoint.net.driver import read_report
-from granitepoint.net.listing import Listed, Listing
+from service_proxy.net import upstream as up
+from service_proxy.net.driver import read_report
+from service_proxy.net.listing import Listed, Listing
+from service_proxy.policy.events import ServerEntry, ServerState
 
 OK = b"HTTP/1.1 200 OK\r\n"
 BAD = {
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,10 +12,10 @@
 import pytest
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
 
-from granitepoint.assembly import LOG_LINES, Sparse
-from granitepoint.interface import Effect
-from granitepoint.net.server import ClientConnection, Server
-from rigs.callers import GRADES
+from harness.callers import GRADES
+from service_proxy.composition import LOG_LINES, Sparse
+from service_proxy.net.server import ClientConnection, Server
+from service_proxy.policy.events import Effect
 
 HEAD = b" HTTP/1.1\r\nHost: x\r\nX-Call-Id: 0011223344556677\r\nX-Budget: 500m\r\n"
 HIDDEN = b"POST /canje HTTP/1.1\r\nX-Call-Id: 8899aabbccddeeff\r\nX-Budget: 900m\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import ONCE, SAFE, Driver, entries, only_send, sends, settings
 
-from granitepoint import (
+from service_proxy import (
     Action,
     Arrival,
     Balancer,
@@ -27,7 +27,14 @@
     Tenant,
     Watch,
 )
-from granitepoint.logic import CONNECTIONS_FULL, FAILING_MEMORY, PACE_MEMORY, RETRY_UNSEEN, Admission, Kind
+from service_proxy.policy.balancer import (
+    CONNECTIONS_FULL,
+    FAILING_MEMORY,
+    PACE_MEMORY,
+    RETRY_UNSEEN,
+    Admission,
+    Kind,
+)
 
 
 def admission(window: float, latency: float, rate: float, worths: list[float], stage: int = 0) -> Admission:
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -30,10 +30,10 @@
     start_program,
 )
 
-from granitepoint.__main__ import LAST_ACCEPT
-from granitepoint.interface import Effect
-from granitepoint.net.server import KEPT, WHOLE, ClientConnection, Server
-from rigs.program import free_port
+from harness.program import free_port
+from service_proxy.__main__ import LAST_ACCEPT
+from service_proxy.net.server import KEPT, WHOLE, ClientConnection, Server
+from service_proxy.policy.events import Effect
 
 KILL = 3.0 + 0.7  # s after SIGTERM at which SIGKILL may come, where the longest deadline is 3 s or more
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -15,9 +15,9 @@
 from netkit import Discovery as SilentDiscovery
 from test_leaving import Unreachable
 
-from granitepoint.net.discovery import Discovery
-from granitepoint.net.freshness import MOVED_TOLD, WAITED_TOLD, Freshness, freshness
-from granitepoint.net.listing import Listing
+from service_proxy.net.discovery import Discovery
+from service_proxy.net.freshness import MOVED_TOLD, WAITED_TOLD, Freshness, freshness
+from service_proxy.net.listing import Listing
 
 GRACES = [0.0, 0.2, 0.5, 1.0, 2.0, 5.0]
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -27,9 +27,9 @@
 )
 from netkit import Discovery as Told
 
-from granitepoint.interface import Effect
-from granitepoint.net.limits import MOST_LENGTH
-from granitepoint.net.server import Server
+from service_proxy.net.limits import MOST_LENGTH
+from service_proxy.net.server import Server
+from service_proxy.policy.events import Effect
 
 
 def fin(raw: socket.socket) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,6 +16,5 @@
 
 
 def test_module_names_its_interface_at_the_top() -> None:
-    assert (
-        "granitepoint/interface.py" in (ROOT / "granitepoint" / "logic.py").read_text("utf-8").split("\n")[0]
-    )
+    module = ROOT / "service_proxy" / "policy" / "balancer.py"
+    assert "service_proxy/policy/events.py" in module.read_text("utf-8").split("\n")[0]
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -12,8 +12,8 @@
 import pytest
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, proxy, read_message, resets_on_close, response, run
 
-from granitepoint.net.bodies import WINDOW, Body
-from granitepoint.net.upstream import HOLD_BACK
+from service_proxy.net.bodies import WINDOW, Body
+from service_proxy.net.upstream import HOLD_BACK
 
 MB = 1 << 20
 LONG = 32 * MB  # bytes; the longest that the operators have seen
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import CLASSES, Driver, drained, entries, only_send, sends, settings
 
-from granitepoint import (
+from service_proxy import (
     Action,
     Arrival,
     Fail,
@@ -25,7 +25,7 @@
     Timer,
     Watch,
 )
-from granitepoint.logic import Call, Kind, Obligations, Server
+from service_proxy.policy.balancer import Call, Kind, Obligations, Server
 
 NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
 MAYBE = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import SAFE, Driver, drained, entries, only_send, sends, settings
 
-from granitepoint import (
+from service_proxy import (
     Effect,
     ListKind,
     NewSettings,
@@ -19,7 +19,7 @@
     StreamStarted,
     Tenant,
 )
-from granitepoint.logic import STEP
+from service_proxy.policy.balancer import STEP
 
 
 def test_a_call_keeps_the_class_with_which_it_came_and_the_next_has_the_new_one() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given
 from hypothesis import settings as checks
 
-from granitepoint import (
+from service_proxy import (
     Arrival,
     Balancer,
     Cancel,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,11 +16,11 @@
 from hypothesis import settings as checks
 from netkit import PATIENCE, ROOT, Backend, Caller, Seen, config, listing, proxy, read_message, response, run
 
-from granitepoint.interface import Arrival, Event, Fail, Refuse, Send
-from granitepoint.logic import Balancer
-from granitepoint.net.config import read_config
-from rigs.callers import GRADES
-from rigs.ledger import Answer, Effect, Ledger, Rules, Taken
+from harness.callers import GRADES
+from harness.ledger import Answer, Effect, Ledger, Rules, Taken
+from service_proxy.net.config import read_config
+from service_proxy.policy.balancer import Balancer
+from service_proxy.policy.events import Arrival, Event, Fail, Refuse, Send
 
 NAMES = st.text("abcXYZ019-_.~", min_size=1, max_size=12).filter(lambda name: name not in (".", ".."))
 SPANS = st.floats(0.05, 8.0)
@@ -214,7 +214,7 @@
     run(test())
 
 
-ROOTS = [ROOT / "granitepoint", ROOT / "deploy" / "balancer.toml"]
+ROOTS = [ROOT / "service_proxy", ROOT / "deploy" / "balancer.toml"]
 
 
 def deployment_names() -> set[str]:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -19,7 +19,7 @@
 import pytest
 from netkit import PATIENCE, ROOT, SETTINGS
 
-from rigs.program import free_port
+from harness.program import free_port
 
 # Runs in the watched process before its first line. What the loop's own C does is not seen here: /proc tells.
 HOOK = """
@@ -98,7 +98,7 @@
 def run_line(tmp_path: Path, command: str) -> Iterator[Started]:
     tree = tmp_path / "tree"
     compiled = shutil.ignore_patterns("__pycache__")
-    shutil.copytree(ROOT / "granitepoint", tree / "granitepoint", ignore=compiled)
+    shutil.copytree(ROOT / "service_proxy", tree / "service_proxy", ignore=compiled)
     (tree / ".venv").symlink_to(sys.prefix)
     hooks = tmp_path / "hooks"
     hooks.mkdir()
@@ -154,7 +154,7 @@
         pid = started.process.pid
         health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
         until(lambda: started.ask(health).startswith(b"HTTP/1.1 200"), "ready")
-        assert "granitepoint" in Path(f"/proc/{pid}/cmdline").read_text()  # the shell has become it
+        assert "service_proxy" in Path(f"/proc/{pid}/cmdline").read_text()  # the shell has become it
         call = b"GET /stock/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Budget: 300m\r\n\r\n"
         assert started.ask(call).startswith((b"HTTP/1.1 503", b"HTTP/1.1 502", b"HTTP/1.1 504"))
         started.process.send_signal(signal.SIGHUP)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from granitepoint import Balancer, Settings, Tell
-from granitepoint.benchlink import Host, write_action
-from granitepoint.settings import read_settings
+from service_proxy import Balancer, Settings, Tell
+from service_proxy.settings import read_settings
+from service_proxy.simulator_adapter import Host, write_action
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -64,7 +64,7 @@
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "granitepoint.benchlink"],
+        [sys.executable, "-m", "service_proxy.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -197,7 +197,7 @@
 
 
 def test_status_numbers_are_the_wire_s() -> None:
-    from granitepoint import Status
+    from service_proxy import Status
 
     assert [status.name for status in Status] == [
         "OK",
@@ -245,7 +245,7 @@
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "granitepoint.benchlink"],
+        [sys.executable, "-m", "service_proxy.simulator_adapter"],
         input=b"tick clock=1 seq=0\n\xff\xfe=1\nm\n",
         capture_output=True,
         cwd=ROOT,
--- a/tests/websocket/test_codec.py
+++ b/tests/websocket/test_codec.py
@@ -11,10 +11,10 @@
 from wsproto.frame_protocol import FrameProtocol, Opcode
 
 from benchmarks.websocket import fuzz_frames
-from granitepoint.websocket.closing import TABLE, Event, State, Step
-from granitepoint.websocket.codec import MOST_FRAGMENTS, Close, Codec, Fault, Piece, Ping, Pong
-from granitepoint.websocket.deflate import FLOOR, Agreed, Deflate, negotiate
-from rigs.frames import frame
+from harness.frames import frame
+from service_proxy.websocket.closing import TABLE, Event, State, Step
+from service_proxy.websocket.codec import MOST_FRAGMENTS, Close, Codec, Fault, Piece, Ping, Pong
+from service_proxy.websocket.deflate import FLOOR, Agreed, Deflate, negotiate
 
 
 def fault_of(data: bytes, most: int = 1000) -> int:
--- a/tests/websocket/test_front.py
+++ b/tests/websocket/test_front.py
@@ -12,15 +12,15 @@
 import pytest
 from wskit import CONFIG, PATIENCE, run, running
 
-from granitepoint.interface import Status
-from granitepoint.operator import WebSocket
-from granitepoint.websocket.codec import ABNORMAL
-from granitepoint.websocket.front import Front
-from granitepoint.websocket.messages import Talk, Talks
-from granitepoint.websocket.sessions import Session
-from granitepoint.websocket.tunnel import Side, Tunnel
-from rigs.program import ROOT
-from rigs.wsnode import Fault, read_script
+from harness.program import ROOT
+from harness.wsnode import Fault, read_script
+from service_proxy.operator_file import WebSocket
+from service_proxy.policy.events import Status
+from service_proxy.websocket.codec import ABNORMAL
+from service_proxy.websocket.front import Front
+from service_proxy.websocket.messages import Talk, Talks
+from service_proxy.websocket.sessions import Session
+from service_proxy.websocket.tunnel import Side, Tunnel
 
 
 class Loaded:
@@ -170,7 +170,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "rigs.wsnode",
+            "harness.wsnode",
             "--script",
             str(file),
             "--seconds",
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from granitepoint.websocket.handshake import (
+from service_proxy.websocket.handshake import (
     Asking,
     Declined,
     Opening,
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -12,9 +12,9 @@
 import pytest
 from wskit import CONFIG, PATIENCE, Made, Raw, run, running
 
-from rigs.callers import MIX
-from rigs.kiosks import Kiosks
-from rigs.kit import until
+from harness.callers import MIX
+from harness.kiosks import Kiosks
+from harness.kit import until
 
 STOCK, RESERVA, CANJE = MIX
 FREE = CONFIG + "messages_per_s = 10000.0\nburst = 10000.0\nopen_messages = 1000\n"
--- a/tests/websocket/test_sessions.py
+++ b/tests/websocket/test_sessions.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.websocket import envelope
-from granitepoint.websocket.limits import Bucket, Doors
-from granitepoint.websocket.sessions import MOST_KEPT, MOST_KEPT_BYTES, Book, Outcome, Taking
-from granitepoint.websocket.spread import Spread, reason
+from service_proxy.websocket import envelope
+from service_proxy.websocket.limits import Bucket, Doors
+from service_proxy.websocket.sessions import MOST_KEPT, MOST_KEPT_BYTES, Book, Outcome, Taking
+from service_proxy.websocket.spread import Spread, reason
 
 
 def test_an_envelope_is_read() -> None:
--- a/tests/websocket/test_stock.py
+++ b/tests/websocket/test_stock.py
@@ -13,9 +13,9 @@
 from websockets.http11 import Request, Response
 from wskit import ALL, CONFIG, Made, run, running
 
-from rigs.ledger import Ledger
-from rigs.padron import Padron, entry
-from rigs.program import proxy, settings
+from harness.ledger import Ledger
+from harness.padron import Padron, entry
+from harness.program import proxy, settings
 
 
 def at(made: Made, path: str) -> str:
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -11,9 +11,9 @@
 from wskit import CONFIG, PATIENCE, Made, Raw, run, running
 from wsproto.frame_protocol import Opcode
 
-from rigs.frames import frame
-from rigs.kit import until
-from rigs.wsnode import Fault
+from harness.frames import frame
+from harness.kit import until
+from harness.wsnode import Fault
 
 WAIT = re.compile(r"reconnect in \d+\.\d\d s")
 QUICK = CONFIG + "ping_every = 0.4\nping_timeout = 0.4\n"
--- a/tests/websocket/test_upgrade.py
+++ b/tests/websocket/test_upgrade.py
@@ -9,8 +9,8 @@
 from netkit import loads
 from wskit import CONFIG, Raw, run, running
 
-from rigs.kit import until
-from rigs.wsnode import Fault
+from harness.kit import until
+from harness.wsnode import Fault
 
 
 def test_without_its_table_an_upgrade_is_answered_400_as_ever() -> None:
@@ -28,7 +28,7 @@
 
 
 def test_a_part_that_is_off_is_not_imported() -> None:
-    assert not loads("granitepoint.websocket", "wsproto", "h11")
+    assert not loads("service_proxy.websocket", "wsproto", "h11")
 
 
 @pytest.mark.parametrize(
--- a/tests/websocket/wskit.py
+++ b/tests/websocket/wskit.py
@@ -13,13 +13,13 @@
 
 from wsproto.frame_protocol import Frame, FrameProtocol, Opcode
 
-from rigs.callers import EFFECTS, GRADES
-from rigs.kiosks import Kiosks
-from rigs.kit import until
-from rigs.ledger import Effect, Ledger
-from rigs.padron import Padron, entry
-from rigs.program import Program, proxy, settings
-from rigs.wsnode import Fault, WsNode
+from harness.callers import EFFECTS, GRADES
+from harness.kiosks import Kiosks
+from harness.kit import until
+from harness.ledger import Effect, Ledger
+from harness.padron import Padron, entry
+from harness.program import Program, proxy, settings
+from harness.wsnode import Fault, WsNode
 
 PATIENCE = 20.0
 CONFIG = '[websocket]\nmessages = ["pantalla"]\ntunnels = ["vigia"]\nsessions = 64\n'
