--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from service_proxy.net.listing import Listed, Listing
-from service_proxy.policy.events import ServerState
+from service_proxy.policy.events import EndpointState
 
 MOST_OUT = 4096  # backends out by hand; a site has hundreds at most
 LONGEST_NAME = 256  # bytes of a backend's name in the staff's calls
@@ -64,7 +64,7 @@
         if listing.whole:
             self.listed = {}
         for listed in listing.backends:
-            if listed.entry.state is ServerState.GONE:
+            if listed.entry.state is EndpointState.REMOVED:
                 self.listed.pop(listed.name, None)
             else:
                 self.listed[listed.name] = listed
@@ -80,17 +80,17 @@
     def _in_force(self, listed: Listed) -> Listed:
         entry = listed.entry
         if listed.name in self.out:
-            if entry.state is not ServerState.SERVING:
+            if entry.state is not EndpointState.SERVING:
                 return listed
-            return replace(listed, entry=replace(entry, state=ServerState.DRAINING))
+            return replace(listed, entry=replace(entry, state=EndpointState.DRAINING))
         back = self.back.get(listed.name)
         if back is None:
             return listed
         started_at = max(entry.started_at, back - self.wall_offset)
-        wanted = entry.state is ServerState.SERVING and listed.name in self.owed
+        wanted = entry.state is EndpointState.SERVING and listed.name in self.owed
         if wanted:
             self.owed.discard(listed.name)
-        return replace(listed, entry=replace(entry, started_at=started_at, wanted=wanted))
+        return replace(listed, entry=replace(entry, started_at=started_at, reinstated=wanted))
 
     def _changed(self, names: Iterable[str]) -> Listing:
         found = [self.listed[name] for name in names if name in self.listed]
@@ -98,7 +98,7 @@
 
     def down(self, avoided: set[int]) -> int:
         """Listed backends that get nothing, by hand or since the module avoids them."""
-        return sum(1 for name, b in self.listed.items() if name in self.out or b.entry.server in avoided)
+        return sum(1 for name, b in self.listed.items() if name in self.out or b.entry.endpoint_id in avoided)
 
     # from one process to the next
     def restore(self, out: Mapping[str, float]) -> None:
--- a/service_proxy/admin/office.py
+++ b/service_proxy/admin/office.py
@@ -53,7 +53,7 @@
         """Raises OSError where $TMPDIR can't be written."""
         self.config = config
         self.running = config.raw
-        self.maintenance = Maintenance(WALL_OFFSET, config.settings.cold_for)
+        self.maintenance = Maintenance(WALL_OFFSET, config.settings.slow_start_window)
         self.figures = Figures()
         for cls in config.settings.classes:
             self.figures.known(cls.name)
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -201,7 +201,7 @@
 
 def fleet_of(settings: FleetSettings, config: Config, driver: Driver, keys: Sequence[bytes]) -> Fleet | None:
     """None where the platform's settings allow no talk between proxies: there nothing of it is imported."""
-    if not (config.settings.may_tell or settings.own_network):
+    if not (config.settings.can_message_peers or settings.own_network):
         log.error(
             "[fleet] is off: the platform's settings (policy_limits.peers) allow no talk between proxies; "
             "on an installation of its own write own_network = true"
--- a/service_proxy/deadlines/calls.py
+++ b/service_proxy/deadlines/calls.py
@@ -21,7 +21,7 @@
 from service_proxy.net.upstream import Exchange
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError, Problem, load
-from service_proxy.policy.events import NEVER_RAN, RequestClass, Status
+from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, RequestClass
 from service_proxy.policy.events import Settings as ProxySettings
 
 log = logging.getLogger(__name__)
@@ -72,7 +72,14 @@
     def fresh(self, cls: RequestClass, due: float, now: float) -> Account:
         """For a request that brings no budget: a tree begins here."""
         tree = secrets.token_hex(8)
-        account = root(self.settings.attempts, due, now + min(cls.aim, due - now), cls.worth, cls.name, tree)
+        account = root(
+            self.settings.attempts,
+            due,
+            now + min(cls.latency_objective, due - now),
+            cls.priority_weight,
+            cls.name,
+            tree,
+        )
         account.path = (self.mark,)
         return account
 
@@ -166,8 +173,8 @@
         )
         return header.FIELD + b": " + header.write_reference(reference) + b"\r\n"
 
-    def returned(self, exchange: Exchange, status: Status) -> None:
-        if status is Status.OK:
+    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
+        if status is AttemptStatus.OK:
             self.filter.usual[self.cls.name].learn(exchange.elapsed)
 
     def answering(self) -> Headers:
@@ -274,7 +281,7 @@
         now = time.monotonic()
         account = self.account
         filter = self.filter
-        most = min(self.cls.attempts or filter.most, filter.most)
+        most = min(self.cls.max_attempts or filter.most, filter.most)
         lent = account.begin(max(1, min(most - self.begun, account.free)))
         if lent is None:
             return None
@@ -293,7 +300,7 @@
         value = header.write(budget, self.request.id, filter.budgets.keys)
         return header.FIELD + b": " + value + b"\r\n"
 
-    def returned(self, exchange: Exchange, status: Status) -> None:
+    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
         lent = self.lent
         self.lent = None
         if lent is None:
@@ -302,9 +309,9 @@
         said = header.read_spent(words[0], lent.attempts) if len(words) == 1 else None
         if said is not None:
             self.filter.transit.learn(exchange.elapsed, said[1])
-        if status is Status.OK:
+        if status is AttemptStatus.OK:
             self.filter.usual[self.cls.name].learn(exchange.elapsed)
-        loose = not exchange.code and status not in NEVER_RAN
+        loose = not exchange.code and status not in NEVER_EXECUTED
         lent.end(said[0] if said is not None else None, loose)
 
     def answering(self) -> Headers:
@@ -318,4 +325,4 @@
 def share_of(account: Account, cls: RequestClass, end: float) -> float:
     """Of its class's worth that a call has: what the outermost request is worth at the soonest that the call
     usually ends."""
-    return min(MOST_SHARE, account.worth_at(end) / cls.worth) if cls.worth > 0 else 1.0
+    return min(MOST_SHARE, account.worth_at(end) / cls.priority_weight) if cls.priority_weight > 0 else 1.0
--- a/service_proxy/ephemeral_nodes/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -33,7 +33,7 @@
 
 from service_proxy.net.listing import Address, Listed, Listing, server_id
 from service_proxy.net.sources import Health
-from service_proxy.policy.events import ServerEntry, ServerState
+from service_proxy.policy.events import EndpointEntry, EndpointState
 
 SAME_START = 2.0  # s by which two sources' starts of one process may differ
 WINDOW = 2.0  # s from a session's loss until its server is gone, the drain window of the rules
@@ -129,10 +129,10 @@
         """Servers that the source lists, ready or draining; a state GONE is an end like an absence."""
         gone = []
         for listed in entries:
-            if listed.entry.state is ServerState.GONE:
+            if listed.entry.state is EndpointState.REMOVED:
                 gone.append(listed.name)
                 continue
-            word = Word.READY if listed.entry.state is ServerState.SERVING else Word.DRAINING
+            word = Word.READY if listed.entry.state is EndpointState.SERVING else Word.DRAINING
             self._set(self.sources[source], listed, word, now)
         if gone:
             self.ended(source, gone, now, Word.GONE)
@@ -281,7 +281,7 @@
                     del self.decided[name]
                     self.usable -= is_serving(before)
                     self.noted.pop(name, None)
-                    gone = replace(before.listed.entry, state=ServerState.GONE)
+                    gone = replace(before.listed.entry, state=EndpointState.REMOVED)
                     found.append(Listed(before.listed.address, gone, name))
                     self._note(name, "removed", before)
                 continue
@@ -315,7 +315,7 @@
             self.notes.append(text)
 
     @staticmethod
-    def _start(before: ServerEntry, after: ServerEntry) -> float:
+    def _start(before: EndpointEntry, after: EndpointEntry) -> float:
         """The start given out stays for one incarnation: another figure would look like a restart."""
         same = abs(after.started_at - before.started_at) <= SAME_START or after.started_at == 0.0
         return before.started_at if same else after.started_at
@@ -355,13 +355,13 @@
         why = AGREED
         ends = [(s, o) for (s, o), word in zip(opinions, words, strict=True) if word in ENDS]
         if ends:
-            entry.state = ServerState.DRAINING
+            entry.state = EndpointState.DRAINING
             speaker = ends[0][0].name
             why = f"{ends[0][1].word.value}, which beats ready (rule 2)"
             if len(ends) == len(opinions):
                 why = "its session is lost" if ends[0][1].word is Word.LOST else AGREED
         else:
-            entry.state = ServerState.SERVING
+            entry.state = EndpointState.SERVING
             if any(o.held for _, o in opinions):
                 why = "its loss is held to be the source's fault (rule 4)"
         entry.started_at = max(o.listed.entry.started_at for _, o in opinions)
@@ -371,10 +371,10 @@
         if len(places) > 1:
             entry.zone, entry.cell = f"?{name}", -(server_id(name) % (1 << 31)) - 1
             why = why if ends else "the sources give other zones or groups (rule 6)"
-        if entry.state is ServerState.SERVING:
+        if entry.state is EndpointState.SERVING:
             hider = self._twin_end(name, opinion) or self._hider(name, opinion, entry)
             if hider is not None:
-                entry.state = ServerState.DRAINING
+                entry.state = EndpointState.DRAINING
                 why = f"{hider} stands for this address (rule 7)"
         return Decision(Listed(opinion.listed.address, entry, name), speaker, why)
 
@@ -394,7 +394,7 @@
                     return twin
         return None
 
-    def _hider(self, name: str, opinion: Opinion, entry: ServerEntry) -> str | None:
+    def _hider(self, name: str, opinion: Opinion, entry: EndpointEntry) -> str | None:
         """The name that is used in place of this one."""
         best = (self._rank(name), -entry.started_at, name)
         for other in self.by_address.get(opinion.listed.address, ()):
@@ -430,7 +430,7 @@
 
 
 def is_serving(decision: Decision | None) -> bool:
-    return decision is not None and decision.listed.entry.state is ServerState.SERVING
+    return decision is not None and decision.listed.entry.state is EndpointState.SERVING
 
 
 AGREED = "no source contradicts"
--- a/service_proxy/fleet/transport.py
+++ b/service_proxy/fleet/transport.py
@@ -105,8 +105,8 @@
         raise ConfigError("[fleet] has no `listen`, and the platform names no peer_listen")
     address = address_of(settings.address) if settings.address else listen
     named = () if own else peers.all
-    if config.settings.me < len(named) and not settings.address:
-        address = numbered(config.settings.me)
+    if config.settings.proxy_index < len(named) and not settings.address:
+        address = numbered(config.settings.proxy_index)
     members = [address_of(text) for text in settings.members]
     return Place(listen, address, named, members, settings.networks, None if own else peers.everyone)
 
@@ -137,7 +137,7 @@
         self.settings = settings
         self.driver = driver
         self.clock = clock
-        self.by_settings = config.settings.balancers
+        self.by_settings = config.settings.proxy_count
         self.place = place_of(settings, config)
         self.core = Core(
             settings.name,
--- a/service_proxy/net/config.py
+++ b/service_proxy/net/config.py
@@ -11,7 +11,7 @@
 
 from service_proxy.net.limits import LEAST_SOCKETS
 from service_proxy.net.listing import Address, address
-from service_proxy.policy.events import Effect, Settings
+from service_proxy.policy.events import Idempotency, Settings
 from service_proxy.settings import read_settings
 
 T = TypeVar("T")
@@ -32,7 +32,9 @@
     memory_mb: float
     known: Mapping[str, Any]  # the list of backends as last held, in discovery's form
     settings: Settings
-    forms: Mapping[str, Effect]  # what requests of a class look like, where they are treated as another's
+    forms: Mapping[
+        str, Idempotency
+    ]  # what requests of a class look like, where they are treated as another's
     console: Address | None = None  # the second address, for the staff's calls; None: those parts are off
     raw: Mapping[str, Any] = field(default_factory=dict, compare=False)  # the file, to hold a new one against
 
@@ -55,7 +57,7 @@
     def tier(self) -> str:
         """The name of its tier."""
         names = (self.raw.get("settings") or {}).get("stages") or []
-        stage = self.settings.stage
+        stage = self.settings.tier_index
         return str(names[stage]) if isinstance(names, list) and stage < len(names) else f"tier{stage}"
 
 
@@ -99,8 +101,8 @@
         raise ValueError(f"{key} can't be used: {value!r}; write {instead}") from None
 
 
-def _forms(raw: dict[str, str]) -> dict[str, Effect]:
-    return {str(name): Effect(effect) for name, effect in raw.items()}
+def _forms(raw: dict[str, str]) -> dict[str, Idempotency]:
+    return {str(name): Idempotency(effect) for name, effect in raw.items()}
 
 
 def _seed(text: object) -> int:
--- a/service_proxy/net/driver.py
+++ b/service_proxy/net/driver.py
@@ -67,7 +67,7 @@
 
 
 def pace_of(settings: api.Settings) -> Freshness:
-    return freshness(settings.ask_for_list, settings.drain_grace)
+    return freshness(settings.polls_discovery, settings.drain_grace)
 
 
 NO_TICKETS: list[Ticket] = []  # of all calls that no filter holds
@@ -117,12 +117,14 @@
         self.loop = asyncio.get_running_loop()
         self.config = config
         self.settings = config.settings
-        self.effects = {cls.name: config.forms.get(cls.name, cls.effect) for cls in self.settings.classes}
+        self.effects = {
+            cls.name: config.forms.get(cls.name, cls.idempotency) for cls in self.settings.classes
+        }
         self.deadlines = {cls.name: cls.deadline for cls in self.settings.classes}
         self.balancer = Balancer(self.settings, config.seed)
         self.upstreams = Upstreams(
             self.settings.connect_timeout,
-            self.settings.conn_idle,
+            self.settings.connection_idle_timeout,
             most_open=int(config.sockets * UPSTREAM_SHARE),
         )
         self.calls: dict[int, OpenCall] = {}
@@ -130,7 +132,9 @@
         self.ids: set[bytes] = set()  # of the calls in the table, and of attempts still out
         self.calls_taken = 0
         self.calls_answered = 0
-        self.witness: Callable[[int, api.Status], None] | None = None  # sees the end of attempts and probes
+        self.witness: Callable[[int, api.AttemptStatus], None] | None = (
+            None  # sees the end of attempts and probes
+        )
         self.advise: Callable[[float], float] | None = None  # has the last word on the wait of a refusal
         self.probes = 0
         self.tunnels = 0  # further connections to backends that upgraded requests may hold
@@ -141,17 +145,17 @@
         self.lag = 0.0  # s, how late this loop was lately
         self.on_empty: Callable[[], None] | None = None
         self.carriers: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.StartAttempt: self._send,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
-            api.Cancel: self._cancel,
-            api.Probe: self._probe,
+            api.CancelAttempt: self._cancel,
+            api.CheckHealth: self._probe,
             api.SetTimer: self._set_timer,
-            api.CloseIdle: self._close_idle,
-            api.Watch: lambda action: self.discovery.watch(action.on),
-            api.Fetch: lambda action: self.discovery.fetch(),
-            api.Log: lambda action: log.info("module: %s", action.text),
-            api.Tell: lambda action: None,  # there is no talk between proxies
+            api.CloseIdleConnections: self._close_idle,
+            api.WatchEndpoints: lambda action: self.discovery.watch(action.enabled),
+            api.FetchEndpoints: lambda action: self.discovery.fetch(),
+            api.WriteLog: lambda action: log.info("module: %s", action.text),
+            api.SendPeerMessage: lambda action: None,  # there is no talk between proxies
         }
         try:
             known = read_listing(config.known, WALL_OFFSET) if config.known else Listing(0, True, [])
@@ -169,7 +173,7 @@
         if overlay is not None:
             known = overlay(known)
         self.upstreams.apply(known)
-        self.events.append(self._server_list(known, api.ListKind.SAVED))
+        self.events.append(self._server_list(known, api.ListScope.CACHED))
 
     def set_bounds(self, share: float) -> None:
         """On connections to backends, where this process has this share of its descriptors."""
@@ -223,20 +227,20 @@
         """The module failed on a batch: its calls fail, its timers come again, the rest goes on."""
         log.exception("the module failed on %d events", len(events))
         for event in events:
-            if isinstance(event, api.Arrival | api.Outcome):
-                self._give_up(event.call)
-            elif isinstance(event, api.Timer):
+            if isinstance(event, api.RequestArrived | api.AttemptEnded):
+                self._give_up(event.request_id)
+            elif isinstance(event, api.TimerFired):
                 self._set_timer(api.SetTimer(0.05, event.token))
 
     def _give_up(self, number: int) -> None:
         call = self.calls.get(number)
         if call is not None:
             self._close(call, 502, (), b"internal error\n")
-            self._push(api.Gone(number))
+            self._push(api.RequestAbandoned(number))
 
     @staticmethod
-    def _server_list(listing: Listing, kind: api.ListKind) -> api.ServerList:
-        return api.ServerList(kind, [listed.entry for listed in listing.backends], listing.version)
+    def _server_list(listing: Listing, kind: api.ListScope) -> api.EndpointListUpdate:
+        return api.EndpointListUpdate(kind, [listed.entry for listed in listing.backends], listing.version)
 
     def take_list(self, listing: Listing) -> None:
         """A list in force from now on, from discovery or from what merges it with others."""
@@ -245,25 +249,25 @@
     def in_force(self, listing: Listing) -> None:
         """What the overlay has had its say on."""
         self.upstreams.apply(listing)
-        kind = api.ListKind.FULL if listing.whole else api.ListKind.INCREMENTAL
+        kind = api.ListScope.FULL if listing.whole else api.ListScope.INCREMENTAL
         self._push(self._server_list(listing, kind))
 
-    def retune(self, settings: api.Settings, forms: Mapping[str, api.Effect]) -> None:
+    def retune(self, settings: api.Settings, forms: Mapping[str, api.Idempotency]) -> None:
         """These are in force from now on; calls that are open keep what they came with."""
         self.settings = settings
         self.effects.clear()  # the callers' side reads these two as they are
-        self.effects.update({cls.name: forms.get(cls.name, cls.effect) for cls in settings.classes})
+        self.effects.update({cls.name: forms.get(cls.name, cls.idempotency) for cls in settings.classes})
         self.deadlines = {cls.name: cls.deadline for cls in settings.classes}
         self.upstreams.connect_timeout = settings.connect_timeout
-        self.upstreams.idle_for = IDLE_SHARE * settings.conn_idle
+        self.upstreams.idle_for = IDLE_SHARE * settings.connection_idle_timeout
         for filter in self.filters:
             filter.retuned(settings)
         self.discovery.retune(pace_of(settings))
-        self._push(api.NewSettings(settings))
+        self._push(api.SettingsUpdated(settings))
 
     def set_instances(self, count: int) -> None:
         """So many proxies stand before these servers, itself among them."""
-        self._push(api.Instances(count))
+        self._push(api.ProxyCountUpdated(count))
 
     @property
     def held(self) -> int:
@@ -273,7 +277,7 @@
     @property
     def load(self) -> float:
         """Calls in flight, of what it may hold."""
-        return len(self.calls) / (self.settings.most_held or MOST_CALLS)
+        return len(self.calls) / (self.settings.max_open_requests or MOST_CALLS)
 
     @property
     def list_version(self) -> int:
@@ -285,8 +289,8 @@
         return self.upstreams.ready
 
     def list_failed(self) -> None:
-        if self.settings.ask_for_list:  # else there is nothing that the module could do
-            self._push(api.ServerList(api.ListKind.FAILED))
+        if self.settings.polls_discovery:  # else there is nothing that the module could do
+            self._push(api.EndpointListUpdate(api.ListScope.FAILED))
 
     # the callers' side
     def pages(self) -> Pages:
@@ -298,7 +302,7 @@
             # An earlier one of this name is still out, and a second copy could run beside it.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
             return None
-        if self.settings.most_held and len(self.calls) >= self.settings.most_held:
+        if self.settings.max_open_requests and len(self.calls) >= self.settings.max_open_requests:
             reply.answer(503, ((b"retry-after", b"1"),), b"too many calls\n")
             return None
         self.calls_taken += 1
@@ -324,15 +328,15 @@
         self._set_timeout(call)
         now = time.monotonic()
         self._push(
-            api.Arrival(
-                call=number,
-                cls=request.cls,
-                budget=deadline - MODULE_MARGIN - now,
-                stated=stated,
+            api.RequestArrived(
+                request_id=number,
+                class_name=request.cls,
+                time_budget=deadline - MODULE_MARGIN - now,
+                stated_budget=stated,
                 tenant=request.tenant,
-                work=request.work,
-                resent=request.resent,
-                key=request.subject,
+                expected_work=request.work,
+                is_retry=request.resent,
+                affinity_key=request.subject,
                 **narrowed,
             )
         )
@@ -372,13 +376,13 @@
     def give_up(self, call: OpenCall) -> None:
         """Nobody waits for what it is part of: it ends now, and so does what is out for it."""
         if call.open:
-            self._cut_off(call, b"its caller has gone\n", api.Status.CANCELLED)
+            self._cut_off(call, b"its caller has gone\n", api.AttemptStatus.CANCELLED)
 
     def left(self, call: OpenCall) -> None:
         if call.open:
             exchange = call.exchange
             self._settle(call, False)
-            self._push(api.Gone(call.number))
+            self._push(api.RequestAbandoned(call.number))
             request = call.request
             if request.switch is not None:
                 request.switch.dropped()
@@ -395,15 +399,15 @@
             # This process stood still, and timers come before sockets: the answer may have come meanwhile.
             call.timer = self.loop.call_later(ONE_TURN, self._overdue, call, True)
             return
-        self._cut_off(call, b"out of time\n", api.Status.TIMEOUT)
+        self._cut_off(call, b"out of time\n", api.AttemptStatus.TIMEOUT)
 
-    def _cut_off(self, call: OpenCall, text: bytes, status: api.Status) -> None:
+    def _cut_off(self, call: OpenCall, text: bytes, status: api.AttemptStatus) -> None:
         harmless = not call.ran and (call.exchange is None or not call.exchange.sent)
         exchange = call.exchange
         self._close(call, 503 if harmless else 504, (), text)
-        self._push(api.Gone(call.number))
+        self._push(api.RequestAbandoned(call.number))
         if exchange is not None:
-            exchange.end(status if exchange.sent else api.Status.MOOT)
+            exchange.end(status if exchange.sent else api.AttemptStatus.NOT_SENT)
 
     def _close(self, call: OpenCall, code: int, headers: Any, body: bytes) -> None:
         """The final answer. After it the call is gone from the table, so there is no second one."""
@@ -423,19 +427,27 @@
             self.on_empty()
 
     # actions
-    def _send(self, action: api.Send) -> None:
-        call = self.calls.get(action.call)
+    def _send(self, action: api.StartAttempt) -> None:
+        call = self.calls.get(action.request_id)
         if call is None:
             # It has ended since the batch was handed over; every send is owed an outcome.
-            self._push(api.Outcome(action.call, 0, action.server, api.Status.MOOT, 0.0, True))
+            self._push(
+                api.AttemptEnded(
+                    action.request_id, 0, action.endpoint_id, api.AttemptStatus.NOT_SENT, 0.0, True
+                )
+            )
             return
         number = call.attempts
         call.attempts += 1
-        upstream = self.upstreams.by_id.get(action.server)
+        upstream = self.upstreams.by_id.get(action.endpoint_id)
         if upstream is None or not upstream.serving or call.exchange is not None:
             if call.exchange is not None:
                 log.error("call %d: a second attempt while one is out", call.number)
-            self._push(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
+            self._push(
+                api.AttemptEnded(
+                    call.number, number, action.endpoint_id, api.AttemptStatus.NOT_SENT, 0.0, False
+                )
+            )
             return
         request = call.request
         body = call.request.body
@@ -444,7 +456,11 @@
         for ticket in call.tickets:
             lines = ticket.sending(timeout)
             if lines is None:  # nothing is left for it
-                self._push(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
+                self._push(
+                    api.AttemptEnded(
+                        call.number, number, action.endpoint_id, api.AttemptStatus.NOT_SENT, 0.0, False
+                    )
+                )
                 return
             more += lines
         switch = request.switch
@@ -463,11 +479,11 @@
             if not (call.open and upstream.serving):
                 return False
             if not body.kept:  # what is sent of it is gone: there is no second attempt
-                self._push(api.StreamStarted(call.number, number, action.server))
+                self._push(api.StreamStarted(call.number, number, action.endpoint_id))
             return True
 
         def done(exchange: Exchange) -> None:
-            self._attempt_ended(call, number, action.server, exchange)
+            self._attempt_ended(call, number, action.endpoint_id, exchange)
 
         exchange: Exchange
         if switch is not None:
@@ -488,14 +504,14 @@
             self.witness(server, status)
         for ticket in call.tickets:
             ticket.returned(exchange, status)
-        if status not in api.NEVER_RAN:
+        if status not in api.NEVER_EXECUTED:
             call.ran = True
         if isinstance(exchange, SwitchExchange) and exchange.taken is not None:
             self._switched(call, number, server, exchange, exchange.taken)
             return
         if not call.open:
             self.ids.discard(call.request.id)
-        elif status is api.Status.OK:
+        elif status is api.AttemptStatus.OK:
             self.calls_answered += 1
             headers = [pair for pair in exchange.headers if pair[0] not in self.dropped]
             if exchange.source is None:
@@ -504,10 +520,12 @@
                 self._settle(call, True)
                 call.reply.stream(headers, exchange.length, exchange.source)
         report = None
-        if self.settings.reports == "answer":
+        if self.settings.load_report_source == "answer":
             reports = [value for name, value in exchange.headers if name == b"x-load-report"]
             report = read_report(reports[0]) if len(reports) == 1 else None
-        self._push(api.Outcome(call.number, number, server, status, exchange.elapsed, not call.open, report))
+        self._push(
+            api.AttemptEnded(call.number, number, server, status, exchange.elapsed, not call.open, report)
+        )
 
     def _switched(
         self, call: OpenCall, number: int, server: int, exchange: SwitchExchange, connection: Connection
@@ -518,43 +536,45 @@
         begun = exchange.started_at
         call_number = call.number
 
-        def over(status: api.Status) -> None:
+        def over(status: api.AttemptStatus) -> None:
             elapsed = time.monotonic() - begun
-            self._push(api.Outcome(call_number, number, server, status, elapsed, True))
+            self._push(api.AttemptEnded(call_number, number, server, status, elapsed, True))
 
         self.ids.discard(call.request.id)
         if not call.open:
             connection.abandon()
-            over(api.Status.OK)
+            over(api.AttemptStatus.OK)
             return
         self._settle(call, True)
         self._push(api.StreamStarted(call.number, number, server, exchange.elapsed))
         exchange.switch.switched(connection, exchange.headers, exchange.rest, over)
 
-    def _refuse(self, action: api.Refuse) -> None:
-        call = self.calls.get(action.call)
+    def _refuse(self, action: api.Reject) -> None:
+        call = self.calls.get(action.request_id)
         if call is not None:
             wait = action.retry_after if self.advise is None else self.advise(action.retry_after)
             advice = ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ()
             self._close(call, 503, advice, b"refused\n")
 
     def _fail(self, action: api.Fail) -> None:
-        call = self.calls.get(action.call)
+        call = self.calls.get(action.request_id)
         if call is not None:
             self._close(call, 502, (), b"failed\n")
 
-    def _cancel(self, action: api.Cancel) -> None:
-        exchange = self.out.get(action.call)
+    def _cancel(self, action: api.CancelAttempt) -> None:
+        exchange = self.out.get(action.request_id)
         if exchange is not None:
             exchange.cancel()
 
-    def _probe(self, action: api.Probe) -> None:
-        upstream = self.upstreams.by_id.get(action.server)
+    def _probe(self, action: api.CheckHealth) -> None:
+        upstream = self.upstreams.by_id.get(action.endpoint_id)
         if upstream is None or not upstream.serving or self.probes >= MOST_PROBES:
-            self._push(api.Probed(action.server, api.Status.FULL, 0.0))  # not the backend's fault
+            self._push(
+                api.HealthCheckEnded(action.endpoint_id, api.AttemptStatus.REJECTED, 0.0)
+            )  # not the backend's fault
             return
         self.probes += 1
-        target = "/healthz" if self.settings.reports == "none" else "/load"
+        target = "/healthz" if self.settings.load_report_source == "none" else "/load"
         host, port = upstream.address
         request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
 
@@ -562,18 +582,18 @@
             self.probes -= 1
             status = exchange.status
             assert status is not None
-            report = read_report(exchange.body) if status is api.Status.OK else None
+            report = read_report(exchange.body) if status is api.AttemptStatus.OK else None
             if self.witness is not None:
-                self.witness(action.server, status)
-            if status is api.Status.MOOT:
-                status = api.Status.FULL  # not asked, so nothing is known against it
-            self._push(api.Probed(action.server, status, exchange.elapsed, report))
+                self.witness(action.endpoint_id, status)
+            if status is api.AttemptStatus.NOT_SENT:
+                status = api.AttemptStatus.REJECTED  # not asked, so nothing is known against it
+            self._push(api.HealthCheckEnded(action.endpoint_id, status, exchange.elapsed, report))
 
         self.upstreams.start(Exchange(upstream, request, PROBE_TIMEOUT, lambda: upstream.serving, done))
 
     def probe(self, server: int) -> None:
         """One that the module did not ask for; it hears of it, and so does the witness."""
-        self._probe(api.Probe(server))
+        self._probe(api.CheckHealth(server))
 
     def _set_timer(self, action: api.SetTimer) -> None:
         due = time.monotonic() + action.delay
@@ -581,9 +601,9 @@
 
     def _timer(self, due: float, token: int) -> None:
         self.lag = max(self.lag * LAG_FADE, time.monotonic() - due)
-        self._push(api.Timer(token))
+        self._push(api.TimerFired(token))
 
-    def _close_idle(self, action: api.CloseIdle) -> None:
-        upstream = self.upstreams.by_id.get(action.server)
+    def _close_idle(self, action: api.CloseIdleConnections) -> None:
+        upstream = self.upstreams.by_id.get(action.endpoint_id)
         if upstream is not None:
             upstream.close_idle()
--- a/service_proxy/net/filters.py
+++ b/service_proxy/net/filters.py
@@ -13,7 +13,7 @@
 
 from service_proxy.net.server import Request
 from service_proxy.net.upstream import Exchange
-from service_proxy.policy.events import Settings, Status
+from service_proxy.policy.events import AttemptStatus, Settings
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
@@ -38,7 +38,7 @@
     def sending(self, timeout: float) -> bytes | None:
         """Header lines for an attempt that goes out now; None: it must not."""
 
-    def returned(self, exchange: Exchange, status: Status) -> None:
+    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
         """The attempt's end."""
 
     def answering(self) -> Headers:
--- a/service_proxy/net/listing.py
+++ b/service_proxy/net/listing.py
@@ -7,11 +7,15 @@
 from hashlib import blake2b
 from typing import Any
 
-from service_proxy.policy.events import ServerEntry, ServerState
+from service_proxy.policy.events import EndpointEntry, EndpointState
 
 Address = tuple[str, int]
 
-STATES = {"Ready": ServerState.SERVING, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+STATES = {
+    "Ready": EndpointState.SERVING,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.REMOVED,
+}
 
 
 @dataclass(slots=True)
@@ -19,7 +23,7 @@
     """A backend as a list names it."""
 
     address: Address
-    entry: ServerEntry
+    entry: EndpointEntry
     name: str
 
 
@@ -63,8 +67,8 @@
     since_ms = float(item.get("since_ms") or 0)
     started = max(since_ms / 1000 - wall_offset, 1e-3) if since_ms > 0 else 0.0
     name = str(item["name"])
-    entry = ServerEntry(
-        server=server_id(name),
+    entry = EndpointEntry(
+        endpoint_id=server_id(name),
         zone=str(item.get("zone", "")),
         kind=str(item.get("type", "")),
         cell=int(item.get("group", 0)),
--- a/service_proxy/net/protocols.py
+++ b/service_proxy/net/protocols.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from service_proxy.policy.events import Status
+from service_proxy.policy.events import AttemptStatus
 
 
 class Sink(Protocol):
@@ -43,7 +43,11 @@
         """What is wrong with the 101; None: nothing."""
 
     def switched(
-        self, connection: Any, headers: list[tuple[bytes, bytes]], rest: bytes, over: Callable[[Status], None]
+        self,
+        connection: Any,
+        headers: list[tuple[bytes, bytes]],
+        rest: bytes,
+        over: Callable[[AttemptStatus], None],
     ) -> None:
         """It is theirs from now on, with what came behind the 101. `over` is called once, at its end."""
 
--- a/service_proxy/net/server.py
+++ b/service_proxy/net/server.py
@@ -18,7 +18,7 @@
 from service_proxy.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
 from service_proxy.net.polling import ended, readable, waiting
 from service_proxy.net.protocols import Source, Switch
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 
 log = logging.getLogger(__name__)
 
@@ -189,7 +189,7 @@
     headers: list[tuple[bytes, bytes]],
     body: Body,
     came: float,
-    effects: Mapping[str, Effect],
+    effects: Mapping[str, Idempotency],
     takes: frozenset[bytes] = NO_FIELDS,
 ) -> Request:
     """Raises BadRequest; the rules that need a second look stand here, not in the parser."""
@@ -208,9 +208,9 @@
     budget = BUDGET.fullmatch(_one(headers, b"x-budget"))
     if budget is None:
         raise BadRequest(400, "X-Budget is missing or malformed")
-    if method != (b"GET" if effect is Effect.REPEATABLE else b"POST"):
+    if method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
         raise BadRequest(400, "wrong method for the class")
-    if (effect is Effect.BY_KEY) != bool(key):
+    if (effect is Idempotency.IDEMPOTENT_WITH_KEY) != bool(key):
         raise BadRequest(400, "Idempotency-Key goes with a keyed class, and only with one")
     if body.size and method == b"GET":
         raise BadRequest(400, "a GET has no body")
@@ -758,7 +758,7 @@
 
     def __init__(
         self,
-        effects: Mapping[str, Effect],
+        effects: Mapping[str, Idempotency],
         handler: Handler,
         sockets: int,
         memory_mb: float,
--- a/service_proxy/net/upstream.py
+++ b/service_proxy/net/upstream.py
@@ -22,7 +22,7 @@
 from service_proxy.net.listing import Address, Listing
 from service_proxy.net.polling import readable
 from service_proxy.net.protocols import Sink, Switch
-from service_proxy.policy.events import ServerState, Status
+from service_proxy.policy.events import AttemptStatus, EndpointState
 
 log = logging.getLogger(__name__)
 
@@ -91,7 +91,7 @@
         self.done = done
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
-        self.status: Status | None = None
+        self.status: AttemptStatus | None = None
         self.elapsed = 0.0
         self.sent = False
         self.connection: Connection | None = None
@@ -101,7 +101,7 @@
         self.due = self.started_at + timeout
         self.timer = self.loop.call_later(timeout, self._out_of_time)
 
-    def end(self, status: Status) -> None:
+    def end(self, status: AttemptStatus) -> None:
         """Any end but a whole answer gives up the connection, so that a late answer reaches nobody."""
         if self.status is not None:
             return
@@ -118,7 +118,7 @@
             log.exception("the end of an exchange failed")
 
     def cancel(self) -> None:
-        self.end(Status.CANCELLED if self.sent else Status.MOOT)
+        self.end(AttemptStatus.CANCELLED if self.sent else AttemptStatus.NOT_SENT)
 
     def extend(self, due: float) -> None:
         """It may take until then."""
@@ -137,13 +137,13 @@
             # The backend said nothing to anyone meanwhile. A machine that vanished leaves its connections
             # open and silent; when it is back, each would cost one more call or probe to find out.
             self.upstream.close_idle(self.started_at)
-        self.end(Status.TIMEOUT if self.sent else Status.MOOT)
+        self.end(AttemptStatus.TIMEOUT if self.sent else AttemptStatus.NOT_SENT)
 
     def run_on(self, connection: Connection) -> None:
         """Writes the request, unless it has ended or must not start any more."""
         if self.status is not None or not self.may_start():
             connection.upstream.keep(connection)
-            self.end(Status.MOOT)
+            self.end(AttemptStatus.NOT_SENT)
             return
         self.connection = connection
         connection.begin(self)
@@ -162,7 +162,7 @@
         self.headers = headers
         self.source = source
         self.length = length
-        self.end(Status.OK)
+        self.end(AttemptStatus.OK)
 
     def answered(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.connection = None
@@ -170,11 +170,11 @@
         self.headers = headers
         self.body = body
         if code == 200:
-            self.end(Status.OK)
+            self.end(AttemptStatus.OK)
         elif code in (503, 504) and any(name == b"x-rejected" and value == b"1" for name, value in headers):
-            self.end(Status.FULL)
+            self.end(AttemptStatus.REJECTED)
         else:
-            self.end(Status.ERROR)
+            self.end(AttemptStatus.ERROR)
 
 
 class SwitchExchange(Exchange):
@@ -204,11 +204,11 @@
         if fault is None:
             self.taken = connection
             self.rest = rest
-            self.end(Status.OK)
+            self.end(AttemptStatus.OK)
             return
         log.warning("%s declines an upgrade with a 101: %s", self.upstream.address, fault)
         connection.abandon()
-        self.end(Status.ERROR)
+        self.end(AttemptStatus.ERROR)
 
     def answered(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Declined. A 200 is no WebSocket."""
@@ -218,7 +218,7 @@
         self, code: int, headers: list[tuple[bytes, bytes]], source: Connection, length: int | None
     ) -> None:
         self.connection = None
-        self.end(Status.ERROR)  # nobody relays it, so its connection ends
+        self.end(AttemptStatus.ERROR)  # nobody relays it, so its connection ends
 
 
 class Connection(asyncio.BufferedProtocol):
@@ -289,7 +289,7 @@
             exchange = self.exchange
             self.exchange = None
             # Once its last byte has left this process the backend may have run it: never a resend.
-            exchange.end(Status.RESET if exchange.sent else Status.CONNECT_FAILED)
+            exchange.end(AttemptStatus.RESET if exchange.sent else AttemptStatus.CONNECT_FAILED)
 
     def eof_received(self) -> None:
         if self.until_close and (self.exchange is not None or self.sink is not None):
@@ -581,7 +581,7 @@
             sink.broken_off()
         if exchange is not None:
             exchange.connection = None
-            exchange.end(Status.ERROR)
+            exchange.end(AttemptStatus.ERROR)
 
 
 class Upstream:
@@ -589,7 +589,7 @@
 
     __slots__ = ("address", "connections", "heard_at", "idle", "owner", "started_at", "state")
 
-    def __init__(self, owner: Upstreams, address: Address, started_at: float, state: ServerState) -> None:
+    def __init__(self, owner: Upstreams, address: Address, started_at: float, state: EndpointState) -> None:
         self.owner = owner
         self.address = address
         self.started_at = started_at
@@ -600,7 +600,7 @@
 
     @property
     def serving(self) -> bool:
-        return self.state is ServerState.SERVING
+        return self.state is EndpointState.SERVING
 
     def take_idle(self) -> Connection | None:
         """The connection used last: the others grow old and are closed. One that was in use just now only
@@ -677,10 +677,10 @@
         named = set()
         for listed in listing.backends:
             entry = listed.entry
-            named.add(entry.server)
-            upstream = self.by_id.get(entry.server)
+            named.add(entry.endpoint_id)
+            upstream = self.by_id.get(entry.endpoint_id)
             if upstream is None:
-                self.by_id[entry.server] = Upstream(self, listed.address, entry.started_at, entry.state)
+                self.by_id[entry.endpoint_id] = Upstream(self, listed.address, entry.started_at, entry.state)
                 continue
             if upstream.address != listed.address or entry.started_at > upstream.started_at:
                 upstream.renew()
@@ -691,12 +691,12 @@
             upstream.state = entry.state
         for server, upstream in list(self.by_id.items()):
             if listing.whole and server not in named:
-                upstream.state = ServerState.GONE
+                upstream.state = EndpointState.REMOVED
             if not upstream.serving:
                 upstream.close_idle()
                 if self.on_leaving is not None:
                     self.on_leaving(upstream)
-            if upstream.state is ServerState.GONE:
+            if upstream.state is EndpointState.REMOVED:
                 del self.by_id[server]  # what is out on it ends by itself
 
     def start(self, exchange: Exchange) -> None:
@@ -709,7 +709,7 @@
             else:
                 self._use(exchange, connection)
         elif self.open >= self.most_open and not self._spare_one():
-            exchange.end(Status.MOOT)  # this proxy's own bound: no fault of the backend's
+            exchange.end(AttemptStatus.NOT_SENT)  # this proxy's own bound: no fault of the backend's
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
             self._connects.add(task)
@@ -741,11 +741,11 @@
             connection.abandon()
             # What this machine lacks is no fault of the backend's.
             own = isinstance(fault, OSError) and fault.errno in OWN_FAULTS
-            exchange.end(Status.MOOT if own else Status.CONNECT_FAILED)
+            exchange.end(AttemptStatus.NOT_SENT if own else AttemptStatus.CONNECT_FAILED)
         except Exception:
             log.exception("backend %s: an attempt failed", at)
             connection.abandon()
-            exchange.end(Status.RESET)
+            exchange.end(AttemptStatus.RESET)
 
     def _spare_one(self) -> bool:
         """At the bound, the connection that is idle the longest makes room."""
--- a/service_proxy/policy/balancer.py
+++ b/service_proxy/policy/balancer.py
@@ -13,33 +13,33 @@
 from random import Random
 
 from service_proxy.policy.events import (
-    NEVER_RAN,
+    NEVER_EXECUTED,
     Action,
-    Arrival,
-    Cancel,
-    CloseIdle,
-    Effect,
+    AttemptEnded,
+    AttemptStatus,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Fail,
-    Gone,
-    Instances,
-    ListKind,
-    NewSettings,
-    Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    HealthCheckEnded,
+    Idempotency,
+    ListScope,
+    ProxyCountUpdated,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     RequestClass,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
     SetTimer,
     Settings,
-    Status,
+    SettingsUpdated,
+    StartAttempt,
     StreamStarted,
-    Timer,
-    Watch,
+    TimerFired,
+    WatchEndpoints,
 )
 
 # -- tunables: name, unit, reason ----------------------------------------------------------------------
@@ -196,21 +196,21 @@
     def may_have_run(call: Call) -> Attempt | None:
         """The earliest attempt that ran, may have run or may still run."""
         for attempt in call.attempts:
-            if attempt.status not in NEVER_RAN:
+            if attempt.status not in NEVER_EXECUTED:
                 return attempt
         return None
 
     def may_send(self, call: Call, server: Server, now: float) -> bool:
-        if call.ended or call.streaming or now >= call.deadline or server.state is not ServerState.SERVING:
+        if call.ended or call.streaming or now >= call.deadline or server.state is not EndpointState.SERVING:
             return False
         if not call.attempts:
             return True
-        if len(call.attempts) >= call.most_attempts or (call.out and not self.settings.may_duplicate):
+        if len(call.attempts) >= call.most_attempts or (call.out and not self.settings.can_hedge):
             return False
         first = self.may_have_run(call)
-        if first is None or call.cls.effect is Effect.REPEATABLE:
+        if first is None or call.cls.effect is Idempotency.IDEMPOTENT:
             return True
-        if call.cls.effect is Effect.ONCE:
+        if call.cls.effect is Idempotency.NOT_IDEMPOTENT:
             return False
         return self.same_group(call.cls, first.server, server) and now - first.sent_at < call.cls.window
 
@@ -224,7 +224,9 @@
 
     def may_refuse(self, call: Call) -> bool:
         effect = call.cls.effect
-        if effect is Effect.REPEATABLE or (effect is Effect.BY_KEY and call.cls.group == "all"):
+        if effect is Idempotency.IDEMPOTENT or (
+            effect is Idempotency.IDEMPOTENT_WITH_KEY and call.cls.group == "all"
+        ):
             return True
         return self.may_have_run(call) is None
 
@@ -232,7 +234,7 @@
         """Whether some further attempt could still be allowed."""
         if call.ended or call.streaming or len(call.attempts) >= call.most_attempts:
             return False
-        return call.cls.effect is not Effect.ONCE or self.may_have_run(call) is None
+        return call.cls.effect is not Idempotency.NOT_IDEMPOTENT or self.may_have_run(call) is None
 
     def send(self, call: Call, server: Server, now: float, timeout: float, load: float) -> Attempt | None:
         if not self.may_send(call, server, now):
@@ -240,7 +242,9 @@
         attempt = Attempt(call, len(call.attempts), server, now, load)
         call.attempts.append(attempt)
         call.out += 1
-        self.actions.append(Send(call.id, server.id, max(STEP / 10, min(timeout, call.deadline - now))))
+        self.actions.append(
+            StartAttempt(call.id, server.id, max(STEP / 10, min(timeout, call.deadline - now)))
+        )
         return attempt
 
     def answer(self, call: Call, retry_after: float = 0.0) -> None:
@@ -248,14 +252,14 @@
         if call.ended:
             return
         if self.may_refuse(call):
-            self.actions.append(Refuse(call.id, retry_after))
+            self.actions.append(Reject(call.id, retry_after))
         else:
             self.actions.append(Fail(call.id))
         self.end(call)
 
     def turn_away(self, id: int) -> None:
         """The one answer to what cannot be a call: its class is unknown or its time is over."""
-        self.actions.append(Refuse(id))
+        self.actions.append(Reject(id))
         self.remember(id)
 
     def remember(self, id: int) -> None:
@@ -288,25 +292,25 @@
 
     def __init__(self, cls: RequestClass, stage: int, most_attempts: int) -> None:
         self.name = cls.name
-        self.most_attempts = min(cls.attempts or most_attempts, most_attempts)
-        self.worth = cls.worth
-        self.aim = cls.aim
+        self.most_attempts = min(cls.max_attempts or most_attempts, most_attempts)
+        self.worth = cls.priority_weight
+        self.aim = cls.latency_objective
         self.deadline = cls.deadline
-        self.effect = cls.effect
-        self.group = cls.group
-        self.window = cls.window
-        self.late_counts = cls.late_worth > 0
+        self.effect = cls.idempotency
+        self.group = cls.idempotency_scope
+        self.window = cls.idempotency_window
+        self.late_counts = cls.late_weight_share > 0
         # The target of an inner call: a caller makes about two calls, one after another, at each tier.
-        self.least_target = TARGET * cls.aim / 2**stage
+        self.least_target = TARGET * cls.latency_objective / 2**stage
         # Until the unhurried latency is known the target is the loosest: where an instance sees a call a
         # second, a guess of the unhurried latency that is too low closes W on a quiet day and keeps it shut.
-        self.target = MOST_TARGET * cls.aim
+        self.target = MOST_TARGET * cls.latency_objective
         self.base = math.inf  # s, the mean latency when little is in the way
         self.mean = Mean(self.least_target / 2)
         self.budgets: deque[float] = deque(maxlen=BUDGETS)
         self.usual = 0.0
         self.fresh_budgets = 0
-        self.rank = cls.worth  # its worth among the classes when calls are refused for theirs
+        self.rank = cls.priority_weight  # its worth among the classes when calls are refused for theirs
 
     def inherit(self, old: Kind) -> None:
         """What was learned of the class under its settings before."""
@@ -455,8 +459,8 @@
 
 # -- servers ---------------------------------------------------------------------------------------------
 class Server:
-    def __init__(self, entry: ServerEntry, tokens: float) -> None:
-        self.id = entry.server
+    def __init__(self, entry: EndpointEntry, tokens: float) -> None:
+        self.id = entry.endpoint_id
         self.tokens = tokens  # of the cold budget
         self.told(entry)
         self.out = 0  # own attempts out
@@ -468,14 +472,14 @@
         self.probed_at = -math.inf
         self.fresh()
 
-    def told(self, entry: ServerEntry) -> None:
+    def told(self, entry: EndpointEntry) -> None:
         self.zone = entry.zone
         self.cell = entry.cell
         self.state = entry.state
         self.hint = max(entry.weight, 1e-3)
         self.started_at = entry.started_at
         self.ramp_from = entry.started_at
-        self.wanted = entry.wanted  # it is owed a call
+        self.wanted = entry.reinstated  # it is owed a call
         self.not_before = entry.not_before
 
     def fresh(self) -> None:
@@ -514,26 +518,28 @@
         self.send_rate = 0.0
         self.peak_rate = 0.0
         self.unit = 0.1  # s, the mean latency of a call
-        self.aim = max(cls.aim for cls in settings.classes)
-        self.idle_safe = settings.conn_idle  # s without use after which a connection is still trusted
+        self.aim = max(cls.latency_objective for cls in settings.classes)
+        self.idle_safe = (
+            settings.connection_idle_timeout
+        )  # s without use after which a connection is still trusted
         self.on_open, self.on_new = Mean(1.0), Mean(1.0)  # mean latencies of a call on such
 
-    def take_list(self, event: ServerList, now: float) -> None:
-        if event.kind is ListKind.FAILED:
+    def take_list(self, event: EndpointListUpdate, now: float) -> None:
+        if event.scope is ListScope.FAILED:
             return
         named = set()
         for entry in event.entries:
-            named.add(entry.server)
-            server = self.known.get(entry.server)
+            named.add(entry.endpoint_id)
+            server = self.known.get(entry.endpoint_id)
             if server is None:
-                if entry.state is not ServerState.GONE:
-                    self.known[entry.server] = Server(entry, self.random.random())
+                if entry.state is not EndpointState.REMOVED:
+                    self.known[entry.endpoint_id] = Server(entry, self.random.random())
                 continue
             restarted = entry.started_at > server.started_at
             ramp_from = server.ramp_from
             wanted = server.wanted
             server.told(entry)
-            server.wanted |= wanted and server.state is ServerState.SERVING
+            server.wanted |= wanted and server.state is EndpointState.SERVING
             if restarted:
                 server.fresh()
                 server.tokens = 1.0 if server.wanted else self.random.random()
@@ -541,11 +547,11 @@
                 server.trial = False
             else:
                 server.ramp_from = max(ramp_from, entry.started_at)
-        if event.kind is not ListKind.INCREMENTAL:
+        if event.scope is not ListScope.INCREMENTAL:
             for server in self.known.values():
                 if server.id not in named:
-                    server.state = ServerState.GONE
-        for server in [s for s in self.known.values() if s.state is ServerState.GONE and not s.out]:
+                    server.state = EndpointState.REMOVED
+        for server in [s for s in self.known.values() if s.state is EndpointState.REMOVED and not s.out]:
             del self.known[server.id]
         self.fill_pool(now)
 
@@ -557,9 +563,9 @@
         zones: dict[str, list[Server]] = {}
         for id in sorted(self.known):
             server = self.known[id]
-            if server.state is ServerState.SERVING:
+            if server.state is EndpointState.SERVING:
                 zones.setdefault(server.zone, []).append(server)
-        place = self.settings.me * 0.6180339887498949 % 1.0
+        place = self.settings.proxy_index * 0.6180339887498949 % 1.0
         pool: list[Server] = []
         others: list[list[Server]] = []
         for zone in sorted(zones):
@@ -591,16 +597,16 @@
     def ramp(self, server: Server, now: float) -> float:
         """Share of its capacity that a server surely has: it warms no slower than evenly."""
         age = now - server.ramp_from
-        if server.ramp_from <= 0 or age >= self.settings.cold_for:
+        if server.ramp_from <= 0 or age >= self.settings.slow_start_window:
             return 1.0
-        from_share = self.settings.cold_from
-        return from_share + (1 - from_share) * max(0.0, age) / self.settings.cold_for
+        from_share = self.settings.slow_start_initial_share
+        return from_share + (1 - from_share) * max(0.0, age) / self.settings.slow_start_window
 
     def fill_tokens(self, now: float, span: float) -> None:
         """A cold server looks idle to every instance at once: each may send no more than its fair share of
         what the server can do by now, so that all together stay under the budget of any window."""
         total = sum(server.hint for server in self.pool)
-        share = COLD_SHARE * self.settings.fall_multiple * self.share
+        share = COLD_SHARE * self.settings.overload_multiple * self.share
         # The peak, not the present rate: else few sends allow fewer still, and a fleet in a roll stays cold.
         self.peak_rate = max(self.send_rate, self.peak_rate * (1 - span / PEAK_MEMORY))
         for server in self.pool:
@@ -618,7 +624,7 @@
         return sum(server.hint for server in self.pool) / len(self.pool)
 
     def usable(self, server: Server, now: float) -> bool:
-        if server.state is not ServerState.SERVING or server.ejected_until:
+        if server.state is not EndpointState.SERVING or server.ejected_until:
             return False
         if now < server.not_before:
             return False
@@ -665,7 +671,7 @@
         best_load = math.inf
         tried = {attempt.server.id for attempt in call.attempts}
         mean_hint = self.hint_mean if self.pool else 1.0
-        crossing = CROSSING * self.settings.price_crossing * self.aim / self.unit
+        crossing = CROSSING * self.settings.price_cross_zone * self.aim / self.unit
         opening = self.opening
         zone = self.settings.zone
         prior = PRIOR * self.mean_load.value / mean_hint
@@ -698,7 +704,7 @@
     def idle(self, server: Server, now: float) -> float:
         """How long the connection to a server has not been used; 0: in use, or there is none."""
         age = now - server.used_at
-        return 0.0 if server.out or age >= self.settings.conn_idle else age
+        return 0.0 if server.out or age >= self.settings.connection_idle_timeout else age
 
     def warm(self, server: Server, now: float) -> bool:
         return server.out > 0 or now - server.used_at <= self.idle_safe
@@ -774,10 +780,12 @@
         self.random = Random(seed)
         self.actions: list[Action] = []
         self.gate = Obligations(settings, self.actions)
-        self.kinds = {cls.name: Kind(cls, settings.stage, settings.max_attempts) for cls in settings.classes}
-        self.admission = Admission(settings.stage, self.random)
+        self.kinds = {
+            cls.name: Kind(cls, settings.tier_index, settings.max_attempts) for cls in settings.classes
+        }
+        self.admission = Admission(settings.tier_index, self.random)
         self.servers = Servers(settings, self.random)
-        self.instances = settings.balancers  # before these servers
+        self.instances = settings.proxy_count  # before these servers
         self.told_instances = False
         self.quota_left: dict[str, float] = {}
         self.set_quotas()
@@ -788,13 +796,13 @@
         self.sends = 0
         self.retry_tokens = RETRY_BURST
         self.probe_tokens = FIRST_PROBES
-        self.asks = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
+        self.asks = settings.can_check_health and ASK * settings.price_probe <= ASK_SPEND
         self.now = 0.0
         self.last_step = -1.0
         self.capacity = 0.0  # of the servers in use, as W knows it
         self.stalled = False  # this batch comes after a pause of the instance's own
         self.timer_set = False
-        self.watching = not settings.ask_for_list
+        self.watching = not settings.polls_discovery
         self.watch_at = -1.0
         self.watch_fails = 0
         self.told_at = 0.0  # the last list, or the start of a watch
@@ -806,24 +814,24 @@
         self.actions.clear()
         fresh: list[Call] = []
         for event in events:
-            if type(event) is Outcome:
+            if type(event) is AttemptEnded:
                 self.on_outcome(event)
-            elif type(event) is Arrival:
+            elif type(event) is RequestArrived:
                 self.on_arrival(event, fresh)
-            elif type(event) is Timer:
+            elif type(event) is TimerFired:
                 if event.token == TICK_TOKEN:
                     self.timer_set = False
-            elif type(event) is Probed:
+            elif type(event) is HealthCheckEnded:
                 self.on_probed(event)
-            elif type(event) is ServerList:
+            elif type(event) is EndpointListUpdate:
                 self.on_list(event)
-            elif type(event) is Gone:
+            elif type(event) is RequestAbandoned:
                 self.on_gone(event)
             elif type(event) is StreamStarted:
                 self.on_stream(event)
-            elif type(event) is NewSettings:
+            elif type(event) is SettingsUpdated:
                 self.on_settings(event.settings)
-            elif type(event) is Instances:
+            elif type(event) is ProxyCountUpdated:
                 self.on_instances(event.count)
         if self.last_step < 0:
             self.start()
@@ -842,7 +850,7 @@
     def start(self) -> None:
         self.last_step = self.now
         # Discovery is small and all instances may start at once: the first call is spread out.
-        self.watch_at = self.now + self.random.random() * min(2.0, self.settings.must_ask_within / 4)
+        self.watch_at = self.now + self.random.random() * min(2.0, self.settings.max_poll_interval / 4)
 
     def set_quotas(self) -> None:
         settings = self.settings
@@ -853,14 +861,14 @@
     def avoided(self) -> list[int]:
         """Servers that serve as far as is told, and are sent nothing for what was seen of them."""
         known = self.servers.known.values()
-        return [s.id for s in known if s.ejected_until and s.state is ServerState.SERVING]
+        return [s.id for s in known if s.ejected_until and s.state is EndpointState.SERVING]
 
     # events
     def on_instances(self, count: int) -> None:
         """Fewer share the servers, so each may take more of what all may; or more, and less."""
         self.instances = max(1, count)
         self.told_instances = True
-        self.servers.share = self.settings.balancers / self.instances
+        self.servers.share = self.settings.proxy_count / self.instances
         self.set_quotas()
         self.admission.set_least(len(self.servers.known), self.instances)
 
@@ -868,52 +876,56 @@
         """Calls hold on to their own Kind, so one under way ends by the rules that it came under."""
         self.settings = self.gate.settings = self.servers.settings = settings
         if not self.told_instances:
-            self.instances = settings.balancers
-        self.servers.share = settings.balancers / self.instances
-        self.servers.aim = max(cls.aim for cls in settings.classes)
+            self.instances = settings.proxy_count
+        self.servers.share = settings.proxy_count / self.instances
+        self.servers.aim = max(cls.latency_objective for cls in settings.classes)
         old = self.kinds
-        self.kinds = {cls.name: Kind(cls, settings.stage, settings.max_attempts) for cls in settings.classes}
+        self.kinds = {
+            cls.name: Kind(cls, settings.tier_index, settings.max_attempts) for cls in settings.classes
+        }
         for name, kind in self.kinds.items():
             if name in old:
                 kind.inherit(old[name])
-        self.asks = settings.may_probe and ASK * settings.price_probe <= ASK_SPEND
+        self.asks = settings.can_check_health and ASK * settings.price_probe <= ASK_SPEND
         self.set_quotas()
 
-    def on_list(self, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
+    def on_list(self, event: EndpointListUpdate) -> None:
+        if event.scope is ListScope.FAILED:
             self.watching = False
             self.watch_fails += 1
-            longest = min(1.0 * 2**self.watch_fails, self.settings.must_ask_within)
+            longest = min(1.0 * 2**self.watch_fails, self.settings.max_poll_interval)
             self.watch_at = self.now + longest * (0.5 + 0.5 * self.random.random())
         else:
-            if event.kind is not ListKind.SAVED:
+            if event.scope is not ListScope.CACHED:
                 self.watch_fails = 0
                 self.told_at = self.now
                 self.doubt_at = math.inf
             self.servers.take_list(event, self.now)
             self.admission.set_least(len(self.servers.known), self.instances)
 
-    def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
-        if event.call in self.gate.calls or event.call in self.gate.over:
+    def on_arrival(self, event: RequestArrived, fresh: list[Call]) -> None:
+        if event.request_id in self.gate.calls or event.request_id in self.gate.over:
             return
-        cls = self.kinds.get(event.cls)
-        if cls is None or not 0 < event.budget < math.inf:
-            self.gate.turn_away(event.call)
+        cls = self.kinds.get(event.class_name)
+        if cls is None or not 0 < event.time_budget < math.inf:
+            self.gate.turn_away(event.request_id)
             return
         self.arrivals += 1
         now = self.now
-        by_work = self.settings.worth_by_work and event.work > 0
-        worth = cls.worth * event.share * event.work if by_work else cls.rank * event.share
-        if self.settings.stage == 0 and event.tenant in self.quota:
+        by_work = self.settings.weight_by_work and event.expected_work > 0
+        worth = (
+            cls.worth * event.weight_share * event.expected_work if by_work else cls.rank * event.weight_share
+        )
+        if self.settings.tier_index == 0 and event.tenant in self.quota:
             if self.quota_left[event.tenant] >= 1:
                 self.quota_left[event.tenant] -= 1
             else:
-                worth *= self.settings.over_share_worth
-        left = self.aim_left(cls, event.stated or event.budget, event.resent)
-        useful = event.budget if cls.late_counts else min(event.budget, left)
-        call = Call(event.call, cls, worth, now, now + event.budget, now + useful)
-        if event.attempts:
-            call.most_attempts = min(event.attempts, cls.most_attempts)
+                worth *= self.settings.over_quota_weight_share
+        left = self.aim_left(cls, event.stated_budget or event.time_budget, event.is_retry)
+        useful = event.time_budget if cls.late_counts else min(event.time_budget, left)
+        call = Call(event.request_id, cls, worth, now, now + event.time_budget, now + useful)
+        if event.max_attempts:
+            call.most_attempts = min(event.max_attempts, cls.most_attempts)
         self.gate.calls[call.id] = call
         self.admission.history.append(worth)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
@@ -936,7 +948,7 @@
         client that forgets the mark gets work that comes too late."""
         first = self.settings.clients_mark_retries and not resent
         usual = cls.usual_budget(budget)  # also learned from first tries
-        if self.settings.stage or first or budget >= usual - STEP:
+        if self.settings.tier_index or first or budget >= usual - STEP:
             return cls.aim
         return cls.aim - (cls.deadline - budget)
 
@@ -947,15 +959,15 @@
     def advice(self) -> float:
         """When a refused client should come back: by then the calls that fill W now have been answered. A
         client that is told nothing comes back sooner, into the same crowd."""
-        if not self.settings.may_advise_wait:
+        if not self.settings.can_send_retry_after:
             return 0.0
-        return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.proc))
+        return min(self.settings.max_retry_after, max(STEP, ADVICE * self.admission.proc))
 
     def refuse(self, call: Call) -> None:
         self.gate.answer(call, self.advice())
 
-    def on_gone(self, event: Gone) -> None:
-        call = self.gate.calls.get(event.call)
+    def on_gone(self, event: RequestAbandoned) -> None:
+        call = self.gate.calls.get(event.request_id)
         if call is None or call.ended:
             return
         if call.queued:
@@ -965,21 +977,21 @@
         self.cancel_others(call)
 
     def cancel_others(self, call: Call) -> None:
-        if call.out and self.settings.may_cancel and not call.streaming:
+        if call.out and self.settings.can_cancel and not call.streaming:
             for attempt in call.attempts:
                 if attempt.status < 0:
-                    self.actions.append(Cancel(call.id, attempt.number))
+                    self.actions.append(CancelAttempt(call.id, attempt.number))
 
     def on_stream(self, event: StreamStarted) -> None:
-        attempt = self.out.get((event.call, event.attempt))
+        attempt = self.out.get((event.request_id, event.attempt_number))
         if attempt is not None:
             attempt.call.streaming = True
             if attempt.counted:
                 attempt.counted = False
                 self.busy -= 1
 
-    def on_outcome(self, event: Outcome) -> None:
-        attempt = self.out.pop((event.call, event.attempt), None)
+    def on_outcome(self, event: AttemptEnded) -> None:
+        attempt = self.out.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return
         call = attempt.call
@@ -989,15 +1001,15 @@
         status = event.status
         busy = self.busy
         server.out -= 1
-        if status != Status.MOOT:
+        if status != AttemptStatus.NOT_SENT:
             server.since -= 1
-        if status == Status.OK:
+        if status == AttemptStatus.OK:
             server.used_at = now
         if attempt.counted:
             self.busy -= 1
         was_ended = call.ended
-        self.gate.settle(attempt, status, event.final)
-        self.servers.report(server, event.report, now)
+        self.gate.settle(attempt, status, event.is_final)
+        self.servers.report(server, event.load_report, now)
         self.learn(attempt, status, event.elapsed, busy)
         if call.ended:
             if not was_ended:
@@ -1010,7 +1022,7 @@
             return
         left = call.useful_until - now
         # What never ran has multiplied no work; in an inner tier giving it up wastes the work above.
-        price = RETRY_UNSEEN if status in NEVER_RAN else 1.0
+        price = RETRY_UNSEEN if status in NEVER_EXECUTED else 1.0
         if self.gate.may_repeat(call) and left > cls.mean.value and self.retry_tokens >= price:
             self.retry_tokens -= price
             self.hold(call)
@@ -1024,57 +1036,61 @@
         admission = self.admission
         servers = self.servers
         now = self.now
-        if status in (Status.CANCELLED, Status.MOOT):
+        if status in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
             return
         if attempt.call.streaming:
-            if status in (Status.OK, Status.ERROR, Status.FULL):
+            if status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.REJECTED):
                 servers.heard(server, now)
             return
-        if self.stalled and status in (Status.OK, Status.TIMEOUT):
+        if self.stalled and status in (AttemptStatus.OK, AttemptStatus.TIMEOUT):
             # The instance stood still: what looks slow or overdue was answered long ago. Guards against
             # reading one's own pause as slow servers, closing W and ejecting them. Harm: what was slow
             # meanwhile is learned a turn later.
-            if status == Status.OK:
+            if status == AttemptStatus.OK:
                 server.last_ok = now
                 servers.heard(server, now)
             return
         elapsed = max(elapsed, LEAST_LATENCY)
-        ok = status == Status.OK
+        ok = status == AttemptStatus.OK
         own = servers.failing(server, cls, now) > servers.usual_failing(cls, now) + ERROR_EXCESS
-        if ok or status in (Status.ERROR, Status.FULL):
+        if ok or status in (AttemptStatus.ERROR, AttemptStatus.REJECTED):
             servers.heard(server, now)
             servers.learn_failing(server, cls, not ok, now)
-        broken = status in (Status.CONNECT_FAILED, Status.RESET)
+        broken = status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
         server.breaks += broken
-        lost = status == Status.RESET and servers.lost_idle(attempt, now)
+        lost = status == AttemptStatus.RESET and servers.lost_idle(attempt, now)
         excused = broken and (lost or servers.alive(server, now))
-        if ok or (status == Status.TIMEOUT and not server.ejected_until):
+        if ok or (status == AttemptStatus.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
             cls.mean.add(elapsed, 50)
         if ok and elapsed <= cls.target:
             admission.good(busy)
-        elif status == Status.ERROR:
+        elif status == AttemptStatus.ERROR:
             if server.errors <= servers.errors.value + 0.1:  # not this server's own fault
                 admission.bad()
-        elif status == Status.FULL and own:
+        elif status == AttemptStatus.REJECTED and own:
             pass  # this server's own fault too
-        elif not attempt.late and attempt.counted and (ok or status in (Status.TIMEOUT, Status.FULL)):
+        elif (
+            not attempt.late
+            and attempt.counted
+            and (ok or status in (AttemptStatus.TIMEOUT, AttemptStatus.REJECTED))
+        ):
             admission.bad()
         # capacity: calls held against latency in units of the class's mean
         latency = elapsed / cls.mean.value
-        if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
+        if ok or (status == AttemptStatus.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
             spent = min(MOST_LATENCIES, latency + (not ok))
             (servers.on_new if attempt.opened else servers.on_open).add(spent, OPEN_MEMORY)
         if not ok:
             # A fast-failing server looks idle: a failure counts as a slow answer.
             latency = MOST_LATENCIES
         # What was only the connection's fault tells nothing of its server's pace.
-        if status not in (Status.FULL, Status.CONNECT_FAILED) and not excused:
+        if status not in (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED) and not excused:
             latency = min(latency, MOST_LATENCIES)
             server.latency_sum = server.latency_sum * FORGET + latency
             server.load_sum = server.load_sum * FORGET + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
-        failed = status in (Status.ERROR, Status.RESET)
+        failed = status in (AttemptStatus.ERROR, AttemptStatus.RESET)
         server.errors += (failed - server.errors) * 0.2
         servers.errors.add(float(failed), 100)
         if ok:
@@ -1090,7 +1106,7 @@
         elif broken:
             if not excused:
                 self.eject(server, hard=True)
-            elif status == Status.CONNECT_FAILED:
+            elif status == AttemptStatus.CONNECT_FAILED:
                 # It answers others of ours, so it has no room for a further connection: ejecting it would
                 # push its calls, and connections, onto the rest. Use what is open. One failure may be chance.
                 server.unopened += 1
@@ -1098,7 +1114,7 @@
                     server.most_out = max(1, server.out)
                     server.most_out_until = now + CONNECTIONS_FULL
             failed = False  # nothing was answered: no sign of one that fails what it gets
-        elif status == Status.TIMEOUT:
+        elif status == AttemptStatus.TIMEOUT:
             servers.lost_idle(attempt, now)
             server.slow_streak += 1
             if server.trial or (server.slow_streak >= 3 and server.last_ok < attempt.sent_at):
@@ -1115,22 +1131,22 @@
                 self.busy -= 1
         self.servers.fill_pool(self.now)
 
-    def on_probed(self, event: Probed) -> None:
-        server = self.servers.known.get(event.server)
+    def on_probed(self, event: HealthCheckEnded) -> None:
+        server = self.servers.known.get(event.endpoint_id)
         if server is None:
             return
         server.probe_out = False
-        if event.status == Status.OK:
+        if event.status == AttemptStatus.OK:
             self.servers.heard(server, self.now)
             server.fail_streak = 0
-            self.servers.report(server, event.report, self.now)
+            self.servers.report(server, event.load_report, self.now)
             if server.ejected_until and self.now >= server.ejected_until:
                 self.servers.readmit(server, self.now)
                 self.servers.fill_pool(self.now)
-        elif event.status != Status.FULL:
+        elif event.status != AttemptStatus.REJECTED:
             server.fail_streak += 1
             if server.ejected_until:
-                if event.status in (Status.CONNECT_FAILED, Status.ERROR):
+                if event.status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.ERROR):
                     self.doubt()
                 server.ejected_until = self.now + min(EJECT_LONGEST, EJECT_FIRST * 2**server.ejections)
                 server.ejections = min(server.ejections + 1, 6)
@@ -1159,7 +1175,9 @@
             servers.unit = max(admission.latency.value, 1e-3)
         servers.fill_tokens(now, span)
         servers.fade(span)
-        servers.idle_safe = min(self.settings.conn_idle, servers.idle_safe * (1 + span / IDLE_DOUBLES))
+        servers.idle_safe = min(
+            self.settings.connection_idle_timeout, servers.idle_safe * (1 + span / IDLE_DOUBLES)
+        )
         self.probe(span)
         capacity = servers.capacity(now)
         if capacity > 0:
@@ -1173,14 +1191,14 @@
             self.watching = True
             self.told_at = self.now
             self.doubt_at = math.inf
-            self.actions.append(Watch(True))
+            self.actions.append(WatchEndpoints(True))
 
     def doubt(self) -> None:
         """A listed server that goes on refusing contradicts the list, and nothing was told for a while: the
         watch may be held by what no longer answers. A new one tells at once what was missed. Guards against
         watches that hang or are lost unseen, and lists that are late. Harm: where servers crash, each
         instance that sees it asks once more in DOUBT_SPACING, spread out."""
-        if self.settings.ask_for_list and self.watching and math.isinf(self.doubt_at):
+        if self.settings.polls_discovery and self.watching and math.isinf(self.doubt_at):
             soonest = max(self.now, self.told_at + DOUBT_SPACING)
             self.doubt_at = soonest + self.random.random() * DOUBT_SPREAD
 
@@ -1218,26 +1236,26 @@
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.out > 1 or self.retry_tokens < 1:
             return
-        if call.cls.effect is not Effect.REPEATABLE or not self.gate.may_repeat(call):
+        if call.cls.effect is not Idempotency.IDEMPOTENT or not self.gate.may_repeat(call):
             return
         if call.useful_until - self.now < call.cls.mean.value:
             return
         attempt.rescued = True
-        if self.settings.may_duplicate:
+        if self.settings.can_hedge:
             self.retry_tokens -= 1
             self.hold(call)
-        elif self.settings.may_cancel:
-            self.actions.append(Cancel(call.id, attempt.number))
+        elif self.settings.can_cancel:
+            self.actions.append(CancelAttempt(call.id, attempt.number))
 
     def probe(self, span: float) -> None:
-        if not self.settings.may_probe or not self.servers.pool:
+        if not self.settings.can_check_health or not self.servers.pool:
             return
         now = self.now
         rate = max(PROBES_LEAST * self.servers.share, PROBES_PER_CALL * self.admission.rate)
         self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
         for server in self.servers.known.values():
             due = server.ejected_until and now >= server.ejected_until and not server.probe_out
-            if due and server.state is ServerState.SERVING:
+            if due and server.state is EndpointState.SERVING:
                 self.send_probe(server)
         while self.probe_tokens >= 1 and not self.asks:
             idle = [s for s in self.servers.pool if not s.probe_out and not s.ejected_until]
@@ -1274,7 +1292,7 @@
     def send_probe(self, server: Server) -> None:
         server.probe_out = True
         server.probed_at = self.now + self.random.random() * 1e-3
-        self.actions.append(Probe(server.id))
+        self.actions.append(CheckHealth(server.id))
 
     # the queue
     def dispatch(self) -> None:
@@ -1304,10 +1322,10 @@
             until = call.deadline if call.cls.late_counts else max(call.useful_until, now + STEP)
             idle = servers.idle(server, now)
             if idle > servers.idle_safe and servers.opening < OPEN_DEAR:
-                self.actions.append(CloseIdle(server.id))
+                self.actions.append(CloseIdleConnections(server.id))
                 idle = 0.0
                 server.used_at = -math.inf
-            opened = server.used_at < now - self.settings.conn_idle
+            opened = server.used_at < now - self.settings.connection_idle_timeout
             attempt = self.gate.send(call, server, now, until - now, load)
             del queue[place]
             call.queued = False
--- a/service_proxy/recovery/overlay.py
+++ b/service_proxy/recovery/overlay.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from service_proxy.net.listing import Listed, Listing
-from service_proxy.policy.events import ServerState
+from service_proxy.policy.events import EndpointState
 from service_proxy.recovery.turns import place, wait
 
 BELIEVED = 0.5  # share of those that were known, below which a whole list is not taken at its word
@@ -41,7 +41,7 @@
         """Servers that a store names; addresses to try until a source says more."""
         for item in listed:
             self.known.setdefault(item.name, item)
-            self.numbers[item.entry.server] = item.name
+            self.numbers[item.entry.endpoint_id] = item.name
 
     # lists
     def overlay(self, listing: Listing) -> Listing:
@@ -55,17 +55,17 @@
             for name in [name for name in self.known if name not in named]:
                 self._forget(name)
         for item in listing.backends:
-            if item.entry.state is ServerState.GONE:
+            if item.entry.state is EndpointState.REMOVED:
                 self.listed.pop(item.name, None)
                 self._forget(item.name)
             else:
                 self.listed[item.name] = self.known[item.name] = item
-                self.numbers[item.entry.server] = item.name
+                self.numbers[item.entry.endpoint_id] = item.name
         return Listing(listing.version, listing.whole, [self.in_force(item) for item in listing.backends])
 
     def _doubts(self, listing: Listing) -> bool:
         """A source that has just come up may name few or nobody: those that answer are not gone by that."""
-        named = sum(item.entry.state is not ServerState.GONE for item in listing.backends)
+        named = sum(item.entry.state is not EndpointState.REMOVED for item in listing.backends)
         answering = sum(name in self.answers for name in self.known)
         return named < BELIEVED * len(self.known) and (answering > 0 or not named)
 
@@ -76,8 +76,8 @@
 
     def in_force(self, item: Listed) -> Listed:
         entry = item.entry
-        if item.name in self.out and entry.state is ServerState.SERVING:
-            entry = replace(entry, state=ServerState.DRAINING)
+        if item.name in self.out and entry.state is EndpointState.SERVING:
+            entry = replace(entry, state=EndpointState.DRAINING)
         if not self.over and self.cold(entry.zone):
             since = self.answers.get(item.name, self.began)
             turn = place(item.name, self.me, self.proxies)
@@ -112,7 +112,7 @@
         kept = [item for name, item in self.known.items() if name not in self.listed]
         for item in kept:
             self._forget(item.name)
-        gone = [replace(item, entry=replace(item.entry, state=ServerState.GONE)) for item in kept]
+        gone = [replace(item, entry=replace(item.entry, state=EndpointState.REMOVED)) for item in kept]
         return Listing(0, False, gone)
 
     # servers, by what the wire proved
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -29,7 +29,13 @@
 from service_proxy.net.upstream import Exchange
 from service_proxy.operator_file import OperatorError, Problem, load
 from service_proxy.operator_file import Recovery as Settings
-from service_proxy.policy.events import NEVER_RAN, Effect, ServerEntry, ServerState, Status
+from service_proxy.policy.events import (
+    NEVER_EXECUTED,
+    AttemptStatus,
+    EndpointEntry,
+    EndpointState,
+    Idempotency,
+)
 from service_proxy.policy.events import Settings as ProxySettings
 from service_proxy.recovery.advice import Bookings
 from service_proxy.recovery.census import Finding, Peer, Said, pack, unpack, what_happened
@@ -90,9 +96,9 @@
             self.recovery.keep_request(self.key, self.cls)
         return b""
 
-    def returned(self, exchange: Exchange, status: Status) -> None:
+    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
         """One that never ran leaves nothing behind, as long as no other attempt did."""
-        if status not in NEVER_RAN:
+        if status not in NEVER_EXECUTED:
             self.key = ""
         elif self.key:
             self.sent = False
@@ -130,14 +136,14 @@
         self.phase = Phase.DARK
         self.finding = Finding(Loss.UNKNOWN, None, "nobody was asked yet")
         self.since = self.began  # of the phase
-        self.lists = Overlay(self.name, self.proxy.cold_for, self.began)
+        self.lists = Overlay(self.name, self.proxy.slow_start_window, self.began)
         self.random = Random(config.seed)
         limits = self.proxy
         self.bookings = Bookings(
             config.seed,
-            limits.cold_from,
-            limits.cold_for,
-            limits.max_wait_advice if limits.may_advise_wait else 0.0,
+            limits.slow_start_initial_share,
+            limits.slow_start_window,
+            limits.max_retry_after if limits.can_send_retry_after else 0.0,
         )
         self.answers: dict[bytes, Said] = {}  # of members, to this process
         self.asking = 0
@@ -150,7 +156,7 @@
         self.listed_by_source = False
         # probes that are left, and whose turn it is
         self.looks = 1.0
-        self.looked = config.settings.me
+        self.looked = config.settings.proxy_index
         self.timer: asyncio.TimerHandle | None = None
         self.said = b""
         self.lost_at = 0  # wall time at which this process found that everybody had lost power
@@ -258,13 +264,13 @@
             log.warning("a list of %d servers is not believed while service returns", len(listing.backends))
         return found
 
-    def witness(self, server: int, status: Status) -> None:
+    def witness(self, server: int, status: AttemptStatus) -> None:
         """The end of an attempt or probe."""
         now = time.monotonic()
-        if status in (Status.CONNECT_FAILED, Status.RESET):
+        if status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET):
             if self.lists.failed(server, now) and self.phase is not Phase.STEADY:
                 log.info("a server that had answered has fallen again")
-        elif status not in (Status.MOOT, Status.CANCELLED, Status.TIMEOUT):
+        elif status not in (AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT):
             change = self.lists.answered(server, now)
             if change is not None:
                 self.push(change)
@@ -329,7 +335,7 @@
         if self.view is not None:
             self._inquire()
         peers = self.peers() if self.view is not None else []
-        expected = max(self.proxy.balancers, len(self.before) + 1) if self.view is not None else 1
+        expected = max(self.proxy.proxy_count, len(self.before) + 1) if self.view is not None else 1
         finding = what_happened(self.proxy.zone, self.kept, peers, self.before, expected, now - self.began)
         if finding.loss is not self.finding.loss or finding.lost != self.finding.lost:
             stands = self.finding.loss in ALONE and finding.loss not in ALONE
@@ -345,7 +351,7 @@
 
     def _look_for(self, now: float) -> None:
         """Servers that have not answered yet are asked, in turn: where nothing is sent, nobody else does."""
-        if not self.proxy.may_probe:
+        if not self.proxy.can_check_health:
             return
         lists = self.lists
         waiting = [item for name, item in lists.known.items() if name not in lists.answers]
@@ -354,7 +360,7 @@
             self.looks -= 1
             self.looked += 1
             assert self.driver is not None
-            self.driver.probe(waiting[self.looked % len(waiting)].entry.server)
+            self.driver.probe(waiting[self.looked % len(waiting)].entry.endpoint_id)
 
     def _lost(self) -> frozenset[str] | None:
         """Zones whose servers are held cold. While the cause is asked for nothing is marked, for a mark
@@ -371,7 +377,7 @@
             warm=lists.warm(now),
             fell=now - lists.fell_at < LEAST_CALM,
             elapsed=now - self.began,
-            cold_for=self.proxy.cold_for,
+            cold_for=self.proxy.slow_start_window,
         )
         after, guard = step(self.phase, seen)
         if guard is not None:
@@ -456,9 +462,9 @@
             if settings is not None:
                 now = self.clock.wall()
                 group = ""
-                if settings.effect is Effect.BY_KEY:
-                    group = self.proxy.zone if settings.group == "zone" else "all"
-                lasts = settings.deadline + settings.window
+                if settings.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                    group = self.proxy.zone if settings.idempotency_scope == "zone" else "all"
+                lasts = settings.deadline + settings.idempotency_window
                 self.keeper.put(key, Keyed(cls, group, now, now + lasts))
                 self.open_keys.append((time.monotonic() + lasts, key))
 
@@ -486,7 +492,7 @@
 
     def _turned(self, request: Request) -> Turned | None:
         admits = ADMITS[self.phase]
-        if admits is Admits.NOTHING and not self.proxy.may_probe:
+        if admits is Admits.NOTHING and not self.proxy.can_check_health:
             admits = Admits.COLD  # nothing but a call finds a server
         if admits is Admits.NOTHING:
             return self._later(b"no server answers yet\n")
@@ -503,7 +509,7 @@
     def _bound(self) -> float:
         """Calls at once that are harmless were all servers cold: FIRST of each, over all proxies that the
         settings know of or that live."""
-        proxies = max(self.proxy.balancers, len(self.lists.proxies))
+        proxies = max(self.proxy.proxy_count, len(self.lists.proxies))
         return max(1.0, FIRST * len(self.lists.answers) / proxies)
 
     def _warm(self) -> float:
@@ -529,12 +535,12 @@
 
 def listed_of(name: str, fact: Server) -> Listed:
     """Raises ValueError."""
-    entry = ServerEntry(
+    entry = EndpointEntry(
         server_id(name),
         fact.zone,
         fact.kind,
         fact.group,
-        ServerState.DRAINING if fact.draining else ServerState.SERVING,
+        EndpointState.DRAINING if fact.draining else EndpointState.SERVING,
         fact.weight,
         max(1e-3, fact.since - WALL_OFFSET) if fact.since else 0.0,
     )
@@ -551,7 +557,7 @@
         entry.kind,
         entry.cell,
         entry.weight,
-        entry.state is ServerState.DRAINING,
+        entry.state is EndpointState.DRAINING,
         round(since, 3),
         now,
     )
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -17,7 +17,7 @@
 from service_proxy.net.listing import Listed, Listing, address
 from service_proxy.net.server import Page, Reply, Request, Server
 from service_proxy.net.upstream import Exchange, Upstreams
-from service_proxy.policy.events import NEVER_RAN, Effect, ServerEntry, Status
+from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, EndpointEntry, Idempotency
 from service_proxy.sidecar.admission import TAKING, Admission, Heard, State, Verdict
 from service_proxy.sidecar.model import Description, Sidecar
 
@@ -32,7 +32,11 @@
 MARGIN = 0.01  # s before its caller gives up at which an answer leaves at the latest
 REJECTED = ((b"x-rejected", b"1"),)
 DROPPED = HOP_BY_HOP | {b"x-load-report"}  # the load is what this sidecar holds
-EFFECTS = {"repeatable": Effect.REPEATABLE, "by-key": Effect.BY_KEY, "once": Effect.ONCE}
+EFFECTS = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by-key": Idempotency.IDEMPOTENT_WITH_KEY,
+    "once": Idempotency.NOT_IDEMPOTENT,
+}
 APPLICATION = 1  # its number among the upstreams, which are one
 
 
@@ -81,7 +85,7 @@
         )
         self.upstreams = Upstreams(CONNECT_TIMEOUT, IDLE, int(sockets * UPSTREAM_SHARE) + PROBES)
         at = address(sidecar.application)
-        self.upstreams.apply(Listing(0, True, [Listed(at, ServerEntry(APPLICATION), "application")]))
+        self.upstreams.apply(Listing(0, True, [Listed(at, EndpointEntry(APPLICATION), "application")]))
         self.application = self.upstreams.by_id[APPLICATION]
         self.probe_request = probe_of(sidecar)
         self.held: dict[bytes, Held] = {}  # by X-Call-Id, until the application is done with it, too
@@ -133,13 +137,13 @@
     def _probed(self, exchange: Exchange) -> None:
         self.probe_out = False
         status = exchange.status
-        if status is Status.CONNECT_FAILED:
+        if status is AttemptStatus.CONNECT_FAILED:
             self._heard(Heard.REFUSED)
         elif exchange.code:
             self._heard(Heard.HEALTHY if 200 <= exchange.code < 300 else Heard.UNHEALTHY)
-        elif status is Status.TIMEOUT:
+        elif status is AttemptStatus.TIMEOUT:
             self._heard(Heard.SILENT)
-        elif status is not Status.MOOT:  # which was never sent, and says nothing
+        elif status is not AttemptStatus.NOT_SENT:  # which was never sent, and says nothing
             self._heard(Heard.BROKEN)
         self._probe_later()
 
@@ -269,21 +273,21 @@
         if held.open:
             self._answer_by(held, exchange, status, now)
         before = self.admission.state
-        if status is Status.RESET:
+        if status is AttemptStatus.RESET:
             self._told(before, self.admission.broke(len(self.application.connections), now), now)
             self._probe_later(0.0)
-        elif status is Status.CONNECT_FAILED:
+        elif status is AttemptStatus.CONNECT_FAILED:
             self._told(before, self.admission.heard(Heard.REFUSED, now), now)
             self._probe_later(PROBE_SOON)
         self._begin_more(now)
 
-    def _answer_by(self, held: Held, exchange: Exchange, status: Status, now: float) -> None:
+    def _answer_by(self, held: Held, exchange: Exchange, status: AttemptStatus, now: float) -> None:
         if exchange.code >= 200:
             headers = tuple(pair for pair in exchange.headers if pair[0] not in self.dropped)
             self._answer(held, exchange.code, headers, exchange.body, True)
-        elif status in NEVER_RAN:
+        elif status in NEVER_EXECUTED:
             self._answer(held, 503, self._advice(now), b"the application did not get it\n")
-        elif status is Status.TIMEOUT:
+        elif status is AttemptStatus.TIMEOUT:
             self._answer(held, 504, (), b"the application did not answer in time\n")
         else:
             self._answer(held, 502, (), b"the application's answer was cut or can't be used\n")
@@ -323,7 +327,7 @@
             self._answer(held, 504, (), b"the application did not answer in time\n")
         else:
             self._answer(held, 503, self._advice(time.monotonic()), b"the application did not get it\n")
-        exchange.end(Status.TIMEOUT if exchange.sent else Status.MOOT)
+        exchange.end(AttemptStatus.TIMEOUT if exchange.sent else AttemptStatus.NOT_SENT)
 
     def _settle(self, held: Held, answered: bool) -> None:
         """`answered`: by its application; else what that still does for it is for nobody."""
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -106,7 +106,7 @@
     found = {}
     for name in description.tiers[tier].classes:
         cls = description.classes[name]
-        found[name] = RequestClass(name, cls.worth, cls.aim, cls.deadline, effect=EFFECTS[cls.effect])
+        found[name] = RequestClass(name, cls.worth, cls.aim, cls.deadline, idempotency=EFFECTS[cls.effect])
     return found
 
 
--- a/service_proxy/simulator_adapter.py
+++ b/service_proxy/simulator_adapter.py
@@ -25,15 +25,15 @@
 )
 
 STATES = {
-    "SERVING": api.ServerState.SERVING,
-    "DRAINING": api.ServerState.DRAINING,
-    "DELETED": api.ServerState.GONE,
+    "SERVING": api.EndpointState.SERVING,
+    "DRAINING": api.EndpointState.DRAINING,
+    "DELETED": api.EndpointState.REMOVED,
 }
 KINDS = {
-    "SAVED": api.ListKind.SAVED,
-    "FULL": api.ListKind.FULL,
-    "INCREMENTAL": api.ListKind.INCREMENTAL,
-    "FAILED": api.ListKind.FAILED,
+    "SAVED": api.ListScope.CACHED,
+    "FULL": api.ListScope.FULL,
+    "INCREMENTAL": api.ListScope.INCREMENTAL,
+    "FAILED": api.ListScope.FAILED,
 }
 
 
@@ -66,12 +66,12 @@
 
 def _status(fields: Fields) -> int:
     status = field_integer(fields, "reason")
-    if not 0 <= status <= max(api.Status):
+    if not 0 <= status <= max(api.AttemptStatus):
         raise FieldError(f"field reason is unknown: {status}")
     return status
 
 
-def _entry(line: str) -> api.ServerEntry:
+def _entry(line: str) -> api.EndpointEntry:
     tag, *parts = line.split(" ")
     if tag != "m":
         raise FieldError("a list entry was due")
@@ -79,8 +79,8 @@
     state = field_text(fields, "state")
     if state not in STATES:
         raise FieldError(f"field state is unknown: {state!r}")
-    return api.ServerEntry(
-        server=field_integer(fields, "backend"),
+    return api.EndpointEntry(
+        endpoint_id=field_integer(fields, "backend"),
         zone=fields.get("campus", ""),
         kind=fields.get("sku", ""),
         cell=field_integer_or(fields, "bay", 0),
@@ -91,7 +91,7 @@
 
 
 def _arrival(fields: Fields) -> api.Event:
-    return api.Arrival(
+    return api.RequestArrived(
         field_integer(fields, "call"),
         field_text(fields, "cls"),
         field_number(fields, "time_budget"),
@@ -104,7 +104,7 @@
 
 
 def _outcome(fields: Fields) -> api.Event:
-    return api.Outcome(
+    return api.AttemptEnded(
         field_integer(fields, "call"),
         field_integer(fields, "shot"),
         field_integer(fields, "backend"),
@@ -125,11 +125,11 @@
 
 
 def _gone(fields: Fields) -> api.Event:
-    return api.Gone(field_integer(fields, "call"))
+    return api.RequestAbandoned(field_integer(fields, "call"))
 
 
 def _probed(fields: Fields) -> api.Event:
-    return api.Probed(
+    return api.HealthCheckEnded(
         field_integer(fields, "backend"),
         _status(fields),
         field_number(fields, "cost_time", 0.0),
@@ -138,7 +138,7 @@
 
 
 def _timer(fields: Fields) -> api.Event:
-    return api.Timer(field_integer(fields, "key_back"))
+    return api.TimerFired(field_integer(fields, "key_back"))
 
 
 def _peer(fields: Fields) -> api.Event:
@@ -162,24 +162,39 @@
 
 
 def write_action(who: str, action: api.Action) -> str:
-    kind = type(action).__name__
-    return WRITERS[kind](who, action)
-
-
-WRITERS: dict[str, Callable[[str, Any], str]] = {
-    "Send": lambda w, a: f"try who={w} call={a.call} backend={a.server} allow_for={a.timeout:.6f}",
-    "Refuse": lambda w, a: f"bounce who={w} call={a.call}"
-    + (f" come_back={a.retry_after:.6f}" if a.retry_after > 0 else ""),
-    "Fail": lambda w, a: f"fail who={w} call={a.call}",
-    "Cancel": lambda w, a: f"recall who={w} call={a.call} shot={a.attempt}",
-    "Probe": lambda w, a: f"poll who={w} backend={a.server}",
-    "Watch": lambda w, a: f"stream_changes who={w} on={int(a.on)}",
-    "Fetch": lambda w, a: f"refresh who={w}",
-    "SetTimer": lambda w, a: f"defer who={w} offset={a.delay:.6f} key_back={a.token}",
-    "CloseIdle": lambda w, a: f"disconnect who={w} backend={a.server}",
-    "Tell": lambda w, a: f"broadcast_to who={w} dst={'all' if a.peer is None else a.peer} "
-    f"data={a.data.hex() or '-'}",
-    "Log": lambda w, a: f"emit who={w} words=" + " ".join(a.text.split()),
+    """Write one action of instance `who` as a line of the simulator's wire."""
+    return WRITERS[type(action)](who, action)
+
+
+def _write_reject(who: str, action: api.Reject) -> str:
+    retry_after = f" come_back={action.retry_after:.6f}" if action.retry_after > 0 else ""
+    return f"bounce who={who} call={action.request_id}{retry_after}"
+
+
+def _write_start_attempt(who: str, action: api.StartAttempt) -> str:
+    attempt = f"call={action.request_id} backend={action.endpoint_id}"
+    return f"try who={who} {attempt} allow_for={action.timeout:.6f}"
+
+
+def _write_peer_message(who: str, action: api.SendPeerMessage) -> str:
+    destination = "all" if action.peer is None else action.peer
+    return f"broadcast_to who={who} dst={destination} data={action.data.hex() or '-'}"
+
+
+WRITERS: dict[type, Callable[[str, Any], str]] = {
+    api.StartAttempt: _write_start_attempt,
+    api.Reject: _write_reject,
+    api.Fail: lambda who, action: f"fail who={who} call={action.request_id}",
+    api.CancelAttempt: lambda who, action: (
+        f"recall who={who} call={action.request_id} shot={action.attempt_number}"
+    ),
+    api.CheckHealth: lambda who, action: f"poll who={who} backend={action.endpoint_id}",
+    api.WatchEndpoints: lambda who, action: f"stream_changes who={who} on={int(action.enabled)}",
+    api.FetchEndpoints: lambda who, action: f"refresh who={who}",
+    api.SetTimer: lambda who, action: f"defer who={who} offset={action.delay:.6f} key_back={action.token}",
+    api.CloseIdleConnections: lambda who, action: f"disconnect who={who} backend={action.endpoint_id}",
+    api.SendPeerMessage: _write_peer_message,
+    api.WriteLog: lambda who, action: f"emit who={who} words=" + " ".join(action.text.split()),
 }
 
 
@@ -190,7 +205,7 @@
         self.source = source
         self.sink = sink
         self.instances: dict[str, Balancer] = {}
-        self.lists: dict[int, list[api.ServerEntry]] = {}
+        self.lists: dict[int, list[api.EndpointEntry]] = {}
         self.pending: dict[str, list[api.Event]] = {}
         self.replies: list[str] = []
         self.line = ""
@@ -289,15 +304,15 @@
         if scope not in KINDS:
             raise FieldError(f"field scope is unknown: {scope!r}")
         kind = KINDS[scope]
-        entries: list[api.ServerEntry] = []
-        if kind is not api.ListKind.FAILED:
+        entries: list[api.EndpointEntry] = []
+        if kind is not api.ListScope.FAILED:
             slot = field_integer(fields, "slot")
             if slot not in self.lists:
                 raise FieldError(f"field slot names no list: {slot}")
             entries = self.lists[slot]
         if who in self.instances:
             version = field_integer_or(fields, "stamp", 0)
-            self.pending.setdefault(who, []).append(api.ServerList(kind, entries, version))
+            self.pending.setdefault(who, []).append(api.EndpointListUpdate(kind, entries, version))
 
     def flush(self, who: str) -> None:
         events = self.pending.pop(who)
--- a/service_proxy/websocket/front.py
+++ b/service_proxy/websocket/front.py
@@ -19,7 +19,7 @@
 from service_proxy.net.server import BASE_MEMORY, BadRequest, ClientConnection, Server, Upgrade, read_request
 from service_proxy.net.upstream import Upstream
 from service_proxy.operator_file import OperatorError, Problem, WebSocket, load
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 from service_proxy.websocket.codec import Codec
 from service_proxy.websocket.deflate import Deflate, negotiate
 from service_proxy.websocket.handshake import (
@@ -82,7 +82,7 @@
         self.driver = driver
         self.server = server
         for cls in settings.tunnels:
-            if driver.effects.get(cls) is not Effect.REPEATABLE:
+            if driver.effects.get(cls) is not Idempotency.IDEMPOTENT:
                 raise ConfigError(f"[websocket] tunnels: {cls} is no repeatable class of the settings")
         self.loop = asyncio.get_running_loop()
         self.scratch = memoryview(bytearray(SCRATCH))
--- a/service_proxy/websocket/messages.py
+++ b/service_proxy/websocket/messages.py
@@ -12,7 +12,7 @@
 from service_proxy.net.bodies import Body
 from service_proxy.net.protocols import Source
 from service_proxy.net.server import BadRequest, Request, read_request
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 from service_proxy.websocket import envelope
 from service_proxy.websocket.codec import NO_STATUS, Piece
 from service_proxy.websocket.limits import Bucket
@@ -215,7 +215,7 @@
             return
         most = driver.deadlines[call.cls]
         budget = most if call.budget is None else min(call.budget, most)
-        get = effect is Effect.REPEATABLE
+        get = effect is Idempotency.IDEMPOTENT
         headers = [
             (b"host", b"websocket"),
             (b"x-call-id", call.id.encode()),
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from service_proxy.net.upstream import Connection, Upstream
-from service_proxy.policy.events import Status
+from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.closing import State
 from service_proxy.websocket.codec import ABNORMAL, Codec, Piece
 from service_proxy.websocket.handshake import Asking, Opening
@@ -82,7 +82,7 @@
         self.asking: Asking | None = Asking(opening.protocols)
         self.client, self.node = Side(self, True), Side(self, False)
         self.origin: Connection | None = None  # the node's connection, as the pool counts it
-        self.over: Callable[[Status], None] | None = None  # tells the module the end, once
+        self.over: Callable[[AttemptStatus], None] | None = None  # tells the module the end, once
         self.bucket = Bucket(front.settings.burst, time.monotonic())
 
     @property
@@ -115,7 +115,7 @@
         connection: Connection,
         headers: list[tuple[bytes, bytes]],
         rest: bytes,
-        over: Callable[[Status], None],
+        over: Callable[[AttemptStatus], None],
     ) -> None:
         """A node has taken it: both ends are frames from here on."""
         front = self.front
@@ -157,7 +157,7 @@
         if side.client:
             if self.node.peer is not None:
                 self.node.peer.close(1001 if code == ABNORMAL else code, text if code != ABNORMAL else "")
-            self.tell(Status.OK)
+            self.tell(AttemptStatus.OK)
             return
         if self.client.peer is not None:
             if code == ABNORMAL:  # the node is lost
@@ -166,7 +166,7 @@
                 self.client.peer.close(1011, "the node sent what can't be read")
             else:
                 self.client.peer.close(code, text)
-        self.tell(Status.RESET if code == ABNORMAL else Status.OK)
+        self.tell(AttemptStatus.RESET if code == ABNORMAL else AttemptStatus.OK)
 
     def gone(self, side: Side) -> None:
         if side.client:
@@ -177,7 +177,7 @@
             self.front.closed_tunnel(self, origin.upstream)
             origin.connection_lost(None)
 
-    def tell(self, status: Status) -> None:
+    def tell(self, status: AttemptStatus) -> None:
         over = self.over
         self.over = None
         if over is not None:
@@ -191,7 +191,7 @@
         if side.client:
             peer.close(1001, "no pong")
         else:
-            self.tell(Status.TIMEOUT)
+            self.tell(AttemptStatus.TIMEOUT)
             if self.client.peer is not None:
                 self.client.peer.close(1012, reason(self.front.spread.next()))
         peer.abort()
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -12,16 +12,16 @@
 from service_proxy.admin.maintenance import Maintenance, Unknown
 from service_proxy.admin.store import Store
 from service_proxy.net.listing import Listed, Listing, server_id
-from service_proxy.policy.events import ServerEntry, ServerState
+from service_proxy.policy.events import EndpointEntry, EndpointState
 
 OFFSET = 1000.0  # wall less monotonic, s
-SERVING = ServerState.SERVING
-DRAINING = ServerState.DRAINING
-GONE = ServerState.GONE
+SERVING = EndpointState.SERVING
+DRAINING = EndpointState.DRAINING
+GONE = EndpointState.REMOVED
 
 
-def listed(name: str, state: ServerState = SERVING, started_at: float = 0.0) -> Listed:
-    return Listed(("127.0.0.1", 1), ServerEntry(server_id(name), state=state, started_at=started_at), name)
+def listed(name: str, state: EndpointState = SERVING, started_at: float = 0.0) -> Listed:
+    return Listed(("127.0.0.1", 1), EndpointEntry(server_id(name), state=state, started_at=started_at), name)
 
 
 def listing(*backends: Listed, whole: bool = True) -> Listing:
@@ -34,7 +34,7 @@
     return made
 
 
-def states(of: Listing) -> dict[str, ServerState]:
+def states(of: Listing) -> dict[str, EndpointState]:
     return {backend.name: backend.entry.state for backend in of.backends}
 
 
@@ -63,9 +63,9 @@
     made = maintenance("a")
     made.take_out("a", 2000.0)
     (back,) = made.put_back("a", 2010.0).backends
-    assert back.entry.started_at == 2010.0 - OFFSET and back.entry.wanted
+    assert back.entry.started_at == 2010.0 - OFFSET and back.entry.reinstated
     (again,) = made.overlay(listing(listed("a", started_at=1005.0))).backends  # its restart, told late
-    assert again.entry.started_at == 2010.0 - OFFSET and not again.entry.wanted
+    assert again.entry.started_at == 2010.0 - OFFSET and not again.entry.reinstated
     (later,) = made.overlay(listing(listed("a", started_at=1500.0))).backends
     assert later.entry.started_at == 1500.0  # a later restart of its own
 
@@ -76,7 +76,7 @@
     made.overlay(listing(listed("a", GONE), whole=False))
     assert made.put_back("a", 2003.0).backends == []
     (back,) = made.overlay(listing(listed("a"), whole=False)).backends
-    assert back.entry.wanted and back.entry.state is SERVING
+    assert back.entry.reinstated and back.entry.state is SERVING
 
 
 def test_an_unknown_name_is_told_so_and_one_that_is_out_is_known_though_it_is_gone() -> None:
@@ -100,7 +100,7 @@
     assert states(new.taken(old.written(2000.0))) == {"a": DRAINING}
     old.put_back("a", 2004.0)
     (back,) = new.taken(old.written(2004.0)).backends
-    assert back.entry.state is SERVING and back.entry.wanted and back.entry.started_at == 2004.0 - OFFSET
+    assert back.entry.state is SERVING and back.entry.reinstated and back.entry.started_at == 2004.0 - OFFSET
     assert new.taken(old.written(2004.0)).backends == []  # no news
     first = Maintenance(OFFSET, 20.0)
     first.taken(old.written(2004.0))  # before it has any list
@@ -136,7 +136,7 @@
     made = maintenance(*"abc")
     word = dict.fromkeys("abc", True)
     now = 2000.0
-    shown: dict[str, ServerState] = {}
+    shown: dict[str, EndpointState] = {}
     for what, of in steps:
         now += 1
         try:
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -12,7 +12,7 @@
 from harness.program import settings
 from service_proxy.admin.retune import Unusable, meanwhile, read_file
 from service_proxy.net.config import flatten
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 from service_proxy.settings import read_settings
 
 RUNNING: dict[str, Any] = {
@@ -98,10 +98,10 @@
     raw["grades"].append({**raw["grades"][0], "name": "express"})
     running, new = (read_settings(flatten(one)) for one in (RUNNING["settings"], raw))
     both = meanwhile(running, new)
-    assert {cls.name: cls.effect for cls in both.classes} == {
-        "stock": Effect.REPEATABLE,
-        "reserva": Effect.BY_KEY,
-        "canje": Effect.ONCE,
-        "express": Effect.ONCE,
+    assert {cls.name: cls.idempotency for cls in both.classes} == {
+        "stock": Idempotency.IDEMPOTENT,
+        "reserva": Idempotency.IDEMPOTENT_WITH_KEY,
+        "canje": Idempotency.NOT_IDEMPOTENT,
+        "express": Idempotency.NOT_IDEMPOTENT,
     }
     assert meanwhile(new, new) == new
--- a/tests/deadlines/test_calls.py
+++ b/tests/deadlines/test_calls.py
@@ -21,15 +21,23 @@
 from service_proxy.net.upstream import Exchange
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError
-from service_proxy.policy.events import Effect, RequestClass, Status
+from service_proxy.policy.events import AttemptStatus, Idempotency, RequestClass
 from service_proxy.policy.events import Settings as ProxySettings
 
 CLASSES = {
-    "stock": RequestClass("stock", 12.0, 0.5, 1.2, effect=Effect.REPEATABLE),
-    "reserva": RequestClass("reserva", 1.0, 1.5, 4.0, effect=Effect.BY_KEY, group="zone", window=6.0),
-    "canje": RequestClass("canje", 1.0, 2.5, 6.0, effect=Effect.ONCE),
+    "stock": RequestClass("stock", 12.0, 0.5, 1.2, idempotency=Idempotency.IDEMPOTENT),
+    "reserva": RequestClass(
+        "reserva",
+        1.0,
+        1.5,
+        4.0,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        idempotency_scope="zone",
+        idempotency_window=6.0,
+    ),
+    "canje": RequestClass("canje", 1.0, 2.5, 6.0, idempotency=Idempotency.NOT_IDEMPOTENT),
 }
-EFFECTS = {name: cls.effect for name, cls in CLASSES.items()}
+EFFECTS = {name: cls.idempotency for name, cls in CLASSES.items()}
 KEY = "k1 " + "ab" * 16 + "\n"
 KEYS = {b"k1": bytes.fromhex("ab" * 16)}
 
@@ -112,7 +120,7 @@
         self.headers = [] if value is None else [(header.FIELD, value)]
 
 
-def returned(ticket: OuterTicket, ended: Ended, status: Status = Status.OK) -> None:
+def returned(ticket: OuterTicket, ended: Ended, status: AttemptStatus = AttemptStatus.OK) -> None:
     ticket.returned(cast(Exchange, ended), status)
 
 
@@ -228,7 +236,9 @@
     else:
         ticket = process.call(None, id=b"x", cls="reserva", key=b"K")
     assert ticket.account.parent is inner.account and ticket.attempts == 3  # of 6, for the first of 2 calls
-    assert ticket.due == inner.due and ticket.share == pytest.approx(5.0 / CLASSES[ticket.cls.name].worth)
+    assert ticket.due == inner.due and ticket.share == pytest.approx(
+        5.0 / CLASSES[ticket.cls.name].priority_weight
+    )
 
 
 @pytest.mark.parametrize("value", [None, b"ref;" + b"0" * 16, brought(b"child"), b"nonsense"])
@@ -262,7 +272,7 @@
     reference = process.reference(inner)
     first = process.call(reference, id=b"1")
     sent(first, id=b"1")
-    returned(first, Ended(0), Status.RESET)  # with what it had been lent
+    returned(first, Ended(0), AttemptStatus.RESET)  # with what it had been lent
     assert first.attempts == 2 and first.sending(1.0) is None
     first.ended(True)
     second = process.call(reference, id=b"2")
@@ -295,19 +305,21 @@
 @pytest.mark.parametrize(
     ("ended", "status", "free"),
     [
-        (Ended(200, header.write_spent(1, 0.05)), Status.OK, 10),
-        (Ended(503, header.write_spent(0, 0.0)), Status.FULL, 11),
-        (Ended(500, header.write_spent(6, 0.05)), Status.ERROR, 5),
-        (Ended(200), Status.OK, 11),  # an older receiver, which knows of no budgets
-        (Ended(200, b"1;s=7;q=1"), Status.OK, 11),  # more than it was lent: no word at all
-        (Ended(0), Status.RESET, 5),
-        (Ended(0), Status.TIMEOUT, 5),
-        (Ended(0), Status.CANCELLED, 5),
-        (Ended(0), Status.CONNECT_FAILED, 11),
-        (Ended(0), Status.MOOT, 11),
+        (Ended(200, header.write_spent(1, 0.05)), AttemptStatus.OK, 10),
+        (Ended(503, header.write_spent(0, 0.0)), AttemptStatus.REJECTED, 11),
+        (Ended(500, header.write_spent(6, 0.05)), AttemptStatus.ERROR, 5),
+        (Ended(200), AttemptStatus.OK, 11),  # an older receiver, which knows of no budgets
+        (Ended(200, b"1;s=7;q=1"), AttemptStatus.OK, 11),  # more than it was lent: no word at all
+        (Ended(0), AttemptStatus.RESET, 5),
+        (Ended(0), AttemptStatus.TIMEOUT, 5),
+        (Ended(0), AttemptStatus.CANCELLED, 5),
+        (Ended(0), AttemptStatus.CONNECT_FAILED, 11),
+        (Ended(0), AttemptStatus.NOT_SENT, 11),
     ],
 )
-def test_what_is_free_after_an_attempt(tmp_path: Path, ended: Ended, status: Status, free: int) -> None:
+def test_what_is_free_after_an_attempt(
+    tmp_path: Path, ended: Ended, status: AttemptStatus, free: int
+) -> None:
     edge = Process(tmp_path, "edge", edge=True)
     ticket = edge.call(None)
     assert sent(ticket).attempts == 6
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -12,23 +12,23 @@
 from service_proxy.ephemeral_nodes.merger import HOLD, MEMBERSHIP, MEMORY, PADRON, WINDOW, Merger, Word
 from service_proxy.net.listing import Listed, server_id
 from service_proxy.net.sources import Health
-from service_proxy.policy.events import ServerEntry, ServerState
+from service_proxy.policy.events import EndpointEntry, EndpointState
 
-READY = ServerState.SERVING
-DRAINING = ServerState.DRAINING
-GONE = ServerState.GONE
+READY = EndpointState.SERVING
+DRAINING = EndpointState.DRAINING
+GONE = EndpointState.REMOVED
 
 
 def entry(
     name: str,
-    state: ServerState = READY,
+    state: EndpointState = READY,
     port: int = 0,
     zone: str = "a",
     cell: int = 1,
     start: float = 100.0,
 ) -> Listed:
     at = port or 1000 + server_id(name.casefold()) % 60_000
-    return Listed(("127.0.0.1", at), ServerEntry(server_id(name), zone, "m", cell, state, 1.0, start), name)
+    return Listed(("127.0.0.1", at), EndpointEntry(server_id(name), zone, "m", cell, state, 1.0, start), name)
 
 
 class Pair:
@@ -62,7 +62,7 @@
         self.merger.ended(source, names, self.now, word)
         self.give()
 
-    def states(self) -> dict[str, ServerState]:
+    def states(self) -> dict[str, EndpointState]:
         return {name: listed.entry.state for name, listed in self.given.items()}
 
     def serving(self) -> set[str]:
--- a/tests/ephemeral_nodes/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -29,7 +29,7 @@
 from service_proxy.net.sources import Health
 from service_proxy.operator_file import Membership as Settings
 from service_proxy.operator_file import OperatorError
-from service_proxy.policy.events import ServerState
+from service_proxy.policy.events import EndpointState
 
 NAMES = [f"s-{number}" for number in range(9)]
 
@@ -39,7 +39,7 @@
 
     def __init__(self, known: Listing | None = None) -> None:
         self.known = known or Listing(0, True, [])
-        self.state: dict[str, ServerState] = {}
+        self.state: dict[str, EndpointState] = {}
         self.lists = 0
         self.failures = 0
         self.least = 0  # the fewest that served at once since a test set it
@@ -50,11 +50,11 @@
         self.lists += 1
         assert not listing.whole
         for item in listing.backends:
-            if item.entry.state is ServerState.GONE:
+            if item.entry.state is EndpointState.REMOVED:
                 self.state.pop(item.name, None)
             else:
                 self.state[item.name] = item.entry.state
-            if item.entry.state is not ServerState.SERVING:
+            if item.entry.state is not EndpointState.SERVING:
                 self.ended_at.setdefault(item.name, time.monotonic())
         self.least = min(self.least, len(self.serving()))
 
@@ -62,7 +62,7 @@
         self.failures += 1
 
     def serving(self) -> set[str]:
-        return {name for name, state in self.state.items() if state is ServerState.SERVING}
+        return {name for name, state in self.state.items() if state is EndpointState.SERVING}
 
 
 PORTS: dict[str, int] = {}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,27 +6,45 @@
 
 from service_proxy import (
     Action,
-    Arrival,
+    AttemptEnded,
+    AttemptStatus,
     Balancer,
-    Effect,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    ListKind,
-    Outcome,
+    Idempotency,
+    ListScope,
+    RequestArrived,
     RequestClass,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
     SetTimer,
     Settings,
-    Status,
-    Timer,
+    StartAttempt,
+    TimerFired,
 )
 
-SAFE = RequestClass("safe", worth=10, aim=1.0, deadline=2.0)
-ONCE = RequestClass("once", worth=1, aim=1.0, deadline=2.0, effect=Effect.ONCE)
-ZONED = RequestClass("zoned", worth=1, aim=1.0, deadline=2.0, effect=Effect.BY_KEY, group="zone", window=0.5)
-KEYED = RequestClass("keyed", worth=1, aim=1.0, deadline=2.0, effect=Effect.BY_KEY, group="all", window=0.5)
+SAFE = RequestClass("safe", priority_weight=10, latency_objective=1.0, deadline=2.0)
+ONCE = RequestClass(
+    "once", priority_weight=1, latency_objective=1.0, deadline=2.0, idempotency=Idempotency.NOT_IDEMPOTENT
+)
+ZONED = RequestClass(
+    "zoned",
+    priority_weight=1,
+    latency_objective=1.0,
+    deadline=2.0,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    idempotency_scope="zone",
+    idempotency_window=0.5,
+)
+KEYED = RequestClass(
+    "keyed",
+    priority_weight=1,
+    latency_objective=1.0,
+    deadline=2.0,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    idempotency_scope="all",
+    idempotency_window=0.5,
+)
 CLASSES = [SAFE, ONCE, ZONED, KEYED]
 
 
@@ -36,29 +54,29 @@
         "zone": "a",
         "max_attempts": 3,
         "price_probe": 0.01,
-        "cold_from": 0.3,
-        "cold_for": 10.0,
-        "fall_multiple": 3.0,
-        "fall_within": 1.5,
-        "answer_slack": 0.02,
+        "slow_start_initial_share": 0.3,
+        "slow_start_window": 10.0,
+        "overload_multiple": 3.0,
+        "overload_window": 1.5,
+        "deadline_slack": 0.02,
     }
     return Settings(**{**values, **changes})
 
 
-def entries(*servers: int, zone: str = "a", **changes: Any) -> list[ServerEntry]:
-    return [ServerEntry(server, zone=zone, cell=server % 2, **changes) for server in servers]
+def entries(*servers: int, zone: str = "a", **changes: Any) -> list[EndpointEntry]:
+    return [EndpointEntry(server, zone=zone, cell=server % 2, **changes) for server in servers]
 
 
 class Driver:
     """Feeds a Balancer and keeps what it said; a step of the clock delivers the timers that are due."""
 
-    def __init__(self, setup: Settings, seed: int = 1, servers: list[ServerEntry] | None = None) -> None:
+    def __init__(self, setup: Settings, seed: int = 1, servers: list[EndpointEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
         self.now = 100.0
         self.timers: list[tuple[float, int]] = []
         self.said: list[Action] = []
         listed = entries(1, 2, 3, 4) if servers is None else servers
-        self.feed(ServerList(ListKind.SAVED, listed))
+        self.feed(EndpointListUpdate(ListScope.CACHED, listed))
 
     def feed(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
@@ -75,28 +93,33 @@
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            actions += self.feed(Timer(timer[1]))
+            actions += self.feed(TimerFired(timer[1]))
         self.now = end
         return actions
 
     def arrive(self, call: int, cls: str = "safe", budget: float = 2.0, **fields: Any) -> list[Action]:
-        return self.feed(Arrival(call, cls, budget, **fields))
+        return self.feed(RequestArrived(call, cls, budget, **fields))
 
     def settle(
-        self, send: Send, status: Status, attempt: int = 0, elapsed: float = 0.05, final: bool | None = None
+        self,
+        send: StartAttempt,
+        status: AttemptStatus,
+        attempt: int = 0,
+        elapsed: float = 0.05,
+        final: bool | None = None,
     ) -> list[Action]:
-        ended = status is Status.OK if final is None else final
-        return self.feed(Outcome(send.call, attempt, send.server, status, elapsed, ended))
+        ended = status is AttemptStatus.OK if final is None else final
+        return self.feed(AttemptEnded(send.request_id, attempt, send.endpoint_id, status, elapsed, ended))
 
 
-def sends(actions: list[Action], call: int | None = None) -> list[Send]:
-    return [a for a in actions if isinstance(a, Send) and call in (None, a.call)]
+def sends(actions: list[Action], call: int | None = None) -> list[StartAttempt]:
+    return [a for a in actions if isinstance(a, StartAttempt) and call in (None, a.request_id)]
 
 
-def only_send(actions: list[Action]) -> Send:
+def only_send(actions: list[Action]) -> StartAttempt:
     (send,) = sends(actions)
     return send
 
 
-def drained(server: int, state: ServerState) -> ServerList:
-    return ServerList(ListKind.INCREMENTAL, entries(server, state=state))
+def drained(server: int, state: EndpointState) -> EndpointListUpdate:
+    return EndpointListUpdate(ListScope.INCREMENTAL, entries(server, state=state))
--- a/tests/sidecar/test_write.py
+++ b/tests/sidecar/test_write.py
@@ -13,7 +13,7 @@
 
 from service_proxy.net.config import load as load_config
 from service_proxy.operator_file import load as load_operator
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.toml import description_text
@@ -38,14 +38,22 @@
     }
     config = load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")})
     classes = {cls.name: cls for cls in config.settings.classes}
-    assert [cls.effect for cls in classes.values()] == [Effect.REPEATABLE, Effect.BY_KEY, Effect.ONCE]
-    assert (classes["reserva"].group, classes["reserva"].window, classes["canje"].deadline) == (
+    assert [cls.idempotency for cls in classes.values()] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        Idempotency.NOT_IDEMPOTENT,
+    ]
+    assert (
+        classes["reserva"].idempotency_scope,
+        classes["reserva"].idempotency_window,
+        classes["canje"].deadline,
+    ) == (
         "zone",
         6.0,
         6.0,
     )
     assert config.listen == ("127.0.0.1", 7001) and config.settings.drain_grace == 2.0
-    assert config.settings.stage == 1 and config.settings.max_attempts == 3
+    assert config.settings.tier_index == 1 and config.settings.max_attempts == 3
     assert (folder / "h-1/portal-nucleo.service").read_text().count("EDGE_CONFIG") == 1
 
 
@@ -108,17 +116,21 @@
     text = text.replace('retry = "always"', 'retry = "never"\nattempts = 2')
     config = load_config({"EDGE_CONFIG": str(written(tmp_path, text) / "h-1/portal-nucleo.json")})
     classes = {cls.name: cls for cls in config.settings.classes}
-    assert {cls.effect for cls in classes.values()} == {Effect.ONCE}
-    assert config.forms == {"stock": Effect.REPEATABLE, "reserva": Effect.BY_KEY, "canje": Effect.ONCE}
-    assert [cls.attempts for cls in classes.values()] == [1, 3, 3]
+    assert {cls.idempotency for cls in classes.values()} == {Idempotency.NOT_IDEMPOTENT}
+    assert config.forms == {
+        "stock": Idempotency.IDEMPOTENT,
+        "reserva": Idempotency.IDEMPOTENT_WITH_KEY,
+        "canje": Idempotency.NOT_IDEMPOTENT,
+    }
+    assert [cls.max_attempts for cls in classes.values()] == [1, 3, 3]
 
 
 def test_features_are_the_platforms_limits(tmp_path: Path) -> None:
     text = '[features]\nprobes = false\nretry_after = false\ncancel = false\nload_reports = "answer"\n\n'
     text = PLAIN.replace("[class.stock]", text + "[class.stock]", 1)
     settings = load_config({"EDGE_CONFIG": str(written(tmp_path, text) / "h-1/portal-nucleo.json")}).settings
-    assert not (settings.may_probe or settings.may_advise_wait or settings.may_cancel)
-    assert settings.reports == "answer"
+    assert not (settings.can_check_health or settings.can_send_retry_after or settings.can_cancel)
+    assert settings.load_report_source == "answer"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -14,7 +14,7 @@
 from service_proxy.net import upstream as up
 from service_proxy.net.driver import read_report
 from service_proxy.net.listing import Listed, Listing
-from service_proxy.policy.events import ServerEntry, ServerState
+from service_proxy.policy.events import EndpointEntry, EndpointState
 
 OK = b"HTTP/1.1 200 OK\r\n"
 BAD = {
@@ -133,7 +133,7 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         owner = up.Upstreams(1.0, 30.0, most_open=10)
-        entry = ServerEntry(server=1, state=ServerState.SERVING)
+        entry = EndpointEntry(endpoint_id=1, state=EndpointState.SERVING)
         owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry, "s-1")]))
         ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
 
@@ -170,7 +170,7 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         owner = up.Upstreams(1.0, 30.0, most_open=10)
-        entry = ServerEntry(server=1, state=ServerState.SERVING)
+        entry = EndpointEntry(endpoint_id=1, state=EndpointState.SERVING)
         owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry, "s-1")]))
         ended: asyncio.Future[up.Connection] = loop.create_future()
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -15,7 +15,7 @@
 from harness.callers import GRADES
 from service_proxy.composition import LOG_LINES, Sparse
 from service_proxy.net.server import ClientConnection, Server
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 
 HEAD = b" HTTP/1.1\r\nHost: x\r\nX-Call-Id: 0011223344556677\r\nX-Budget: 500m\r\n"
 HIDDEN = b"POST /canje HTTP/1.1\r\nX-Call-Id: 8899aabbccddeeff\r\nX-Budget: 900m\r\nContent-Length: 0\r\n\r\n"
@@ -265,7 +265,7 @@
 
             def left(self, call: Any) -> None: ...
 
-        server = Server({"stock": Effect.REPEATABLE}, Handler(), 256, 64, {})
+        server = Server({"stock": Idempotency.IDEMPOTENT}, Handler(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
         caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
         assert (await caller.call("stock", "a" * 16)).code == 200
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -33,7 +33,7 @@
 from harness.program import free_port
 from service_proxy.__main__ import LAST_ACCEPT
 from service_proxy.net.server import KEPT, WHOLE, ClientConnection, Server
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 
 KILL = 3.0 + 0.7  # s after SIGTERM at which SIGKILL may come, where the longest deadline is 3 s or more
 
@@ -115,7 +115,7 @@
     yet."""
 
     async def test() -> None:
-        server = Server({"stock": Effect.REPEATABLE}, Answering(), 256, 64, {})
+        server = Server({"stock": Idempotency.IDEMPOTENT}, Answering(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
         raws = []
         callers = []
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -29,7 +29,7 @@
 
 from service_proxy.net.limits import MOST_LENGTH
 from service_proxy.net.server import Server
-from service_proxy.policy.events import Effect
+from service_proxy.policy.events import Idempotency
 
 
 def fin(raw: socket.socket) -> None:
@@ -91,7 +91,7 @@
 
     async def test() -> None:
         holding = Holding()
-        effects = {"stock": Effect.REPEATABLE, "canje": Effect.ONCE}
+        effects = {"stock": Idempotency.IDEMPOTENT, "canje": Idempotency.NOT_IDEMPOTENT}
         server = Server(effects, holding, 256, 64, {}, most_body=MOST_LENGTH)
         port = await server.listen("127.0.0.1", 0)
         raw = socket.create_connection(("127.0.0.1", port))
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -10,33 +10,33 @@
 
 from service_proxy import (
     Action,
-    Arrival,
+    AttemptStatus,
+    CheckHealth,
+    EndpointListUpdate,
+    EndpointState,
     Fail,
-    Gone,
-    ListKind,
-    Probe,
-    Probed,
-    Refuse,
-    Send,
-    ServerList,
-    ServerState,
-    Status,
+    HealthCheckEnded,
+    ListScope,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
+    StartAttempt,
     StreamStarted,
-    Timer,
-    Watch,
+    TimerFired,
+    WatchEndpoints,
 )
 from service_proxy.policy.balancer import Call, Kind, Obligations, Server
 
-NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
-MAYBE = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
+NEVER = [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT]
+MAYBE = [AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED]
 
 
 def gate_with(
-    cls: str, status: Status | None, duplicate: bool = False, cap: int = 3, own: int = 0
+    cls: str, status: AttemptStatus | None, duplicate: bool = False, cap: int = 3, own: int = 0
 ) -> tuple[Obligations, Call]:
     """A gate and a call with one earlier attempt on server 1, sent at 100.0; status None: still out."""
-    gate = Obligations(settings(may_duplicate=duplicate, max_attempts=cap), [])
-    kind = Kind(replace(next(c for c in CLASSES if c.name == cls), attempts=own), 0, cap)
+    gate = Obligations(settings(can_hedge=duplicate, max_attempts=cap), [])
+    kind = Kind(replace(next(c for c in CLASSES if c.name == cls), max_attempts=own), 0, cap)
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
     attempt = gate.send(call, server(1), 100.0, 1.0, 0.0)
@@ -46,7 +46,9 @@
     return gate, call
 
 
-def server(number: int, zone: str = "a", cell: int = 0, state: ServerState = ServerState.SERVING) -> Server:
+def server(
+    number: int, zone: str = "a", cell: int = 0, state: EndpointState = EndpointState.SERVING
+) -> Server:
     (entry,) = entries(number, zone=zone, state=state)
     entry.cell = cell
     return Server(entry, 0.0)
@@ -54,14 +56,14 @@
 
 @pytest.mark.parametrize("status", NEVER)
 @pytest.mark.parametrize("cls", ["safe", "once", "zoned", "keyed"])
-def test_what_never_ran_may_be_sent_and_refused(cls: str, status: Status) -> None:
+def test_what_never_ran_may_be_sent_and_refused(cls: str, status: AttemptStatus) -> None:
     gate, call = gate_with(cls, status)
     assert gate.may_send(call, server(2, zone="b"), 100.6)
     assert gate.may_refuse(call)
 
 
 @pytest.mark.parametrize("status", MAYBE)
-def test_what_may_have_run_follows_its_class(status: Status) -> None:
+def test_what_may_have_run_follows_its_class(status: AttemptStatus) -> None:
     gate, call = gate_with("safe", status)
     assert gate.may_send(call, server(2, zone="b"), 101.9) and gate.may_refuse(call)
     gate, call = gate_with("once", status)
@@ -76,16 +78,16 @@
 
 
 def test_window_runs_from_the_first_attempt_that_may_have_run() -> None:
-    gate, call = gate_with("zoned", Status.FULL)
+    gate, call = gate_with("zoned", AttemptStatus.REJECTED)
     second = gate.send(call, server(2), 100.3, 1.0, 0.0)
     assert second is not None
-    gate.settle(second, Status.ERROR, False)
+    gate.settle(second, AttemptStatus.ERROR, False)
     assert gate.may_send(call, server(3), 100.79)
     assert not gate.may_send(call, server(3), 100.8)
 
 
 def test_cell_group() -> None:
-    gate, call = gate_with("zoned", Status.ERROR)
+    gate, call = gate_with("zoned", AttemptStatus.ERROR)
     call.cls.group = "cell"
     assert gate.may_send(call, server(2, cell=0), 100.1)
     assert not gate.may_send(call, server(2, cell=1), 100.1)
@@ -101,11 +103,11 @@
 
 
 def test_cap_deadline_end_and_state_close_the_gate() -> None:
-    gate, call = gate_with("safe", Status.ERROR, cap=1)
+    gate, call = gate_with("safe", AttemptStatus.ERROR, cap=1)
     assert not gate.may_send(call, server(2), 100.1)
-    gate, call = gate_with("safe", Status.ERROR)
+    gate, call = gate_with("safe", AttemptStatus.ERROR)
     assert gate.may_send(call, server(2), 101.999) and not gate.may_send(call, server(2), 102.0)
-    for state in (ServerState.DRAINING, ServerState.GONE):
+    for state in (EndpointState.DRAINING, EndpointState.REMOVED):
         assert not gate.may_send(call, server(2, state=state), 100.1)
     gate.answer(call)
     assert not gate.may_send(call, server(2), 100.1)
@@ -116,17 +118,17 @@
 
 @pytest.mark.parametrize(("own", "cap", "again"), [(0, 3, True), (1, 3, False), (2, 3, True), (5, 1, False)])
 def test_a_class_may_have_fewer_attempts_than_others_and_never_more(own: int, cap: int, again: bool) -> None:
-    gate, call = gate_with("safe", Status.FULL, cap=cap, own=own)
+    gate, call = gate_with("safe", AttemptStatus.REJECTED, cap=cap, own=own)
     assert gate.may_send(call, server(2), 100.1) is again and gate.may_repeat(call) is again
 
 
 def test_answer_is_a_refusal_only_where_harmless() -> None:
     for cls, status, kind in (
-        ("once", Status.ERROR, Fail),
-        ("once", Status.FULL, Refuse),
-        ("safe", Status.ERROR, Refuse),
-        ("zoned", Status.TIMEOUT, Fail),
-        ("keyed", Status.TIMEOUT, Refuse),
+        ("once", AttemptStatus.ERROR, Fail),
+        ("once", AttemptStatus.REJECTED, Reject),
+        ("safe", AttemptStatus.ERROR, Reject),
+        ("zoned", AttemptStatus.TIMEOUT, Fail),
+        ("keyed", AttemptStatus.TIMEOUT, Reject),
     ):
         gate, call = gate_with(cls, status)
         gate.answer(call)
@@ -134,65 +136,67 @@
 
 
 def test_drained_servers_get_nothing_new() -> None:
-    for state in (ServerState.DRAINING, ServerState.GONE):
+    for state in (EndpointState.DRAINING, EndpointState.REMOVED):
         driver = Driver(settings(), servers=entries(1, 2))
         driver.feed(drained(1, state))
         for call in range(20):
             for send in sends(driver.arrive(call)):
-                assert send.server == 2
-                driver.settle(send, Status.OK)
+                assert send.endpoint_id == 2
+                driver.settle(send, AttemptStatus.OK)
 
 
 def test_absence_from_a_full_list_is_removal() -> None:
     driver = Driver(settings(), servers=entries(1, 2))
-    driver.feed(ServerList(ListKind.FULL, entries(2)))
-    assert {send.server for call in range(9) for send in sends(driver.arrive(call))} == {2}
+    driver.feed(EndpointListUpdate(ListScope.FULL, entries(2)))
+    assert {send.endpoint_id for call in range(9) for send in sends(driver.arrive(call))} == {2}
 
 
 def test_no_server_holds_and_then_answers_in_time() -> None:
     driver = Driver(settings(), servers=[])
     assert not sends(driver.arrive(1, "once", budget=0.8))
     actions = driver.wait(0.8)
-    assert Refuse(1) in actions and not sends(actions)
+    assert Reject(1) in actions and not sends(actions)
 
 
 def test_held_call_goes_once_a_server_comes() -> None:
     driver = Driver(settings(), servers=[])
     driver.arrive(1)
-    assert only_send(driver.feed(ServerList(ListKind.FULL, entries(5)))).server == 5
+    assert only_send(driver.feed(EndpointListUpdate(ListScope.FULL, entries(5)))).endpoint_id == 5
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
     driver = Driver(settings())
     send = only_send(driver.arrive(1, "once", budget=0.9))
     driver.now += 0.9
-    assert Fail(1) in driver.settle(send, Status.TIMEOUT, elapsed=0.9)
+    assert Fail(1) in driver.settle(send, AttemptStatus.TIMEOUT, elapsed=0.9)
 
 
 def test_client_that_leaves_within_the_batch_it_came_in_gets_nothing() -> None:
     # Found on an overloaded day: arrivals were opened after all other events, so the leave was overlooked.
     driver = Driver(settings())
-    actions = driver.feed(Arrival(9, "safe", 2.0), Gone(9))
+    actions = driver.feed(RequestArrived(9, "safe", 2.0), RequestAbandoned(9))
     actions += driver.wait(3.0)
-    assert not any(isinstance(a, Refuse | Fail) or sends([a]) for a in actions)
+    assert not any(isinstance(a, Reject | Fail) or sends([a]) for a in actions)
 
 
 def test_unknown_ids_and_stale_timers_change_nothing() -> None:
     driver = Driver(settings())
     send = only_send(driver.arrive(1))
-    driver.settle(send, Status.OK)
-    actions: list[Action] = driver.settle(send, Status.OK)
-    actions += driver.feed(Gone(1), Gone(99), StreamStarted(1, 0, 1))
-    assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
-    assert not [a for a in driver.feed(Arrival(1, "safe", 2.0)) if isinstance(a, Fail | Refuse) or sends([a])]
+    driver.settle(send, AttemptStatus.OK)
+    actions: list[Action] = driver.settle(send, AttemptStatus.OK)
+    actions += driver.feed(RequestAbandoned(1), RequestAbandoned(99), StreamStarted(1, 0, 1))
+    assert not [a for a in actions if isinstance(a, Fail | Reject) or sends([a])]
+    assert not [
+        a for a in driver.feed(RequestArrived(1, "safe", 2.0)) if isinstance(a, Fail | Reject) or sends([a])
+    ]
 
 
 def test_started_stream_is_left_alone() -> None:
-    driver = Driver(settings(may_cancel=True))
+    driver = Driver(settings(can_cancel=True))
     send = only_send(driver.arrive(1))
-    driver.feed(StreamStarted(1, 0, send.server))
+    driver.feed(StreamStarted(1, 0, send.endpoint_id))
     actions = driver.wait(4.0)
-    assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
+    assert not [a for a in actions if isinstance(a, Fail | Reject) or sends([a])]
     assert driver.balancer.busy == 0
 
 
@@ -200,22 +204,22 @@
     driver = Driver(settings(), servers=entries(1, 2, 3, 4))
     driver.balancer.admission.window = 20.0
     call = 0
-    out = list[Send]()
+    out = list[StartAttempt]()
     for _ in range(200):  # a warm phase, so that the instance knows its own rate: 40 calls a second
         call += 1
         driver.wait(0.025)
         out.append(only_send(driver.arrive(call)))
         if len(out) > 6:
-            driver.settle(out.pop(0), Status.OK, elapsed=0.15)
-    driver.feed(ServerList(ListKind.INCREMENTAL, entries(4, started_at=driver.now)))
+            driver.settle(out.pop(0), AttemptStatus.OK, elapsed=0.15)
+    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(4, started_at=driver.now)))
     first = driver.now
     to_cold: list[float] = []
     for _ in range(400):
         call += 1
         driver.wait(0.025)
         out.append(only_send(driver.arrive(call)))
-        to_cold += [driver.now - first] * (out[-1].server == 4)
-        driver.settle(out.pop(0), Status.OK, elapsed=0.15)
+        to_cold += [driver.now - first] * (out[-1].endpoint_id == 4)
+        driver.settle(out.pop(0), AttemptStatus.OK, elapsed=0.15)
     fair = 40 / 4  # calls a second of a warm server
     for start in to_cold:
         sent = sum(1 for t in to_cold if start <= t < start + 1.5)
@@ -228,42 +232,49 @@
 def test_what_cannot_be_a_call_is_answered_once_and_at_once(cls: str, budget: float) -> None:
     driver = Driver(settings())
     actions = driver.arrive(5, cls, budget) + driver.arrive(5, cls, budget) + driver.wait(3.0)
-    answers = [a for a in actions if isinstance(a, Refuse | Fail) or sends([a])]
-    assert answers == [Refuse(5)]
+    answers = [a for a in actions if isinstance(a, Reject | Fail) or sends([a])]
+    assert answers == [Reject(5)]
 
 
 def test_odd_events_change_nothing() -> None:
-    driver = Driver(settings(may_probe=True))
-    driver.feed(Probed(77, Status.OK, 0.1, {"busy_reqs": 1.0}), Timer(12345), ServerList(ListKind.FULL, []))
-    driver.feed(Probed(1, Status.OK, 0.1, {"busy_reqs": float("nan")}), ServerList(ListKind.FULL, entries(1)))
+    driver = Driver(settings(can_check_health=True))
+    driver.feed(
+        HealthCheckEnded(77, AttemptStatus.OK, 0.1, {"busy_reqs": 1.0}),
+        TimerFired(12345),
+        EndpointListUpdate(ListScope.FULL, []),
+    )
+    driver.feed(
+        HealthCheckEnded(1, AttemptStatus.OK, 0.1, {"busy_reqs": float("nan")}),
+        EndpointListUpdate(ListScope.FULL, entries(1)),
+    )
     for _ in range(3):  # the clock stands still
-        driver.feed(Timer(1))
-    assert only_send(driver.arrive(1)).server == 1
+        driver.feed(TimerFired(1))
+    assert only_send(driver.arrive(1)).endpoint_id == 1
 
 
 def test_a_listed_server_that_refuses_its_trials_makes_it_ask_again_but_seldom() -> None:
     # Found in incident r2219cc: the watch was silent for 24 s while three of four servers were replaced.
-    driver = Driver(settings(ask_for_list=True, may_probe=True), servers=entries(1, 2))
+    driver = Driver(settings(polls_discovery=True, can_check_health=True), servers=entries(1, 2))
 
-    def wait(span: float, status: Status) -> None:
+    def wait(span: float, status: AttemptStatus) -> None:
         for _ in range(round(span / 0.05)):
-            asked = [action for action in driver.wait(0.05) if isinstance(action, Probe)]
-            driver.feed(*[Probed(action.server, status, 0.001) for action in asked])
+            asked = [action for action in driver.wait(0.05) if isinstance(action, CheckHealth)]
+            driver.feed(*[HealthCheckEnded(action.endpoint_id, status, 0.001) for action in asked])
 
-    wait(15.0, Status.OK)
-    assert driver.said.count(Watch(True)) == 1
-    wait(20.0, Status.CONNECT_FAILED)
-    assert 2 <= driver.said.count(Watch(True)) - 1 <= 3
+    wait(15.0, AttemptStatus.OK)
+    assert driver.said.count(WatchEndpoints(True)) == 1
+    wait(20.0, AttemptStatus.CONNECT_FAILED)
+    assert 2 <= driver.said.count(WatchEndpoints(True)) - 1 <= 3
 
 
 def test_failed_watches_are_asked_again_within_the_ask_limit() -> None:
     # One site counts four seconds without asking as being told of every drain.
-    driver = Driver(settings(ask_for_list=True, must_ask_within=4.0))
+    driver = Driver(settings(polls_discovery=True, max_poll_interval=4.0))
     asked: list[float] = []
     while driver.now < 140.0:
-        if Watch(True) in driver.wait(0.05):
+        if WatchEndpoints(True) in driver.wait(0.05):
             asked.append(driver.now)
             driver.wait(0.5)
-            driver.feed(ServerList(ListKind.FAILED))
+            driver.feed(EndpointListUpdate(ListScope.FAILED))
     gaps = [later - earlier for earlier, later in pairwise([100.0, *asked])]
     assert gaps[0] <= 4.0 and max(gaps) <= 0.5 + 4.0 + 0.1
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -7,15 +7,15 @@
 from helpers import SAFE, Driver, drained, entries, only_send, sends, settings
 
 from service_proxy import (
-    Effect,
-    ListKind,
-    NewSettings,
-    Outcome,
-    Refuse,
+    AttemptEnded,
+    AttemptStatus,
+    EndpointListUpdate,
+    EndpointState,
+    Idempotency,
+    ListScope,
+    Reject,
     RequestClass,
-    ServerList,
-    ServerState,
-    Status,
+    SettingsUpdated,
     StreamStarted,
     Tenant,
 )
@@ -26,28 +26,40 @@
     """Its effect has become stricter meanwhile, and its attempts fewer: that binds the next call alone."""
     driver = Driver(settings())
     first = only_send(driver.arrive(1))
-    strict = RequestClass("safe", worth=10, aim=1.0, deadline=2.0, effect=Effect.ONCE)
-    driver.feed(NewSettings(settings(classes=[strict], max_attempts=1)))
-    assert sends(driver.settle(first, Status.RESET) + driver.wait(STEP), 1)  # repeated, as it may be
+    strict = RequestClass(
+        "safe",
+        priority_weight=10,
+        latency_objective=1.0,
+        deadline=2.0,
+        idempotency=Idempotency.NOT_IDEMPOTENT,
+    )
+    driver.feed(SettingsUpdated(settings(classes=[strict], max_attempts=1)))
+    assert sends(driver.settle(first, AttemptStatus.RESET) + driver.wait(STEP), 1)  # repeated, as it may be
     second = only_send(driver.arrive(2))
-    actions = driver.settle(second, Status.RESET) + driver.wait(STEP)
+    actions = driver.settle(second, AttemptStatus.RESET) + driver.wait(STEP)
     assert not sends(actions, 2)
 
 
 def test_a_class_that_is_gone_is_turned_away_and_one_that_appears_is_served() -> None:
     driver = Driver(settings())
     only_send(driver.arrive(1, "once"))
-    driver.feed(NewSettings(settings(classes=[SAFE, RequestClass("new", worth=1, aim=1.0, deadline=2.0)])))
-    assert driver.arrive(2, "once")[0] == Refuse(2)
+    driver.feed(
+        SettingsUpdated(
+            settings(
+                classes=[SAFE, RequestClass("new", priority_weight=1, latency_objective=1.0, deadline=2.0)]
+            )
+        )
+    )
+    assert driver.arrive(2, "once")[0] == Reject(2)
     only_send(driver.arrive(3, "new"))
 
 
 def test_what_was_learned_of_a_class_and_what_a_tenant_has_left_stays() -> None:
     driver = Driver(settings(tenants=[Tenant("t", 10.0)]))
-    driver.settle(only_send(driver.arrive(1, tenant="t")), Status.OK, elapsed=0.4)
+    driver.settle(only_send(driver.arrive(1, tenant="t")), AttemptStatus.OK, elapsed=0.4)
     learned = driver.balancer.kinds["safe"].mean.value
     left = driver.balancer.quota_left["t"]
-    driver.feed(NewSettings(settings(tenants=[Tenant("t", 20.0), Tenant("u", 5.0)])))
+    driver.feed(SettingsUpdated(settings(tenants=[Tenant("t", 20.0), Tenant("u", 5.0)])))
     assert driver.balancer.kinds["safe"].mean.value == learned
     assert driver.balancer.quota_left == {"t": left, "u": 5.0}
 
@@ -55,58 +67,58 @@
 def test_a_server_put_back_gets_the_next_call_though_it_is_cold_and_ejected() -> None:
     driver = Driver(settings())
     driver.balancer.servers.known[3].ejected_until = driver.now + 60
-    driver.feed(drained(3, ServerState.DRAINING))
-    back = entries(3, started_at=driver.now, wanted=True)
-    driver.feed(ServerList(ListKind.INCREMENTAL, back))
-    assert only_send(driver.arrive(1)).server == 3
-    assert only_send(driver.arrive(2)).server != 3  # it had its call, and is cold
+    driver.feed(drained(3, EndpointState.DRAINING))
+    back = entries(3, started_at=driver.now, reinstated=True)
+    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, back))
+    assert only_send(driver.arrive(1)).endpoint_id == 3
+    assert only_send(driver.arrive(2)).endpoint_id != 3  # it had its call, and is cold
 
 
 def test_a_server_put_back_that_drains_again_is_owed_nothing() -> None:
     driver = Driver(settings())
-    driver.feed(ServerList(ListKind.INCREMENTAL, entries(3, started_at=driver.now, wanted=True)))
-    driver.feed(drained(3, ServerState.DRAINING))
-    assert only_send(driver.arrive(1)).server != 3
+    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(3, started_at=driver.now, reinstated=True)))
+    driver.feed(drained(3, EndpointState.DRAINING))
+    assert only_send(driver.arrive(1)).endpoint_id != 3
     assert not driver.balancer.servers.known[3].wanted
 
 
 def test_a_stream_is_never_repeated_holds_no_place_and_its_age_says_nothing() -> None:
-    driver = Driver(settings(may_cancel=True))
+    driver = Driver(settings(can_cancel=True))
     out = [only_send(driver.arrive(n)) for n in (1, 2)]
     latency = driver.balancer.admission.latency.count
     for send in out:
-        driver.feed(StreamStarted(send.call, 0, send.server))
+        driver.feed(StreamStarted(send.request_id, 0, send.endpoint_id))
     assert driver.balancer.busy == 0
     driver.wait(1.5)  # many times the usual latency
     assert driver.balancer.avoided == []
-    actions = driver.feed(Outcome(1, 0, out[0].server, Status.CONNECT_FAILED, 1.5, False))
-    assert not sends(actions) and [a for a in actions if isinstance(a, Refuse)]
-    driver.settle(out[1], Status.OK, elapsed=1.5)
+    actions = driver.feed(AttemptEnded(1, 0, out[0].endpoint_id, AttemptStatus.CONNECT_FAILED, 1.5, False))
+    assert not sends(actions) and [a for a in actions if isinstance(a, Reject)]
+    driver.settle(out[1], AttemptStatus.OK, elapsed=1.5)
     assert driver.balancer.admission.latency.count == latency
 
 
 def test_the_window_follows_the_servers_in_use_through_a_release() -> None:
-    driver = Driver(settings(cold_from=1.0, cold_for=0.0))
+    driver = Driver(settings(slow_start_initial_share=1.0, slow_start_window=0.0))
     driver.wait(2 * STEP)
     driver.balancer.admission.window = 12.0
     for server, left in ((1, 9.0), (2, 6.0), (3, 3.0)):
-        driver.feed(drained(server, ServerState.DRAINING))
+        driver.feed(drained(server, EndpointState.DRAINING))
         driver.wait(2 * STEP)
         assert driver.balancer.admission.window == pytest.approx(left)
-    driver.feed(ServerList(ListKind.INCREMENTAL, entries(5, 6, 7)))
+    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(5, 6, 7)))
     driver.wait(2 * STEP)
     assert driver.balancer.admission.window == pytest.approx(12.0)
 
 
 def test_a_cold_server_widens_the_window_as_it_warms_and_no_server_leaves_it() -> None:
-    driver = Driver(settings(cold_from=0.5, cold_for=10.0), servers=entries(1))
+    driver = Driver(settings(slow_start_initial_share=0.5, slow_start_window=10.0), servers=entries(1))
     driver.wait(2 * STEP)
     driver.balancer.admission.window = 4.0
-    driver.feed(ServerList(ListKind.INCREMENTAL, entries(2, started_at=driver.now)))
+    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(2, started_at=driver.now)))
     driver.wait(2 * STEP)
     assert driver.balancer.admission.window == pytest.approx(6.0, abs=0.1)
     driver.wait(10.5)
     assert driver.balancer.admission.window == pytest.approx(8.0, abs=0.1)
-    driver.feed(ServerList(ListKind.FULL, []))
+    driver.feed(EndpointListUpdate(ListScope.FULL, []))
     driver.wait(2 * STEP)
     assert driver.balancer.admission.window == pytest.approx(8.0, abs=0.1)  # what it was for comes back
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -12,4 +12,4 @@
     text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
     (code,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(compile(code, "README.md", "exec"), {"__name__": "readme"})
-    assert capsys.readouterr().out == "call 42 goes out, to be answered within 0.5 s\n"
+    assert capsys.readouterr().out == "request 42 goes out, to be answered within 0.5 s\n"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -20,7 +20,7 @@
 from harness.ledger import Answer, Effect, Ledger, Rules, Taken
 from service_proxy.net.config import read_config
 from service_proxy.policy.balancer import Balancer
-from service_proxy.policy.events import Arrival, Event, Fail, Refuse, Send
+from service_proxy.policy.events import Event, Fail, Reject, RequestArrived, StartAttempt
 
 NAMES = st.text("abcXYZ019-_.~", min_size=1, max_size=12).filter(lambda name: name not in (".", ".."))
 SPANS = st.floats(0.05, 8.0)
@@ -92,16 +92,16 @@
     balancer.handle(1.0, [])
     tenants = [tenant.name for tenant in read.tenants] or [""]
     calls: list[Event] = [
-        Arrival(number, cls.name, cls.deadline, tenant=tenants[number % len(tenants)])
+        RequestArrived(number, cls.name, cls.deadline, tenant=tenants[number % len(tenants)])
         for number, cls in enumerate(read.classes)
     ]
     done = set()
     for step in range(200):  # of 50 ms, over the longest deadline; no server is listed
         for action in balancer.handle(1.0 + step * 0.05, calls if step == 0 else []):
-            assert not isinstance(action, Send)
-            if isinstance(action, Refuse | Fail):
-                assert action.call not in done
-                done.add(action.call)
+            assert not isinstance(action, StartAttempt)
+            if isinstance(action, Reject | Fail):
+                assert action.request_id not in done
+                done.add(action.request_id)
     assert done == set(range(len(calls)))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from service_proxy import Balancer, Settings, Tell
+from service_proxy import Balancer, SendPeerMessage, Settings
 from service_proxy.settings import read_settings
 from service_proxy.simulator_adapter import Host, write_action
 
@@ -197,17 +197,17 @@
 
 
 def test_status_numbers_are_the_wire_s() -> None:
-    from service_proxy import Status
+    from service_proxy import AttemptStatus
 
-    assert [status.name for status in Status] == [
+    assert [status.name for status in AttemptStatus] == [
         "OK",
         "ERROR",
-        "FULL",
+        "REJECTED",
         "TIMEOUT",
         "CONNECT_FAILED",
         "RESET",
         "CANCELLED",
-        "MOOT",
+        "NOT_SENT",
     ]
 
 
@@ -224,13 +224,32 @@
         )
     )
     assert isinstance(shown, Settings)
-    assert (shown.stages, shown.zones, shown.kinds, shown.quantum) == (2, ("north", "south"), ("std",), 0.005)
-    assert (shown.report_names, shown.reports, shown.weights) == (("busy_reqs", "svc_ms"), "answer", "rough")
-    assert shown.worth_by_work and shown.may_tell and shown.clients_mark_retries and shown.most_held == 9
-    assert (shown.connect_timeout, shown.calls_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
+    assert (shown.tier_count, shown.zones, shown.kinds, shown.quantum) == (
+        2,
+        ("north", "south"),
+        ("std",),
+        0.005,
+    )
+    assert (shown.load_report_fields, shown.load_report_source, shown.weight_meaning) == (
+        ("busy_reqs", "svc_ms"),
+        "answer",
+        "rough",
+    )
+    assert (
+        shown.weight_by_work
+        and shown.can_message_peers
+        and shown.clients_mark_retries
+        and shown.max_open_requests == 9
+    )
+    assert (shown.connect_timeout, shown.requests_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
     assert (shown.price_waste, shown.price_late_fail, shown.goal_class) == (0.04, 0.05, 0.2)
     plain = read_settings(pairs(PARAMS))
-    assert (plain.reports, plain.weights, plain.may_tell, plain.connect_timeout) == (
+    assert (
+        plain.load_report_source,
+        plain.weight_meaning,
+        plain.can_message_peers,
+        plain.connect_timeout,
+    ) == (
         "probe",
         "nominal",
         False,
@@ -239,8 +258,8 @@
 
 
 def test_messages_to_peers() -> None:
-    assert write_action("3", Tell(b"hi", 2)) == "broadcast_to who=3 dst=2 data=6869"
-    assert write_action("3", Tell(b"")) == "broadcast_to who=3 dst=all data=-"
+    assert write_action("3", SendPeerMessage(b"hi", 2)) == "broadcast_to who=3 dst=2 data=6869"
+    assert write_action("3", SendPeerMessage(b"")) == "broadcast_to who=3 dst=all data=-"
 
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
--- a/tests/websocket/test_front.py
+++ b/tests/websocket/test_front.py
@@ -15,7 +15,7 @@
 from harness.program import ROOT
 from harness.wsnode import Fault, read_script
 from service_proxy.operator_file import WebSocket
-from service_proxy.policy.events import Status
+from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.codec import ABNORMAL
 from service_proxy.websocket.front import Front
 from service_proxy.websocket.messages import Talk, Talks
@@ -100,17 +100,19 @@
 @pytest.mark.parametrize(
     ("end", "status"),
     [
-        (lambda t: t.ended(t.client, 1000, ""), Status.OK),
-        (lambda t: t.ended(t.client, ABNORMAL, ""), Status.OK),
-        (lambda t: t.ended(t.node, 1000, ""), Status.OK),
-        (lambda t: t.ended(t.node, ABNORMAL, ""), Status.RESET),
-        (lambda t: t.silent(t.node), Status.TIMEOUT),
+        (lambda t: t.ended(t.client, 1000, ""), AttemptStatus.OK),
+        (lambda t: t.ended(t.client, ABNORMAL, ""), AttemptStatus.OK),
+        (lambda t: t.ended(t.node, 1000, ""), AttemptStatus.OK),
+        (lambda t: t.ended(t.node, ABNORMAL, ""), AttemptStatus.RESET),
+        (lambda t: t.silent(t.node), AttemptStatus.TIMEOUT),
     ],
 )
-def test_the_module_is_told_the_end_of_a_tunnel_once(end: Callable[[Tunnel], None], status: Status) -> None:
+def test_the_module_is_told_the_end_of_a_tunnel_once(
+    end: Callable[[Tunnel], None], status: AttemptStatus
+) -> None:
     """It counts the sessions of a node until then."""
     tunnel = Tunnel.__new__(Tunnel)
-    told = list[Status]()
+    told = list[AttemptStatus]()
     tunnel.client, tunnel.node = Side(tunnel, True), Side(tunnel, False)
     tunnel.node.peer = SimpleNamespace(  # type: ignore[assignment]
         abort=lambda: tunnel.ended(tunnel.node, ABNORMAL, ""), close=lambda *how: None, faulty=False
