--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -215,7 +215,8 @@
         made.load(Path(text) / "store")
         reading = time.monotonic() - begun
         found, whole = made.read(Path(text) / "store")
-        assert whole and len(found) == len(told)
+        assert whole
+        assert len(found) == len(told)
         size = sum(file.stat().st_size for file in (Path(text) / "store").iterdir())
     spans.sort()
     return {
--- a/harness/trial.py
+++ b/harness/trial.py
@@ -30,7 +30,8 @@
 
 def rows(world: World, passed: float, seconds: float) -> list[str]:
     """The table: each server with what it did."""
-    assert world.callers is not None and world.edge is not None
+    assert world.callers is not None
+    assert world.edge is not None
     codes = world.callers.codes
     other = codes.total() - codes[200] - codes[503]
     host, port = world.edge.address
@@ -67,7 +68,8 @@
 async def trial(description: Description, seconds: float, rate: float, live: bool) -> int:
     print(f"starting {len(description.sidecars)} sidecars and their stand-ins ...", flush=True)
     async with world(description) as made:
-        assert made.callers is not None and made.edge is not None
+        assert made.callers is not None
+        assert made.edge is not None
         if live:
             print("\x1b[2J", end="")
         showing = asyncio.create_task(show(made, seconds, live))
--- a/service_proxy/admin/office.py
+++ b/service_proxy/admin/office.py
@@ -112,7 +112,8 @@
 
     def _share(self, share: float) -> None:
         """The limits hold for both processes together."""
-        assert self.driver is not None and self.server is not None
+        assert self.driver is not None
+        assert self.server is not None
         log.info("%s", "another process of this proxy runs beside" if self.beside else "it runs alone")
         self.server.set_bounds(share)
         self.driver.set_bounds(share)
@@ -143,7 +144,8 @@
     def stats(self) -> Word:
         server = self.server
         driver = self.driver
-        assert server is not None and driver is not None
+        assert server is not None
+        assert driver is not None
         gauges = {
             "inflight": server.inflight,
             "hosts_listed": len(self.maintenance.listed),
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -311,7 +311,8 @@
 
     def _inquire(self) -> None:
         """Some of those that have not answered this process yet are asked; its own zone first."""
-        assert self.view is not None and self.channel is not None
+        assert self.view is not None
+        assert self.channel is not None
         living = [m for m in self.view.members() if m.state == "alive" and m.key != self.view.me]
         silent = [m for m in living if m.key not in self.answers or self.answers[m.key].phase < Phase.STEADY]
         mates = [m for m in silent if m.zone == self.proxy.zone]
@@ -437,7 +438,8 @@
     def _keep_servers(self, now: float) -> None:
         """The list in force, as far as sources named it."""
         keeper = self.keeper
-        assert keeper is not None and self.driver is not None
+        assert keeper is not None
+        assert self.driver is not None
         if not self.listed_by_source:
             return
         changed = False
--- a/service_proxy/websocket/front.py
+++ b/service_proxy/websocket/front.py
@@ -250,7 +250,8 @@
     def open_tunnel(self, tunnel: Tunnel) -> None:
         upstream = tunnel.upstream
         node = tunnel.node.peer
-        assert upstream is not None and node is not None
+        assert upstream is not None
+        assert node is not None
         self.peers[node] = None
         self.tunnels.setdefault(upstream, {})[tunnel] = None
         if not upstream.serving:  # it was told to drain while the handshake went on
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -121,7 +121,8 @@
         front = self.front
         transport = connection.transport
         opening = self.opening
-        assert transport is not None and opening is not None
+        assert transport is not None
+        assert opening is not None
         self.origin = connection
         self.over = over
         most = front.settings.message_bytes
