--- a/service_proxy/net/driver.py
+++ b/service_proxy/net/driver.py
@@ -11,7 +11,7 @@
 import math
 import time
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from service_proxy.net.bodies import Body
 from service_proxy.net.config import Config, ConfigError
@@ -70,6 +70,14 @@
     return freshness(settings.polls_discovery, settings.drain_grace)
 
 
+class FilterLimits(NamedTuple):
+    """What the filters leave of a request's attempts and weight."""
+
+    max_attempts: int = 0  # 0: as many as its class has
+    weight_share: float = 1.0
+
+
+NO_FILTER_LIMITS = FilterLimits()
 NO_TICKETS: list[Ticket] = []  # of all calls that no filter holds
 
 
@@ -316,12 +324,13 @@
         if not request.body.whole:  # its time begins with its last byte
             call.deadline = self.end_by
             request.body.on_whole = lambda: self._whole(call)
-        narrowed: dict[str, Any] = {}
+        limits = NO_FILTER_LIMITS
         if self.filters:
-            turned = self._filter(call, narrowed)
-            if turned is not None:
-                reply.answer(turned.code, turned.headers, turned.text)
+            found = self._filter(call)
+            if isinstance(found, Turned):
+                reply.answer(found.code, found.headers, found.text)
                 return None
+            limits = found
             deadline = min(deadline, call.deadline)
         self.calls[number] = call
         self.ids.add(request.id)
@@ -337,7 +346,8 @@
                 expected_work=request.work,
                 is_retry=request.resent,
                 affinity_key=request.subject,
-                **narrowed,
+                max_attempts=limits.max_attempts,
+                weight_share=limits.weight_share,
             )
         )
         return call
@@ -360,18 +370,16 @@
         if call.exchange is not None:
             call.exchange.extend(call.deadline)
 
-    def _filter(self, call: OpenCall, narrowed: dict[str, Any]) -> Turned | None:
-        """Hands a new call to all filters; what they leave of it goes to the module."""
+    def _filter(self, call: OpenCall) -> FilterLimits | Turned:
+        """Hand a new request to all filters; what they leave of it goes to the policy."""
         found = ask(self.filters, call.request, lambda: self.give_up(call))
         if isinstance(found, Turned):
             return found
         call.tickets = found
         for ticket in found:
             call.deadline = min(call.deadline, ticket.due)
-            narrowed["share"] = narrowed.get("share", 1.0) * ticket.share
-            if ticket.attempts:
-                narrowed["attempts"] = min(narrowed.get("attempts", ticket.attempts), ticket.attempts)
-        return None
+        attempts = [ticket.attempts for ticket in found if ticket.attempts]
+        return FilterLimits(min(attempts, default=0), math.prod(ticket.share for ticket in found))
 
     def give_up(self, call: OpenCall) -> None:
         """Nobody waits for what it is part of: it ends now, and so does what is out for it."""
