--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -30,11 +30,11 @@
 from benchmarks.proof import Proof, run
 from harness.fleet.world import Setup, World, world
 from harness.kit import until
-from harness.recovery.broken import FAULTY, PLANTED
-from harness.recovery.points import recorded, wrong
-from service_proxy.recovery.facts import Fact, Keyed, Server, State, put
-from service_proxy.recovery.folder import Folder
+from harness.recovery.crash_points import recorded, wrong
+from harness.recovery.planted_bugs import FAULTY, PLANTED
+from service_proxy.recovery.persisted_records import Fact, Keyed, Server, State, put
 from service_proxy.recovery.store import Found, Owner, Refused, Store, read_store
+from service_proxy.recovery.store_directory import Folder
 
 PARTS = ("points", "torn", "store", "power")
 OWNER = Owner("p0", "m0")
--- a/harness/recovery/points.py
+++ b/harness/recovery/crash_points.py
@@ -7,9 +7,19 @@
 from collections.abc import Iterator
 from random import Random
 
-from harness.recovery.disk import Image, Tape, cuts
-from service_proxy.recovery.facts import Boot, Fact, Keyed, Learned, Maintenance, Server, State, drop, put
-from service_proxy.recovery.records import Record
+from harness.recovery.crash_disk import Image, Tape, cuts
+from service_proxy.recovery.persisted_records import (
+    Boot,
+    Fact,
+    Keyed,
+    Learned,
+    Maintenance,
+    Server,
+    State,
+    drop,
+    put,
+)
+from service_proxy.recovery.record_format import Record
 from service_proxy.recovery.store import Found, Owner, Refused, Store, read_store
 
 OWNER = Owner("p0", "m0")
--- a/harness/recovery/writer.py
+++ b/harness/recovery/store_writer.py
@@ -1,6 +1,6 @@
 """A process that keeps a store and says how much of it is safe, until it is killed.
 
-    python -m harness.recovery.writer FOLDER NAME
+    python -m harness.recovery.store_writer FOLDER NAME
 
 A line `safe N` for each batch; it ends by itself after a minute.
 """
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from service_proxy.clock import Clock
-from service_proxy.recovery.facts import Server, Source
-from service_proxy.recovery.folder import Folder
-from service_proxy.recovery.keeper import Keeper
+from service_proxy.recovery.async_store_writer import Keeper
+from service_proxy.recovery.persisted_records import Server, Source
 from service_proxy.recovery.store import Owner
+from service_proxy.recovery.store_directory import Folder
 
 LIFE = 60.0  # s
 
--- a/service_proxy/recovery/__main__.py
+++ b/service_proxy/recovery/__main__.py
@@ -21,11 +21,11 @@
 from pathlib import Path
 from typing import Any
 
-from service_proxy.recovery.facts import KINDS, Keyed, drop
-from service_proxy.recovery.folder import Folder
-from service_proxy.recovery.records import FORMAT
+from service_proxy.recovery.persisted_records import KINDS, Keyed, drop
+from service_proxy.recovery.record_format import FORMAT
 from service_proxy.recovery.store import Found, Owner, Refused, Store, read_store
-from service_proxy.recovery.trust import Loss, Situation, judge, repeat
+from service_proxy.recovery.store_directory import Folder
+from service_proxy.recovery.validity_rules import Loss, Situation, judge, repeat
 
 DAMAGED = 3
 MOST_LINES = 20  # of one kind, but with --all
--- a/service_proxy/recovery/keeper.py
+++ b/service_proxy/recovery/async_store_writer.py
@@ -14,10 +14,10 @@
 from dataclasses import replace
 
 from service_proxy.clock import Clock
-from service_proxy.recovery.facts import Fact, State, drop, put
-from service_proxy.recovery.folder import Folder
-from service_proxy.recovery.records import Record
+from service_proxy.recovery.persisted_records import Fact, State, drop, put
+from service_proxy.recovery.record_format import Record
 from service_proxy.recovery.store import Found, Health, Owner, Refused, Store, read_store
+from service_proxy.recovery.store_directory import Folder
 
 log = logging.getLogger("service_proxy.recovery")
 
--- a/service_proxy/recovery/overlay.py
+++ b/service_proxy/recovery/endpoint_override.py
@@ -12,7 +12,7 @@
 
 from service_proxy.net.listing import Listed, Listing
 from service_proxy.policy.events import EndpointState
-from service_proxy.recovery.turns import place, wait
+from service_proxy.recovery.staggered_start import place, wait
 
 BELIEVED = 0.5  # share of those that were known, below which a whole list is not taken at its word
 BROKEN = 3  # failures in a row, of connections, after which a server that answered has fallen
--- a/service_proxy/recovery/census.py
+++ b/service_proxy/recovery/peer_survey.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 
 from service_proxy.recovery.phases import PATIENCE, Phase
-from service_proxy.recovery.trust import Loss
+from service_proxy.recovery.validity_rules import Loss
 
 WORD = struct.Struct("!BBI")  # version and phase; bits; wall time of the last loss, s, 0: none that it knows
 WORD_VERSION = 1
--- a/service_proxy/recovery/facts.py
+++ b/service_proxy/recovery/persisted_records.py
@@ -11,7 +11,7 @@
 from dataclasses import MISSING, dataclass, field, fields
 from typing import Any, ClassVar
 
-from service_proxy.recovery.records import Record
+from service_proxy.recovery.record_format import Record
 
 MOST_NAME = 256  # bytes of a name
 
--- a/service_proxy/recovery/phases.py
+++ b/service_proxy/recovery/phases.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-from service_proxy.recovery.trust import Loss
+from service_proxy.recovery.validity_rules import Loss
 
 PATIENCE = 10.0  # s for which others are asked what happened, at the most
 LIST_PATIENCE = 10.0  # s more for which a fresh list and a settled view are waited for
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -37,16 +37,16 @@
     Idempotency,
 )
 from service_proxy.policy.events import Settings as ProxySettings
-from service_proxy.recovery.advice import Bookings
-from service_proxy.recovery.census import Finding, Peer, Said, pack, unpack, what_happened
-from service_proxy.recovery.facts import Boot, Keyed, Maintenance, Member, Server, Source
-from service_proxy.recovery.folder import Folder, mark
-from service_proxy.recovery.keeper import Keeper
-from service_proxy.recovery.overlay import Overlay
+from service_proxy.recovery.async_store_writer import Keeper
+from service_proxy.recovery.endpoint_override import Overlay
+from service_proxy.recovery.peer_survey import Finding, Peer, Said, pack, unpack, what_happened
+from service_proxy.recovery.persisted_records import Boot, Keyed, Maintenance, Member, Server, Source
 from service_proxy.recovery.phases import ADMITS, ALONE, LEAST_CALM, Admits, Phase, Seen, step
+from service_proxy.recovery.retry_after import Bookings
+from service_proxy.recovery.staggered_start import FIRST
 from service_proxy.recovery.store import Owner
-from service_proxy.recovery.trust import Loss, Repeat, Situation, Trust, judge, repeat
-from service_proxy.recovery.turns import FIRST
+from service_proxy.recovery.store_directory import Folder, mark
+from service_proxy.recovery.validity_rules import Loss, Repeat, Situation, Trust, judge, repeat
 
 log = logging.getLogger("service_proxy.recovery")
 
--- a/service_proxy/recovery/store.py
+++ b/service_proxy/recovery/store.py
@@ -24,8 +24,8 @@
 from itertools import chain
 from typing import Any, Protocol
 
-from service_proxy.recovery.facts import Malformed, State
-from service_proxy.recovery.records import FORMAT, Record, Scan, TooLong, encode, scan
+from service_proxy.recovery.persisted_records import Malformed, State
+from service_proxy.recovery.record_format import FORMAT, Record, Scan, TooLong, encode, scan
 
 MOST_FILE = 64 << 20  # bytes of a file that is read; a larger one is not this program's
 LEAST_LOG = 256 << 10  # bytes of a log before it is taken up in a snapshot ...
--- a/service_proxy/recovery/trust.py
+++ b/service_proxy/recovery/validity_rules.py
@@ -11,7 +11,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from service_proxy.recovery.facts import Boot, Fact, Keyed, Learned, Maintenance, Member, Server, Source
+from service_proxy.recovery.persisted_records import (
+    Boot,
+    Fact,
+    Keyed,
+    Learned,
+    Maintenance,
+    Member,
+    Server,
+    Source,
+)
 
 AHEAD = 60.0  # s by which a fact may lie ahead of the clock: clocks of one machine, set a little back
 LIST_FOR = 600.0  # s for which a list is what the sources would still say
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from service_proxy.recovery.census import Finding, Peer, Said, lost_zones, pack, unpack, what_happened
+from service_proxy.recovery.peer_survey import Finding, Peer, Said, lost_zones, pack, unpack, what_happened
 from service_proxy.recovery.phases import (
     ADMITS,
     PATIENCE,
@@ -19,8 +19,8 @@
     holds,
     step,
 )
-from service_proxy.recovery.trust import Loss
-from service_proxy.recovery.turns import FIRST, place, wait
+from service_proxy.recovery.staggered_start import FIRST, place, wait
+from service_proxy.recovery.validity_rules import Loss
 
 COLD = 24.0  # s
 
--- a/tests/recovery/test_power.py
+++ b/tests/recovery/test_power_loss.py
@@ -9,9 +9,9 @@
 
 from harness.fleet.world import Seat, Setup, World, world
 from harness.kit import until
-from service_proxy.recovery.facts import Maintenance, put
-from service_proxy.recovery.folder import Folder
+from service_proxy.recovery.persisted_records import Maintenance, put
 from service_proxy.recovery.store import Owner, Store, read_store
+from service_proxy.recovery.store_directory import Folder
 
 COLD = 2.0  # s
 PHASE = re.compile(r"recovery: (\w+) -> (\w+) after")
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -13,16 +13,16 @@
 import pytest
 
 from harness.program import ROOT
-from harness.recovery.broken import FAULTY, PLANTED
-from harness.recovery.disk import Tape
-from harness.recovery.points import OWNER, recorded, same, wrong
+from harness.recovery.crash_disk import Tape
+from harness.recovery.crash_points import OWNER, recorded, same, wrong
+from harness.recovery.planted_bugs import FAULTY, PLANTED
 from service_proxy.clock import Clock
-from service_proxy.recovery import records, store
-from service_proxy.recovery.facts import Keyed, Maintenance, Server, State, put
-from service_proxy.recovery.folder import Folder
-from service_proxy.recovery.keeper import Keeper
-from service_proxy.recovery.records import FORMAT, encode, scan
+from service_proxy.recovery import record_format, store
+from service_proxy.recovery.async_store_writer import Keeper
+from service_proxy.recovery.persisted_records import Keyed, Maintenance, Server, State, put
+from service_proxy.recovery.record_format import FORMAT, encode, scan
 from service_proxy.recovery.store import Found, Health, Owner, Refused, Store, read_store
+from service_proxy.recovery.store_directory import Folder
 
 
 def test_a_cut_at_any_point_leaves_the_state_before_or_the_one_after() -> None:
@@ -98,8 +98,8 @@
     together = [encode(7, number, 1, {"put": "source", "key": str(number)}) for number in (1, 2)]
     holed = scan(lines[0] + b"1" + together[0][1:] + together[1], 7)
     assert (len(holed.records), holed.behind) == (1, [])  # they were being written
-    with pytest.raises(records.TooLong):
-        encode(1, 0, 0, {"put": "x" * records.MOST_LINE})
+    with pytest.raises(record_format.TooLong):
+        encode(1, 0, 0, {"put": "x" * record_format.MOST_LINE})
 
 
 def test_another_proxys_store_is_refused_and_stays_as_it_was() -> None:
@@ -157,7 +157,7 @@
 def test_a_second_process_reads_waits_for_the_lock_and_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("service_proxy.recovery.keeper.RETRY", 0.05)
+    monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY", 0.05)
     first = keeper(tmp_path)
     first.start()
     first.put("n1", Maintenance(1.0, "fan"))
@@ -175,7 +175,7 @@
 
 
 def test_a_slow_or_full_disk_is_waited_for_by_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("service_proxy.recovery.keeper.RETRY", 0.05)
+    monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY", 0.05)
     gate = threading.Event()
     synced = threading.Event()
     full = [False]
@@ -239,7 +239,7 @@
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "harness.recovery.writer",
+            "harness.recovery.store_writer",
             str(tmp_path / f"p{number}"),
             f"p{number}",
             cwd=ROOT,
--- a/tests/recovery/test_trust.py
+++ b/tests/recovery/test_validity_rules.py
@@ -8,7 +8,7 @@
 import pytest
 
 from service_proxy.recovery.__main__ import main
-from service_proxy.recovery.facts import (
+from service_proxy.recovery.persisted_records import (
     KINDS,
     Boot,
     Fact,
@@ -20,9 +20,9 @@
     Source,
     put,
 )
-from service_proxy.recovery.folder import Folder
 from service_proxy.recovery.store import Found, Owner, Store
-from service_proxy.recovery.trust import TABLE, Loss, Repeat, Situation, Trust, cold, judge, repeat
+from service_proxy.recovery.store_directory import Folder
+from service_proxy.recovery.validity_rules import TABLE, Loss, Repeat, Situation, Trust, cold, judge, repeat
 
 NOW = 1_800_000_000.0
 A = frozenset("a")
