--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,6 +7,9 @@
 
 import pytest
 from hypothesis import settings
+from known_red import pytest_collection_modifyitems, pytest_terminal_summary
+
+__all__ = ["pytest_collection_modifyitems", "pytest_terminal_summary"]
 
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.load_profile("same")
--- /dev/null
+++ b/tests/test_known_red.py
@@ -0,0 +1,87 @@
+"""The list of tests that are known to fail is short, exact and printed."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from known_red import KnownRed, KnownRedError, parse_known_red, read_known_red
+
+HERE = Path(__file__).parent
+TESTS = """
+def test_red():
+    assert False
+
+def test_green():
+    assert True
+"""
+
+
+def checkout(root: Path, listed: str | None) -> Path:
+    """A folder with one test that fails and one that passes, and the list."""
+    (root / "conftest.py").write_text(
+        f"import sys\nsys.path.insert(0, {str(HERE)!r})\n"
+        "from known_red import pytest_collection_modifyitems, pytest_terminal_summary\n"
+    )
+    (root / "test_it.py").write_text(TESTS)
+    (root / "pytest.ini").write_text("[pytest]\n")
+    if listed is not None:
+        (root / "KNOWN-RED.txt").write_text(listed)
+    return root
+
+
+def run(root: Path) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "no:xdist", "."]
+    return subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=60, check=False)
+
+
+def test_a_listed_test_may_fail_and_is_printed(tmp_path: Path) -> None:
+    result = run(checkout(tmp_path, "test_it.py::test_red | the wind | issue 9\n"))
+    assert result.returncode == 0, result.stdout
+    assert "1 passed, 1 xfailed" in result.stdout
+    assert "test_it.py::test_red: the wind (issue 9)" in result.stdout
+
+
+def test_a_listed_test_that_passes_fails_the_run(tmp_path: Path) -> None:
+    listed = "test_it.py::test_red | the wind | issue 9\ntest_it.py::test_green | the rain | issue 9\n"
+    result = run(checkout(tmp_path, listed))
+    assert result.returncode == 1
+    assert "1 failed, 1 xfailed" in result.stdout
+
+
+def test_without_a_list_a_failing_test_fails_the_run(tmp_path: Path) -> None:
+    assert run(checkout(tmp_path, None)).returncode == 1
+
+
+def test_a_test_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
+    assert run(checkout(tmp_path, "test_it.py::test_green | the rain | issue 9\n")).returncode == 1
+
+
+def test_a_list_of_four_fails_the_run(tmp_path: Path) -> None:
+    result = run(checkout(tmp_path, "test_it.py::test_red | the wind | issue 9\n" * 4))
+    assert result.returncode == 4
+    assert "4 tests are listed" in result.stderr
+
+
+@pytest.mark.parametrize("line", ["test_it.py::test_red", "a | b", "a | b | c | d", "a |  | c"])
+def test_a_line_of_another_form_is_refused(line: str) -> None:
+    with pytest.raises(KnownRedError, match="KNOWN-RED.txt:2: write TEST | CAUSE | ISSUE"):
+        parse_known_red("\n" + line)
+
+
+@pytest.mark.parametrize("test", ["test_it.py::test_blue", "test_that.py::test_red", "test_it.py"])
+def test_a_line_that_names_no_test_is_refused(tmp_path: Path, test: str) -> None:
+    with pytest.raises(KnownRedError, match="there is no test"):
+        read_known_red(checkout(tmp_path, f"{test} | cause | issue"))
+
+
+def test_an_empty_list_is_refused(tmp_path: Path) -> None:
+    with pytest.raises(KnownRedError, match="is empty"):
+        read_known_red(checkout(tmp_path, "\n"))
+
+
+def test_a_parameter_is_part_of_the_name(tmp_path: Path) -> None:
+    entries = read_known_red(checkout(tmp_path, "test_it.py::test_red[1-a] | cause | issue"))
+    assert entries == [KnownRed("test_it.py::test_red[1-a]", "cause", "issue")]
