--- a/harness/recovery/store_writer.py
+++ b/harness/recovery/store_writer.py
@@ -26,8 +26,8 @@
     kept.start()
     before = kept.state.tables["source"].get("count")
     number = before.version if isinstance(before, Source) else 0
-    ends = clock.now() + LIFE
-    while clock.now() < ends:
+    ends = clock.monotonic() + LIFE
+    while clock.monotonic() < ends:
         for _ in range(20):
             number += 1
             kept.put(f"n{number % 300}", Server("10.0.0.1:80", at=float(number)))
--- a/harness/skew.py
+++ b/harness/skew.py
@@ -33,9 +33,9 @@
     with open(file, "rb") as source:
         said = mmap.mmap(source.fileno(), STEER.size, prot=mmap.PROT_READ)
     real_wall = time.time
-    real_now = Clock.now
+    real_now = Clock.monotonic
     time.time = lambda: real_wall() + STEER.unpack_from(said)[0]
-    Clock.now = lambda self: real_now(self) + STEER.unpack_from(said)[1]  # type: ignore[method-assign]
+    Clock.monotonic = lambda self: real_now(self) + STEER.unpack_from(said)[1]  # type: ignore[method-assign]
 
 
 def skew(wall: float, step: float, at: float, monotonic: float) -> None:
--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -13,7 +13,13 @@
 
 import uvloop
 
-from service_proxy.composition import Proxy, Sparse, budgets_of, fleet_keys, settle
+from service_proxy.composition import (
+    LogRateLimit,
+    Proxy,
+    create_deadline_propagation,
+    freeze_long_lived_objects,
+    read_fleet_keys,
+)
 from service_proxy.net.config import Config, ConfigError, load, reread_discovery
 from service_proxy.net.limits import ONE_TURN
 
@@ -22,12 +28,14 @@
 
 log = logging.getLogger("service_proxy")
 
-LAST_ACCEPT = 0.6  # s after SIGTERM at which the listener closes; the front has taken notice by then
-LONGEST_WAIT = 3.0  # s of the longest deadline that the platform waits for after SIGTERM
-KILL_SPARE = 0.7  # s that it waits beyond that
-SPARE = 0.4  # s before its SIGKILL by which all is answered
-LAST_UNUSED = 1.5  # s after SIGTERM for which callers may use kept connections where another process follows
-WIND_DOWN = 1.0  # s before that in which each answer is the last on its connection
+LISTENER_GRACE_S = 0.6  # s after SIGTERM at which the listener closes; the front has taken notice by then
+MAX_DEADLINE_WAIT_S = 3.0  # s of the longest deadline that the platform waits for after SIGTERM
+KILL_GRACE_S = 0.7  # s that it waits beyond that
+KILL_MARGIN_S = 0.4  # s before its SIGKILL by which all is answered
+HANDOVER_IDLE_S = (
+    1.5  # s after SIGTERM for which callers may use kept connections where another process follows
+)
+CLOSE_CONNECTIONS_S = 1.0  # s before that in which each answer is the last on its connection
 
 
 async def drain(proxy: Proxy) -> None:
@@ -35,37 +43,37 @@
     be answered before the SIGKILL: their other proxies may be few, or restarting too. Then each answer closes
     its own, the rest close, and the process ends when nothing is owed any more."""
     longest = max(cls.deadline for cls in proxy.driver.settings.classes)
-    answered_by = min(longest, LONGEST_WAIT) + KILL_SPARE - SPARE
+    answered_by = min(longest, MAX_DEADLINE_WAIT_S) + KILL_GRACE_S - KILL_MARGIN_S
     begun = time.monotonic()
-    proxy.end_by(begun + answered_by)
-    if proxy.operations is not None and proxy.operations.followed:
-        await proxy.operations.hand_over()
-        idle_from = LAST_UNUSED
+    proxy.end_all_by(begun + answered_by)
+    if proxy.admin is not None and proxy.admin.has_successor:
+        await proxy.admin.hand_over()
+        idle_from = HANDOVER_IDLE_S
     else:
-        idle_from = answered_by - WIND_DOWN
-        await asyncio.sleep(LAST_ACCEPT)
+        idle_from = answered_by - CLOSE_CONNECTIONS_S
+        await asyncio.sleep(LISTENER_GRACE_S)
         while proxy.server.waited_for and time.monotonic() < begun + idle_from:
             await asyncio.sleep(ONE_TURN)  # after a stall of this process, above all
         proxy.server.stop_listening()
     await asyncio.sleep(max(0.0, begun + idle_from - time.monotonic()))
-    await proxy.finish()
+    await proxy.wait_until_drained()
 
 
 def reload(proxy: Proxy, operator_file: str | None) -> None:
     """On SIGHUP: the discovery address, with a console the settings too, and of the operator's file what its
     subsystems say may change. A file that can't be used changes nothing."""
     try:
-        if proxy.operations is None:
-            proxy.move(reread_discovery(os.environ))
+        if proxy.admin is None:
+            proxy.move_discovery(reread_discovery(os.environ))
         else:
-            at = proxy.operations.reread(os.environ)
+            at = proxy.admin.reload(os.environ)
             if at != proxy.driver.discovery.at:
-                proxy.move(at)
+                proxy.move_discovery(at)
     except ConfigError as fault:
         log.error("reload: %s; all stays as it was", fault)
         return
     if operator_file is not None:
-        proxy.reread(operator_file)
+        proxy.reload_subsystems(operator_file)
 
 
 async def serve(config: Config, operator: Operator | None) -> None:
@@ -77,20 +85,22 @@
         proxy = Proxy(config, None)
         file = None
     else:
-        budgets = budgets_of(operator.budgets, "edge") if operator.budgets is not None else None
+        budgets = (
+            create_deadline_propagation(operator.budgets, "edge") if operator.budgets is not None else None
+        )
         proxy = Proxy(
             config,
             operator.membership,
             budgets,
             websocket=operator.websocket,
             fleet=operator.fleet,
-            fleet_keys=fleet_keys(operator),
+            fleet_keys=read_fleet_keys(operator),
             recovery=operator.recovery,
         )
         file = operator.file
     loop.add_signal_handler(signal.SIGHUP, reload, proxy, file)  # before it is ready, for good
     await proxy.start()
-    settle()
+    freeze_long_lived_objects()
     await term.wait()
     await drain(proxy)
     proxy.stop()
@@ -102,7 +112,7 @@
 override what the file says. SIGHUP rereads the files, SIGTERM drains and ends."""
 
 
-def arguments(argv: list[str] | None) -> argparse.Namespace:
+def parse_arguments(argv: list[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy", description=HELP, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -114,9 +124,9 @@
 
 def main(argv: list[str] | None = None) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes while it starts finds the new file read
-    wanted = arguments(argv)
+    wanted = parse_arguments(argv)
     logging.basicConfig(stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
-    logging.getLogger().handlers[0].addFilter(Sparse())
+    logging.getLogger().handlers[0].addFilter(LogRateLimit())
     operator = None
     if wanted.operator is not None:
         from service_proxy.operator_file import OperatorError
--- a/service_proxy/admin/steering.py
+++ b/service_proxy/admin/reuse_port.py
@@ -18,18 +18,18 @@
 SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h
 SO_DETACH_REUSEPORT_BPF = 68
 RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, linux/bpf_common.h
-SECOND = 1  # place of the socket that began to listen after the first of two
+SECOND_LISTENER_INDEX = 1  # place of the socket that began to listen after the first of two
 
 
-def to_the_second(fileno: int) -> bool:
+def prefer_second_listener(fileno: int) -> bool:
     """From now on new connections of its group go to the socket that began to listen second; where there is
     none the kernel deals by hash, as without a program. False where this kernel has no such thing."""
-    program = ctypes.create_string_buffer(struct.pack("HBBI", RETURN_CONSTANT, 0, 0, SECOND))
+    program = ctypes.create_string_buffer(struct.pack("HBBI", RETURN_CONSTANT, 0, 0, SECOND_LISTENER_INDEX))
     described = struct.pack("HP", 1, ctypes.addressof(program))  # struct sock_fprog, linux/filter.h
     return _set(fileno, SO_ATTACH_REUSEPORT_CBPF, described)
 
 
-def by_hash(fileno: int) -> bool:
+def balance_by_hash(fileno: int) -> bool:
     """As without a program. False where there was none."""
     return _set(fileno, SO_DETACH_REUSEPORT_BPF, struct.pack("i", 0))
 
--- a/service_proxy/admin/retune.py
+++ b/service_proxy/admin/settings_update.py
@@ -13,27 +13,27 @@
 
 from service_proxy.policy.events import Settings
 
-SETTLING = 0.8  # s for which callers' requests may still be of the file before
-NOT_READ_AGAIN = frozenset(("known", "seed"))  # keys that only a start takes
-ABOVE_0 = ("deadline", "objective", "attempts")  # of a class, where it has them
+TRANSITION_S = 0.8  # s for which callers' requests may still be of the file before
+STARTUP_ONLY_KEYS = frozenset(("known", "seed"))  # keys that only a start takes
+POSITIVE_CLASS_KEYS = ("deadline", "objective", "attempts")  # of a class, where it has them
 
 
-class Unusable(ValueError):
+class InvalidSettingsUpdateError(ValueError):
     """The new file changes nothing; the message says why, with the key's path."""
 
 
-def read_file(text: str, running: Mapping[str, Any]) -> dict[str, Any]:
+def parse_update(text: str, running: Mapping[str, Any]) -> dict[str, Any]:
     """The new file's object. Raises Unusable."""
     try:
         new = json.loads(text)
     except (ValueError, RecursionError) as fault:
-        raise Unusable(f"no JSON: {fault}") from None
+        raise InvalidSettingsUpdateError(f"no JSON: {fault}") from None
     if not isinstance(new, dict):
-        raise Unusable("no JSON object")
+        raise InvalidSettingsUpdateError("no JSON object")
     _same_keys(new, running, "")
     settings = new["settings"]
     for n, grade in enumerate(settings["grades"]):
-        for key in ABOVE_0:
+        for key in POSITIVE_CLASS_KEYS:
             if key in grade:
                 _above_0(grade[key], f"settings.grades.{n}.{key}", whole=key == "attempts")
     limits = settings.get("policy_limits", {})
@@ -44,19 +44,19 @@
 
 def _same_keys(new: Mapping[str, Any], running: Mapping[str, Any], path: str) -> None:
     for key, before in running.items():
-        if not path and key in NOT_READ_AGAIN:
+        if not path and key in STARTUP_ONLY_KEYS:
             continue
         at = f"{path}.{key}" if path else key
         if key not in new:
-            raise Unusable(f"{at} is missing")
+            raise InvalidSettingsUpdateError(f"{at} is missing")
         now = new[key]
         if isinstance(before, Mapping):
             if not isinstance(now, Mapping):
-                raise Unusable(f"{at} is no object")
+                raise InvalidSettingsUpdateError(f"{at} is no object")
             _same_keys(now, before, at)
         elif isinstance(before, list):
             if not isinstance(now, list):
-                raise Unusable(f"{at} is no list")
+                raise InvalidSettingsUpdateError(f"{at} is no list")
             if before and all(isinstance(item, Mapping) for item in before):
                 _same_items(now, before, at)
 
@@ -66,22 +66,22 @@
     for n, item in enumerate(new):
         at = f"{path}.{n}"
         if not isinstance(item, Mapping):
-            raise Unusable(f"{at} is no object")
+            raise InvalidSettingsUpdateError(f"{at} is no object")
         alike = [before for before in running if before.get("effect") == item.get("effect")] or running
         needed = set.intersection(*(set(before) for before in alike))
         missing = sorted(needed - set(item))
         if missing:
-            raise Unusable(f"{at}.{missing[0]} is missing")
+            raise InvalidSettingsUpdateError(f"{at}.{missing[0]} is missing")
 
 
 def _above_0(value: Any, path: str, whole: bool) -> None:
     number = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
     if not number or value <= 0 or (whole and value != int(value)):
         kind = "a whole number" if whole else "a number"
-        raise Unusable(f"{path} is {value!r}, not {kind} above 0")
+        raise InvalidSettingsUpdateError(f"{path} is {value!r}, not {kind} above 0")
 
 
-def meanwhile(running: Settings, new: Settings) -> Settings:
+def transitional_settings(running: Settings, new: Settings) -> Settings:
     """What is in force until the new settings are: the running ones, and the classes that appear."""
     have = {cls.name for cls in running.classes}
     appear = [cls for cls in new.classes if cls.name not in have]
--- a/service_proxy/clock.py
+++ b/service_proxy/clock.py
@@ -9,10 +9,10 @@
 
 
 class Clock:
-    def now(self) -> float:
+    def monotonic(self) -> float:
         """s on a clock that only goes forward; means nothing outside this process's machine."""
         return time.monotonic()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """s since 1970 by the machine's word; may be wrong and go back."""
         return time.time()
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -22,7 +22,7 @@
 from service_proxy.net.server import Server
 
 if TYPE_CHECKING:
-    from service_proxy.admin.office import Operations
+    from service_proxy.admin.service import AdminService
     from service_proxy.deadlines.calls import Budgets
     from service_proxy.ephemeral_nodes.register import Registrar
     from service_proxy.fleet.transport import Fleet
@@ -38,13 +38,15 @@
 
 log = logging.getLogger("service_proxy")
 
-DRAIN_STEP = 0.01  # s between looks whether all is answered
-LAST_BYTES = 0.3  # s for the last answers to be taken; with __main__.SPARE it stays ahead of the SIGKILL
-LOG_LINES = 20  # of one kind
-LOG_SPAN = 10.0  # s for which no more are written
+DRAIN_POLL_INTERVAL_S = 0.01  # s between looks whether all is answered
+LAST_BYTES_GRACE_S = (
+    0.3  # s for the last answers to be taken; with __main__.KILL_MARGIN_S it stays ahead of the SIGKILL
+)
+MAX_LOG_RECORDS = 20  # of one kind
+LOG_WINDOW_S = 10.0  # s for which no more are written
 
 
-class Sparse(logging.Filter):
+class LogRateLimit(logging.Filter):
     """A flood of bad input must not become a flood of lines."""
 
     def __init__(self) -> None:
@@ -55,10 +57,10 @@
     def filter(self, record: logging.LogRecord) -> bool:
         now = time.monotonic()
         if now >= self.until:
-            self.until = now + LOG_SPAN
+            self.until = now + LOG_WINDOW_S
             self.lines.clear()
         self.lines[record.msg] += 1  # the template, not the text
-        return self.lines[record.msg] <= LOG_LINES
+        return self.lines[record.msg] <= MAX_LOG_RECORDS
 
 
 class Proxy:
@@ -83,17 +85,19 @@
             from service_proxy.websocket.front import Front, sized
 
             config = sized(config, websocket)
-        self.operations = operations_of(config)
-        self.recovery = recovery_of(recovery, config) if recovery is not None else None
+        self.admin = create_admin_service(config)
+        self.recovery = create_recovery(recovery, config) if recovery is not None else None
         overlays = []
         if self.recovery is not None:
             overlays.append(self.recovery.overlay)
-        if self.operations is not None:
-            overlays.append(self.operations.maintenance.overlay)
+        if self.admin is not None:
+            overlays.append(self.admin.maintenance.apply)
             if self.recovery is not None:
-                self.operations.maintenance.restore(self.recovery.kept_out)
+                self.admin.maintenance.restore(self.recovery.kept_out)
                 self.recovery.lists.out = frozenset()  # staff put it back by the console
-        self.driver = Driver(config, outer_filters(budgets, called, config, self.recovery), chained(overlays))
+        self.driver = Driver(
+            config, outer_filters(budgets, called, config, self.recovery), chain_overlays(overlays)
+        )
         self.subsystems: list[Subsystem] = []
         if membership is not None:
             from service_proxy.ephemeral_nodes.source import Membership as Source
@@ -110,28 +114,28 @@
             config.memory_mb,
             self.driver.pages(),
             takes=self.driver.takes,
-            tally=self.operations.figures if self.operations is not None else None,
-            reserved=self.operations.descriptors if self.operations is not None else 0,
+            tally=self.admin.metrics if self.admin is not None else None,
+            reserved=self.admin.file_descriptors if self.admin is not None else 0,
             most_body=MOST_LENGTH,
         )
-        self.fleet = fleet_of(fleet, config, self.driver, fleet_keys) if fleet is not None else None
+        self.fleet = create_fleet(fleet, config, self.driver, fleet_keys) if fleet is not None else None
         if self.fleet is not None:
             self.subsystems.append(self.fleet)
         if self.recovery is not None:
             self._attach(self.recovery)
-        self.front: Front | None = None
+        self.websocket: Front | None = None
         if websocket is not None:
-            self.front = Front(websocket, whole, self.driver, self.server)
-            self.subsystems.append(self.front)
+            self.websocket = Front(websocket, whole, self.driver, self.server)
+            self.subsystems.append(self.websocket)
 
     def _attach(self, recovery: Recovery) -> None:
-        operations = self.operations
+        operations = self.admin
         driver = self.driver
-        after = operations.maintenance.overlay if operations is not None else lambda listing: listing
+        after = operations.maintenance.apply if operations is not None else lambda listing: listing
         fleet = self.fleet  # view, channel and word
         recovery.attach(driver, lambda listing: driver.in_force(after(listing)), fleet, fleet, fleet)
         if operations is not None:
-            recovery.maintained = lambda: operations.maintenance.out
+            recovery.maintained = lambda: operations.maintenance.in_maintenance
         driver.witness = recovery.witness
         driver.advise = recovery.advise
         self.subsystems.append(recovery)
@@ -141,15 +145,15 @@
         self.driver.start()
         for subsystem in self.subsystems:
             subsystem.start()
-        if self.operations is not None:
-            await self.operations.start(self.driver, self.server)
-        await self.server.listen(*self.config.listen, beside=self.operations is not None)
+        if self.admin is not None:
+            await self.admin.start(self.driver, self.server)
+        await self.server.listen(*self.config.listen, beside=self.admin is not None)
 
-    def move(self, discovery: Address) -> None:
+    def move_discovery(self, discovery: Address) -> None:
         log.info("reload: discovery is at %s:%d", *discovery)
         self.driver.discovery.move(discovery)
 
-    def reread(self, operator_file: str) -> None:
+    def reload_subsystems(self, operator_file: str) -> None:
         """What may change of the operator's file. A part whose table can't be used stays as it was."""
         for subsystem in self.subsystems:
             try:
@@ -157,41 +161,41 @@
             except ValueError as fault:  # an OperatorError, too
                 log.error("reload: %s; this part stays as it was", " | ".join(str(fault).splitlines()))
 
-    def end_by(self, end_by: float) -> None:
+    def end_all_by(self, end_by: float) -> None:
         """All that is open is to be over by then; sessions begin to end now."""
         self.driver.end_all_by(end_by)
-        if self.front is not None:
-            self.front.drain(end_by)
+        if self.websocket is not None:
+            self.websocket.drain(end_by)
         if self.fleet is not None:
             self.fleet.drain()
 
-    async def finish(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Each answer from now on is the last on its connection; returns when nothing is owed any more."""
-        front = self.front
-        await wind_down(
+        front = self.websocket
+        await drain_server(
             self.server,
             lambda: bool(self.driver.calls) or self.server.inflight > 0 or (front is not None and front.owes),
             self.driver.end_by,
         )
 
     def stop(self) -> None:
-        if self.operations is not None:
-            self.operations.stop()
+        if self.admin is not None:
+            self.admin.stop()
         for subsystem in self.subsystems:
             subsystem.stop()
         self.driver.stop()
 
 
-def operations_of(config: Config) -> Operations | None:
+def create_admin_service(config: Config) -> AdminService | None:
     """Where the platform names a second address."""
     if config.console is None:
         return None
-    from service_proxy.admin.office import Operations
+    from service_proxy.admin.service import AdminService
 
-    return Operations(config)
+    return AdminService(config)
 
 
-def budgets_of(settings: BudgetSettings, mark: str) -> Budgets:
+def create_deadline_propagation(settings: BudgetSettings, mark: str) -> Budgets:
     """One for all listeners of a process. Raises OperatorError where the key file can't be used."""
     from service_proxy.deadlines.calls import Budgets
 
@@ -199,7 +203,9 @@
     return Budgets(settings, mark)
 
 
-def fleet_of(settings: FleetSettings, config: Config, driver: Driver, keys: Sequence[bytes]) -> Fleet | None:
+def create_fleet(
+    settings: FleetSettings, config: Config, driver: Driver, keys: Sequence[bytes]
+) -> Fleet | None:
     """None where the platform's settings allow no talk between proxies: there nothing of it is imported."""
     if not (config.settings.can_message_peers or settings.own_network):
         log.error(
@@ -215,7 +221,7 @@
     return Fleet(settings, config, driver, Clock(), keys)
 
 
-def recovery_of(settings: RecoverySettings, config: Config) -> Recovery:
+def create_recovery(settings: RecoverySettings, config: Config) -> Recovery:
     from service_proxy.clock import Clock
     from service_proxy.recovery.service import Recovery
 
@@ -224,7 +230,7 @@
     return Recovery(settings, config, Clock())
 
 
-def chained(overlays: Sequence[Callable[[Listing], Listing]]) -> Callable[[Listing], Listing] | None:
+def chain_overlays(overlays: Sequence[Callable[[Listing], Listing]]) -> Callable[[Listing], Listing] | None:
     """What acts on lists, in this order: what is known of a loss, then the staff's word."""
     if len(overlays) < 2:
         return overlays[0] if overlays else None
@@ -237,7 +243,7 @@
     return overlay
 
 
-def fleet_keys(operator: Operator) -> list[bytes]:
+def read_fleet_keys(operator: Operator) -> list[bytes]:
     """The fleet's datagrams are sealed where there is a key file, the budgets'. Raises OperatorError."""
     if operator.fleet is None or operator.budgets is None:
         return []
@@ -271,32 +277,34 @@
     return (InnerFilter(budgets, classes),)
 
 
-async def wind_down(server: Server, owes: Callable[[], bool], ends: float = 0.0) -> None:
-    """The end of a listener: what it owes is answered, and the last bytes are given time to leave. `ends`:
-    when all that is decided here has been answered; an answer that still comes on LAST_BYTES later is broken
-    off, and its caller can tell. 0: there is no such time."""
+async def drain_server(server: Server, owes: Callable[[], bool], ends: float = 0.0) -> None:
+    """Answer what a listener owes, and give the last bytes time to leave.
+
+    `ends`: the moment (monotonic, s) by which all that is decided here has been answered. A response that
+    still comes on LAST_BYTES_GRACE_S later is broken off, and its client can tell; 0: there is no such time.
+    """
     server.draining = True
     server.close_idle()
-    last = ends + LAST_BYTES if ends else math.inf
+    last = ends + LAST_BYTES_GRACE_S if ends else math.inf
     while owes() and time.monotonic() < last:
         server.close_idle(partial=True)
-        await asyncio.sleep(DRAIN_STEP)
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     # The last bytes may still be on their way to a slow peer, or a request to us.
-    last = min(last, max(ends, time.monotonic()) + LAST_BYTES)
+    last = min(last, max(ends, time.monotonic()) + LAST_BYTES_GRACE_S)
     while server.connections and time.monotonic() < last:
         server.close_idle(partial=True)
-        await asyncio.sleep(DRAIN_STEP)
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     server.abort_leaving()
 
 
-def registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
+def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
     """Keeps this machine's server registered; not started yet."""
     from service_proxy.ephemeral_nodes.register import registrar_of
 
     return registrar_of(membership, registration, since_ms)
 
 
-def settle() -> None:
+def freeze_long_lived_objects() -> None:
     """What is alive now stays alive: it need not be looked at again and again in pauses that calls wait
     for."""
     gc.collect()
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -139,10 +139,10 @@
     """Raises OperatorError."""
     if file is None:
         return Seals()
-    from service_proxy.composition import fleet_keys
+    from service_proxy.composition import read_fleet_keys
     from service_proxy.operator_file import load
 
-    return Seals(fleet_keys(load(file)))
+    return Seals(read_fleet_keys(load(file)))
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/service_proxy/fleet/transport.py
+++ b/service_proxy/fleet/transport.py
@@ -145,8 +145,8 @@
             self.place.seeds,
             timing_of(settings),
             config.seed,
-            clock.now(),
-            clock.wall(),
+            clock.monotonic(),
+            clock.wall_time(),
             Seals(keys),
             self.place.everyone,
         )
@@ -176,7 +176,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
-            self.core.leave(self.clock.now())
+            self.core.leave(self.clock.monotonic())
             self._after()
             self.transport.close()
 
@@ -238,7 +238,7 @@
 
     # net.peers.Channel
     def send(self, port: int, data: bytes, to: Key | None = None) -> bool:
-        sent = self.core.send(self.clock.now(), to, port, data)
+        sent = self.core.send(self.clock.monotonic(), to, port, data)
         self._after()
         return sent
 
@@ -254,7 +254,7 @@
         if port not in PORTS or len(word) > MOST_WORD:
             raise ValueError(f"a member's word has {MOST_WORD} bytes in all, and this makes {len(word)}")
         self.words = words
-        self.core.say(self.clock.now(), word=word)
+        self.core.say(self.clock.monotonic(), word=word)
         self._after()
 
     # the socket
@@ -294,7 +294,7 @@
         """A member's machine says that nobody listens there: its probes tell that as well."""
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        now = self.clock.now()
+        now = self.clock.monotonic()
         counts = self.core.counts
         if not 0 <= now - self.since < 1.0:
             self.since = now
@@ -329,7 +329,7 @@
         self.timer, self.timed = None, float("inf")
         if self.transport is None:
             return
-        self.core.tick(self.clock.now())
+        self.core.tick(self.clock.monotonic())
         self._after()
 
     def _after(self) -> None:
@@ -355,7 +355,7 @@
             if self.timer is not None:
                 self.timer.cancel()
             self.timed = due
-            self.timer = self.loop.call_later(max(0.0, due - self.clock.now()), self._tick)
+            self.timer = self.loop.call_later(max(0.0, due - self.clock.monotonic()), self._tick)
 
     def _look(self) -> None:
         """Once a period: what the proxy has to say of itself, and what the module is owed."""
@@ -363,7 +363,7 @@
             return
         phase = Phase.DRAINING if self.draining else Phase.SERVING if self.driver.ready else Phase.STARTING
         self.core.figures = Figures(min(10, int(self.driver.load * 10)), self.driver.list_version % MOST_LIST)
-        self.core.say(self.clock.now(), phase=phase)
+        self.core.say(self.clock.monotonic(), phase=phase)
         self._after()
         self._count()
         if not self.draining:
@@ -385,7 +385,7 @@
             self.driver.set_instances(count)
 
     def _log(self, line: str) -> None:
-        now = self.clock.now()
+        now = self.clock.monotonic()
         if not 0 <= now - self.lines_since < LOG_SPAN:
             if self.lines > MOST_LINES:
                 log.warning("%d lines were left out", self.lines - MOST_LINES)
--- a/service_proxy/recovery/async_store_writer.py
+++ b/service_proxy/recovery/async_store_writer.py
@@ -153,11 +153,11 @@
         return bool(self.waiting) and self.health is Health.OPEN
 
     def _flush(self, batch: dict[tuple[str, str], Record]) -> None:
-        begun = self.clock.now()
+        begun = self.clock.monotonic()
         try:
             if self._begun():
                 assert self.store is not None
-                self.store.append(batch.values(), self.clock.wall())
+                self.store.append(batch.values(), self.clock.wall_time())
                 for fault in self.store.turned_away:
                     log.error("store: not kept: %s", fault)
                 self.store.turned_away.clear()
@@ -165,7 +165,7 @@
                 with self.changed:
                     self.safe = self.said - len(self.waiting)
                     self.changed.notify_all()
-                self.slowest = max(self.slowest, self.clock.now() - begun)
+                self.slowest = max(self.slowest, self.clock.monotonic() - begun)
                 return
         except OSError as fault:
             self._go(Health.FAILING, f"{self.folder.path}: {fault.strerror}")
@@ -185,7 +185,7 @@
             self.replaced = True
         store = self.make(self.folder, self.owner)
         self.store = store
-        store.begin(replace(self.found, state=self.found.state.copy()), self.clock.wall())
+        store.begin(replace(self.found, state=self.found.state.copy()), self.clock.wall_time())
         return True
 
     @property
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -222,7 +222,7 @@
     def situation(self) -> Situation:
         found = self.found
         return Situation(
-            self.clock.wall(),
+            self.clock.wall_time(),
             self.finding.loss,
             self.finding.lost or frozenset(),
             self.last_seen,
@@ -233,14 +233,14 @@
     def start(self) -> None:
         if self.keeper is not None:
             self.keeper.start()
-            self.keeper.put("", Boot(self.starts, self.clock.wall(), "", self.boot))
+            self.keeper.put("", Boot(self.starts, self.clock.wall_time(), "", self.boot))
         self._tick()
 
     def stop(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         if self.keeper is not None:
-            now = self.clock.wall()
+            now = self.clock.wall_time()
             self.keeper.put("", Boot(self.starts, now, "", self.boot, now))
             self.keeper.stop()
 
@@ -345,7 +345,7 @@
             log.info("what happened: %s: %s", finding.loss.value, finding.why)
             self.finding = finding
             if finding.loss is Loss.FLEET and not self.lost_at:
-                self.lost_at = int(self.clock.wall())
+                self.lost_at = int(self.clock.wall_time())
         living = [peer.name for peer in peers if peer.lives]
         if self.lists.happened(self._lost(), living):
             self.push(self.lists.all_in_force())
@@ -412,7 +412,7 @@
     def _keep(self) -> None:
         keeper = self.keeper
         assert keeper is not None
-        now = self.clock.wall()
+        now = self.clock.wall_time()
         if self.view is not None and self.view.stamp != self.stamp:
             self.stamp = self.view.stamp
             for member in self.view.members():
@@ -462,7 +462,7 @@
         if self.keeper is not None and key:
             settings = next((item for item in self.proxy.classes if item.name == cls), None)
             if settings is not None:
-                now = self.clock.wall()
+                now = self.clock.wall_time()
                 group = ""
                 if settings.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                     group = self.proxy.zone if settings.idempotency_scope == "zone" else "all"
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -21,7 +21,15 @@
 
 import uvloop
 
-from service_proxy.composition import Proxy, Sparse, budgets_of, inner_filters, registrar, settle, wind_down
+from service_proxy.composition import (
+    LogRateLimit,
+    Proxy,
+    create_deadline_propagation,
+    create_registrar,
+    drain_server,
+    freeze_long_lived_objects,
+    inner_filters,
+)
 from service_proxy.net.config import Config, ConfigError, read_config
 from service_proxy.net.listing import address
 from service_proxy.net.server import BASE_MEMORY
@@ -120,7 +128,7 @@
         tier = description.tiers[sidecar.tier]
         self.budgets = None
         if description.budgets is not None:
-            self.budgets = budgets_of(description.budgets, sidecar.tier)
+            self.budgets = create_deadline_propagation(description.budgets, sidecar.tier)
         filters = inner_filters(self.budgets, request_classes(description, sidecar.tier))
         self.inbound = Inbound(description, sidecar, sockets, memory_mb, filters)
         self.outbound = {
@@ -134,7 +142,7 @@
         }
         self.registrar = None
         if sidecar.registration is not None and tier.membership is not None:
-            self.registrar = registrar(tier.membership, sidecar.registration, int(time.time() * 1000))
+            self.registrar = create_registrar(tier.membership, sidecar.registration, int(time.time() * 1000))
         self.registering: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -186,7 +194,7 @@
         self.description = new
         self.sidecar = sidecar
         for called, proxy in self.outbound.items():
-            proxy.move(address(new.padron(called)))
+            proxy.move_discovery(address(new.padron(called)))
         self.inbound.change(sidecar)
         return []
 
@@ -197,17 +205,17 @@
         end_by = now + tier.stop_after - SPARE
         self.inbound.drain(end_by)
         for proxy in self.outbound.values():
-            proxy.end_by(end_by)
+            proxy.end_all_by(end_by)
         if self.registering is not None and self.registrar is not None:
             self.registering.cancel()
             self.registrar.say(self.registrar.node.draining())
         # Callers learn late that it drains, and may send for so long after that.
         await asyncio.sleep(min(tier.drain, max(0.0, end_by - time.monotonic())))
         self.inbound.close()
-        await wind_down(self.inbound.server, lambda: self.inbound.owed > 0)
+        await drain_server(self.inbound.server, lambda: self.inbound.owed > 0)
         for proxy in self.outbound.values():
             proxy.server.stop_listening()
-            await proxy.finish()
+            await proxy.wait_until_drained()
         if self.registrar is not None:
             await self.registrar.leave(0.0)
 
@@ -266,7 +274,7 @@
     running = Running(description, sidecar)
     loop.add_signal_handler(signal.SIGHUP, hang_up, running, wanted)
     await running.start()
-    settle()
+    freeze_long_lived_objects()
     for line in said(running):
         print(line, flush=True)
     await term.wait()
@@ -279,7 +287,7 @@
     that is taken, 2 where a file can't be read."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes while it starts finds the new file read
     logging.basicConfig(stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
-    logging.getLogger().handlers[0].addFilter(Sparse())
+    logging.getLogger().handlers[0].addFilter(LogRateLimit())
     log.setLevel(logging.INFO)
     try:
         description = read(wanted.file, wanted.environment)
--- a/tests/admin/test_console.py
+++ b/tests/admin/test_admin_server.py
@@ -31,8 +31,8 @@
 )
 
 from harness.program import free_port
-from service_proxy.admin.console import MOST_CONSOLE, Word, route
-from service_proxy.admin.figures import Figures
+from service_proxy.admin.metrics import Metrics
+from service_proxy.admin.server import MAX_CONNECTIONS, AdminResponse, route
 
 
 class Staffed(Proxy):
@@ -101,20 +101,20 @@
     def __init__(self) -> None:
         self.asked: list[str] = []
 
-    def _say(self, what: str) -> Word:
+    def _say(self, what: str) -> AdminResponse:
         self.asked.append(what)
-        return Word(200, "ok\n")
+        return AdminResponse(200, "ok\n")
 
-    def health(self) -> Word:
+    def health(self) -> AdminResponse:
         return self._say("health")
 
-    def stats(self) -> Word:
+    def stats(self) -> AdminResponse:
         return self._say("stats")
 
-    def take_out(self, name: str) -> Word:
+    def start_maintenance(self, name: str) -> AdminResponse:
         return self._say(f"out {name}")
 
-    def put_back(self, name: str) -> Word:
+    def end_maintenance(self, name: str) -> AdminResponse:
         return self._say(f"back {name}")
 
 
@@ -140,11 +140,11 @@
 
 
 def test_figures_are_lines_of_statsd() -> None:
-    figures = Figures()
-    figures.known("stock")
+    figures = Metrics()
+    figures.add_request_class("stock")
     for code in (200, 503, 429, 502, 400, 504, 200):
         figures.ended("canje", code)
-    assert figures.lines({"inflight": 3}, {"backend_calls": 9}).splitlines() == [
+    assert figures.render({"inflight": 3}, {"backend_calls": 9}).splitlines() == [
         "edge_edge.backend_calls:9|c",
         "edge_edge.calls.canje.busy:2|c",
         "edge_edge.calls.canje.failure:3|c",
@@ -201,7 +201,7 @@
         discovery = await Discovery().start()
         backend = Backend()
         async with staffed({"s-1": backend}, discovery) as node:
-            held = [await asyncio.open_connection(*node.console) for _ in range(MOST_CONSOLE + 4)]
+            held = [await asyncio.open_connection(*node.console) for _ in range(MAX_CONNECTIONS + 4)]
             for _, writer in held:
                 writer.write(b"GET /sta")
             begun = asyncio.get_running_loop().time()
--- a/tests/admin/test_upgrades.py
+++ b/tests/admin/test_hot_restart.py
@@ -13,56 +13,61 @@
 from pathlib import Path
 
 from netkit import PATIENCE, Backend, Caller, Discovery, config, endpoint, listing, run, start_program
-from test_console import Staffed
+from test_admin_server import Staffed
 
 from harness.program import free_port
-from service_proxy.admin import steering
-from service_proxy.admin.generations import Generations
+from service_proxy.admin import reuse_port
+from service_proxy.admin.process_generations import ProcessGenerations
 
 DEALT = 40  # connections in each half of the steering test
 
 
 def test_each_process_knows_who_came_before_and_after(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
-    first = Generations(stem)
-    assert not first.successor() and not first.predecessor()
-    second = Generations(stem)
+    first = ProcessGenerations(stem)
+    assert not first.has_successor() and not first.has_predecessor()
+    second = ProcessGenerations(stem)
     assert (first.number, second.number) == (1, 2)
-    assert first.successor() and second.predecessor() and not second.successor()
-    first.leave()
-    assert not second.predecessor()
-    third = Generations(stem)
-    assert third.number == 3 and second.successor()
-    second.leave()
-    third.leave()
+    assert first.has_successor() and second.has_predecessor() and not second.has_successor()
+    first.release()
+    assert not second.has_predecessor()
+    third = ProcessGenerations(stem)
+    assert third.number == 3 and second.has_successor()
+    second.release()
+    third.release()
     assert list(tmp_path.iterdir()) == []
 
 
 def test_a_process_that_died_counts_no_more_though_its_file_is_left(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
-    code = f"from service_proxy.admin.generations import Generations as G; from pathlib import Path; \
-import os; G(Path({str(stem)!r})); os._exit(9)"
+    code = (
+        "import os\n"
+        "from pathlib import Path\n"
+        "from service_proxy.admin.process_generations import ProcessGenerations\n"
+        f"ProcessGenerations(Path({str(stem)!r}))\n"
+        "os._exit(9)\n"
+    )
     assert subprocess.run([sys.executable, "-c", code], timeout=PATIENCE).returncode == 9
     left = stem.with_name("x.process.1")
     assert left.exists()
-    here = Generations(stem)
-    assert here.number == 2 and not here.predecessor() and not left.exists()
-    other = Generations(stem)
-    os.close(other.held)  # as its end would
-    assert stem.with_name("x.process.3").exists() and not here.successor()
-    here.leave()
+    here = ProcessGenerations(stem)
+    assert here.number == 2 and not here.has_predecessor() and not left.exists()
+    other = ProcessGenerations(stem)
+    os.close(other.lock_fd)  # as its end would
+    assert stem.with_name("x.process.3").exists() and not here.has_successor()
+    here.release()
 
 
 def test_a_file_of_another_name_is_no_process(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     for name in ("x.process.one", "x.process", "y.process.7"):
         (tmp_path / name).write_text("")
-    made = Generations(stem)
+    made = ProcessGenerations(stem)
     assert made.number == 1
     with open(tmp_path / "x.process", "rb") as file:
         fcntl.flock(file, fcntl.LOCK_EX)
-        assert not made.successor() and not made.predecessor()
-    made.leave()
+        assert not made.has_successor() and not made.has_predecessor()
+    made.release()
 
 
 def listener(port: int = 0) -> socket.socket:
@@ -96,7 +101,7 @@
         two = listener(port)
         connect()
         assert dealt(one) and dealt(two)
-        assert steering.to_the_second(one.fileno())
+        assert reuse_port.prefer_second_listener(one.fileno())
         connect()
         assert (dealt(one), dealt(two)) == (0, DEALT)
         two.close()  # it crashed: nobody is second
@@ -105,10 +110,10 @@
         with listener(port) as three:
             connect()
             assert (dealt(one), dealt(three)) == (0, DEALT)
-            assert steering.by_hash(three.fileno())
+            assert reuse_port.balance_by_hash(three.fileno())
             connect()
             assert dealt(one) and dealt(three)
-            assert not steering.by_hash(three.fileno())  # there is none any more
+            assert not reuse_port.balance_by_hash(three.fileno())  # there is none any more
 
 
 def test_under_load_an_upgrade_loses_no_request_and_takes_over_what_is_out() -> None:
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_settings_update.py
@@ -10,7 +10,11 @@
 import pytest
 
 from harness.program import settings
-from service_proxy.admin.retune import Unusable, meanwhile, read_file
+from service_proxy.admin.settings_update import (
+    InvalidSettingsUpdateError,
+    parse_update,
+    transitional_settings,
+)
 from service_proxy.net.config import flatten
 from service_proxy.policy.events import Idempotency
 from service_proxy.settings import read_settings
@@ -41,15 +45,15 @@
 
 
 def test_the_same_file_and_one_without_what_only_a_start_takes_are_good() -> None:
-    assert read_file(json.dumps(RUNNING), RUNNING) == RUNNING
+    assert parse_update(json.dumps(RUNNING), RUNNING) == RUNNING
     for key in ("known", "seed"):
-        assert key not in read_file(changed(key, None), RUNNING)
+        assert key not in parse_update(changed(key, None), RUNNING)
 
 
 @pytest.mark.parametrize("text", ["", " ", "[]", "null", "[" * 100_000, json.dumps(RUNNING)[:-1], "{}"])
 def test_an_empty_or_cut_file_is_turned_down(text: str) -> None:
-    with pytest.raises(Unusable):
-        read_file(text, RUNNING)
+    with pytest.raises(InvalidSettingsUpdateError):
+        parse_update(text, RUNNING)
 
 
 @pytest.mark.parametrize(
@@ -67,28 +71,28 @@
     ],
 )
 def test_a_key_that_is_missing_is_named(path: str) -> None:
-    with pytest.raises(Unusable, match=f"{path} is missing"):
-        read_file(changed(path, None), RUNNING)
+    with pytest.raises(InvalidSettingsUpdateError, match=f"{path} is missing"):
+        parse_update(changed(path, None), RUNNING)
 
 
 @pytest.mark.parametrize("path", ["settings.grades.0.deadline", "settings.policy_limits.send_cap"])
 @pytest.mark.parametrize("value", [0, -1, "3", True, [], {}, math.nan, math.inf, -math.inf])
 def test_what_is_no_number_above_0_is_named(path: str, value: Any) -> None:
-    with pytest.raises(Unusable, match=path):
-        read_file(changed(path, value), RUNNING)
+    with pytest.raises(InvalidSettingsUpdateError, match=path):
+        parse_update(changed(path, value), RUNNING)
 
 
 def test_attempts_are_whole_also_those_of_one_class() -> None:
     for path in ("settings.policy_limits.send_cap", "settings.grades.0.attempts"):
-        with pytest.raises(Unusable, match=path):
-            read_file(changed(path, 2.5), RUNNING)
+        with pytest.raises(InvalidSettingsUpdateError, match=path):
+            parse_update(changed(path, 2.5), RUNNING)
 
 
 def test_classes_may_come_and_go() -> None:
     few = copy.deepcopy(RUNNING)
     few["settings"]["grades"] = few["settings"]["grades"][:1]
-    assert read_file(json.dumps(few), RUNNING) == few
-    assert read_file(json.dumps(RUNNING), few) == RUNNING
+    assert parse_update(json.dumps(few), RUNNING) == few
+    assert parse_update(json.dumps(RUNNING), few) == RUNNING
 
 
 def test_until_it_is_settled_both_files_classes_are_known_and_the_old_ones_as_they_were() -> None:
@@ -97,11 +101,11 @@
     del raw["grades"][1]
     raw["grades"].append({**raw["grades"][0], "name": "express"})
     running, new = (read_settings(flatten(one)) for one in (RUNNING["settings"], raw))
-    both = meanwhile(running, new)
+    both = transitional_settings(running, new)
     assert {cls.name: cls.idempotency for cls in both.classes} == {
         "stock": Idempotency.IDEMPOTENT,
         "reserva": Idempotency.IDEMPOTENT_WITH_KEY,
         "canje": Idempotency.NOT_IDEMPOTENT,
         "express": Idempotency.NOT_IDEMPOTENT,
     }
-    assert meanwhile(new, new) == new
+    assert transitional_settings(new, new) == new
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -11,7 +11,7 @@
 from harness.kit import until
 from harness.program import free_port, settings
 from service_proxy.clock import Clock
-from service_proxy.composition import fleet_of
+from service_proxy.composition import create_fleet
 from service_proxy.fleet import transport
 from service_proxy.fleet.entries import key_of
 from service_proxy.fleet.identity import Standing
@@ -55,9 +55,9 @@
 
     async def test() -> None:
         driver: Any = Driver()
-        assert fleet_of(Settings("portal"), config(False, **PEERS), driver, ()) is None
+        assert create_fleet(Settings("portal"), config(False, **PEERS), driver, ()) is None
         assert "the platform's settings (policy_limits.peers) allow no talk" in said[0]
-        assert fleet_of(Settings("portal"), config(True, **PEERS), driver, ()) is not None
+        assert create_fleet(Settings("portal"), config(True, **PEERS), driver, ()) is not None
 
     asyncio.run(test())
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -13,7 +13,7 @@
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
 
 from harness.callers import GRADES
-from service_proxy.composition import LOG_LINES, Sparse
+from service_proxy.composition import MAX_LOG_RECORDS, LogRateLimit
 from service_proxy.net.server import ClientConnection, Server
 from service_proxy.policy.events import Idempotency
 
@@ -283,8 +283,8 @@
 
 
 def test_a_flood_of_faults_is_no_flood_of_lines() -> None:
-    sparse = Sparse()
+    sparse = LogRateLimit()
     record = logging.LogRecord("x", logging.WARNING, "", 0, "fault %d", (1,), None)
     other = logging.LogRecord("x", logging.WARNING, "", 0, "other", (), None)
-    assert sum(bool(sparse.filter(record)) for _ in range(10 * LOG_LINES)) == LOG_LINES
+    assert sum(bool(sparse.filter(record)) for _ in range(10 * MAX_LOG_RECORDS)) == MAX_LOG_RECORDS
     assert sparse.filter(other)
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -31,7 +31,7 @@
 )
 
 from harness.program import free_port
-from service_proxy.__main__ import LAST_ACCEPT
+from service_proxy.__main__ import LISTENER_GRACE_S
 from service_proxy.net.server import KEPT, WHOLE, ClientConnection, Server
 from service_proxy.policy.events import Idempotency
 
@@ -244,7 +244,7 @@
             node.process.send_signal(signal.SIGSTOP)
             late = await node.caller()  # the kernel takes it, and its request
             late.send("stock", "3" * 16)
-            await asyncio.sleep(LAST_ACCEPT)  # the stall itself
+            await asyncio.sleep(LISTENER_GRACE_S)  # the stall itself
             node.process.send_signal(signal.SIGCONT)
             assert (await late.answer()).code == 200
             assert await node.code() == 0
