--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -1,4 +1,4 @@
-"""The store: cut, torn, damaged, another's, full, locked; by itself and in processes that are killed."""
+"""The store: crashed, torn, damaged, another's, full, locked; by itself and in processes that are killed."""
 
 from __future__ import annotations
 
@@ -13,229 +13,274 @@
 import pytest
 
 from harness.program import ROOT
-from harness.recovery.crash_disk import Tape
-from harness.recovery.crash_points import OWNER, recorded, same, wrong
-from harness.recovery.planted_bugs import FAULTY, PLANTED
+from harness.recovery.crash_disk import RecordingDirectory
+from harness.recovery.crash_points import OWNER, crash_faults, record_store_run, same_state
+from harness.recovery.planted_bugs import BUGS_SEEN_ON_FAULTY_DISK, ORDERING_BUGS
 from service_proxy.clock import Clock
 from service_proxy.recovery import record_format, store
-from service_proxy.recovery.async_store_writer import Keeper
-from service_proxy.recovery.persisted_records import Keyed, Maintenance, Server, State, put
-from service_proxy.recovery.record_format import FORMAT, encode, scan
-from service_proxy.recovery.store import Found, Health, Owner, Refused, Store, read_store
-from service_proxy.recovery.store_directory import Folder
-
-
-def test_a_cut_at_any_point_leaves_the_state_before_or_the_one_after() -> None:
+from service_proxy.recovery.async_store_writer import AsyncStoreWriter
+from service_proxy.recovery.persisted_records import (
+    EndpointRecord,
+    KeyedRequestRecord,
+    MaintenanceRecord,
+    PersistedState,
+    drop_operation,
+    put_operation,
+)
+from service_proxy.recovery.record_format import FORMAT_VERSION, encode_line, scan_lines
+from service_proxy.recovery.store import (
+    Store,
+    StoreContents,
+    StoreHealth,
+    StoreOwner,
+    StoreRejectedError,
+    read_store,
+)
+from service_proxy.recovery.store_directory import StoreDirectory
+
+
+def test_crash_at_any_point_leaves_the_state_before_or_the_one_after() -> None:
     for seed in (1, 2):
-        found = list(wrong(*recorded(Store, seed, 20)))
-        assert len(found) > 300 and not [what for what in found if what]
+        faults = list(crash_faults(*record_store_run(Store, seed, 20)))
+        assert len(faults) > 300 and not any(faults)
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_each_planted_bug_of_order_is_found(name: str) -> None:
-    assert [what for what in wrong(*recorded(PLANTED[name], 1, 20)) if what]
+@pytest.mark.parametrize("name", ORDERING_BUGS)
+def test_each_planted_ordering_bug_is_found(name: str) -> None:
+    assert any(crash_faults(*record_store_run(ORDERING_BUGS[name], 1, 20)))
 
 
-def test_a_cut_of_what_a_cut_left_is_no_worse() -> None:
-    tape, states = recorded(Store, 3, 12)
-    again, more = recorded(Store, 4, 12, {name: tape.read(name, 1 << 20) for name in tape.names()})
-    assert same(more[0], states[-1]) and not [what for what in wrong(again, more) if what]
+def test_second_crash_after_a_crash_is_no_worse() -> None:
+    recording, states = record_store_run(Store, 3, 12)
+    again, more = record_store_run(Store, 4, 12, recording.image())
+    assert same_state(more[0], states[-1]) and not any(crash_faults(again, more))
 
 
 @pytest.mark.parametrize("faults", [1, 3])
-def test_a_disk_that_fails_anywhere_loses_nothing_that_was_safe(faults: int) -> None:
+def test_disk_that_fails_at_any_operation_loses_nothing_durable(faults: int) -> None:
     for at in range(0, 44, 4):
-        tape, states = recorded(Store, 1, 12, fault_at=at, faults=faults)
-        assert tape.safe == tape.said and not [what for what in wrong(tape, states) if what]
-    [broken] = FAULTY.values()
-    assert any(any(wrong(*recorded(broken, 1, 12, fault_at=at, faults=faults))) for at in range(0, 40, 4))
-
-
-def test_torn_at_each_border_and_at_random_bytes_a_log_gives_what_stands_before() -> None:
-    tape, states = recorded(Store, 5, 12, least_log=1 << 20)
-    name = next(name for name in tape.names() if name.startswith("log"))
-    image = {item: tape.read(item, 1 << 20) for item in tape.names()}
-    whole = image[name]
-    borders = [at + 1 for at, byte in enumerate(whole) if byte == 10]
-    places = {*borders, *Random(5).choices(range(len(whole)), k=200)}
+        recording, states = record_store_run(Store, 1, 12, fault_at=at, fault_count=faults)
+        assert recording.durable_count == recording.submitted_count and not any(
+            crash_faults(recording, states)
+        )
+    [broken] = BUGS_SEEN_ON_FAULTY_DISK.values()
+    assert any(
+        any(crash_faults(*record_store_run(broken, 1, 12, fault_at=at, fault_count=faults)))
+        for at in range(0, 40, 4)
+    )
+
+
+def test_torn_log_gives_the_records_before_the_tear() -> None:
+    recording, states = record_store_run(Store, 5, 12, min_log_bytes=1 << 20)
+    name = next(name for name in recording.file_names() if name.startswith("log"))
+    image = recording.image()
+    log = image[name]
+    line_ends = [at + 1 for at, byte in enumerate(log) if byte == 10]
+    places = {*line_ends, *Random(5).choices(range(len(log)), k=200)}
     for at in sorted(places):
-        found = read_store(Tape({**image, name: whole[:at]}), OWNER)
-        kept = sum(border <= at for border in borders)
-        expected = states[len(states) - len(borders) + max(0, kept - 1)]
-        assert same(found.state, expected) and not found.damaged
-        assert found.torn == at - max([0, *(border for border in borders if border <= at)])
-
-
-def test_what_was_safe_and_can_not_be_read_is_said() -> None:
-    tape, _ = recorded(Store, 5, 12, least_log=1 << 20)
-    log, snapshot = sorted(tape.names())
-    image = {name: tape.read(name, 1 << 20) for name in tape.names()}
-    spoilt = bytearray(image[log])
-    spoilt[spoilt.index(b"\n") + 30] ^= 4
-    found = read_store(Tape({**image, log: bytes(spoilt)}), OWNER)
-    assert "whole records behind a broken one" in found.damaged[0]
-    assert len(found.state) > 3  # and these count
-    found = read_store(Tape({**image, snapshot: image[snapshot][:-4]}), OWNER)
-    assert found.damaged == [f"{snapshot} is not whole"]
-    assert same(found.state, read_store(Tape(image), OWNER).state)  # its end was lost, no fact was
-    # The next generation stands above both.
-    again = Tape({**image, snapshot: image[snapshot][:-4]})
+        contents = read_store(RecordingDirectory({**image, name: log[:at]}), OWNER)
+        valid_lines = sum(line_end <= at for line_end in line_ends)
+        expected = states[len(states) - len(line_ends) + max(0, valid_lines - 1)]
+        assert same_state(contents.state, expected) and not contents.damage
+        assert contents.torn_bytes == at - max([0, *(line_end for line_end in line_ends if line_end <= at)])
+
+
+def test_damage_to_durable_records_is_reported_and_the_rest_counts() -> None:
+    recording, _ = record_store_run(Store, 5, 12, min_log_bytes=1 << 20)
+    log, snapshot = sorted(recording.file_names())
+    image = recording.image()
+    corrupted = bytearray(image[log])
+    corrupted[corrupted.index(b"\n") + 30] ^= 4
+    contents = read_store(RecordingDirectory({**image, log: bytes(corrupted)}), OWNER)
+    assert "whole records behind a broken one" in contents.damage[0]
+    assert len(contents.state) > 3  # the rest counts
+    contents = read_store(RecordingDirectory({**image, snapshot: image[snapshot][:-4]}), OWNER)
+    assert contents.damage == [f"{snapshot} is not whole"]
+    undamaged = read_store(RecordingDirectory(image), OWNER)
+    assert same_state(contents.state, undamaged.state)  # only the end of the file was lost, no record
+    # The next generation replaces both.
+    again = RecordingDirectory({**image, snapshot: image[snapshot][:-4]})
     new = Store(again, OWNER)
-    new.begin(read_store(again, OWNER), 1.0)
-    new.append([put("n1", Maintenance(1.0))], 1.0)
-    assert read_store(again, OWNER).state.tables["maintenance"]["n1"] == Maintenance(1.0)
-    assert sorted(again.names()) == ["log-00000002", "snapshot-00000002"]
-
-
-def test_a_line_of_another_file_or_place_is_no_record() -> None:
-    lines = [encode(7, number, number, {"put": "source", "key": str(number)}) for number in range(3)]
-    assert len(scan(b"".join(lines), 7).records) == 3
-    assert scan(b"".join(lines), 8).records == []
-    missing = scan(lines[0] + lines[2], 7)
-    assert (len(missing.records), missing.behind) == (1, [])  # nothing says that the second was ever there
-    broken = scan(lines[0] + b"1" + lines[1][1:] + lines[2], 7)
-    assert (len(broken.records), len(broken.behind)) == (1, 1)
-    together = [encode(7, number, 1, {"put": "source", "key": str(number)}) for number in (1, 2)]
-    holed = scan(lines[0] + b"1" + together[0][1:] + together[1], 7)
-    assert (len(holed.records), holed.behind) == (1, [])  # they were being written
-    with pytest.raises(record_format.TooLong):
-        encode(1, 0, 0, {"put": "x" * record_format.MOST_LINE})
-
-
-def test_another_proxys_store_is_refused_and_stays_as_it_was() -> None:
-    tape, _ = recorded(Store, 1, 2)
-    before = {name: tape.read(name, 1 << 20) for name in tape.names()}
-    for owner, text in ((Owner("p1", "m0"), "written by p0, and this is p1"), (Owner("p0", "m1"), "machine")):
-        with pytest.raises(Refused, match=text):
-            read_store(tape, owner)
-    assert read_store(tape, Owner("p0", "")).generation  # a machine without a mark can't tell
-    assert before == {name: tape.read(name, 1 << 20) for name in tape.names()}
-
-
-def test_a_newer_format_is_refused_and_an_older_one_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
-    tape, states = recorded(Store, 1, 4)
-    image = {name: tape.read(name, 1 << 20) for name in tape.names()}
-    monkeypatch.setattr(store, "FORMAT", FORMAT + 1)
-    with pytest.raises(Refused, match="older than this program reads"):
-        read_store(Tape(image), OWNER)
+    new.start_generation(read_store(again, OWNER), 1.0)
+    new.append([put_operation("n1", MaintenanceRecord(1.0))], 1.0)
+    assert read_store(again, OWNER).state.tables["maintenance"]["n1"] == MaintenanceRecord(1.0)
+    assert sorted(again.file_names()) == ["log-00000002", "snapshot-00000002"]
+
+
+def test_line_of_another_file_or_position_is_no_record() -> None:
+    lines = [encode_line(7, number, number, {"put": "source", "key": str(number)}) for number in range(3)]
+    assert len(scan_lines(b"".join(lines), 7).records) == 3
+    assert scan_lines(b"".join(lines), 8).records == []
+    missing = scan_lines(lines[0] + lines[2], 7)
+    # Nothing says that the second was ever there.
+    assert (len(missing.records), missing.records_after_damage) == (1, [])
+    broken = scan_lines(lines[0] + b"1" + lines[1][1:] + lines[2], 7)
+    assert (len(broken.records), len(broken.records_after_damage)) == (1, 1)
+    together = [encode_line(7, number, 1, {"put": "source", "key": str(number)}) for number in (1, 2)]
+    holed = scan_lines(lines[0] + b"1" + together[0][1:] + together[1], 7)
+    assert (len(holed.records), holed.records_after_damage) == (1, [])  # they were being written
+    with pytest.raises(record_format.RecordTooLongError):
+        encode_line(1, 0, 0, {"put": "x" * record_format.MAX_LINE_BYTES})
+
+
+def test_another_proxys_store_is_rejected_and_unchanged() -> None:
+    recording, _ = record_store_run(Store, 1, 2)
+    before = recording.image()
+    for owner, text in (
+        (StoreOwner("p1", "m0"), "written by p0, and this is p1"),
+        (StoreOwner("p0", "m1"), "machine"),
+    ):
+        with pytest.raises(StoreRejectedError, match=text):
+            read_store(recording, owner)
+    assert read_store(
+        recording, StoreOwner("p0", "")
+    ).generation  # a machine without an identifier can't tell
+    assert before == recording.image()
+
+
+def test_newer_format_is_rejected_and_an_older_one_migrated(monkeypatch: pytest.MonkeyPatch) -> None:
+    recording, states = record_store_run(Store, 1, 4)
+    image = recording.image()
+    monkeypatch.setattr(store, "FORMAT_VERSION", FORMAT_VERSION + 1)
+    with pytest.raises(StoreRejectedError, match="older than this program reads"):
+        read_store(RecordingDirectory(image), OWNER)
     monkeypatch.setitem(
-        store.MIGRATIONS, FORMAT, lambda record: None if record.get("put") == "learned" else record
+        store.MIGRATIONS, FORMAT_VERSION, lambda record: None if record.get("put") == "learned" else record
+    )
+    contents = read_store(RecordingDirectory(image), OWNER)
+    assert (
+        contents.state.tables["server"] == states[-1].tables["server"]
+        and not contents.state.tables["learned"]
     )
-    found = read_store(Tape(image), OWNER)
-    assert found.state.tables["server"] == states[-1].tables["server"] and not found.state.tables["learned"]
-    newer = Tape(image)
-    Store(newer, OWNER).begin(found, 1.0)
-    monkeypatch.setattr(store, "FORMAT", FORMAT)
-    with pytest.raises(Refused, match=f"format {FORMAT + 1}, and this program reads up to {FORMAT}"):
+    newer = RecordingDirectory(image)
+    Store(newer, OWNER).start_generation(contents, 1.0)
+    monkeypatch.setattr(store, "FORMAT_VERSION", FORMAT_VERSION)
+    with pytest.raises(
+        StoreRejectedError,
+        match=f"format {FORMAT_VERSION + 1}, and this program reads up to {FORMAT_VERSION}",
+    ):
         read_store(newer, OWNER)
 
 
-def test_kinds_are_bounded_and_what_kept_harm_away_leaves_its_mark(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Keyed, "MOST", 3)
-    state = State()
+def test_kinds_are_bounded_and_eviction_of_protective_records_is_noted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(KeyedRequestRecord, "MAX_COUNT", 3)
+    state = PersistedState()
     for number in range(5):
-        state.apply(put(f"k{number}", Keyed("canje", "all", 1.0, 100.0 - number)))
-    assert list(state.tables["keyed"]) == ["k2", "k3", "k4"] and state.blind == {"keyed": 100.0}
-    state.apply(put("n", Server("10.0.0.1:80")))
+        state.apply(put_operation(f"k{number}", KeyedRequestRecord("canje", "all", 1.0, 100.0 - number)))
+    assert list(state.tables["keyed"]) == ["k2", "k3", "k4"] and state.evicted_until == {"keyed": 100.0}
+    state.apply(put_operation("n", EndpointRecord("10.0.0.1:80")))
     state.apply({"put": "of a newer version", "key": "x"})
-    assert state.skipped == 1
-    copy = State()
-    for record in state.records():
+    assert state.unknown_records == 1
+    copy = PersistedState()
+    for record in state.operations():
         copy.apply(record)
-    assert same(copy, state)
-    assert [record["key"] for record in state.forget(98.0)] == ["k3", "k4"]
+    assert same_state(copy, state)
+    for key in ("k3", "k4"):
+        state.apply(drop_operation("keyed", key))
+    assert list(state.tables["keyed"]) == ["k2"] and state.evicted_until == {"keyed": 100.0}
     server = {"put": "server", "key": "n"}
-    for bad in (server, {**server, "address": 5}, {"put": "server"}):
+    for malformed in (server, {**server, "address": 5}, {"put": "server"}):
         with pytest.raises(ValueError):
-            state.apply(bad)
+            state.apply(malformed)
 
 
-def keeper(path: Path, name: str = "p0") -> Keeper:
-    return Keeper(Folder(path), Owner(name, "m"), Clock())
+def open_writer(path: Path, name: str = "p0") -> AsyncStoreWriter:
+    return AsyncStoreWriter(StoreDirectory(path), StoreOwner(name, "m"), Clock())
 
 
-def test_a_second_process_reads_waits_for_the_lock_and_goes_on(
+def test_second_process_reads_waits_for_the_lock_and_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY", 0.05)
-    first = keeper(tmp_path)
+    monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY_INTERVAL_S", 0.05)
+    first = open_writer(tmp_path)
     first.start()
-    first.put("n1", Maintenance(1.0, "fan"))
-    assert first.settle(5)
-    second = keeper(tmp_path)
+    first.put("n1", MaintenanceRecord(1.0, "fan"))
+    assert first.wait_until_durable(5)
+    second = open_writer(tmp_path)
     second.start()
-    assert second.health is Health.BUSY and "n1" in second.state.tables["maintenance"]
-    second.put("n2", Maintenance(2.0))
-    first.put("n3", Maintenance(3.0))
-    assert not second.settle(0.2)
+    assert second.health is StoreHealth.BUSY and "n1" in second.state.tables["maintenance"]
+    second.put("n2", MaintenanceRecord(2.0))
+    first.put("n3", MaintenanceRecord(3.0))
+    assert not second.wait_until_durable(0.2)
     first.stop()
-    assert second.settle(5) and second.replaced
+    assert second.wait_until_durable(5)
+    assert set(second.state.tables["maintenance"]) == {
+        "n1",
+        "n3",
+    }  # read again with the lock, before it wrote
     second.stop()
-    assert set(read_store(Folder(tmp_path), None).state.tables["maintenance"]) == {"n1", "n2", "n3"}
+    assert set(read_store(StoreDirectory(tmp_path), None).state.tables["maintenance"]) == {"n1", "n2", "n3"}
 
 
-def test_a_slow_or_full_disk_is_waited_for_by_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY", 0.05)
+def test_slow_or_full_disk_blocks_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY_INTERVAL_S", 0.05)
     gate = threading.Event()
     synced = threading.Event()
-    full = [False]
+    is_full = [False]
 
-    class Slow(Folder):
-        def sync(self, file: int) -> None:
+    class SlowDirectory(StoreDirectory):
+        def fsync(self, file: int) -> None:
             synced.set()
             gate.wait(10)
-            super().sync(file)
+            super().fsync(file)
 
         def write(self, file: int, data: bytes) -> None:
-            if full[0]:
+            if is_full[0]:
                 raise OSError(errno.ENOSPC, "No space left on device")
             super().write(file, data)
 
-    kept = Keeper(Slow(tmp_path), OWNER, Clock())
-    kept.start()
+    store_writer = AsyncStoreWriter(SlowDirectory(tmp_path), OWNER, Clock())
+    store_writer.start()
     assert synced.wait(5)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for number in range(2000):
-        kept.put(f"n{number % 50}", Maintenance(float(number)))
-    assert time.monotonic() - begun < 1.0 and len(kept.waiting) <= 50 and not kept.settle(0)
+        store_writer.put(f"n{number % 50}", MaintenanceRecord(float(number)))
+    assert (
+        time.monotonic() - started_at < 1.0
+        and len(store_writer.pending) <= 50
+        and not store_writer.wait_until_durable(0)
+    )
     gate.set()
-    assert kept.settle(5)
-    full[0] = True
-    kept.put("n1", Maintenance(9.0))
+    assert store_writer.wait_until_durable(5)
+    is_full[0] = True
+    store_writer.put("n1", MaintenanceRecord(9.0))
     deadline = time.monotonic() + 5
-    while kept.health is not Health.FAILING and time.monotonic() < deadline:
-        kept.settle(0.01)
-    assert "No space left" in kept.why
-    full[0] = False
-    assert kept.settle(5) and kept.health is Health.OPEN
-    kept.stop()
-    found = read_store(Folder(tmp_path), OWNER)
-    assert len(found.state.tables["maintenance"]) == 50
-    assert found.state.tables["maintenance"]["n1"] == Maintenance(9.0)
-
-
-def test_a_folder_that_can_not_be_used_stops_nobody(tmp_path: Path) -> None:
+    while store_writer.health is not StoreHealth.FAILING and time.monotonic() < deadline:
+        store_writer.wait_until_durable(0.01)
+    assert "No space left" in store_writer.health_detail
+    is_full[0] = False
+    assert store_writer.wait_until_durable(5) and store_writer.health is StoreHealth.OPEN
+    store_writer.stop()
+    contents = read_store(StoreDirectory(tmp_path), OWNER)
+    assert len(contents.state.tables["maintenance"]) == 50
+    assert contents.state.tables["maintenance"]["n1"] == MaintenanceRecord(9.0)
+
+
+def test_unusable_directory_stops_nobody(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    kept = keeper(tmp_path / "file" / "store")
-    assert kept.health is Health.FAILING
-    other = keeper(tmp_path / "p0")
+    store_writer = open_writer(tmp_path / "file" / "store")
+    assert store_writer.health is StoreHealth.FAILING
+    other = open_writer(tmp_path / "p0")
     other.start()
-    other.put("n1", Maintenance(1.0))
-    assert other.settle(5)
+    other.put("n1", MaintenanceRecord(1.0))
+    assert other.wait_until_durable(5)
     other.stop()
-    refused = keeper(tmp_path / "p0", "p9")
-    assert refused.health is Health.REFUSED and "give each proxy a folder of its own" in refused.why
-    refused.start()
-    refused.put("n2", Maintenance(2.0))
-    refused.stop()
-    assert set(read_store(Folder(tmp_path / "p0"), None).state.tables["maintenance"]) == {"n1"}
+    rejected = open_writer(tmp_path / "p0", "p9")
+    assert rejected.health is StoreHealth.REJECTED
+    assert "give each proxy a folder of its own" in rejected.health_detail
+    rejected.start()
+    rejected.put("n2", MaintenanceRecord(2.0))
+    rejected.stop()
+    assert set(read_store(StoreDirectory(tmp_path / "p0"), None).state.tables["maintenance"]) == {"n1"}
 
 
-def test_processes_that_are_killed_in_the_middle_of_writing_lose_nothing_safe(tmp_path: Path) -> None:
-    """Several at once, each on a store of its own, and one more that wants the first one's."""
+def test_processes_killed_while_writing_lose_nothing_durable(tmp_path: Path) -> None:
+    """Several at once, each on a store of its own."""
 
-    async def life(number: int, wait: float) -> tuple[int, int]:
-        """What it said was safe, and what the store holds."""
+    async def run_and_kill(number: int, duration: float) -> tuple[int, int]:
+        """Return what the process said was durable, and what the store holds."""
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -246,34 +291,35 @@
             stdout=asyncio.subprocess.PIPE,
         )
         assert program.stdout is not None
-        safe = 0
+        durable = 0
         loop = asyncio.get_running_loop()
-        due = loop.time() + wait
-        while loop.time() < due or not safe:
+        ends_at = loop.time() + duration
+        while loop.time() < ends_at or not durable:
             line = (await program.stdout.readline()).split()
             assert line
-            safe = int(line[1])
+            durable = int(line[1])
         program.kill()
         rest = (await program.stdout.read()).decode().splitlines()
         await program.wait()
         for text in rest:
             if text.count(" ") == 1 and text.split()[1].isdigit():
-                safe = max(safe, int(text.split()[1]))
-        found = read_store(Folder(tmp_path / f"p{number}"), None)
-        assert not found.damaged
-        return safe, int(found.state.tables["source"]["count"].version)  # type: ignore[union-attr]
+                durable = max(durable, int(text.split()[1]))
+        contents = read_store(StoreDirectory(tmp_path / f"p{number}"), None)
+        assert not contents.damage
+        return durable, int(contents.state.tables["source"]["count"].version)  # type: ignore[union-attr]
 
     async def test() -> None:
         random = Random(1)
         for _ in range(3):
-            for safe, held in await asyncio.gather(*(life(n, random.uniform(0.05, 0.4)) for n in range(4))):
-                assert held >= safe > 0
+            runs = (run_and_kill(number, random.uniform(0.05, 0.4)) for number in range(4))
+            for durable, stored in await asyncio.gather(*runs):
+                assert stored >= durable > 0
 
     asyncio.run(test())
 
 
-def test_found_is_what_begin_goes_on_from() -> None:
-    tape = Tape()
-    made = Store(tape, OWNER)
-    made.begin(Found(generation=41), 5.0)
-    assert read_store(tape, OWNER).generation == 42
+def test_generation_continues_from_the_contents_that_were_read() -> None:
+    recording = RecordingDirectory()
+    opened = Store(recording, OWNER)
+    opened.start_generation(StoreContents(generation=41), 5.0)
+    assert read_store(recording, OWNER).generation == 42
