--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -1,8 +1,8 @@
-"""Which backends are out by hand, as an overlay on the list. Pure: who asks brings the time.
+"""Which endpoints are in maintenance, as an overlay on the endpoint lists. Pure: each call brings the time.
 
-A backend that is out drains, whatever a source lists; one that was put back is taken to have started at that
-moment, for it was most likely restarted meanwhile and the list tells so late. So the module's own rules on
-drains and cold servers hold for both.
+An endpoint in maintenance drains, whatever a source lists. One that was put back is taken to have started at
+that moment, since it was most likely restarted meanwhile and the list tells so late. So the policy's
+own rules on draining and on slow start hold for both.
 """
 
 from __future__ import annotations
@@ -12,130 +12,148 @@
 from dataclasses import replace
 from typing import Any
 
+from service_proxy.admin.errors import InvalidRecordError, MaintenanceLimitError, UnknownEndpointError
 from service_proxy.net.listing import Listed, Listing
 from service_proxy.policy.events import EndpointState
 
-MAX_ENDPOINTS_IN_MAINTENANCE = 4096  # backends out by hand; a site has hundreds at most
-MAX_NAME_BYTES = 256  # bytes of a backend's name in the staff's calls
-
-
-class UnknownEndpointError(Exception):
-    """No source lists a backend of this name, and none of it is out."""
+MAX_ENDPOINTS_IN_MAINTENANCE = 4096  # a site has hundreds at most
+RECORD_VERSION = 1
 
 
 class MaintenanceOverlay:
-    """Times are wall times in s, since they outlive the process; `wall_offset`: wall less monotonic, s."""
+    """The endpoints that the staff took out of use, and those that came back lately.
+
+    Times are wall times in s, since they outlive the process. `wall_offset`: wall less monotonic time, s;
+    `slow_start_window_s`: for how long an endpoint that came back counts as warming up.
+    """
 
     def __init__(self, wall_offset: float, slow_start_window_s: float) -> None:
-        """`cold_for`: s for which a backend that came back counts as cold."""
         self.wall_offset = wall_offset
         self.slow_start_window_s = slow_start_window_s
         self.in_maintenance: dict[str, float] = {}  # since when, by name
-        self.reinstated_at: dict[str, float] = {}  # put back when
-        self.endpoints: dict[str, Listed] = {}  # as the sources have them now
+        self.reinstated_at: dict[str, float] = {}  # by name
+        self.endpoints: dict[str, Listed] = {}  # as the sources list them now
         self.awaiting_reinstatement: set[str] = set()  # put back while no source listed them as serving
 
-    # what the staff ask for
+    # What the staff ask for
     def start_maintenance(self, name: str, now: float) -> Listing:
-        """What changes by it. Raises Unknown. A second call for the same backend changes nothing."""
-        self._known(name)
+        """Drain an endpoint; a second request for the same one changes nothing. Return what changes.
+
+        Raises:
+            UnknownEndpointError: nothing has this name.
+            MaintenanceLimitError: MAX_ENDPOINTS_IN_MAINTENANCE are in maintenance.
+        """
+        self._check_known(name)
         if name not in self.in_maintenance:
             if len(self.in_maintenance) >= MAX_ENDPOINTS_IN_MAINTENANCE:
-                raise UnknownEndpointError
+                raise MaintenanceLimitError(name, MAX_ENDPOINTS_IN_MAINTENANCE)
             self.in_maintenance[name] = now
             self.reinstated_at.pop(name, None)
             self.awaiting_reinstatement.discard(name)
-        return self._changed([name])
+        return self._update([name])
 
     def end_maintenance(self, name: str, now: float) -> Listing:
-        """However often it was taken out. Raises Unknown."""
-        self._known(name)
+        """Put an endpoint back, however often it was taken out. Return what changes.
+
+        Raises:
+            UnknownEndpointError: nothing has this name.
+        """
+        self._check_known(name)
         if self.in_maintenance.pop(name, None) is None:
-            return self._changed([])
-        return self._returned([name], {name: now})
+            return self._update([])
+        return self._reinstate({name: now})
 
-    def _known(self, name: str) -> None:
+    def _check_known(self, name: str) -> None:
         if name not in self.endpoints and name not in self.in_maintenance:
-            raise UnknownEndpointError
+            raise UnknownEndpointError(name)
 
-    # lists
+    # Endpoint lists
     def apply(self, listing: Listing) -> Listing:
-        """The list as it is in force."""
+        """Note what a source lists, and return the list as it is in force."""
         if listing.whole:
             self.endpoints = {}
-        for listed in listing.backends:
-            if listed.entry.state is EndpointState.REMOVED:
-                self.endpoints.pop(listed.name, None)
+        for endpoint in listing.backends:
+            if endpoint.entry.state is EndpointState.REMOVED:
+                self.endpoints.pop(endpoint.name, None)
             else:
-                self.endpoints[listed.name] = listed
+                self.endpoints[endpoint.name] = endpoint
         if not self.in_maintenance and not self.reinstated_at:
             return listing
-        return Listing(listing.version, listing.whole, [self._in_force(b) for b in listing.backends])
+        in_force = [self._in_force(endpoint) for endpoint in listing.backends]
+        return Listing(listing.version, listing.whole, in_force)
 
-    def _returned(self, names: list[str], back: dict[str, float]) -> Listing:
-        self.reinstated_at |= back
-        self.awaiting_reinstatement.update(names)
-        return self._changed(names)
+    def _reinstate(self, reinstated_at: Mapping[str, float]) -> Listing:
+        self.reinstated_at |= reinstated_at
+        self.awaiting_reinstatement.update(reinstated_at)
+        return self._update(reinstated_at)
 
-    def _in_force(self, listed: Listed) -> Listed:
-        entry = listed.entry
-        if listed.name in self.in_maintenance:
+    def _in_force(self, endpoint: Listed) -> Listed:
+        entry = endpoint.entry
+        if endpoint.name in self.in_maintenance:
             if entry.state is not EndpointState.SERVING:
-                return listed
-            return replace(listed, entry=replace(entry, state=EndpointState.DRAINING))
-        back = self.reinstated_at.get(listed.name)
-        if back is None:
-            return listed
-        started_at = max(entry.started_at, back - self.wall_offset)
-        wanted = entry.state is EndpointState.SERVING and listed.name in self.awaiting_reinstatement
-        if wanted:
-            self.awaiting_reinstatement.discard(listed.name)
-        return replace(listed, entry=replace(entry, started_at=started_at, reinstated=wanted))
-
-    def _changed(self, names: Iterable[str]) -> Listing:
-        found = [self.endpoints[name] for name in names if name in self.endpoints]
-        return Listing(0, False, [self._in_force(listed) for listed in found])
+                return endpoint
+            return replace(endpoint, entry=replace(entry, state=EndpointState.DRAINING))
+        reinstated_at = self.reinstated_at.get(endpoint.name)
+        if reinstated_at is None:
+            return endpoint
+        started_at = max(entry.started_at, reinstated_at - self.wall_offset)
+        reinstated = entry.state is EndpointState.SERVING and endpoint.name in self.awaiting_reinstatement
+        if reinstated:
+            self.awaiting_reinstatement.discard(endpoint.name)
+        return replace(endpoint, entry=replace(entry, started_at=started_at, reinstated=reinstated))
+
+    def _update(self, names: Iterable[str]) -> Listing:
+        """Return a list that changes only the endpoints of these names."""
+        listed = [self.endpoints[name] for name in names if name in self.endpoints]
+        return Listing(0, False, [self._in_force(endpoint) for endpoint in listed])
 
     def count_unavailable(self, avoided: set[int]) -> int:
-        """Listed backends that get nothing, by hand or since the module avoids them."""
+        """Count the listed endpoints that get no requests.
+
+        They are in maintenance, or the policy avoids them (`avoided`: their endpoint ids).
+        """
         return sum(
-            1
-            for name, b in self.endpoints.items()
-            if name in self.in_maintenance or b.entry.endpoint_id in avoided
+            name in self.in_maintenance or endpoint.entry.endpoint_id in avoided
+            for name, endpoint in self.endpoints.items()
         )
 
-    # from one process to the next
-    def restore(self, out: Mapping[str, float]) -> None:
-        """Who was out before, by a record that outlives the machine; what is known here counts first."""
-        for name, since in out.items():
+    # From one process to the next
+    def restore(self, in_maintenance: Mapping[str, float]) -> None:
+        """Take over a record that outlives the machine; what is known here counts first."""
+        for name, since in in_maintenance.items():
             if name not in self.reinstated_at and len(self.in_maintenance) < MAX_ENDPOINTS_IN_MAINTENANCE:
                 self.in_maintenance.setdefault(name, since)
 
     def encode_record(self, now: float) -> str:
-        """What `apply_record` reads, here or in the process that follows."""
+        """Return what `apply_record` reads, here or in the process that follows."""
         self.reinstated_at = {
             name: at for name, at in self.reinstated_at.items() if now - at < self.slow_start_window_s
         }
-        return json.dumps({"version": 1, "out": self.in_maintenance, "back": self.reinstated_at})
+        record = {"version": RECORD_VERSION, "out": self.in_maintenance, "back": self.reinstated_at}
+        return json.dumps(record)
 
     def apply_record(self, text: str) -> Listing:
-        """Takes over what was written, also by another process; what changes by it. Raises ValueError, and
-        then nothing has changed."""
+        """Take over what this or another process encoded. Return what changes.
+
+        Raises:
+            ValueError: it is no record; nothing has changed.
+        """
         raw = json.loads(text)
-        if not isinstance(raw, Mapping) or raw.get("version") != 1:
-            raise ValueError("not a record of maintenance")
-        out = _times(raw.get("out"))
-        back = _times(raw.get("back"))
-        taken_out = [name for name in out if name not in self.in_maintenance]
-        put_back = [name for name, at in back.items() if self.reinstated_at.get(name) != at]
-        self.in_maintenance = out
-        self.reinstated_at = {}
-        self.awaiting_reinstatement -= out.keys()
-        gone = self._changed(taken_out)
-        return Listing(0, False, gone.backends + self._returned(put_back, back).backends)
-
-
-def _times(raw: Any) -> dict[str, float]:
+        if not isinstance(raw, Mapping) or raw.get("version") != RECORD_VERSION:
+            raise InvalidRecordError("not a record of maintenance")
+        in_maintenance = _read_times(raw.get("out"))
+        reinstated_at = _read_times(raw.get("back"))
+        taken_out = [name for name in in_maintenance if name not in self.in_maintenance]
+        put_back = [name for name, at in reinstated_at.items() if self.reinstated_at.get(name) != at]
+        self.in_maintenance = in_maintenance
+        self.reinstated_at = reinstated_at
+        self.awaiting_reinstatement -= in_maintenance.keys()
+        self.awaiting_reinstatement.update(put_back)
+        return self._update([*taken_out, *put_back])
+
+
+def _read_times(raw: Any) -> dict[str, float]:
+    """Read times by name; there are no more of them than endpoints may be in maintenance."""
     if not isinstance(raw, Mapping) or len(raw) > MAX_ENDPOINTS_IN_MAINTENANCE:
-        raise ValueError("not a record of maintenance")
+        raise InvalidRecordError("not a record of maintenance")
     return {str(name): float(at) for name, at in raw.items()}
--- a/service_proxy/admin/metrics.py
+++ b/service_proxy/admin/metrics.py
@@ -1,4 +1,7 @@
-"""The figures that a process shows of itself, counted from its start, in statsd's lines (name:value|type)."""
+"""The metrics of a process, counted from its start, in statsd's line format (name:value|type). Pure.
+
+The names of the metrics are the platform's.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +10,15 @@
 PREFIX = "edge_edge"
 COUNTER_TYPE = "c"
 GAUGE_TYPE = "g"
-OUTCOME_BY_STATUS = {
-    200: "success",
-    429: "busy",
-    503: "busy",
-}  # by the answer's status; any other is a failure
-OUTCOMES = ("success", "busy", "failure")
+SUCCESS = "success"
+BUSY = "busy"
+FAILURE = "failure"
+OUTCOMES = (SUCCESS, BUSY, FAILURE)
+OUTCOME_BY_STATUS = {200: SUCCESS, 429: BUSY, 503: BUSY}  # any other status is a failure
 
 
 class Metrics:
-    """net.server.Tally, and what SIGHUP brought."""
+    """Requests by class and outcome (`net.server.Tally`), and reloads of the configuration."""
 
     def __init__(self) -> None:
         self.requests_by_class: dict[str, Counter[str]] = {}
@@ -24,18 +26,19 @@
         self.reloads_failed = 0
 
     def ended(self, cls: str, code: int) -> None:
-        self.add_request_class(cls)[OUTCOME_BY_STATUS.get(code, "failure")] += 1
+        """Count a request of class `cls` that was answered with the status `code`."""
+        self.add_request_class(cls)[OUTCOME_BY_STATUS.get(code, FAILURE)] += 1
 
     def add_request_class(self, cls: str) -> Counter[str]:
-        """The class shows from now on, also with zeros."""
+        """Show the class from now on, also while its counts are 0; return its counts."""
         return self.requests_by_class.setdefault(cls, Counter())
 
     def render(self, gauges: dict[str, int], counters: dict[str, int]) -> str:
-        """Sorted, one figure a line."""
+        """Return all metrics, and these, sorted, one a line."""
         counts = {
-            f"calls.{cls}.{word}": counted[word]
-            for cls, counted in self.requests_by_class.items()
-            for word in OUTCOMES
+            f"calls.{cls}.{outcome}": by_outcome[outcome]
+            for cls, by_outcome in self.requests_by_class.items()
+            for outcome in OUTCOMES
         }
         counts |= {"reconfig_ok": self.reloads_succeeded, "reconfig_failed": self.reloads_failed, **counters}
         lines = [f"{PREFIX}.{name}:{value}|{COUNTER_TYPE}\n" for name, value in counts.items()]
--- a/service_proxy/admin/process_generations.py
+++ b/service_proxy/admin/process_generations.py
@@ -1,7 +1,7 @@
-"""The processes of one proxy, one after another or two beside each other: who comes before and after whom.
+"""The processes of one proxy, one after another or two beside each other: who precedes and follows whom.
 
-Each holds a lock (flock(2)) on a file of its own on $TMPDIR, numbered upwards. The kernel drops the lock with
-the process, however that ends, so a file that nobody holds is of a process that is gone.
+Each holds a lock (flock(2)) on a file of its own in $TMPDIR, numbered upwards. The kernel drops the lock with
+the process, however that ends, so a file that nobody has locked is of a process that has ended.
 """
 
 from __future__ import annotations
@@ -12,66 +12,76 @@
 from pathlib import Path
 
 MAX_NUMBER_ATTEMPTS = 100  # numbers tried by a process that starts; others may start at the same moment
+# Predecessors that are looked for: no more than two processes run, and gaps are of those that ended.
+PREDECESSOR_RANGE = 3
+LOCK_FILE_MODE = 0o600
 
 
 class ProcessGenerations:
-    """`stem`: the files' path without their number."""
-
-    def __init__(self, stem: Path) -> None:
-        """Raises OSError where no file can be made."""
-        self.path_stem = stem
-        number = 1 + max(self._numbers(), default=0)
-        for self.number in range(number, number + MAX_NUMBER_ATTEMPTS):
-            try:
-                self.lock_fd = os.open(self._path(self.number), os.O_CREAT | os.O_EXCL | os.O_RDWR, 0o600)
-                break
-            except FileExistsError:
-                continue
-        else:
-            raise OSError(f"no number is free for {stem}")
+    """This process's place among the processes of its proxy.
+
+    `path_stem`: the path of the lock files without their numbers. Raises OSError where no file can be made.
+    """
+
+    def __init__(self, path_stem: Path) -> None:
+        self.path_stem = path_stem
+        self.number, self.lock_fd = self._create_lock_file()
         fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        for older in self._numbers():
-            if older < self.number and not self._is_running(older):
-                self._path(older).unlink(missing_ok=True)
+        self._remove_files_of_ended_processes()
+
+    def _create_lock_file(self) -> tuple[int, int]:
+        """Return the number of the file and its descriptor."""
+        first = 1 + max(self._numbers(), default=0)
+        for number in range(first, first + MAX_NUMBER_ATTEMPTS):
+            with contextlib.suppress(FileExistsError):
+                flags = os.O_CREAT | os.O_EXCL | os.O_RDWR
+                return number, os.open(self._path(number), flags, LOCK_FILE_MODE)
+        raise OSError(f"no number is free for {self.path_stem}")
+
+    def _remove_files_of_ended_processes(self) -> None:
+        for number in self._numbers():
+            if number < self.number and not self._is_running(number):
+                self._path(number).unlink(missing_ok=True)
 
     def _path(self, number: int) -> Path:
         return self.path_stem.with_name(f"{self.path_stem.name}.{number}")
 
     def _numbers(self) -> list[int]:
-        names = [path.name.rpartition(".") for path in self.path_stem.parent.glob(f"{self.path_stem.name}.*")]
-        return [
-            int(number) for stem, _, number in names if stem == self.path_stem.name and number.isdecimal()
-        ]
+        stem = self.path_stem.name
+        names = [path.name.rpartition(".") for path in self.path_stem.parent.glob(f"{stem}.*")]
+        return [int(number) for name, _, number in names if name == stem and number.isdecimal()]
 
     def _is_running(self, number: int) -> bool:
-        """Whether a process holds this number."""
+        """Return whether a process holds the lock of this number."""
         try:
-            looked = os.open(self._path(number), os.O_RDWR)
+            descriptor = os.open(self._path(number), os.O_RDWR)
         except OSError:
             return False
         try:
-            fcntl.flock(looked, fcntl.LOCK_SH | fcntl.LOCK_NB)
-            return False
+            fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
             return True
+        else:
+            return False
         finally:
-            os.close(looked)
+            os.close(descriptor)
 
     def has_successor(self) -> bool:
-        """Whether a process that started later runs. Numbers have no gaps above a process that runs."""
+        """Return whether a process that started later runs."""
         number = self.number + 1
-        while self._path(number).exists():
+        while self._path(number).exists():  # numbers have no gaps above a process that runs
             if self._is_running(number):
                 return True
             number += 1
         return False
 
     def has_predecessor(self) -> bool:
-        """Whether the process before runs: there are no more than two, and gaps are of those that ended."""
-        return any(self._is_running(number) for number in range(max(1, self.number - 3), self.number))
+        """Return whether the process before this one runs."""
+        first = max(1, self.number - PREDECESSOR_RANGE)
+        return any(self._is_running(number) for number in range(first, self.number))
 
     def release(self) -> None:
-        """This process counts no more."""
+        """Give up this process's place: the others no longer count it."""
         with contextlib.suppress(OSError):
             self._path(self.number).unlink()
             os.close(self.lock_fd)
--- /dev/null
+++ b/service_proxy/admin/routes.py
@@ -0,0 +1,69 @@
+"""The routes of the admin server ("console" in the platform's pages), apart from its sockets. Pure.
+
+Paths, methods and texts are the platform's (DAYS, "The second address"): operators' scripts read them.
+"""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+from typing import NamedTuple, Protocol
+from urllib.parse import unquote_to_bytes
+
+MAX_NAME_BYTES = 256  # of an endpoint's name in a path, after percent-decoding
+READ_PATHS = (b"healthcheck", b"stats")
+ENDPOINT_ACTIONS = (b"maint", b"ready")
+ENDPOINT_PATH_PARTS = 3  # backends/ID/ACTION
+
+
+class AdminResponse(NamedTuple):
+    """A response as plain text: 2xx says yes, 4xx and 5xx say no."""
+
+    status: HTTPStatus
+    text: str
+
+
+USE_GET = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "this is asked with GET\n")
+USE_POST = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "this is asked with POST\n")
+UNKNOWN_ENDPOINT = AdminResponse(HTTPStatus.NOT_FOUND, "no such backend\n")
+UNKNOWN_PATH = AdminResponse(
+    HTTPStatus.NOT_FOUND,
+    "no such call; there are /healthcheck, /stats, /backends/ID/maint and /backends/ID/ready\n",
+)
+
+
+class AdminHandler(Protocol):
+    """Answers the requests that `route` recognises."""
+
+    def health(self) -> AdminResponse:
+        """Return whether this process serves requests."""
+
+    def stats(self) -> AdminResponse:
+        """Return the metrics of this process."""
+
+    def start_maintenance(self, name: str) -> AdminResponse:
+        """Drain the endpoint `name` until `end_maintenance`."""
+
+    def end_maintenance(self, name: str) -> AdminResponse:
+        """Put the endpoint `name` back into use."""
+
+
+def route(handler: AdminHandler, method: bytes, target: bytes) -> AdminResponse:
+    """Let `handler` answer one request, or say why it is none of the admin server's."""
+    path = target.partition(b"?")[0]
+    parts = path.split(b"/")[1:] if path.startswith(b"/") else []
+    if len(parts) == 1 and parts[0] in READ_PATHS:
+        if method != b"GET":
+            return USE_GET
+        return handler.health() if parts[0] == b"healthcheck" else handler.stats()
+    if len(parts) == ENDPOINT_PATH_PARTS and parts[0] == b"backends" and parts[2] in ENDPOINT_ACTIONS:
+        if method != b"POST":
+            return USE_POST
+        return _route_endpoint_action(handler, unquote_to_bytes(parts[1]), parts[2])
+    return UNKNOWN_PATH
+
+
+def _route_endpoint_action(handler: AdminHandler, name: bytes, action: bytes) -> AdminResponse:
+    if not 0 < len(name) <= MAX_NAME_BYTES:
+        return UNKNOWN_ENDPOINT
+    text = name.decode("utf-8", "replace")
+    return handler.start_maintenance(text) if action == b"maint" else handler.end_maintenance(text)
--- a/service_proxy/admin/service.py
+++ b/service_proxy/admin/service.py
@@ -1,6 +1,7 @@
-"""Puts daily operation round a proxy: what the console's calls and SIGHUP do, and the record on $TMPDIR.
+"""The admin service of one proxy: what the admin server's requests and SIGHUP do, and hot restarts.
 
-It decides nothing of its own: maintenance.py and retune.py do.
+It ties the parts of this package to the proxy's dispatcher and listener, and decides nothing of its own:
+`maintenance.py` and `settings_update.py` do.
 """
 
 from __future__ import annotations
@@ -11,13 +12,16 @@
 import tempfile
 import time
 from collections.abc import Mapping
+from http import HTTPStatus
 from pathlib import Path
 
 from service_proxy.admin import reuse_port
-from service_proxy.admin.maintenance import MaintenanceOverlay, UnknownEndpointError
+from service_proxy.admin.errors import AdminError
+from service_proxy.admin.maintenance import MaintenanceOverlay
 from service_proxy.admin.metrics import Metrics
 from service_proxy.admin.process_generations import ProcessGenerations
-from service_proxy.admin.server import MAX_CONNECTIONS, AdminResponse, AdminServer
+from service_proxy.admin.routes import UNKNOWN_ENDPOINT, AdminResponse
+from service_proxy.admin.server import MAX_CONNECTIONS, AdminServer
 from service_proxy.admin.settings_update import TRANSITION_S, parse_update, transitional_settings
 from service_proxy.admin.shared_record import SharedRecord
 from service_proxy.net.config import UNREADABLE, Config, config_error, read_config, read_text
@@ -28,29 +32,39 @@
 
 log = logging.getLogger(__name__)
 
-LIMIT_SHARE_OF_TWO = 0.5  # of the limits, while a second process runs
-READY_TIMEOUT_S = 3.0  # s for which a second process waits for its list before it listens
-ACCEPT_QUEUE_DRAIN_S = 0.25  # s for which connections that were dealt to a listener before may still come up
-POLL_INTERVAL_S = 0.1  # s between looks at the record: a call at another process of this proxy holds here too
-OK = AdminResponse(200, "ok\n")
-UNKNOWN_ENDPOINT = AdminResponse(404, "no such backend\n")
-NOT_READY = AdminResponse(503, "not ready\n")
-RECORD_NOT_WRITTEN = AdminResponse(503, "the record could not be written\n")
+LIMIT_SHARE_OF_TWO = 0.5  # of the limits, while a second process of this proxy runs
+READY_TIMEOUT_S = 3.0  # for which a second process waits for its endpoint list before it listens
+ACCEPT_QUEUE_DRAIN_S = 0.25  # for which connections that were queued at a listener before may still come up
+# Between looks at the record and the other processes: maintenance that another process of this proxy was
+# asked for holds here too.
+POLL_INTERVAL_S = 0.1
+PATH_DIGEST_BYTES = 8
+OK = AdminResponse(HTTPStatus.OK, "ok\n")
+NOT_READY = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
+RECORD_NOT_WRITTEN = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "the record could not be written\n")
 
 
-def shared_file_path(config: Config, what: str) -> Path:
-    """Of this proxy alone, where several share a $TMPDIR."""
-    mark = hashlib.blake2b(f"{config.name} {config.listen}".encode(), digest_size=8).hexdigest()
-    return Path(tempfile.gettempdir()) / f"granitepoint-{mark}.{what}"
+def shared_file_path(config: Config, suffix: str) -> Path:
+    """Return the path of a file that the processes of this proxy alone share, in $TMPDIR.
+
+    The name keeps the package's old name: during a hot restart from an earlier version, the old and the new
+    process find each other and the record of maintenance by it.
+    """
+    identity = f"{config.name} {config.listen}".encode()
+    digest = hashlib.blake2b(identity, digest_size=PATH_DIGEST_BYTES).hexdigest()
+    return Path(tempfile.gettempdir()) / f"granitepoint-{digest}.{suffix}"
 
 
 class AdminService:
-    """Of one proxy: its overlay on lists, its tally, and the console's office."""
+    """Daily operation of one proxy; `routes.AdminHandler` for its admin server.
+
+    Owns the admin server, the maintenance overlay with its shared record, the metrics, and this process's
+    generation. Raises OSError where $TMPDIR can't be written.
+    """
 
-    file_descriptors = MAX_CONNECTIONS + 1  # of the console
+    file_descriptors = MAX_CONNECTIONS + 1  # of the admin server
 
     def __init__(self, config: Config) -> None:
-        """Raises OSError where $TMPDIR can't be written."""
         self.config = config
         self.running_settings = config.raw
         self.maintenance = MaintenanceOverlay(WALL_OFFSET, config.settings.slow_start_window)
@@ -59,148 +73,164 @@
             self.metrics.add_request_class(cls.name)
         self.maintenance_record = SharedRecord(shared_file_path(config, "maintenance"))
         self.generations = ProcessGenerations(shared_file_path(config, "process"))
-        self.shares_host = False  # another process of this proxy runs
+        self.other_process_runs = False  # of this proxy
         self.server = AdminServer(self)
         self.dispatcher: Driver | None = None
         self.downstream: Server | None = None
         self.poll_timer: asyncio.TimerHandle | None = None
         self.settings_timer: asyncio.TimerHandle | None = None
-        self._news()
+        self._read_maintenance_record()
+
+    async def start(self, dispatcher: Driver, downstream: Server) -> None:
+        """Start the admin server; beside another process, wait until requests can be served.
 
-    async def start(self, driver: Driver, server: Server) -> None:
-        """Raises OSError where the console can't listen."""
-        self.dispatcher = driver
-        self.downstream = server
+        Raises:
+            OSError: the admin server can't listen.
+        """
+        self.dispatcher = dispatcher
+        self.downstream = downstream
         assert self.config.console is not None
         await self.server.listen(self.config.console)
-        self._look()
-        if self.shares_host:
-            # What is dealt to this process is served from its first moment, or the one before had better.
-            due = time.monotonic() + READY_TIMEOUT_S
-            while not driver.upstreams.ready and time.monotonic() < due:
+        self._poll()
+        if self.other_process_runs:
+            # Connections that go to this process are served from its first moment, else they had better go
+            # to the one before.
+            deadline = time.monotonic() + READY_TIMEOUT_S
+            while not dispatcher.upstreams.ready and time.monotonic() < deadline:
                 await asyncio.sleep(POLL_INTERVAL_S)
 
+    def stop(self) -> None:
+        """Release this process's generation, and close the admin server."""
+        self.generations.release()
+        self.server.stop()
+        for timer in (self.poll_timer, self.settings_timer):
+            if timer is not None:
+                timer.cancel()
+
+    # Hot restart
     @property
     def has_successor(self) -> bool:
         """Whether the process that is to take this one's place runs."""
         return self.generations.has_successor()
 
     async def hand_over(self) -> None:
-        """The listener's end, where another process listens at its address: nothing that was dealt to this
-        one is left unread, and callers come back to the other."""
+        """Close the listener, where another process listens at its address.
+
+        What was queued at this one is still accepted, and clients come back to the other.
+        """
         assert self.downstream is not None
         self.downstream.draining = True
         reuse_port.prefer_second_listener(self.downstream.fileno)
         await asyncio.sleep(ACCEPT_QUEUE_DRAIN_S)
         self.downstream.stop_listening()
 
-    def stop(self) -> None:
-        self.generations.release()
-        self.server.stop()
-        for timer in (self.poll_timer, self.settings_timer):
-            if timer is not None:
-                timer.cancel()
+    def _poll(self) -> None:
+        self.poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
+        self._read_maintenance_record()
+        other_process_runs = self.generations.has_predecessor() or self.generations.has_successor()
+        if other_process_runs != self.other_process_runs:
+            self.other_process_runs = other_process_runs
+            self._set_limits(LIMIT_SHARE_OF_TWO if other_process_runs else 1.0)
 
-    # lists
-    def _look(self) -> None:
-        self.poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._look)
-        self._news()
-        beside = self.generations.has_predecessor() or self.generations.has_successor()
-        if beside != self.shares_host:
-            self.shares_host = beside
-            self._share(LIMIT_SHARE_OF_TWO if beside else 1.0)
-
-    def _share(self, share: float) -> None:
-        """The limits hold for both processes together."""
+    def _set_limits(self, share: float) -> None:
+        """Take this share of the limits: they hold for both processes together."""
         assert self.dispatcher is not None
         assert self.downstream is not None
-        log.info("%s", "another process of this proxy runs beside" if self.shares_host else "it runs alone")
+        log.info("limit_share_changed share=%.2f other_process_runs=%s", share, self.other_process_runs)
         self.downstream.set_bounds(share)
         self.dispatcher.set_bounds(share)
-        if not self.shares_host and self.downstream.listener is not None:
-            reuse_port.balance_by_hash(
-                self.downstream.fileno
-            )  # the program of the process before outlives it
+        if not self.other_process_runs and self.downstream.listener is not None:
+            # The program that the process before attached outlives it.
+            reuse_port.balance_by_hash(self.downstream.fileno)
 
-    def _news(self) -> None:
-        """What another process of this proxy was told."""
-        try:
-            text = self.maintenance_record.read_if_changed()
-            if text is not None:
-                self._changed(self.maintenance.apply_record(text))
-        except (OSError, ValueError) as fault:
-            log.error("the record of maintenance can't be used: %s", fault)
-
-    def _changed(self, listing: Listing) -> None:
-        if self.dispatcher is not None and listing.backends:
-            self.dispatcher.in_force(listing)
-
-    # console.Office
+    # routes.AdminHandler
     def health(self) -> AdminResponse:
-        server = self.downstream
-        driver = self.dispatcher
-        if server is None or driver is None or server.listener is None or server.draining:
+        """Answer OK while this process listens, does not drain, and has endpoints to send requests to."""
+        downstream = self.downstream
+        dispatcher = self.dispatcher
+        if downstream is None or dispatcher is None or downstream.listener is None or downstream.draining:
             return NOT_READY
-        return OK if driver.upstreams.ready else NOT_READY
+        return OK if dispatcher.upstreams.ready else NOT_READY
 
     def stats(self) -> AdminResponse:
-        server = self.downstream
-        driver = self.dispatcher
-        assert server is not None
-        assert driver is not None
+        """Return the metrics of this process."""
+        downstream = self.downstream
+        dispatcher = self.dispatcher
+        assert downstream is not None
+        assert dispatcher is not None
         gauges = {
-            "inflight": server.inflight,
+            "inflight": downstream.inflight,
             "hosts_listed": len(self.maintenance.endpoints),
-            "hosts_down": self.maintenance.count_unavailable(set(driver.balancer.avoided)),
+            "hosts_down": self.maintenance.count_unavailable(set(dispatcher.balancer.avoided)),
         }
-        return AdminResponse(200, self.metrics.render(gauges, {"backend_calls": driver.upstreams.written}))
+        counters = {"backend_calls": dispatcher.upstreams.written}
+        return AdminResponse(HTTPStatus.OK, self.metrics.render(gauges, counters))
 
     def start_maintenance(self, name: str) -> AdminResponse:
-        return self._by_hand(name, False)
+        """Drain an endpoint, here and in the processes that share the record."""
+        return self._change_maintenance(name, ends=False)
 
     def end_maintenance(self, name: str) -> AdminResponse:
-        return self._by_hand(name, True)
+        """Put an endpoint back, here and in the processes that share the record."""
+        return self._change_maintenance(name, ends=True)
 
-    def _by_hand(self, name: str, back: bool) -> AdminResponse:
-        """The record is written before the yes, so that the word holds whatever becomes of this process."""
-        self._news()  # or what another process wrote a moment ago would be undone
+    def _change_maintenance(self, name: str, ends: bool) -> AdminResponse:
+        """Write the record before the response, so that a yes holds whatever becomes of this process."""
+        self._read_maintenance_record()  # or what another process wrote a moment ago would be undone
         now = time.time()
-        maintenance = self.maintenance
+        change = self.maintenance.end_maintenance if ends else self.maintenance.start_maintenance
         try:
-            changed = (
-                maintenance.end_maintenance(name, now) if back else maintenance.start_maintenance(name, now)
-            )
-        except UnknownEndpointError:
+            listing = change(name, now)
+        except AdminError:
             return UNKNOWN_ENDPOINT
-        self._changed(changed)
+        self._apply_listing(listing)
         try:
-            self.maintenance_record.write(maintenance.encode_record(now))
-        except OSError as fault:
-            log.error("the record of maintenance could not be written: %s", fault)
+            self.maintenance_record.write(self.maintenance.encode_record(now))
+        except OSError as error:
+            log.error("maintenance_record_write_failed endpoint=%s error=%s", name, error)
             return RECORD_NOT_WRITTEN
         return OK
 
+    def _read_maintenance_record(self) -> None:
+        """Take over what another process of this proxy was asked for."""
+        try:
+            text = self.maintenance_record.read_if_changed()
+            if text is not None:
+                self._apply_listing(self.maintenance.apply_record(text))
+        except (OSError, ValueError) as error:
+            log.error("maintenance_record_rejected error=%s", error)
+
+    def _apply_listing(self, listing: Listing) -> None:
+        if self.dispatcher is not None and listing.backends:
+            self.dispatcher.in_force(listing)
+
     # SIGHUP
     def reload(self, environ: Mapping[str, str]) -> Address:
-        """Takes the new settings; where discovery is by the file. Raises ConfigError, and then nothing has
-        changed."""
+        """Take over the new settings; return where discovery is by the file.
+
+        New request classes hold at once, the rest TRANSITION_S later.
+
+        Raises:
+            ConfigError: the file can't be used; nothing has changed.
+        """
         assert self.dispatcher is not None
         try:
             raw = parse_update(read_text(environ), self.running_settings)
             new = read_config(raw, {})
-        except UNREADABLE as fault:
+        except UNREADABLE as error:
             self.metrics.reloads_failed += 1
-            raise config_error(fault) from None
+            raise config_error(error) from None
         self.metrics.reloads_succeeded += 1
         self.running_settings = raw
         if self.settings_timer is not None:
             self.settings_timer.cancel()
         if new.settings != self.dispatcher.settings or new.forms != self.config.forms:
-            for cls in new.settings.classes:
-                self.metrics.add_request_class(cls.name)
-            self.dispatcher.retune(transitional_settings(self.dispatcher.settings, new.settings), new.forms)
-            loop = asyncio.get_running_loop()
-            self.settings_timer = loop.call_later(
-                TRANSITION_S, self.dispatcher.retune, new.settings, new.forms
-            )
+            self._update_settings(self.dispatcher, new)
         return new.discovery
+
+    def _update_settings(self, dispatcher: Driver, new: Config) -> None:
+        for cls in new.settings.classes:
+            self.metrics.add_request_class(cls.name)
+        dispatcher.retune(transitional_settings(dispatcher.settings, new.settings), new.forms)
+        loop = asyncio.get_running_loop()
+        self.settings_timer = loop.call_later(TRANSITION_S, dispatcher.retune, new.settings, new.forms)
--- a/service_proxy/admin/settings_update.py
+++ b/service_proxy/admin/settings_update.py
@@ -1,6 +1,6 @@
 """Whether a configuration that is read again can be used, and what is in force until it is. Pure.
 
-A new file is held against the one in use: what that has and this lacks is most likely lost, not meant.
+A new file is compared with the one in use: what that has and this lacks is most likely lost, not meant.
 """
 
 from __future__ import annotations
@@ -11,78 +11,87 @@
 from collections.abc import Mapping
 from typing import Any
 
+from service_proxy.admin.errors import InvalidSettingsUpdateError
 from service_proxy.policy.events import Settings
 
-TRANSITION_S = 0.8  # s for which callers' requests may still be of the file before
-STARTUP_ONLY_KEYS = frozenset(("known", "seed"))  # keys that only a start takes
-POSITIVE_CLASS_KEYS = ("deadline", "objective", "attempts")  # of a class, where it has them
-
-
-class InvalidSettingsUpdateError(ValueError):
-    """The new file changes nothing; the message says why, with the key's path."""
+TRANSITION_S = 0.8  # for which clients' requests may still be of the file before
+STARTUP_ONLY_KEYS = frozenset(("known", "seed"))
+POSITIVE_CLASS_KEYS = ("deadline", "objective", "attempts")  # of a request class, where it has them
 
 
 def parse_update(text: str, running: Mapping[str, Any]) -> dict[str, Any]:
-    """The new file's object. Raises Unusable."""
+    """Return the new file's object; `running` is the one in use.
+
+    Raises:
+        InvalidSettingsUpdateError: it can't be used; the message names the key.
+    """
     try:
         new = json.loads(text)
-    except (ValueError, RecursionError) as fault:
-        raise InvalidSettingsUpdateError(f"no JSON: {fault}") from None
+    except (ValueError, RecursionError) as error:
+        raise InvalidSettingsUpdateError(f"no JSON: {error}") from None
     if not isinstance(new, dict):
         raise InvalidSettingsUpdateError("no JSON object")
-    _same_keys(new, running, "")
-    settings = new["settings"]
-    for n, grade in enumerate(settings["grades"]):
+    _check_object(new, running, "")
+    _check_numbers(new["settings"])
+    return new
+
+
+def _check_numbers(settings: Mapping[str, Any]) -> None:
+    for index, request_class in enumerate(settings["grades"]):
         for key in POSITIVE_CLASS_KEYS:
-            if key in grade:
-                _above_0(grade[key], f"settings.grades.{n}.{key}", whole=key == "attempts")
+            if key in request_class:
+                path = f"settings.grades.{index}.{key}"
+                _check_positive(request_class[key], path, is_integer=key == "attempts")
     limits = settings.get("policy_limits", {})
     if "send_cap" in limits:
-        _above_0(limits["send_cap"], "settings.policy_limits.send_cap", whole=True)
-    return new
+        _check_positive(limits["send_cap"], "settings.policy_limits.send_cap", is_integer=True)
 
 
-def _same_keys(new: Mapping[str, Any], running: Mapping[str, Any], path: str) -> None:
+def _check_object(new: Mapping[str, Any], running: Mapping[str, Any], path: str) -> None:
+    """Check that `new` has the keys of `running`, each with a value of the same shape."""
     for key, before in running.items():
         if not path and key in STARTUP_ONLY_KEYS:
             continue
-        at = f"{path}.{key}" if path else key
+        key_path = f"{path}.{key}" if path else key
         if key not in new:
-            raise InvalidSettingsUpdateError(f"{at} is missing")
-        now = new[key]
-        if isinstance(before, Mapping):
-            if not isinstance(now, Mapping):
-                raise InvalidSettingsUpdateError(f"{at} is no object")
-            _same_keys(now, before, at)
-        elif isinstance(before, list):
-            if not isinstance(now, list):
-                raise InvalidSettingsUpdateError(f"{at} is no list")
-            if before and all(isinstance(item, Mapping) for item in before):
-                _same_items(now, before, at)
-
-
-def _same_items(new: list[Any], running: list[Mapping[str, Any]], path: str) -> None:
-    """Items may come and go; each has the keys that all items of its kind have had."""
-    for n, item in enumerate(new):
-        at = f"{path}.{n}"
+            raise InvalidSettingsUpdateError("is missing", key_path)
+        _check_shape(new[key], before, key_path)
+
+
+def _check_shape(new: Any, before: Any, path: str) -> None:
+    if isinstance(before, Mapping):
+        if not isinstance(new, Mapping):
+            raise InvalidSettingsUpdateError("is no object", path)
+        _check_object(new, before, path)
+    elif isinstance(before, list):
+        if not isinstance(new, list):
+            raise InvalidSettingsUpdateError("is no list", path)
+        if before and all(isinstance(item, Mapping) for item in before):
+            _check_items(new, before, path)
+
+
+def _check_items(new: list[Any], running: list[Mapping[str, Any]], path: str) -> None:
+    """Check the objects of a list: they may come and go; each has the keys that all of its kind have had."""
+    for index, item in enumerate(new):
+        item_path = f"{path}.{index}"
         if not isinstance(item, Mapping):
-            raise InvalidSettingsUpdateError(f"{at} is no object")
-        alike = [before for before in running if before.get("effect") == item.get("effect")] or running
-        needed = set.intersection(*(set(before) for before in alike))
-        missing = sorted(needed - set(item))
+            raise InvalidSettingsUpdateError("is no object", item_path)
+        same_kind = [before for before in running if before.get("effect") == item.get("effect")] or running
+        required = set.intersection(*(set(before) for before in same_kind))
+        missing = sorted(required - set(item))
         if missing:
-            raise InvalidSettingsUpdateError(f"{at}.{missing[0]} is missing")
+            raise InvalidSettingsUpdateError("is missing", f"{item_path}.{missing[0]}")
 
 
-def _above_0(value: Any, path: str, whole: bool) -> None:
-    number = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
-    if not number or value <= 0 or (whole and value != int(value)):
-        kind = "a whole number" if whole else "a number"
-        raise InvalidSettingsUpdateError(f"{path} is {value!r}, not {kind} above 0")
+def _check_positive(value: Any, path: str, is_integer: bool) -> None:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
+    if not is_number or value <= 0 or (is_integer and value != int(value)):
+        kind = "a whole number" if is_integer else "a number"
+        raise InvalidSettingsUpdateError(f"is {value!r}, not {kind} above 0", path)
 
 
 def transitional_settings(running: Settings, new: Settings) -> Settings:
-    """What is in force until the new settings are: the running ones, and the classes that appear."""
-    have = {cls.name for cls in running.classes}
-    appear = [cls for cls in new.classes if cls.name not in have]
-    return dataclasses.replace(running, classes=[*running.classes, *appear])
+    """Return what is in force until the new settings are: the running ones, and the classes that appear."""
+    known = {cls.name for cls in running.classes}
+    added = [cls for cls in new.classes if cls.name not in known]
+    return dataclasses.replace(running, classes=[*running.classes, *added])
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The second address, figures, maintenance and new settings, through the program itself."""
+"""The admin server, metrics, maintenance and settings updates, through the program itself."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import json
 import tempfile
 from collections.abc import AsyncIterator
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -32,47 +33,48 @@
 
 from harness.program import free_port
 from service_proxy.admin.metrics import Metrics
-from service_proxy.admin.server import MAX_CONNECTIONS, AdminResponse, route
+from service_proxy.admin.routes import AdminResponse, route
+from service_proxy.admin.server import MAX_CONNECTIONS
 
 
-class Staffed(Proxy):
-    """A proxy with a console."""
+class ProxyWithAdmin(Proxy):
+    """A proxy with an admin server."""
 
-    console: tuple[str, int]
+    admin_address: tuple[str, int]
 
-    async def ask(self, call: str, data: bytes = b"") -> Answer:
+    async def admin(self, request_line: str, data: bytes = b"") -> Answer:
         async with asyncio.timeout(PATIENCE):
-            reader, writer = await asyncio.open_connection(*self.console)
-            method, _, target = call.partition(" ")
+            reader, writer = await asyncio.open_connection(*self.admin_address)
+            method, _, target = request_line.partition(" ")
             head = f"{method} {target} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
             writer.write(head.encode() + data)
-            answer = Answer(*await read_message(reader))
-            assert await reader.read() == b""  # one call a connection
+            response = Answer(*await read_message(reader))
+            assert await reader.read() == b""  # one request a connection
             writer.close()
-            return answer
+            return response
 
-    async def figures(self) -> dict[str, int]:
-        answer = await self.ask("GET /stats")
-        assert answer.code == 200
+    async def metrics(self) -> dict[str, int]:
+        response = await self.admin("GET /stats")
+        assert response.code == 200
         found = {}
-        for line in answer.body.decode().splitlines():
+        for line in response.body.decode().splitlines():
             name, _, rest = line.partition(":")
             value, _, kind = rest.partition("|")
             assert name.startswith("edge_edge.") and kind in ("c", "g")
             found[name.removeprefix("edge_edge.")] = int(value)
         return found
 
-    async def until(self, name: str, value: int) -> dict[str, int]:
+    async def until_metric(self, name: str, value: int) -> dict[str, int]:
         async with asyncio.timeout(PATIENCE):
-            while (found := await self.figures()).get(name) != value:
+            while (found := await self.metrics()).get(name) != value:
                 await asyncio.sleep(0.02)
             return found
 
 
 @contextlib.asynccontextmanager
-async def staffed(
+async def proxy_with_admin(
     backends: dict[str, Backend], discovery: Discovery, **changes: Any
-) -> AsyncIterator[Staffed]:
+) -> AsyncIterator[ProxyWithAdmin]:
     for backend in backends.values():
         await backend.start()
     known = listing(1, *(endpoint(name, backend.address) for name, backend in backends.items()))
@@ -84,8 +86,8 @@
         process = await start_program(raw, folder, TMPDIR=folder)
         try:
             await until_ready(("127.0.0.1", listen))
-            made = Staffed(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
-            made.console = "127.0.0.1", console
+            made = ProxyWithAdmin(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
+            made.admin_address = "127.0.0.1", console
             yield made
         finally:
             if process.returncode is None:
@@ -95,31 +97,31 @@
                 await backend.stop()
 
 
-class Desk:
-    """An office that notes what it was asked."""
+class RecordingHandler:
+    """Records the requests that it is handed."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
-    def _say(self, what: str) -> AdminResponse:
-        self.asked.append(what)
-        return AdminResponse(200, "ok\n")
+    def _record(self, request: str) -> AdminResponse:
+        self.requests.append(request)
+        return AdminResponse(HTTPStatus.OK, "ok\n")
 
     def health(self) -> AdminResponse:
-        return self._say("health")
+        return self._record("health")
 
     def stats(self) -> AdminResponse:
-        return self._say("stats")
+        return self._record("stats")
 
     def start_maintenance(self, name: str) -> AdminResponse:
-        return self._say(f"out {name}")
+        return self._record(f"out {name}")
 
     def end_maintenance(self, name: str) -> AdminResponse:
-        return self._say(f"back {name}")
+        return self._record(f"back {name}")
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "code", "asked"),
+    ("method", "target", "code", "handled"),
     [
         (b"GET", b"/healthcheck", 200, ["health"]),
         (b"GET", b"/stats?x=1", 200, ["stats"]),
@@ -133,18 +135,20 @@
         (b"GET", b"*", 404, []),
     ],
 )
-def test_calls_are_routed_by_their_table(method: bytes, target: bytes, code: int, asked: list[str]) -> None:
-    desk = Desk()
-    assert route(desk, method, target).code == code
-    assert desk.asked == asked
+def test_requests_are_routed_by_method_and_path(
+    method: bytes, target: bytes, code: int, handled: list[str]
+) -> None:
+    handler = RecordingHandler()
+    assert route(handler, method, target).status == code
+    assert handler.requests == handled
 
 
-def test_figures_are_lines_of_statsd() -> None:
-    figures = Metrics()
-    figures.add_request_class("stock")
+def test_metrics_are_rendered_as_statsd_lines() -> None:
+    metrics = Metrics()
+    metrics.add_request_class("stock")
     for code in (200, 503, 429, 502, 400, 504, 200):
-        figures.ended("canje", code)
-    assert figures.render({"inflight": 3}, {"backend_calls": 9}).splitlines() == [
+        metrics.ended("canje", code)
+    assert metrics.render({"inflight": 3}, {"backend_calls": 9}).splitlines() == [
         "edge_edge.backend_calls:9|c",
         "edge_edge.calls.canje.busy:2|c",
         "edge_edge.calls.canje.failure:3|c",
@@ -158,7 +162,7 @@
     ]
 
 
-def test_figures_tell_what_callers_and_backends_saw() -> None:
+def test_metrics_count_what_clients_and_endpoints_saw() -> None:
     async def test() -> None:
         gate = asyncio.Event()
 
@@ -170,82 +174,82 @@
 
         discovery = await Discovery().start()
         backend = Backend(behave)
-        async with staffed({"s-1": backend}, discovery) as node:
+        async with proxy_with_admin({"s-1": backend}, discovery) as node:
             caller = await node.caller()
-            held = await node.caller()
+            slow_client = await node.caller()
             for n in range(3):
                 assert (await caller.call("stock", f"a{n}")).code == 200
             assert (await caller.call("reserva", "b")).code != 200
             assert (await caller.call("nosuch", "c")).code == 404
-            held.send("canje", "d")
+            slow_client.send("canje", "d")
             while (await next_call(backend)).headers["x-call-id"] != "d":
                 pass
-            found = await node.figures()
+            found = await node.metrics()
             assert found["inflight"] == 1 and found["hosts_listed"] == 1
             assert found["calls.stock.success"] == 3 and found["calls.canje.success"] == 0
             assert found["calls.reserva.success"] == 0
             assert found["calls.reserva.busy"] + found["calls.reserva.failure"] == 1
             assert found["backend_calls"] == backend.count
             gate.set()
-            assert (await held.answer()).code == 200
-            found = await node.figures()
+            assert (await slow_client.answer()).code == 200
+            found = await node.metrics()
             assert found["calls.canje.success"] == 1 and found["inflight"] == 0
 
     run(test())
 
 
-def test_the_console_answers_beside_callers_that_hold_its_connections() -> None:
-    """One connection more than it holds, each with half a call."""
+def test_the_admin_server_answers_beside_clients_that_hold_its_connections() -> None:
+    """More connections than it holds, each with half a request."""
 
     async def test() -> None:
         discovery = await Discovery().start()
         backend = Backend()
-        async with staffed({"s-1": backend}, discovery) as node:
-            held = [await asyncio.open_connection(*node.console) for _ in range(MAX_CONNECTIONS + 4)]
+        async with proxy_with_admin({"s-1": backend}, discovery) as node:
+            held = [await asyncio.open_connection(*node.admin_address) for _ in range(MAX_CONNECTIONS + 4)]
             for _, writer in held:
                 writer.write(b"GET /sta")
             begun = asyncio.get_running_loop().time()
-            assert (await node.ask("GET /healthcheck")).code == 200
+            assert (await node.admin("GET /healthcheck")).code == 200
             assert asyncio.get_running_loop().time() - begun < 1.0
-            assert (await node.ask("POST /nothing")).code == 404
-            assert (await node.ask("GET /" + "x" * 9000)).code in (400, 404)  # by how it came in pieces
+            assert (await node.admin("POST /nothing")).code == 404
+            assert (await node.admin("GET /" + "x" * 9000)).code in (400, 404)  # by how it came in pieces
             for _, writer in held:
                 writer.close()
 
     run(test())
 
 
-def test_a_backend_that_is_out_gets_nothing_and_one_call_soon_after_it_is_back() -> None:
+def test_an_endpoint_in_maintenance_gets_nothing_and_a_request_soon_after_it_is_back() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         one = Backend()
         two = Backend()
-        async with staffed({"s-1": one, "s-2": two}, discovery) as node:
+        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery) as node:
             caller = await node.caller()
-            assert (await node.ask("POST /backends/s-9/maint")).code == 404
+            assert (await node.admin("POST /backends/s-9/maint")).code == 404
             for _ in range(2):
-                assert (await node.ask("POST /backends/s-1/maint")).code == 200
+                assert (await node.admin("POST /backends/s-1/maint")).code == 200
             before = one.count
             discovery.put(2, endpoint("s-1", one.address), endpoint("s-2", two.address), snapshot=True)
             while "?from=2&hold_ms=" not in await discovery.asked.get():
                 pass
             for n in range(20):
                 assert (await caller.call("canje", f"a{n}", budget="6000m")).code == 200
-            assert one.count == before and (await node.figures())["hosts_down"] == 1
-            assert (await node.ask("POST /backends/s-1/ready")).code == 200
+            assert one.count == before and (await node.metrics())["hosts_down"] == 1
+            assert (await node.admin("POST /backends/s-1/ready")).code == 200
             assert (await caller.call("canje", "b", budget="6000m")).code == 200
-            assert one.count == before + 1 and (await node.figures())["hosts_down"] == 0
+            assert one.count == before + 1 and (await node.metrics())["hosts_down"] == 0
 
     run(test())
 
 
-def test_what_is_out_stays_out_in_the_process_that_follows() -> None:
+def test_maintenance_goes_on_in_the_process_that_follows() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         one = Backend()
         two = Backend()
-        async with staffed({"s-1": one, "s-2": two}, discovery) as node:
-            assert (await node.ask("POST /backends/s-1/maint")).code == 200
+        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery) as node:
+            assert (await node.admin("POST /backends/s-1/maint")).code == 200
             node.process.kill()
             await node.process.wait()
             folder = str(node.path.parent)
@@ -257,7 +261,7 @@
                 for n in range(10):
                     assert (await caller.call("stock", f"a{n}")).code == 200
                 assert one.count == before
-                assert (await node.figures())["hosts_down"] == 1
+                assert (await node.metrics())["hosts_down"] == 1
             finally:
                 node.process.kill()
                 await node.process.wait()
@@ -265,14 +269,14 @@
     run(test())
 
 
-def grades(**more: Any) -> list[dict[str, Any]]:
-    made: list[dict[str, Any]] = copy.deepcopy(SETTINGS["grades"])
-    for grade in made:
-        grade.update(more.get(grade["name"], {}))
-    return made
+def request_classes(**changes: Any) -> list[dict[str, Any]]:
+    classes: list[dict[str, Any]] = copy.deepcopy(SETTINGS["grades"])
+    for request_class in classes:
+        request_class.update(changes.get(request_class["name"], {}))
+    return classes
 
 
-def test_a_reload_takes_new_classes_and_stricter_ones_and_calls_under_way_keep_theirs() -> None:
+def test_a_reload_takes_new_and_stricter_classes_and_requests_in_flight_keep_theirs() -> None:
     async def test() -> None:
         gate = asyncio.Event()
 
@@ -283,15 +287,15 @@
 
         discovery = await Discovery().start()
         backend = Backend(behave)
-        async with staffed({"s-1": backend}, discovery) as node:
+        async with proxy_with_admin({"s-1": backend}, discovery) as node:
             caller = await node.caller()
-            held = await node.caller()
-            held.send("canje", "held", budget="6000m")
+            slow_client = await node.caller()
+            slow_client.send("canje", "held", budget="6000m")
             assert (await next_call(backend)).headers["x-call-id"] == "held"
-            classes = [g for g in grades(stock={"effect": "once"}) if g["name"] != "canje"]
+            classes = [g for g in request_classes(stock={"effect": "once"}) if g["name"] != "canje"]
             classes.append({**classes[0], "name": "express"})
             node.reload(settings={**node.first["settings"], "grades": classes})
-            await node.until("reconfig_ok", 1)
+            await node.until_metric("reconfig_ok", 1)
             assert (await caller.call("express", "e")).code == 200  # at once
             served = 0
             async with asyncio.timeout(PATIENCE):
@@ -301,31 +305,31 @@
             head = b"POST /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: s\r\nX-Budget: 900m\r\n"
             assert (await caller.raw(head + b"Content-Length: 0\r\n\r\n")).code == 200
             gate.set()
-            assert (await held.answer()).code == 200
-            found = await node.figures()
+            assert (await slow_client.answer()).code == 200
+            found = await node.metrics()
             assert found["calls.canje.success"] == served + 1 and found["calls.express.success"] == 1
 
     run(test())
 
 
-def test_a_bad_file_changes_nothing_and_is_counted() -> None:
+def test_an_invalid_file_changes_nothing_and_is_counted() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         backend = Backend()
-        async with staffed({"s-1": backend}, discovery) as node:
+        async with proxy_with_admin({"s-1": backend}, discovery) as node:
             cut = json.dumps(node.first)[:-20]
             nought = {
                 **node.first,
-                "settings": {**node.first["settings"], "grades": grades(stock={"deadline": 0})},
+                "settings": {**node.first["settings"], "grades": request_classes(stock={"deadline": 0})},
             }
             for n, text in enumerate(["", cut, json.dumps(nought)], 1):
                 node.reload(text=text)
-                await node.until("reconfig_failed", n)
+                await node.until_metric("reconfig_failed", n)
             assert (await (await node.caller()).call("stock", "a")).code == 200
-            assert (await node.figures())["reconfig_ok"] == 0
+            assert (await node.metrics())["reconfig_ok"] == 0
 
     run(test())
 
 
-def test_without_a_console_nothing_of_it_is_imported() -> None:
+def test_without_an_admin_address_nothing_of_the_package_is_imported() -> None:
     assert not loads("service_proxy.admin")
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""A second process in the place of the first: locks, steering, and no request that ends at the door."""
+"""A second process replaces the first: locks, reuse-port balancing, and no request is lost."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from pathlib import Path
 
 from netkit import PATIENCE, Backend, Caller, Discovery, config, endpoint, listing, run, start_program
-from test_admin_server import Staffed
+from test_admin_server import ProxyWithAdmin
 
 from harness.program import free_port
 from service_proxy.admin import reuse_port
 from service_proxy.admin.process_generations import ProcessGenerations
 
-DEALT = 40  # connections in each half of the steering test
+CONNECTIONS_PER_STEP = 40  # connections in each half of the steering test
 
 
-def test_each_process_knows_who_came_before_and_after(tmp_path: Path) -> None:
+def test_each_process_knows_its_predecessor_and_successor(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     first = ProcessGenerations(stem)
     assert not first.has_successor() and not first.has_predecessor()
@@ -38,7 +38,7 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_a_process_that_died_counts_no_more_though_its_file_is_left(tmp_path: Path) -> None:
+def test_a_process_that_died_is_not_counted_though_its_file_is_left(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     code = (
         "import os\n"
@@ -58,7 +58,7 @@
     here.release()
 
 
-def test_a_file_of_another_name_is_no_process(tmp_path: Path) -> None:
+def test_a_file_of_another_name_is_not_a_process(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     for name in ("x.process.one", "x.process", "y.process.7"):
         (tmp_path / name).write_text("")
@@ -79,11 +79,11 @@
     return made
 
 
-def dealt(to: socket.socket) -> int:
+def count_accepted(listening: socket.socket) -> int:
     count = 0
     while True:
         try:
-            to.accept()[0].close()
+            listening.accept()[0].close()
         except BlockingIOError:
             return count
         count += 1
@@ -95,28 +95,28 @@
         port = one.getsockname()[1]
 
         def connect() -> None:
-            for _ in range(DEALT):
+            for _ in range(CONNECTIONS_PER_STEP):
                 socket.create_connection(("127.0.0.1", port)).close()
 
         two = listener(port)
         connect()
-        assert dealt(one) and dealt(two)
+        assert count_accepted(one) and count_accepted(two)
         assert reuse_port.prefer_second_listener(one.fileno())
         connect()
-        assert (dealt(one), dealt(two)) == (0, DEALT)
+        assert (count_accepted(one), count_accepted(two)) == (0, CONNECTIONS_PER_STEP)
         two.close()  # it crashed: nobody is second
         connect()
-        assert dealt(one) == DEALT
+        assert count_accepted(one) == CONNECTIONS_PER_STEP
         with listener(port) as three:
             connect()
-            assert (dealt(one), dealt(three)) == (0, DEALT)
+            assert (count_accepted(one), count_accepted(three)) == (0, CONNECTIONS_PER_STEP)
             assert reuse_port.balance_by_hash(three.fileno())
             connect()
-            assert dealt(one) and dealt(three)
+            assert count_accepted(one) and count_accepted(three)
             assert not reuse_port.balance_by_hash(three.fileno())  # there is none any more
 
 
-def test_under_load_an_upgrade_loses_no_request_and_takes_over_what_is_out() -> None:
+def test_under_load_a_hot_restart_loses_no_request_and_takes_over_maintenance() -> None:
     """Callers that use connections once and callers that keep them, over three upgrades in a row."""
 
     async def test() -> None:
@@ -127,19 +127,19 @@
         listen = free_port()
         with tempfile.TemporaryDirectory() as folder:
             raw = config(discovery.address, known, f"127.0.0.1:{listen}")
-            running: list[Staffed] = []
+            running: list[ProxyWithAdmin] = []
 
-            async def start() -> Staffed:
+            async def start() -> ProxyWithAdmin:
                 console = free_port()
                 raw["console"] = f"127.0.0.1:{console}"
                 process = await start_program(raw, folder, TMPDIR=folder)
-                made = Staffed(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
-                made.console = "127.0.0.1", console
+                made = ProxyWithAdmin(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
+                made.admin_address = "127.0.0.1", console
                 running.append(made)
                 async with asyncio.timeout(PATIENCE):
                     while True:
                         try:
-                            if (await made.ask("GET /healthcheck")).code == 200:
+                            if (await made.admin("GET /healthcheck")).code == 200:
                                 return made
                         except OSError:
                             await asyncio.sleep(0.02)
@@ -163,21 +163,21 @@
 
             try:
                 node = await start()
-                assert (await node.ask("POST /backends/s-1/maint")).code == 200
+                assert (await node.admin("POST /backends/s-1/maint")).code == 200
                 callers = [
                     asyncio.create_task(keeps(f"{kind}{n}")) for kind in ("once", "kept") for n in range(4)
                 ]
                 for _ in range(3):
                     old = node
                     node = await start()
-                    assert (await node.figures())["hosts_down"] == 1
+                    assert (await node.metrics())["hosts_down"] == 1
                     old.terminate()
                     assert await old.code() == 0
                 stop.set()
                 await asyncio.gather(*callers)  # none met a connection that ended on its request
                 assert len(codes) > 100 and set(codes) == {200}
                 assert one.count == 0
-                assert (await node.ask("POST /backends/s-1/ready")).code == 200
+                assert (await node.admin("POST /backends/s-1/ready")).code == 200
                 caller = Caller(*await asyncio.open_connection("127.0.0.1", listen))
                 assert (await caller.call("stock", "back")).code == 200
                 assert one.count == 1
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -1,4 +1,4 @@
-"""The overlay of maintenance on lists, and its record. Pure; the record's file with two writers."""
+"""The maintenance overlay on endpoint lists, its record, and the file that two processes share."""
 
 from __future__ import annotations
 
@@ -9,47 +9,58 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from service_proxy.admin.maintenance import MaintenanceOverlay, UnknownEndpointError
+from service_proxy.admin.errors import UnknownEndpointError
+from service_proxy.admin.maintenance import MaintenanceOverlay
 from service_proxy.admin.shared_record import SharedRecord
 from service_proxy.net.listing import Listed, Listing, server_id
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
-OFFSET = 1000.0  # wall less monotonic, s
+WALL_OFFSET = 1000.0  # wall less monotonic, s
 SERVING = EndpointState.SERVING
 DRAINING = EndpointState.DRAINING
-GONE = EndpointState.REMOVED
+REMOVED = EndpointState.REMOVED
 
 
-def listed(name: str, state: EndpointState = SERVING, started_at: float = 0.0) -> Listed:
+def endpoint(name: str, state: EndpointState = SERVING, started_at: float = 0.0) -> Listed:
     return Listed(("127.0.0.1", 1), EndpointEntry(server_id(name), state=state, started_at=started_at), name)
 
 
-def listing(*backends: Listed, whole: bool = True) -> Listing:
-    return Listing(1, whole, list(backends))
+def endpoint_list(*backends: Listed, is_snapshot: bool = True) -> Listing:
+    return Listing(1, is_snapshot, list(backends))
 
 
-def maintenance(*names: str) -> MaintenanceOverlay:
-    made = MaintenanceOverlay(OFFSET, slow_start_window_s=20.0)
-    made.apply(listing(*(listed(name) for name in names)))
+def overlay_of(*names: str) -> MaintenanceOverlay:
+    made = MaintenanceOverlay(WALL_OFFSET, slow_start_window_s=20.0)
+    made.apply(endpoint_list(*(endpoint(name) for name in names)))
     return made
 
 
-def states(of: Listing) -> dict[str, EndpointState]:
+def state_by_name(of: Listing) -> dict[str, EndpointState]:
     return {backend.name: backend.entry.state for backend in of.backends}
 
 
-def test_what_is_out_drains_whatever_is_listed_until_it_is_put_back() -> None:
-    made = maintenance("a", "b")
-    assert states(made.start_maintenance("a", 2000.0)) == {"a": DRAINING}
-    assert states(made.apply(listing(listed("a"), listed("b")))) == {"a": DRAINING, "b": SERVING}
-    assert states(made.apply(listing(listed("a", GONE), whole=False))) == {"a": GONE}
-    assert states(made.apply(listing(listed("a", started_at=990.0), whole=False))) == {"a": DRAINING}
-    assert states(made.end_maintenance("a", 2005.0)) == {"a": SERVING}
-    assert states(made.apply(listing(listed("a"), listed("b")))) == {"a": SERVING, "b": SERVING}
-
-
-def test_a_second_call_out_changes_nothing_and_one_call_back_undoes_both() -> None:
-    made = maintenance("a")
+def test_an_endpoint_in_maintenance_drains_whatever_is_listed_until_it_is_put_back() -> None:
+    made = overlay_of("a", "b")
+    assert state_by_name(made.start_maintenance("a", 2000.0)) == {"a": DRAINING}
+    assert state_by_name(made.apply(endpoint_list(endpoint("a"), endpoint("b")))) == {
+        "a": DRAINING,
+        "b": SERVING,
+    }
+    assert state_by_name(made.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))) == {
+        "a": REMOVED
+    }
+    assert state_by_name(made.apply(endpoint_list(endpoint("a", started_at=990.0), is_snapshot=False))) == {
+        "a": DRAINING
+    }
+    assert state_by_name(made.end_maintenance("a", 2005.0)) == {"a": SERVING}
+    assert state_by_name(made.apply(endpoint_list(endpoint("a"), endpoint("b")))) == {
+        "a": SERVING,
+        "b": SERVING,
+    }
+
+
+def test_a_second_start_changes_nothing_and_one_end_undoes_both() -> None:
+    made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
     made.start_maintenance("a", 2001.0)
     assert made.in_maintenance == {"a": 2000.0}
@@ -59,58 +70,62 @@
     assert made.reinstated_at == {"a": 2002.0}
 
 
-def test_what_came_back_is_cold_from_that_moment_and_owed_one_call() -> None:
-    made = maintenance("a")
+def test_an_endpoint_that_came_back_warms_up_from_that_moment_and_is_reinstated_once() -> None:
+    made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
     (back,) = made.end_maintenance("a", 2010.0).backends
-    assert back.entry.started_at == 2010.0 - OFFSET and back.entry.reinstated
-    (again,) = made.apply(listing(listed("a", started_at=1005.0))).backends  # its restart, told late
-    assert again.entry.started_at == 2010.0 - OFFSET and not again.entry.reinstated
-    (later,) = made.apply(listing(listed("a", started_at=1500.0))).backends
+    assert back.entry.started_at == 2010.0 - WALL_OFFSET and back.entry.reinstated
+    (again,) = made.apply(endpoint_list(endpoint("a", started_at=1005.0))).backends  # its restart, told late
+    assert again.entry.started_at == 2010.0 - WALL_OFFSET and not again.entry.reinstated
+    (later,) = made.apply(endpoint_list(endpoint("a", started_at=1500.0))).backends
     assert later.entry.started_at == 1500.0  # a later restart of its own
 
 
-def test_a_backend_that_comes_back_to_the_list_after_it_was_put_back_is_still_owed_its_call() -> None:
-    made = maintenance("a")
+def test_an_endpoint_listed_again_after_it_was_put_back_is_still_reinstated() -> None:
+    made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
-    made.apply(listing(listed("a", GONE), whole=False))
+    made.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))
     assert made.end_maintenance("a", 2003.0).backends == []
-    (back,) = made.apply(listing(listed("a"), whole=False)).backends
+    (back,) = made.apply(endpoint_list(endpoint("a"), is_snapshot=False)).backends
     assert back.entry.reinstated and back.entry.state is SERVING
 
 
-def test_an_unknown_name_is_told_so_and_one_that_is_out_is_known_though_it_is_gone() -> None:
-    made = maintenance("a")
+def test_an_unknown_name_is_refused_and_one_in_maintenance_is_known_though_unlisted() -> None:
+    made = overlay_of("a")
     with pytest.raises(UnknownEndpointError):
         made.start_maintenance("b", 2000.0)
     with pytest.raises(UnknownEndpointError):
         made.end_maintenance("b", 2000.0)
     made.start_maintenance("a", 2000.0)
-    made.apply(listing())
+    made.apply(endpoint_list())
     made.start_maintenance("a", 2001.0)
     made.end_maintenance("a", 2002.0)
     with pytest.raises(UnknownEndpointError):
         made.start_maintenance("a", 2003.0)
 
 
-def test_the_next_process_takes_over_what_is_out_and_what_came_back() -> None:
-    old = maintenance("a", "b")
-    new = maintenance("a", "b")
+def test_the_next_process_takes_over_maintenance_and_reinstatements() -> None:
+    old = overlay_of("a", "b")
+    new = overlay_of("a", "b")
     old.start_maintenance("a", 2000.0)
-    assert states(new.apply_record(old.encode_record(2000.0))) == {"a": DRAINING}
+    assert state_by_name(new.apply_record(old.encode_record(2000.0))) == {"a": DRAINING}
     old.end_maintenance("a", 2004.0)
     (back,) = new.apply_record(old.encode_record(2004.0)).backends
-    assert back.entry.state is SERVING and back.entry.reinstated and back.entry.started_at == 2004.0 - OFFSET
-    assert new.apply_record(old.encode_record(2004.0)).backends == []  # no news
-    first = MaintenanceOverlay(OFFSET, 20.0)
+    assert (
+        back.entry.state is SERVING
+        and back.entry.reinstated
+        and back.entry.started_at == 2004.0 - WALL_OFFSET
+    )
+    assert new.apply_record(old.encode_record(2004.0)).backends == []  # unchanged
+    first = MaintenanceOverlay(WALL_OFFSET, 20.0)
     first.apply_record(old.encode_record(2004.0))  # before it has any list
-    assert first.apply(listing(listed("a"))).backends[0].entry.started_at == 2004.0 - OFFSET
+    assert first.apply(endpoint_list(endpoint("a"))).backends[0].entry.started_at == 2004.0 - WALL_OFFSET
     assert json.loads(old.encode_record(2024.1))["back"] == {}  # warm by now
 
 
 @pytest.mark.parametrize("text", ["", "{}", "[]", '{"version":1}', '{"version":1,"out":{"a":"x"},"back":{}}'])
-def test_a_record_that_cannot_be_used_changes_nothing(text: str) -> None:
-    made = maintenance("a")
+def test_an_invalid_record_changes_nothing(text: str) -> None:
+    made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
     with pytest.raises(ValueError):
         made.apply_record(text)
@@ -131,33 +146,35 @@
 
 @settings(derandomize=True, deadline=None)
 @given(STEPS)
-def test_whatever_is_called_and_listed_what_is_out_never_serves(steps: list[tuple[str, object]]) -> None:
-    """Also over any number of upgrades: the last word on each name is the staff's."""
-    made = maintenance(*"abc")
-    word = dict.fromkeys("abc", True)
+def test_an_endpoint_in_maintenance_never_serves_whatever_is_requested_and_listed(
+    steps: list[tuple[str, object]],
+) -> None:
+    """Also over any number of hot restarts: the last request on each name decides."""
+    made = overlay_of(*"abc")
+    expected_in_use = dict.fromkeys("abc", True)
     now = 2000.0
-    shown: dict[str, EndpointState] = {}
-    for what, of in steps:
+    last_states: dict[str, EndpointState] = {}
+    for action, subject in steps:
         now += 1
         try:
-            if what == "out":
-                shown |= states(made.start_maintenance(str(of), now))
-                word[str(of)] = False
-            elif what == "back":
-                shown |= states(made.end_maintenance(str(of), now))
-                word[str(of)] = True
-            elif what == "list":
-                assert isinstance(of, set)
-                shown = states(made.apply(listing(*map(listed, sorted(of)))))
+            if action == "out":
+                last_states |= state_by_name(made.start_maintenance(str(subject), now))
+                expected_in_use[str(subject)] = False
+            elif action == "back":
+                last_states |= state_by_name(made.end_maintenance(str(subject), now))
+                expected_in_use[str(subject)] = True
+            elif action == "list":
+                assert isinstance(subject, set)
+                last_states = state_by_name(made.apply(endpoint_list(*map(endpoint, sorted(subject)))))
             else:
-                following = maintenance(*made.endpoints)
+                following = overlay_of(*made.endpoints)
                 following.apply_record(made.encode_record(now))
-                following.apply(listing(*made.endpoints.values()))
+                following.apply(endpoint_list(*made.endpoints.values()))
                 made = following
         except UnknownEndpointError:
-            assert of not in made.endpoints and of not in made.in_maintenance
-        assert set(made.in_maintenance) == {name for name, serves in word.items() if not serves}
-        assert all(word[name] == (state is SERVING) for name, state in shown.items())
+            assert subject not in made.endpoints and subject not in made.in_maintenance
+        assert set(made.in_maintenance) == {name for name, serves in expected_in_use.items() if not serves}
+        assert all(expected_in_use[name] == (state is SERVING) for name, state in last_states.items())
 
 
 def test_two_processes_share_one_record(tmp_path: Path) -> None:
--- a/tests/admin/test_settings_update.py
+++ b/tests/admin/test_settings_update.py
@@ -1,4 +1,4 @@
-"""Which new configuration files are turned down, and what is in force until a good one is. Pure."""
+"""Which new configuration files are rejected, and what is in force until a valid one is. Pure."""
 
 from __future__ import annotations
 
@@ -10,11 +10,8 @@
 import pytest
 
 from harness.program import settings
-from service_proxy.admin.settings_update import (
-    InvalidSettingsUpdateError,
-    parse_update,
-    transitional_settings,
-)
+from service_proxy.admin.errors import InvalidSettingsUpdateError
+from service_proxy.admin.settings_update import parse_update, transitional_settings
 from service_proxy.net.config import flatten
 from service_proxy.policy.events import Idempotency
 from service_proxy.settings import read_settings
@@ -31,7 +28,7 @@
 }
 
 
-def changed(path: str, value: Any) -> str:
+def running_with(path: str, value: Any) -> str:
     raw = copy.deepcopy(RUNNING)
     at: Any = raw
     *way, last = path.split(".")
@@ -44,14 +41,14 @@
     return json.dumps(raw)
 
 
-def test_the_same_file_and_one_without_what_only_a_start_takes_are_good() -> None:
+def test_the_same_file_and_one_without_startup_only_keys_are_accepted() -> None:
     assert parse_update(json.dumps(RUNNING), RUNNING) == RUNNING
     for key in ("known", "seed"):
-        assert key not in parse_update(changed(key, None), RUNNING)
+        assert key not in parse_update(running_with(key, None), RUNNING)
 
 
 @pytest.mark.parametrize("text", ["", " ", "[]", "null", "[" * 100_000, json.dumps(RUNNING)[:-1], "{}"])
-def test_an_empty_or_cut_file_is_turned_down(text: str) -> None:
+def test_an_empty_or_truncated_file_is_rejected(text: str) -> None:
     with pytest.raises(InvalidSettingsUpdateError):
         parse_update(text, RUNNING)
 
@@ -72,30 +69,30 @@
 )
 def test_a_key_that_is_missing_is_named(path: str) -> None:
     with pytest.raises(InvalidSettingsUpdateError, match=f"{path} is missing"):
-        parse_update(changed(path, None), RUNNING)
+        parse_update(running_with(path, None), RUNNING)
 
 
 @pytest.mark.parametrize("path", ["settings.grades.0.deadline", "settings.policy_limits.send_cap"])
 @pytest.mark.parametrize("value", [0, -1, "3", True, [], {}, math.nan, math.inf, -math.inf])
-def test_what_is_no_number_above_0_is_named(path: str, value: Any) -> None:
+def test_a_value_that_is_no_positive_number_is_named(path: str, value: Any) -> None:
     with pytest.raises(InvalidSettingsUpdateError, match=path):
-        parse_update(changed(path, value), RUNNING)
+        parse_update(running_with(path, value), RUNNING)
 
 
-def test_attempts_are_whole_also_those_of_one_class() -> None:
+def test_numbers_of_attempts_are_integers_also_those_of_one_class() -> None:
     for path in ("settings.policy_limits.send_cap", "settings.grades.0.attempts"):
         with pytest.raises(InvalidSettingsUpdateError, match=path):
-            parse_update(changed(path, 2.5), RUNNING)
+            parse_update(running_with(path, 2.5), RUNNING)
 
 
-def test_classes_may_come_and_go() -> None:
+def test_request_classes_can_be_added_and_removed() -> None:
     few = copy.deepcopy(RUNNING)
     few["settings"]["grades"] = few["settings"]["grades"][:1]
     assert parse_update(json.dumps(few), RUNNING) == few
     assert parse_update(json.dumps(RUNNING), few) == RUNNING
 
 
-def test_until_it_is_settled_both_files_classes_are_known_and_the_old_ones_as_they_were() -> None:
+def test_in_the_transition_the_classes_of_both_files_are_known_and_old_ones_as_they_were() -> None:
     raw = copy.deepcopy(RUNNING["settings"])
     raw["grades"][0]["effect"] = "once"  # stricter
     del raw["grades"][1]
