--- a/service_proxy/admin/server.py
+++ b/service_proxy/admin/server.py
@@ -50,7 +50,7 @@
         self.phase_started_at = time.monotonic()
         self.server.add(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         """Leave the server."""
         self.transport = None
         self.parser = None
--- a/service_proxy/clock.py
+++ b/service_proxy/clock.py
@@ -1,6 +1,7 @@
-"""The clocks of a process, as one object that the assembly hands to who needs a time.
+"""The clocks of a process, as one object that the composition root hands to whoever reads a time.
 
-Parts that decide are given numbers; only who drives them reads this. A rig puts another one in its place.
+Modules that decide are given times as numbers; only those that drive them read this. A test harness can put
+another one in its place.
 """
 
 from __future__ import annotations
@@ -9,10 +10,12 @@
 
 
 class Clock:
+    """The machine's clocks."""
+
     def monotonic(self) -> float:
-        """s on a clock that only goes forward; means nothing outside this process's machine."""
+        """Return s on a clock that only goes forward; it means nothing outside this process's machine."""
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """s since 1970 by the machine's word; may be wrong and go back."""
+        """Return s since 1970 by the machine's clock, which may be wrong and may go back."""
         return time.time()
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -1,7 +1,8 @@
-"""Puts a proxy together: driver, listener and what the operator's file turns on; and takes it apart again.
+"""The composition root: puts a proxy together from its parts, starts it, reloads, drains and stops it.
 
-The one place that knows every part; `python -m service_proxy` makes one, a sidecar one for each tier that it
-calls. A part that is off is not imported.
+The one place that knows every part; `python -m service_proxy` makes one proxy, a sidecar one for each tier
+that its application calls. A part that is off is not imported, so the imports stand in the functions that
+create it.
 """
 
 from __future__ import annotations
@@ -11,7 +12,6 @@
 import logging
 import math
 import time
-from collections import Counter
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
@@ -38,33 +38,29 @@
 
 log = logging.getLogger("service_proxy")
 
-DRAIN_POLL_INTERVAL_S = 0.01  # s between looks whether all is answered
-LAST_BYTES_GRACE_S = (
-    0.3  # s for the last answers to be taken; with __main__.KILL_MARGIN_S it stays ahead of the SIGKILL
-)
-MAX_LOG_RECORDS = 20  # of one kind
-LOG_WINDOW_S = 10.0  # s for which no more are written
+DRAIN_POLL_INTERVAL_S = 0.01  # between looks whether all requests are answered
+# For the last responses to be read; with __main__.KILL_MARGIN_S it stays ahead of the SIGKILL.
+LAST_BYTES_GRACE_S = 0.3
+# Objects allocated before a collection of the youngest generation, and collections of each generation before
+# one of the next: few, since what lives long is frozen.
+GC_THRESHOLDS = (50_000, 20, 50)
 
+ListOverlay = Callable[[Listing], Listing]
 
-class LogRateLimit(logging.Filter):
-    """A flood of bad input must not become a flood of lines."""
 
-    def __init__(self) -> None:
-        super().__init__()
-        self.until = 0.0
-        self.lines: Counter[object] = Counter()
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        now = time.monotonic()
-        if now >= self.until:
-            self.until = now + LOG_WINDOW_S
-            self.lines.clear()
-        self.lines[record.msg] += 1  # the template, not the text
-        return self.lines[record.msg] <= MAX_LOG_RECORDS
+class Proxy:
+    """One tier's proxy in this process: it accepts requests at its listener and balances them over the tier.
 
+    Owns the dispatcher, the listener and the parts that are on:
 
-class Proxy:
-    """One tier's proxy in this process: it takes calls at its listener and balances them over the tier."""
+    - `driver`: the policy, the endpoint list in force, the upstream connection pools, discovery.
+    - `server`: the listener and the downstream connections.
+    - `admin`: the admin server, maintenance, metrics; None where the platform names no address for it.
+    - `recovery`: the records that outlive the process, and the phase of a recovery.
+    - `fleet`: this process's member of the fleet.
+    - `websocket`: WebSocket sessions and tunnels.
+    - `subsystems`: all parts that the operator's file turns on, in the order in which they start.
+    """
 
     def __init__(
         self,
@@ -77,72 +73,95 @@
         fleet_keys: Sequence[bytes] = (),
         recovery: RecoverySettings | None = None,
     ) -> None:
-        """`called`: the tier's name, where budgets are on and it is known. Raises ConfigError where the
-        list that it is to begin with can't be used, or where the fleet can't be met as the settings are."""
+        """Create all parts; none of them runs yet.
+
+        Args:
+            config: the platform's configuration of the process.
+            membership: where ephemeral nodes are a source of endpoints; None: off.
+            budgets: the deadline propagation that the listeners of a process share; None: off.
+            called: the name of the tier, where budgets are on and it is known.
+            websocket: the sessions' settings; None: off.
+            fleet: the membership's settings; None: off.
+            fleet_keys: that authenticate the fleet's datagrams.
+            recovery: the recovery's settings; None: off.
+
+        Raises:
+            ConfigError: the list that it is to begin with can't be used, or a part can't be had with these
+                settings.
+            OSError: the admin service can't write to $TMPDIR.
+        """
         self.config = config
-        whole = config
+        process_config = config
         if websocket is not None:
-            from service_proxy.websocket.front import Front, sized
-
-            config = sized(config, websocket)
+            config = reserve_for_websocket(config, websocket)
         self.admin = create_admin_service(config)
         self.recovery = create_recovery(recovery, config) if recovery is not None else None
-        overlays = []
-        if self.recovery is not None:
-            overlays.append(self.recovery.override_list)
-        if self.admin is not None:
-            overlays.append(self.admin.maintenance.apply)
-            if self.recovery is not None:
-                self.admin.maintenance.restore(self.recovery.in_maintenance)
-                # From here on staff put an endpoint back into service by the admin service.
-                self.recovery.endpoint_override.in_maintenance = frozenset()
-        self.driver = Driver(
-            config, outer_filters(budgets, called, config, self.recovery), chain_overlays(overlays)
-        )
+        filters = outer_filters(budgets, called, config, self.recovery)
+        self.driver = Driver(config, filters, chain_overlays(self._list_overlays()))
         self.subsystems: list[Subsystem] = []
         if membership is not None:
-            from service_proxy.ephemeral_nodes.source import Membership as Source
-
-            # Its lines are few, and say which source decided: docs/operators/ephemeral.md.
-            logging.getLogger("service_proxy.ephemeral_nodes").setLevel(logging.INFO)
-            self.subsystems.append(Source(membership, self.driver, config))
+            self.subsystems.append(create_endpoint_source(membership, self.driver, config))
         if budgets is not None:
             self.subsystems.append(budgets)
-        self.server = Server(
+        self.server = self._create_listener(config)
+        self.fleet = create_fleet(fleet, config, self.driver, fleet_keys) if fleet is not None else None
+        if self.fleet is not None:
+            self.subsystems.append(self.fleet)
+        if self.recovery is not None:
+            self._attach_recovery(self.recovery)
+        self.websocket: Front | None = None
+        if websocket is not None:
+            self.websocket = create_websocket_front(websocket, process_config, self.driver, self.server)
+            self.subsystems.append(self.websocket)
+
+    def _list_overlays(self) -> list[ListOverlay]:
+        """Return what acts on endpoint lists, in this order: what is known of an outage, then maintenance."""
+        overlays: list[ListOverlay] = []
+        if self.recovery is not None:
+            overlays.append(self.recovery.override_list)
+        if self.admin is not None:
+            overlays.append(self.admin.maintenance.apply)
+        if self.recovery is not None and self.admin is not None:
+            self.admin.maintenance.restore(self.recovery.in_maintenance)
+            # From here on staff put an endpoint back into service by the admin service.
+            self.recovery.endpoint_override.in_maintenance = frozenset()
+        return overlays
+
+    def _create_listener(self, config: Config) -> Server:
+        admin = self.admin
+        return Server(
             self.driver.effects,
             self.driver,
             config.sockets,
             config.memory_mb,
             self.driver.pages(),
             takes=self.driver.takes,
-            tally=self.admin.metrics if self.admin is not None else None,
-            reserved=self.admin.file_descriptors if self.admin is not None else 0,
+            tally=admin.metrics if admin is not None else None,
+            reserved=admin.file_descriptors if admin is not None else 0,
             most_body=MOST_LENGTH,
         )
-        self.fleet = create_fleet(fleet, config, self.driver, fleet_keys) if fleet is not None else None
-        if self.fleet is not None:
-            self.subsystems.append(self.fleet)
-        if self.recovery is not None:
-            self._attach(self.recovery)
-        self.websocket: Front | None = None
-        if websocket is not None:
-            self.websocket = Front(websocket, whole, self.driver, self.server)
-            self.subsystems.append(self.websocket)
 
-    def _attach(self, recovery: Recovery) -> None:
-        operations = self.admin
+    def _attach_recovery(self, recovery: Recovery) -> None:
+        admin = self.admin
         driver = self.driver
-        after = operations.maintenance.apply if operations is not None else lambda listing: listing
-        fleet = self.fleet  # view, channel and word
-        recovery.attach(driver, lambda listing: driver.in_force(after(listing)), fleet, fleet, fleet)
-        if operations is not None:
-            recovery.current_maintenance = lambda: operations.maintenance.in_maintenance
+        fleet = self.fleet  # the membership view, the datagram channel and the member's metadata
+
+        def put_in_force(listing: Listing) -> None:
+            driver.in_force(admin.maintenance.apply(listing) if admin is not None else listing)
+
+        recovery.attach(driver, put_in_force, fleet, fleet, fleet)
+        if admin is not None:
+            recovery.current_maintenance = lambda: admin.maintenance.in_maintenance
         driver.witness = recovery.on_attempt_end
         driver.advise = recovery.retry_after
         self.subsystems.append(recovery)
 
     async def start(self) -> None:
-        """Raises OSError where it can't listen."""
+        """Start all parts, the listener last.
+
+        Raises:
+            OSError: an address can't be listened at.
+        """
         self.driver.start()
         for subsystem in self.subsystems:
             subsystem.start()
@@ -151,19 +170,23 @@
         await self.server.listen(*self.config.listen, beside=self.admin is not None)
 
     def move_discovery(self, discovery: Address) -> None:
-        log.info("reload: discovery is at %s:%d", *discovery)
+        """Ask discovery at another address from now on."""
+        log.info("discovery_address_changed address=%s:%d", *discovery)
         self.driver.discovery.move(discovery)
 
     def reload_subsystems(self, operator_file: str) -> None:
-        """What may change of the operator's file. A part whose table can't be used stays as it was."""
+        """Take over what may change of the operator's file.
+
+        A subsystem whose table can't be used keeps its settings.
+        """
         for subsystem in self.subsystems:
             try:
                 subsystem.reread(operator_file)
-            except ValueError as fault:  # an OperatorError, too
-                log.error("reload: %s; this part stays as it was", " | ".join(str(fault).splitlines()))
+            except ValueError as error:
+                log.error("subsystem_reload_rejected error=%s", " | ".join(str(error).splitlines()))
 
     def end_all_by(self, end_by: float) -> None:
-        """All that is open is to be over by then; sessions begin to end now."""
+        """Begin to drain: all requests and sessions end by `end_by` (monotonic, s)."""
         self.driver.end_all_by(end_by)
         if self.websocket is not None:
             self.websocket.drain(end_by)
@@ -171,15 +194,16 @@
             self.fleet.drain()
 
     async def wait_until_drained(self) -> None:
-        """Each answer from now on is the last on its connection; returns when nothing is owed any more."""
-        front = self.websocket
-        await drain_server(
-            self.server,
-            lambda: bool(self.driver.calls) or self.server.inflight > 0 or (front is not None and front.owes),
-            self.driver.end_by,
-        )
+        """Close each connection with its next response; return when nothing is left to be answered."""
+        await drain_server(self.server, self._has_unanswered, self.driver.end_by)
+
+    def _has_unanswered(self) -> bool:
+        if self.driver.calls or self.server.inflight > 0:
+            return True
+        return self.websocket is not None and self.websocket.owes
 
     def stop(self) -> None:
+        """Stop all parts and close their sockets."""
         if self.admin is not None:
             self.admin.stop()
         for subsystem in self.subsystems:
@@ -187,8 +211,13 @@
         self.driver.stop()
 
 
+def _log_at_info(package: str) -> None:
+    """Have a package's INFO lines written: they are few, or bounded by the package itself."""
+    logging.getLogger(package).setLevel(logging.INFO)
+
+
 def create_admin_service(config: Config) -> AdminService | None:
-    """Where the platform names a second address."""
+    """Return the admin service, or None where the platform names no address for it."""
     if config.console is None:
         return None
     from service_proxy.admin.service import AdminService
@@ -196,81 +225,128 @@
     return AdminService(config)
 
 
-def create_deadline_propagation(settings: BudgetSettings, mark: str) -> Budgets:
-    """One for all listeners of a process. Raises OperatorError where the key file can't be used."""
+def create_endpoint_source(settings: Membership, driver: Driver, config: Config) -> Subsystem:
+    """Return the source of endpoints that reads ephemeral nodes; it feeds the dispatcher."""
+    from service_proxy.ephemeral_nodes.source import Membership as EndpointSource
+
+    # Its lines say which source decided: docs/operators/ephemeral.md.
+    _log_at_info("service_proxy.ephemeral_nodes")
+    return EndpointSource(settings, driver, config)
+
+
+def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
+    """Return what keeps this machine's endpoint registered; it is not started yet."""
+    from service_proxy.ephemeral_nodes.register import registrar_of
+
+    return registrar_of(membership, registration, since_ms)
+
+
+def create_deadline_propagation(settings: BudgetSettings, hop: str) -> Budgets:
+    """Return the deadline propagation of a process, for all its listeners.
+
+    `hop`: the hop identifier, where the settings name none. Raises OperatorError where the key file can't be
+    used.
+    """
     from service_proxy.deadlines.calls import Budgets
 
-    logging.getLogger("service_proxy.deadlines").setLevel(logging.INFO)
-    return Budgets(settings, mark)
+    _log_at_info("service_proxy.deadlines")
+    return Budgets(settings, hop)
 
 
 def create_fleet(
     settings: FleetSettings, config: Config, driver: Driver, keys: Sequence[bytes]
 ) -> Fleet | None:
-    """None where the platform's settings allow no talk between proxies: there nothing of it is imported."""
+    """Return the fleet's member, or None where the platform allows no messages between proxies.
+
+    There nothing of the package is imported.
+    """
     if not (config.settings.can_message_peers or settings.own_network):
         log.error(
-            "[fleet] is off: the platform's settings (policy_limits.peers) allow no talk between proxies; "
-            "on an installation of its own write own_network = true"
+            "fleet_disabled reason=the platform's settings (policy_limits.peers) allow no messages between "
+            "proxies; on an installation of its own write own_network = true"
         )
         return None
     from service_proxy.clock import Clock
     from service_proxy.fleet.transport import Fleet
 
-    # Each change is a line of its own, and their number has a bound of its own.
-    logging.getLogger("service_proxy.fleet").setLevel(logging.INFO)
+    _log_at_info("service_proxy.fleet")
     return Fleet(settings, config, driver, Clock(), keys)
 
 
+def read_fleet_keys(operator: Operator) -> list[bytes]:
+    """Return the keys that authenticate the fleet's datagrams: those of [budgets], or none without it.
+
+    Raises:
+        OperatorError: the key file can't be used.
+    """
+    if operator.fleet is None or operator.budgets is None:
+        return []
+    from service_proxy.deadlines.keys import read_keys
+
+    return list(read_keys(operator.budgets.keys_file).values())
+
+
 def create_recovery(settings: RecoverySettings, config: Config) -> Recovery:
+    """Return the recovery, with its store read."""
     from service_proxy.clock import Clock
     from service_proxy.recovery.service import Recovery
 
-    # A line for each phase, and for what is wrong with the store.
-    logging.getLogger("service_proxy.recovery").setLevel(logging.INFO)
+    _log_at_info("service_proxy.recovery")
     return Recovery(settings, config, Clock())
 
 
-def chain_overlays(overlays: Sequence[Callable[[Listing], Listing]]) -> Callable[[Listing], Listing] | None:
-    """What acts on lists, in this order: what is known of a loss, then the staff's word."""
-    if len(overlays) < 2:
-        return overlays[0] if overlays else None
+def reserve_for_websocket(config: Config, settings: WebSocket) -> Config:
+    """Return the configuration less the descriptors and memory of the sessions.
 
-    def overlay(listing: Listing) -> Listing:
-        for each in overlays:
-            listing = each(listing)
-        return listing
+    Raises:
+        ConfigError: they leave too little.
+    """
+    from service_proxy.websocket.front import sized
 
-    return overlay
+    return sized(config, settings)
 
 
-def read_fleet_keys(operator: Operator) -> list[bytes]:
-    """The fleet's datagrams are sealed where there is a key file, the budgets'. Raises OperatorError."""
-    if operator.fleet is None or operator.budgets is None:
-        return []
-    from service_proxy.deadlines.keys import read_keys
+def create_websocket_front(settings: WebSocket, config: Config, driver: Driver, server: Server) -> Front:
+    """Return the WebSocket listener, attached to the HTTP listener. `config`: of the whole process.
 
-    return list(read_keys(operator.budgets.keys_file).values())
+    Raises:
+        ConfigError: a tunnel's request class can't be one.
+    """
+    from service_proxy.websocket.front import Front
+
+    return Front(settings, config, driver, server)
+
+
+def chain_overlays(overlays: Sequence[ListOverlay]) -> ListOverlay | None:
+    """Return one overlay that applies these in turn, or None where there are none."""
+    if not overlays:
+        return None
+    if len(overlays) == 1:
+        return overlays[0]
+
+    def apply_all(listing: Listing) -> Listing:
+        for overlay in overlays:
+            listing = overlay(listing)
+        return listing
+
+    return apply_all
 
 
 def outer_filters(
     budgets: Budgets | None, called: str, config: Config, recovery: Recovery | None = None
 ) -> tuple[Filter, ...]:
-    """What acts on a call before the module, in this order."""
-    first: tuple[Filter, ...] = () if recovery is None else (recovery.filter,)
+    """Return what acts on a request before the policy, in this order."""
+    filters: tuple[Filter, ...] = () if recovery is None else (recovery.filter,)
     if budgets is None:
-        return first
+        return filters
     from service_proxy.deadlines.calls import OuterFilter
 
     classes = {cls.name: cls for cls in config.settings.classes}
-    return (
-        *first,
-        OuterFilter(budgets, called, classes, config.settings.max_attempts),
-    )
+    return (*filters, OuterFilter(budgets, called, classes, config.settings.max_attempts))
 
 
 def inner_filters(budgets: Budgets | None, classes: dict[str, RequestClass]) -> tuple[Filter, ...]:
-    """The same before an application."""
+    """Return what acts on a request before it goes to the application beside a sidecar."""
     if budgets is None:
         return ()
     from service_proxy.deadlines.calls import InnerFilter
@@ -278,36 +354,28 @@
     return (InnerFilter(budgets, classes),)
 
 
-async def drain_server(server: Server, owes: Callable[[], bool], ends: float = 0.0) -> None:
-    """Answer what a listener owes, and give the last bytes time to leave.
+async def drain_server(server: Server, has_unanswered: Callable[[], bool], end_by: float = 0.0) -> None:
+    """Answer what a listener has accepted, and give the last bytes time to leave.
 
-    `ends`: the moment (monotonic, s) by which all that is decided here has been answered. A response that
+    `end_by`: the moment (monotonic, s) by which all that is decided here has been answered. A response that
     still comes on LAST_BYTES_GRACE_S later is broken off, and its client can tell; 0: there is no such time.
     """
     server.draining = True
     server.close_idle()
-    last = ends + LAST_BYTES_GRACE_S if ends else math.inf
-    while owes() and time.monotonic() < last:
+    give_up_at = end_by + LAST_BYTES_GRACE_S if end_by else math.inf
+    while has_unanswered() and time.monotonic() < give_up_at:
         server.close_idle(partial=True)
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-    # The last bytes may still be on their way to a slow peer, or a request to us.
-    last = min(last, max(ends, time.monotonic()) + LAST_BYTES_GRACE_S)
-    while server.connections and time.monotonic() < last:
+    # The last bytes may still be on their way to a slow peer, or a request to this process.
+    give_up_at = min(give_up_at, max(end_by, time.monotonic()) + LAST_BYTES_GRACE_S)
+    while server.connections and time.monotonic() < give_up_at:
         server.close_idle(partial=True)
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     server.abort_leaving()
 
 
-def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
-    """Keeps this machine's server registered; not started yet."""
-    from service_proxy.ephemeral_nodes.register import registrar_of
-
-    return registrar_of(membership, registration, since_ms)
-
-
 def freeze_long_lived_objects() -> None:
-    """What is alive now stays alive: it need not be looked at again and again in pauses that calls wait
-    for."""
+    """Exempt what is alive now from garbage collection, so that the pauses of requests stay short."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(50_000, 20, 50)
+    gc.set_threshold(*GC_THRESHOLDS)
--- a/service_proxy/settings.py
+++ b/service_proxy/settings.py
@@ -39,7 +39,8 @@
 
 class _Pairs(Fields):
     """Pairs of which each may be read as one value only where it is one: an object or a list in its place
-    must not pass for a value that was left out."""
+    must not pass for a value that was left out.
+    """
 
     def __init__(self, pairs: Fields) -> None:
         super().__init__(pairs)
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -22,7 +22,6 @@
 import uvloop
 
 from service_proxy.composition import (
-    LogRateLimit,
     Proxy,
     create_deadline_propagation,
     create_registrar,
@@ -30,6 +29,7 @@
     freeze_long_lived_objects,
     inner_filters,
 )
+from service_proxy.log_setup import configure_logging
 from service_proxy.net.config import Config, ConfigError, read_config
 from service_proxy.net.listing import address
 from service_proxy.net.server import BASE_MEMORY
@@ -286,8 +286,7 @@
     """`wanted`: file, environment, host and tier. Exit code 0 after SIGTERM, 1 for findings or an address
     that is taken, 2 where a file can't be read."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes while it starts finds the new file read
-    logging.basicConfig(stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
-    logging.getLogger().handlers[0].addFilter(LogRateLimit())
+    configure_logging()
     log.setLevel(logging.INFO)
     try:
         description = read(wanted.file, wanted.environment)
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -260,6 +260,7 @@
             assert set(callers.codes) <= {200, 503}, callers.codes
             logs = "".join(program.log.read_text() for program in programs)
             assert "left out of account" not in logs and "all stays as it was" not in logs
+            assert "reload_rejected" not in logs
             assert audited(made) == []
 
     run(test())
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -56,7 +56,7 @@
     async def test() -> None:
         driver: Any = Driver()
         assert create_fleet(Settings("portal"), config(False, **PEERS), driver, ()) is None
-        assert "the platform's settings (policy_limits.peers) allow no talk" in said[0]
+        assert "the platform's settings (policy_limits.peers) allow no messages" in said[0]
         assert create_fleet(Settings("portal"), config(True, **PEERS), driver, ()) is not None
 
     asyncio.run(test())
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -13,7 +13,7 @@
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
 
 from harness.callers import GRADES
-from service_proxy.composition import MAX_LOG_RECORDS, LogRateLimit
+from service_proxy.log_setup import MAX_LOG_RECORDS, LogRateLimit
 from service_proxy.net.server import ClientConnection, Server
 from service_proxy.policy.events import Idempotency
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -71,7 +71,7 @@
             node.reload(text=text)
             async with asyncio.timeout(PATIENCE):
                 assert node.process.stderr is not None
-                while b"stays as it was" not in await node.process.stderr.readline():
+                while b"reload_rejected" not in await node.process.stderr.readline():
                     pass
             discovery.put(2)
             assert "from=2" in await first_asked(discovery)  # the watch goes on
