--- /dev/null
+++ b/service_proxy/policy/admission.py
@@ -0,0 +1,115 @@
+"""Admission: each arriving request is queued or rejected."""
+
+from __future__ import annotations
+
+import math
+
+from service_proxy.policy.concurrency_limit import ConcurrencyLimiter
+from service_proxy.policy.events import RequestArrived
+from service_proxy.policy.in_flight import InFlightAttempts
+from service_proxy.policy.request import RequestState
+from service_proxy.policy.request_class import RequestClassState
+from service_proxy.policy.request_queue import RequestQueue
+from service_proxy.policy.retry_budget import RetryBudget
+from service_proxy.policy.retry_guard import RetryGuard
+from service_proxy.policy.settings_types import Settings
+from service_proxy.policy.settings_user import SettingsUser
+from service_proxy.policy.tenant_quotas import TenantQuotas
+from service_proxy.policy.timing import CONTROL_INTERVAL_S
+
+RETRY_AFTER_LATENCIES = 0.25  # mean latencies for which a rejected client is told to stay away
+
+
+class RequestAdmission(SettingsUser):
+    """Opens arriving requests and decides whether they are served."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        request_classes: dict[str, RequestClassState],
+        guard: RetryGuard,
+        queue: RequestQueue,
+        in_flight: InFlightAttempts,
+        limiter: ConcurrencyLimiter,
+        quotas: TenantQuotas,
+        retry_budget: RetryBudget,
+    ) -> None:
+        super().__init__(settings)
+        self.request_classes = request_classes
+        self.guard = guard
+        self.queue = queue
+        self.in_flight = in_flight
+        self.limiter = limiter
+        self.quotas = quotas
+        self.retry_budget = retry_budget
+
+    def open_request(self, event: RequestArrived, now: float) -> RequestState | None:
+        """Open a request, or return None if it is known already or can't be served."""
+        if self.guard.is_known(event.request_id):
+            return None
+        request_class = self.request_classes.get(event.class_name)
+        if request_class is None or not 0 < event.time_budget < math.inf:
+            self.guard.reject_invalid(event.request_id)
+            return None
+        weight = self._weight(event, request_class)
+        useful = self.remaining_objective(
+            request_class, event.stated_budget or event.time_budget, event.is_retry
+        )
+        useful = event.time_budget if request_class.accepts_late_answers else min(event.time_budget, useful)
+        request = RequestState(
+            event.request_id, request_class, weight, now, now + event.time_budget, now + useful
+        )
+        if event.max_attempts:
+            request.max_attempts = min(event.max_attempts, request_class.max_attempts)
+        self.guard.requests[request.request_id] = request
+        self.limiter.record_arrival(weight)
+        self.retry_budget.on_request()
+        return request
+
+    def _weight(self, event: RequestArrived, request_class: RequestClassState) -> float:
+        if self.settings.weight_by_work and event.expected_work > 0:
+            weight = request_class.priority_weight * event.weight_share * event.expected_work
+        else:
+            weight = request_class.shedding_weight * event.weight_share
+        return weight * self.quotas.weight_share(event.tenant)
+
+    def remaining_objective(self, request_class: RequestClassState, budget: float, is_retry: bool) -> float:
+        """Return the seconds that are left of the latency objective.
+
+        An inner request's budget is what the proxy above left it: its useful time. At the first tier a budget
+        below the typical one shows that the client's whole time runs out, and so how long it has waited over
+        its earlier attempts. Guards against work for answers that come too late, and (the median, not the
+        longest) against a few odd budgets making every first attempt look late. Where clients mark their
+        retries, one that is not marked has not waited, however short its budget. Cost: a client that forgets
+        the mark gets work that comes too late.
+        """
+        is_first = self.settings.clients_mark_retries and not is_retry
+        typical = request_class.observe_budget(budget)  # also learned from first attempts
+        if self.settings.tier_index or is_first or budget >= typical - CONTROL_INTERVAL_S:
+            return request_class.latency_objective
+        return request_class.latency_objective - (request_class.deadline - budget)
+
+    def admit(self, request: RequestState, now: float) -> None:
+        """Queue a request that was just opened, or reject it."""
+        # The limit grows only while it limits: a shed threshold that kept it from filling would stay in
+        # force.
+        has_slack = self.limiter.has_slack(self.in_flight.counted + len(self.queue) + 1)
+        if (has_slack or self.limiter.admits(request.weight)) and request.useful_until > now:
+            self.queue.add(request)
+        else:
+            self.reject(request)
+
+    def reject(self, request: RequestState) -> None:
+        """Give a request up."""
+        self.guard.answer(request, self._retry_after())
+
+    def _retry_after(self) -> float:
+        """Return the seconds after which a rejected client should come back.
+
+        By then the requests that fill the limit now have been answered. A client that is not told comes back
+        sooner, into the same crowd.
+        """
+        if not self.settings.can_send_retry_after:
+            return 0.0
+        wait = max(CONTROL_INTERVAL_S, RETRY_AFTER_LATENCIES * self.limiter.mean_latency)
+        return min(self.settings.max_retry_after, wait)
--- /dev/null
+++ b/service_proxy/policy/attempt_feedback.py
@@ -0,0 +1,147 @@
+"""What the end of an attempt teaches: the concurrency limit, the endpoint's capacity and its health."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from service_proxy.policy.concurrency_limit import ConcurrencyLimiter
+from service_proxy.policy.connections import ConnectionTracker
+from service_proxy.policy.endpoint_load import EndpointLoads
+from service_proxy.policy.events import AttemptStatus
+from service_proxy.policy.outlier_detection import OutlierDetector
+from service_proxy.policy.request import AttemptState
+
+MIN_LATENCY_S = 1e-4  # no answer counts as quicker, so that means stay above 0
+CLASS_LATENCY_SAMPLES = 50  # attempts over which a class's latency is averaged
+MAX_LATENCIES = 8.0  # mean latencies that an attempt counts as at most, and a failed one in any case
+SLOW_CONNECT_LATENCIES = 0.1  # mean latencies from which a failed connect says what opening one costs
+MAX_CONSECUTIVE_TIMEOUTS = 3  # timeouts, without success between, from which an endpoint is taken to hang
+
+
+class Outcome(NamedTuple):
+    """How an attempt ended, as all that learns from it sees it. Times are in seconds."""
+
+    attempt: AttemptState
+    status: int
+    elapsed: float
+    in_flight: int  # attempts that counted to the limit, this one among them
+    is_broken: bool  # the connection was refused or reset
+    is_excused: bool  # and that says nothing of the endpoint
+
+
+class AttemptFeedback:
+    """Spreads what the end of an attempt says to all that learn from it."""
+
+    def __init__(
+        self,
+        limiter: ConcurrencyLimiter,
+        loads: EndpointLoads,
+        outliers: OutlierDetector,
+        connections: ConnectionTracker,
+    ) -> None:
+        self.limiter = limiter
+        self.loads = loads
+        self.outliers = outliers
+        self.connections = connections
+        self.is_stalled = False  # this batch of events comes after a pause of the proxy's own
+
+    def record(self, attempt: AttemptState, status: int, elapsed: float, in_flight: int, now: float) -> None:
+        """Learn from an attempt that took `elapsed` seconds while `in_flight` counted to the limit."""
+        if status in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
+            return
+        endpoint = attempt.endpoint
+        if attempt.request.is_streaming:
+            if status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.REJECTED):
+                self.outliers.record_response(endpoint, now)
+            return
+        if self.is_stalled and status in (AttemptStatus.OK, AttemptStatus.TIMEOUT):
+            # The proxy stood still: what looks slow or overdue was answered long ago. Guards against reading
+            # one's own pause as slow endpoints, closing the limit and ejecting them. Cost: what was slow
+            # meanwhile is learned a batch later.
+            if status == AttemptStatus.OK:
+                endpoint.last_success_at = now
+                self.outliers.record_response(endpoint, now)
+            return
+        class_name = attempt.request.request_class.name
+        fails_class = self.outliers.fails_class(endpoint, class_name, now)
+        if status in (AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.REJECTED):
+            self.outliers.record_response(endpoint, now)
+            self.outliers.record_class_result(endpoint, class_name, status != AttemptStatus.OK, now)
+        is_broken = status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
+        is_excused = is_broken and self._is_excused(attempt, status, now)
+        outcome = Outcome(attempt, status, max(elapsed, MIN_LATENCY_S), in_flight, is_broken, is_excused)
+        self._update_limit(outcome, fails_class)
+        self._update_capacity(outcome)
+        self._update_health(outcome, now)
+
+    def _is_excused(self, attempt: AttemptState, status: int, now: float) -> bool:
+        """Count a broken connection, and tell whether it says nothing of the endpoint."""
+        attempt.endpoint.consecutive_broken += 1
+        is_lost = status == AttemptStatus.RESET and self.connections.lost_while_idle(attempt)
+        return is_lost or self.outliers.is_alive(attempt.endpoint, now)
+
+    def _update_limit(self, outcome: Outcome, fails_class: bool) -> None:
+        attempt = outcome.attempt
+        status = outcome.status
+        request_class = attempt.request.request_class
+        is_ok = status == AttemptStatus.OK
+        is_timeout = status == AttemptStatus.TIMEOUT
+        if is_ok or (is_timeout and not attempt.endpoint.ejected_until):
+            self.limiter.observe_latency(outcome.elapsed)
+            request_class.mean_latency.add(outcome.elapsed, CLASS_LATENCY_SAMPLES)
+        if is_ok and outcome.elapsed <= request_class.latency_target:
+            self.limiter.on_timely_answer(outcome.in_flight)
+            return
+        if status == AttemptStatus.ERROR:
+            shows_overload = not self.outliers.has_own_errors(attempt.endpoint)
+        elif status == AttemptStatus.REJECTED and fails_class:
+            shows_overload = False  # the endpoint's own fault
+        else:
+            is_answer = is_ok or is_timeout or status == AttemptStatus.REJECTED
+            shows_overload = is_answer and attempt.counts_to_limit and not attempt.is_late
+        if shows_overload:
+            self.limiter.on_late_answer()
+
+    def _update_capacity(self, outcome: Outcome) -> None:
+        """Learn the endpoint's capacity: its load against its latency in units of the class's mean."""
+        attempt = outcome.attempt
+        status = outcome.status
+        is_ok = status == AttemptStatus.OK
+        mean_latency = attempt.request.request_class.mean_latency.value
+        latency = outcome.elapsed / mean_latency
+        is_slow_connect = outcome.elapsed > SLOW_CONNECT_LATENCIES * mean_latency
+        if is_ok or (status == AttemptStatus.CONNECT_FAILED and is_slow_connect):
+            self.connections.record_latency(attempt, min(MAX_LATENCIES, latency + (not is_ok)))
+        # What was only the connection's fault says nothing of its endpoint's pace.
+        if status in (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED) or outcome.is_excused:
+            return
+        # An endpoint that fails fast looks idle: a failure counts as a slow answer.
+        latency = min(latency, MAX_LATENCIES) if is_ok else MAX_LATENCIES
+        self.loads.record_sample(attempt.endpoint, attempt.load, latency)
+
+    def _update_health(self, outcome: Outcome, now: float) -> None:
+        attempt = outcome.attempt
+        status = outcome.status
+        endpoint = attempt.endpoint
+        outliers = self.outliers
+        outliers.record_error(endpoint, status in (AttemptStatus.ERROR, AttemptStatus.RESET))
+        if status == AttemptStatus.OK:
+            if attempt.on_new_connection:
+                endpoint.failed_connects = 0
+            outliers.record_success(endpoint, now)
+        elif outcome.is_broken:
+            if not outcome.is_excused:
+                outliers.eject(endpoint, now, is_certain=True)
+            elif status == AttemptStatus.CONNECT_FAILED:
+                self.connections.record_failed_connect(endpoint, now)
+        elif status == AttemptStatus.TIMEOUT:
+            self.connections.lost_while_idle(attempt)
+            endpoint.consecutive_slow += 1
+            is_hanging = (
+                endpoint.consecutive_slow >= MAX_CONSECUTIVE_TIMEOUTS
+                and endpoint.last_success_at < attempt.sent_at
+            )
+            if endpoint.on_trial or is_hanging:
+                outliers.eject(endpoint, now, is_certain=False)
+        elif status == AttemptStatus.ERROR and outliers.is_outlier(endpoint):
+            outliers.eject(endpoint, now, is_certain=False)
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -1,243 +1,103 @@
-"""What goes into and comes out of a Balancer: settings, events and actions, independent of any wire."""
+"""What a Balancer takes in: events, the endpoint list and the ends of attempts.
+
+Its settings (`settings_types`) and its actions (`actions`) can be imported from here, too: one module for who
+drives a Balancer.
+"""
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
-
-class Idempotency(Enum):
-    """What a second execution of a request would do."""
-
-    IDEMPOTENT = "repeatable"  # harmless anywhere
-    IDEMPOTENT_WITH_KEY = "by_key"  # dropped by the servers of one group, for a while
-    NOT_IDEMPOTENT = "once"  # harmful
+from service_proxy.policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from service_proxy.policy.settings_types import Idempotency, RequestClass, Settings, Tenant
+
+__all__ = [
+    "NEVER_EXECUTED",
+    "Action",
+    "AttemptEnded",
+    "AttemptStatus",
+    "CancelAttempt",
+    "CheckHealth",
+    "CloseIdleConnections",
+    "EndpointEntry",
+    "EndpointListUpdate",
+    "EndpointState",
+    "Event",
+    "Fail",
+    "FetchEndpoints",
+    "HealthCheckEnded",
+    "Idempotency",
+    "ListScope",
+    "PeerMessage",
+    "ProxyCountUpdated",
+    "Reject",
+    "RequestAbandoned",
+    "RequestArrived",
+    "RequestClass",
+    "SendPeerMessage",
+    "SetTimer",
+    "Settings",
+    "SettingsUpdated",
+    "StartAttempt",
+    "StreamStarted",
+    "Tenant",
+    "TimerFired",
+    "WatchEndpoints",
+    "WriteLog",
+]
 
 
 class AttemptStatus(IntEnum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended. The numbers are those of the simulator's wire."""
 
     OK = 0
-    ERROR = 1  # the server answered with an error; it may have run
-    REJECTED = 2  # turned away unseen: never ran
+    ERROR = 1  # the endpoint answered with an error; it may have executed the request
+    REJECTED = 2  # the endpoint rejected it unseen: never executed
     TIMEOUT = 3
-    CONNECT_FAILED = 4  # never ran
+    CONNECT_FAILED = 4  # never executed
     RESET = 5
     CANCELLED = 6
-    NOT_SENT = 7  # never sent
+    NOT_SENT = 7  # given up before it was sent
 
 
 NEVER_EXECUTED = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 
 
 class EndpointState(Enum):
+    """What the endpoint list says of an endpoint."""
+
     SERVING = "serving"
-    DRAINING = "draining"
+    DRAINING = "draining"  # finishes what it has and gets nothing new
     REMOVED = "gone"
 
 
 class ListScope(Enum):
-    CACHED = "saved"  # the whole list as last held, maybe out of date
-    FULL = "full"
-    INCREMENTAL = "incremental"
-    FAILED = "failed"  # a watch or fetch failed, or the watch broke
-
-
-def _check(ok: bool, key: str, value: object, instead: str) -> None:
-    if not ok:
-        raise ValueError(f"setting {key} is out of range: {value!r}; write {instead}")
-
-
-def _positive(owner: object, prefix: str, **keys: str) -> None:
-    """Check fields, each given with the key by which the settings name it."""
-    for name, key in keys.items():
-        value = getattr(owner, name)
-        _check(math.isfinite(value) and value > 0, prefix + key, value, "more than 0")
-
-
-def _not_negative(owner: object, prefix: str, **keys: str) -> None:
-    """Check fields, each given with the key by which the settings name it."""
-    for name, key in keys.items():
-        value = getattr(owner, name)
-        _check(math.isfinite(value) and value >= 0, prefix + key, value, "0 or more")
-
-
-@dataclass(slots=True)
-class RequestClass:
-    """A class of requests. Times are in seconds."""
-
-    name: str
-    priority_weight: float
-    latency_objective: float  # an answer within it has the full worth
-    deadline: float  # how long a client waits over all its tries
-    late_weight_share: float = 0.0  # share of the worth left to an answer between aim and deadline
-    idempotency: Idempotency = Idempotency.IDEMPOTENT
-    idempotency_scope: str = "all"  # BY_KEY: which servers drop a repeat: "all", "zone" or "cell"
-    idempotency_window: float = 0.0  # BY_KEY: for how long they do
-    stream: bool = False
-    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    max_attempts: int = 0  # of a request of the class, if fewer than of any; 0: as many
-
-    def __post_init__(self) -> None:
-        _positive(self, f"class {self.name} ", latency_objective="aim", deadline="deadline")
-        _not_negative(
-            self,
-            f"class {self.name} ",
-            priority_weight="worth",
-            idempotency_window="window",
-            objective_stretch="aim_stretch",
-            late_weight_share="late_worth",
-            max_attempts="attempts",
-        )
-        _check(
-            self.late_weight_share <= 1,
-            f"class {self.name} late_worth",
-            self.late_weight_share,
-            "a share from 0 to 1",
-        )
-        known = self.idempotency_scope in ("all", "zone", "cell")
-        _check(known, f"class {self.name} group", self.idempotency_scope, "all, zone or cell")
-
-
-@dataclass(slots=True)
-class Tenant:
-    name: str
-    quota_per_s: float  # over all instances of the tier
-    share: float = 0.0  # of the service
-
-    def __post_init__(self) -> None:
-        _not_negative(self, f"tenant {self.name} ", quota_per_s="quota_per_s", share="share")
-
+    """What an endpoint list update holds."""
 
-@dataclass(slots=True)
-class Settings:
-    """What an instance is told when it starts. Times are in seconds, prices in points per unit."""
-
-    classes: list[RequestClass]
-    tenants: list[Tenant] = field(default_factory=list)
-    zone: str = ""
-    proxy_index: int = 0  # this instance's number among `balancers`
-    proxy_count: int = 1
-    tier_index: int = 0  # 0: takes clients' requests; more: takes calls of servers
-    tier_count: int = 1  # tiers in all
-    zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()
-    quantum: float = 0.0  # events come no more often than this
-    polls_discovery: bool = False
-    max_poll_interval: float = 10.0
-    max_attempts: int = 1
-    can_hedge: bool = False
-    can_cancel: bool = False
-    can_check_health: bool = False
-    can_message_peers: bool = False  # messages to other instances
-    max_open_requests: int = 0  # open requests that an instance may hold; 0: no limit
-    clients_mark_retries: bool = False
-    can_send_retry_after: bool = False
-    max_retry_after: float = 0.0
-    over_quota_weight_share: float = 1.0
-    weight_by_work: bool = False
-    passes_deadline: bool = False
-    load_report_fields: tuple[str, ...] = ()  # of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps
-    load_report_source: str = (
-        "probe"  # where load reports come: "answer" (with probes too), "probe" or "none"
-    )
-    weight_meaning: str = "nominal"  # what a listed weight means: "none", "nominal", "rough" or "live"
-    connection_idle_timeout: float = 15.0
-    connect_timeout: float = 0.25
-    requests_per_connection: int = 1  # at a time
-    cpu_per_s: float = 0.0  # CPU seconds of an instance each second; 0: no limit
-    cpu_per_request: float = 0.0  # CPU seconds
-    goal_whole: float = 1.0  # weights of the parts of the result
-    goal_window: float = 0.0
-    goal_class: float = 0.0
-    goal_tenant: float = 0.0
-    deadline_slack: float = 0.0
-    drain_grace: float = 0.0
-    slow_start_initial_share: float = 1.0
-    slow_start_window: float = 0.0
-    overload_multiple: float = 1.0
-    overload_window: float = 1.0
-    price_cross_zone: float = 0.0
-    price_probe: float = 0.0
-    price_handshake: float = 0.0
-    price_connection: float = 0.0
-    price_waste: float = 0.0
-    price_late_fail: float = 0.0
-    price_peer: float = 0.0
-    price_discovery: float = 0.0
-
-    def __post_init__(self) -> None:
-        _check(bool(self.classes), "classes", self.classes, "one class at least")
-        _check(self.proxy_count >= 1, "balancers", self.proxy_count, "1 or more")
-        _check(self.proxy_index >= 0, "me", self.proxy_index, "0 or more")
-        _check(self.tier_index >= 0, "stage", self.tier_index, "0 or more")
-        _check(self.max_attempts >= 1, "max_attempts", self.max_attempts, "1 or more")
-        _check(
-            0 < self.slow_start_initial_share <= 1,
-            "cold_from",
-            self.slow_start_initial_share,
-            "a share over 0, up to 1",
-        )
-        share = self.over_quota_weight_share
-        _check(0 <= share <= 1, "over_share_worth", share, "a share from 0 to 1")
-        _check(self.tier_count >= 1, "stages", self.tier_count, "1 or more")
-        _check(self.max_open_requests >= 0, "most_held", self.max_open_requests, "0 or more")
-        _check(
-            self.requests_per_connection >= 1,
-            "calls_per_connection",
-            self.requests_per_connection,
-            "1 or more",
-        )
-        _check(
-            self.load_report_source in ("answer", "probe", "none"),
-            "reports",
-            self.load_report_source,
-            "answer, probe or none",
-        )
-        known = self.weight_meaning in ("none", "nominal", "rough", "live")
-        _check(known, "weights", self.weight_meaning, "none, nominal, rough or live")
-        names = [cls.name for cls in self.classes]
-        _check(len(set(names)) == len(names), "classes", names, "each name once")
-        _positive(
-            self,
-            "",
-            max_poll_interval="must_ask_within",
-            overload_multiple="fall_multiple",
-            overload_window="fall_within",
-            connect_timeout="connect_timeout",
-        )
-        _not_negative(
-            self,
-            "",
-            max_retry_after="max_wait_advice",
-            connection_idle_timeout="conn_idle",
-            deadline_slack="answer_slack",
-            drain_grace="drain_grace",
-            slow_start_window="cold_for",
-            price_cross_zone="price_crossing",
-            price_probe="price_probe",
-            price_handshake="price_handshake",
-            price_connection="price_connection",
-            price_waste="price_waste",
-            price_late_fail="price_late_fail",
-            price_peer="price_peer",
-            price_discovery="price_discovery",
-            goal_whole="goal_whole",
-            goal_window="goal_window",
-            goal_class="goal_class",
-            goal_tenant="goal_tenant",
-            cpu_per_s="cpu_per_s",
-            cpu_per_request="cpu_per_call",
-            quantum="quantum",
-        )
-
-
-# -- events ------------------------------------------------------------------------------------------
+    CACHED = "saved"  # the whole list as last known, maybe out of date
+    FULL = "full"
+    INCREMENTAL = "incremental"  # only what changed
+    FAILED = "failed"  # nothing: a watch or fetch failed, or the watch broke
 
 
 @dataclass(slots=True)
 class EndpointEntry:
+    """One endpoint of the list. Times are in seconds."""
+
     endpoint_id: int
     zone: str = ""
     kind: str = ""
@@ -245,12 +105,14 @@
     state: EndpointState = EndpointState.SERVING
     weight: float = 1.0
     started_at: float = 0.0  # 0: long ago
-    reinstated: bool = False  # somebody put it back by hand and waits to see it in use
+    reinstated: bool = False  # an operator put it back and waits to see it in use
     not_before: float = 0.0  # nothing is sent to it before
 
 
 @dataclass(slots=True)
 class EndpointListUpdate:
+    """The endpoint list, or what changed of it."""
+
     scope: ListScope
     entries: list[EndpointEntry] = field(default_factory=list)
     version: int = 0
@@ -258,34 +120,38 @@
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A client's request came in."""
+
     request_id: int
     class_name: str
-    time_budget: float  # seconds until the client gives this try up
+    time_budget: float  # seconds until the client gives this attempt up
     tenant: str = ""
-    expected_work: float = 0.0  # expected work in core seconds; 0: unknown
+    expected_work: float = 0.0  # in core seconds; 0: unknown
     is_retry: bool = False
     is_write: bool = False
     affinity_key: str = ""  # the subject of the request, where it has one
     max_attempts: int = 0  # that it may have, if fewer than its class; 0: as many
-    weight_share: float = 1.0  # of its class's worth
-    stated_budget: float = (
-        0.0  # seconds that the client gave it, before this instance's own margins; 0: `budget`
-    )
+    weight_share: float = 1.0  # of its class's priority weight
+    stated_budget: float = 0.0  # seconds given by the client, before this proxy's margins; 0: `time_budget`
 
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt ended; `elapsed` in seconds since it was started."""
+
     request_id: int
     attempt_number: int
     endpoint_id: int
-    status: int
+    status: int  # of AttemptStatus
     elapsed: float
-    is_final: bool
+    is_final: bool  # its response went to the client
     load_report: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class StreamStarted:
+    """An attempt's response goes on as a stream: it is never repeated and takes no place in the limit."""
+
     request_id: int
     attempt_number: int
     endpoint_id: int
@@ -294,13 +160,15 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The client left, or its time ran out: nothing more is owed."""
+    """The client left, or its time ran out: it gets no answer any more."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
+    """A health check ended; `elapsed` in seconds since it was started."""
+
     endpoint_id: int
     status: int
     elapsed: float
@@ -309,26 +177,32 @@
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer that was set with this token is due."""
+
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message from another proxy."""
+
     sender: int
     data: bytes
 
 
 @dataclass(slots=True)
 class SettingsUpdated:
-    """In force from now on. Calls that have arrived keep the class with which they came."""
+    """Settings in force from now on. Requests that have arrived keep the class with which they came."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class ProxyCountUpdated:
-    """How many instances stand before the same servers by what is seen of them; until told, it is
-    Settings.balancers. Who tells it bounds it: all instances' shares by it, added up, stay under 1.5."""
+    """How many proxies share the endpoints, as seen; until it comes, `Settings.proxy_count` holds.
+
+    Who sends it bounds it: the allowances of all proxies by it, added up, stay under 1.5.
+    """
 
     count: int
 
@@ -345,83 +219,3 @@
     | SettingsUpdated
     | ProxyCountUpdated
 )
-
-# -- actions -----------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True)
-class StartAttempt:
-    request_id: int
-    endpoint_id: int
-    timeout: float
-
-
-@dataclass(slots=True)
-class Reject:
-    request_id: int
-    retry_after: float = 0.0
-
-
-@dataclass(slots=True)
-class Fail:
-    request_id: int
-
-
-@dataclass(slots=True)
-class CancelAttempt:
-    request_id: int
-    attempt_number: int
-
-
-@dataclass(slots=True)
-class CheckHealth:
-    endpoint_id: int
-
-
-@dataclass(slots=True)
-class WatchEndpoints:
-    enabled: bool = True
-
-
-@dataclass(slots=True)
-class FetchEndpoints:
-    pass
-
-
-@dataclass(slots=True)
-class SetTimer:
-    delay: float
-    token: int
-
-
-@dataclass(slots=True)
-class CloseIdleConnections:
-    endpoint_id: int
-
-
-@dataclass(slots=True)
-class SendPeerMessage:
-    """A message to another instance, or to all; only where Settings.may_tell."""
-
-    data: bytes
-    peer: int | None = None  # None: to all
-
-
-@dataclass(slots=True)
-class WriteLog:
-    text: str
-
-
-Action = (
-    StartAttempt
-    | Reject
-    | Fail
-    | CancelAttempt
-    | CheckHealth
-    | WatchEndpoints
-    | FetchEndpoints
-    | SetTimer
-    | CloseIdleConnections
-    | SendPeerMessage
-    | WriteLog
-)
--- /dev/null
+++ b/service_proxy/policy/health_checks.py
@@ -0,0 +1,156 @@
+"""Health checks: which endpoints to check when, for their health and their load reports."""
+
+from __future__ import annotations
+
+from random import Random
+
+from service_proxy.policy.actions import Action, CheckHealth, SetTimer
+from service_proxy.policy.concurrency_limit import ConcurrencyLimiter
+from service_proxy.policy.endpoint import TrackedEndpoint
+from service_proxy.policy.endpoint_load import EndpointLoads
+from service_proxy.policy.endpoint_pool import EndpointPool
+from service_proxy.policy.endpoint_watch import EndpointWatch
+from service_proxy.policy.events import AttemptStatus, EndpointState, HealthCheckEnded
+from service_proxy.policy.outlier_detection import OutlierDetector
+from service_proxy.policy.request import RequestState
+from service_proxy.policy.selection import EndpointSelector
+from service_proxy.policy.settings_types import Settings
+from service_proxy.policy.settings_user import SettingsUser
+
+CHECKS_PER_REQUEST = 0.15  # per arriving request
+MIN_CHECKS_PER_S = 0.3  # so that an idle proxy still knows its endpoints
+INITIAL_CHECKS = 8.0  # at the start, over all zones: a proxy that knows no load follows the herd
+MAX_SAVED_CHECKS = 2.0  # that collect while none is due
+CANDIDATES_BUDGET = 0.006  # points of price per request that may go to checks for that request alone
+CANDIDATES = 3  # endpoints checked for one request; more gains little over three fresh load reports
+CANDIDATES_WAIT_S = 0.01  # for which a request waits for their load reports
+CANDIDATES_TOKEN = 2  # of the timer that ends the wait
+MIN_BUDGET_IN_WAITS = 3  # waits that a request must have left to be worth one
+MIN_LATENCY_IN_WAITS = 2  # waits that a mean latency must take to be worth one
+SENT_AT_JITTER_S = 1e-3  # so that checks of one moment have an order
+MAX_FAILED_CHECKS = 2  # failed health checks, from which an endpoint without success is ejected
+
+
+class HealthChecker(SettingsUser):
+    """Sends health checks and takes in what they say."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        actions: list[Action],
+        random: Random,
+        pool: EndpointPool,
+        loads: EndpointLoads,
+        selector: EndpointSelector,
+        outliers: OutlierDetector,
+        limiter: ConcurrencyLimiter,
+        watch: EndpointWatch,
+    ) -> None:
+        super().__init__(settings)
+        self.actions = actions
+        self.random = random
+        self.pool = pool
+        self.loads = loads
+        self.selector = selector
+        self.outliers = outliers
+        self.limiter = limiter
+        self.watch = watch
+        self.allowance = 1.0  # of what a proxy may do by the settings: less or more where proxies come or go
+        self.tokens = INITIAL_CHECKS
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Put new settings in force."""
+        super().apply_settings(settings)
+        # Whether health checks are cheap enough to be sent for single requests.
+        is_cheap = CANDIDATES * settings.price_probe <= CANDIDATES_BUDGET
+        self.checks_candidates = settings.can_check_health and is_cheap
+
+    def _rate(self) -> float:
+        """Return the health checks per second that are sent steadily."""
+        return max(MIN_CHECKS_PER_S * self.allowance, CHECKS_PER_REQUEST * self.limiter.arrival_rate)
+
+    def run(self, now: float, span: float) -> None:
+        """Send the health checks that are due after a control step of `span` seconds."""
+        if not self.settings.can_check_health or not self.pool.members:
+            return
+        self.tokens = max(self.tokens, min(MAX_SAVED_CHECKS, self.tokens + self._rate() * span))
+        for endpoint in self.pool.known.values():
+            is_due = endpoint.ejected_until and now >= endpoint.ejected_until
+            if is_due and not endpoint.health_check_pending and endpoint.state is EndpointState.SERVING:
+                self._send(endpoint, now)
+        while self.tokens >= 1 and not self.checks_candidates:
+            idle = [e for e in self.pool.members if not e.health_check_pending and not e.ejected_until]
+            if not idle:
+                break
+            self.tokens -= 1
+            oldest = min(endpoint.health_checked_at for endpoint in idle)
+            self._send(self.random.choice([e for e in idle if e.health_checked_at == oldest]), now)
+
+    def must_wait(self, request: RequestState, now: float) -> bool:
+        """Tell whether a request waits for its candidates' load reports, and check them if it has to.
+
+        Where requests are so few that steady load reports are older than a request's latency, and health
+        checks are cheap, a request's candidates are checked before it is sent. Guards against selection by
+        outdated load reports when many proxies share few requests.
+        """
+        if request.candidates is None:
+            request.candidates = []
+            if not self._is_worth_waiting(request, now):
+                return False
+            self._check_candidates(request, now)
+        return request.awaits_reports(now) and any(e.health_check_pending for e in request.candidates)
+
+    def _is_worth_waiting(self, request: RequestState, now: float) -> bool:
+        rate = self._rate()
+        if request.attempts or request.deadline - now < MIN_BUDGET_IN_WAITS * CANDIDATES_WAIT_S:
+            return False
+        mean_latency = self.loads.mean_latency
+        return (
+            len(self.pool.members) >= rate * mean_latency
+            and mean_latency >= MIN_LATENCY_IN_WAITS * CANDIDATES_WAIT_S
+        )
+
+    def _check_candidates(self, request: RequestState, now: float) -> None:
+        usable = [e for e in self.pool.members if self.selector.is_usable(e, now)]
+        connected = [e for e in usable if self.selector.connections.is_open(e, now)]
+        candidates = self.random.sample(connected, min(CANDIDATES - 1, len(connected)))
+        others = [e for e in usable if e not in candidates]
+        candidates += self.random.sample(others, min(CANDIDATES - len(candidates), len(others)))
+        request.candidates = candidates
+        for endpoint in candidates:
+            if not endpoint.health_check_pending:
+                self._send(endpoint, now)
+        request.candidates_until = now + CANDIDATES_WAIT_S
+        self.actions.append(SetTimer(CANDIDATES_WAIT_S, CANDIDATES_TOKEN))
+
+    def _send(self, endpoint: TrackedEndpoint, now: float) -> None:
+        endpoint.health_check_pending = True
+        endpoint.health_checked_at = now + self.random.random() * SENT_AT_JITTER_S
+        self.actions.append(CheckHealth(endpoint.endpoint_id))
+
+    def on_result(self, event: HealthCheckEnded, now: float) -> None:
+        """Take in how a health check ended."""
+        endpoint = self.pool.known.get(event.endpoint_id)
+        if endpoint is None:
+            return
+        endpoint.health_check_pending = False
+        if event.status == AttemptStatus.OK:
+            self.outliers.record_response(endpoint, now)
+            endpoint.failed_health_checks = 0
+            self.loads.record_report(endpoint, event.load_report, now)
+            if endpoint.ejected_until and now >= endpoint.ejected_until:
+                self.outliers.readmit(endpoint)
+        elif event.status != AttemptStatus.REJECTED:
+            self._on_failure(endpoint, event.status, now)
+
+    def _on_failure(self, endpoint: TrackedEndpoint, status: int, now: float) -> None:
+        endpoint.failed_health_checks += 1
+        if endpoint.ejected_until:
+            if status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.ERROR):
+                self.watch.doubt(now)
+            self.outliers.extend_ejection(endpoint, now)
+        elif (
+            endpoint.failed_health_checks >= MAX_FAILED_CHECKS
+            and endpoint.last_success_at < now - self.loads.mean_latency
+        ):
+            self.outliers.eject(endpoint, now, is_certain=True)
--- /dev/null
+++ b/service_proxy/policy/request_queue.py
@@ -0,0 +1,63 @@
+"""The queue of requests that wait for an attempt, ordered by weight and arrival."""
+
+from __future__ import annotations
+
+from bisect import insort
+
+from service_proxy.policy.request import RequestState
+from service_proxy.policy.timing import CONTROL_INTERVAL_S
+
+ANSWER_MARGIN_S = (
+    2 * CONTROL_INTERVAL_S
+)  # before a client's deadline, when a queued request is answered at last
+TAIL_LATENCIES = 2.0  # mean latencies that a queued request should have left at its turn: tails are long
+
+
+class RequestQueue:
+    """Requests that wait for an attempt: the heaviest first, and of these the oldest."""
+
+    def __init__(self) -> None:
+        self.requests: list[RequestState] = []
+
+    def __len__(self) -> int:
+        return len(self.requests)
+
+    def add(self, request: RequestState) -> None:
+        """Queue a request in its place."""
+        request.is_queued = True
+        insort(self.requests, request)
+
+    def remove(self, request: RequestState) -> None:
+        """Take a request out, if it is queued."""
+        if request.is_queued:
+            self.requests.remove(request)
+            request.is_queued = False
+
+    def remove_at(self, position: int) -> None:
+        """Take out the request at a position."""
+        self.requests[position].is_queued = False
+        del self.requests[position]
+
+    def remove_hopeless(self, now: float, wait_per_position: float) -> list[RequestState]:
+        """Take out and return the requests whose wait does not fit into what is left of their usefulness.
+
+        The wait at a position is about (position + 1) * mean latency / concurrency limit.
+        """
+        kept: list[RequestState] = []
+        removed: list[RequestState] = []
+        for request in self.requests:
+            left = request.useful_until - now
+            mean_latency = request.request_class.mean_latency.value
+            wait = (len(kept) + 1) * wait_per_position
+            fits = not kept or wait + TAIL_LATENCIES * mean_latency <= left
+            # One that waits for its candidates' load reports goes out or comes back here before its deadline;
+            # if less than a mean latency were left, it would be wasted work, most of all on crowded
+            # endpoints.
+            is_waiting = request.awaits_reports(now) and left > mean_latency
+            if fits and left > 0 and (is_waiting or request.deadline - now > ANSWER_MARGIN_S):
+                kept.append(request)
+            else:
+                request.is_queued = False
+                removed.append(request)
+        self.requests[:] = kept
+        return removed
--- /dev/null
+++ b/service_proxy/policy/retry_guard.py
@@ -0,0 +1,155 @@
+"""The idempotency and retry guard: the one gate for every attempt and every final answer.
+
+Whatever the heuristics of the other modules want, these rules hold: one final answer for each request, no
+second execution with an effect, nothing sent to an endpoint that drains, nothing sent past the client's
+deadline.
+"""
+
+from __future__ import annotations
+
+from service_proxy.policy.actions import Action, CancelAttempt, Fail, Reject, StartAttempt
+from service_proxy.policy.endpoint import TrackedEndpoint
+from service_proxy.policy.events import NEVER_EXECUTED, EndpointState
+from service_proxy.policy.request import STATUS_IN_FLIGHT, AttemptState, RequestState
+from service_proxy.policy.request_class import RequestClassState
+from service_proxy.policy.settings_types import Idempotency, Settings
+from service_proxy.policy.settings_user import SettingsUser
+from service_proxy.policy.timing import CONTROL_INTERVAL_S
+
+FINISHED_REQUESTS_REMEMBERED = 1000  # ids of finished requests that are still known, so that none runs twice
+MIN_ATTEMPT_TIMEOUT_S = CONTROL_INTERVAL_S / 10  # a shorter timeout would be below what timers can tell apart
+
+
+class RetryGuard(SettingsUser):
+    """Open requests and what may still be done with each."""
+
+    def __init__(self, settings: Settings, actions: list[Action]) -> None:
+        super().__init__(settings)
+        self.actions = actions
+        self.requests: dict[int, RequestState] = {}
+        self.finished: dict[int, None] = {}  # ids, in the order in which they finished
+
+    def is_known(self, request_id: int) -> bool:
+        """Tell whether a request with this id is open or finished lately."""
+        return request_id in self.requests or request_id in self.finished
+
+    @staticmethod
+    def first_possible_execution(request: RequestState) -> AttemptState | None:
+        """Return the earliest attempt that was executed, may have been or may still be."""
+        for attempt in request.attempts:
+            if attempt.status not in NEVER_EXECUTED:
+                return attempt
+        return None
+
+    def can_send(self, request: RequestState, endpoint: TrackedEndpoint, now: float) -> bool:
+        """Tell whether an attempt of the request may go to the endpoint now."""
+        if request.has_ended or request.is_streaming or now >= request.deadline:
+            return False
+        if endpoint.state is not EndpointState.SERVING:
+            return False
+        if not request.attempts:
+            return True
+        if len(request.attempts) >= request.max_attempts:
+            return False
+        if request.in_flight and not self.settings.can_hedge:
+            return False
+        return self._can_repeat_at(request, endpoint, now)
+
+    def _can_repeat_at(self, request: RequestState, endpoint: TrackedEndpoint, now: float) -> bool:
+        request_class = request.request_class
+        first = self.first_possible_execution(request)
+        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+            return False
+        return (
+            self._same_scope(request_class, first.endpoint, endpoint)
+            and now - first.sent_at < request_class.idempotency_window
+        )
+
+    @staticmethod
+    def _same_scope(request_class: RequestClassState, first: TrackedEndpoint, other: TrackedEndpoint) -> bool:
+        """Tell whether `other` would recognise the idempotency key of a request that `first` executed."""
+        if request_class.idempotency_scope == "all":
+            return True
+        if request_class.idempotency_scope == "zone":
+            return first.zone == other.zone
+        return first.zone == other.zone and first.cell == other.cell
+
+    def can_reject(self, request: RequestState) -> bool:
+        """Tell whether the client may be told that sending the request again is harmless."""
+        request_class = request.request_class
+        if request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        if has_key and request_class.idempotency_scope == "all":
+            return True
+        return self.first_possible_execution(request) is None
+
+    def can_retry(self, request: RequestState) -> bool:
+        """Tell whether some further attempt could still be allowed."""
+        if request.has_ended or request.is_streaming or len(request.attempts) >= request.max_attempts:
+            return False
+        if request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT:
+            return True
+        return self.first_possible_execution(request) is None
+
+    def start_attempt(
+        self, request: RequestState, endpoint: TrackedEndpoint, now: float, timeout: float, load: float
+    ) -> AttemptState | None:
+        """Send an attempt if the rules allow it, and return it."""
+        if not self.can_send(request, endpoint, now):
+            return None
+        attempt = AttemptState(request, len(request.attempts), endpoint, now, load)
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        allowed = max(MIN_ATTEMPT_TIMEOUT_S, min(timeout, request.deadline - now))
+        self.actions.append(StartAttempt(request.request_id, endpoint.endpoint_id, allowed))
+        return attempt
+
+    def answer(self, request: RequestState, retry_after: float = 0.0) -> None:
+        """Give the final answer: a rejection where sending it again is harmless, else a failure."""
+        if request.has_ended:
+            return
+        if self.can_reject(request):
+            self.actions.append(Reject(request.request_id, retry_after))
+        else:
+            self.actions.append(Fail(request.request_id))
+        self.end(request)
+
+    def cancel_attempts(self, request: RequestState) -> None:
+        """Cancel what is in flight of a request that needs no further answer, where cancelling is allowed."""
+        if request.in_flight and self.settings.can_cancel and not request.is_streaming:
+            for attempt in request.attempts:
+                if attempt.status == STATUS_IN_FLIGHT:
+                    self.actions.append(CancelAttempt(request.request_id, attempt.number))
+
+    def reject_invalid(self, request_id: int) -> None:
+        """Give the one answer to what can't be served: its class is unknown or its time has run out."""
+        self.actions.append(Reject(request_id))
+        self._remember(request_id)
+
+    def end(self, request: RequestState) -> None:
+        """Note that the client gets no further answer."""
+        request.has_ended = True
+        self._forget_if_finished(request)
+
+    def end_attempt(self, attempt: AttemptState, status: int, is_final: bool) -> None:
+        """Note how an attempt ended; `is_final`: its response went to the client."""
+        request = attempt.request
+        if attempt.status == STATUS_IN_FLIGHT:
+            request.in_flight -= 1
+        attempt.status = status
+        if is_final:
+            request.has_ended = True
+        self._forget_if_finished(request)
+
+    def _forget_if_finished(self, request: RequestState) -> None:
+        if request.has_ended and not request.in_flight:
+            self.requests.pop(request.request_id, None)
+            self._remember(request.request_id)
+
+    def _remember(self, request_id: int) -> None:
+        self.finished[request_id] = None
+        if len(self.finished) > FINISHED_REQUESTS_REMEMBERED:
+            del self.finished[next(iter(self.finished))]
--- /dev/null
+++ b/service_proxy/policy/scheduling.py
@@ -0,0 +1,103 @@
+"""Scheduling: attempts of queued requests are sent as far as the concurrency limit allows."""
+
+from __future__ import annotations
+
+from service_proxy.policy.admission import RequestAdmission
+from service_proxy.policy.concurrency_limit import ConcurrencyLimiter
+from service_proxy.policy.connections import ConnectionTracker
+from service_proxy.policy.health_checks import HealthChecker
+from service_proxy.policy.in_flight import InFlightAttempts
+from service_proxy.policy.request import RequestState
+from service_proxy.policy.request_queue import RequestQueue
+from service_proxy.policy.retry_guard import RetryGuard
+from service_proxy.policy.selection import EndpointSelector, Selection
+from service_proxy.policy.slow_start import SlowStart
+from service_proxy.policy.timing import CONTROL_INTERVAL_S
+
+
+class AttemptScheduler:
+    """Sends the queued requests, the heaviest first, and rejects those that have become hopeless."""
+
+    def __init__(
+        self,
+        queue: RequestQueue,
+        in_flight: InFlightAttempts,
+        guard: RetryGuard,
+        limiter: ConcurrencyLimiter,
+        admission: RequestAdmission,
+        health_checks: HealthChecker,
+        selector: EndpointSelector,
+        slow_start: SlowStart,
+        connections: ConnectionTracker,
+    ) -> None:
+        self.queue = queue
+        self.in_flight = in_flight
+        self.guard = guard
+        self.limiter = limiter
+        self.admission = admission
+        self.health_checks = health_checks
+        self.selector = selector
+        self.slow_start = slow_start
+        self.connections = connections
+
+    def run(self, now: float) -> None:
+        """Send what the concurrency limit allows."""
+        position = 0
+        requests = self.queue.requests
+        while position < len(requests) and self.in_flight.counted + 1 <= self.limiter.limit:
+            request = requests[position]
+            if self._is_hopeless(request, now):
+                self.queue.remove_at(position)
+                self.admission.reject(request)
+            elif self.health_checks.checks_candidates and self.health_checks.must_wait(request, now):
+                position += 1
+            else:
+                selection = self.selector.select(request, self.guard, now)
+                if selection is not None:
+                    self.queue.remove_at(position)
+                    self._start_attempt(request, selection, now)
+                elif request.attempts:
+                    position += 1
+                else:
+                    return  # no endpoint for a first attempt: there is none for the requests behind it
+
+    def _is_hopeless(self, request: RequestState, now: float) -> bool:
+        """Tell whether the answer would most likely come too late.
+
+        With nothing else in flight the request is sent all the same, so that a mean latency that rose too far
+        can fall again.
+        """
+        return bool(
+            self.in_flight.counted
+            and request.useful_until - now < request.request_class.mean_latency.value
+            and not request.in_flight
+        )
+
+    def _start_attempt(self, request: RequestState, selection: Selection, now: float) -> None:
+        endpoint = selection.endpoint
+        if request.request_class.accepts_late_answers:
+            until = request.deadline
+        else:
+            until = max(request.useful_until, now + CONTROL_INTERVAL_S)
+        idle_time = self.connections.prepare(endpoint, now)
+        on_new_connection = self.connections.needs_new(endpoint, now)
+        attempt = self.guard.start_attempt(request, endpoint, now, until - now, selection.load)
+        if attempt is None:
+            return
+        attempt.idle_time = idle_time
+        attempt.on_new_connection = on_new_connection
+        endpoint.last_used_at = now
+        endpoint.in_flight += 1
+        endpoint.load_change += 1
+        endpoint.awaits_first_request = False
+        self.slow_start.record_send(endpoint, now)
+        self.in_flight.add(attempt)
+
+    def reject_hopeless(self, now: float) -> None:
+        """Reject the queued requests whose wait does not fit into what is left of their usefulness."""
+        if not self.queue:
+            return
+        wait_per_position = self.limiter.mean_latency / self.limiter.limit
+        for request in self.queue.remove_hopeless(now, wait_per_position):
+            if not request.in_flight:
+                self.admission.reject(request)
--- /dev/null
+++ b/service_proxy/policy/selection.py
@@ -0,0 +1,124 @@
+"""Selection of the endpoint for an attempt: the one at which it is expected to cost least."""
+
+from __future__ import annotations
+
+import math
+from random import Random
+from typing import NamedTuple
+
+from service_proxy.policy.connections import ConnectionTracker
+from service_proxy.policy.endpoint import TrackedEndpoint
+from service_proxy.policy.endpoint_load import EndpointLoads
+from service_proxy.policy.endpoint_pool import EndpointPool
+from service_proxy.policy.events import EndpointState
+from service_proxy.policy.outlier_detection import OutlierDetector
+from service_proxy.policy.request import RequestState
+from service_proxy.policy.retry_guard import RetryGuard
+from service_proxy.policy.settings_types import Settings
+from service_proxy.policy.settings_user import SettingsUser
+from service_proxy.policy.slow_start import SlowStart
+
+PRIOR_SAMPLES = 8.0  # samples that the prior of an endpoint's capacity weighs
+CROSS_ZONE_OBJECTIVES = 3.0  # latency objectives that one full cross-zone price is worth in a comparison
+FAILURE_COST = 8.0  # mean latencies that an attempt costs which surely fails, or repeats where one has failed
+TIE_BREAK_SHARE = 0.01  # random share of the cost, so that proxies don't all choose the same of equals
+
+
+class Selection(NamedTuple):
+    """The endpoint for an attempt, with the requests that it is taken to be executing."""
+
+    endpoint: TrackedEndpoint
+    load: float
+
+
+class EndpointSelector(SettingsUser):
+    """Compares the endpoints of the pool for a request.
+
+    `select` runs over the whole pool for each attempt, so it looks up once what its loop uses.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        pool: EndpointPool,
+        loads: EndpointLoads,
+        slow_start: SlowStart,
+        outliers: OutlierDetector,
+        connections: ConnectionTracker,
+        random: Random,
+    ) -> None:
+        super().__init__(settings)
+        self.pool = pool
+        self.loads = loads
+        self.slow_start = slow_start
+        self.outliers = outliers
+        self.connections = connections
+        self.random = random
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Put new settings in force."""
+        super().apply_settings(settings)
+        self._max_objective = max(request_class.latency_objective for request_class in settings.classes)
+
+    def is_usable(self, endpoint: TrackedEndpoint, now: float) -> bool:
+        """Tell whether the endpoint may get an attempt, whatever the request."""
+        if endpoint.state is not EndpointState.SERVING or endpoint.ejected_until:
+            return False
+        if now < endpoint.not_before:
+            return False
+        in_flight = endpoint.in_flight
+        if endpoint.on_trial and in_flight:
+            return False
+        if in_flight >= endpoint.connection_limit and now < endpoint.connection_limit_until:
+            return False
+        return endpoint.slow_start_tokens >= 1 or self.slow_start.capacity_share(endpoint, now) >= 1
+
+    def select(self, request: RequestState, guard: RetryGuard, now: float) -> Selection | None:
+        """Return the endpoint that the guard allows with the lowest cost, in mean latencies of a request."""
+        is_usable = self.is_usable
+        estimate_load = self.loads.estimate
+        random = self.random.random
+        zone = self.settings.zone
+        trusted_idle = self.connections.trusted_idle
+        opening_cost = self.connections.opening_cost
+        cross_zone_cost = self._cross_zone_cost()
+        prior_load = self._prior_load()
+        tried = {attempt.endpoint.endpoint_id for attempt in request.attempts}
+        class_name = request.request_class.name
+        pool_failure_share = self.outliers.pool_failure_share(class_name, now)
+        best: Selection | None = None
+        best_cost = math.inf
+        for endpoint in self.pool.members:
+            if not is_usable(endpoint, now):
+                continue
+            load = estimate_load(endpoint, now)
+            latency = PRIOR_SAMPLES + endpoint.latency_sum
+            cost = (load + 1) * latency / (prior_load * endpoint.weight + endpoint.load_sum)
+            if endpoint.slow_start_at > 0:
+                cost /= self.slow_start.capacity_share(endpoint, now)
+            if endpoint.zone != zone:
+                cost += cross_zone_cost
+            if not endpoint.in_flight and now - endpoint.last_used_at > trusted_idle:
+                cost += opening_cost
+            if endpoint.endpoint_id in tried:
+                cost += FAILURE_COST
+            if class_name in endpoint.failure_shares:
+                excess = self.outliers.failure_share(endpoint, class_name, now) - pool_failure_share
+                cost += FAILURE_COST * max(0.0, excess)
+            cost *= 1 + TIE_BREAK_SHARE * random()
+            if endpoint.awaits_first_request:
+                cost = 0.0  # warming up, it would get nothing, and who reinstated it would think it lost
+            if cost < best_cost and guard.can_send(request, endpoint, now):
+                best_cost = cost
+                best = Selection(endpoint, load)
+        return best
+
+    def _prior_load(self) -> float:
+        """Return the load per unit of weight that an endpoint without samples is taken to carry."""
+        mean_weight = self.pool.mean_weight if self.pool.members else 1.0
+        return PRIOR_SAMPLES * self.loads.mean_load.value / mean_weight
+
+    def _cross_zone_cost(self) -> float:
+        """Return what an endpoint of another zone costs more, in mean latencies."""
+        price = CROSS_ZONE_OBJECTIVES * self.settings.price_cross_zone
+        return price * self._max_objective / self.loads.mean_latency
--- a/tests/helpers.py
+++ b/tests/policy/balancer_driver.py
@@ -67,14 +67,14 @@
     return [EndpointEntry(server, zone=zone, cell=server % 2, **changes) for server in servers]
 
 
-class Driver:
+class BalancerDriver:
     """Feeds a Balancer and keeps what it said; a step of the clock delivers the timers that are due."""
 
     def __init__(self, setup: Settings, seed: int = 1, servers: list[EndpointEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
         self.now = 100.0
         self.timers: list[tuple[float, int]] = []
-        self.said: list[Action] = []
+        self.actions: list[Action] = []
         listed = entries(1, 2, 3, 4) if servers is None else servers
         self.feed(EndpointListUpdate(ListScope.CACHED, listed))
 
@@ -83,10 +83,10 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
-        self.said += actions
+        self.actions += actions
         return actions
 
-    def wait(self, span: float) -> list[Action]:
+    def advance(self, span: float) -> list[Action]:
         end = self.now + span
         actions: list[Action] = []
         while self.timers and min(self.timers)[0] <= end:
@@ -100,7 +100,7 @@
     def arrive(self, call: int, cls: str = "safe", budget: float = 2.0, **fields: Any) -> list[Action]:
         return self.feed(RequestArrived(call, cls, budget, **fields))
 
-    def settle(
+    def end_attempt(
         self,
         send: StartAttempt,
         status: AttemptStatus,
@@ -112,14 +112,14 @@
         return self.feed(AttemptEnded(send.request_id, attempt, send.endpoint_id, status, elapsed, ended))
 
 
-def sends(actions: list[Action], call: int | None = None) -> list[StartAttempt]:
+def attempts(actions: list[Action], call: int | None = None) -> list[StartAttempt]:
     return [a for a in actions if isinstance(a, StartAttempt) and call in (None, a.request_id)]
 
 
-def only_send(actions: list[Action]) -> StartAttempt:
-    (send,) = sends(actions)
+def only_attempt(actions: list[Action]) -> StartAttempt:
+    (send,) = attempts(actions)
     return send
 
 
-def drained(server: int, state: EndpointState) -> EndpointListUpdate:
+def state_change(server: int, state: EndpointState) -> EndpointListUpdate:
     return EndpointListUpdate(ListScope.INCREMENTAL, entries(server, state=state))
--- a/tests/test_properties.py
+++ b/tests/policy/test_policy_properties.py
@@ -6,7 +6,7 @@
 
 import hypothesis.strategies as st
 import pytest
-from helpers import CLASSES, Driver, entries, sends, settings
+from balancer_driver import CLASSES, BalancerDriver, attempts, entries, settings
 from hypothesis import HealthCheck, given
 from hypothesis import settings as checks
 
@@ -198,8 +198,8 @@
         slow_start_window=10.0,
         can_check_health=True,
     )
-    driver = Driver(setup, seed, entries(*range(1, servers + 1)))
-    driver.balancer.admission.window = 50.0
+    driver = BalancerDriver(setup, seed, entries(*range(1, servers + 1)))
+    driver.balancer.limiter.limit = 50.0
     chance = Random(seed)
     call = 0
     first = driver.now
@@ -212,7 +212,7 @@
             begun = driver.now
             driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(1, started_at=driver.now)))
         call += 1
-        said = driver.wait(chance.expovariate(rate))
+        said = driver.advance(chance.expovariate(rate))
         for probe in [
             a for a in said if isinstance(a, CheckHealth)
         ]:  # the cold one looks idle, as it does to all
@@ -223,7 +223,7 @@
             if restarted and send.endpoint_id == 1:
                 cold.append(driver.now - begun)
         while out and out[0][0] <= driver.now:
-            driver.settle(out.pop(0)[1], AttemptStatus.OK, elapsed=latency)
+            driver.end_attempt(out.pop(0)[1], AttemptStatus.OK, elapsed=latency)
     share = rate / servers  # calls a second of a warm server that are this instance's
     for start in cold:
         sent = sum(1 for t in cold if start <= t < start + 1.5)
@@ -249,17 +249,19 @@
         proxy_count=instances,
         can_check_health=True,
     )
-    fleet = [Driver(setup, seed * 1000 + n, entries(*range(1, servers + 1))) for n in range(instances)]
+    fleet = [
+        BalancerDriver(setup, seed * 1000 + n, entries(*range(1, servers + 1))) for n in range(instances)
+    ]
     chance = Random(seed)
     now = begun = fleet[0].now
     call = 0
     restarted = 0.0
     cold = list[float]()
-    out: list[tuple[float, Driver, StartAttempt]] = []
+    out: list[tuple[float, BalancerDriver, StartAttempt]] = []
 
-    def until(driver: Driver, then: float) -> None:
+    def until(driver: BalancerDriver, then: float) -> None:
         """Each probe finds the cold one idle, and all others busy."""
-        for probe in driver.wait(max(0.0, then - driver.now)):
+        for probe in driver.advance(max(0.0, then - driver.now)):
             if isinstance(probe, CheckHealth):
                 busy = 0.0 if restarted and probe.endpoint_id == 1 else 30.0
                 driver.feed(HealthCheckEnded(probe.endpoint_id, AttemptStatus.OK, 0.001, {"busy_reqs": busy}))
@@ -274,11 +276,11 @@
         while out and out[0][0] <= now:
             due, owner, send = out.pop(0)
             until(owner, due)
-            owner.settle(send, AttemptStatus.OK, elapsed=0.1)
+            owner.end_attempt(send, AttemptStatus.OK, elapsed=0.1)
         driver = chance.choice(fleet)
         until(driver, now)
         call += 1
-        for send in sends(driver.arrive(call)):
+        for send in attempts(driver.arrive(call)):
             out.append((now + 0.1, driver, send))
             if restarted and send.endpoint_id == 1:
                 cold.append(now - restarted)
