--- a/harness/fleet/world.py
+++ b/harness/fleet/world.py
@@ -29,7 +29,7 @@
 from service_proxy.fleet.guard import Seals
 from service_proxy.fleet.pages import Page, Row, question, read_page
 from service_proxy.fleet.wire import Malformed
-from service_proxy.net.listing import address as address_of
+from service_proxy.net.endpoint_list import parse_address as address_of
 
 LOOK = 0.1  # s between two looks of the observer at each view
 READY_STEP = 0.1  # s between two questions whether a process is ready
--- a/harness/world.py
+++ b/harness/world.py
@@ -23,7 +23,7 @@
 from harness.ledger import Effect, Ledger
 from harness.padron import Padron, entry
 from harness.program import ROOT, Program, free_port, proxy
-from service_proxy.net.listing import address
+from service_proxy.net.endpoint_list import parse_address
 from service_proxy.sidecar.model import Description, Sidecar
 from service_proxy.sidecar.toml import description_text
 from service_proxy.sidecar.write import platform
@@ -100,7 +100,7 @@
         for called, at in self.sidecar.outbound.items():
             padron = await self.world.padron(f"{self.name}.{called}", called)
             tiers[called] = replace(tiers[called], padron=padron, membership=None)
-            self.outbound[called] = Callers(self.world.ledger, address(at), f"{self.name}.{called}", 0)
+            self.outbound[called] = Callers(self.world.ledger, parse_address(at), f"{self.name}.{called}", 0)
         mine = replace(self.world.description, tiers=tiers)
         if self.sidecar.tier in self.world.older:
             mine = replace(mine, budgets=None)
@@ -120,12 +120,12 @@
                 *command, cwd=ROOT, env=environ, stdout=sink, stderr=sink
             )
         process = self.process
-        program = Program(self.process, address(sidecar.inbound), self.log)
+        program = Program(self.process, parse_address(sidecar.inbound), self.log)
         await until(lambda: process.returncode is not None or program.up(), f"{self.name} ready")
         if process.returncode is not None:
             raise RuntimeError(f"{self.name} ended with {process.returncode}: {self.log.read_text()[-2000:]}")
         for called, at in sidecar.outbound.items():
-            outbound = Program(process, address(at), self.log)
+            outbound = Program(process, parse_address(at), self.log)
             await until(outbound.up, f"{self.name} towards {called} ready")
 
     async def stop_sidecar(self) -> None:
@@ -233,7 +233,7 @@
         """Callers go to the sidecars of the first tier, with no proxy before these."""
         assert self.callers is not None
         first = [host.sidecar.inbound for host in self.hosts if host.sidecar.tier == self.entry]
-        self.callers.proxies = [address(at) for at in first]
+        self.callers.proxies = [parse_address(at) for at in first]
 
     def edge_settings(self) -> dict[str, object]:
         """Of the proxy before the first tier, as if it were a sidecar that calls it."""
--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -24,8 +24,8 @@
     read_fleet_keys,
 )
 from service_proxy.log_setup import configure_logging
-from service_proxy.net.config import Config, ConfigError, load, reread_discovery
-from service_proxy.net.limits import ONE_TURN
+from service_proxy.net.config import ConfigError, ProxyConfig, load_config, reload_discovery_address
+from service_proxy.net.limits import LOOP_TURN_S
 
 if TYPE_CHECKING:
     from service_proxy.operator_file import Operator
@@ -76,8 +76,8 @@
 async def _close_listener(proxy: Proxy, close_at: float) -> None:
     """Close the listener once clients have taken notice, by `close_at` (monotonic, s) at the latest."""
     await asyncio.sleep(LISTENER_GRACE_S)
-    while proxy.server.waited_for and time.monotonic() < close_at:
-        await asyncio.sleep(ONE_TURN)  # after a stall of this process, above all
+    while proxy.server.has_pending_accept and time.monotonic() < close_at:
+        await asyncio.sleep(LOOP_TURN_S)  # after a stall of this process, above all
     proxy.server.stop_listening()
 
 
@@ -98,14 +98,14 @@
 
 def _reload_configuration(proxy: Proxy) -> None:
     if proxy.admin is None:
-        proxy.move_discovery(reread_discovery(os.environ))
+        proxy.move_discovery(reload_discovery_address(os.environ))
         return
     discovery = proxy.admin.reload(os.environ)
-    if discovery != proxy.driver.discovery.at:
+    if discovery != proxy.driver.discovery.address:
         proxy.move_discovery(discovery)
 
 
-def create_proxy(config: Config, operator: Operator | None) -> Proxy:
+def create_proxy(config: ProxyConfig, operator: Operator | None) -> Proxy:
     """Return the proxy of this process, with the parts that the operator's file turns on.
 
     Raises:
@@ -128,7 +128,7 @@
     )
 
 
-async def serve(config: Config, operator: Operator | None) -> None:
+async def serve(config: ProxyConfig, operator: Operator | None) -> None:
     """Run one proxy until SIGTERM or SIGINT, and drain it."""
     loop = asyncio.get_running_loop()
     terminated = asyncio.Event()
@@ -159,7 +159,7 @@
 def run(operator: Operator | None) -> int:
     """Run one proxy by the environment's configuration; return the program's exit code."""
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(config, operator))
     except ConfigError as error:
         print(f"service_proxy: {error}", file=sys.stderr)
--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from service_proxy.admin.errors import InvalidRecordError, MaintenanceLimitError, UnknownEndpointError
-from service_proxy.net.listing import Listed, Listing
+from service_proxy.net.endpoint_list import Endpoint, EndpointList
 from service_proxy.policy.events import EndpointState
 
 MAX_ENDPOINTS_IN_MAINTENANCE = 4096  # a site has hundreds at most
@@ -32,11 +32,11 @@
         self.slow_start_window_s = slow_start_window_s
         self.in_maintenance: dict[str, float] = {}  # since when, by name
         self.reinstated_at: dict[str, float] = {}  # by name
-        self.endpoints: dict[str, Listed] = {}  # as the sources list them now
+        self.endpoints: dict[str, Endpoint] = {}  # as the sources list them now
         self.awaiting_reinstatement: set[str] = set()  # put back while no source listed them as serving
 
     # What the staff ask for
-    def start_maintenance(self, name: str, now: float) -> Listing:
+    def start_maintenance(self, name: str, now: float) -> EndpointList:
         """Drain an endpoint; a second request for the same one changes nothing. Return what changes.
 
         Raises:
@@ -52,7 +52,7 @@
             self.awaiting_reinstatement.discard(name)
         return self._update([name])
 
-    def end_maintenance(self, name: str, now: float) -> Listing:
+    def end_maintenance(self, name: str, now: float) -> EndpointList:
         """Put an endpoint back, however often it was taken out. Return what changes.
 
         Raises:
@@ -68,26 +68,26 @@
             raise UnknownEndpointError(name)
 
     # Endpoint lists
-    def apply(self, listing: Listing) -> Listing:
+    def apply(self, listing: EndpointList) -> EndpointList:
         """Note what a source lists, and return the list as it is in force."""
-        if listing.whole:
+        if listing.is_snapshot:
             self.endpoints = {}
-        for endpoint in listing.backends:
+        for endpoint in listing.endpoints:
             if endpoint.entry.state is EndpointState.REMOVED:
                 self.endpoints.pop(endpoint.name, None)
             else:
                 self.endpoints[endpoint.name] = endpoint
         if not self.in_maintenance and not self.reinstated_at:
             return listing
-        in_force = [self._in_force(endpoint) for endpoint in listing.backends]
-        return Listing(listing.version, listing.whole, in_force)
+        in_force = [self._in_force(endpoint) for endpoint in listing.endpoints]
+        return EndpointList(listing.version, listing.is_snapshot, in_force)
 
-    def _reinstate(self, reinstated_at: Mapping[str, float]) -> Listing:
+    def _reinstate(self, reinstated_at: Mapping[str, float]) -> EndpointList:
         self.reinstated_at |= reinstated_at
         self.awaiting_reinstatement.update(reinstated_at)
         return self._update(reinstated_at)
 
-    def _in_force(self, endpoint: Listed) -> Listed:
+    def _in_force(self, endpoint: Endpoint) -> Endpoint:
         entry = endpoint.entry
         if endpoint.name in self.in_maintenance:
             if entry.state is not EndpointState.SERVING:
@@ -102,10 +102,10 @@
             self.awaiting_reinstatement.discard(endpoint.name)
         return replace(endpoint, entry=replace(entry, started_at=started_at, reinstated=reinstated))
 
-    def _update(self, names: Iterable[str]) -> Listing:
+    def _update(self, names: Iterable[str]) -> EndpointList:
         """Return a list that changes only the endpoints of these names."""
         listed = [self.endpoints[name] for name in names if name in self.endpoints]
-        return Listing(0, False, [self._in_force(endpoint) for endpoint in listed])
+        return EndpointList(0, False, [self._in_force(endpoint) for endpoint in listed])
 
     def count_unavailable(self, avoided: set[int]) -> int:
         """Count the listed endpoints that get no requests.
@@ -132,7 +132,7 @@
         record = {"version": RECORD_VERSION, "out": self.in_maintenance, "back": self.reinstated_at}
         return json.dumps(record)
 
-    def apply_record(self, text: str) -> Listing:
+    def apply_record(self, text: str) -> EndpointList:
         """Take over what this or another process encoded. Return what changes.
 
         Raises:
--- a/service_proxy/admin/metrics.py
+++ b/service_proxy/admin/metrics.py
@@ -18,14 +18,14 @@
 
 
 class Metrics:
-    """Requests by class and outcome (`net.server.Tally`), and reloads of the configuration."""
+    """Requests by class and outcome (`net.downstream.RequestCounter`), and reloads of the configuration."""
 
     def __init__(self) -> None:
         self.requests_by_class: dict[str, Counter[str]] = {}
         self.reloads_succeeded = 0
         self.reloads_failed = 0
 
-    def ended(self, cls: str, code: int) -> None:
+    def request_ended(self, cls: str, code: int) -> None:
         """Count a request of class `cls` that was answered with the status `code`."""
         self.add_request_class(cls)[OUTCOME_BY_STATUS.get(code, FAILURE)] += 1
 
--- a/service_proxy/admin/server.py
+++ b/service_proxy/admin/server.py
@@ -15,7 +15,7 @@
 import httptools
 
 from service_proxy.admin.routes import AdminHandler, AdminResponse, route
-from service_proxy.net.listing import Address
+from service_proxy.net.endpoint_list import Address
 
 log = logging.getLogger(__name__)
 
--- a/service_proxy/admin/service.py
+++ b/service_proxy/admin/service.py
@@ -24,11 +24,17 @@
 from service_proxy.admin.server import MAX_CONNECTIONS, AdminServer
 from service_proxy.admin.settings_update import TRANSITION_S, parse_update, transitional_settings
 from service_proxy.admin.shared_record import SharedRecord
-from service_proxy.net.config import UNREADABLE, Config, config_error, read_config, read_text
-from service_proxy.net.discovery import WALL_OFFSET
-from service_proxy.net.driver import Driver
-from service_proxy.net.listing import Address, Listing
-from service_proxy.net.server import Server
+from service_proxy.net.config import (
+    CONFIG_READ_ERRORS,
+    ProxyConfig,
+    config_error,
+    parse_config,
+    read_config_text,
+)
+from service_proxy.net.discovery import WALL_CLOCK_OFFSET_S
+from service_proxy.net.dispatcher import RequestDispatcher
+from service_proxy.net.downstream import HttpServer
+from service_proxy.net.endpoint_list import Address, EndpointList
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +50,7 @@
 RECORD_NOT_WRITTEN = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "the record could not be written\n")
 
 
-def shared_file_path(config: Config, suffix: str) -> Path:
+def shared_file_path(config: ProxyConfig, suffix: str) -> Path:
     """Return the path of a file that the processes of this proxy alone share, in $TMPDIR.
 
     The name keeps the package's old name: during a hot restart from an earlier version, the old and the new
@@ -64,10 +70,10 @@
 
     file_descriptors = MAX_CONNECTIONS + 1  # of the admin server
 
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: ProxyConfig) -> None:
         self.config = config
         self.running_settings = config.raw
-        self.maintenance = MaintenanceOverlay(WALL_OFFSET, config.settings.slow_start_window)
+        self.maintenance = MaintenanceOverlay(WALL_CLOCK_OFFSET_S, config.settings.slow_start_window)
         self.metrics = Metrics()
         for cls in config.settings.classes:
             self.metrics.add_request_class(cls.name)
@@ -75,13 +81,13 @@
         self.generations = ProcessGenerations(shared_file_path(config, "process"))
         self.other_process_runs = False  # of this proxy
         self.server = AdminServer(self)
-        self.dispatcher: Driver | None = None
-        self.downstream: Server | None = None
+        self.dispatcher: RequestDispatcher | None = None
+        self.downstream: HttpServer | None = None
         self.poll_timer: asyncio.TimerHandle | None = None
         self.settings_timer: asyncio.TimerHandle | None = None
         self._read_maintenance_record()
 
-    async def start(self, dispatcher: Driver, downstream: Server) -> None:
+    async def start(self, dispatcher: RequestDispatcher, downstream: HttpServer) -> None:
         """Start the admin server; beside another process, wait until requests can be served.
 
         Raises:
@@ -89,14 +95,14 @@
         """
         self.dispatcher = dispatcher
         self.downstream = downstream
-        assert self.config.console is not None
-        await self.server.listen(self.config.console)
+        assert self.config.admin_address is not None
+        await self.server.listen(self.config.admin_address)
         self._poll()
         if self.other_process_runs:
             # Connections that go to this process are served from its first moment, else they had better go
             # to the one before.
             deadline = time.monotonic() + READY_TIMEOUT_S
-            while not dispatcher.upstreams.ready and time.monotonic() < deadline:
+            while not dispatcher.cluster.is_ready and time.monotonic() < deadline:
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     def stop(self) -> None:
@@ -119,7 +125,7 @@
         What was queued at this one is still accepted, and clients come back to the other.
         """
         assert self.downstream is not None
-        self.downstream.draining = True
+        self.downstream.is_draining = True
         reuse_port.prefer_second_listener(self.downstream.fileno)
         await asyncio.sleep(ACCEPT_QUEUE_DRAIN_S)
         self.downstream.stop_listening()
@@ -137,8 +143,8 @@
         assert self.dispatcher is not None
         assert self.downstream is not None
         log.info("limit_share_changed share=%.2f other_process_runs=%s", share, self.other_process_runs)
-        self.downstream.set_bounds(share)
-        self.dispatcher.set_bounds(share)
+        self.downstream.set_resource_share(share)
+        self.dispatcher.set_resource_share(share)
         if not self.other_process_runs and self.downstream.listener is not None:
             # The program that the process before attached outlives it.
             reuse_port.balance_by_hash(self.downstream.fileno)
@@ -148,9 +154,9 @@
         """Answer OK while this process listens, does not drain, and has endpoints to send requests to."""
         downstream = self.downstream
         dispatcher = self.dispatcher
-        if downstream is None or dispatcher is None or downstream.listener is None or downstream.draining:
+        if downstream is None or dispatcher is None or downstream.listener is None or downstream.is_draining:
             return NOT_READY
-        return OK if dispatcher.upstreams.ready else NOT_READY
+        return OK if dispatcher.cluster.is_ready else NOT_READY
 
     def stats(self) -> AdminResponse:
         """Return the metrics of this process."""
@@ -159,11 +165,11 @@
         assert downstream is not None
         assert dispatcher is not None
         gauges = {
-            "inflight": downstream.inflight,
+            "inflight": downstream.requests_in_flight,
             "hosts_listed": len(self.maintenance.endpoints),
             "hosts_down": self.maintenance.count_unavailable(set(dispatcher.balancer.avoided)),
         }
-        counters = {"backend_calls": dispatcher.upstreams.written}
+        counters = {"backend_calls": dispatcher.cluster.attempts_sent}
         return AdminResponse(HTTPStatus.OK, self.metrics.render(gauges, counters))
 
     def start_maintenance(self, name: str) -> AdminResponse:
@@ -200,9 +206,9 @@
         except (OSError, ValueError) as error:
             log.error("maintenance_record_rejected error=%s", error)
 
-    def _apply_listing(self, listing: Listing) -> None:
-        if self.dispatcher is not None and listing.backends:
-            self.dispatcher.in_force(listing)
+    def _apply_listing(self, listing: EndpointList) -> None:
+        if self.dispatcher is not None and listing.endpoints:
+            self.dispatcher.apply_overridden_list(listing)
 
     # SIGHUP
     def reload(self, environ: Mapping[str, str]) -> Address:
@@ -215,22 +221,29 @@
         """
         assert self.dispatcher is not None
         try:
-            raw = parse_update(read_text(environ), self.running_settings)
-            new = read_config(raw, {})
-        except UNREADABLE as error:
+            raw = parse_update(read_config_text(environ), self.running_settings)
+            new = parse_config(raw, {})
+        except CONFIG_READ_ERRORS as error:
             self.metrics.reloads_failed += 1
             raise config_error(error) from None
         self.metrics.reloads_succeeded += 1
         self.running_settings = raw
         if self.settings_timer is not None:
             self.settings_timer.cancel()
-        if new.settings != self.dispatcher.settings or new.forms != self.config.forms:
+        if (
+            new.settings != self.dispatcher.settings
+            or new.request_idempotency != self.config.request_idempotency
+        ):
             self._update_settings(self.dispatcher, new)
         return new.discovery
 
-    def _update_settings(self, dispatcher: Driver, new: Config) -> None:
+    def _update_settings(self, dispatcher: RequestDispatcher, new: ProxyConfig) -> None:
         for cls in new.settings.classes:
             self.metrics.add_request_class(cls.name)
-        dispatcher.retune(transitional_settings(dispatcher.settings, new.settings), new.forms)
+        dispatcher.update_settings(
+            transitional_settings(dispatcher.settings, new.settings), new.request_idempotency
+        )
         loop = asyncio.get_running_loop()
-        self.settings_timer = loop.call_later(TRANSITION_S, dispatcher.retune, new.settings, new.forms)
+        self.settings_timer = loop.call_later(
+            TRANSITION_S, dispatcher.update_settings, new.settings, new.request_idempotency
+        )
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -15,19 +15,19 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from service_proxy.net.config import Config
-from service_proxy.net.driver import Driver
-from service_proxy.net.limits import MOST_LENGTH
-from service_proxy.net.listing import Address, Listing
-from service_proxy.net.server import Server
+from service_proxy.net.config import ProxyConfig
+from service_proxy.net.dispatcher import RequestDispatcher
+from service_proxy.net.downstream import HttpServer
+from service_proxy.net.endpoint_list import Address, EndpointList
+from service_proxy.net.limits import MAX_MESSAGE_BYTES
 
 if TYPE_CHECKING:
     from service_proxy.admin.service import AdminService
     from service_proxy.deadlines.calls import Budgets
     from service_proxy.ephemeral_nodes.register import Registrar
     from service_proxy.fleet.transport import Fleet
-    from service_proxy.net.filters import Filter
-    from service_proxy.net.sources import Subsystem
+    from service_proxy.net.endpoint_sources import Subsystem
+    from service_proxy.net.request_filters import RequestFilter
     from service_proxy.operator_file import Budgets as BudgetSettings
     from service_proxy.operator_file import Fleet as FleetSettings
     from service_proxy.operator_file import Membership, Operator, Registration, WebSocket
@@ -45,7 +45,7 @@
 # one of the next: few, since what lives long is frozen.
 GC_THRESHOLDS = (50_000, 20, 50)
 
-ListOverlay = Callable[[Listing], Listing]
+ListOverlay = Callable[[EndpointList], EndpointList]
 
 
 class Proxy:
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        config: Config,
+        config: ProxyConfig,
         membership: Membership | None,
         budgets: Budgets | None = None,
         called: str = "",
@@ -97,7 +97,7 @@
         self.admin = create_admin_service(config)
         self.recovery = create_recovery(recovery, config) if recovery is not None else None
         filters = outer_filters(budgets, called, config, self.recovery)
-        self.driver = Driver(config, filters, chain_overlays(self._list_overlays()))
+        self.driver = RequestDispatcher(config, filters, chain_overlays(self._list_overlays()))
         self.subsystems: list[Subsystem] = []
         if membership is not None:
             self.subsystems.append(create_endpoint_source(membership, self.driver, config))
@@ -127,18 +127,18 @@
             self.recovery.endpoint_override.in_maintenance = frozenset()
         return overlays
 
-    def _create_listener(self, config: Config) -> Server:
+    def _create_listener(self, config: ProxyConfig) -> HttpServer:
         admin = self.admin
-        return Server(
-            self.driver.effects,
+        return HttpServer(
+            self.driver.idempotency_by_class,
             self.driver,
-            config.sockets,
+            config.max_descriptors,
             config.memory_mb,
-            self.driver.pages(),
-            takes=self.driver.takes,
-            tally=admin.metrics if admin is not None else None,
-            reserved=admin.file_descriptors if admin is not None else 0,
-            most_body=MOST_LENGTH,
+            self.driver.local_responses(),
+            consumed_headers=self.driver.consumed_headers,
+            request_counter=admin.metrics if admin is not None else None,
+            reserved_descriptors=admin.file_descriptors if admin is not None else 0,
+            max_body_bytes=MAX_MESSAGE_BYTES,
         )
 
     def _attach_recovery(self, recovery: Recovery) -> None:
@@ -146,14 +146,14 @@
         driver = self.driver
         fleet = self.fleet  # the membership view, the datagram channel and the member's metadata
 
-        def put_in_force(listing: Listing) -> None:
-            driver.in_force(admin.maintenance.apply(listing) if admin is not None else listing)
+        def put_in_force(listing: EndpointList) -> None:
+            driver.apply_overridden_list(admin.maintenance.apply(listing) if admin is not None else listing)
 
         recovery.attach(driver, put_in_force, fleet, fleet, fleet)
         if admin is not None:
             recovery.current_maintenance = lambda: admin.maintenance.in_maintenance
-        driver.witness = recovery.on_attempt_end
-        driver.advise = recovery.retry_after
+        driver.on_attempt_outcome = recovery.on_attempt_end
+        driver.adjust_retry_after = recovery.retry_after
         self.subsystems.append(recovery)
 
     async def start(self) -> None:
@@ -167,12 +167,12 @@
             subsystem.start()
         if self.admin is not None:
             await self.admin.start(self.driver, self.server)
-        await self.server.listen(*self.config.listen, beside=self.admin is not None)
+        await self.server.listen(*self.config.listen, reuse_port=self.admin is not None)
 
     def move_discovery(self, discovery: Address) -> None:
         """Ask discovery at another address from now on."""
         log.info("discovery_address_changed address=%s:%d", *discovery)
-        self.driver.discovery.move(discovery)
+        self.driver.discovery.change_address(discovery)
 
     def reload_subsystems(self, operator_file: str) -> None:
         """Take over what may change of the operator's file.
@@ -181,13 +181,13 @@
         """
         for subsystem in self.subsystems:
             try:
-                subsystem.reread(operator_file)
+                subsystem.reload(operator_file)
             except ValueError as error:
                 log.error("subsystem_reload_rejected error=%s", " | ".join(str(error).splitlines()))
 
     def end_all_by(self, end_by: float) -> None:
         """Begin to drain: all requests and sessions end by `end_by` (monotonic, s)."""
-        self.driver.end_all_by(end_by)
+        self.driver.set_shutdown_deadline(end_by)
         if self.websocket is not None:
             self.websocket.drain(end_by)
         if self.fleet is not None:
@@ -195,10 +195,10 @@
 
     async def wait_until_drained(self) -> None:
         """Close each connection with its next response; return when nothing is left to be answered."""
-        await drain_server(self.server, self._has_unanswered, self.driver.end_by)
+        await drain_server(self.server, self._has_unanswered, self.driver.shutdown_deadline)
 
     def _has_unanswered(self) -> bool:
-        if self.driver.calls or self.server.inflight > 0:
+        if self.driver.open_requests or self.server.requests_in_flight > 0:
             return True
         return self.websocket is not None and self.websocket.owes
 
@@ -216,16 +216,16 @@
     logging.getLogger(package).setLevel(logging.INFO)
 
 
-def create_admin_service(config: Config) -> AdminService | None:
+def create_admin_service(config: ProxyConfig) -> AdminService | None:
     """Return the admin service, or None where the platform names no address for it."""
-    if config.console is None:
+    if config.admin_address is None:
         return None
     from service_proxy.admin.service import AdminService
 
     return AdminService(config)
 
 
-def create_endpoint_source(settings: Membership, driver: Driver, config: Config) -> Subsystem:
+def create_endpoint_source(settings: Membership, driver: RequestDispatcher, config: ProxyConfig) -> Subsystem:
     """Return the source of endpoints that reads ephemeral nodes; it feeds the dispatcher."""
     from service_proxy.ephemeral_nodes.source import Membership as EndpointSource
 
@@ -254,7 +254,7 @@
 
 
 def create_fleet(
-    settings: FleetSettings, config: Config, driver: Driver, keys: Sequence[bytes]
+    settings: FleetSettings, config: ProxyConfig, driver: RequestDispatcher, keys: Sequence[bytes]
 ) -> Fleet | None:
     """Return the fleet's member, or None where the platform allows no messages between proxies.
 
@@ -286,7 +286,7 @@
     return list(read_keys(operator.budgets.keys_file).values())
 
 
-def create_recovery(settings: RecoverySettings, config: Config) -> Recovery:
+def create_recovery(settings: RecoverySettings, config: ProxyConfig) -> Recovery:
     """Return the recovery, with its store read."""
     from service_proxy.clock import Clock
     from service_proxy.recovery.service import Recovery
@@ -295,7 +295,7 @@
     return Recovery(settings, config, Clock())
 
 
-def reserve_for_websocket(config: Config, settings: WebSocket) -> Config:
+def reserve_for_websocket(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
     """Return the configuration less the descriptors and memory of the sessions.
 
     Raises:
@@ -306,7 +306,9 @@
     return sized(config, settings)
 
 
-def create_websocket_front(settings: WebSocket, config: Config, driver: Driver, server: Server) -> Front:
+def create_websocket_front(
+    settings: WebSocket, config: ProxyConfig, driver: RequestDispatcher, server: HttpServer
+) -> Front:
     """Return the WebSocket listener, attached to the HTTP listener. `config`: of the whole process.
 
     Raises:
@@ -324,7 +326,7 @@
     if len(overlays) == 1:
         return overlays[0]
 
-    def apply_all(listing: Listing) -> Listing:
+    def apply_all(listing: EndpointList) -> EndpointList:
         for overlay in overlays:
             listing = overlay(listing)
         return listing
@@ -333,10 +335,10 @@
 
 
 def outer_filters(
-    budgets: Budgets | None, called: str, config: Config, recovery: Recovery | None = None
-) -> tuple[Filter, ...]:
+    budgets: Budgets | None, called: str, config: ProxyConfig, recovery: Recovery | None = None
+) -> tuple[RequestFilter, ...]:
     """Return what acts on a request before the policy, in this order."""
-    filters: tuple[Filter, ...] = () if recovery is None else (recovery.filter,)
+    filters: tuple[RequestFilter, ...] = () if recovery is None else (recovery.filter,)
     if budgets is None:
         return filters
     from service_proxy.deadlines.calls import OuterFilter
@@ -345,7 +347,7 @@
     return (*filters, OuterFilter(budgets, called, classes, config.settings.max_attempts))
 
 
-def inner_filters(budgets: Budgets | None, classes: dict[str, RequestClass]) -> tuple[Filter, ...]:
+def inner_filters(budgets: Budgets | None, classes: dict[str, RequestClass]) -> tuple[RequestFilter, ...]:
     """Return what acts on a request before it goes to the application beside a sidecar."""
     if budgets is None:
         return ()
@@ -354,24 +356,24 @@
     return (InnerFilter(budgets, classes),)
 
 
-async def drain_server(server: Server, has_unanswered: Callable[[], bool], end_by: float = 0.0) -> None:
+async def drain_server(server: HttpServer, has_unanswered: Callable[[], bool], end_by: float = 0.0) -> None:
     """Answer what a listener has accepted, and give the last bytes time to leave.
 
     `end_by`: the moment (monotonic, s) by which all that is decided here has been answered. A response that
     still comes on LAST_BYTES_GRACE_S later is broken off, and its client can tell; 0: there is no such time.
     """
-    server.draining = True
+    server.is_draining = True
     server.close_idle()
     give_up_at = end_by + LAST_BYTES_GRACE_S if end_by else math.inf
     while has_unanswered() and time.monotonic() < give_up_at:
-        server.close_idle(partial=True)
+        server.close_idle(include_partial=True)
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     # The last bytes may still be on their way to a slow peer, or a request to this process.
     give_up_at = min(give_up_at, max(end_by, time.monotonic()) + LAST_BYTES_GRACE_S)
     while server.connections and time.monotonic() < give_up_at:
-        server.close_idle(partial=True)
+        server.close_idle(include_partial=True)
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-    server.abort_leaving()
+    server.abort_closing()
 
 
 def freeze_long_lived_objects() -> None:
--- a/service_proxy/deadlines/calls.py
+++ b/service_proxy/deadlines/calls.py
@@ -1,7 +1,8 @@
 """The filters that hold budgets to the calls: one before the application, one towards each tier.
 
 Which request a call belongs to, what it may spend and what it says on the wire is decided by the pure files;
-here they meet the clock and the driver (net.filters). One Budgets is shared by all listeners of a process.
+here they meet the clock and the dispatcher (net.request_filters). One Budgets is shared by all listeners of a
+process.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from service_proxy.deadlines.correlation import Correlation, Entry
 from service_proxy.deadlines.keys import read_keys
 from service_proxy.deadlines.usual import Transit, Usual
-from service_proxy.net.filters import Headers, Turned
-from service_proxy.net.server import Request
-from service_proxy.net.upstream import Exchange
+from service_proxy.net.downstream import Request
+from service_proxy.net.request_filters import HeaderFields, Rejection
+from service_proxy.net.upstream import UpstreamAttempt
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError, Problem, load
 from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, RequestClass
@@ -29,7 +30,7 @@
 MARGIN = 0.002  # s by which a budget on the wire is less than what is left: two turns of two loops
 MOST_SHARE = 1000.0  # of its class's worth that a call can be given
 TAKES = frozenset((header.FIELD,))
-NO_HEADERS: Headers = ()
+NO_HEADERS: HeaderFields = ()
 
 
 class Budgets:
@@ -43,14 +44,14 @@
         self.open: dict[int, OuterTicket] = {}  # calls below an account, by the account's identity
         self.refused_loops = 0
 
-    # net.sources.Subsystem
+    # net.endpoint_sources.Subsystem
     def start(self) -> None:
         """Nothing runs by itself."""
 
     def stop(self) -> None:
         """Nothing runs by itself."""
 
-    def reread(self, file: str) -> None:
+    def reload(self, file: str) -> None:
         """On SIGHUP: the keys; anything else needs a start. Raises OperatorError, and then nothing has
         changed."""
         if load(file).budgets != self.settings:
@@ -83,18 +84,18 @@
         account.path = (self.mark,)
         return account
 
-    def loop(self, path: tuple[str, ...], tier: str) -> Turned:
+    def loop(self, path: tuple[str, ...], tier: str) -> Rejection:
         self.refused_loops += 1
         way = " > ".join((*path, tier))
         log.warning("loop: %s: refused, never ran; take the way back out of the configuration", way)
-        return Turned(b"loop: " + way.encode() + b"\n")
+        return Rejection(b"loop: " + way.encode() + b"\n")
 
 
 def value_of(request: Request) -> bytes | None:
     """The request's field; None where there is none. Raises header.Malformed where there are several."""
-    if len(request.taken) > 1:
+    if len(request.consumed) > 1:
         raise header.Malformed("given twice")
-    return request.taken[0][1] if request.taken else None
+    return request.consumed[0][1] if request.consumed else None
 
 
 class Classes:
@@ -104,7 +105,7 @@
         self.classes = dict(classes)
         self.usual = {name: Usual() for name in classes}
 
-    def retuned(self, settings: ProxySettings) -> None:
+    def on_settings_update(self, settings: ProxySettings) -> None:
         """Calls under way may still be of a class that is gone, so its times stay."""
         self.classes = {cls.name: cls for cls in settings.classes}
         for name in self.classes:
@@ -115,17 +116,17 @@
     """Before the application: reads the budget that a request brings, and names the request to the
     application."""
 
-    takes = TAKES
+    consumed_headers = TAKES
 
     def __init__(self, budgets: Budgets, classes: Mapping[str, RequestClass]) -> None:
         super().__init__(classes)
         self.budgets = budgets
 
-    def arrival(self, request: Request, give_up: Callable[[], None]) -> InnerTicket | Turned:
+    def on_request(self, request: Request, give_up: Callable[[], None]) -> InnerTicket | Rejection:
         budgets = self.budgets
-        cls = self.classes[request.cls]
+        cls = self.classes[request.class_name]
         now = time.monotonic()
-        due = request.came + min(request.budget, cls.deadline)
+        due = request.received_at + min(request.time_budget, cls.deadline)
         found = None
         try:
             value = value_of(request)
@@ -138,20 +139,20 @@
         else:
             if header.looped(found.path, budgets.mark, budgets.settings.passes):
                 return budgets.loop(found.path, budgets.mark)
-            due = min(due, request.came + found.time)
-            aim = request.came + found.aim
+            due = min(due, request.received_at + found.time)
+            aim = request.received_at + found.aim
             path = (*found.path, budgets.mark)
             account = Account(found.attempts, due, aim, found.worth, found.cls, path, found.tree)
         if budgets.settings.refuse_below_usual and not self.usual[cls.name].covers(due - now):
-            return Turned(b"its budget can't cover the work\n")
+            return Rejection(b"its budget can't cover the work\n")
         return InnerTicket(self, request, account, cls, found is not None)
 
 
 class InnerTicket:
     """A request that the application has, or is about to."""
 
-    attempts = 0
-    stops = True
+    max_attempts = 0
+    cancels_on_disconnect = True
 
     def __init__(
         self, filter: InnerFilter, request: Request, account: Account, cls: RequestClass, told: bool
@@ -161,30 +162,30 @@
         self.account = account
         self.cls = cls
         self.told = told
-        self.due = account.due
-        self.share = share_of(account, cls, time.monotonic() + filter.usual[cls.name].quick)
+        self.deadline = account.due
+        self.weight_share = share_of(account, cls, time.monotonic() + filter.usual[cls.name].quick)
         self.entry: Entry | None = None
 
-    def sending(self, timeout: float) -> bytes:
+    def on_attempt_start(self, timeout: float) -> bytes:
         reference = secrets.token_hex(8)
         budgets = self.filter.budgets
         self.entry = budgets.correlation.add(
-            reference, self.request.id, self.request.key, self.cls.name, self.account
+            reference, self.request.id, self.request.idempotency_key, self.cls.name, self.account
         )
         return header.FIELD + b": " + header.write_reference(reference) + b"\r\n"
 
-    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
+    def on_attempt_end(self, exchange: UpstreamAttempt, status: AttemptStatus) -> None:
         if status is AttemptStatus.OK:
             self.filter.usual[self.cls.name].learn(exchange.elapsed)
 
-    def answering(self) -> Headers:
+    def response_headers(self) -> HeaderFields:
         if not self.told:
             return NO_HEADERS
         account = self.account
-        took = time.monotonic() - self.request.came
+        took = time.monotonic() - self.request.received_at
         return ((header.FIELD, header.write_spent(account.spent + account.lent, took)),)
 
-    def ended(self, answered: bool) -> None:
+    def on_request_end(self, answered: bool) -> None:
         budgets = self.filter.budgets
         now = time.monotonic()
         # In time and answered, what goes on is the application's own; else it is for nobody.
@@ -198,7 +199,7 @@
 class OuterFilter(Classes):
     """Towards a tier: finds the request that a call is made for, and sends its budget along."""
 
-    takes = TAKES
+    consumed_headers = TAKES
 
     def __init__(self, budgets: Budgets, called: str, classes: Mapping[str, RequestClass], most: int) -> None:
         """`called`: the tier, or "" where that is not known; `most`: attempts that any call may have."""
@@ -208,32 +209,32 @@
         self.most = most
         self.transit = Transit()
 
-    def retuned(self, settings: ProxySettings) -> None:
-        super().retuned(settings)
+    def on_settings_update(self, settings: ProxySettings) -> None:
+        super().on_settings_update(settings)
         self.most = settings.max_attempts
 
-    def arrival(self, request: Request, give_up: Callable[[], None]) -> OuterTicket | Turned:
+    def on_request(self, request: Request, give_up: Callable[[], None]) -> OuterTicket | Rejection:
         budgets = self.budgets
-        cls = self.classes[request.cls]
+        cls = self.classes[request.class_name]
         now = time.monotonic()
         entry = None if budgets.settings.edge else self._entry(request)
         if entry is not None and entry.ended is not None and not entry.gone:
             entry = None  # it was answered: what its application does now is its own
         if entry is None:
-            due = request.came + min(request.budget, cls.deadline)
+            due = request.received_at + min(request.time_budget, cls.deadline)
             account: Account | None = budgets.fresh(cls, due, now)
         else:
             if entry.gone:
-                return Turned(b"nobody waits for its request any more\n")
+                return Rejection(b"nobody waits for its request any more\n")
             if self.called and header.looped(entry.account.path, self.called, budgets.settings.passes):
                 return budgets.loop(entry.account.path, self.called)
             if budgets.settings.refuse_below_usual and not self.usual[cls.name].covers(
                 entry.account.due - now
             ):
-                return Turned(b"its budget can't cover the work\n")
+                return Rejection(b"its budget can't cover the work\n")
             account = entry.account.lend(budgets.settings.calls_per_request, now)
             if account is None:
-                return Turned(b"its request has no attempts or no time left\n")
+                return Rejection(b"its request has no attempts or no time left\n")
         assert account is not None
         ticket = OuterTicket(self, request, account, cls, give_up)
         budgets.open[id(account)] = ticket
@@ -247,13 +248,15 @@
         reference = header.read_reference(value) if value is not None else None
         if value is not None and reference is None:
             return None  # something else stands there: not this sidecar's word
-        return self.budgets.correlation.find(reference, request.id, request.key, request.cls)
+        return self.budgets.correlation.find(
+            reference, request.id, request.idempotency_key, request.class_name
+        )
 
 
 class OuterTicket:
     """A call towards a tier, with its account."""
 
-    stops = True
+    cancels_on_disconnect = True
 
     def __init__(
         self,
@@ -268,16 +271,18 @@
         self.account = account
         self.cls = cls
         self.give_up = give_up
-        self.due = account.due
-        self.share = share_of(account, cls, time.monotonic() + filter.usual[cls.name].quick)
+        self.deadline = account.due
+        self.weight_share = share_of(account, cls, time.monotonic() + filter.usual[cls.name].quick)
         if account.parent is not None:
             expected = filter.budgets.settings.calls_per_request
-            self.share = min(MOST_SHARE, self.share * finishing(expected, account.parent.calls - 1))
-        self.attempts = account.granted
+            self.weight_share = min(
+                MOST_SHARE, self.weight_share * finishing(expected, account.parent.calls - 1)
+            )
+        self.max_attempts = account.granted
         self.begun = 0
         self.lent: Lent | None = None
 
-    def sending(self, timeout: float) -> bytes | None:
+    def on_attempt_start(self, timeout: float) -> bytes | None:
         now = time.monotonic()
         account = self.account
         filter = self.filter
@@ -300,24 +305,28 @@
         value = header.write(budget, self.request.id, filter.budgets.keys)
         return header.FIELD + b": " + value + b"\r\n"
 
-    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
+    def on_attempt_end(self, exchange: UpstreamAttempt, status: AttemptStatus) -> None:
         lent = self.lent
         self.lent = None
         if lent is None:
             return
-        words = [value for name, value in exchange.headers if name == header.FIELD] if exchange.code else []
+        words = (
+            [value for name, value in exchange.response_headers if name == header.FIELD]
+            if exchange.status_code
+            else []
+        )
         said = header.read_spent(words[0], lent.attempts) if len(words) == 1 else None
         if said is not None:
             self.filter.transit.learn(exchange.elapsed, said[1])
         if status is AttemptStatus.OK:
             self.filter.usual[self.cls.name].learn(exchange.elapsed)
-        loose = not exchange.code and status not in NEVER_EXECUTED
+        loose = not exchange.status_code and status not in NEVER_EXECUTED
         lent.end(said[0] if said is not None else None, loose)
 
-    def answering(self) -> Headers:
+    def response_headers(self) -> HeaderFields:
         return NO_HEADERS
 
-    def ended(self, answered: bool) -> None:
+    def on_request_end(self, answered: bool) -> None:
         self.filter.budgets.open.pop(id(self.account), None)
         self.filter.budgets.closed(self.account, not answered)
 
--- a/service_proxy/ephemeral_nodes/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -31,8 +31,8 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from service_proxy.net.listing import Address, Listed, Listing, server_id
-from service_proxy.net.sources import Health
+from service_proxy.net.endpoint_list import Address, Endpoint, EndpointList, endpoint_id_of
+from service_proxy.net.endpoint_sources import SourceHealth
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
 SAME_START = 2.0  # s by which two sources' starts of one process may differ
@@ -43,7 +43,7 @@
 MEMBERSHIP = "membership"
 PADRON = "padron"
 ORDER = (MEMBERSHIP, PADRON)  # who is believed first where none is fresher
-HEALTHS = (Health.FRESH, Health.STALE, Health.UNREACHABLE, Health.NEVER_HEARD)
+HEALTHS = (SourceHealth.FRESH, SourceHealth.STALE, SourceHealth.UNREACHABLE, SourceHealth.NEVER_RECEIVED)
 
 
 class Word(Enum):
@@ -62,7 +62,7 @@
 class Opinion:
     """A source's word on one server."""
 
-    listed: Listed
+    listed: Endpoint
     word: Word
     since: float  # when this word was told
     held: bool = False  # a loss was told and is held to be the source's fault
@@ -73,7 +73,7 @@
 class Decision:
     """What is in force for one server, and why."""
 
-    listed: Listed
+    listed: Endpoint
     source: str  # whose word decided
     why: str
 
@@ -83,7 +83,7 @@
     name: str
     share: float  # of its servers, above which a loss is held to be its own fault
     within: float  # s
-    health: Health = Health.NEVER_HEARD
+    health: SourceHealth = SourceHealth.NEVER_RECEIVED
     opinions: dict[str, Opinion] = field(default_factory=dict)
     losses: deque[float] = field(default_factory=deque)  # when each loss that counted was told
     held: int = 0
@@ -118,14 +118,14 @@
         self.noted: dict[str, str] = {}  # by name: the last disagreement that was noted
 
     # what sources say
-    def health_is(self, source: str, health: Health) -> None:
+    def health_is(self, source: str, health: SourceHealth) -> None:
         mine = self.sources[source]
         if mine.health is not health:
             self.notes.append(f"source {source} is {health.value} (was {mine.health.value})")
             mine.health = health
             self._touch(mine.opinions)
 
-    def told(self, source: str, entries: Iterable[Listed], now: float) -> None:
+    def told(self, source: str, entries: Iterable[Endpoint], now: float) -> None:
         """Servers that the source lists, ready or draining; a state GONE is an end like an absence."""
         gone = []
         for listed in entries:
@@ -137,7 +137,7 @@
         if gone:
             self.ended(source, gone, now, Word.GONE)
 
-    def whole(self, source: str, entries: Iterable[Listed], now: float, word: Word = Word.GONE) -> None:
+    def whole(self, source: str, entries: Iterable[Endpoint], now: float, word: Word = Word.GONE) -> None:
         """The source's whole list: what it listed before and does not now has ended."""
         listed = list(entries)
         names = {entry.name for entry in listed}
@@ -180,7 +180,9 @@
             return True
         others = [other for other in self.sources.values() if other is not source]
         backed = sum(
-            1 for name in names if any(o.health is Health.FRESH and self._ready_by(o, name) for o in others)
+            1
+            for name in names
+            if any(o.health is SourceHealth.FRESH and self._ready_by(o, name) for o in others)
         )
         return backed * 2 > len(names)
 
@@ -200,7 +202,7 @@
             del self.tombs[name]
             self._forget(name)
         for source in self.sources.values():
-            if source.held and source.health is Health.FRESH:
+            if source.held and source.health is SourceHealth.FRESH:
                 due = [n for n, o in source.opinions.items() if o.held and o.held_since <= now - HOLD]
                 if due and len(due) == source.held and len(due) <= source.allowed(now):
                     for name in due:
@@ -208,7 +210,7 @@
                         self._end(source, name, Word.LOST, now)
                     self.notes.append(f"source {source.name} is back without {len(due)} servers: believed")
 
-    def _set(self, source: Source, listed: Listed, word: Word, now: float) -> None:
+    def _set(self, source: Source, listed: Endpoint, word: Word, now: float) -> None:
         name = listed.name
         opinion = source.opinions.get(name)
         if opinion is not None:
@@ -242,7 +244,7 @@
             self.windows.append((now + WINDOW, name))
         self._touch((name,))
 
-    def _unplace(self, listed: Listed) -> None:
+    def _unplace(self, listed: Endpoint) -> None:
         names = self.by_address.get(listed.address)
         if names is not None and not any(
             opinion.listed.address == listed.address
@@ -267,7 +269,7 @@
                         self.dirty[neighbour] = None
 
     # what is in force
-    def changes(self, now: float) -> Listing | None:
+    def changes(self, now: float) -> EndpointList | None:
         """What has changed since the last call, as an incremental list; None where nothing has."""
         self.tick(now)
         found = []
@@ -282,7 +284,7 @@
                     self.usable -= is_serving(before)
                     self.noted.pop(name, None)
                     gone = replace(before.listed.entry, state=EndpointState.REMOVED)
-                    found.append(Listed(before.listed.address, gone, name))
+                    found.append(Endpoint(before.listed.address, gone, name))
                     self._note(name, "removed", before)
                 continue
             if before is not None:
@@ -296,9 +298,9 @@
         if not found:
             return None
         self.version += 1
-        return Listing(self.version, False, found)
+        return EndpointList(self.version, False, found)
 
-    def everything(self) -> list[Listed]:
+    def everything(self) -> list[Endpoint]:
         """All that is in force, by name."""
         return [self.decided[name].listed for name in sorted(self.decided)]
 
@@ -369,14 +371,14 @@
             why = "the sources give other addresses (rule 5)"
         places = {(o.listed.entry.zone, o.listed.entry.cell) for _, o in opinions if o.listed.entry.zone}
         if len(places) > 1:
-            entry.zone, entry.cell = f"?{name}", -(server_id(name) % (1 << 31)) - 1
+            entry.zone, entry.cell = f"?{name}", -(endpoint_id_of(name) % (1 << 31)) - 1
             why = why if ends else "the sources give other zones or groups (rule 6)"
         if entry.state is EndpointState.SERVING:
             hider = self._twin_end(name, opinion) or self._hider(name, opinion, entry)
             if hider is not None:
                 entry.state = EndpointState.DRAINING
                 why = f"{hider} stands for this address (rule 7)"
-        return Decision(Listed(opinion.listed.address, entry, name), speaker, why)
+        return Decision(Endpoint(opinion.listed.address, entry, name), speaker, why)
 
     def _twin_end(self, name: str, opinion: Opinion) -> str | None:
         """A name that differs in case only, at the same address, and has ended."""
--- a/service_proxy/ephemeral_nodes/nodes.py
+++ b/service_proxy/ephemeral_nodes/nodes.py
@@ -16,7 +16,7 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from service_proxy.net.listing import Listed, address, read_entry
+from service_proxy.net.endpoint_list import Endpoint, parse_address, parse_endpoint
 
 MOST_DATA = 4096  # bytes of a node; what is larger is no registration
 MOST_NAME = 255  # letters
@@ -83,7 +83,7 @@
         since_ms=_whole(raw, "since_ms", 0, 1 << 53),
         status=_text(raw, "status", READY),
     )
-    if address(node.address)[1] == 0:
+    if parse_address(node.address)[1] == 0:
         raise ValueError("its address has no port")
     if node.status not in (READY, TERMINATING):
         raise ValueError(f"its status is {node.status!r:.30}; it must be {READY} or {TERMINATING}")
@@ -111,6 +111,6 @@
     return float(value)
 
 
-def listed(node: Node, wall_offset: float) -> Listed:
+def listed(node: Node, wall_offset: float) -> Endpoint:
     """As a list's entry. `wall_offset`: wall less monotonic time, s."""
-    return read_entry(asdict(node), wall_offset)
+    return parse_endpoint(asdict(node), wall_offset)
--- a/service_proxy/ephemeral_nodes/register.py
+++ b/service_proxy/ephemeral_nodes/register.py
@@ -24,7 +24,7 @@
 from service_proxy.ephemeral_nodes.session import Busy, ConnectionLost, Session
 from service_proxy.ephemeral_nodes.source import auth
 from service_proxy.ephemeral_nodes.states import USABLE, State
-from service_proxy.net.listing import address
+from service_proxy.net.endpoint_list import parse_address
 from service_proxy.operator_file import Membership, OperatorError, Registration, load
 
 log = logging.getLogger(__name__)
@@ -52,7 +52,7 @@
         self.path = f"{self.parent}/{node.name}"
         self.acl = jute.CREATOR_ACL if settings.auth_file else jute.OPEN_ACL
         self.session = Session(
-            [address(server) for server in settings.servers],
+            [parse_address(server) for server in settings.servers],
             settings.session_timeout,
             settings.connect_timeout,
             self._on_state,
--- a/service_proxy/ephemeral_nodes/session.py
+++ b/service_proxy/ephemeral_nodes/session.py
@@ -19,7 +19,7 @@
 from service_proxy.ephemeral_nodes import jute
 from service_proxy.ephemeral_nodes.jute import Create, Err, Event, Op, ServiceError, Stat, WatchMode, Xid
 from service_proxy.ephemeral_nodes.states import HOPEFUL, OVER, USABLE, Happening, State, after
-from service_proxy.net.listing import Address
+from service_proxy.net.endpoint_list import Address
 
 log = logging.getLogger(__name__)
 
--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -23,10 +23,10 @@
 from service_proxy.ephemeral_nodes.session import Busy, ConnectionLost, Session
 from service_proxy.ephemeral_nodes.states import USABLE, State
 from service_proxy.ephemeral_nodes.tree import Changes, Tree
-from service_proxy.net.config import Config
-from service_proxy.net.discovery import WALL_OFFSET, Discovery
-from service_proxy.net.listing import Listed, Listing, address
-from service_proxy.net.sources import Health, Listener
+from service_proxy.net.config import ProxyConfig
+from service_proxy.net.discovery import WALL_CLOCK_OFFSET_S, DiscoveryClient
+from service_proxy.net.endpoint_list import Endpoint, EndpointList, parse_address
+from service_proxy.net.endpoint_sources import EndpointListListener, SourceHealth
 from service_proxy.operator_file import Membership as Settings
 from service_proxy.operator_file import OperatorError, Problem, load
 
@@ -43,17 +43,17 @@
 )
 
 
-class Seat(Listener, Protocol):
+class Seat(EndpointListListener, Protocol):
     """What it needs of the driver."""
 
-    discovery: Discovery
-    known: Listing
+    discovery: DiscoveryClient
+    initial_list: EndpointList
 
 
 class Membership:
-    """net.sources.Subsystem for [membership]."""
+    """net.endpoint_sources.Subsystem for [membership]."""
 
-    def __init__(self, settings: Settings, seat: Seat, config: Config) -> None:
+    def __init__(self, settings: Settings, seat: Seat, config: ProxyConfig) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.seat = seat
@@ -79,7 +79,7 @@
 
     def _session(self, settings: Settings, credentials: bytes | None) -> Session:
         return Session(
-            [address(server) for server in settings.servers],
+            [parse_address(server) for server in settings.servers],
             settings.session_timeout,
             settings.connect_timeout,
             self._on_state,
@@ -93,7 +93,7 @@
     # life
     def start(self) -> None:
         now = time.monotonic()
-        self.merger.told(PADRON, self.seat.known.backends, now)
+        self.merger.told(PADRON, self.seat.initial_list.endpoints, now)
         if self.settings.snapshot:
             self._preload(Path(self.settings.snapshot), now)
         discovery = self.seat.discovery
@@ -112,7 +112,7 @@
         if self.write_due and self.settings.snapshot:
             self._write_now(Path(self.settings.snapshot), self.tree.nodes())
 
-    def reread(self, file: str) -> None:
+    def reload(self, file: str) -> None:
         """SIGHUP: the ensemble, the credentials and the pace may change; path, chroot and snapshot need a
         restart. Whatever the session's state, what is known stays in use. It also says that a restore of the
         service from a backup was wanted."""
@@ -127,7 +127,7 @@
             problem = Problem(file, 1, "S109", text, "start it anew")
             raise OperatorError([problem])
         credentials = auth(new)
-        servers = [address(server) for server in new.servers]
+        servers = [parse_address(server) for server in new.servers]
         self.settings = new
         for source in self.merger.sources.values():
             source.share = new.mass_loss_share
@@ -161,22 +161,24 @@
             log.error("membership: a task failed", exc_info=task.exception())
 
     # the padron, as one source
-    def _padron_list(self, listing: Listing) -> None:
+    def _padron_list(self, listing: EndpointList) -> None:
         now = time.monotonic()
         self.padron_failed_at = None
-        self.merger.health_is(PADRON, Health.FRESH)
-        if listing.whole:
-            self.merger.whole(PADRON, listing.backends, now)
+        self.merger.health_is(PADRON, SourceHealth.FRESH)
+        if listing.is_snapshot:
+            self.merger.whole(PADRON, listing.endpoints, now)
         else:
-            self.merger.told(PADRON, listing.backends, now)
+            self.merger.told(PADRON, listing.endpoints, now)
         if not self._give(now):
-            self.seat.take_list(Listing(self.merger.version, False, []))  # the module waits for an answer
+            self.seat.apply_endpoint_list(
+                EndpointList(self.merger.version, False, [])
+            )  # the module waits for an answer
 
     def _padron_failed(self) -> None:
         if self.padron_failed_at is None:
             self.padron_failed_at = time.monotonic()
-            self.merger.health_is(PADRON, Health.STALE)
-        self.seat.list_failed()
+            self.merger.health_is(PADRON, SourceHealth.STALE)
+        self.seat.endpoint_list_failed()
 
     # the session
     def _on_state(self, state: State) -> None:
@@ -190,9 +192,9 @@
             self.more.set()
             self.reader = self._spawn(self._reading(self.session))
         elif state in (State.LOST, State.EXPIRED, State.AUTH_FAILED):
-            self.merger.health_is(MEMBERSHIP, Health.UNREACHABLE)
+            self.merger.health_is(MEMBERSHIP, SourceHealth.UNREACHABLE)
         elif state is State.SUSPENDED:
-            self.merger.health_is(MEMBERSHIP, Health.STALE)
+            self.merger.health_is(MEMBERSHIP, SourceHealth.STALE)
         self._notes()
 
     def _on_event(self, event: int, path: str) -> None:
@@ -223,7 +225,7 @@
                     await self._read_names(session)
                 await self._read_wanted(session)
                 if self.tree.complete and not self.names_due:
-                    self.merger.health_is(MEMBERSHIP, Health.FRESH)
+                    self.merger.health_is(MEMBERSHIP, SourceHealth.FRESH)
                     self._soon()
                     self.more.clear()
                     await self.more.wait()
@@ -305,7 +307,7 @@
             entries = []
             for node in changes.present:
                 self.losses.pop(node.name, None)  # back before its loss was judged
-                entries.append(listed(node, WALL_OFFSET))
+                entries.append(listed(node, WALL_CLOCK_OFFSET_S))
             self.merger.told(MEMBERSHIP, entries, time.monotonic())
             self._soon(0.0)
         if changes.lost:
@@ -335,7 +337,7 @@
         before = self.merger.usable
         listing = self.merger.changes(now)
         if listing is not None:
-            self.seat.take_list(listing)
+            self.seat.apply_endpoint_list(listing)
         if self.merger.usable < before:
             log.info("in use: %d servers, %d before", self.merger.usable, before)
         self._notes()
@@ -351,7 +353,7 @@
             now = time.monotonic()
             failed = self.padron_failed_at
             if failed is not None and now >= failed + PADRON_PATIENCE:
-                self.merger.health_is(PADRON, Health.UNREACHABLE)
+                self.merger.health_is(PADRON, SourceHealth.UNREACHABLE)
             self._give(now)
             if self.write_due and self.settings.snapshot and now >= self.written_at + SNAPSHOT_SPACING:
                 self.written_at = now
@@ -383,7 +385,7 @@
             return
         log.info("snapshot %s: %d nodes, used until the service has spoken", path, len(nodes))
         self.tree.preload(nodes)
-        self.merger.told(MEMBERSHIP, [listed(node, WALL_OFFSET) for node in nodes], now)
+        self.merger.told(MEMBERSHIP, [listed(node, WALL_CLOCK_OFFSET_S) for node in nodes], now)
 
     def _write_now(self, path: Path, nodes: list[Node]) -> None:
         try:
@@ -392,7 +394,7 @@
             log.error("snapshot %s: not written: %s", path, fault)
 
 
-def as_node(entry: Listed) -> Node:
+def as_node(entry: Endpoint) -> Node:
     """A list's entry as a node again, for the snapshot."""
     started = entry.entry.started_at
     host, port = entry.address
@@ -403,7 +405,7 @@
         type=entry.entry.kind,
         group=entry.entry.cell,
         weight=entry.entry.weight,
-        since_ms=round((started + WALL_OFFSET) * 1000) if started > 0 else 0,
+        since_ms=round((started + WALL_CLOCK_OFFSET_S) * 1000) if started > 0 else 0,
     )
 
 
--- a/service_proxy/fleet/transport.py
+++ b/service_proxy/fleet/transport.py
@@ -20,9 +20,9 @@
 from service_proxy.fleet.table import Change
 from service_proxy.fleet.timing import Timing
 from service_proxy.fleet.wire import MOST_DATAGRAM, MOST_LIST, Figures, Kind
-from service_proxy.net.config import Config, ConfigError
-from service_proxy.net.listing import address as address_of
-from service_proxy.net.peers import Member
+from service_proxy.net.config import ConfigError, ProxyConfig
+from service_proxy.net.endpoint_list import parse_address as address_of
+from service_proxy.net.fleet_protocols import FleetMember
 from service_proxy.operator_file import Fleet as Settings
 from service_proxy.operator_file import OperatorError, Problem, load
 
@@ -48,9 +48,9 @@
     def list_version(self) -> int: ...
 
     @property
-    def ready(self) -> bool: ...
+    def is_ready(self) -> bool: ...
 
-    def set_instances(self, count: int) -> None: ...
+    def set_proxy_count(self, count: int) -> None: ...
 
 
 def numbered(number: int) -> Address:
@@ -93,7 +93,7 @@
         return admitted
 
 
-def place_of(settings: Settings, config: Config) -> Place:
+def place_of(settings: Settings, config: ProxyConfig) -> Place:
     """From the operator's file and the platform's configuration. Raises ConfigError."""
     try:
         peers = config.peers
@@ -104,17 +104,17 @@
     if listen is None:
         raise ConfigError("[fleet] has no `listen`, and the platform names no peer_listen")
     address = address_of(settings.address) if settings.address else listen
-    named = () if own else peers.all
+    named = () if own else peers.members
     if config.settings.proxy_index < len(named) and not settings.address:
         address = numbered(config.settings.proxy_index)
     members = [address_of(text) for text in settings.members]
-    return Place(listen, address, named, members, settings.networks, None if own else peers.everyone)
+    return Place(listen, address, named, members, settings.networks, None if own else peers.broadcast)
 
 
-def record_of(config: Config, address: Address) -> Record:
+def record_of(config: ProxyConfig, address: Address) -> Record:
     """Raises ConfigError where the name is too long for a datagram."""
     name = config.name or f"{config.listen[0]}:{config.listen[1]}"
-    tier = config.tier
+    tier = config.tier_name
     for text, most in ((name, MOST_NAME), (tier, MOST_LABEL), (config.settings.zone, MOST_LABEL)):
         if len(text.encode()) > most:
             raise ConfigError(f"[fleet] takes names of up to {most} bytes, and {text!r} is longer")
@@ -122,12 +122,12 @@
 
 
 class Fleet(asyncio.DatagramProtocol):
-    """net.sources.Subsystem, and net.peers.View, Channel and Word for the parts that stand on it."""
+    """net.endpoint_sources.Subsystem, and what net.fleet_protocols names, for the parts that stand on it."""
 
     def __init__(
         self,
         settings: Settings,
-        config: Config,
+        config: ProxyConfig,
         driver: Proxied,
         clock: Clock,
         keys: Sequence[bytes] = (),
@@ -166,7 +166,7 @@
         self.stopped = False
         self.draining = False
 
-    # net.sources.Subsystem
+    # net.endpoint_sources.Subsystem
     def start(self) -> None:
         """Raises OSError where the address is none of this machine's."""
         self._bind(True)
@@ -180,7 +180,7 @@
             self._after()
             self.transport.close()
 
-    def reread(self, file: str) -> None:
+    def reload(self, file: str) -> None:
         """Times and `counts` may change; the rest wants a restart."""
         found = load(file).fleet
         if found is None:
@@ -199,28 +199,28 @@
         self.draining = True
         self._look()
 
-    # net.peers.View
+    # net.fleet_protocols.MembershipView
     @property
-    def stamp(self) -> int:
+    def revision(self) -> int:
         return self.core.table.stamp
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return self.core.settled()
 
     @property
-    def minority(self) -> bool:
+    def is_minority(self) -> bool:
         return self.core.minority
 
     @property
-    def me(self) -> Key:
+    def own_key(self) -> Key:
         return self.core.key
 
-    def members(self) -> list[Member]:
+    def members(self) -> list[FleetMember]:
         table = self.core.table
         held = [*table.entries.values(), *(gone.entry for gone in table.gone.values())]
         return [
-            Member(
+            FleetMember(
                 entry.key,
                 entry.name,
                 entry.record.tier,
@@ -236,7 +236,7 @@
     def watch(self, callback: Callable[[Change], None]) -> None:
         self.watchers.append(callback)
 
-    # net.peers.Channel
+    # net.fleet_protocols.DatagramChannel
     def send(self, port: int, data: bytes, to: Key | None = None) -> bool:
         sent = self.core.send(self.clock.monotonic(), to, port, data)
         self._after()
@@ -245,8 +245,8 @@
     def receive(self, port: int, callback: Callable[[Key, bytes], None]) -> None:
         self.receivers[port] = callback
 
-    # net.peers.Word
-    def say(self, port: int, data: bytes) -> None:
+    # net.fleet_protocols.MetadataPublisher
+    def publish(self, port: int, data: bytes) -> None:
         words = {**self.words, port: data}
         if not data:
             del words[port]
@@ -361,7 +361,7 @@
         """Once a period: what the proxy has to say of itself, and what the module is owed."""
         if self.stopped or self.transport is None:
             return
-        phase = Phase.DRAINING if self.draining else Phase.SERVING if self.driver.ready else Phase.STARTING
+        phase = Phase.DRAINING if self.draining else Phase.SERVING if self.driver.is_ready else Phase.STARTING
         self.core.figures = Figures(min(10, int(self.driver.load * 10)), self.driver.list_version % MOST_LIST)
         self.core.say(self.clock.monotonic(), phase=phase)
         self._after()
@@ -382,7 +382,7 @@
         if count != self.told:
             self._log(f"the module goes by {count} proxies before these servers, {self.told} before")
             self.told = count
-            self.driver.set_instances(count)
+            self.driver.set_proxy_count(count)
 
     def _log(self, line: str) -> None:
         now = self.clock.monotonic()
--- a/service_proxy/net/config.py
+++ b/service_proxy/net/config.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from service_proxy.net.limits import LEAST_SOCKETS
-from service_proxy.net.listing import Address, address
+from service_proxy.net.endpoint_list import Address, parse_address
+from service_proxy.net.limits import MIN_DESCRIPTORS
 from service_proxy.policy.events import Idempotency, Settings
 from service_proxy.settings import read_settings
 
 T = TypeVar("T")
-ADDRESS = "host:port, with the host as a number"
+ADDRESS_FORM = "host:port, with the host as a number"
 
 
 class ConfigError(Exception):
@@ -23,38 +23,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class ProxyConfig:
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    max_descriptors: int  # file descriptors that the process may hold
     memory_mb: float
-    known: Mapping[str, Any]  # the list of backends as last held, in discovery's form
+    cached_endpoints: Mapping[str, Any]  # the list of backends as last held, in discovery's form
     settings: Settings
-    forms: Mapping[
+    request_idempotency: Mapping[
         str, Idempotency
     ]  # what requests of a class look like, where they are treated as another's
-    console: Address | None = None  # the second address, for the staff's calls; None: those parts are off
+    admin_address: Address | None = (
+        None  # the second address, for the staff's calls; None: those parts are off
+    )
     raw: Mapping[str, Any] = field(default_factory=dict, compare=False)  # the file, to hold a new one against
 
     @property
-    def peers(self) -> Peers:
+    def peers(self) -> PeerAddresses:
         """Read when it is wanted: a proxy that speaks to no peer does not mind what stands there. Raises
         ValueError."""
         listen = self.raw.get("peer_listen")
-        named = self.raw.get("peers") or []
-        if not isinstance(named, list):
+        members = self.raw.get("peers") or []
+        if not isinstance(members, list):
             raise ValueError("peers is no list")
-        everyone = self.raw.get("peers_all")
-        return Peers(
-            address(listen) if listen else None,
-            tuple(address(item) for item in named),
-            address(everyone) if everyone else None,
+        broadcast = self.raw.get("peers_all")
+        return PeerAddresses(
+            parse_address(listen) if listen else None,
+            tuple(parse_address(item) for item in members),
+            parse_address(broadcast) if broadcast else None,
         )
 
     @property
-    def tier(self) -> str:
+    def tier_name(self) -> str:
         """The name of its tier."""
         names = (self.raw.get("settings") or {}).get("stages") or []
         stage = self.settings.tier_index
@@ -62,26 +64,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Peers:
+class PeerAddresses:
     """Where other proxies may be spoken to, as PROTOCOL has it; all empty where the platform names none."""
 
     listen: Address | None
-    all: tuple[Address, ...]  # one for each proxy of the tier, its own among them
-    everyone: Address | None = None  # one that reaches all of these
+    members: tuple[Address, ...]  # one for each proxy of the tier, its own among them
+    broadcast: Address | None = None  # one that reaches all of these
 
 
-def flatten(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
+def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
     """The settings object as the simulator's flat path=value pairs, so that both have one reader."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         if not value and path:
             pairs[path] = "{}"  # no value, and not left out either
         for key, item in value.items():
-            flatten(item, f"{path}.{key}" if path else str(key), pairs)
+            flatten_settings(item, f"{path}.{key}" if path else str(key), pairs)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         pairs[path + ".count"] = str(len(value))
         for number, item in enumerate(value):
-            flatten(item, f"{path}.{number}", pairs)
+            flatten_settings(item, f"{path}.{number}", pairs)
     elif isinstance(value, list):
         pairs[path] = ",".join(str(item) for item in value)
         if not value:
@@ -93,23 +95,23 @@
     return pairs
 
 
-def _value(key: str, value: object, read: Callable[[Any], T], instead: str) -> T:
+def _parse_value(key: str, value: object, parse: Callable[[Any], T], expected: str) -> T:
     """Raises ValueError, with the key and what to write."""
     try:
-        return read(value)
+        return parse(value)
     except (ValueError, TypeError, AttributeError, OverflowError):
-        raise ValueError(f"{key} can't be used: {value!r}; write {instead}") from None
+        raise ValueError(f"{key} can't be used: {value!r}; write {expected}") from None
 
 
-def _forms(raw: dict[str, str]) -> dict[str, Idempotency]:
-    return {str(name): Idempotency(effect) for name, effect in raw.items()}
+def _parse_request_idempotency(raw: dict[str, str]) -> dict[str, Idempotency]:
+    return {str(name): Idempotency(idempotency) for name, idempotency in raw.items()}
 
 
-def _seed(text: object) -> int:
+def _parse_seed(text: object) -> int:
     return int(text, 16) if isinstance(text, str) else int(str(text))
 
 
-def read_text(environ: Mapping[str, str]) -> str:
+def read_config_text(environ: Mapping[str, str]) -> str:
     """The file that EDGE_CONFIG names, as it is now. Raises OSError or ValueError."""
     path = environ.get("EDGE_CONFIG")
     if not path:
@@ -117,65 +119,80 @@
     return Path(path).read_text(encoding="utf-8")
 
 
-def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
-    raw = json.loads(read_text(environ))
+def _read_json(environ: Mapping[str, str]) -> dict[str, Any]:
+    raw = json.loads(read_config_text(environ))
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise ValueError("the file holds no settings object")
     return raw
 
 
-UNREADABLE = (OSError, ValueError, TypeError, AttributeError, RecursionError)  # of a file and what it holds
+CONFIG_READ_ERRORS = (
+    OSError,
+    ValueError,
+    TypeError,
+    AttributeError,
+    RecursionError,
+)  # of a file and what it holds
 
 
-def config_error(fault: Exception) -> ConfigError:
-    return ConfigError(" ".join(f"bad configuration: {fault}".split()))
+def config_error(error: Exception) -> ConfigError:
+    return ConfigError(" ".join(f"bad configuration: {error}".split()))
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load_config(environ: Mapping[str, str]) -> ProxyConfig:
     """Reads the file that EDGE_CONFIG names; the other variables override what it says."""
     try:
-        return read_config(_read_file(environ), environ)
-    except UNREADABLE as fault:
+        return parse_config(_read_json(environ), environ)
+    except CONFIG_READ_ERRORS as fault:
         raise config_error(fault) from None
 
 
-def read_config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
+def parse_config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> ProxyConfig:
     """From the JSON's object. Raises ValueError, TypeError, AttributeError or RecursionError."""
-    known = raw.get("known") or {}
+    cached_endpoints = raw.get("known") or {}
     limits = raw.get("limits") or {}
-    if not isinstance(known, dict) or not isinstance(limits, dict):
+    if not isinstance(cached_endpoints, dict) or not isinstance(limits, dict):
         raise ValueError("known and limits can't be used; write an object of each, or leave it out")
-    soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if soft == resource.RLIM_INFINITY:
-        soft = 1 << 20
-    sockets = min(_value("limits.sockets", limits.get("sockets", soft), int, "a whole number"), soft)
-    if sockets < LEAST_SOCKETS:
-        raise ValueError(f"limits.sockets is too little: {sockets}; write {LEAST_SOCKETS} or more")
-    memory_mb = _value("limits.memory_mb", limits.get("memory_mb", 192), float, "a number")
+    descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if descriptor_limit == resource.RLIM_INFINITY:
+        descriptor_limit = 1 << 20
+    max_descriptors = min(
+        _parse_value("limits.sockets", limits.get("sockets", descriptor_limit), int, "a whole number"),
+        descriptor_limit,
+    )
+    if max_descriptors < MIN_DESCRIPTORS:
+        raise ValueError(f"limits.sockets is too little: {max_descriptors}; write {MIN_DESCRIPTORS} or more")
+    memory_mb = _parse_value("limits.memory_mb", limits.get("memory_mb", 192), float, "a number")
     if not 0 < memory_mb < 1 << 30:
         raise ValueError(f"limits.memory_mb is out of range: {memory_mb}; write more than 0")
-    console = environ.get("EDGE_CONSOLE") or raw.get("console")
+    admin_address = environ.get("EDGE_CONSOLE") or raw.get("console")
     listen = environ.get("EDGE_LISTEN") or raw.get("listen")
     discovery = environ.get("EDGE_DISCOVERY") or raw.get("discovery")
-    return Config(
+    return ProxyConfig(
         name=environ.get("EDGE_NAME") or str(raw.get("name", "")),
-        listen=_value("listen (EDGE_LISTEN)", listen, address, ADDRESS),
-        discovery=_value("discovery (EDGE_DISCOVERY)", discovery, address, ADDRESS),
-        seed=_value("seed", raw.get("seed", 0), _seed, "a whole number, or a text of hexadecimal digits"),
-        sockets=sockets,
+        listen=_parse_value("listen (EDGE_LISTEN)", listen, parse_address, ADDRESS_FORM),
+        discovery=_parse_value("discovery (EDGE_DISCOVERY)", discovery, parse_address, ADDRESS_FORM),
+        seed=_parse_value(
+            "seed", raw.get("seed", 0), _parse_seed, "a whole number, or a text of hexadecimal digits"
+        ),
+        max_descriptors=max_descriptors,
         memory_mb=memory_mb,
-        known=known,
-        settings=read_settings(flatten(raw["settings"])),
-        console=_value("console (EDGE_CONSOLE)", console, address, ADDRESS) if console else None,
+        cached_endpoints=cached_endpoints,
+        settings=read_settings(flatten_settings(raw["settings"])),
+        admin_address=_parse_value("console (EDGE_CONSOLE)", admin_address, parse_address, ADDRESS_FORM)
+        if admin_address
+        else None,
         raw=raw,
-        forms=_value("forms", raw.get("forms") or {}, _forms, "{class: repeatable, by_key or once}"),
+        request_idempotency=_parse_value(
+            "forms", raw.get("forms") or {}, _parse_request_idempotency, "{class: repeatable, by_key or once}"
+        ),
     )
 
 
-def reread_discovery(environ: Mapping[str, str]) -> Address:
+def reload_discovery_address(environ: Mapping[str, str]) -> Address:
     """The address of discovery as the file has it now. EDGE_DISCOVERY does not override it: a process keeps
     the variables it was started with, so a reload could never change anything."""
     try:
-        return _value("discovery", _read_file(environ).get("discovery"), address, ADDRESS)
+        return _parse_value("discovery", _read_json(environ).get("discovery"), parse_address, ADDRESS_FORM)
     except (OSError, ValueError, RecursionError) as fault:
         raise config_error(fault) from None
--- a/service_proxy/net/discovery.py
+++ b/service_proxy/net/discovery.py
@@ -13,30 +13,30 @@
 
 import httptools
 
-from service_proxy.net.freshness import Freshness
-from service_proxy.net.listing import Address, Listing, read_listing
+from service_proxy.net.endpoint_list import Address, EndpointList, parse_endpoint_list
+from service_proxy.net.poll_schedule import PollSchedule
 
 log = logging.getLogger(__name__)
 
-LEAST_SPACING = 0.05  # s between two watches, should discovery answer each at once
-LARGEST = 8 << 20  # bytes of an answer
+MIN_WATCH_SPACING_S = 0.05  # s between two watches, should discovery answer each at once
+MAX_RESPONSE_BYTES = 8 << 20  # bytes of an answer
 
 # Wall less monotonic time, taken once: the same since_ms must give the same figure in every list, or a step
 # of the wall clock would look like a restart of every backend.
-WALL_OFFSET = time.time() - time.monotonic()
+WALL_CLOCK_OFFSET_S = time.time() - time.monotonic()
 
 
-class _Channel(asyncio.Protocol):
+class _DiscoveryConnection(asyncio.Protocol):
     """One kept connection to discovery, with one call at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[tuple[int, bytes]] | None = None
+        self.response: asyncio.Future[tuple[int, bytes]] | None = None
         self.parser: Any = None
         self.body = bytearray()
-        self.raw = 0  # bytes of the answer as they came
-        self.rest = 0.0  # s for an answer that has begun
-        self.limit: asyncio.Timeout | None = None  # of the call that is out
+        self.raw_bytes = 0  # bytes of the answer as they came
+        self.completion_timeout = 0.0  # s for an answer that has begun
+        self.call_timeout: asyncio.Timeout | None = None  # of the call that is out
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
@@ -47,33 +47,35 @@
         self._fail(ConnectionError("discovery closed the connection"))
 
     def data_received(self, data: bytes) -> None:
-        if not self.raw and self.limit is not None and not self.limit.expired():
+        if not self.raw_bytes and self.call_timeout is not None and not self.call_timeout.expired():
             # It has stopped waiting: an answer that trickles or stands still is a silent one.
-            soonest = asyncio.get_running_loop().time() + self.rest
-            self.limit.reschedule(min(soonest, self.limit.when() or soonest))
-        self.raw += len(data)
+            completion_deadline = asyncio.get_running_loop().time() + self.completion_timeout
+            self.call_timeout.reschedule(
+                min(completion_deadline, self.call_timeout.when() or completion_deadline)
+            )
+        self.raw_bytes += len(data)
         try:
-            if self.answer is None or self.answer.done() or self.raw > LARGEST:
+            if self.response is None or self.response.done() or self.raw_bytes > MAX_RESPONSE_BYTES:
                 raise ValueError("more than was asked for")
             self.parser.feed_data(data)
-        except Exception as fault:  # whatever it is, the stream can't be followed any further
-            self._fail(ValueError(f"malformed answer: {fault}"))
+        except Exception as error:  # whatever it is, the stream can't be followed any further
+            self._fail(ValueError(f"malformed answer: {error}"))
             self.close()
 
     def on_body(self, chunk: bytes) -> None:
         self.body += chunk
-        if len(self.body) > LARGEST:
+        if len(self.body) > MAX_RESPONSE_BYTES:
             raise ValueError("the answer is too large")
 
     def on_message_complete(self) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result((self.parser.get_status_code(), bytes(self.body)))
+        if self.response is not None and not self.response.done():
+            self.response.set_result((self.parser.get_status_code(), bytes(self.body)))
         if not self.parser.should_keep_alive():
             self.close()
 
-    def _fail(self, fault: Exception) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(fault)
+    def _fail(self, error: Exception) -> None:
+        if self.response is not None and not self.response.done():
+            self.response.set_exception(error)
 
     def close(self) -> None:
         if self.transport is not None:
@@ -81,148 +83,158 @@
             self.transport = None
 
     async def get(
-        self, at: Address, target: str, timeout: float, connect: float, rest: float
+        self, address: Address, target: str, timeout: float, connect_timeout: float, completion_timeout: float
     ) -> tuple[int, bytes]:
         """`timeout` for the whole call, `connect` of it for a connection, `rest` once an answer begins."""
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(timeout) as limit:
+            async with asyncio.timeout(timeout) as call_timeout:
                 if self.transport is None:
-                    async with asyncio.timeout(connect):
-                        await loop.create_connection(lambda: self, *at)
+                    async with asyncio.timeout(connect_timeout):
+                        await loop.create_connection(lambda: self, *address)
                 assert self.transport is not None
                 self.parser = httptools.HttpResponseParser(self)
                 self.body.clear()
-                self.raw = 0
-                self.rest = rest
-                self.limit = limit
-                self.answer = loop.create_future()
-                self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {at[0]}:{at[1]}\r\n\r\n".encode())
-                return await self.answer
+                self.raw_bytes = 0
+                self.completion_timeout = completion_timeout
+                self.call_timeout = call_timeout
+                self.response = loop.create_future()
+                self.transport.write(
+                    f"GET {target} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n\r\n".encode()
+                )
+                return await self.response
         except BaseException:
             self.close()
             raise
         finally:
-            self.answer = None
-            self.limit = None
+            self.response = None
+            self.call_timeout = None
 
 
-class Discovery:
+class DiscoveryClient:
     """Asks as the module says, or all the time where lists are pushed, and hands on each list, or that the
     calls failed. By itself it asks for what a watch brings next, and again where an answer is owed."""
 
     def __init__(
         self,
-        at: Address,
+        address: Address,
         version: int,
-        pace: Freshness,
+        schedule: PollSchedule,
         seed: int,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[EndpointList], None],
         on_failed: Callable[[], None],
     ) -> None:
-        self.at = at
+        self.address = address
         self.version: int | None = version  # None: nothing is known of this server's versions yet
-        self.pace = pace
+        self.schedule = schedule
         self.random = Random(seed)
         self.on_list = on_list
         self.on_failed = on_failed
-        self._watch: asyncio.Task[None] | None = None
-        self._fetches: set[asyncio.Task[None]] = set()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._fetch_tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
         """An agent's list counts as told from the first moment, whoever asks for it."""
-        if self.pace.pushed:
+        if self.schedule.is_pushed:
             self.watch(True)
 
-    def retune(self, pace: Freshness) -> None:
-        before = self.pace
-        self.pace = pace
-        if not before.pushed:
+    def update_schedule(self, schedule: PollSchedule) -> None:
+        previous = self.schedule
+        self.schedule = schedule
+        if not previous.is_pushed:
             self.start()
 
-    def watch(self, on: bool) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
-        if on:
-            self._watch = asyncio.get_running_loop().create_task(self._watching())
+    def watch(self, enabled: bool) -> None:
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+            self._watch_task = None
+        if enabled:
+            self._watch_task = asyncio.get_running_loop().create_task(self._run_watch())
 
-    def move(self, at: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Another server from now on. What the old one may still say is not heard, and its versions tell
         nothing of the new one's: the whole list comes first, at once, and changes from there."""
         self.stop()
-        self.at = at
+        self.address = address
         self.version = None
         self.watch(True)
 
     def fetch(self) -> None:
-        task = asyncio.get_running_loop().create_task(self._fetching())
-        self._fetches.add(task)
-        task.add_done_callback(self._fetches.discard)
+        task = asyncio.get_running_loop().create_task(self._run_fetch())
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
     def stop(self) -> None:
-        for task in (self._watch, *self._fetches):
+        for task in (self._watch_task, *self._fetch_tasks):
             if task is not None:
                 task.cancel()
 
-    async def _watching(self) -> None:
+    async def _run_watch(self) -> None:
         """Ends when a call has failed and no list is owed: then who asked for the watch decides."""
-        channel = _Channel()
+        connection = _DiscoveryConnection()
         loop = asyncio.get_running_loop()
-        waits = True  # the next call may: nothing is in doubt
-        failed = 0  # calls, on end
-        owed = loop.time() + self.pace.moved if self.version is None else -math.inf  # until then one is owed
+        can_wait = True  # the next call may: nothing is in doubt
+        failures = 0  # calls, on end
+        retry_until = (
+            loop.time() + self.schedule.address_change_window if self.version is None else -math.inf
+        )  # until then one is owed
         try:
             while True:
-                begun = loop.time()
-                pace = self.pace
+                started_at = loop.time()
+                schedule = self.schedule
                 if self.version is None:
-                    fault = await self._ask(channel, "/v1/servers", pace.first)
+                    error = await self._poll(connection, "/v1/servers", schedule.first_list_timeout)
                 else:
-                    hold = round(pace.wait(self.random.random()), 3) if waits else 0.0
-                    target = f"/v1/servers?from={self.version}&hold_ms={hold * 1000:.0f}"
-                    fault = await self._ask(channel, target, hold + (pace.patience if waits else pace.call))
-                if fault is None:
-                    waits = True
-                    owed = -math.inf
-                    failed = 0
-                    await asyncio.sleep(max(0.0, begun + LEAST_SPACING - loop.time()))
+                    wait = round(schedule.draw_watch_wait(self.random.random()), 3) if can_wait else 0.0
+                    target = f"/v1/servers?from={self.version}&hold_ms={wait * 1000:.0f}"
+                    error = await self._poll(
+                        connection,
+                        target,
+                        wait + (schedule.silence_timeout if can_wait else schedule.call_timeout),
+                    )
+                if error is None:
+                    can_wait = True
+                    retry_until = -math.inf
+                    failures = 0
+                    await asyncio.sleep(max(0.0, started_at + MIN_WATCH_SPACING_S - loop.time()))
                     continue
-                silent = isinstance(fault, TimeoutError)
-                if silent and waits and self.version is not None:
+                timed_out = isinstance(error, TimeoutError)
+                if timed_out and can_wait and self.version is not None:
                     # What it missed will count as told: a call that needs no wait brings it, or tells that
                     # there was nothing.
-                    owed = loop.time() + pace.owed
-                waits = False
-                if pace.pushed or loop.time() >= owed:
+                    retry_until = loop.time() + schedule.retry_window
+                can_wait = False
+                if schedule.is_pushed or loop.time() >= retry_until:
                     self.on_failed()
-                    if not pace.pushed:
+                    if not schedule.is_pushed:
                         return
-                failed += 1
-                if not silent:
-                    await asyncio.sleep(pace.pause(failed, self.random.random()))
+                failures += 1
+                if not timed_out:
+                    await asyncio.sleep(schedule.draw_backoff(failures, self.random.random()))
         finally:
-            channel.close()
+            connection.close()
 
-    async def _fetching(self) -> None:
-        channel = _Channel()
+    async def _run_fetch(self) -> None:
+        connection = _DiscoveryConnection()
         try:
-            if await self._ask(channel, "/v1/servers", self.pace.first) is not None:
+            if await self._poll(connection, "/v1/servers", self.schedule.first_list_timeout) is not None:
                 self.on_failed()
         finally:
-            channel.close()
+            connection.close()
 
-    async def _ask(self, channel: _Channel, target: str, timeout: float) -> Exception | None:
+    async def _poll(self, connection: _DiscoveryConnection, target: str, timeout: float) -> Exception | None:
         """What went wrong ends this call only: a watch that ended untold would never be renewed."""
-        pace = self.pace
+        schedule = self.schedule
         try:
-            code, body = await channel.get(self.at, target, timeout, pace.connect, pace.call)
-            if code != 200:
-                raise ValueError(f"status {code}")
-            listing = read_listing(json.loads(body), WALL_OFFSET)
-            self.on_list(listing)
-        except Exception as fault:
-            log.warning("discovery %s:%d: %s", *self.at, str(fault)[:200] or type(fault).__name__)
-            return fault
-        self.version = listing.version
+            status_code, body = await connection.get(
+                self.address, target, timeout, schedule.connect_timeout, schedule.call_timeout
+            )
+            if status_code != 200:
+                raise ValueError(f"status {status_code}")
+            endpoint_list = parse_endpoint_list(json.loads(body), WALL_CLOCK_OFFSET_S)
+            self.on_list(endpoint_list)
+        except Exception as error:
+            log.warning("discovery %s:%d: %s", *self.address, str(error)[:200] or type(error).__name__)
+            return error
+        self.version = endpoint_list.version
         return None
--- a/service_proxy/net/listing.py
+++ b/service_proxy/net/endpoint_list.py
@@ -11,7 +11,7 @@
 
 Address = tuple[str, int]
 
-STATES = {
+STATE_BY_STATUS = {
     "Ready": EndpointState.SERVING,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class Endpoint:
     """A backend as a list names it."""
 
     address: Address
@@ -28,15 +28,15 @@
 
 
 @dataclass(slots=True)
-class Listing:
+class EndpointList:
     """`whole`: what is not in it is gone. Else only what changed."""
 
     version: int
-    whole: bool
-    backends: list[Listed]
+    is_snapshot: bool
+    endpoints: list[Endpoint]
 
 
-def address(text: object) -> Address:
+def parse_address(text: object) -> Address:
     """`host:port` with a numeric host; there is no DNS."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
@@ -46,36 +46,36 @@
     return host.strip("[]"), int(port)
 
 
-def server_id(name: str) -> int:
+def endpoint_id_of(name: str) -> int:
     """The module's number of a backend: the same at every proxy, whose rings of backends must agree."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
-def read_listing(raw: object, wall_offset: float) -> Listing:
+def parse_endpoint_list(raw: object, wall_clock_offset: float) -> EndpointList:
     """`wall_offset`: wall less monotonic time, s. Raises ValueError where the list can't be used."""
     try:
         if not isinstance(raw, Mapping):
             raise ValueError("not an object")
-        backends = [read_entry(item, wall_offset) for item in raw["endpoints"]]
-        return Listing(int(raw["index"]), bool(raw["snapshot"]), backends)
-    except (KeyError, TypeError, AttributeError, OverflowError) as fault:
-        raise ValueError(f"malformed list: {fault!r}") from None
+        endpoints = [parse_endpoint(item, wall_clock_offset) for item in raw["endpoints"]]
+        return EndpointList(int(raw["index"]), bool(raw["snapshot"]), endpoints)
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise ValueError(f"malformed list: {error!r}") from None
 
 
-def read_entry(item: Mapping[str, Any], wall_offset: float) -> Listed:
+def parse_endpoint(item: Mapping[str, Any], wall_clock_offset: float) -> Endpoint:
     """One backend; raises ValueError, KeyError, TypeError, AttributeError or OverflowError."""
     since_ms = float(item.get("since_ms") or 0)
-    started = max(since_ms / 1000 - wall_offset, 1e-3) if since_ms > 0 else 0.0
+    started_at = max(since_ms / 1000 - wall_clock_offset, 1e-3) if since_ms > 0 else 0.0
     name = str(item["name"])
     entry = EndpointEntry(
-        endpoint_id=server_id(name),
+        endpoint_id=endpoint_id_of(name),
         zone=str(item.get("zone", "")),
         kind=str(item.get("type", "")),
         cell=int(item.get("group", 0)),
-        state=STATES[item["status"]],
+        state=STATE_BY_STATUS[item["status"]],
         weight=float(item.get("weight", 1.0)),
-        started_at=started,
+        started_at=started_at,
     )
-    if not (entry.weight - entry.weight == 0.0 and started - started == 0.0):
+    if not (entry.weight - entry.weight == 0.0 and started_at - started_at == 0.0):
         raise ValueError("a figure of the list is not finite")
-    return Listed(address(item["address"]), entry, name)
+    return Endpoint(parse_address(item["address"]), entry, name)
--- a/service_proxy/net/sources.py
+++ b/service_proxy/net/endpoint_sources.py
@@ -9,24 +9,24 @@
 from enum import Enum
 from typing import Protocol
 
-from service_proxy.net.listing import Listing
+from service_proxy.net.endpoint_list import EndpointList
 
 
-class Health(Enum):
+class SourceHealth(Enum):
     """What is known of a source itself."""
 
-    NEVER_HEARD = "never heard"
+    NEVER_RECEIVED = "never heard"
     FRESH = "fresh"  # what it said last is what it says now, but for its usual delay
     STALE = "stale"  # its connection or watch broke a moment ago; its list may be behind
     UNREACHABLE = "unreachable"  # for longer than its session or patience: nothing it says is news
 
 
-class Listener(Protocol):
+class EndpointListListener(Protocol):
     """Where merged lists go: the driver."""
 
-    def take_list(self, listing: Listing) -> None: ...
+    def apply_endpoint_list(self, endpoint_list: EndpointList) -> None: ...
 
-    def list_failed(self) -> None: ...
+    def endpoint_list_failed(self) -> None: ...
 
 
 class Subsystem(Protocol):
@@ -37,5 +37,5 @@
     def stop(self) -> None:
         """Ends its tasks and sockets; called once, when the proxy ends."""
 
-    def reread(self, file: str) -> None:
+    def reload(self, file: str) -> None:
         """After SIGHUP. Raises `operator.OperatorError`, and then nothing has changed."""
--- a/service_proxy/net/peers.py
+++ b/service_proxy/net/fleet_protocols.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class FleetMember:
     """One of the fleet, as one view has it."""
 
     key: bytes
@@ -22,33 +22,33 @@
     incarnation: tuple[int, ...]  # greater is later; the first two are the same for one process's time
     state: str  # alive, suspect, dead or left
     phase: str  # starting, serving, draining or leaving, by its own word
-    words: Mapping[int, bytes]  # by the port of the part that said it
+    metadata: Mapping[int, bytes]  # by the port of the part that said it
 
 
-class View(Protocol):
+class MembershipView(Protocol):
     @property
-    def me(self) -> bytes:
+    def own_key(self) -> bytes:
         """The key of this member."""
 
     @property
-    def stamp(self) -> int:
+    def revision(self) -> int:
         """Grows with each change."""
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Nothing has changed lately, and all who were heard lately see the same."""
 
     @property
-    def minority(self) -> bool:
+    def is_minority(self) -> bool:
         """Less than half lives of all that it knew: others may go on without it."""
 
-    def members(self) -> list[Member]: ...
+    def members(self) -> list[FleetMember]: ...
 
     def watch(self, callback: Callable[[Any], None]) -> None:
         """Called after each change."""
 
 
-class Channel(Protocol):
+class DatagramChannel(Protocol):
     def send(self, port: int, data: bytes, to: bytes | None = None) -> bool:
         """To one member, or to all; whether it fits in a datagram and there is somebody."""
 
@@ -56,6 +56,6 @@
         """`callback` gets the sender's key and the data."""
 
 
-class Word(Protocol):
-    def say(self, port: int, data: bytes) -> None:
+class MetadataPublisher(Protocol):
+    def publish(self, port: int, data: bytes) -> None:
         """A few bytes that travel with this member's entry. Raises ValueError where there is no room."""
--- a/service_proxy/recovery/admission.py
+++ b/service_proxy/recovery/admission.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Protocol
 
-from service_proxy.net.filters import Ticket, Turned
-from service_proxy.net.server import Request
+from service_proxy.net.downstream import Request
+from service_proxy.net.request_filters import Rejection, RequestFilterState
 from service_proxy.policy.events import Settings
 from service_proxy.recovery.endpoint_override import EndpointListOverride
 from service_proxy.recovery.keyed_requests import KeyedRequestLog, KeyedRequestTracker, record_key
@@ -30,12 +30,12 @@
     """Who knows how many requests are in flight: the dispatcher."""
 
     @property
-    def held(self) -> int:
+    def open_request_count(self) -> int:
         """Requests in flight."""
 
 
 class RecoveryFilter:
-    """net.filters.Filter.
+    """net.request_filters.RequestFilter.
 
     Attributes:
         phase: of the recovery; set by whoever drives it.
@@ -45,7 +45,7 @@
         dispatcher: set before the first request.
     """
 
-    takes: frozenset[bytes] = frozenset()
+    consumed_headers: frozenset[bytes] = frozenset()
 
     def __init__(
         self,
@@ -65,48 +65,50 @@
         self.phase = RecoveryPhase.UNAVAILABLE
         self.dispatcher: LoadSource | None = None
 
-    def retuned(self, settings: Settings) -> None:
+    def on_settings_update(self, settings: Settings) -> None:
         """Use these settings from now on."""
         self.settings = settings
         if self.keyed_requests is not None:
             self.keyed_requests.update_settings(settings)
 
-    def arrival(self, request: Request, give_up: Callable[[], None]) -> Ticket | Turned | None:
+    def on_request(
+        self, request: Request, give_up: Callable[[], None]
+    ) -> RequestFilterState | Rejection | None:
         """Reject a request that can't be served or must not be repeated, or track a keyed one."""
         if self.phase is not RecoveryPhase.STEADY:
             rejection = self._rejection(request)
             if rejection is not None:
                 return rejection
         keyed_requests = self.keyed_requests
-        if keyed_requests is None or not request.key:
+        if keyed_requests is None or not request.idempotency_key:
             return None
-        key = record_key(request.cls, request.key)
+        key = record_key(request.class_name, request.idempotency_key)
         record = keyed_requests.restored.get(key)
         if (
             isinstance(record, KeyedRequestRecord)
             and retry_permission(record, self.restart_context()) is RetryPermission.NEVER
         ):
-            return Turned(MAY_HAVE_RUN, GATEWAY_TIMEOUT)
-        return KeyedRequestTracker(keyed_requests, key, request.cls)
+            return Rejection(MAY_HAVE_RUN, GATEWAY_TIMEOUT)
+        return KeyedRequestTracker(keyed_requests, key, request.class_name)
 
-    def _rejection(self, request: Request) -> Turned | None:
+    def _rejection(self, request: Request) -> Rejection | None:
         mode = ADMISSION_BY_PHASE[self.phase]
         if mode is AdmissionMode.NONE and not self.settings.can_check_health:
             mode = AdmissionMode.INITIAL_SHARE  # only a request finds an endpoint
         if mode is AdmissionMode.NONE:
             return self._reject(NO_ENDPOINT_ANSWERS)
         if mode is AdmissionMode.INITIAL_SHARE:
-            if request.resent:
+            if request.is_retry:
                 return self._reject(FIRST_ATTEMPTS_FIRST)
             if self._in_flight() >= self._initial_capacity():
                 return self._reject(OVER_INITIAL_CAPACITY)
-        elif request.resent and self.random.random() > self._warm_share():
+        elif request.is_retry and self.random.random() > self._warm_share():
             return self._reject(FIRST_ATTEMPTS_FIRST)
         return None
 
     def _in_flight(self) -> int:
         assert self.dispatcher is not None
-        return self.dispatcher.held
+        return self.dispatcher.open_request_count
 
     def _initial_capacity(self) -> float:
         """Return how many requests in flight are harmless if all endpoints are warming up.
@@ -127,6 +129,6 @@
             return wait
         return max(wait, self.schedule.reserve(time.monotonic(), self.override.first_answers.values()))
 
-    def _reject(self, text: bytes) -> Turned:
+    def _reject(self, text: bytes) -> Rejection:
         wait = self.retry_after(0.0)
-        return Turned(text, SERVICE_UNAVAILABLE, ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ())
+        return Rejection(text, SERVICE_UNAVAILABLE, ((b"retry-after", b"%.3f" % wait),) if wait > 0 else ())
--- a/service_proxy/recovery/endpoint_override.py
+++ b/service_proxy/recovery/endpoint_override.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import replace
 
-from service_proxy.net.listing import Listed, Listing
+from service_proxy.net.endpoint_list import Endpoint, EndpointList
 from service_proxy.policy.events import EndpointState
 from service_proxy.recovery.staggered_start import start_delay, start_rank
 
@@ -41,8 +41,8 @@
         self.own_name = own_name
         self.slow_start_window = slow_start_window
         self.started_at = started_at
-        self.listed: dict[str, Listed] = {}
-        self.known: dict[str, Listed] = {}
+        self.listed: dict[str, Endpoint] = {}
+        self.known: dict[str, Endpoint] = {}
         self.names_by_id: dict[int, str] = {}
         self.first_answers: dict[str, float] = {}
         self.connection_failures: dict[str, int] = {}
@@ -53,20 +53,20 @@
         self.last_failure_at = float("-inf")
         self.rejected_lists = 0
 
-    def add_restored(self, endpoints: Iterable[Listed]) -> None:
+    def add_restored(self, endpoints: Iterable[Endpoint]) -> None:
         """Add endpoints of the store: addresses to check until a source names them."""
         for endpoint in endpoints:
             self.known.setdefault(endpoint.name, endpoint)
             self.names_by_id[endpoint.entry.endpoint_id] = endpoint.name
 
-    def apply(self, listing: Listing) -> Listing:
+    def apply(self, listing: EndpointList) -> EndpointList:
         """Take in a source's list; return it as it comes into force."""
-        if listing.whole and not self.is_finished and self._is_implausible(listing):
+        if listing.is_snapshot and not self.is_finished and self._is_implausible(listing):
             self.rejected_lists += 1
-            listing = Listing(listing.version, False, listing.backends)
-        if listing.whole:
+            listing = EndpointList(listing.version, False, listing.endpoints)
+        if listing.is_snapshot:
             self._remove_unlisted(listing)
-        for endpoint in listing.backends:
+        for endpoint in listing.endpoints:
             if endpoint.entry.state is EndpointState.REMOVED:
                 self.listed.pop(endpoint.name, None)
                 self._forget(endpoint.name)
@@ -74,21 +74,21 @@
                 self.listed[endpoint.name] = endpoint
                 self.known[endpoint.name] = endpoint
                 self.names_by_id[endpoint.entry.endpoint_id] = endpoint.name
-        effective = [self.effective_endpoint(endpoint) for endpoint in listing.backends]
-        return Listing(listing.version, listing.whole, effective)
+        effective = [self.effective_endpoint(endpoint) for endpoint in listing.endpoints]
+        return EndpointList(listing.version, listing.is_snapshot, effective)
 
-    def _is_implausible(self, listing: Listing) -> bool:
+    def _is_implausible(self, listing: EndpointList) -> bool:
         """Return whether a complete list names too few endpoints.
 
         A source that has just started may name few or none; that does not remove those that answer.
         """
-        named = sum(endpoint.entry.state is not EndpointState.REMOVED for endpoint in listing.backends)
+        named = sum(endpoint.entry.state is not EndpointState.REMOVED for endpoint in listing.endpoints)
         answering = sum(name in self.first_answers for name in self.known)
         return named < MIN_LISTED_SHARE * len(self.known) and (answering > 0 or not named)
 
-    def _remove_unlisted(self, listing: Listing) -> None:
+    def _remove_unlisted(self, listing: EndpointList) -> None:
         self.listed = {}
-        names = {endpoint.name for endpoint in listing.backends}
+        names = {endpoint.name for endpoint in listing.endpoints}
         for name in [name for name in self.known if name not in names]:
             self._forget(name)
 
@@ -97,7 +97,7 @@
         self.first_answers.pop(name, None)
         self.connection_failures.pop(name, None)
 
-    def effective_endpoint(self, endpoint: Listed) -> Listed:
+    def effective_endpoint(self, endpoint: Endpoint) -> Endpoint:
         """Return an endpoint as it is in force: draining, or warming up from its first answer."""
         entry = endpoint.entry
         if endpoint.name in self.in_maintenance and entry.state is EndpointState.SERVING:
@@ -117,9 +117,9 @@
         """Return whether endpoints of a zone lost power, whatever a list says of their start."""
         return self.affected_zones is None or zone in self.affected_zones
 
-    def effective_list(self) -> Listing:
+    def effective_list(self) -> EndpointList:
         """Return all known endpoints as they are in force, for when more is known of the outage."""
-        return Listing(0, False, [self.effective_endpoint(endpoint) for endpoint in self.known.values()])
+        return EndpointList(0, False, [self.effective_endpoint(endpoint) for endpoint in self.known.values()])
 
     def update_outage(self, affected_zones: frozenset[str] | None, proxies: Collection[str]) -> bool:
         """Take in which zones are affected and which proxies are alive; return whether lists change by it."""
@@ -131,7 +131,7 @@
         self.proxies = sorted_proxies
         return is_changed and (is_affected or was_affected)
 
-    def finish(self) -> Listing:
+    def finish(self) -> EndpointList:
         """End the recovery: lists are believed again. Return the removal of what was kept against them."""
         self.is_finished = True
         unlisted = [endpoint for name, endpoint in self.known.items() if name not in self.listed]
@@ -141,9 +141,9 @@
             replace(endpoint, entry=replace(endpoint.entry, state=EndpointState.REMOVED))
             for endpoint in unlisted
         ]
-        return Listing(0, False, removed)
+        return EndpointList(0, False, removed)
 
-    def record_answer(self, endpoint_id: int, now: float) -> Listing | None:
+    def record_answer(self, endpoint_id: int, now: float) -> EndpointList | None:
         """Note that an endpoint's process answered; return what changes where it is the first time."""
         name = self.names_by_id.get(endpoint_id)
         if name is None or name not in self.known:
@@ -155,7 +155,7 @@
         endpoint = self.known[name]
         if self.is_finished or not self.is_warming_up(endpoint.entry.zone):
             return None
-        return Listing(0, False, [self.effective_endpoint(endpoint)])
+        return EndpointList(0, False, [self.effective_endpoint(endpoint)])
 
     def record_failure(self, endpoint_id: int, now: float) -> bool:
         """Note a connection that was refused or broke; return whether the endpoint has failed by it."""
--- a/service_proxy/recovery/keyed_requests.py
+++ b/service_proxy/recovery/keyed_requests.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from service_proxy.clock import Clock
-from service_proxy.net.filters import Headers
-from service_proxy.net.upstream import Exchange
+from service_proxy.net.request_filters import HeaderFields
+from service_proxy.net.upstream import UpstreamAttempt
 from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, Idempotency, RequestClass, Settings
 from service_proxy.recovery.persisted_records import KeyedRequestRecord, PersistedRecord, PersistedState
 from service_proxy.recovery.validity_rules import ALL_ENDPOINTS
@@ -82,13 +82,13 @@
 
 
 class KeyedRequestTracker:
-    """Per-request filter state of one keyed or unsafe request: net.filters.Ticket."""
+    """Per-request filter state of one keyed or unsafe request: net.request_filters.RequestFilterState."""
 
     __slots__ = ("class_name", "is_recorded", "key", "request_log")
-    due = math.inf
-    attempts = 0
-    share = 1.0
-    stops = False
+    deadline = math.inf
+    max_attempts = 0
+    weight_share = 1.0
+    cancels_on_disconnect = False
 
     def __init__(self, request_log: KeyedRequestLog, key: str, class_name: str) -> None:
         self.request_log = request_log
@@ -96,7 +96,7 @@
         self.class_name = class_name
         self.is_recorded = False
 
-    def sending(self, timeout: float) -> bytes | None:
+    def on_attempt_start(self, timeout: float) -> bytes | None:
         """Record the request before its first attempt."""
         if not self.is_recorded:
             self.is_recorded = True
@@ -104,7 +104,7 @@
                 self.request_log.record(self.key, self.class_name)
         return b""
 
-    def returned(self, exchange: Exchange, status: AttemptStatus) -> None:
+    def on_attempt_end(self, exchange: UpstreamAttempt, status: AttemptStatus) -> None:
         """Forget a request that was not executed, as long as no other attempt was."""
         if status not in NEVER_EXECUTED:
             self.key = ""
@@ -112,9 +112,9 @@
             self.is_recorded = False
             self.request_log.forget(self.key)
 
-    def answering(self) -> Headers:
+    def response_headers(self) -> HeaderFields:
         """Add nothing to the answer."""
         return ()
 
-    def ended(self, answered: bool) -> None:
+    def on_request_end(self, answered: bool) -> None:
         """Nothing is left to do."""
--- a/service_proxy/recovery/member_survey.py
+++ b/service_proxy/recovery/member_survey.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from service_proxy.net.peers import Channel, Member, View
+from service_proxy.net.fleet_protocols import DatagramChannel, FleetMember, MembershipView
 from service_proxy.recovery.peer_survey import Peer, RecoveryStatus, decode_status
 from service_proxy.recovery.phases import RecoveryPhase
 
@@ -27,7 +27,11 @@
     """
 
     def __init__(
-        self, view: View, channel: Channel, zone: Callable[[], str], own_status: Callable[[], bytes]
+        self,
+        view: MembershipView,
+        channel: DatagramChannel,
+        zone: Callable[[], str],
+        own_status: Callable[[], bytes],
     ) -> None:
         """Take the fleet's view and channel, this proxy's zone and its encoded status."""
         self.view = view
@@ -51,8 +55,8 @@
                 member = members[(self.next_member + offset) % len(members)]
                 self.channel.send(PORT, QUESTION + self.own_status(), member.key)
 
-    def _is_to_be_asked(self, member: Member) -> bool:
-        if member.state != "alive" or member.key == self.view.me:
+    def _is_to_be_asked(self, member: FleetMember) -> bool:
+        if member.state != "alive" or member.key == self.view.own_key:
             return False
         answer = self.answers.get(member.key)
         return answer is None or answer.phase < RecoveryPhase.STEADY
@@ -73,10 +77,10 @@
         return [
             self._peer(member)
             for member in self.view.members()
-            if member.key != self.view.me and member.state != "left"
+            if member.key != self.view.own_key and member.state != "left"
         ]
 
-    def _peer(self, member: Member) -> Peer:
+    def _peer(self, member: FleetMember) -> Peer:
         """Return a member with its status.
 
         One that was recovering when this process first received its answer has come back from the same
--- a/service_proxy/recovery/restoration.py
+++ b/service_proxy/recovery/restoration.py
@@ -8,9 +8,9 @@
 import logging
 from dataclasses import dataclass, field
 
-from service_proxy.net.discovery import WALL_OFFSET
-from service_proxy.net.listing import Listed, server_id
-from service_proxy.net.listing import address as address_of
+from service_proxy.net.discovery import WALL_CLOCK_OFFSET_S
+from service_proxy.net.endpoint_list import Endpoint, endpoint_id_of
+from service_proxy.net.endpoint_list import parse_address as address_of
 from service_proxy.policy.events import EndpointEntry, EndpointState
 from service_proxy.recovery.peer_survey import KnownMember
 from service_proxy.recovery.persisted_records import (
@@ -38,7 +38,7 @@
     """
 
     members: list[KnownMember] = field(default_factory=list)
-    endpoints: list[Listed] = field(default_factory=list)
+    endpoints: list[Endpoint] = field(default_factory=list)
     endpoint_records: dict[str, EndpointRecord] = field(default_factory=dict)
     in_maintenance: dict[str, float] = field(default_factory=dict)
 
@@ -66,15 +66,15 @@
     return assess(record, context).validity is not Validity.IGNORED
 
 
-def endpoint_of_record(name: str, record: EndpointRecord) -> Listed:
+def endpoint_of_record(name: str, record: EndpointRecord) -> Endpoint:
     """Return the endpoint of a record.
 
     Raises:
         ValueError: its address can't be parsed.
     """
-    started_at = max(MIN_STARTED_AT_S, record.started_at - WALL_OFFSET) if record.started_at else 0.0
+    started_at = max(MIN_STARTED_AT_S, record.started_at - WALL_CLOCK_OFFSET_S) if record.started_at else 0.0
     entry = EndpointEntry(
-        endpoint_id=server_id(name),
+        endpoint_id=endpoint_id_of(name),
         zone=record.zone,
         kind=record.kind,
         cell=record.cell,
@@ -82,14 +82,14 @@
         weight=record.weight,
         started_at=started_at,
     )
-    return Listed(address_of(record.address), entry, name)
+    return Endpoint(address_of(record.address), entry, name)
 
 
-def record_of_endpoint(endpoint: Listed, now: float) -> EndpointRecord:
+def record_of_endpoint(endpoint: Endpoint, now: float) -> EndpointRecord:
     """Return the record of an endpoint. `now`: wall time, s."""
     entry = endpoint.entry
     host, port = endpoint.address
-    started_at = entry.started_at + WALL_OFFSET if entry.started_at else 0.0
+    started_at = entry.started_at + WALL_CLOCK_OFFSET_S if entry.started_at else 0.0
     return EndpointRecord(
         address=f"{host}:{port}",
         zone=entry.zone,
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -15,9 +15,9 @@
 from typing import Protocol
 
 from service_proxy.clock import Clock
-from service_proxy.net.config import Config
-from service_proxy.net.listing import Listing
-from service_proxy.net.peers import Channel, View, Word
+from service_proxy.net.config import ProxyConfig
+from service_proxy.net.endpoint_list import EndpointList
+from service_proxy.net.fleet_protocols import DatagramChannel, MembershipView, MetadataPublisher
 from service_proxy.operator_file import OperatorError, Problem, load
 from service_proxy.operator_file import Recovery as Settings
 from service_proxy.policy.events import AttemptStatus
@@ -59,22 +59,22 @@
 class Dispatcher(Protocol):
     """What recovery uses of the request dispatcher."""
 
-    calls_answered: int
+    requests_succeeded: int
 
     @property
-    def held(self) -> int:
+    def open_request_count(self) -> int:
         """Requests in flight."""
 
     @property
     def list_version(self) -> int:
         """Version of the endpoint list in force."""
 
-    def probe(self, server: int) -> None:
+    def check_health(self, endpoint_id: int) -> None:
         """Start a health check of an endpoint."""
 
 
 class Recovery:
-    """net.sources.Subsystem.
+    """net.endpoint_sources.Subsystem.
 
     Attributes:
         phase: in which service is.
@@ -85,7 +85,7 @@
         current_maintenance: returns the same as of now; None without an admin service.
     """
 
-    def __init__(self, settings: Settings, config: Config, clock: Clock) -> None:
+    def __init__(self, settings: Settings, config: ProxyConfig, clock: Clock) -> None:
         """Read the store, if there is one; nothing that is wrong with it keeps the proxy from serving."""
         self.settings = settings
         self.clock = clock
@@ -111,11 +111,11 @@
         self.schedule = _create_schedule(config)
         self.filter = self._create_filter(config)
         self.health_checks = UnansweredEndpointChecks(config.settings.proxy_index)
-        self.view: View | None = None
+        self.view: MembershipView | None = None
         self.survey: MemberSurvey | None = None
-        self.metadata: Word | None = None
+        self.metadata: MetadataPublisher | None = None
         self.dispatcher: Dispatcher | None = None
-        self.push: Callable[[Listing], None] = lambda listing: None
+        self.push: Callable[[EndpointList], None] = lambda listing: None
         self.current_maintenance: Callable[[], Mapping[str, float]] | None = None
         self.is_listed_by_source = False
         self.is_list_changed = False
@@ -128,13 +128,13 @@
         owner = StoreOwner(self.name, read_identifier(Path(self.settings.machine_mark)))
         return AsyncStoreWriter(StoreDirectory(Path(self.settings.store)), owner, self.clock)
 
-    def _create_override(self, config: Config) -> EndpointListOverride:
+    def _create_override(self, config: ProxyConfig) -> EndpointListOverride:
         override = EndpointListOverride(self.name, config.settings.slow_start_window, self.started_at)
         override.add_restored(self.restored.endpoints)
         override.in_maintenance = frozenset(self.restored.in_maintenance)
         return override
 
-    def _create_filter(self, config: Config) -> RecoveryFilter:
+    def _create_filter(self, config: ProxyConfig) -> RecoveryFilter:
         return RecoveryFilter(
             config.settings,
             config.seed,
@@ -147,10 +147,10 @@
     def attach(
         self,
         dispatcher: Dispatcher,
-        push: Callable[[Listing], None],
-        view: View | None,
-        channel: Channel | None,
-        metadata: Word | None,
+        push: Callable[[EndpointList], None],
+        view: MembershipView | None,
+        channel: DatagramChannel | None,
+        metadata: MetadataPublisher | None,
     ) -> None:
         """Take what the composition root hands in. `push` brings a change of the list into force."""
         self.dispatcher = dispatcher
@@ -174,7 +174,7 @@
             bool(self.contents.damage),
         )
 
-    # net.sources.Subsystem
+    # net.endpoint_sources.Subsystem
 
     def start(self) -> None:
         """Start the store's thread and the timer."""
@@ -189,7 +189,7 @@
         if self.recorder is not None:
             self.recorder.stop(self.clock.wall_time())
 
-    def reread(self, file: str) -> None:
+    def reload(self, file: str) -> None:
         """Check that the operator's file says the same of [recovery].
 
         Raises:
@@ -201,20 +201,20 @@
 
     # Endpoint lists and attempts.
 
-    def override_list(self, listing: Listing) -> Listing:
+    def override_list(self, listing: EndpointList) -> EndpointList:
         """Return a source's list as it comes into force."""
         override = self.endpoint_override
         self.is_list_changed = True
         if self.dispatcher is not None:
-            self.is_listed_by_source |= bool(listing.backends)
-        elif not listing.backends and override.known:  # the platform named none, and the store does
-            listing = Listing(listing.version, listing.whole, list(override.known.values()))
+            self.is_listed_by_source |= bool(listing.endpoints)
+        elif not listing.endpoints and override.known:  # the platform named none, and the store does
+            listing = EndpointList(listing.version, listing.is_snapshot, list(override.known.values()))
         rejected_lists = override.rejected_lists
         effective = override.apply(listing)
         if override.rejected_lists != rejected_lists:
             log.warning(
                 "endpoint_list_rejected endpoints=%d known_endpoints=%d",
-                len(listing.backends),
+                len(listing.endpoints),
                 len(override.known),
             )
         return effective
@@ -249,7 +249,7 @@
             self._advance_phase(now)
             assert self.dispatcher is not None
             first_answers = self.endpoint_override.first_answers.values()
-            self.schedule.observe(now, self.dispatcher.calls_answered, first_answers)
+            self.schedule.observe(now, self.dispatcher.requests_succeeded, first_answers)
         if self.recorder is not None:
             self._record(self.recorder)
         self._publish_status()
@@ -311,14 +311,14 @@
         if self.filter.settings.can_check_health:
             assert self.dispatcher is not None
             for endpoint_id in self.health_checks.due(self.endpoint_override, TICK_S):
-                self.dispatcher.probe(endpoint_id)
+                self.dispatcher.check_health(endpoint_id)
 
     def _advance_phase(self, now: float) -> None:
         override = self.endpoint_override
         observation = Observation(
             responding_endpoints=len(override.first_answers),
             outage=self.finding.scope,
-            is_view_settled=self.view is None or self.view.settled,
+            is_view_settled=self.view is None or self.view.is_settled,
             is_list_current=self.is_listed_by_source,
             is_warm=override.all_warm(now),
             has_recent_failures=now - override.last_failure_at < MIN_STABLE_S,
@@ -344,7 +344,7 @@
         if phase is RecoveryPhase.STEADY:
             self.is_list_changed = True
             removed = self.endpoint_override.finish()
-            if removed.backends:
+            if removed.endpoints:
                 self.push(removed)
 
     def _publish_status(self) -> None:
@@ -354,7 +354,7 @@
         status = self._status()
         if status != self.published_status:
             self.published_status = status
-            self.metadata.say(PORT, status)
+            self.metadata.publish(PORT, status)
 
     def _status(self) -> bytes:
         return encode_status(RecoveryStatus(self.phase, self.machine_kept_power, self.outage_at))
@@ -382,7 +382,7 @@
     return state.boot.boot_id == boot_id
 
 
-def _create_schedule(config: Config) -> RetryAfterSchedule:
+def _create_schedule(config: ProxyConfig) -> RetryAfterSchedule:
     settings = config.settings
     return RetryAfterSchedule(
         config.seed,
--- a/service_proxy/recovery/state_recorder.py
+++ b/service_proxy/recovery/state_recorder.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from service_proxy.net.peers import View
+from service_proxy.net.fleet_protocols import MembershipView
 from service_proxy.recovery.async_store_writer import AsyncStoreWriter
 from service_proxy.recovery.endpoint_override import EndpointListOverride
 from service_proxy.recovery.persisted_records import (
@@ -46,15 +46,15 @@
         self.writer.put("", BootRecord(self.start_count, now, "", self.boot_id, now))
         self.writer.stop()
 
-    def record_members(self, view: View, now: float) -> None:
+    def record_members(self, view: MembershipView, now: float) -> None:
         """Record the members that are alive in a new incarnation."""
-        if view.stamp == self.view_stamp:
+        if view.revision == self.view_stamp:
             return
-        self.view_stamp = view.stamp
+        self.view_stamp = view.revision
         for member in view.members():
             process_run, incarnation = member.incarnation[:2]
             is_known = self.member_incarnations.get(member.name) == (process_run, incarnation)
-            if member.state == "alive" and member.key != view.me and not is_known:
+            if member.state == "alive" and member.key != view.own_key and not is_known:
                 self.member_incarnations[member.name] = process_run, incarnation
                 record = MemberRecord(member.tier, member.zone, process_run, incarnation, now)
                 self.writer.put(member.name, record)
--- a/service_proxy/sidecar/fleet.py
+++ b/service_proxy/sidecar/fleet.py
@@ -10,7 +10,7 @@
 
 from service_proxy.deadlines.accounts import reaches
 from service_proxy.deadlines.header import MOST_HOPS
-from service_proxy.net.limits import LEAST_SOCKETS, UPSTREAM_SHARE
+from service_proxy.net.limits import MIN_DESCRIPTORS, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.operator_file.positions import Path
 from service_proxy.sidecar import rulemodel
 from service_proxy.sidecar.model import Description, Sidecar, is_any, name_fault
@@ -134,16 +134,17 @@
                 f'write {called} = "127.0.0.1:PORT" in its outbound',
             )
     share = sidecar.sockets // (len(sidecar.outbound) + 1)
-    if share < LEAST_SOCKETS:
-        least = LEAST_SOCKETS * (len(sidecar.outbound) + 1)
+    if share < MIN_DESCRIPTORS:
+        least = MIN_DESCRIPTORS * (len(sidecar.outbound) + 1)
         yield Finding(
             d.file,
             (*path, "sockets"),
             "S107",
-            f"{sidecar.sockets} descriptors leave {share} for each listener, which needs " f"{LEAST_SOCKETS}",
+            f"{sidecar.sockets} descriptors leave {share} for each listener, which needs "
+            f"{MIN_DESCRIPTORS}",
             f"write sockets = {least} or more",
         )
-    most = int(share * UPSTREAM_SHARE)
+    most = int(share * UPSTREAM_DESCRIPTOR_SHARE)
     if sidecar.slots > most:
         yield Finding(
             d.file,
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -11,12 +11,19 @@
 import logging
 import time
 
-from service_proxy.net.fields import HOP_BY_HOP
-from service_proxy.net.filters import Filter, Headers, Ticket, Turned, ask, taken_by
-from service_proxy.net.limits import LATE, ONE_TURN, UPSTREAM_SHARE
-from service_proxy.net.listing import Listed, Listing, address
-from service_proxy.net.server import Page, Reply, Request, Server
-from service_proxy.net.upstream import Exchange, Upstreams
+from service_proxy.net.downstream import HttpServer, LocalResponse, Request, ResponseWriter
+from service_proxy.net.endpoint_list import Endpoint, EndpointList, parse_address
+from service_proxy.net.header_fields import HOP_BY_HOP
+from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S, UPSTREAM_DESCRIPTOR_SHARE
+from service_proxy.net.request_filters import (
+    HeaderFields,
+    Rejection,
+    RequestFilter,
+    RequestFilterState,
+    apply_filters,
+    headers_consumed_by,
+)
+from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
 from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, EndpointEntry, Idempotency
 from service_proxy.sidecar.admission import TAKING, Admission, Heard, State, Verdict
 from service_proxy.sidecar.model import Description, Sidecar
@@ -50,19 +57,19 @@
 
     __slots__ = ("began", "due", "exchange", "open", "reply", "request", "tickets", "timer")
 
-    def __init__(self, request: Request, reply: Reply, due: float) -> None:
+    def __init__(self, request: Request, reply: ResponseWriter, due: float) -> None:
         self.request = request
         self.reply = reply
         self.due = due
         self.open = True
         self.began = 0.0
-        self.exchange: Exchange | None = None
+        self.exchange: UpstreamAttempt | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.tickets: list[Ticket] = []
+        self.tickets: list[RequestFilterState] = []
 
 
 class Inbound:
-    """net.server.Handler for the application of one [[sidecar]]."""
+    """net.downstream.RequestHandler for the application of one [[sidecar]]."""
 
     def __init__(
         self,
@@ -70,10 +77,10 @@
         sidecar: Sidecar,
         sockets: int,
         memory_mb: float,
-        filters: tuple[Filter, ...] = (),
+        filters: tuple[RequestFilter, ...] = (),
     ) -> None:
         self.filters = filters
-        self.takes = taken_by(filters)
+        self.takes = headers_consumed_by(filters)
         self.dropped = DROPPED | self.takes
         self.loop = asyncio.get_running_loop()
         self.sidecar = sidecar
@@ -83,10 +90,14 @@
         self.admission: Admission[Held] = Admission(
             sidecar.slots, sidecar.waiting, tier.cold_from, tier.cold_for, description.features.warm_up
         )
-        self.upstreams = Upstreams(CONNECT_TIMEOUT, IDLE, int(sockets * UPSTREAM_SHARE) + PROBES)
-        at = address(sidecar.application)
-        self.upstreams.apply(Listing(0, True, [Listed(at, EndpointEntry(APPLICATION), "application")]))
-        self.application = self.upstreams.by_id[APPLICATION]
+        self.upstreams = UpstreamCluster(
+            CONNECT_TIMEOUT, IDLE, int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + PROBES
+        )
+        at = parse_address(sidecar.application)
+        self.upstreams.apply_endpoint_list(
+            EndpointList(0, True, [Endpoint(at, EndpointEntry(APPLICATION), "application")])
+        )
+        self.application = self.upstreams.pools[APPLICATION]
         self.probe_request = probe_of(sidecar)
         self.held: dict[bytes, Held] = {}  # by X-Call-Id, until the application is done with it, too
         self.owed = 0  # answers
@@ -98,30 +109,32 @@
         self.changed = asyncio.Event()  # the application's state has changed
         pages = {b"/healthz": self._health, b"/load": self._load}
         effects = {name: EFFECTS[cls.effect] for name, cls in self.classes.items()}
-        self.server = Server(effects, self, sockets, memory_mb, pages, REJECTED, self.takes)
+        self.server = HttpServer(effects, self, sockets, memory_mb, pages, REJECTED, self.takes)
 
     async def start(self) -> None:
         """Raises OSError where it can't listen."""
         self._probe()
-        await self.server.listen(*address(self.sidecar.inbound))
+        await self.server.listen(*parse_address(self.sidecar.inbound))
 
     def stop(self) -> None:
         if self.probing is not None:
             self.probing.cancel()
 
     # what it says of itself
-    def _health(self) -> Page:
+    def _health(self) -> LocalResponse:
         state = self.admission.state
         if self.admission.taking:
-            return Page(200, b"ok\n")
-        return Page(
+            return LocalResponse(200, b"ok\n")
+        return LocalResponse(
             503, b"draining\n" if state in TAKING else b"the application is %s\n" % state.value.encode()
         )
 
-    def _load(self) -> Page:
+    def _load(self) -> LocalResponse:
         out = self.admission.out
         queue = len(self.admission.queue)
-        return Page(200 if self.admission.taking else 503, b"inflight=%d,queue=%d\n" % (out + queue, queue))
+        return LocalResponse(
+            200 if self.admission.taking else 503, b"inflight=%d,queue=%d\n" % (out + queue, queue)
+        )
 
     # the application
     def _probe(self) -> None:
@@ -129,18 +142,20 @@
         if self.probe_out:
             return
         self.probe_out = True
-        exchange = Exchange(self.application, self.probe_request, PROBE_TIMEOUT, lambda: True, self._probed)
+        exchange = UpstreamAttempt(
+            self.application, self.probe_request, PROBE_TIMEOUT, lambda: True, self._probed
+        )
         if self.admission.state is not State.UP:
             self.application.close_idle()  # a connection that still stands says nothing of who listens now
-        self.upstreams.start(exchange)
+        self.upstreams.start_attempt(exchange)
 
-    def _probed(self, exchange: Exchange) -> None:
+    def _probed(self, exchange: UpstreamAttempt) -> None:
         self.probe_out = False
         status = exchange.status
         if status is AttemptStatus.CONNECT_FAILED:
             self._heard(Heard.REFUSED)
-        elif exchange.code:
-            self._heard(Heard.HEALTHY if 200 <= exchange.code < 300 else Heard.UNHEALTHY)
+        elif exchange.status_code:
+            self._heard(Heard.HEALTHY if 200 <= exchange.status_code < 300 else Heard.UNHEALTHY)
         elif status is AttemptStatus.TIMEOUT:
             self._heard(Heard.SILENT)
         elif status is not AttemptStatus.NOT_SENT:  # which was never sent, and says nothing
@@ -169,31 +184,31 @@
         self._begin_more(now)
 
     # callers
-    def opened(self, request: Request, reply: Reply) -> Held | None:
+    def start_request(self, request: Request, reply: ResponseWriter) -> Held | None:
         now = time.monotonic()
         if self.closed or request.id in self.held:
             # One of this name is with the application still: this one never was.
             text = b"draining\n" if self.closed else b"this X-Call-Id is in use\n"
-            reply.answer(503, self._advice(now), text)
+            reply.respond(503, self._advice(now), text)
             return None
-        cls = self.classes[request.cls]
-        due = min(request.came + min(request.budget, cls.deadline) - MARGIN, self.end_by)
+        cls = self.classes[request.class_name]
+        due = min(request.received_at + min(request.time_budget, cls.deadline) - MARGIN, self.end_by)
         held = Held(request, reply, due)
         worth = cls.worth
-        found = ask(self.filters, request, lambda: None)  # who waits for it is its caller alone
-        if isinstance(found, Turned):
-            reply.answer(503, self._advice(now), found.text)
+        found = apply_filters(self.filters, request, lambda: None)  # who waits for it is its caller alone
+        if isinstance(found, Rejection):
+            reply.respond(503, self._advice(now), found.body)
             return None
         held.tickets = found
         for ticket in found:
-            held.due = due = min(due, ticket.due)
-            worth *= ticket.share
+            held.due = due = min(due, ticket.deadline)
+            worth *= ticket.weight_share
         verdict, yields = self.admission.offer(held, worth, due, now)
         if verdict is Verdict.REFUSE:
             self._ended(held, True)
             state = self.admission.state
             busy = state in TAKING
-            reply.answer(
+            reply.respond(
                 503,
                 self._advice(now),
                 b"busy\n" if busy else b"the application is %s\n" % state.value.encode(),
@@ -208,7 +223,7 @@
             self._begin(held, now)
         return held
 
-    def left(self, held: Held) -> None:
+    def client_disconnected(self, held: Held) -> None:
         """Its caller has gone. What waits is not begun; of what the application has the connection is closed,
         so that no attempt is out which its caller has given up."""
         if not held.open:
@@ -219,7 +234,7 @@
         elif held.exchange is not None:
             self._stop(held, held.exchange)
 
-    def _stop(self, held: Held, exchange: Exchange) -> None:
+    def _stop(self, held: Held, exchange: UpstreamAttempt) -> None:
         """Nobody waits for it, and its application may care to know. Its slot stays taken for as long as
         such a call
         usually takes: an application that does not look goes on."""
@@ -240,36 +255,36 @@
 
     def _ended(self, held: Held, answered: bool) -> None:
         for ticket in held.tickets:
-            ticket.ended(answered)
+            ticket.on_request_end(answered)
 
     def _begin(self, held: Held, now: float) -> None:
         held.began = now
         request = held.request
         left = held.due - now
-        more = b"".join(ticket.sending(left) or b"" for ticket in held.tickets)
+        more = b"".join(ticket.on_attempt_start(left) or b"" for ticket in held.tickets)
         head = b"%s%sx-budget: %du\r\n\r\n" % (request.head, more, max(1, int(left * 1e6)))
-        held.exchange = Exchange(
+        held.exchange = UpstreamAttempt(
             self.application,
             b"".join([head, *request.body.parts]),
             max(0.0, left),
             lambda: held.open,
             lambda exchange: self._done(held, exchange),
         )
-        self.upstreams.start(held.exchange)
+        self.upstreams.start_attempt(held.exchange)
 
     def _begin_more(self, now: float) -> None:
         while (held := self.admission.following(now)) is not None:
             self._begin(held, now)
 
-    def _done(self, held: Held, exchange: Exchange) -> None:
+    def _done(self, held: Held, exchange: UpstreamAttempt) -> None:
         """The application is done with it, or never had it."""
         now = time.monotonic()
         status = exchange.status
         assert status is not None
         del self.held[held.request.id]
         for ticket in held.tickets:
-            ticket.returned(exchange, status)
-        self.admission.ended(exchange.elapsed if exchange.code else None, now)
+            ticket.on_attempt_end(exchange, status)
+        self.admission.ended(exchange.elapsed if exchange.status_code else None, now)
         if held.open:
             self._answer_by(held, exchange, status, now)
         before = self.admission.state
@@ -281,10 +296,10 @@
             self._probe_later(PROBE_SOON)
         self._begin_more(now)
 
-    def _answer_by(self, held: Held, exchange: Exchange, status: AttemptStatus, now: float) -> None:
-        if exchange.code >= 200:
-            headers = tuple(pair for pair in exchange.headers if pair[0] not in self.dropped)
-            self._answer(held, exchange.code, headers, exchange.body, True)
+    def _answer_by(self, held: Held, exchange: UpstreamAttempt, status: AttemptStatus, now: float) -> None:
+        if exchange.status_code >= 200:
+            headers = tuple(pair for pair in exchange.response_headers if pair[0] not in self.dropped)
+            self._answer(held, exchange.status_code, headers, exchange.response_body, True)
         elif status in NEVER_EXECUTED:
             self._answer(held, 503, self._advice(now), b"the application did not get it\n")
         elif status is AttemptStatus.TIMEOUT:
@@ -292,12 +307,12 @@
         else:
             self._answer(held, 502, (), b"the application's answer was cut or can't be used\n")
 
-    def _answer(self, held: Held, code: int, headers: Headers, body: bytes, own: bool = False) -> None:
+    def _answer(self, held: Held, code: int, headers: HeaderFields, body: bytes, own: bool = False) -> None:
         """`own`: it is the application's, which is done with the call then."""
         for ticket in held.tickets:
-            headers += ticket.answering()
+            headers += ticket.response_headers()
         self._settle(held, own)
-        held.reply.answer(code, headers, body)
+        held.reply.respond(code, headers, body)
 
     def _refuse(self, held: Held, text: bytes) -> None:
         """One that waited and was never begun."""
@@ -314,9 +329,9 @@
         """Its time is up while it waits, or a moment before its exchange's own end."""
         if not held.open:
             return
-        if not late and time.monotonic() > held.due + LATE:
+        if not late and time.monotonic() > held.due + LOOP_STALL_S:
             # This process stood still, and timers come before sockets: the answer may have come meanwhile.
-            held.timer = self.loop.call_later(ONE_TURN, self._overdue, held, True)
+            held.timer = self.loop.call_later(LOOP_TURN_S, self._overdue, held, True)
             return
         exchange = held.exchange
         if exchange is None:
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from service_proxy.net.config import flatten
-from service_proxy.net.listing import address
+from service_proxy.net.config import flatten_settings
+from service_proxy.net.endpoint_list import parse_address
 from service_proxy.operator_file.positions import Path, Place, place_of
 from service_proxy.operator_file.reader import MOST_TEXT, OperatorError, Problem, nearest
 from service_proxy.settings import read_settings
@@ -126,11 +126,11 @@
         for key in ("listen", "discovery"):
             if key in self.raw:
                 try:
-                    address(self.raw[key])
+                    parse_address(self.raw[key])
                 except ValueError as fault:
                     self.wrong((key,), "S105", str(fault), 'write "127.0.0.1:8081"')
         try:
-            read_settings(flatten(self.raw["settings"]))
+            read_settings(flatten_settings(self.raw["settings"]))
         except (ValueError, TypeError, AttributeError) as fault:
             self.wrong(
                 self._path_of(str(fault)), "S105", str(fault), "write a value that the platform's page has"
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -30,9 +30,9 @@
     inner_filters,
 )
 from service_proxy.log_setup import configure_logging
-from service_proxy.net.config import Config, ConfigError, read_config
-from service_proxy.net.listing import address
-from service_proxy.net.server import BASE_MEMORY
+from service_proxy.net.config import ConfigError, ProxyConfig, parse_config
+from service_proxy.net.downstream import BASE_MEMORY_MB
+from service_proxy.net.endpoint_list import parse_address
 from service_proxy.operator_file.reader import OperatorError, Problem
 from service_proxy.policy.events import RequestClass
 from service_proxy.sidecar import report
@@ -94,17 +94,17 @@
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = sidecar.sockets if soft == resource.RLIM_INFINITY else min(sidecar.sockets, soft)
     listeners = len(sidecar.outbound) + 1
-    return sockets // listeners, BASE_MEMORY + (sidecar.memory_mb - BASE_MEMORY) / listeners
+    return sockets // listeners, BASE_MEMORY_MB + (sidecar.memory_mb - BASE_MEMORY_MB) / listeners
 
 
-def outbound_config(description: Description, sidecar: Sidecar, called: str) -> Config:
+def outbound_config(description: Description, sidecar: Sidecar, called: str) -> ProxyConfig:
     """Raises ConfigError."""
     sockets, memory_mb = shares(sidecar)
     raw = platform(description, sidecar, called)
     raw["limits"] = {"sockets": sockets, "memory_mb": memory_mb}
     raw["seed"] = secrets.token_hex(8)
     try:
-        return read_config(raw, {})
+        return parse_config(raw, {})
     except (ValueError, TypeError) as fault:
         raise ConfigError(f"towards {called}: {fault}") from None
 
@@ -194,7 +194,7 @@
         self.description = new
         self.sidecar = sidecar
         for called, proxy in self.outbound.items():
-            proxy.move_discovery(address(new.padron(called)))
+            proxy.move_discovery(parse_address(new.padron(called)))
         self.inbound.change(sidecar)
         return []
 
--- a/service_proxy/websocket/front.py
+++ b/service_proxy/websocket/front.py
@@ -12,12 +12,19 @@
 from dataclasses import replace
 from urllib.parse import parse_qs, urlsplit
 
-from service_proxy.net.bodies import Body
-from service_proxy.net.config import Config, ConfigError
-from service_proxy.net.driver import Driver
-from service_proxy.net.limits import LEAST_SOCKETS
-from service_proxy.net.server import BASE_MEMORY, BadRequest, ClientConnection, Server, Upgrade, read_request
-from service_proxy.net.upstream import Upstream
+from service_proxy.net.config import ConfigError, ProxyConfig
+from service_proxy.net.dispatcher import RequestDispatcher
+from service_proxy.net.downstream import (
+    BASE_MEMORY_MB,
+    BadRequestError,
+    DownstreamConnection,
+    HttpServer,
+    UpgradeRequest,
+    parse_request,
+)
+from service_proxy.net.limits import MIN_DESCRIPTORS
+from service_proxy.net.request_body import RequestBody
+from service_proxy.net.upstream import EndpointConnectionPool
 from service_proxy.operator_file import OperatorError, Problem, WebSocket, load
 from service_proxy.policy.events import Idempotency
 from service_proxy.websocket.codec import Codec
@@ -52,37 +59,40 @@
 LEAST_CALLERS = 8  # MB that callers over HTTP have left
 
 
-def sized(config: Config, settings: WebSocket) -> Config:
+def sized(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
     """What the sessions leave of the process's descriptors and memory. Raises ConfigError."""
     each = 2 if settings.tunnels else 1
-    sockets = config.sockets - each * settings.sessions
+    sockets = config.max_descriptors - each * settings.sessions
     pool_mb = pool_of(config) / 1e6
     memory_mb = config.memory_mb - settings.sessions * SESSION_MEMORY - pool_mb
-    if sockets < LEAST_SOCKETS or memory_mb < BASE_MEMORY + LEAST_CALLERS:
-        by_sockets = (config.sockets - LEAST_SOCKETS) // each
-        by_memory = int((config.memory_mb - pool_mb - BASE_MEMORY - LEAST_CALLERS) / SESSION_MEMORY)
+    if sockets < MIN_DESCRIPTORS or memory_mb < BASE_MEMORY_MB + LEAST_CALLERS:
+        by_sockets = (config.max_descriptors - MIN_DESCRIPTORS) // each
+        by_memory = int((config.memory_mb - pool_mb - BASE_MEMORY_MB - LEAST_CALLERS) / SESSION_MEMORY)
         raise ConfigError(
-            f"[websocket] sessions = {settings.sessions} does not go into {config.sockets} descriptors and "
+            f"[websocket] sessions = {settings.sessions} does not go into "
+            f"{config.max_descriptors} descriptors and "
             f"{config.memory_mb:g} MB: write sessions = {max(0, min(by_sockets, by_memory))} or less"
         )
-    return replace(config, sockets=sockets, memory_mb=memory_mb)
+    return replace(config, max_descriptors=sockets, memory_mb=memory_mb)
 
 
-def pool_of(config: Config) -> int:
+def pool_of(config: ProxyConfig) -> int:
     """Bytes that clients may leave untaken, all together. `config`: of the whole process."""
-    return int((config.memory_mb - BASE_MEMORY) * POOL_SHARE * 1e6)
+    return int((config.memory_mb - BASE_MEMORY_MB) * POOL_SHARE * 1e6)
 
 
 class Front:
-    """net.server.Upgrades, and a Subsystem."""
+    """net.downstream.UpgradeHandler, and a Subsystem."""
 
-    def __init__(self, settings: WebSocket, config: Config, driver: Driver, server: Server) -> None:
+    def __init__(
+        self, settings: WebSocket, config: ProxyConfig, driver: RequestDispatcher, server: HttpServer
+    ) -> None:
         """`config`: of the whole process. Raises ConfigError where a tunnel's class can't be one."""
         self.settings = settings
         self.driver = driver
         self.server = server
         for cls in settings.tunnels:
-            if driver.effects.get(cls) is not Idempotency.IDEMPOTENT:
+            if driver.idempotency_by_class.get(cls) is not Idempotency.IDEMPOTENT:
                 raise ConfigError(f"[websocket] tunnels: {cls} is no repeatable class of the settings")
         self.loop = asyncio.get_running_loop()
         self.scratch = memoryview(bytearray(SCRATCH))
@@ -92,16 +102,16 @@
         self.doors = Doors()
         self.spread = Spread(config.seed, settings.reconnect_spread)
         self.peers: dict[Peer, None] = {}  # the clients' sides, and the nodes' sides of tunnels
-        self.tunnels: dict[Upstream, dict[Tunnel, None]] = {}  # by node
+        self.tunnels: dict[EndpointConnectionPool, dict[Tunnel, None]] = {}  # by node
         self.loads: dict[Peer, int] = {}  # bytes that some have not taken
         self.load = 0  # of them together
         self.draining = False
         self.end_by = 0.0
         self.sweeping: asyncio.TimerHandle | None = None
-        driver.tunnels = settings.sessions if settings.tunnels else 0
-        driver.set_bounds(1.0)
-        server.upgrades = self
-        driver.upstreams.on_leaving = self.leaving
+        driver.upgraded_connection_allowance = settings.sessions if settings.tunnels else 0
+        driver.set_resource_share(1.0)
+        server.upgrade_handler = self
+        driver.cluster.on_endpoint_leaving = self.leaving
 
     # Subsystem
     def start(self) -> None:
@@ -113,7 +123,7 @@
         for peer in list(self.peers):
             peer.abort()
 
-    def reread(self, file: str) -> None:
+    def reload(self, file: str) -> None:
         """On SIGHUP: limits and times. Raises OperatorError, and then nothing has changed."""
         new = load(file).websocket
         fixed = ("messages", "tunnels", "sessions")
@@ -128,27 +138,27 @@
     def failed(what: str) -> None:
         log.exception(what)
 
-    # net.server.Upgrades
-    def asked(self, connection: ClientConnection, upgrade: Upgrade) -> object | None:
+    # net.downstream.UpgradeHandler
+    def start_upgrade(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
         """Answers, or takes the connection over, or returns the call that decides on it."""
         try:
             return self._asked(connection, upgrade)
         except Declined as no:
-            connection.answer(no.code, no.headers, f"{no}\n".encode())
-        except BadRequest as bad:
-            connection.answer(bad.code, (), f"{bad}\n".encode())
+            connection.respond(no.code, no.headers, f"{no}\n".encode())
+        except BadRequestError as bad:
+            connection.respond(bad.status_code, (), f"{bad}\n".encode())
         return None
 
-    def _asked(self, connection: ClientConnection, upgrade: Upgrade) -> object | None:
+    def _asked(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
         settings = self.settings
         headers = upgrade.headers
-        opening = read_opening(upgrade.method, upgrade.version, headers, upgrade.body)
+        opening = read_opening(upgrade.method, upgrade.version, headers, upgrade.has_body)
         check_origin(opening, settings.origins)
         path = urlsplit(upgrade.target.decode("latin-1"))
         route = path.path[1:].split("/", 1)[0]
         if route not in settings.messages and route not in settings.tunnels:
             raise Declined(404, "no WebSocket here")
-        if upgrade.surplus:
+        if upgrade.has_surplus:
             raise Declined(400, "frames before the 101")
         if self.draining:
             raise Declined(503, "this proxy is stopping", self._advice())
@@ -174,7 +184,7 @@
             raise Declined(code, f"too many sessions of this {whose}", self._advice())
 
     def hand_over(
-        self, connection: ClientConnection, opening: Opening, protocol: bytes, owner: Owner
+        self, connection: DownstreamConnection, opening: Opening, protocol: bytes, owner: Owner
     ) -> Peer:
         """The client's 101, and its connection as frames."""
         extension = b""
@@ -185,7 +195,7 @@
             if agreed is not None:
                 extension = agreed.header()
                 extensions = [Deflate(agreed, settings.message_bytes, settings.deflate_ratio)]
-        transport = connection.hand_over(response(opening, protocol, extension))
+        transport = connection.detach(response(opening, protocol, extension))
         codec = Codec(False, settings.message_bytes, extensions)
         peer = Peer(transport, codec, owner, self.scratch, server=True)
         self.peers[peer] = None
@@ -193,7 +203,7 @@
 
     def _begin_talk(
         self,
-        connection: ClientConnection,
+        connection: DownstreamConnection,
         opening: Opening,
         query: dict[str, list[str]],
         client: str,
@@ -225,8 +235,8 @@
 
     def _begin_tunnel(
         self,
-        connection: ClientConnection,
-        upgrade: Upgrade,
+        connection: DownstreamConnection,
+        upgrade: UpgradeRequest,
         opening: Opening,
         cls: str,
         client: str,
@@ -237,15 +247,21 @@
         if b"x-call-id" not in names:  # a browser sends none
             headers.append((b"x-call-id", b"ws-" + secrets.token_hex(8).encode()))
         if b"x-budget" not in names:
-            headers.append((b"x-budget", b"%dm" % int(self.driver.deadlines[cls] * 1e3)))
+            headers.append((b"x-budget", b"%dm" % int(self.driver.deadline_by_class[cls] * 1e3)))
         driver = self.driver
-        request = read_request(
-            b"GET", upgrade.target, headers, Body.of(b""), time.monotonic(), driver.effects, driver.takes
+        request = parse_request(
+            b"GET",
+            upgrade.target,
+            headers,
+            RequestBody.of(b""),
+            time.monotonic(),
+            driver.idempotency_by_class,
+            driver.consumed_headers,
         )
         self.doors.enter(client, tenant)
         tunnel = Tunnel(self, connection, opening, client, tenant)
-        request.switch = tunnel
-        return driver.opened(request, tunnel)
+        request.upgrade = tunnel
+        return driver.start_request(request, tunnel)
 
     def open_tunnel(self, tunnel: Tunnel) -> None:
         upstream = tunnel.upstream
@@ -254,10 +270,10 @@
         assert node is not None
         self.peers[node] = None
         self.tunnels.setdefault(upstream, {})[tunnel] = None
-        if not upstream.serving:  # it was told to drain while the handshake went on
+        if not upstream.is_serving:  # it was told to drain while the handshake went on
             self.leaving(upstream)
 
-    def closed_tunnel(self, tunnel: Tunnel, upstream: Upstream) -> None:
+    def closed_tunnel(self, tunnel: Tunnel, upstream: EndpointConnectionPool) -> None:
         here = self.tunnels.get(upstream)
         if here is not None:
             here.pop(tunnel, None)
@@ -307,7 +323,7 @@
         self.talks.sweep(now)
 
     # drains
-    def leaving(self, upstream: Upstream) -> None:
+    def leaving(self, upstream: EndpointConnectionPool) -> None:
         """A node drains, is gone, or is another one by now: its tunnels leave it, one after another."""
         here = list(self.tunnels.get(upstream, ()))
         if not here:
--- a/service_proxy/websocket/messages.py
+++ b/service_proxy/websocket/messages.py
@@ -9,9 +9,9 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from service_proxy.net.bodies import Body
-from service_proxy.net.protocols import Source
-from service_proxy.net.server import BadRequest, Request, read_request
+from service_proxy.net.downstream import BadRequestError, Request, parse_request
+from service_proxy.net.protocols import ResponseSource
+from service_proxy.net.request_body import RequestBody
 from service_proxy.policy.events import Idempotency
 from service_proxy.websocket import envelope
 from service_proxy.websocket.codec import NO_STATUS, Piece
@@ -27,7 +27,7 @@
 
 
 class MessageReply:
-    """net.server.Reply of one message: exactly one outcome, to whichever connection the session has then."""
+    """net.downstream.ResponseWriter of one message: one outcome, to whichever connection it has then."""
 
     __slots__ = ("call", "id", "parts", "session", "size", "source", "talks")
 
@@ -36,22 +36,22 @@
         self.session = session
         self.id = id
         self.call: Any = None  # the driver's, once it has it
-        self.source: Source | None = None
+        self.source: ResponseSource | None = None
         self.parts: list[bytes] = []  # of an answer that comes on
         self.size = 0
 
-    def answer(self, code: int, headers: Any, body: bytes) -> None:
+    def respond(self, code: int, headers: Any, body: bytes) -> None:
         wait = next((float(value) for name, value in headers if name == b"retry-after"), 0.0)
         self.talks.settle(self.session, self.id, code, body, wait)
 
-    def stream(self, headers: Any, length: int | None, source: Source) -> None:
+    def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
         """It ran; a message holds it whole or not at all."""
         self.source = source
-        source.relay(self)
+        source.stream_to(self)
         if length is not None and length > MOST_OUTCOME:
             self._too_long()
 
-    def feed(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         if self.source is None:
             return
         self.size += len(data)
@@ -65,7 +65,7 @@
             self.source = None
             self.talks.settle(self.session, self.id, 200, b"".join(self.parts))
 
-    def broken_off(self) -> None:
+    def fail(self) -> None:
         if self.source is not None:
             self.source = None
             self.talks.settle(self.session, self.id, 502, b"the answer broke off\n")
@@ -75,7 +75,7 @@
         self.source = None
         self.parts.clear()
         if source is not None:
-            source.drop()
+            source.discard()
         self.talks.settle(self.session, self.id, 502, b"the answer is too long for a message\n")
 
     def left(self, handler: Any) -> None:
@@ -83,9 +83,9 @@
         source = self.source
         self.source = None
         if source is not None:
-            source.drop()
+            source.discard()
         elif self.call is not None:
-            handler.left(self.call)
+            handler.client_disconnected(self.call)
 
 
 class Talk:
@@ -209,11 +209,11 @@
         """Hands it to the driver."""
         driver = self.front.driver
         session = reply.session
-        effect = driver.effects.get(call.cls)
+        effect = driver.idempotency_by_class.get(call.cls)
         if effect is None:
             self.settle(session, call.id, 404, b"no such class\n")
             return
-        most = driver.deadlines[call.cls]
+        most = driver.deadline_by_class[call.cls]
         budget = most if call.budget is None else min(call.budget, most)
         get = effect is Idempotency.IDEMPOTENT
         headers = [
@@ -230,20 +230,20 @@
         if call.again:
             headers.append((b"x-again", b"1"))
         try:
-            request: Request = read_request(
+            request: Request = parse_request(
                 b"GET" if get else b"POST",
                 f"/{call.cls}{call.path}".encode(),
                 headers,
-                Body.of(call.body),
+                RequestBody.of(call.body),
                 now,
-                driver.effects,
-                driver.takes,
+                driver.idempotency_by_class,
+                driver.consumed_headers,
             )
-        except BadRequest as bad:
-            self.settle(session, call.id, bad.code, f"{bad}\n".encode())
+        except BadRequestError as bad:
+            self.settle(session, call.id, bad.status_code, f"{bad}\n".encode())
             return
         try:
-            reply.call = driver.opened(request, reply)
+            reply.call = driver.start_request(request, reply)
         except Exception:
             self.front.failed("a message could not be taken")
             if call.id in session.open:
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from service_proxy.net.upstream import Connection, Upstream
+from service_proxy.net.upstream import EndpointConnectionPool, UpstreamConnection
 from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.closing import State
 from service_proxy.websocket.codec import ABNORMAL, Codec, Piece
@@ -57,7 +57,7 @@
 
 
 class Tunnel:
-    """net.server.Reply for the handshake, net.driver.Switch for its attempts."""
+    """net.downstream.ResponseWriter for the handshake, net.protocols.UpgradeNegotiation for its attempts."""
 
     __slots__ = (
         "asking",
@@ -81,41 +81,41 @@
         self.tenant = tenant
         self.asking: Asking | None = Asking(opening.protocols)
         self.client, self.node = Side(self, True), Side(self, False)
-        self.origin: Connection | None = None  # the node's connection, as the pool counts it
+        self.origin: UpstreamConnection | None = None  # the node's connection, as the pool counts it
         self.over: Callable[[AttemptStatus], None] | None = None  # tells the module the end, once
         self.bucket = Bucket(front.settings.burst, time.monotonic())
 
     @property
-    def upstream(self) -> Upstream | None:
-        return self.origin.upstream if self.origin is not None else None
+    def upstream(self) -> EndpointConnectionPool | None:
+        return self.origin.pool if self.origin is not None else None
 
     # before the 101
-    def answer(self, code: int, headers: Any, body: bytes) -> None:
+    def respond(self, code: int, headers: Any, body: bytes) -> None:
         """No node took it: the connection stays HTTP's, and ends, for what comes behind may be frames."""
         self.front.left(self.from_client, self.tenant)
-        self.connection.answer(502 if code == 200 else code, headers, body)
+        self.connection.respond(502 if code == 200 else code, headers, body)
 
     def stream(self, headers: Any, length: int | None, source: Any) -> None:
-        source.drop()
-        self.answer(502, (), b"the node answered with no WebSocket\n")
+        source.discard()
+        self.respond(502, (), b"the node answered with no WebSocket\n")
 
-    def lines(self) -> bytes:
+    def request_headers(self) -> bytes:
         assert self.asking is not None
         return self.asking.lines(os.urandom(16))
 
-    def proven(self, headers: list[tuple[bytes, bytes]]) -> str | None:
+    def verify_response(self, headers: list[tuple[bytes, bytes]]) -> str | None:
         assert self.asking is not None
         return self.asking.proven(headers)
 
-    def dropped(self) -> None:
+    def client_disconnected(self) -> None:
         self.front.left(self.from_client, self.tenant)
 
-    def switched(
+    def upgraded(
         self,
-        connection: Connection,
+        connection: UpstreamConnection,
         headers: list[tuple[bytes, bytes]],
-        rest: bytes,
-        over: Callable[[AttemptStatus], None],
+        surplus: bytes,
+        on_end: Callable[[AttemptStatus], None],
     ) -> None:
         """A node has taken it: both ends are frames from here on."""
         front = self.front
@@ -124,7 +124,7 @@
         assert transport is not None
         assert opening is not None
         self.origin = connection
-        self.over = over
+        self.over = on_end
         most = front.settings.message_bytes
         chosen = next((value for name, value in headers if name == b"sec-websocket-protocol"), b"")
         node = Peer(transport, Codec(True, most), self.node, front.scratch, server=False)
@@ -134,7 +134,7 @@
         self.opening = None
         self.asking = None
         front.open_tunnel(self)
-        node.behind(rest)
+        node.behind(surplus)
 
     # frames
     def other(self, side: Side) -> Side:
@@ -175,7 +175,7 @@
         elif self.origin is not None:
             origin = self.origin
             self.origin = None
-            self.front.closed_tunnel(self, origin.upstream)
+            self.front.closed_tunnel(self, origin.pool)
             origin.connection_lost(None)
 
     def tell(self, status: AttemptStatus) -> None:
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -147,7 +147,7 @@
     metrics = Metrics()
     metrics.add_request_class("stock")
     for code in (200, 503, 429, 502, 400, 504, 200):
-        metrics.ended("canje", code)
+        metrics.request_ended("canje", code)
     assert metrics.render({"inflight": 3}, {"backend_calls": 9}).splitlines() == [
         "edge_edge.backend_calls:9|c",
         "edge_edge.calls.canje.busy:2|c",
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -12,7 +12,7 @@
 from service_proxy.admin.errors import UnknownEndpointError
 from service_proxy.admin.maintenance import MaintenanceOverlay
 from service_proxy.admin.shared_record import SharedRecord
-from service_proxy.net.listing import Listed, Listing, server_id
+from service_proxy.net.endpoint_list import Endpoint, EndpointList, endpoint_id_of
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
 WALL_OFFSET = 1000.0  # wall less monotonic, s
@@ -21,12 +21,14 @@
 REMOVED = EndpointState.REMOVED
 
 
-def endpoint(name: str, state: EndpointState = SERVING, started_at: float = 0.0) -> Listed:
-    return Listed(("127.0.0.1", 1), EndpointEntry(server_id(name), state=state, started_at=started_at), name)
+def endpoint(name: str, state: EndpointState = SERVING, started_at: float = 0.0) -> Endpoint:
+    return Endpoint(
+        ("127.0.0.1", 1), EndpointEntry(endpoint_id_of(name), state=state, started_at=started_at), name
+    )
 
 
-def endpoint_list(*backends: Listed, is_snapshot: bool = True) -> Listing:
-    return Listing(1, is_snapshot, list(backends))
+def endpoint_list(*backends: Endpoint, is_snapshot: bool = True) -> EndpointList:
+    return EndpointList(1, is_snapshot, list(backends))
 
 
 def overlay_of(*names: str) -> MaintenanceOverlay:
@@ -35,8 +37,8 @@
     return made
 
 
-def state_by_name(of: Listing) -> dict[str, EndpointState]:
-    return {backend.name: backend.entry.state for backend in of.backends}
+def state_by_name(of: EndpointList) -> dict[str, EndpointState]:
+    return {backend.name: backend.entry.state for backend in of.endpoints}
 
 
 def test_an_endpoint_in_maintenance_drains_whatever_is_listed_until_it_is_put_back() -> None:
@@ -66,18 +68,18 @@
     assert made.in_maintenance == {"a": 2000.0}
     made.end_maintenance("a", 2002.0)
     assert not made.in_maintenance
-    assert made.end_maintenance("a", 2003.0).backends == []  # in use already: nothing starts anew
+    assert made.end_maintenance("a", 2003.0).endpoints == []  # in use already: nothing starts anew
     assert made.reinstated_at == {"a": 2002.0}
 
 
 def test_an_endpoint_that_came_back_warms_up_from_that_moment_and_is_reinstated_once() -> None:
     made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
-    (back,) = made.end_maintenance("a", 2010.0).backends
+    (back,) = made.end_maintenance("a", 2010.0).endpoints
     assert back.entry.started_at == 2010.0 - WALL_OFFSET and back.entry.reinstated
-    (again,) = made.apply(endpoint_list(endpoint("a", started_at=1005.0))).backends  # its restart, told late
+    (again,) = made.apply(endpoint_list(endpoint("a", started_at=1005.0))).endpoints  # its restart, told late
     assert again.entry.started_at == 2010.0 - WALL_OFFSET and not again.entry.reinstated
-    (later,) = made.apply(endpoint_list(endpoint("a", started_at=1500.0))).backends
+    (later,) = made.apply(endpoint_list(endpoint("a", started_at=1500.0))).endpoints
     assert later.entry.started_at == 1500.0  # a later restart of its own
 
 
@@ -85,8 +87,8 @@
     made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
     made.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))
-    assert made.end_maintenance("a", 2003.0).backends == []
-    (back,) = made.apply(endpoint_list(endpoint("a"), is_snapshot=False)).backends
+    assert made.end_maintenance("a", 2003.0).endpoints == []
+    (back,) = made.apply(endpoint_list(endpoint("a"), is_snapshot=False)).endpoints
     assert back.entry.reinstated and back.entry.state is SERVING
 
 
@@ -110,16 +112,16 @@
     old.start_maintenance("a", 2000.0)
     assert state_by_name(new.apply_record(old.encode_record(2000.0))) == {"a": DRAINING}
     old.end_maintenance("a", 2004.0)
-    (back,) = new.apply_record(old.encode_record(2004.0)).backends
+    (back,) = new.apply_record(old.encode_record(2004.0)).endpoints
     assert (
         back.entry.state is SERVING
         and back.entry.reinstated
         and back.entry.started_at == 2004.0 - WALL_OFFSET
     )
-    assert new.apply_record(old.encode_record(2004.0)).backends == []  # unchanged
+    assert new.apply_record(old.encode_record(2004.0)).endpoints == []  # unchanged
     first = MaintenanceOverlay(WALL_OFFSET, 20.0)
     first.apply_record(old.encode_record(2004.0))  # before it has any list
-    assert first.apply(endpoint_list(endpoint("a"))).backends[0].entry.started_at == 2004.0 - WALL_OFFSET
+    assert first.apply(endpoint_list(endpoint("a"))).endpoints[0].entry.started_at == 2004.0 - WALL_OFFSET
     assert json.loads(old.encode_record(2024.1))["back"] == {}  # warm by now
 
 
--- a/tests/admin/test_settings_update.py
+++ b/tests/admin/test_settings_update.py
@@ -12,7 +12,7 @@
 from harness.program import settings
 from service_proxy.admin.errors import InvalidSettingsUpdateError
 from service_proxy.admin.settings_update import parse_update, transitional_settings
-from service_proxy.net.config import flatten
+from service_proxy.net.config import flatten_settings
 from service_proxy.policy.events import Idempotency
 from service_proxy.settings import read_settings
 
@@ -97,7 +97,7 @@
     raw["grades"][0]["effect"] = "once"  # stricter
     del raw["grades"][1]
     raw["grades"].append({**raw["grades"][0], "name": "express"})
-    running, new = (read_settings(flatten(one)) for one in (RUNNING["settings"], raw))
+    running, new = (read_settings(flatten_settings(one)) for one in (RUNNING["settings"], raw))
     both = transitional_settings(running, new)
     assert {cls.name: cls.idempotency for cls in both.classes} == {
         "stock": Idempotency.IDEMPOTENT,
--- a/tests/deadlines/test_calls.py
+++ b/tests/deadlines/test_calls.py
@@ -15,10 +15,10 @@
 from service_proxy.deadlines.calls import Budgets, InnerFilter, InnerTicket, OuterFilter, OuterTicket
 from service_proxy.deadlines.header import Budget
 from service_proxy.deadlines.usual import LEAST_SAMPLES
-from service_proxy.net.bodies import Body
-from service_proxy.net.filters import Turned
-from service_proxy.net.server import Request, read_request
-from service_proxy.net.upstream import Exchange
+from service_proxy.net.downstream import Request, parse_request
+from service_proxy.net.request_body import RequestBody
+from service_proxy.net.request_filters import Rejection
+from service_proxy.net.upstream import UpstreamAttempt
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError
 from service_proxy.policy.events import AttemptStatus, Idempotency, RequestClass
@@ -59,15 +59,15 @@
 
     def request(self, value: bytes | None, **more: Any) -> InnerTicket:
         """A request that brings this, handed to the application."""
-        ticket = self.inner.arrival(request(value=value, **more), nothing)
+        ticket = self.inner.on_request(request(value=value, **more), nothing)
         assert isinstance(ticket, InnerTicket), ticket
         return ticket
 
     def reference(self, ticket: InnerTicket) -> bytes:
-        return ticket.sending(1.0).removeprefix(b"tier-budget: ").removesuffix(b"\r\n")
+        return ticket.on_attempt_start(1.0).removeprefix(b"tier-budget: ").removesuffix(b"\r\n")
 
     def call(self, value: bytes | None, give_up: Callable[[], None] = nothing, **more: Any) -> OuterTicket:
-        ticket = self.outer.arrival(request(value=value, **more), give_up)
+        ticket = self.outer.on_request(request(value=value, **more), give_up)
         assert isinstance(ticket, OuterTicket), ticket
         return ticket
 
@@ -86,8 +86,14 @@
         headers.append((b"idempotency-key", key or id))
     headers += [(header.FIELD, one) for one in values or (() if value is None else (value,))]
     method = b"GET" if cls == "stock" else b"POST"
-    made = read_request(
-        method, b"/" + cls.encode(), headers, Body.of(b""), time.monotonic(), EFFECTS, InnerFilter.takes
+    made = parse_request(
+        method,
+        b"/" + cls.encode(),
+        headers,
+        RequestBody.of(b""),
+        time.monotonic(),
+        EFFECTS,
+        InnerFilter.consumed_headers,
     )
     assert header.FIELD not in made.head
     return made
@@ -106,7 +112,7 @@
 
 def sent(ticket: OuterTicket, timeout: float = 5.0, id: bytes = b"9b1f03aa5c7e2d41") -> Budget:
     """What the next attempt has on the wire."""
-    lines = ticket.sending(timeout)
+    lines = ticket.on_attempt_start(timeout)
     assert lines is not None
     return header.read(lines.removeprefix(b"tier-budget: ").removesuffix(b"\r\n"), id, KEYS)
 
@@ -115,26 +121,30 @@
     """An exchange that came to this."""
 
     def __init__(self, code: int = 200, value: bytes | None = None, elapsed: float = 0.1) -> None:
-        self.code = code
+        self.status_code = code
         self.elapsed = elapsed
-        self.headers = [] if value is None else [(header.FIELD, value)]
+        self.response_headers = [] if value is None else [(header.FIELD, value)]
 
 
 def returned(ticket: OuterTicket, ended: Ended, status: AttemptStatus = AttemptStatus.OK) -> None:
-    ticket.returned(cast(Exchange, ended), status)
+    ticket.on_attempt_end(cast(UpstreamAttempt, ended), status)
 
 
 # what a request brings
 def test_a_budget_narrows_the_time_and_gives_worth_and_path(tmp_path: Path) -> None:
     process = Process(tmp_path)
     ticket = process.request(brought(time_left=2.0, worth=3.0))
-    assert 1.9 < ticket.due - time.monotonic() <= 2.0
-    assert ticket.share == 3.0 and ticket.account.path == ("edge", "portal") and ticket.account.granted == 6
+    assert 1.9 < ticket.deadline - time.monotonic() <= 2.0
+    assert (
+        ticket.weight_share == 3.0
+        and ticket.account.path == ("edge", "portal")
+        and ticket.account.granted == 6
+    )
 
 
 def test_the_request_itself_may_leave_less_time_than_its_budget(tmp_path: Path) -> None:
     ticket = Process(tmp_path).request(brought(time_left=60.0), budget=0.5)
-    assert ticket.due - time.monotonic() <= 0.5
+    assert ticket.deadline - time.monotonic() <= 0.5
 
 
 @pytest.mark.parametrize(
@@ -162,10 +172,10 @@
     }
     process = Process(tmp_path, attempts=5)
     with caplog.at_level(logging.WARNING):
-        ticket = process.inner.arrival(request(values=bad[kind]), nothing)
+        ticket = process.inner.on_request(request(values=bad[kind]), nothing)
     assert isinstance(ticket, InnerTicket)
-    assert ticket.share == 1.0 and ticket.account.granted == 5 and ticket.account.path == ("portal",)
-    assert ticket.due - time.monotonic() <= 5.0 and ticket.answering() == ()
+    assert ticket.weight_share == 1.0 and ticket.account.granted == 5 and ticket.account.path == ("portal",)
+    assert ticket.deadline - time.monotonic() <= 5.0 and ticket.response_headers() == ()
     assert ("left out of account" in caplog.text) is (kind != "none")
 
 
@@ -182,8 +192,8 @@
 ) -> None:
     process = Process(tmp_path)
     with caplog.at_level(logging.WARNING):
-        turned = process.inner.arrival(request(value=brought(path=path)), nothing)
-    assert isinstance(turned, Turned) and loop.encode() in turned.text
+        turned = process.inner.on_request(request(value=brought(path=path)), nothing)
+    assert isinstance(turned, Rejection) and loop.encode() in turned.body
     assert f"loop: {loop}: refused, never ran" in caplog.text and process.budgets.refused_loops == 1
 
 
@@ -196,16 +206,16 @@
 def test_a_loop_that_the_sidecar_itself_would_close_is_not_sent(tmp_path: Path) -> None:
     process = Process(tmp_path, "nucleo", called="portal")
     reference = process.reference(process.request(brought(path=("edge", "portal"))))
-    turned = process.outer.arrival(request(b"child", value=reference), nothing)
-    assert isinstance(turned, Turned) and b"edge > portal > nucleo > portal" in turned.text
+    turned = process.outer.on_request(request(b"child", value=reference), nothing)
+    assert isinstance(turned, Rejection) and b"edge > portal > nucleo > portal" in turned.body
 
 
 def test_a_budget_that_cant_cover_the_work_is_refused_before_any(tmp_path: Path) -> None:
     process = Process(tmp_path)
     for _ in range(LEAST_SAMPLES):
         process.inner.usual["canje"].learn(0.4)
-    turned = process.inner.arrival(request(value=brought(time_left=0.3)), nothing)
-    assert isinstance(turned, Turned) and b"can't cover" in turned.text
+    turned = process.inner.on_request(request(value=brought(time_left=0.3)), nothing)
+    assert isinstance(turned, Rejection) and b"can't cover" in turned.body
     process.request(brought(time_left=0.5))
     off = Process(tmp_path, "other", refuse_below_usual=False)
     for _ in range(LEAST_SAMPLES):
@@ -218,7 +228,7 @@
     edge = Process(tmp_path, "edge", called="portal", edge=True, attempts=7)
     for value in (brought(worth=1e6, attempts=9999), b"ref;" + b"0" * 16, None):
         ticket = edge.call(value)
-        assert ticket.attempts == 7 and ticket.share == 1.0
+        assert ticket.max_attempts == 7 and ticket.weight_share == 1.0
         budget = sent(ticket)
         assert (budget.worth, budget.path, budget.cls) == (1.0, ("edge",), "canje")
         assert 4.9 < budget.time < 5.0 and 2.3 < budget.aim < 2.5
@@ -235,8 +245,10 @@
         ticket = process.call(None, id=b"abc.1", cls="stock")
     else:
         ticket = process.call(None, id=b"x", cls="reserva", key=b"K")
-    assert ticket.account.parent is inner.account and ticket.attempts == 3  # of 6, for the first of 2 calls
-    assert ticket.due == inner.due and ticket.share == pytest.approx(
+    assert (
+        ticket.account.parent is inner.account and ticket.max_attempts == 3
+    )  # of 6, for the first of 2 calls
+    assert ticket.deadline == inner.deadline and ticket.weight_share == pytest.approx(
         5.0 / CLASSES[ticket.cls.name].priority_weight
     )
 
@@ -248,8 +260,8 @@
     process = Process(tmp_path)
     process.reference(process.request(brought(time_left=0.5)))
     ticket = process.call(value, id=b"child", cls="stock", budget=9.0)
-    assert ticket.account.parent is None and 1.1 < ticket.due - time.monotonic() <= 1.2
-    assert ticket.attempts == 12 and ticket.share == 1.0
+    assert ticket.account.parent is None and 1.1 < ticket.deadline - time.monotonic() <= 1.2
+    assert ticket.max_attempts == 12 and ticket.weight_share == 1.0
 
 
 def test_a_call_for_a_request_that_is_over_is_refused_and_one_that_was_answered_is_its_own(
@@ -259,10 +271,10 @@
     gone = process.request(brought(b"a"), id=b"a")
     answered = process.request(brought(b"b"), id=b"b")
     references = process.reference(gone), process.reference(answered)
-    gone.ended(False)
-    answered.ended(True)
-    turned = process.outer.arrival(request(b"x", value=references[0]), nothing)
-    assert isinstance(turned, Turned) and b"nobody waits" in turned.text
+    gone.on_request_end(False)
+    answered.on_request_end(True)
+    turned = process.outer.on_request(request(b"x", value=references[0]), nothing)
+    assert isinstance(turned, Rejection) and b"nobody waits" in turned.body
     assert process.call(references[1], id=b"y").account.parent is None
 
 
@@ -273,11 +285,11 @@
     first = process.call(reference, id=b"1")
     sent(first, id=b"1")
     returned(first, Ended(0), AttemptStatus.RESET)  # with what it had been lent
-    assert first.attempts == 2 and first.sending(1.0) is None
-    first.ended(True)
+    assert first.max_attempts == 2 and first.on_attempt_start(1.0) is None
+    first.on_request_end(True)
     second = process.call(reference, id=b"2")
-    assert second.attempts == 2
-    assert isinstance(process.outer.arrival(request(b"3", value=reference), nothing), Turned)
+    assert second.max_attempts == 2
+    assert isinstance(process.outer.on_request(request(b"3", value=reference), nothing), Rejection)
 
 
 def test_an_outer_retry_is_a_new_request_with_the_same_key_and_a_budget_of_its_own(tmp_path: Path) -> None:
@@ -287,7 +299,7 @@
     references = process.reference(one), process.reference(two)
     assert process.call(None, id=b"x", cls="reserva", key=b"K").account.parent is None  # of which? unknown
     assert process.call(references[1], id=b"y", cls="reserva", key=b"K").account.parent is two.account
-    one.ended(False)
+    one.on_request_end(False)
     assert process.call(None, id=b"z", cls="reserva", key=b"K").account.parent is two.account
 
 
@@ -333,8 +345,8 @@
     ticket = process.call(process.reference(inner), id=b"x")
     sent(ticket, id=b"x")
     returned(ticket, Ended(200, header.write_spent(1, 0.01)))
-    ticket.ended(True)
-    ((name, value),) = inner.answering()
+    ticket.on_request_end(True)
+    ((name, value),) = inner.response_headers()
     found = header.read_spent(value, 6)
     assert name == header.FIELD and found is not None and found[0] == 2 and found[1] < 1.0
 
@@ -346,9 +358,9 @@
     given_up: list[str] = []
     out = process.call(reference, lambda: given_up.append("out"), id=b"1")
     done = process.call(reference, lambda: given_up.append("done"), id=b"2")
-    done.ended(True)
-    inner.ended(False)
-    assert given_up == ["out"] and out.sending(1.0) is None and not process.budgets.open
+    done.on_request_end(True)
+    inner.on_request_end(False)
+    assert given_up == ["out"] and out.on_attempt_start(1.0) is None and not process.budgets.open
 
 
 def test_when_a_request_is_answered_what_is_under_way_for_it_may_go_on(tmp_path: Path) -> None:
@@ -356,15 +368,15 @@
     inner = process.request(brought())
     given_up: list[str] = []
     out = process.call(process.reference(inner), lambda: given_up.append("out"), id=b"1")
-    inner.ended(True)
-    assert given_up == [] and out.sending(1.0) is None  # but begins nothing more
+    inner.on_request_end(True)
+    assert given_up == [] and out.on_attempt_start(1.0) is None  # but begins nothing more
 
 
 def test_the_worth_of_a_call_falls_when_the_outer_aim_has_passed(tmp_path: Path) -> None:
     process = Process(tmp_path)
     inner = process.request(brought(aim=0.0, worth=4.0))
-    assert inner.share == pytest.approx(0.2)  # a twentieth of 4
-    assert process.call(process.reference(inner), id=b"x").share == pytest.approx(0.2)
+    assert inner.weight_share == pytest.approx(0.2)  # a twentieth of 4
+    assert process.call(process.reference(inner), id=b"x").weight_share == pytest.approx(0.2)
 
 
 def test_the_second_of_two_calls_is_worth_twice_the_first(tmp_path: Path) -> None:
@@ -373,8 +385,8 @@
     shares = []
     for number in range(3):
         ticket = process.call(reference, id=b"%d" % number)
-        shares.append(ticket.share)
-        ticket.ended(True)
+        shares.append(ticket.weight_share)
+        ticket.on_request_end(True)
     assert shares == [1.0, 2.0, 2.0]
 
 
@@ -385,10 +397,10 @@
         process.outer.usual["canje"].learn(0.2)
     soon = process.request(brought(aim=0.3))
     later = process.request(brought(b"b", aim=0.6), id=b"b")
-    assert soon.share == pytest.approx(0.05) and later.share == 1.0
-    assert process.call(process.reference(soon), id=b"x").share == 1.0
+    assert soon.weight_share == pytest.approx(0.05) and later.weight_share == 1.0
+    assert process.call(process.reference(soon), id=b"x").weight_share == 1.0
     late = process.request(brought(b"c", aim=0.1), id=b"c")
-    assert process.call(process.reference(late), id=b"y").share == pytest.approx(0.05)
+    assert process.call(process.reference(late), id=b"y").weight_share == pytest.approx(0.05)
 
 
 # keys
@@ -401,7 +413,7 @@
         process.file.write_text(text)
         process.budgets.reread_keys()
         id = b"call-%d" % place
-        lines = one.call(None, id=id).sending(1.0)
+        lines = one.call(None, id=id).on_attempt_start(1.0)
         assert lines is not None
         value = lines.removeprefix(b"tier-budget: ").removesuffix(b"\r\n")
         assert two.request(value, id=id).told, place
@@ -448,8 +460,8 @@
         ticket = process.call(process.reference(inner), id=id + b".1")
         sent(ticket, id=id + b".1")
         returned(ticket, Ended())
-        ticket.ended(True)
-        inner.ended(number % 2 == 0)
+        ticket.on_request_end(True)
+        inner.on_request_end(number % 2 == 0)
     assert not process.budgets.open and not process.budgets.correlation.open
     process.budgets.correlation.forget(time.monotonic() + 3600)
     assert len(process.budgets.correlation) == 0
@@ -468,8 +480,8 @@
     made = Process(tmp_path)
     ticket = made.call(None)
     express = RequestClass("express", 1.0, 0.5, 1.0)
-    made.outer.retuned(ProxySettings([CLASSES["stock"], express], max_attempts=2))
+    made.outer.on_settings_update(ProxySettings([CLASSES["stock"], express], max_attempts=2))
     returned(ticket, Ended())
-    ticket.ended(True)
+    ticket.on_request_end(True)
     assert made.outer.most == 2 and set(made.outer.classes) == {"stock", "express"}
     assert made.outer.usual.keys() >= {"stock", "express", "canje"}
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -17,7 +17,7 @@
 from harness.kit import until
 from harness.program import Program
 from harness.world import Habits, Host
-from service_proxy.net.listing import address
+from service_proxy.net.endpoint_list import parse_address
 
 HABITS = Habits(passes_time=False, copies_budget=True, services={"portal": 0.004, "nucleo": 0.02})
 
@@ -233,7 +233,7 @@
             programs = [edge]
             for host in made.world.hosts:
                 assert host.process is not None
-                programs.append(Program(host.process, address(host.sidecar.inbound), host.log))
+                programs.append(Program(host.process, parse_address(host.sidecar.inbound), host.log))
 
             async def served(more: int) -> None:
                 wanted = callers.codes[200] + more
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -10,8 +10,8 @@
 
 from service_proxy.ephemeral_nodes import merger as module
 from service_proxy.ephemeral_nodes.merger import HOLD, MEMBERSHIP, MEMORY, PADRON, WINDOW, Merger, Word
-from service_proxy.net.listing import Listed, server_id
-from service_proxy.net.sources import Health
+from service_proxy.net.endpoint_list import Endpoint, endpoint_id_of
+from service_proxy.net.endpoint_sources import SourceHealth
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
 READY = EndpointState.SERVING
@@ -26,9 +26,11 @@
     zone: str = "a",
     cell: int = 1,
     start: float = 100.0,
-) -> Listed:
-    at = port or 1000 + server_id(name.casefold()) % 60_000
-    return Listed(("127.0.0.1", at), EndpointEntry(server_id(name), zone, "m", cell, state, 1.0, start), name)
+) -> Endpoint:
+    at = port or 1000 + endpoint_id_of(name.casefold()) % 60_000
+    return Endpoint(
+        ("127.0.0.1", at), EndpointEntry(endpoint_id_of(name), zone, "m", cell, state, 1.0, start), name
+    )
 
 
 class Pair:
@@ -37,9 +39,9 @@
     def __init__(self, *names: str, share: float = 0.34, both: bool = True) -> None:
         self.merger = Merger(share, 10.0)
         self.now = 0.0
-        self.given: dict[str, Listed] = {}
+        self.given: dict[str, Endpoint] = {}
         for source in (MEMBERSHIP, PADRON):
-            self.merger.health_is(source, Health.FRESH)
+            self.merger.health_is(source, SourceHealth.FRESH)
         self.merger.told(MEMBERSHIP, [entry(name) for name in names], self.now)
         if both:
             self.merger.told(PADRON, [entry(name) for name in names], self.now)
@@ -48,13 +50,13 @@
     def give(self, after: float = 0.0) -> None:
         self.now += after
         listing = self.merger.changes(self.now)
-        for listed in listing.backends if listing else ():
+        for listed in listing.endpoints if listing else ():
             if listed.entry.state is GONE:
                 del self.given[listed.name]
             else:
                 self.given[listed.name] = listed
 
-    def told(self, source: str, *entries: Listed) -> None:
+    def told(self, source: str, *entries: Endpoint) -> None:
         self.merger.told(source, entries, self.now)
         self.give()
 
@@ -188,10 +190,10 @@
     pair = Pair("s-1")
     pair.told(PADRON, entry("s-1", port=7))
     assert pair.given["s-1"].address != ("127.0.0.1", 7)
-    pair.merger.health_is(MEMBERSHIP, Health.STALE)
+    pair.merger.health_is(MEMBERSHIP, SourceHealth.STALE)
     pair.give()
     assert pair.given["s-1"].address == ("127.0.0.1", 7)
-    pair.merger.health_is(PADRON, Health.UNREACHABLE)
+    pair.merger.health_is(PADRON, SourceHealth.UNREACHABLE)
     pair.give()
     assert pair.given["s-1"].address != ("127.0.0.1", 7)
 
@@ -213,8 +215,8 @@
     assert pair.given["s-1"].entry.zone == "a"
 
 
-@pytest.mark.parametrize("health", list(Health))
-def test_a_sources_health_removes_nobody(health: Health) -> None:
+@pytest.mark.parametrize("health", list(SourceHealth))
+def test_a_sources_health_removes_nobody(health: SourceHealth) -> None:
     pair = Pair("s-1", "s-2")
     for source in (MEMBERSHIP, PADRON):
         pair.merger.health_is(source, health)
@@ -287,7 +289,7 @@
     pair = Pair(*names, both=False)
     pair.merger.whole(MEMBERSHIP, [], pair.now, Word.LOST)
     pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    pair.merger.health_is(MEMBERSHIP, Health.UNREACHABLE)
+    pair.merger.health_is(MEMBERSHIP, SourceHealth.UNREACHABLE)
     pair.give(HOLD * 10)
     assert pair.serving() == set(names)
 
@@ -348,7 +350,7 @@
     assert pair.merger.changes(pair.now) is None
     pair.merger.told(MEMBERSHIP, [entry("s-2", DRAINING)], pair.now)
     listing = pair.merger.changes(pair.now)
-    assert listing is not None and [listed.name for listed in listing.backends] == ["s-2"]
+    assert listing is not None and [listed.name for listed in listing.endpoints] == ["s-2"]
     assert [listed.name for listed in pair.merger.everything()] == [
         "s-1",
         "s-2",
@@ -390,7 +392,9 @@
 )
 LOSE = st.tuples(st.just("lose"), st.sets(st.sampled_from(NAMES), min_size=1))
 WHOLE = st.tuples(st.just("whole"), st.sampled_from([MEMBERSHIP, PADRON]), st.sets(st.sampled_from(NAMES)))
-HEALTH = st.tuples(st.just("health"), st.sampled_from([MEMBERSHIP, PADRON]), st.sampled_from(list(Health)))
+HEALTH = st.tuples(
+    st.just("health"), st.sampled_from([MEMBERSHIP, PADRON]), st.sampled_from(list(SourceHealth))
+)
 WAIT = st.tuples(st.just("wait"), st.sampled_from([0.0, 0.5, 2.5, 15.0, 700.0]))
 
 
