--- a/tests/ephemeral_nodes/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -23,10 +23,10 @@
 from service_proxy.ephemeral_nodes.source import Membership
 from service_proxy.ephemeral_nodes.states import State
 from service_proxy.ephemeral_nodes.tree import Changes
-from service_proxy.net.config import Config
-from service_proxy.net.discovery import WALL_OFFSET, Discovery
-from service_proxy.net.listing import Listing
-from service_proxy.net.sources import Health
+from service_proxy.net.config import ProxyConfig
+from service_proxy.net.discovery import WALL_CLOCK_OFFSET_S, DiscoveryClient
+from service_proxy.net.endpoint_list import EndpointList
+from service_proxy.net.endpoint_sources import SourceHealth
 from service_proxy.operator_file import Membership as Settings
 from service_proxy.operator_file import OperatorError
 from service_proxy.policy.events import EndpointState
@@ -37,19 +37,19 @@
 class Seat:
     """Stands for the driver: keeps what it is given, and whatever it is told of the padron's failures."""
 
-    def __init__(self, known: Listing | None = None) -> None:
-        self.known = known or Listing(0, True, [])
+    def __init__(self, known: EndpointList | None = None) -> None:
+        self.initial_list = known or EndpointList(0, True, [])
         self.state: dict[str, EndpointState] = {}
         self.lists = 0
         self.failures = 0
         self.least = 0  # the fewest that served at once since a test set it
-        self.discovery = cast(Discovery, SimpleNamespace(on_list=None, on_failed=None))
+        self.discovery = cast(DiscoveryClient, SimpleNamespace(on_list=None, on_failed=None))
         self.ended_at: dict[str, float] = {}
 
-    def take_list(self, listing: Listing) -> None:
+    def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
         self.lists += 1
-        assert not listing.whole
-        for item in listing.backends:
+        assert not endpoint_list.is_snapshot
+        for item in endpoint_list.endpoints:
             if item.entry.state is EndpointState.REMOVED:
                 self.state.pop(item.name, None)
             else:
@@ -58,7 +58,7 @@
                 self.ended_at.setdefault(item.name, time.monotonic())
         self.least = min(self.least, len(self.serving()))
 
-    def list_failed(self) -> None:
+    def endpoint_list_failed(self) -> None:
         self.failures += 1
 
     def serving(self) -> set[str]:
@@ -94,7 +94,7 @@
 class Proxy:
     def __init__(self, service: Service | None, seat: Seat, settings: Settings, seed: int = 1) -> None:
         self.seat = seat
-        config = cast(Config, SimpleNamespace(name="n0", seed=seed))
+        config = cast(ProxyConfig, SimpleNamespace(name="n0", seed=seed))
         self.membership = Membership(settings, cast(Any, seat), config)
         self.membership.start()
 
@@ -102,13 +102,15 @@
         await until(lambda: self.seat.serving() == set(names), f"serving {names}, not {self.seat.serving()}")
 
     async def is_fresh(self) -> None:
-        await until(lambda: self.health() is Health.FRESH, "fresh")
+        await until(lambda: self.health() is SourceHealth.FRESH, "fresh")
 
-    def health(self) -> Health:
+    def health(self) -> SourceHealth:
         return self.membership.merger.sources["membership"].health
 
     def padron(self, *nodes: Node, whole: bool = True) -> None:
-        self.seat.discovery.on_list(Listing(1, whole, [listed(entry, WALL_OFFSET) for entry in nodes]))
+        self.seat.discovery.on_list(
+            EndpointList(1, whole, [listed(entry, WALL_CLOCK_OFFSET_S) for entry in nodes])
+        )
 
 
 MODES = ["persistent", "one-shot"]
@@ -194,16 +196,17 @@
 def test_the_service_unreachable_from_the_start_leaves_the_padrons_list() -> None:
     async def test() -> None:
         known = [
-            listed(node(name, f"127.0.0.1:{9000 + place}"), WALL_OFFSET) for place, name in enumerate(NAMES)
+            listed(node(name, f"127.0.0.1:{9000 + place}"), WALL_CLOCK_OFFSET_S)
+            for place, name in enumerate(NAMES)
         ]
         async with ensemble() as service:
             service.do({"do": "partition", "mode": "reset"})
-            proxy = Proxy(service, Seat(Listing(1, True, known)), settings(service, reread_jitter=0.0))
+            proxy = Proxy(service, Seat(EndpointList(1, True, known)), settings(service, reread_jitter=0.0))
             await proxy.serves(NAMES)
             await until(lambda: service.servers[0].taken >= 2, "tries")
             proxy.padron(node("s-new"), whole=False)
             await proxy.serves({*NAMES, "s-new"})
-            assert proxy.health() is Health.NEVER_HEARD
+            assert proxy.health() is SourceHealth.NEVER_RECEIVED
             for name in NAMES[:3]:
                 put(service, name, replace(node(name), address=f"127.0.0.1:{9000 + NAMES.index(name)}"))
             service.do({"do": "heal"})
@@ -224,7 +227,7 @@
         async with watched(watch) as (service, proxy):
             service.do({"do": "partition", "mode": mode})
             await until(lambda: proxy.membership.session.state is State.LOST, "LOST")
-            assert proxy.health() is Health.UNREACHABLE and proxy.seat.serving() == set(NAMES)
+            assert proxy.health() is SourceHealth.UNREACHABLE and proxy.seat.serving() == set(NAMES)
             await until(lambda: proxy.membership.session.id not in service.sessions, "the expiry")
             service.do({"do": "expire", "path": f"{PATH}/s-4"})
             service.tree.set_data(f"{PATH}/s-5", node("s-5", "127.0.0.1:8").draining().data(), -1)
@@ -271,7 +274,7 @@
             service.do({"do": "expire", "path": f"{PATH}/s-1"})
             await proxies[0].serves(set(NAMES) - {"s-1"})
             assert proxies[1].seat.serving() == set(NAMES)
-            await until(lambda: proxies[1].health() is Health.UNREACHABLE, "unreachable")
+            await until(lambda: proxies[1].health() is SourceHealth.UNREACHABLE, "unreachable")
             assert proxies[1].seat.serving() == set(NAMES)
             service.do({"do": "heal"})
             await proxies[1].serves(set(NAMES) - {"s-1"})
@@ -358,9 +361,9 @@
             service.do({"do": "restore"})  # s-1 is back in the service's eyes
             taken = sum(server.taken for server in service.servers)
             await until(lambda: sum(server.taken for server in service.servers) > taken + 3, "tries")
-            assert proxy.seat.serving() == set(NAMES) - {"s-1"} and proxy.health() is not Health.FRESH
+            assert proxy.seat.serving() == set(NAMES) - {"s-1"} and proxy.health() is not SourceHealth.FRESH
             file = operator_file(tmp_path, proxy.membership.settings)
-            proxy.membership.reread(str(file))
+            proxy.membership.reload(str(file))
             await proxy.is_fresh()
             await proxy.serves(NAMES)
 
@@ -387,16 +390,16 @@
             for name in NAMES[1:]:
                 put(other, name)
             servers = ("{}:{}".format(*other.servers[0].address),)
-            proxy.membership.reread(str(operator_file(tmp_path, proxy.membership.settings, servers=servers)))
+            proxy.membership.reload(str(operator_file(tmp_path, proxy.membership.settings, servers=servers)))
             await proxy.serves(NAMES[1:])
             await proxy.is_fresh()
             assert proxy.seat.least == len(NAMES) - 1
             with pytest.raises(OperatorError, match="path can't change"):
-                proxy.membership.reread(str(operator_file(tmp_path, proxy.membership.settings, path="/b")))
+                proxy.membership.reload(str(operator_file(tmp_path, proxy.membership.settings, path="/b")))
             bad = operator_file(tmp_path, proxy.membership.settings)
             bad.write_text(bad.read_text() + "reed = 1\n")
             with pytest.raises(OperatorError, match="unknown key reed"):
-                proxy.membership.reread(str(bad))
+                proxy.membership.reload(str(bad))
             assert proxy.membership.settings.servers == servers
 
     run(test)
@@ -485,7 +488,7 @@
 
     async def test() -> None:
         for number in range(50):
-            config = cast(Config, SimpleNamespace(name=f"n{number}", seed=number))
+            config = cast(ProxyConfig, SimpleNamespace(name=f"n{number}", seed=number))
             fake = Settings(("127.0.0.1:1",), PATH)
             draws.add(round(Membership(fake, cast(Any, Seat()), config).random.random(), 6))
 
@@ -510,7 +513,7 @@
             await proxy.serves({*NAMES, *BAD_NAMES})
             await until(lambda: len(proxy.membership.tree.faults) == 5, "all hidden")
             service.do({"do": "drop"})
-            await until(lambda: proxy.health() is Health.STALE, "the break")
+            await until(lambda: proxy.health() is SourceHealth.STALE, "the break")
             await proxy.is_fresh()
             hidden = [record.getMessage() for record in caplog.records if "is hidden" in record.getMessage()]
             assert len(hidden) == 5, hidden  # each once, though read three times
@@ -528,8 +531,8 @@
             proxy.seat.discovery.on_failed()
             assert proxy.seat.failures == 1
             health = proxy.membership.merger.sources["padron"]
-            assert health.health is Health.STALE
-            await until(lambda: health.health is Health.UNREACHABLE, "unreachable")
+            assert health.health is SourceHealth.STALE
+            await until(lambda: health.health is SourceHealth.UNREACHABLE, "unreachable")
             assert proxy.seat.serving() == {*NAMES, "s-p"}
             lists = proxy.seat.lists
             proxy.padron(node("s-p"), whole=False)
@@ -545,23 +548,24 @@
         auth = tmp_path / "auth"
         auth.write_text("u:wrong")
         known = [
-            listed(node(name, f"127.0.0.1:{9000 + place}"), WALL_OFFSET) for place, name in enumerate(NAMES)
+            listed(node(name, f"127.0.0.1:{9000 + place}"), WALL_CLOCK_OFFSET_S)
+            for place, name in enumerate(NAMES)
         ]
         async with ensemble(1) as service:
             service.credentials = {"u": "p"}
             put(service, "s-0")
             mine = settings(service, auth_file=str(auth))
-            proxy = Proxy(service, Seat(Listing(1, True, known)), mine)
+            proxy = Proxy(service, Seat(EndpointList(1, True, known)), mine)
             await until(lambda: proxy.membership.session.state is State.AUTH_FAILED, "refused")
             assert proxy.seat.serving() == set(NAMES)
             auth.write_text("u:p")
             file = operator_file(tmp_path, mine)
             file.write_text(file.read_text() + f'auth_file = "{auth}"\n')
-            proxy.membership.reread(str(file))
+            proxy.membership.reload(str(file))
             await proxy.is_fresh()
             auth.write_text("nothing")
             with pytest.raises(OperatorError, match="holds no credentials"):
-                proxy.membership.reread(str(file))
+                proxy.membership.reload(str(file))
             proxy.membership.stop()
 
     run(test)
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -17,7 +17,7 @@
 from service_proxy.fleet.identity import Standing
 from service_proxy.fleet.transport import Fleet, numbered, pack_words, unpack_words
 from service_proxy.fleet.wire import Kind
-from service_proxy.net.config import Config, ConfigError, read_config
+from service_proxy.net.config import ConfigError, ProxyConfig, parse_config
 from service_proxy.operator_file import Fleet as Settings
 from service_proxy.operator_file import OperatorError
 from service_proxy.sidecar.checking import check
@@ -33,20 +33,20 @@
 
     load = 0.25
     list_version = 41
-    ready = True
+    is_ready = True
 
     def __init__(self) -> None:
         self.counts: list[int] = []
 
-    def set_instances(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         self.counts.append(count)
 
 
-def config(allowed: bool, me: int = 0, name: str = "n0", **more: Any) -> Config:
+def config(allowed: bool, me: int = 0, name: str = "n0", **more: Any) -> ProxyConfig:
     wanted = settings(balancers=3, me=me)
     wanted["policy_limits"]["peers"] = allowed
     raw = {"name": name, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": wanted, **more}
-    return read_config(raw, {})
+    return parse_config(raw, {})
 
 
 def test_where_the_platform_allows_no_peers_it_is_off_and_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -81,14 +81,14 @@
         one, other = made
         heard: list[tuple[bytes, bytes]] = []
         other.receive(7, lambda sender, data: heard.append((sender, data)))
-        await until(lambda: one.settled and other.settled and len(one.members()) == 2, "settled")
+        await until(lambda: one.is_settled and other.is_settled and len(one.members()) == 2, "settled")
         assert {member.name for member in one.members()} == {"n0", "n1"}
-        one.say(9, b"word")
-        await until(lambda: any(m.words == {9: b"word"} for m in other.members()), "the word")
-        assert one.send(7, b"hello", other.me) and not one.send(7, bytes(250))
+        one.publish(9, b"word")
+        await until(lambda: any(m.metadata == {9: b"word"} for m in other.members()), "the word")
+        assert one.send(7, b"hello", other.own_key) and not one.send(7, bytes(250))
         await until(lambda: heard == [(key_of("n0"), b"hello")], "the datagram")
         with pytest.raises(ValueError, match="24 bytes"):
-            one.say(8, bytes(24))
+            one.publish(8, bytes(24))
         changes: list[Any] = []
         other.watch(changes.append)
         one.stop()
@@ -121,12 +121,12 @@
         fleet = Fleet(Settings("portal"), config(True, **PEERS), Driver(), Clock())
         file = tmp_path / "operator.toml"
         file.write_text('[fleet]\nname = "portal"\nperiod = 2.0\n')
-        fleet.reread(str(file))
+        fleet.reload(str(file))
         assert fleet.core.timing.period == 2.0
         for text, what in (('[fleet]\nname = "other"\n', "name of"), ("", "is gone")):
             file.write_text(text)
             with pytest.raises(OperatorError, match=what):
-                fleet.reread(str(file))
+                fleet.reload(str(file))
         assert fleet.core.timing.period == 2.0
 
     asyncio.run(test())
@@ -183,7 +183,7 @@
         )
         made.start()
         await until(lambda: Kind.JOIN in kinds, "asked")
-        assert not made.settled
+        assert not made.is_settled
         made.stop()
         asked.close()
 
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -249,11 +249,11 @@
     code = (
         "import asyncio, sys\n"
         "from service_proxy.composition import Proxy\n"
-        "from service_proxy.net.config import read_config\n"
+        "from service_proxy.net.config import parse_config\n"
         "from harness.program import settings\n"
         "raw = {'listen': '127.0.0.1:0', 'discovery': '127.0.0.1:1', 'settings': settings()}\n"
         "async def test():\n"
-        "    Proxy(read_config(raw, {}), None).stop()\n"
+        "    Proxy(parse_config(raw, {}), None).stop()\n"
         "asyncio.run(test())\n"
         f"sys.exit(7 if any(name.startswith({prefixes!r}) for name in sys.modules) else 0)\n"
     )
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -176,7 +176,7 @@
     """What is off costs nothing: not an import."""
     code = (
         "import sys, service_proxy.__main__ as m\n"
-        "import service_proxy.net.driver, service_proxy.net.server\n"
+        "import service_proxy.net.dispatcher, service_proxy.net.downstream\n"
         "m.main([])\n"
         "bad = [n for n in sys.modules if n.startswith(('service_proxy.ephemeral_nodes',"
         " 'service_proxy.operator_file',"
--- a/tests/recovery/test_endpoint_override.py
+++ b/tests/recovery/test_endpoint_override.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from service_proxy.net.listing import Listed, Listing, server_id
+from service_proxy.net.endpoint_list import Endpoint, EndpointList, endpoint_id_of
 from service_proxy.policy.events import EndpointEntry
 from service_proxy.recovery.endpoint_override import EndpointListOverride
 from service_proxy.recovery.peer_survey import OutageFinding, Peer, RecoveryStatus, determine_outage
@@ -32,9 +32,9 @@
     override.update_outage(affected_zones, ())
     listed = []
     for zone in ZONES:
-        entry = EndpointEntry(server_id(f"n-{zone}"), zone, started_at=0.0)
-        listed.append(Listed(("10.0.0.1", 80), entry, f"n-{zone}"))
-    effective = override.apply(Listing(1, True, listed)).backends
+        entry = EndpointEntry(endpoint_id_of(f"n-{zone}"), zone, started_at=0.0)
+        listed.append(Endpoint(("10.0.0.1", 80), entry, f"n-{zone}"))
+    effective = override.apply(EndpointList(1, True, listed)).endpoints
     started_late = tuple(endpoint.entry.started_at == STARTED_AT for endpoint in effective)
     assert started_late == tuple(override.is_warming_up(zone) for zone in ZONES)
     return started_late
--- a/tests/recovery/test_keyed_requests.py
+++ b/tests/recovery/test_keyed_requests.py
@@ -85,13 +85,13 @@
     writer = RecordingWriter()
     tracker = KeyedRequestTracker(request_log(writer), "k1", "short")
     attempt = object()
-    assert tracker.sending(1.0) == b""
-    assert tracker.sending(1.0) == b""
+    assert tracker.on_attempt_start(1.0) == b""
+    assert tracker.on_attempt_start(1.0) == b""
     assert list(writer.records) == ["k1"]
-    tracker.returned(attempt, AttemptStatus.CONNECT_FAILED)  # type: ignore[arg-type]
+    tracker.on_attempt_end(attempt, AttemptStatus.CONNECT_FAILED)  # type: ignore[arg-type]
     assert writer.dropped == ["k1"]
-    tracker.sending(1.0)
-    tracker.returned(attempt, AttemptStatus.RESET)  # type: ignore[arg-type]
-    tracker.returned(attempt, AttemptStatus.CONNECT_FAILED)  # type: ignore[arg-type]
+    tracker.on_attempt_start(1.0)
+    tracker.on_attempt_end(attempt, AttemptStatus.RESET)  # type: ignore[arg-type]
+    tracker.on_attempt_end(attempt, AttemptStatus.CONNECT_FAILED)  # type: ignore[arg-type]
     assert list(writer.records) == ["k1"]
     assert writer.dropped == ["k1"]
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -16,8 +16,8 @@
 
 from harness.kit import until
 from harness.program import free_port
-from service_proxy.net.bodies import Body
-from service_proxy.net.server import Request
+from service_proxy.net.downstream import Request
+from service_proxy.net.request_body import RequestBody
 from service_proxy.sidecar.admission import Heard, State
 from service_proxy.sidecar.description import Layers, build
 from service_proxy.sidecar.inbound import Inbound
@@ -524,7 +524,7 @@
     def __init__(self) -> None:
         self.codes: list[int] = []
 
-    def answer(self, code: int, headers: Any, body: bytes) -> None:
+    def respond(self, code: int, headers: Any, body: bytes) -> None:
         self.codes.append(code)
 
     def stream(self, headers: Any, length: int | None, source: Any) -> None:
@@ -533,16 +533,16 @@
 
 def request(id: bytes, budget: float, cls: str = "canje") -> Request:
     head = b"POST /%s HTTP/1.1\r\nhost: x\r\nx-call-id: %s\r\n" % (cls.encode(), id)
-    return Request(id, cls, budget, "", "", 0.0, False, head, Body.of(b""), time.monotonic())
+    return Request(id, cls, budget, "", "", 0.0, False, head, RequestBody.of(b""), time.monotonic())
 
 
 def test_a_caller_that_left_while_the_connection_was_being_made_costs_the_application_nothing() -> None:
     async def test() -> None:
         async with side() as made:
             made.inbound.application.close_idle()
-            held = made.inbound.opened(request(b"1" * 16, 5.0), Caught())
+            held = made.inbound.start_request(request(b"1" * 16, 5.0), Caught())
             assert held is not None and held.exchange is not None and not held.exchange.sent
-            made.inbound.left(held)
+            made.inbound.client_disconnected(held)
             await until(lambda: not made.inbound.held)
             assert made.application.count == 0 and made.inbound.admission.out == 0
 
@@ -556,11 +556,11 @@
     async def test() -> None:
         async with side(behave) as made:
             begun = time.monotonic()
-            held = made.inbound.opened(request(b"1" * 16, 60.0), Caught())
+            held = made.inbound.start_request(request(b"1" * 16, 60.0), Caught())
             assert held is not None and held.due - begun <= 6.0
             made.inbound.drain(begun + 0.3)
             reply = Caught()
-            assert made.inbound.opened(request(b"2" * 16, 5.0), reply) is not None
+            assert made.inbound.start_request(request(b"2" * 16, 5.0), reply) is not None
             await until(lambda: reply.codes == [504])
             assert time.monotonic() - begun < 2.0
 
--- a/tests/sidecar/test_write.py
+++ b/tests/sidecar/test_write.py
@@ -11,7 +11,7 @@
 import pytest
 from test_description import PLAIN, ROOT, put
 
-from service_proxy.net.config import load as load_config
+from service_proxy.net.config import load_config as load_config
 from service_proxy.operator_file import load as load_operator
 from service_proxy.policy.events import Idempotency
 from service_proxy.sidecar.__main__ import main
@@ -117,7 +117,7 @@
     config = load_config({"EDGE_CONFIG": str(written(tmp_path, text) / "h-1/portal-nucleo.json")})
     classes = {cls.name: cls for cls in config.settings.classes}
     assert {cls.idempotency for cls in classes.values()} == {Idempotency.NOT_IDEMPOTENT}
-    assert config.forms == {
+    assert config.request_idempotency == {
         "stock": Idempotency.IDEMPOTENT,
         "reserva": Idempotency.IDEMPOTENT_WITH_KEY,
         "canje": Idempotency.NOT_IDEMPOTENT,
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,8 +12,8 @@
 from netkit import PATIENCE, Backend, Seen, proxy, response, run
 
 from service_proxy.net import upstream as up
-from service_proxy.net.driver import read_report
-from service_proxy.net.listing import Listed, Listing
+from service_proxy.net.dispatcher import parse_load_report
+from service_proxy.net.endpoint_list import Endpoint, EndpointList
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -132,31 +132,31 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        owner = up.Upstreams(1.0, 30.0, most_open=10)
+        owner = up.UpstreamCluster(1.0, 30.0, max_connections=10)
         entry = EndpointEntry(endpoint_id=1, state=EndpointState.SERVING)
-        owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry, "s-1")]))
-        ended: asyncio.Queue[up.Exchange] = asyncio.Queue()
+        owner.apply_endpoint_list(EndpointList(1, True, [Endpoint(listener.getsockname(), entry, "s-1")]))
+        ended: asyncio.Queue[up.UpstreamAttempt] = asyncio.Queue()
 
         def start() -> None:
-            def done(exchange: up.Exchange) -> None:
-                if ended.empty() and exchange.body == b"old":
+            def done(exchange: up.UpstreamAttempt) -> None:
+                if ended.empty() and exchange.response_body == b"old":
                     backend.sendall(response(200, b"old"))
                     start()
                 ended.put_nowait(exchange)
 
             request = b"GET /stock HTTP/1.1\r\n\r\n"
-            owner.start(up.Exchange(owner.by_id[1], request, 5.0, lambda: True, done))
+            owner.start_attempt(up.UpstreamAttempt(owner.pools[1], request, 5.0, lambda: True, done))
 
         async with asyncio.timeout(PATIENCE):
             start()
             backend, _ = await loop.sock_accept(listener)
             await loop.sock_recv(backend, 1000)
             backend.sendall(response(200, b"old"))
-            assert (await ended.get()).body == b"old"
+            assert (await ended.get()).response_body == b"old"
             second, _ = await loop.sock_accept(listener)
             await loop.sock_recv(second, 1000)
             second.sendall(response(200, b"new"))
-            assert (await ended.get()).body == b"new"
+            assert (await ended.get()).response_body == b"new"
         for each in (backend, second, listener):
             each.close()
 
@@ -169,22 +169,24 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
-        owner = up.Upstreams(1.0, 30.0, most_open=10)
+        owner = up.UpstreamCluster(1.0, 30.0, max_connections=10)
         entry = EndpointEntry(endpoint_id=1, state=EndpointState.SERVING)
-        owner.apply(Listing(1, True, [Listed(listener.getsockname(), entry, "s-1")]))
-        ended: asyncio.Future[up.Connection] = loop.create_future()
+        owner.apply_endpoint_list(EndpointList(1, True, [Endpoint(listener.getsockname(), entry, "s-1")]))
+        ended: asyncio.Future[up.UpstreamConnection] = loop.create_future()
 
-        def done(exchange: up.Exchange) -> None:
-            connection = next(iter(owner.by_id[1].connections))
+        def done(exchange: up.UpstreamAttempt) -> None:
+            connection = next(iter(owner.pools[1].connections))
             assert isinstance(connection.parser, httptools.HttpResponseParser)
             ended.set_result(connection)
 
-        owner.start(up.Exchange(owner.by_id[1], b"GET / HTTP/1.1\r\n\r\n", 0.05, lambda: True, done))
+        owner.start_attempt(
+            up.UpstreamAttempt(owner.pools[1], b"GET / HTTP/1.1\r\n\r\n", 0.05, lambda: True, done)
+        )
         async with asyncio.timeout(PATIENCE):
             connection = await ended
             while connection.transport is not None:
                 await asyncio.sleep(0)
-        assert connection.parser is None and not owner.by_id[1].connections and owner.open == 0
+        assert connection.parser is None and not owner.pools[1].connections and owner.connection_count == 0
         listener.close()
 
     run(test())
@@ -268,5 +270,5 @@
     ],
 )
 def test_a_load_report_that_cannot_be_is_none(text: str) -> None:
-    assert read_report(text.encode()) is None
-    assert read_report(b"inflight=7,queue=2") == {"busy_reqs": 7.0, "pending": 2.0}
+    assert parse_load_report(text.encode()) is None
+    assert parse_load_report(b"inflight=7,queue=2") == {"busy_reqs": 7.0, "pending": 2.0}
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -14,7 +14,7 @@
 
 from harness.callers import GRADES
 from service_proxy.log_setup import MAX_LOG_RECORDS, LogRateLimit
-from service_proxy.net.server import ClientConnection, Server
+from service_proxy.net.downstream import DownstreamConnection, HttpServer
 from service_proxy.policy.events import Idempotency
 
 HEAD = b" HTTP/1.1\r\nHost: x\r\nX-Call-Id: 0011223344556677\r\nX-Budget: 500m\r\n"
@@ -259,24 +259,24 @@
 def test_a_closed_connection_leaves_no_cycle_and_no_entry_behind() -> None:
     async def test() -> None:
         class Handler:
-            def opened(self, request: Any, reply: Any) -> object:
-                reply.answer(200, (), b"")
+            def start_request(self, request: Any, writer: Any) -> object:
+                writer.respond(200, (), b"")
                 return None
 
-            def left(self, call: Any) -> None: ...
+            def client_disconnected(self, open_request: Any) -> None: ...
 
-        server = Server({"stock": Idempotency.IDEMPOTENT}, Handler(), 256, 64, {})
+        server = HttpServer({"stock": Idempotency.IDEMPOTENT}, Handler(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
         caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
         assert (await caller.call("stock", "a" * 16)).code == 200
-        connection: ClientConnection = next(iter(server.connections))
-        assert connection.parser is not None and connection in server.kept
+        connection: DownstreamConnection = next(iter(server.connections))
+        assert connection.parser is not None and connection in server.idle
         caller.writer.close()
         async with asyncio.timeout(PATIENCE):
             while server.connections:
                 await asyncio.sleep(0)
         assert connection.parser is None
-        assert not (server.fresh or server.kept or server.leaving)
+        assert not (server.awaiting_request or server.idle or server.closing)
         server.stop_listening()
 
     run(test())
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -32,7 +32,12 @@
 
 from harness.program import free_port
 from service_proxy.__main__ import LISTENER_GRACE_S
-from service_proxy.net.server import KEPT, WHOLE, ClientConnection, Server
+from service_proxy.net.downstream import (
+    KEEP_ALIVE_TIMEOUT_S,
+    REQUEST_TIMEOUT_S,
+    DownstreamConnection,
+    HttpServer,
+)
 from service_proxy.policy.events import Idempotency
 
 KILL = 3.0 + 0.7  # s after SIGTERM at which SIGKILL may come, where the longest deadline is 3 s or more
@@ -80,42 +85,42 @@
 class Answering:
     """Answers each call at once."""
 
-    def opened(self, request: Any, reply: Any) -> object:
-        reply.answer(200, (), request.id)
+    def start_request(self, request: Any, writer: Any) -> object:
+        writer.respond(200, (), request.id)
         return None
 
-    def left(self, call: Any) -> None: ...
+    def client_disconnected(self, open_request: Any) -> None: ...
 
 
-def make_room(server: Server) -> None:
-    server._make_room()
+def make_room(server: HttpServer) -> None:
+    server._evict_one()
 
 
-def close_idle(server: Server) -> None:
+def close_idle(server: HttpServer) -> None:
     server.close_idle()
 
 
-def close_all(server: Server) -> None:
-    server.close_idle(partial=True)
+def close_all(server: HttpServer) -> None:
+    server.close_idle(include_partial=True)
 
 
-def sweep(server: Server) -> None:
-    for connection in [*server.kept]:
-        connection.dismiss()
-    for connection in [*server.fresh]:
-        ClientConnection.too_late(connection)
+def sweep(server: HttpServer) -> None:
+    for connection in [*server.idle]:
+        connection.close_unless_unread()
+    for connection in [*server.awaiting_request]:
+        DownstreamConnection.on_request_timeout(connection)
 
 
 @pytest.mark.parametrize("first", [True, False], ids=["a new connection", "a kept one"])
 @pytest.mark.parametrize("end", [make_room, close_idle, close_all, sweep])
 def test_what_lies_unread_is_answered_and_who_asks_nothing_is_closed(
-    end: Callable[[Server], None], first: bool
+    end: Callable[[HttpServer], None], first: bool
 ) -> None:
     """The request crosses the decision to close: its bytes are in the socket, and the loop has not read them
     yet."""
 
     async def test() -> None:
-        server = Server({"stock": Idempotency.IDEMPOTENT}, Answering(), 256, 64, {})
+        server = HttpServer({"stock": Idempotency.IDEMPOTENT}, Answering(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
         raws = []
         callers = []
@@ -126,11 +131,15 @@
             if not first:
                 assert (await callers[-1].raw(get(str(number)))).code == 200
         async with asyncio.timeout(PATIENCE):
-            while len(server.fresh if first else server.kept) < 2:
+            while len(server.awaiting_request if first else server.idle) < 2:
                 await asyncio.sleep(0)
         for connection in server.connections:
-            connection.since -= max(KEPT, WHOLE)  # as if it had stood for so long
-        asks = next(iter(server.fresh if first else server.kept))  # the oldest, which would go first
+            connection.state_since -= max(
+                KEEP_ALIVE_TIMEOUT_S, REQUEST_TIMEOUT_S
+            )  # as if it had stood for so long
+        asks = next(
+            iter(server.awaiting_request if first else server.idle)
+        )  # the oldest, which would go first
         assert asks.transport is not None
         peer = asks.transport.get_extra_info("peername")
         asking = next(place for place, raw in enumerate(raws) if raw.getsockname() == peer)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -15,33 +15,41 @@
 from netkit import Discovery as SilentDiscovery
 from test_leaving import Unreachable
 
-from service_proxy.net.discovery import Discovery
-from service_proxy.net.freshness import MOVED_TOLD, WAITED_TOLD, Freshness, freshness
-from service_proxy.net.listing import Listing
+from service_proxy.net.discovery import DiscoveryClient
+from service_proxy.net.endpoint_list import EndpointList
+from service_proxy.net.poll_schedule import (
+    ADDRESS_CHANGE_NOTIFIED_S,
+    SILENT_CALL_NOTIFIED_S,
+    PollSchedule,
+    poll_schedule,
+)
 
 GRACES = [0.0, 0.2, 0.5, 1.0, 2.0, 5.0]
 
 
 @pytest.mark.parametrize("grace", GRACES)
 def test_after_a_silent_watch_two_calls_fit_into_what_is_left_of_the_grace(grace: float) -> None:
-    pace = freshness(True, grace)
-    told = WAITED_TOLD + grace  # after its wait, when what it missed must be in force
-    assert pace.patience + 2 * pace.call <= told + 1e-9
-    assert pace.patience + pace.owed <= told + 1e-9
-    assert pace.connect < pace.call
-    assert 2 * pace.first <= MOVED_TOLD + grace
+    pace = poll_schedule(True, grace)
+    told = SILENT_CALL_NOTIFIED_S + grace  # after its wait, when what it missed must be in force
+    assert pace.silence_timeout + 2 * pace.call_timeout <= told + 1e-9
+    assert pace.silence_timeout + pace.retry_window <= told + 1e-9
+    assert pace.connect_timeout < pace.call_timeout
+    assert 2 * pace.first_list_timeout <= ADDRESS_CHANGE_NOTIFIED_S + grace
 
 
 @pytest.mark.parametrize("grace", [grace for grace in GRACES if grace])
 def test_a_pushed_list_that_one_silent_call_missed_comes_within_the_grace(grace: float) -> None:
-    pace = freshness(False, grace)
-    assert pace.pushed
-    assert pace.wait(1.0) + pace.patience + pace.spacing + pace.call <= 0.9 * grace + 1e-9
+    pace = poll_schedule(False, grace)
+    assert pace.is_pushed
+    assert (
+        pace.draw_watch_wait(1.0) + pace.silence_timeout + pace.retry_spacing + pace.call_timeout
+        <= 0.9 * grace + 1e-9
+    )
 
 
 def test_an_asked_list_is_asked_for_three_times_a_minute_and_calls_come_apart() -> None:
-    pace = freshness(True, 2.0)
-    waits = [pace.wait(number / 100) for number in range(101)]
+    pace = poll_schedule(True, 2.0)
+    waits = [pace.draw_watch_wait(number / 100) for number in range(101)]
     assert sum(waits) / len(waits) == pytest.approx(20.0)
     assert max(waits) - min(waits) == pytest.approx(10.0)
     assert max(waits) < 60.0  # what the protocol allows
@@ -52,14 +60,14 @@
     grace: float,
 ) -> None:
     """Found on roll+mass: an address that answers 503 was asked thirty times in 6 s by each proxy."""
-    pace = freshness(True, grace)
-    for span in (pace.owed, pace.moved):
+    pace = poll_schedule(True, grace)
+    for span in (pace.retry_window, pace.address_change_window):
         for chance in (0.0, 0.5, 1.0):
             tries = [0.0]
             while tries[-1] < span:
-                tries.append(tries[-1] + pace.pause(len(tries), chance))
+                tries.append(tries[-1] + pace.draw_backoff(len(tries), chance))
             assert len(tries) <= (14 if chance else 20) and tries[1] <= 0.2
-            assert tries[-2] >= span - pace.longest  # what comes back meanwhile is asked within the time
+            assert tries[-2] >= span - pace.max_backoff  # what comes back meanwhile is asked within the time
 
 
 Said = Callable[[str, asyncio.StreamWriter], Awaitable[None]]
@@ -119,26 +127,34 @@
 
 
 # The asked budget, a hundredth of its waits and much of its calls: a loaded machine answers within them.
-QUICK = replace(freshness(True, 2.0), hold=0.1, spread=0.0, patience=0.1, call=5.0, owed=10.0, spacing=0.01)
+QUICK = replace(
+    poll_schedule(True, 2.0),
+    watch_wait=0.1,
+    watch_wait_spread=0.0,
+    silence_timeout=0.1,
+    call_timeout=5.0,
+    retry_window=10.0,
+    retry_spacing=0.01,
+)
 
 
 class Watched:
     """A Discovery against a script, with what it handed on."""
 
-    def __init__(self, pace: Freshness, version: int = 3) -> None:
-        self.lists: asyncio.Queue[Listing] = asyncio.Queue()
+    def __init__(self, pace: PollSchedule, version: int = 3) -> None:
+        self.lists: asyncio.Queue[EndpointList] = asyncio.Queue()
         self.failed = asyncio.Event()
         self.pace = pace
         self.version = version
 
-    async def against(self, server: Scripted) -> Discovery:
+    async def against(self, server: Scripted) -> DiscoveryClient:
         at = await server.start()
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             at, self.version, self.pace, 1, self.lists.put_nowait, lambda: self.failed.set()
         )
         return self.discovery
 
-    async def list(self) -> Listing:
+    async def list(self) -> EndpointList:
         async with asyncio.timeout(PATIENCE):
             return await self.lists.get()
 
@@ -175,7 +191,7 @@
 def test_an_answer_that_stands_still_in_its_middle_is_given_up_before_the_wait_is_over() -> None:
     async def test() -> None:
         server = Scripted(half, tells(4))
-        watched = Watched(replace(QUICK, hold=60.0, call=0.2))
+        watched = Watched(replace(QUICK, watch_wait=60.0, call_timeout=0.2))
         discovery = await watched.against(server)
         discovery.watch(True)
         assert (await server.next())[0] == 1
@@ -188,7 +204,7 @@
 def test_once_nothing_is_owed_any_more_the_module_decides_when_to_ask() -> None:
     async def test() -> None:
         server = Scripted(silent, *[busy] * 1000)
-        watched = Watched(replace(QUICK, owed=0.1))
+        watched = Watched(replace(QUICK, retry_window=0.1))
         discovery = await watched.against(server)
         discovery.watch(True)
         await watched.failure()
@@ -200,7 +216,7 @@
 
 def test_tries_while_a_list_is_owed_lie_further_apart_each_time() -> None:
     async def test() -> None:
-        pace = replace(QUICK, owed=0.5, longest=0.1)
+        pace = replace(QUICK, retry_window=0.5, max_backoff=0.1)
         server = Scripted(silent, *[busy] * 1000)
         watched = Watched(pace)
         discovery = await watched.against(server)
@@ -217,7 +233,7 @@
     """Discovery is one service for all: only what a silent watch missed is asked for without a pause."""
 
     async def test() -> None:
-        pace = replace(QUICK, call=0.1, owed=0.0)
+        pace = replace(QUICK, call_timeout=0.1, retry_window=0.0)
         server = Scripted(first)
         watched = Watched(pace)
         discovery = await watched.against(server)
@@ -231,9 +247,9 @@
 def test_a_moved_discovery_that_is_silent_is_asked_again_within_the_time_of_a_move() -> None:
     async def test() -> None:
         server = Scripted(silent, busy, tells(1, snapshot=True))
-        watched = Watched(replace(QUICK, first=0.2, moved=60.0))
+        watched = Watched(replace(QUICK, first_list_timeout=0.2, address_change_window=60.0))
         discovery = await watched.against(Scripted())
-        discovery.move(await server.start())
+        discovery.change_address(await server.start())
         for connection in (1, 2):
             assert await server.next() == (connection, "/v1/servers")
         assert (await watched.list()).version == 1
@@ -337,7 +353,7 @@
 
 def test_an_agent_that_was_silent_is_heard_within_the_grace_of_its_return() -> None:
     async def test() -> None:
-        pace = freshness(False, 2.0)
+        pace = poll_schedule(False, 2.0)
         server = Scripted()
         watched = Watched(pace)
         discovery = await watched.against(server)
@@ -356,7 +372,13 @@
 
 def test_a_pushed_list_goes_on_after_failures_of_any_kind_and_the_module_is_not_needed() -> None:
     async def test() -> None:
-        pace = replace(freshness(False, 2.0), hold=0.02, patience=0.05, call=0.05, spacing=0.01)
+        pace = replace(
+            poll_schedule(False, 2.0),
+            watch_wait=0.02,
+            silence_timeout=0.05,
+            call_timeout=0.05,
+            retry_spacing=0.01,
+        )
         server = Scripted(*[busy, resets, silent, half] * 5, tells(4))
         watched = Watched(pace)
         discovery = await watched.against(server)
@@ -373,9 +395,17 @@
     async def test() -> None:
         full = Unreachable()
         host, _, port = full.address.rpartition(":")
-        watched = Watched(replace(QUICK, connect=0.05, first=60.0, call=60.0, moved=0.3))
+        watched = Watched(
+            replace(
+                QUICK,
+                connect_timeout=0.05,
+                first_list_timeout=60.0,
+                call_timeout=60.0,
+                address_change_window=0.3,
+            )
+        )
         discovery = await watched.against(Scripted())
-        discovery.move((host, int(port)))
+        discovery.change_address((host, int(port)))
         await watched.failure()  # what is left of a call's minute would be longer than PATIENCE
         discovery.stop()
         full.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -27,8 +27,8 @@
 )
 from netkit import Discovery as Told
 
-from service_proxy.net.limits import MOST_LENGTH
-from service_proxy.net.server import Server
+from service_proxy.net.downstream import HttpServer
+from service_proxy.net.limits import MAX_MESSAGE_BYTES
 from service_proxy.policy.events import Idempotency
 
 
@@ -71,13 +71,13 @@
         self.taken: asyncio.Queue[object] = asyncio.Queue()
         self.gone: asyncio.Queue[object] = asyncio.Queue()
 
-    def opened(self, request: Any, reply: Any) -> object:
+    def start_request(self, request: Any, writer: Any) -> object:
         call = object()
         self.taken.put_nowait(call)
         return call
 
-    def left(self, call: Any) -> None:
-        self.gone.put_nowait(call)
+    def client_disconnected(self, open_request: Any) -> None:
+        self.gone.put_nowait(open_request)
 
 
 @pytest.mark.parametrize("end", ENDS)
@@ -92,7 +92,7 @@
     async def test() -> None:
         holding = Holding()
         effects = {"stock": Idempotency.IDEMPOTENT, "canje": Idempotency.NOT_IDEMPOTENT}
-        server = Server(effects, holding, 256, 64, {}, most_body=MOST_LENGTH)
+        server = HttpServer(effects, holding, 256, 64, {}, max_body_bytes=MAX_MESSAGE_BYTES)
         port = await server.listen("127.0.0.1", 0)
         raw = socket.create_connection(("127.0.0.1", port))
         raw.setblocking(False)
@@ -101,7 +101,7 @@
         async with asyncio.timeout(PATIENCE):
             call = await holding.taken.get()
             if sent is LONG:  # the proxy stops reading, so it is never sent whole
-                while not any(connection.paused for connection in server.connections):
+                while not any(connection.read_paused for connection in server.connections):
                     await asyncio.sleep(0)
                 writing.cancel()
             await asyncio.wait([writing])
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -12,8 +12,8 @@
 import pytest
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, proxy, read_message, resets_on_close, response, run
 
-from service_proxy.net.bodies import WINDOW, Body
-from service_proxy.net.upstream import HOLD_BACK
+from service_proxy.net.request_body import STREAM_WINDOW_BYTES, RequestBody
+from service_proxy.net.upstream import BUFFERING_TIMEOUT_S
 
 MB = 1 << 20
 LONG = 32 * MB  # bytes; the longest that the operators have seen
@@ -158,7 +158,7 @@
     async def test() -> None:
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             if backend.count > 1:
-                await asyncio.sleep(2 * HOLD_BACK)  # until the timer would have fired
+                await asyncio.sleep(2 * BUFFERING_TIMEOUT_S)  # until the timer would have fired
                 writer.write(response(500, b"a fault"))
                 return
             ports = writer.get_extra_info("sockname")[1], writer.get_extra_info("peername")[1]
@@ -204,7 +204,7 @@
             while unread(*ports):
                 await asyncio.sleep(0)
             node.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(2 * HOLD_BACK)  # the stall itself
+            await asyncio.sleep(2 * BUFFERING_TIMEOUT_S)  # the stall itself
             resets_on_close(raw)
             writer.transport.abort()
             while unread(*ports) is not None:
@@ -465,21 +465,21 @@
     told: list[str] = []
 
     class Reader:
-        def more(self) -> None:
+        def on_body_progress(self) -> None:
             told.append("more")
 
-    body = Body()
-    body.reader, body.on_room = Reader(), lambda: told.append("room")
-    body.on_whole = lambda: told.append("whole")
-    body.add(b"ab")
-    assert (body.parts, body.full) == ([b"ab"], False)
-    body.kept = False
-    body.add(bytes(WINDOW))
-    assert body.full
-    assert body.taken() == [b"ab", bytes(WINDOW)] and not body.full and body.parts == []
+    body = RequestBody()
+    body.reader, body.on_drained = Reader(), lambda: told.append("room")
+    body.on_complete = lambda: told.append("whole")
+    body.append(b"ab")
+    assert (body.parts, body.is_full) == ([b"ab"], False)
+    body.is_replayable = False
+    body.append(bytes(STREAM_WINDOW_BYTES))
+    assert body.is_full
+    assert body.take_parts() == [b"ab", bytes(STREAM_WINDOW_BYTES)] and not body.is_full and body.parts == []
     body.finish()
     assert told == ["more", "more", "room", "whole", "more"]
-    assert body.length is None and Body.of(b"abc").length == 3
+    assert body.length is None and RequestBody.of(b"abc").length == 3
 
 
 def test_the_time_of_a_body_that_was_passed_on_begins_with_its_last_byte() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,7 +18,7 @@
 
 from harness.callers import GRADES
 from harness.ledger import Answer, Effect, Ledger, Rules, Taken
-from service_proxy.net.config import read_config
+from service_proxy.net.config import parse_config
 from service_proxy.policy.balancer import Balancer
 from service_proxy.policy.events import Event, Fail, Reject, RequestArrived, StartAttempt
 
@@ -86,7 +86,7 @@
 @checks(max_examples=150, deadline=None, derandomize=True)
 @given(settings=whole_settings())
 def test_any_settings_are_read_and_each_call_is_sent_or_answered(settings: dict[str, Any]) -> None:
-    read = read_config(raw_of(settings), {}).settings
+    read = parse_config(raw_of(settings), {}).settings
     assert [cls.name for cls in read.classes] == [grade["name"] for grade in settings["grades"]]
     balancer = Balancer(read, 1)
     balancer.handle(1.0, [])
@@ -288,7 +288,7 @@
     path: tuple[str | int, ...], value: object, said: str
 ) -> None:
     made: Any = config("127.0.0.1:1", listing(1), "127.0.0.1:0")
-    assert read_config(made, {})
+    assert parse_config(made, {})
     place = made["settings"]
     for key in path[:-1]:
         place = place[key]
@@ -297,7 +297,7 @@
     else:
         place[path[-1]] = value
     with pytest.raises(ValueError, match=re.escape(said)):
-        read_config(made, {})
+        parse_config(made, {})
 
 
 OUTSIDE = {
@@ -320,4 +320,4 @@
     made: Any = config("127.0.0.1:1", listing(1), "127.0.0.1:0")
     made[key] = value
     with pytest.raises(ValueError, match=re.escape(said)):
-        read_config(made, {})
+        parse_config(made, {})
