--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -22,7 +22,9 @@
 from service_proxy.sidecar.toml import table
 
 MARK = "written"
-HEAD = b"# written by granitepoint.sidecar, sha256 "
+# The tool's old name stays in the heads: an earlier version that reads the folder knows its files by it.
+WRITTEN_BY = "granitepoint.sidecar"
+HEAD = f"# written by {WRITTEN_BY}, sha256 ".encode()
 FORMS = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
 # How a call is treated follows from its route; what it looks like (method, key) from its class.
 TREATMENTS = {"never": "once", "never-ran": "once", "by-key": "by_key", "always": "repeatable"}
@@ -148,7 +150,7 @@
 
 def marked(body: dict[str, Any]) -> bytes:
     """With a digest of the rest at its head."""
-    mark = {"by": "granitepoint.sidecar", "sha256": hashlib.sha256(canonical(body)).hexdigest()}
+    mark = {"by": WRITTEN_BY, "sha256": hashlib.sha256(canonical(body)).hexdigest()}
     return canonical({MARK: mark, **body}) + b"\n"
 
 
--- /dev/null
+++ b/tests/sidecar/test_earlier_version.py
@@ -0,0 +1,104 @@
+"""A folder that the version of the old package name wrote, read by this one.
+
+`fixtures/written_by_granitepoint/h-1` is one host's folder as `python -m granitepoint.sidecar write
+deploy/application.toml -o DIR` wrote it before the package was renamed.
+"""
+
+from __future__ import annotations
+
+import importlib.util
+import re
+import shutil
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from service_proxy.net.config import load_config
+from service_proxy.sidecar.__main__ import main
+from service_proxy.sidecar.write import refusals, written_here
+
+ROOT = Path(__file__).parent.parent.parent
+FIXTURE = Path(__file__).parent / "fixtures" / "written_by_granitepoint"
+FILES = ("h-1/portal-nucleo.json", "h-1/portal-nucleo.service", "h-1/portal.service")
+UNITS = tuple(name for name in FILES if name.endswith(".service"))
+
+
+@pytest.fixture
+def folder(tmp_path: Path) -> Path:
+    copy = tmp_path / "deployed"
+    shutil.copytree(FIXTURE, copy)
+    return copy
+
+
+def started_module(unit: Path) -> str:
+    """The module that a unit file starts."""
+    (module,) = re.findall(r"^ExecStart=\S+ -m (\S+)", unit.read_text(), re.M)
+    return str(module)
+
+
+def test_the_fixture_has_these_files_of_the_earlier_version() -> None:
+    found = {str(path.relative_to(FIXTURE)) for path in FIXTURE.rglob("*") if path.is_file()}
+    assert found == set(FILES)
+    assert {started_module(FIXTURE / name) for name in UNITS} == {"granitepoint", "granitepoint.sidecar"}
+
+
+def test_files_of_the_earlier_version_are_known_as_this_tools_own_and_unedited(folder: Path) -> None:
+    assert refusals(folder) == []
+    for name in FILES:
+        assert written_here((folder / name).read_bytes(), name)
+
+
+@pytest.mark.parametrize("name", FILES)
+def test_an_edit_of_a_file_of_the_earlier_version_is_found(folder: Path, name: str) -> None:
+    path = folder / name
+    text = path.read_text()
+    edited = re.sub(r"1024|384", "512", text, count=1)
+    assert edited != text
+    path.write_text(edited)
+    (problem,) = refusals(folder)
+    assert problem.file == str(path) and problem.code == "C008" and not problem.warning
+
+
+def test_a_folder_of_the_earlier_version_is_written_anew_unless_it_was_edited(
+    folder: Path,
+) -> None:
+    description = str(ROOT / "deploy" / "application.toml")
+    edited = folder / UNITS[0]
+    edited.write_text(edited.read_text() + "# mine\n")
+    assert main(["write", description, "-o", str(folder)]) == 1
+    assert edited.read_text().endswith("# mine\n")
+    shutil.copy(FIXTURE / UNITS[0], edited)
+    assert main(["write", description, "-o", str(folder)]) == 0
+    assert {started_module(folder / name) for name in UNITS} == {"service_proxy", "service_proxy.sidecar"}
+    assert refusals(folder) == []
+
+
+def test_the_heads_of_written_files_are_those_that_the_earlier_version_knows(tmp_path: Path) -> None:
+    folder = tmp_path / "deployed"
+    assert main(["write", str(ROOT / "deploy" / "application.toml"), "-o", str(folder)]) == 0
+    for name in UNITS:
+        old_head, new_head = (
+            (where / name).read_bytes().split(b"\n")[0].rpartition(b" ")[0] for where in (FIXTURE, folder)
+        )
+        assert new_head == old_head == b"# written by granitepoint.sidecar, sha256"
+    json_name = FILES[0]
+    assert (folder / json_name).read_bytes() == (FIXTURE / json_name).read_bytes()
+
+
+def test_a_configuration_of_the_earlier_version_is_read(folder: Path) -> None:
+    config = load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")})
+    assert config.name == "h-1-portal-nucleo" and config.listen == ("127.0.0.1", 7001)
+
+
+@pytest.mark.parametrize("name", UNITS)
+def test_a_unit_file_of_the_earlier_version_names_a_command_that_exists(name: str) -> None:
+    module = started_module(FIXTURE / name)
+    spec = importlib.util.find_spec(module)
+    assert spec is not None
+    if spec.submodule_search_locations is not None:  # a package: `-m` runs its __main__
+        assert importlib.util.find_spec(f"{module}.__main__") is not None
+    command = [sys.executable, "-m", module, *(["run"] if module.endswith(".sidecar") else []), "--help"]
+    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30, check=False)
+    assert done.returncode == 0 and done.stdout.startswith("usage: ")
