--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,17 +24,17 @@
 
 from benchmarks.per_call import Drive, cpu
 from benchmarks.proof import Proof, run
-from harness.fleet import model
-from harness.fleet.bed import Bed, Member, Stage, address_of
-from harness.fleet.network import Weather
-from harness.fleet.script import DEEDS, Fault, Player, Script, Top
-from harness.fleet.world import Seen, Setup, World, world
+from harness.fleet import state_model
+from harness.fleet.fault_script import ACTIONS, FaultPlayer, FaultScript, ScriptedFault, ScriptHeader
+from harness.fleet.harness import FleetHarness, FleetOptions, LoggedChange, running_fleet
+from harness.fleet.network import LinkFaults
+from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet, VirtualMember, address_of
 from harness.kit import until
-from service_proxy.fleet.core import Core
-from service_proxy.fleet.guard import Seals
-from service_proxy.fleet.states import State
-from service_proxy.fleet.table import Change
-from service_proxy.fleet.timing import Timing
+from service_proxy.fleet.authentication import MessageAuthenticator
+from service_proxy.fleet.member_states import MemberState
+from service_proxy.fleet.member_table import MembershipChange
+from service_proxy.fleet.protocol import MembershipProtocol
+from service_proxy.fleet.timing import ProtocolTiming
 
 PARTS = ("real", "scale", "seeds", "against", "model", "fuzz", "cost")
 SETTLING = 10.0  # periods within which all views of the living are equal after the last fault
@@ -50,7 +50,7 @@
 # -- real processes ----------------------------------------------------------------------------------
 
 
-def rounds(members: int, count: int, seed: int) -> list[list[Fault]]:
+def rounds(members: int, count: int, seed: int) -> list[list[ScriptedFault]]:
     """Rounds of faults that overlap; between two of them the fleet settles."""
     random = Random(f"rounds {seed}")
     names = [f"p{number}" for number in range(members)]
@@ -59,33 +59,33 @@
         some = random.sample(names, 6)
         half = [name for name in names if random.random() < 0.5] or names[:1]
         rest = [name for name in names if name not in half] or names[-1:]
-        lossy = Fault(do="loss", at=0.0, who=("all",), share=random.uniform(0.05, 0.2), lasts=4.0)
+        lossy = ScriptedFault(do="loss", at=0.0, who=("all",), share=random.uniform(0.05, 0.2), lasts=4.0)
         faults = [
-            Fault(do="kill", at=random.uniform(0, 1), who=(some[0],), lasts=random.uniform(5, 7)),
-            Fault(do="stop", at=random.uniform(0, 1), who=(some[1],), lasts=random.uniform(0.3, 1.2)),
-            Fault(do="restart", at=random.uniform(1, 3), who=(some[2],)),
+            ScriptedFault(do="kill", at=random.uniform(0, 1), who=(some[0],), lasts=random.uniform(5, 7)),
+            ScriptedFault(do="stop", at=random.uniform(0, 1), who=(some[1],), lasts=random.uniform(0.3, 1.2)),
+            ScriptedFault(do="restart", at=random.uniform(1, 3), who=(some[2],)),
             random.choice(
                 [
                     lossy,
-                    Fault(do="delay", at=0.5, who=("all",), by=0.02, share=0.05, lasts=4.0),
-                    Fault(do="duplicate", at=0.5, who=("all",), share=0.3, lasts=4.0),
-                    Fault(do="corrupt", at=0.5, who=("all",), share=0.1, lasts=4.0),
+                    ScriptedFault(do="delay", at=0.5, who=("all",), by=0.02, share=0.05, lasts=4.0),
+                    ScriptedFault(do="duplicate", at=0.5, who=("all",), share=0.3, lasts=4.0),
+                    ScriptedFault(do="corrupt", at=0.5, who=("all",), share=0.1, lasts=4.0),
                 ]
             ),
             random.choice(
                 [
-                    Fault(do="partition", at=1.0, groups=(",".join(half), ",".join(rest)), lasts=5.0),
-                    Fault(do="cut", at=1.0, who=(some[3],), to=(some[4],), lasts=5.0),
-                    Fault(do="cut", at=1.0, who=(some[3],), to=tuple(half), lasts=5.0),
-                    Fault(do="storm", at=1.0, who=(some[3],), share=1000, lasts=3.0),
+                    ScriptedFault(do="partition", at=1.0, groups=(",".join(half), ",".join(rest)), lasts=5.0),
+                    ScriptedFault(do="cut", at=1.0, who=(some[3],), to=(some[4],), lasts=5.0),
+                    ScriptedFault(do="cut", at=1.0, who=(some[3],), to=tuple(half), lasts=5.0),
+                    ScriptedFault(do="storm", at=1.0, who=(some[3],), share=1000, lasts=3.0),
                 ]
             ),
             random.choice(
                 [
-                    Fault(do="term", at=2.0, who=(some[5],), lasts=4.0),
-                    Fault(do="clock", at=1.0, who=(some[5],), by=-3600.0),
-                    Fault(do="reset", at=1.0, who=(some[5],)),
-                    Fault(do="drain", at=1.0, who=("n1",), lasts=3.0),
+                    ScriptedFault(do="term", at=2.0, who=(some[5],), lasts=4.0),
+                    ScriptedFault(do="clock", at=1.0, who=(some[5],), by=-3600.0),
+                    ScriptedFault(do="reset", at=1.0, who=(some[5],)),
+                    ScriptedFault(do="drain", at=1.0, who=("n1",), lasts=3.0),
                 ]
             ),
         ]
@@ -93,16 +93,16 @@
     return found
 
 
-def late_by(changes: list[Seen], at: float) -> tuple[float, float] | None:
+def late_by(changes: list[LoggedChange], at: float) -> tuple[float, float] | None:
     """Periods from a crash to its being known to the last view: beyond each view's own suspicion, and beyond
     that of the view that declared it first (the stricter figure)."""
     suspected: dict[str, float] = {}
     known: dict[str, float] = {}
     for change in changes:
         if change.after == "suspect":
-            suspected[change.by] = change.at
+            suspected[change.observer] = change.at
         elif change.after == "dead":
-            known[change.by] = change.at
+            known[change.observer] = change.at
     if not known or not suspected:
         return None
     mine = max(suspected[by] for by in known if by in suspected) - at
@@ -110,36 +110,38 @@
     return mine / PERIOD, first / PERIOD
 
 
-def present(w: World, since: float) -> set[str]:
+def present(w: FleetHarness, since: float) -> set[str]:
     """Who was there, and not stopped, from then on: who was not has no view that could know."""
-    return {seat.name for seat in w.seats if seat.alive and not any(end > since for _, end in seat.down)}
+    return {seat.name for seat in w.slots if seat.alive and not any(end > since for _, end in seat.downtimes)}
 
 
 async def real(proof: Proof, seed: int) -> None:
     members, count = (12, 1) if proof.short else (40, 12)
-    setup = Setup(members=members, nodos=4 if proof.short else 8, rate=1.0, period=PERIOD, seed=seed)
+    setup = FleetOptions(
+        members=members, endpoints=4 if proof.short else 8, rate=1.0, period=PERIOD, seed=seed
+    )
     beyond: list[tuple[float, float]] = []
     settled: list[float] = []
     played = 0
     cuts = 0
     false = []
     begun = time.monotonic()
-    async with world(setup) as w:
-        joined = await w.observer.settle(60, True)
+    async with running_fleet(setup) as w:
+        joined = await w.observer.wait_until_settled(60, True)
         proof.figure("real_members", members, "processes")
         proof.figure("real_join", joined / PERIOD, "periods from their being up to equal views")
         for faults in rounds(members, count, seed):
             mark = len(w.observer.changes)
             begins = time.monotonic()
             killed = {name: begins + f.at for f in faults if f.do == "kill" for name in f.who}
-            script = Script(Top(members=members), tuple(faults))
-            player = Player(script, w)
-            player.begin()
-            await until(lambda player=player: player.over, "the faults", 60)  # type: ignore[misc]
+            script = FaultScript(ScriptHeader(members=members), tuple(faults))
+            player = FaultPlayer(script, w)
+            player.start()
+            await until(lambda player=player: player.is_finished, "the faults", 60)  # type: ignore[misc]
             await until(lambda: not w.starting, "restarts", 60)
             played += len(faults)
             try:
-                took = await w.observer.settle(3 * SETTLING * PERIOD)
+                took = await w.observer.wait_until_settled(3 * SETTLING * PERIOD)
             except TimeoutError:
                 proof.claim(False, f"views were not equal {3 * SETTLING:.0f} periods after a last fault")
                 continue
@@ -151,7 +153,7 @@
             if not parted:
                 for name, at in killed.items():
                     there = present(w, at)
-                    mine = [c for c in fresh if c.name == name and c.at > at and c.by in there]
+                    mine = [c for c in fresh if c.name == name and c.at > at and c.observer in there]
                     late = late_by(mine, at)
                     if late is not None:
                         beyond.append(late)
@@ -160,9 +162,9 @@
         for number in Random(seed).sample(range(members), 2 if proof.short else 8):
             mark = len(w.observer.changes)
             at = time.monotonic()
-            name = w.seats[number].name
+            name = w.slots[number].name
             w.kill(number)
-            await w.observer.settle(60)
+            await w.observer.wait_until_settled(60)
             w.observer.read_logs()
             fresh = [c for c in w.observer.changes[mark:] if c.name == name]
             knew = sum(change.after == "dead" for change in fresh)
@@ -172,27 +174,27 @@
             proof.claim(knew == len(w.living), f"{knew} of {len(w.living)} knew of {name}'s crash")
             w.start(number)
             await until(lambda: not w.starting, "restart", 60)
-            settled.append(await w.observer.settle(60) / PERIOD)
+            settled.append(await w.observer.wait_until_settled(60) / PERIOD)
             played += 2
-        await w.quiet()
+        await w.finish_requests()
         await asyncio.sleep(0.1)
         w.observer.read_logs()
         raised = [line for lines in w.observer.lines.values() for line in lines if "Traceback" in line]
         broken = w.audit()
         left_out = [line for lines in w.observer.lines.values() for line in lines if "left out" in line]
         proof.figure("real_lines_left_out", len(left_out), "times, of members' logs")
-        codes = sum((callers.codes for callers in w.callers), start=type(w.callers[0].codes)())
+        codes = sum((callers.codes for callers in w.clients), start=type(w.clients[0].codes)())
         served = codes[200] / max(1, sum(codes.values()))
         dead_at_end = [
             seat.name
             for seat in w.living
             for other in w.living
-            if (page := w.observer.pages.get(other.name)) and page[1].living != len(w.living)
+            if (page := w.observer.pages.get(other.name)) and page[1].alive_count != len(w.living)
         ]
         revived = w.observer.resurrections()
         proof.figure("real_span", time.monotonic() - begun, "s")
         proof.figure("real_faults", played, "faults")
-        proof.figure("real_datagrams", w.relay.carried, "through the relay")
+        proof.figure("real_datagrams", w.relay.relayed_count, "through the relay")
         proof.figure("real_calls", sum(codes.values()), f"calls, {served:.3f} served")
     proof.figure("real_settled", median(settled), "periods after the last fault, median")
     proof.figure("real_settled_worst", max(settled), "periods")
@@ -219,25 +221,25 @@
 # -- virtual time ------------------------------------------------------------------------------------
 
 
-def crashed(bed: Bed, number: int, patience: float = 60.0) -> tuple[float, float]:
+def crashed(bed: VirtualFleet, number: int, patience: float = 60.0) -> tuple[float, float]:
     """Periods from a crash to its being known to all, and from its first suspicion to the first verdict."""
     known: dict[str, float] = {}
     suspected: list[float] = []
     name = bed.members[number].name
 
-    def watch(member: Member, change: Change) -> None:
-        if change.entry.name == name and change.after is State.DEAD:
+    def watch(member: VirtualMember, change: MembershipChange) -> None:
+        if change.entry.name == name and change.after is MemberState.DEAD:
             known.setdefault(member.name, bed.now)
-        elif change.entry.name == name and change.after is State.SUSPECT:
+        elif change.entry.name == name and change.after is MemberState.SUSPECT:
             suspected.append(bed.now)
 
-    bed.watch = watch
+    bed.on_change = watch
     at = bed.now
     bed.kill(number)
     living = len(bed.living)
     while len(known) < living and bed.now < at + patience:
         bed.run(bed.now + 0.1)
-    bed.watch = None
+    bed.on_change = None
     if len(known) < living:
         return math.inf, 0.0
     return max(known.values()) - at, min(known.values()) - min(suspected)
@@ -250,7 +252,7 @@
     for size in sizes:
         gc.collect()
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-        bed = Bed(size, Timing(period=1.0), seed)
+        bed = VirtualFleet(size, ProtocolTiming(period=1.0), seed)
         bed.adopt()
         gc.freeze()  # at 10,000 members a collection looks through a hundred million entries
         began = bed.now
@@ -268,7 +270,7 @@
         proof.figure(f"scale_{size}_known", known, "periods from a crash to all")
         proof.figure(f"scale_{size}_beyond", known_at[size], "periods of these beyond its suspicion")
         proof.figure(f"scale_{size}_memory", used * 1024, "kB a member")
-        proof.claim(bed.right(), f"views of {size} members were not equal after a crash")
+        proof.claim(bed.is_converged(), f"views of {size} members were not equal after a crash")
         del bed
         gc.unfreeze()
     ratio = bytes_at[sizes[-1]] / bytes_at[sizes[0]]
@@ -279,18 +281,20 @@
     proof.figure("scale_fit", f"{fit:.2f} + {slope:.2f} log10 N", "periods beyond the suspicion")
 
 
-def schedule(seed: int, members: int) -> Script:
+def schedule(seed: int, members: int) -> FaultScript:
     """A random one of up to eight faults."""
     random = Random(f"schedule {seed}")
     names = [f"p{number}" for number in range(members)]
     faults = []
     for _ in range(random.randint(1, 8)):
-        deed = random.choice([d for d in DEEDS if d not in ("reset", "silence", "drain", "storm", "rename")])
+        deed = random.choice(
+            [d for d in ACTIONS if d not in ("reset", "silence", "drain", "storm", "rename")]
+        )
         who = tuple(random.sample(names, random.randint(1, max(1, members // 4))))
         cut = random.randint(1, members - 1)
         mixed = random.sample(names, members)
         faults.append(
-            Fault(
+            ScriptedFault(
                 do=deed,
                 at=random.uniform(0, 15),
                 who=("all",)
@@ -304,24 +308,24 @@
                 name=random.choice(["wall", "monotonic"]),
             )
         )
-    return Script(Top(members=members), tuple(faults))
+    return FaultScript(ScriptHeader(members=members), tuple(faults))
 
 
-class Oracle(Stage):
+class Oracle(VirtualFaultTarget):
     """Whom a view buries without a cause, beside whom it brings back."""
 
-    def __init__(self, bed: Bed, script: Script) -> None:
+    def __init__(self, bed: VirtualFleet, script: FaultScript) -> None:
         super().__init__(bed)
         self.wrong: list[str] = []
         self.excuse = any(f.do in ("partition", "cut", "stop", "clock") for f in script.faults)
 
-    def watch(self, member: Member, change: Change) -> None:
-        super().watch(member, change)
-        if change.after is not State.DEAD or self.excuse:
+    def record_change(self, member: VirtualMember, change: MembershipChange) -> None:
+        super().record_change(member, change)
+        if change.after is not MemberState.DEAD or self.excuse:
             return
-        for subject in self.bed.living:
-            core = subject.core
-            if core is None or subject.stopped or subject.name != change.entry.name:
+        for subject in self.fleet.living:
+            core = subject.protocol
+            if core is None or subject.suspended or subject.name != change.entry.name:
                 continue
             if core.incarnation.process == change.entry.incarnation.process:
                 self.wrong.append(f"{member.name} buried {subject.name}, which lives, without a cause")
@@ -330,27 +334,27 @@
 def judged(seed: int) -> tuple[str, float]:
     """What is wrong with a run by this seed ("": nothing), and the periods that it took to settle."""
     members = 5 + seed % 12
-    bed = Bed(members, Timing(period=1.0), seed)
+    bed = VirtualFleet(members, ProtocolTiming(period=1.0), seed)
     for number in range(members):
         bed.start(number)
     bed.run(8.0)
     script = schedule(seed, members)
     oracle = Oracle(bed, script)
-    player = Player(script, oracle)
-    player.begin()
-    while not player.over:
+    player = FaultPlayer(script, oracle)
+    player.start()
+    while not player.is_finished:
         bed.run(bed.now + 0.5)
         if bed.now > 120:
             return "the script never ended", 0.0
     for member in bed.members:  # who was stopped for good by two faults that crossed
-        bed.go_on(member.number)
+        bed.resume(member.number)
     begun = bed.now
-    while not bed.right() and bed.now < begun + 60:
+    while not bed.is_converged() and bed.now < begun + 60:
         bed.run(bed.now + 0.25)
     took = bed.now - begun
-    if not bed.right():
+    if not bed.is_converged():
         return "views are not equal after 60 periods", took
-    return "; ".join((oracle.wrong + oracle.revived)[:2]), took
+    return "; ".join((oracle.wrong + oracle.resurrections)[:2]), took
 
 
 def seeds(proof: Proof, seed: int) -> None:
@@ -377,39 +381,41 @@
 # -- against baselines -------------------------------------------------------------------------------
 
 
-class OneLength(Timing):
+class OneLength(ProtocolTiming):
     """A suspicion lasts as long as ours at its shortest, whoever else shares it."""
 
-    def suspect_for(self, living: int, confirmations: int) -> float:
-        return self.shortest(living)
+    def suspicion_timeout(self, living: int, confirmations: int) -> float:
+        return self.min_suspicion(living)
 
 
-class Plain(Core):
+class Plain(MembershipProtocol):
     """SWIM without Lifeguard's parts and ours: no health of its own, no confirmations, no word to the suspect
     first, no last probe, and no notice that it stood still itself."""
 
-    def _pass(self, now: float) -> None:
-        self.now = max(self.now, now + self.offset)
+    def _advance_clock(self, now: float) -> None:
+        self.now = max(self.now, now + self.clock_offset)
 
-    def _unwell(self, by: int) -> None:
-        self.table.timing = OneLength(self.timing.period, self.timing.suspicion, self.timing.memory)
-        self.health = 0
+    def _adjust_local_health(self, by: int) -> None:
+        self.table.timing = OneLength(
+            self.timing.period, self.timing.suspicion_multiplier, self.timing.tombstone_ttl
+        )
+        self.local_health = 0
 
-    def _ping(self, number: int) -> None:
+    def _send_ping(self, number: int) -> None:
         probe = self.probes[number]
-        suspected = self.table.suspicions.pop(probe.key, None)
-        super()._ping(number)
+        suspected = self.table.suspicions.pop(probe.target, None)
+        super()._send_ping(number)
         if suspected is not None:
-            self.table.suspicions[probe.key] = suspected
+            self.table.suspicions[probe.target] = suspected
 
-    def _suspicion_due(self, turn: int, key: bytes) -> None:
+    def _on_suspicion_timer(self, turn: int, key: bytes) -> None:
         suspicion = self.table.suspicions.get(key)
         if suspicion is not None:
-            suspicion.heard = float("-inf")
-            if turn > 0 and turn == suspicion.turn:
-                self._set(max(0.0, suspicion.due - self.now), "suspicion", -turn, key)
+            suspicion.last_contact_at = float("-inf")
+            if turn > 0 and turn == suspicion.timer_id:
+                self._set_timer(max(0.0, suspicion.deadline - self.now), "suspicion", -turn, key)
                 return
-        super()._suspicion_due(turn, key)
+        super()._on_suspicion_timer(turn, key)
 
 
 class Heartbeats:
@@ -468,33 +474,37 @@
     return found
 
 
-def suffers(make: Callable[..., Core], members: int, periods: float, seed: int) -> tuple[int, int, float]:
+def suffers(
+    make: Callable[..., MembershipProtocol], members: int, periods: float, seed: int
+) -> tuple[int, int, float]:
     """False deaths of healthy members, of slow ones, and bytes a member and period."""
-    bed = Bed(members, Timing(period=1.0, suspicion=EAGER), seed, make=make)
+    bed = VirtualFleet(
+        members, ProtocolTiming(period=1.0, suspicion_multiplier=EAGER), seed, make_protocol=make
+    )
     bed.adopt()
     slow = slow_spells(members, 0.05, periods, seed)
     for member, spells in slow.items():
         for begun, ended in spells:
-            bed.call(begun, bed.stop, member)
-            bed.call(ended, bed.go_on, member)
+            bed.schedule(begun, bed.suspend, member)
+            bed.schedule(ended, bed.resume, member)
     healthy = 0
     ill = 0
     names = {bed.members[member].name for member in slow}
 
-    def watch(member: Member, change: Change) -> None:
+    def watch(member: VirtualMember, change: MembershipChange) -> None:
         nonlocal healthy, ill
-        if change.after is State.DEAD:
+        if change.after is MemberState.DEAD:
             ill += change.entry.name in names
             healthy += change.entry.name not in names
 
-    bed.watch = watch
+    bed.on_change = watch
     bed.run(periods)
     return healthy, ill, bed.bytes / members / periods
 
 
 def against(proof: Proof, seed: int) -> None:
     members, periods = (40, 40.0) if proof.short else (100, 120.0)
-    ours = suffers(Core, members, periods, seed)
+    ours = suffers(MembershipProtocol, members, periods, seed)
     plain = suffers(Plain, members, periods, seed)
     beats = Heartbeats(members, seed, slow_spells(members, 0.05, periods, seed))
     beats.run(int(periods))
@@ -525,37 +535,37 @@
 
 def checked(proof: Proof, seed: int) -> None:
     """No chance in it: the seed is of no account."""
-    model.MOST_MESSAGES = 1 if proof.short else 2
+    state_model.MAX_MESSAGES = 1 if proof.short else 2
     begun = time.monotonic()
     try:
-        proof.figure("model_states", model.explore(), "states, exhaustively")
-    except model.Broken as fault:
+        proof.figure("model_states", state_model.explore(), "states, exhaustively")
+    except state_model.InvariantViolationError as fault:
         proof.claim(False, f"the table: {fault}")
     proof.figure("model_span", time.monotonic() - begun, "s")
     missed = []
-    for name, rules in model.MUTATIONS.items():
+    for name, rules in state_model.MUTATIONS.items():
         try:
-            model.explore(rules)
+            state_model.explore(rules)
             missed.append(name)
-        except model.Broken:
+        except state_model.InvariantViolationError:
             continue
-    proof.figure("model_planted", len(model.MUTATIONS), f"faults planted, {len(missed)} not found")
+    proof.figure("model_planted", len(state_model.MUTATIONS), f"faults planted, {len(missed)} not found")
     proof.claim(not missed, f"planted faults that were not found: {missed}")
 
 
 def fuzz(proof: Proof, seed: int) -> None:
     count = 5_000 if proof.short else 100_000
     random = Random(seed)
-    seals = Seals()
-    bed = Bed(8, Timing(), seed)
+    seals = MessageAuthenticator()
+    bed = VirtualFleet(8, ProtocolTiming(), seed)
     kept: list[bytes] = []
-    bed.network.seen = lambda data: kept.append(data) if len(kept) < 5000 else None
+    bed.network.on_datagram = lambda data: kept.append(data) if len(kept) < 5000 else None
     for number in range(8):
         bed.start(number)
     bed.run(2.0)
-    bed.network.everywhere = Weather(loss=0.3)
+    bed.network.default_faults = LinkFaults(loss=0.3)
     bed.run(12.0)
-    core = bed.members[0].core
+    core = bed.members[0].protocol
     assert core is not None
     longer = 0
     raised = 0
@@ -569,13 +579,13 @@
         if random.random() < 0.1:
             data = data[: random.randint(0, len(data))]
         sent = seals.seal(bytes(data[:-8])) if number % 4 else bytes(data)
-        core.take()
+        core.take_effects()
         try:
-            core.datagram(bed.now + number * 1e-4, address_of(1 + number % 7), sent)
+            core.receive_datagram(bed.now + number * 1e-4, address_of(1 + number % 7), sent)
         except Exception as fault:
             raised += 1
             print(f"fuzz {number}: {fault!r}")
-        out = core.take().out
+        out = core.take_effects().datagrams
         answered += bool(out)
         longer += any(len(answer) > len(sent) for _, answer in out)
         if number == count // 2:
@@ -593,20 +603,22 @@
     calls, turns = (1500, 2) if proof.short else (4000, 5)
     spent: dict[bool, list[float]] = {True: [], False: []}
     worlds = {}
-    on = world(Setup(members=6, nodos=4, rate=0.0, period=1.0, seed=seed))
-    off = world(Setup(members=6, nodos=4, rate=0.0, period=1.0, seed=seed, view=False))
+    on = running_fleet(FleetOptions(members=6, endpoints=4, rate=0.0, period=1.0, seed=seed))
+    off = running_fleet(
+        FleetOptions(members=6, endpoints=4, rate=0.0, period=1.0, seed=seed, fleet_enabled=False)
+    )
     async with on as with_view, off as without:
         worlds = {True: with_view, False: without}
         for turn in range(turns):
             for view in (True, False) if turn % 2 else (False, True):
-                program = worlds[view].seats[0].program
+                program = worlds[view].slots[0].program
                 assert program is not None
                 before = cpu(program.process.pid)
                 await Drive(f"{seed}-{turn}-{view}-", calls).run(program.address)
                 spent[view].append((cpu(program.process.pid) - before) / calls * 1e6)
         idle = {}
         for view in (True, False):
-            program = worlds[view].seats[0].program
+            program = worlds[view].slots[0].program
             assert program is not None
             before = cpu(program.process.pid)
             await asyncio.sleep(4.0)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -28,7 +28,7 @@
 from statistics import median
 
 from benchmarks.proof import Proof, run
-from harness.fleet.world import Setup, World, world
+from harness.fleet.harness import FleetHarness, FleetOptions, running_fleet
 from harness.kit import until
 from harness.recovery.crash_points import crash_faults, record_store_run
 from harness.recovery.planted_bugs import BUGS_SEEN_ON_FAULTY_DISK, ORDERING_BUGS
@@ -326,23 +326,29 @@
     """Everybody loses power under load and comes back in the worst order, nodos late."""
     members, cold = (6, 2.0) if proof.short else (24, 8.0)
     nodos = 6 if proof.short else 24
-    setup = Setup(
-        members=members, nodos=nodos, rate=5.0, period=0.25, recovery=True, cold=cold, seed=proof.seed
+    setup = FleetOptions(
+        members=members,
+        endpoints=nodos,
+        rate=5.0,
+        period=0.25,
+        recovery=True,
+        warm_up_s=cold,
+        seed=proof.seed,
     )
-    async with world(setup) as w:
+    async with running_fleet(setup) as w:
         await until(lambda: phases(w, 0) == members, "steady", 120)
         served = codes(w, 200)
         await asyncio.sleep(4.0)
         usual = (codes(w, 200) - served) / 4.0
-        marks = {seat.name: len(w.observer.lines.get(seat.name, [])) for seat in w.seats}
+        marks = {seat.name: len(w.observer.lines.get(seat.name, [])) for seat in w.slots}
         w.power_off()
         await asyncio.sleep(1.0)
-        for seat in w.seats:
+        for seat in w.slots:
             w.start(seat.number)
         order = list(range(nodos))
         Random(proof.seed).shuffle(order)
         for number in order:
-            await w.nodo_on(number)
+            await w.restart_endpoint(number)
             await asyncio.sleep(0.05)
         last = time.monotonic()
         back = 0.0
@@ -353,10 +359,10 @@
                 back = time.monotonic() - last
         await until(lambda: phases(w, 1, marks) == members, "steady again", 120)
         steady = time.monotonic() - last
-        await w.quiet()
+        await w.finish_requests()
         broken = w.audit()
         w.observer.read_logs()
-        told = ["\n".join(w.observer.lines[seat.name][marks[seat.name] :]) for seat in w.seats]
+        told = ["\n".join(w.observer.lines[seat.name][marks[seat.name] :]) for seat in w.slots]
         verdicts = sum("outage_determined scope=fleet" in text for text in told)
         raised = [line for lines in w.observer.lines.values() for line in lines if "Traceback" in line]
         proof.figure("power_members", members, f"proxies, {nodos} nodos cold for {cold:g} s")
@@ -370,15 +376,15 @@
         proof.claim(not raised, f"exceptions in logs: {raised[:2]}")
 
 
-def codes(w: World, code: int) -> int:
-    return sum(callers.codes[code] for callers in w.callers)
+def codes(w: FleetHarness, code: int) -> int:
+    return sum(callers.codes[code] for callers in w.clients)
 
 
-def phases(w: World, least: int, marks: dict[str, int] | None = None) -> int:
+def phases(w: FleetHarness, least: int, marks: dict[str, int] | None = None) -> int:
     """Members that are steady by their last word since the marks."""
     w.observer.read_logs()
     found = 0
-    for seat in w.seats:
+    for seat in w.slots:
         lines = w.observer.lines.get(seat.name, [])[(marks or {}).get(seat.name, 0) :]
         said = [line for line in lines if "recovery_phase_changed" in line]
         found += len(said) > least and "after=steady" in said[-1]
--- a/harness/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -20,12 +20,12 @@
 
 import uvloop
 
-from harness.fleet.bed import Bed, Stage
+from harness.fleet.fault_script import FaultPlayer, FaultScript, ScriptedFault, ScriptHeader, parse_script
+from harness.fleet.harness import FleetOptions, running_fleet
 from harness.fleet.network import Network
-from harness.fleet.script import Fault, Player, Script, Top, read
-from harness.fleet.world import Setup, world
+from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet
 from harness.kit import until
-from service_proxy.fleet.timing import Timing
+from service_proxy.fleet.timing import ProtocolTiming
 from service_proxy.operator_file.reader import OperatorError, read_text
 from service_proxy.sidecar.explain import table_schema
 
@@ -35,49 +35,52 @@
 
 def schema() -> dict[str, object]:
     """JSON Schema of a script."""
-    whole = table_schema(Top)
-    whole["properties"]["fault"] = {"type": "array", "items": table_schema(Fault)}
+    whole = table_schema(ScriptHeader)
+    whole["properties"]["fault"] = {"type": "array", "items": table_schema(ScriptedFault)}
     return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "script of faults", **whole}
 
 
-def virtual(script: Script, network: Network) -> int:
-    bed = Bed(script.top.members, Timing(period=1.0), script.top.seed, network)
-    for number in range(script.top.members):
+def virtual(script: FaultScript, network: Network) -> int:
+    bed = VirtualFleet(script.header.members, ProtocolTiming(period=1.0), script.header.seed, network)
+    for number in range(script.header.members):
         bed.start(number)
     bed.run(8.0)
-    stage = Stage(bed)
-    player = Player(script, stage, lambda line: print(f"{bed.now:8.2f} s {line}"))
-    stage.on_event = player.seen
-    player.begin()
-    while not player.over and bed.now < 8.0 + script.top.seconds:
+    stage = VirtualFaultTarget(bed)
+    player = FaultPlayer(script, stage, lambda line: print(f"{bed.now:8.2f} s {line}"))
+    stage.on_event = player.on_event
+    player.start()
+    while not player.is_finished and bed.now < 8.0 + script.header.seconds:
         bed.run(bed.now + 0.25)
     last = bed.now
-    while not bed.right() and bed.now < last + SETTLING:
+    while not bed.is_converged() and bed.now < last + SETTLING:
         bed.run(bed.now + 0.25)
     print(
         f"{bed.datagrams} datagrams, {bed.network.lost} lost; "
         f"settled {bed.now - last:.2f} periods after the end"
     )
-    print("equal and right" if bed.right() else "NOT equal", *(f"; {line}" for line in stage.revived))
-    return 0 if bed.right() and not stage.revived else 1
+    print(
+        "equal and right" if bed.is_converged() else "NOT equal",
+        *(f"; {line}" for line in stage.resurrections),
+    )
+    return 0 if bed.is_converged() and not stage.resurrections else 1
 
 
-async def real(script: Script, network: Network) -> int:
-    top = script.top
-    async with world(Setup(members=top.members, seed=top.seed, period=PERIOD)) as w:
-        w.network.replayed = network.replayed
+async def real(script: FaultScript, network: Network) -> int:
+    top = script.header
+    async with running_fleet(FleetOptions(members=top.members, seed=top.seed, period=PERIOD)) as w:
+        w.network.recorded_plans = network.recorded_plans
         w.network.transcript = network.transcript
-        await w.observer.settle(SETTLING, True)
-        player = Player(script, w, lambda line: print(line, flush=True))
-        w.observer.on_event = player.seen
-        player.begin()
-        await until(lambda: player.over, "the script's end", top.seconds)
+        await w.observer.wait_until_settled(SETTLING, True)
+        player = FaultPlayer(script, w, lambda line: print(line, flush=True))
+        w.observer.on_event = player.on_event
+        player.start()
+        await until(lambda: player.is_finished, "the script's end", top.seconds)
         try:
-            took = await w.observer.settle(SETTLING * PERIOD)
+            took = await w.observer.wait_until_settled(SETTLING * PERIOD)
         except TimeoutError:
             print("NOT equal")
             return 1
-        await w.quiet()
+        await w.finish_requests()
         w.observer.read_logs()
         revived = w.observer.resurrections()
         broken = w.audit()
@@ -107,12 +110,14 @@
         print(json.dumps(schema(), indent=1))
         return 0
     try:
-        script = read(read_text(wanted.script)[0], wanted.script)
+        script = parse_script(read_text(wanted.script)[0], wanted.script)
         if wanted.seed is not None:
-            script = Script(Top(script.top.members, script.top.seconds, wanted.seed), script.faults)
-        network = Network(script.top.seed)
+            script = FaultScript(
+                ScriptHeader(script.header.members, script.header.seconds, wanted.seed), script.faults
+            )
+        network = Network(script.header.seed)
         if wanted.replay is not None:
-            network.replay(wanted.replay)
+            network.load_recording(wanted.replay)
         if wanted.transcript is not None:
             network.transcript = wanted.transcript.open("w", encoding="utf-8")
     except (OperatorError, ValueError, OSError) as fault:
--- a/harness/fleet/relay.py
+++ b/harness/fleet/fault_relay.py
@@ -17,14 +17,14 @@
 NOBODY = -1  # a sender that is no member
 
 
-def host(net: int, number: int) -> str:
+def loopback_address(net: int, number: int) -> str:
     return f"127.{net}.{number // HOSTS}.{number % HOSTS + 1}"
 
 
-class _Known(asyncio.DatagramProtocol):
+class _MemberSocket(asyncio.DatagramProtocol):
     """The address by which one member is known."""
 
-    def __init__(self, relay: Datagrams, number: int) -> None:
+    def __init__(self, relay: DatagramRelay, number: int) -> None:
         self.relay = relay
         self.number = number
         self.transport: asyncio.DatagramTransport | None = None
@@ -33,44 +33,44 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        self.relay.came(addr, self.number, data)
+        self.relay.relay_datagram(addr, self.number, data)
 
     def error_received(self, exc: Exception) -> None:
         pass  # nobody listens there now: it is lost
 
 
-class Datagrams:
+class DatagramRelay:
     def __init__(self, members: int, port: int, network: Network) -> None:
         self.loop = asyncio.get_running_loop()
         self.members = members
         self.port = port
         self.network = network
-        self.known = [_Known(self, number) for number in range(members)]
-        self.number_of = {host(77, number): number for number in range(members)}
-        self.carried = 0
+        self.member_sockets = [_MemberSocket(self, number) for number in range(members)]
+        self.number_of = {loopback_address(77, number): number for number in range(members)}
+        self.relayed_count = 0
         self.bytes = 0
         self.started = self.loop.time()
 
     def addresses(self) -> list[str]:
-        return [f"{host(78, number)}:{self.port}" for number in range(self.members)]
+        return [f"{loopback_address(78, number)}:{self.port}" for number in range(self.members)]
 
     async def start(self) -> None:
-        for number, known in enumerate(self.known):
+        for number, known in enumerate(self.member_sockets):
             await self.loop.create_datagram_endpoint(
                 lambda known=known: known,  # type: ignore[misc]
-                local_addr=(host(78, number), self.port),
+                local_addr=(loopback_address(78, number), self.port),
             )
 
     def stop(self) -> None:
-        for known in self.known:
+        for known in self.member_sockets:
             if known.transport is not None:
                 known.transport.close()
 
-    def came(self, source: tuple[str | Any, int], receiver: int, data: bytes) -> None:
+    def relay_datagram(self, source: tuple[str | Any, int], receiver: int, data: bytes) -> None:
         sender = self.number_of.get(str(source[0]), NOBODY)
         if sender == NOBODY or source[1] != self.port:
             return
-        self.carried += 1
+        self.relayed_count += 1
         self.bytes += len(data)
         copies = self.network.carry(sender, receiver, data, self.loop.time() - self.started)
         for wait, sent in copies:
@@ -80,19 +80,19 @@
                 self._hand_on(sender, receiver, sent)
 
     def _hand_on(self, sender: int, receiver: int, data: bytes) -> None:
-        transport = self.known[sender].transport
+        transport = self.member_sockets[sender].transport
         if transport is not None and not transport.is_closing():
-            transport.sendto(data, (host(77, receiver), self.port))
+            transport.sendto(data, (loopback_address(77, receiver), self.port))
 
-    def pour(self, receiver: int, data: bytes) -> None:
+    def inject(self, receiver: int, data: bytes) -> None:
         """Straight at a member's own socket, from the address of one that others know."""
-        transport = self.known[(receiver + 1) % self.members].transport
+        transport = self.member_sockets[(receiver + 1) % self.members].transport
         if transport is not None:
-            transport.sendto(data, (host(77, receiver), self.port))
+            transport.sendto(data, (loopback_address(77, receiver), self.port))
 
 
-class _Side(asyncio.Protocol):
-    def __init__(self, pipe: Pipe, other: _Side | None = None) -> None:
+class _RelayedConnection(asyncio.Protocol):
+    def __init__(self, pipe: TcpRelay, other: _RelayedConnection | None = None) -> None:
         self.pipe = pipe
         self.other = other
         self.transport: asyncio.Transport | None = None
@@ -107,7 +107,7 @@
             self.task = self.pipe.loop.create_task(self._reach())
 
     async def _reach(self) -> None:
-        other = _Side(self.pipe, self)
+        other = _RelayedConnection(self.pipe, self)
         self.other = other
         try:
             await self.pipe.loop.create_connection(lambda: other, *self.pipe.to())
@@ -136,18 +136,18 @@
                 self.other.transport.abort()
 
 
-class Pipe:
+class TcpRelay:
     """One address in front of another, for one member's connections to it."""
 
     def __init__(self, to: Callable[[], tuple[str, int]]) -> None:
         self.loop = asyncio.get_running_loop()
         self.to = to
-        self.sides: set[_Side] = set()
+        self.sides: set[_RelayedConnection] = set()
         self.silent = False
         self.server: asyncio.Server | None = None
 
     async def start(self, at: str, port: int) -> str:
-        self.server = await self.loop.create_server(lambda: _Side(self), at, port, backlog=256)
+        self.server = await self.loop.create_server(lambda: _RelayedConnection(self), at, port, backlog=256)
         return f"{at}:{port}"
 
     def stop(self) -> None:
@@ -160,7 +160,7 @@
             if side.transport is not None:
                 side.transport.abort()
 
-    def be_silent(self, on: bool) -> None:
+    def set_silent(self, on: bool) -> None:
         """Connections stay up, and nothing passes; new ones come up to nobody."""
         self.silent = on
         for side in list(self.sides):
--- a/harness/fleet/script.py
+++ b/harness/fleet/fault_script.py
@@ -24,11 +24,11 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
-from harness.fleet.network import Network, Weather
+from harness.fleet.network import LinkFaults, Network
 from service_proxy.operator_file.reader import OperatorError, Problem, Reader, between, key
 
-MOST_FAULTS = 1000
-DEEDS = {
+MAX_FAULTS = 1000
+ACTIONS = {
     "kill": "SIGKILL; `lasts`: starts again after so long",
     "term": "SIGTERM; `lasts`: starts again after so long",
     "stop": "SIGSTOP, and SIGCONT after `lasts`",
@@ -47,13 +47,15 @@
     "silence": "nothing passes on TCP between `who` and its servers",
     "drain": "the list says that the servers `who` (n0, n1, ...) drain; `lasts`: ready again after so long",
 }
-LASTING = frozenset(("loss", "delay", "duplicate", "corrupt", "cut", "partition", "silence", "storm", "stop"))
+LASTING_ACTIONS = frozenset(
+    ("loss", "delay", "duplicate", "corrupt", "cut", "partition", "silence", "storm", "stop")
+)
 WHEN = re.compile(r"settled|([A-Za-z0-9_-]+) is (alive|suspect|dead|left)")
 SPAN = re.compile(r"([A-Za-z_]+)(\d+)-\1(\d+)")
 
 
 def _deed(value: str) -> str | None:
-    return None if value in DEEDS else "must be one of " + ", ".join(DEEDS)
+    return None if value in ACTIONS else "must be one of " + ", ".join(ACTIONS)
 
 
 def _when(value: str) -> str | None:
@@ -61,10 +63,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ScriptedFault:
     """[[fault]]"""
 
-    do: str = key(str, '"kill" (or another of: ' + ", ".join(DEEDS) + ")", check=_deed)
+    do: str = key(str, '"kill" (or another of: ' + ", ".join(ACTIONS) + ")", check=_deed)
     at: float = key(float, "5.0", -1.0, between(0, 3600))
     when: str = key(str, '"p7 is suspect"', "", _when)
     after: float = key(float, "0.5 (s behind `when`)", 0.0, between(0, 600))
@@ -78,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Top:
+class ScriptHeader:
     """What stands before the first [[fault]]."""
 
     members: int = key(int, "12", 12, between(1, 100_000))
@@ -87,12 +89,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Script:
-    top: Top
-    faults: tuple[Fault, ...] = field(default=())
+class FaultScript:
+    header: ScriptHeader
+    faults: tuple[ScriptedFault, ...] = field(default=())
 
 
-def read(text: str, file: str = "script.toml") -> Script:
+def parse_script(text: str, file: str = "script.toml") -> FaultScript:
     """Raises operator.OperatorError with all problems."""
     try:
         raw = tomllib.loads(text)
@@ -100,23 +102,23 @@
         raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {wrong}", "mend this line")]) from None
     reader = Reader(file, text)
     found = raw.pop("fault", [])
-    top = reader.table(Top, raw, ())
+    top = reader.table(ScriptHeader, raw, ())
     faults = []
-    if not isinstance(found, list) or len(found) > MOST_FAULTS:
+    if not isinstance(found, list) or len(found) > MAX_FAULTS:
         reader.wrong(("fault",), "S104", "fault is no list of tables", "write [[fault]] before each")
         found = []
     for number, item in enumerate(found):
         path = ("fault", str(number))
-        fault = reader.table(Fault, item, path)
+        fault = reader.table(ScriptedFault, item, path)
         if fault is not None and top is not None:
             faults.append(fault)
             _check(reader, path, fault, top.members)
     if reader.problems or top is None:
         raise OperatorError(reader.problems)
-    return Script(top, tuple(faults))
+    return FaultScript(top, tuple(faults))
 
 
-def _check(reader: Reader, path: tuple[str, ...], fault: Fault, members: int) -> None:
+def _check(reader: Reader, path: tuple[str, ...], fault: ScriptedFault, members: int) -> None:
     if (fault.at >= 0) == bool(fault.when):
         reader.wrong(path, "S107", "a fault has either `at` or `when`", "write at = 5.0")
     if fault.do == "partition":
@@ -126,18 +128,18 @@
         reader.wrong(path, "S103", f"{fault.do} of whom?", 'write who = ["p3"]')
     if fault.do == "cut" and not fault.to:
         reader.wrong(path, "S103", "a cut is from `who` to whom?", 'write to = ["p4"]')
-    if fault.do in LASTING and not fault.lasts:
+    if fault.do in LASTING_ACTIONS and not fault.lasts:
         reader.wrong(path, "S103", f"{fault.do} for how long?", "write lasts = 5.0")
     if fault.do != "drain":
         for name in ("who", "to", "groups"):
             for item in getattr(fault, name):
                 try:
-                    numbers(item.split(","), members)
+                    member_numbers(item.split(","), members)
                 except ValueError as wrong:
                     reader.wrong((*path, name), "S105", f"{item!r}: {wrong}", 'write "p3" or "p5-p9"')
 
 
-def numbers(names: Iterable[str], members: int) -> list[int]:
+def member_numbers(names: Iterable[str], members: int) -> list[int]:
     """`p3`, `p5-p9` and `all` as numbers of members. Raises ValueError."""
     found: list[int] = []
     for name in names:
@@ -155,7 +157,7 @@
     return found
 
 
-class Ground(Protocol):
+class FaultTarget(Protocol):
     """Where a script is played."""
 
     network: Network
@@ -164,94 +166,96 @@
     def names(self) -> Sequence[str]:
         """Of the members, now."""
 
-    def later(self, wait: float, what: Callable[[], None]) -> None: ...
+    def schedule(self, wait: float, what: Callable[[], None]) -> None: ...
 
     def kill(self, number: int) -> None: ...
 
-    def term(self, number: int) -> None: ...
+    def terminate(self, number: int) -> None: ...
 
     def start(self, number: int, name: str = "") -> None: ...
 
-    def stop(self, number: int) -> None: ...
+    def suspend(self, number: int) -> None: ...
 
-    def go_on(self, number: int) -> None: ...
+    def resume(self, number: int) -> None: ...
 
-    def turn_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None: ...
+    def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None: ...
 
-    def storm(self, number: int, rate: float, lasts: float) -> None: ...
+    def flood(self, number: int, rate: float, lasts: float) -> None: ...
 
-    def reset(self, number: int) -> None: ...
+    def reset_connections(self, number: int) -> None: ...
 
-    def silence(self, number: int, on: bool) -> None: ...
+    def set_silent(self, number: int, on: bool) -> None: ...
 
-    def drain(self, server: str, on: bool) -> None: ...
+    def set_draining(self, server: str, on: bool) -> None: ...
 
 
-class Player:
+class FaultPlayer:
     """Plays a script's faults; who watches the views says what happens in them."""
 
-    def __init__(self, script: Script, ground: Ground, tell: Callable[[str], None] | None = None) -> None:
+    def __init__(
+        self, script: FaultScript, target: FaultTarget, on_line: Callable[[str], None] | None = None
+    ) -> None:
         self.script = script
-        self.ground = ground
-        self.tell = tell or (lambda line: None)
-        self.waiting: list[Fault] = []
+        self.target = target
+        self.on_line = on_line or (lambda line: None)
+        self.waiting_faults: list[ScriptedFault] = []
         self.played = 0
-        self.under_way = 0  # faults that last
+        self.active_faults = 0  # faults that last
 
-    def begin(self) -> None:
+    def start(self) -> None:
         for fault in self.script.faults:
             if fault.when:
-                self.waiting.append(fault)
+                self.waiting_faults.append(fault)
             else:
-                self.ground.later(fault.at, lambda fault=fault: self.play(fault))  # type: ignore[misc]
+                self.target.schedule(fault.at, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
-    def seen(self, event: str) -> None:
+    def on_event(self, event: str) -> None:
         """`p7 is dead`, in anybody's view, or `settled`."""
-        for fault in [fault for fault in self.waiting if fault.when == event]:
-            self.waiting.remove(fault)
-            self.ground.later(fault.after, lambda fault=fault: self.play(fault))  # type: ignore[misc]
+        for fault in [fault for fault in self.waiting_faults if fault.when == event]:
+            self.waiting_faults.remove(fault)
+            self.target.schedule(fault.after, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     @property
-    def over(self) -> bool:
-        return not self.under_way and self.played >= len(self.script.faults)
+    def is_finished(self) -> bool:
+        return not self.active_faults and self.played >= len(self.script.faults)
 
-    def play(self, fault: Fault) -> None:
+    def apply(self, fault: ScriptedFault) -> None:
         self.played += 1
-        ground = self.ground
-        members = self.script.top.members
-        self.tell(f"{fault.do} {' '.join(fault.who or fault.groups)}")
+        target = self.target
+        members = self.script.header.members
+        self.on_line(f"{fault.do} {' '.join(fault.who or fault.groups)}")
         undo: list[Callable[[], None]] = []
         if fault.do == "drain":
             for server in fault.who:
-                ground.drain(server, True)
-                undo.append(lambda server=server: ground.drain(server, False))  # type: ignore[misc]
+                target.set_draining(server, True)
+                undo.append(lambda server=server: target.set_draining(server, False))  # type: ignore[misc]
         elif fault.do == "partition":
-            groups = [frozenset(numbers(group.split(","), members)) for group in fault.groups]
-            ground.network.parts.append(groups)
-            undo.append(lambda: ground.network.parts.remove(groups))
+            groups = [frozenset(member_numbers(group.split(","), members)) for group in fault.groups]
+            target.network.partitions.append(groups)
+            undo.append(lambda: target.network.partitions.remove(groups))
         elif fault.do == "cut":
-            who = numbers(fault.who, members)
-            to = numbers(fault.to, members)
-            ground.network.cut(who, to)
-            undo.append(lambda: ground.network.cut(who, to, -1))
+            who = member_numbers(fault.who, members)
+            to = member_numbers(fault.to, members)
+            target.network.cut(who, to)
+            undo.append(lambda: target.network.cut(who, to, -1))
         elif fault.do in ("loss", "delay", "duplicate", "corrupt"):
-            undo += self._weather(fault, numbers(fault.who, members))
+            undo += self._apply_link_faults(fault, member_numbers(fault.who, members))
         else:
-            for number in numbers(fault.who, members):
-                undo += self._one(fault, number)
+            for number in member_numbers(fault.who, members):
+                undo += self._apply_to_member(fault, number)
         if fault.lasts:
-            self.under_way += 1
-            ground.later(fault.lasts, lambda: self._end(fault, undo))
+            self.active_faults += 1
+            target.schedule(fault.lasts, lambda: self._end(fault, undo))
 
-    def _end(self, fault: Fault, undo: list[Callable[[], None]]) -> None:
-        self.under_way -= 1
-        self.tell(f"end of {fault.do} {' '.join(fault.who or fault.groups)}")
+    def _end(self, fault: ScriptedFault, undo: list[Callable[[], None]]) -> None:
+        self.active_faults -= 1
+        self.on_line(f"end of {fault.do} {' '.join(fault.who or fault.groups)}")
         for step in undo:
             step()
 
-    def _weather(self, fault: Fault, who: list[int]) -> list[Callable[[], None]]:
-        network = self.ground.network
-        members = self.script.top.members
+    def _apply_link_faults(self, fault: ScriptedFault, who: list[int]) -> list[Callable[[], None]]:
+        network = self.target.network
+        members = self.script.header.members
         changes: dict[str, Any]
         if fault.do == "delay":
             changes = {"delay": fault.by, "jitter": fault.share}
@@ -259,10 +263,10 @@
             changes = {fault.do: fault.share}
         clear = {name: 0.0 for name in changes}
         if len(who) == members:
-            network.everywhere = replace(network.everywhere, **changes)
+            network.default_faults = replace(network.default_faults, **changes)
 
             def over() -> None:
-                network.everywhere = replace(network.everywhere, **clear)
+                network.default_faults = replace(network.default_faults, **clear)
 
             return [over]
         links = [
@@ -272,43 +276,43 @@
             if one != other and (one in who or other in who)
         ]
         for link in links:
-            network.weather[link] = replace(network.weather.get(link, Weather()), **changes)
+            network.link_faults[link] = replace(network.link_faults.get(link, LinkFaults()), **changes)
 
         def ended() -> None:
             for link in links:
-                network.weather[link] = replace(network.weather.get(link, Weather()), **clear)
+                network.link_faults[link] = replace(network.link_faults.get(link, LinkFaults()), **clear)
 
         return [ended]
 
-    def _one(self, fault: Fault, number: int) -> list[Callable[[], None]]:
-        ground = self.ground
+    def _apply_to_member(self, fault: ScriptedFault, number: int) -> list[Callable[[], None]]:
+        target = self.target
         if fault.do in ("kill", "term"):
-            (ground.kill if fault.do == "kill" else ground.term)(number)
-            return [lambda: ground.start(number)]
+            (target.kill if fault.do == "kill" else target.terminate)(number)
+            return [lambda: target.start(number)]
         if fault.do == "restart":
-            ground.kill(number)
-            ground.start(number)
+            target.kill(number)
+            target.start(number)
         elif fault.do == "start":
-            ground.start(number)
+            target.start(number)
         elif fault.do == "rename":
-            old = ground.names[number]
-            ground.kill(number)
-            ground.start(number, fault.name)
+            old = target.names[number]
+            target.kill(number)
+            target.start(number, fault.name)
             if fault.lasts:
-                return [lambda: ground.kill(number), lambda: ground.start(number, old)]
+                return [lambda: target.kill(number), lambda: target.start(number, old)]
         elif fault.do == "stop":
-            ground.stop(number)
-            return [lambda: ground.go_on(number)]
+            target.suspend(number)
+            return [lambda: target.resume(number)]
         elif fault.do == "clock":
             if fault.name == "monotonic":
-                ground.turn_clock(number, monotonic=fault.by)
+                target.adjust_clock(number, monotonic=fault.by)
             else:
-                ground.turn_clock(number, wall=fault.by)
+                target.adjust_clock(number, wall=fault.by)
         elif fault.do == "storm":
-            ground.storm(number, fault.share, fault.lasts)
+            target.flood(number, fault.share, fault.lasts)
         elif fault.do == "reset":
-            ground.reset(number)
+            target.reset_connections(number)
         elif fault.do == "silence":
-            ground.silence(number, True)
-            return [lambda: ground.silence(number, False)]
+            target.set_silent(number, True)
+            return [lambda: target.set_silent(number, False)]
         return []
--- a/harness/fleet/network.py
+++ b/harness/fleet/network.py
@@ -13,12 +13,12 @@
 from random import Random
 from typing import TextIO
 
-USUAL = (0.0002, 0.001)  # s of a datagram's way
-DRAWN = 1 << 61  # numbers that a decision is drawn from
+BASE_DELAY_RANGE_S = (0.0002, 0.001)  # s of a datagram's way
+DRAW_MODULUS = 1 << 61  # numbers that a decision is drawn from
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
+class LinkFaults:
     """What is wrong with a link; shares are of its datagrams."""
 
     loss: float = 0.0
@@ -31,24 +31,30 @@
         return any((self.loss, self.delay, self.jitter, self.duplicate, self.corrupt))
 
 
-CLEAR = Weather()
+NO_FAULTS = LinkFaults()
 Link = tuple[int, int]
-Fate = list[tuple[float, int]]  # of a datagram: each copy's delay in s, and its bit that is turned or -1
+DeliveryPlan = list[
+    tuple[float, int]
+]  # of a datagram: each copy's delay in s, and its bit that is turned or -1
 
 
 @dataclass
 class Network:
     seed: int
-    usual: tuple[float, float] = USUAL
-    weather: dict[Link, Weather] = field(default_factory=dict)
-    everywhere: Weather = CLEAR
+    base_delay_range: tuple[float, float] = BASE_DELAY_RANGE_S
+    link_faults: dict[Link, LinkFaults] = field(default_factory=dict)
+    default_faults: LinkFaults = NO_FAULTS
     cuts: dict[Link, int] = field(default_factory=dict)  # one way, and how many faults hold it
-    parts: list[list[frozenset[int]]] = field(default_factory=list)  # groups that can't reach one another
+    partitions: list[list[frozenset[int]]] = field(
+        default_factory=list
+    )  # groups that can't reach one another
     counts: dict[Link, int] = field(default_factory=dict)
     lost: int = 0
-    seen: Callable[[bytes], None] | None = None  # is shown each datagram
+    on_datagram: Callable[[bytes], None] | None = None  # is shown each datagram
     transcript: TextIO | None = None  # a line for each decision
-    replayed: dict[tuple[int, int, int], Fate] = field(default_factory=dict)  # by link and number
+    recorded_plans: dict[tuple[int, int, int], DeliveryPlan] = field(
+        default_factory=dict
+    )  # by link and number
 
     def cut(self, senders: Iterable[int], receivers: Iterable[int], by: int = 1) -> None:
         """-1 mends it."""
@@ -56,65 +62,71 @@
         for sender in senders:
             for receiver in receivers:
                 if sender != receiver:
-                    held = self.cuts.get((sender, receiver), 0) + by
-                    if held > 0:
-                        self.cuts[sender, receiver] = held
+                    count = self.cuts.get((sender, receiver), 0) + by
+                    if count > 0:
+                        self.cuts[sender, receiver] = count
                     else:
                         self.cuts.pop((sender, receiver), None)
 
-    def open(self, sender: int, receiver: int) -> bool:
+    def is_open(self, sender: int, receiver: int) -> bool:
         if (sender, receiver) in self.cuts:
             return False
-        return all(any(sender in group and receiver in group for group in groups) for groups in self.parts)
+        return all(
+            any(sender in group and receiver in group for group in groups) for groups in self.partitions
+        )
 
     def carry(self, sender: int, receiver: int, data: bytes, now: float) -> list[tuple[float, bytes]]:
         """The copies of it that arrive, each after so long; none: it is lost."""
-        if self.seen is not None:
-            self.seen(data)
+        if self.on_datagram is not None:
+            self.on_datagram(data)
         link = sender, receiver
         number = self.counts[link] = self.counts.get(link, 0) + 1
-        fate = self.replayed.get((sender, receiver, number))
-        if fate is None:
-            fate = self._decide(sender, receiver, number, len(data))
-        if not fate:
+        plan = self.recorded_plans.get((sender, receiver, number))
+        if plan is None:
+            plan = self._plan_delivery(sender, receiver, number, len(data))
+        if not plan:
             self.lost += 1
         if self.transcript is not None:
-            line = [round(now, 4), sender, receiver, number, len(data), fate]
+            line = [round(now, 4), sender, receiver, number, len(data), plan]
             self.transcript.write(json.dumps(line) + "\n")
-        return [(wait, data if place < 0 else turned(data, place)) for wait, place in fate]
+        return [(wait, data if place < 0 else flip_bit(data, place)) for wait, place in plan]
 
-    def _decide(self, sender: int, receiver: int, number: int, size: int) -> Fate:
-        if not self.open(sender, receiver):
+    def _plan_delivery(self, sender: int, receiver: int, number: int, size: int) -> DeliveryPlan:
+        if not self.is_open(sender, receiver):
             return []
-        weather = self.weather.get((sender, receiver)) or self.everywhere
-        drawn = hash((self.seed, sender, receiver, number)) % DRAWN  # of whole numbers: the same everywhere
-        least, most = self.usual
-        usual = least + (most - least) * drawn / DRAWN
-        if not weather:
-            return [(usual, -1)]
+        faults = self.link_faults.get((sender, receiver)) or self.default_faults
+        drawn = (
+            hash((self.seed, sender, receiver, number)) % DRAW_MODULUS
+        )  # of whole numbers: the same everywhere
+        minimum, maximum = self.base_delay_range
+        base_delay = minimum + (maximum - minimum) * drawn / DRAW_MODULUS
+        if not faults:
+            return [(base_delay, -1)]
         random = Random(drawn)
-        if random.random() < weather.loss:
+        if random.random() < faults.loss:
             return []
-        fate = []
-        for _ in range(2 if random.random() < weather.duplicate else 1):
-            wait = usual + weather.delay + random.uniform(0, weather.jitter)
-            spoilt = random.random() < weather.corrupt
-            fate.append((wait, random.randrange(size * 8) if spoilt else -1))
-        return fate
-
-    def replay(self, file: Path) -> None:
+        plan = []
+        for _ in range(2 if random.random() < faults.duplicate else 1):
+            wait = base_delay + faults.delay + random.uniform(0, faults.jitter)
+            spoilt = random.random() < faults.corrupt
+            plan.append((wait, random.randrange(size * 8) if spoilt else -1))
+        return plan
+
+    def load_recording(self, file: Path) -> None:
         """Decides as a transcript says, datagram by datagram, and by itself beyond its end. Raises ValueError
         with file and line."""
         for place, line in enumerate(file.read_text(encoding="utf-8").splitlines(), 1):
             try:
-                _, sender, receiver, number, _, fate = json.loads(line)
-                self.replayed[sender, receiver, number] = [(float(wait), int(bit)) for wait, bit in fate]
+                _, sender, receiver, number, _, plan = json.loads(line)
+                self.recorded_plans[sender, receiver, number] = [
+                    (float(wait), int(bit)) for wait, bit in plan
+                ]
             except (ValueError, TypeError) as fault:
                 text = f"{file}:{place}: no decision: {fault}; record the run again"
                 raise ValueError(text) from None
 
 
-def turned(data: bytes, place: int) -> bytes:
+def flip_bit(data: bytes, bit: int) -> bytes:
     """With one bit turned."""
-    at = place // 8 % len(data)
-    return data[:at] + bytes((data[at] ^ 1 << place % 8,)) + data[at + 1 :]
+    at = bit // 8 % len(data)
+    return data[:at] + bytes((data[at] ^ 1 << bit % 8,)) + data[at + 1 :]
--- a/harness/fleet/model.py
+++ b/harness/fleet/state_model.py
@@ -14,18 +14,25 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from service_proxy.fleet.entries import Claim, Incarnation
-from service_proxy.fleet.states import LIVING, TABLE, Happening, State, Step, happening
-
-MOST_MESSAGES = 2  # under way at a time, of which each may come again and again
-MOST_BEAT = 1
-MOST_RUN = 3
+from service_proxy.fleet.member_states import (
+    LIVE_STATES,
+    TRANSITIONS,
+    ClaimEvent,
+    MemberState,
+    MergeAction,
+    classify_claim,
+)
+from service_proxy.fleet.members import Claim, Incarnation
+
+MAX_MESSAGES = 2  # under way at a time, of which each may come again and again
+MAX_MODEL_VERSION = 1
+MAX_MODEL_GENERATION = 3
 A = 0
 B = 1
 SUBJECT = 2
 FIRST = Incarnation(2, 1, 0)
 SECOND = Incarnation(1, 2, 0)  # after a restart: its clock went back
-TableOf = Mapping[tuple[State, Happening], tuple[State, Step]]
+TableOf = Mapping[tuple[MemberState, ClaimEvent], tuple[MemberState, MergeAction]]
 
 
 class Message(NamedTuple):
@@ -34,19 +41,19 @@
     claim: Claim
 
 
-class Held(NamedTuple):
-    state: State
+class KnownState(NamedTuple):
+    state: MemberState
     incarnation: Incarnation | None
 
 
-class World(NamedTuple):
+class ModelState(NamedTuple):
     up: bool
     left: bool
     mine: Incarnation  # the subject's own
     most: Incarnation  # that it ever claimed
     joined: bool  # a second process claims nothing before it has asked
     restarts: int
-    views: tuple[Held, Held]
+    views: tuple[KnownState, KnownState]
     messages: tuple[Message, ...]  # sorted
 
 
@@ -60,90 +67,94 @@
     newest: bool = True  # older claims are told from newer ones
 
 
-RIGHT = Rules(TABLE)
+CORRECT_RULES = Rules(TRANSITIONS)
 
 
-def _with(key: tuple[State, Happening], value: tuple[State, Step]) -> TableOf:
-    return {**TABLE, key: value}
+def _with(key: tuple[MemberState, ClaimEvent], value: tuple[MemberState, MergeAction]) -> TableOf:
+    return {**TRANSITIONS, key: value}
 
 
 MUTATIONS: dict[str, Rules] = {
-    "a suspicion is heard and not denied": Rules(TABLE, denies=False),
+    "a suspicion is heard and not denied": Rules(TRANSITIONS, denies=False),
     "the dead come back with the incarnation they died in": Rules(
-        _with((State.DEAD, Happening.ALIVE_SAME), (State.ALIVE, Step.TAKE))
+        _with((MemberState.DEAD, ClaimEvent.ALIVE_SAME), (MemberState.ALIVE, MergeAction.ACCEPT))
     ),
-    "a restart keeps its own run although an earlier one is known": Rules(TABLE, outranks=False),
-    "the last claim heard holds, whatever it is about": Rules(TABLE, newest=False),
+    "a restart keeps its own run although an earlier one is known": Rules(TRANSITIONS, outranks=False),
+    "the last claim heard holds, whatever it is about": Rules(TRANSITIONS, newest=False),
     "who left is suspected like anybody": Rules(
-        _with((State.LEFT, Happening.SUSPECT_SAME), (State.SUSPECT, Step.SUSPICION))
+        _with((MemberState.LEFT, ClaimEvent.SUSPECT_SAME), (MemberState.SUSPECT, MergeAction.START_SUSPICION))
     ),
     "a suspicion is taken back by what it doubts": Rules(
-        _with((State.SUSPECT, Happening.ALIVE_SAME), (State.ALIVE, Step.TAKE))
+        _with((MemberState.SUSPECT, ClaimEvent.ALIVE_SAME), (MemberState.ALIVE, MergeAction.ACCEPT))
     ),
 }
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """The message says what does not hold."""
 
 
-def hear(rules: Rules, held: Held, incarnation: Incarnation, claim: Claim) -> Held:
-    what = happening(held.incarnation, (incarnation, claim))
-    if not rules.newest and what is Happening.OLDER:
+def merge_claim(rules: Rules, held: KnownState, incarnation: Incarnation, claim: Claim) -> KnownState:
+    what = classify_claim(held.incarnation, (incarnation, claim))
+    if not rules.newest and what is ClaimEvent.OLDER:
         what = {
-            Claim.ALIVE: Happening.ALIVE_NEWER,
-            Claim.SUSPECT: Happening.SUSPECT_NEWER,
-            Claim.LEFT: Happening.LEFT_NEWER,
+            Claim.ALIVE: ClaimEvent.ALIVE_NEWER,
+            Claim.SUSPECT: ClaimEvent.SUSPECT_NEWER,
+            Claim.LEFT: ClaimEvent.LEFT_NEWER,
         }[claim]
     after, step = rules.table[held.state, what]
-    if step in (Step.NOTHING, Step.CORRECT, Step.CONFIRM):
-        return Held(after, held.incarnation)
-    return Held(after, incarnation)
+    if step in (MergeAction.NOTHING, MergeAction.SEND_CORRECTION, MergeAction.CONFIRM_SUSPICION):
+        return KnownState(after, held.incarnation)
+    return KnownState(after, incarnation)
 
 
-def told(held: Held) -> Claim | None:
+def told(held: KnownState) -> Claim | None:
     """As what it travels: the dead as a suspicion."""
-    if held.state is State.UNKNOWN:
+    if held.state is MemberState.UNKNOWN:
         return None
-    if held.state is State.ALIVE:
+    if held.state is MemberState.ALIVE:
         return Claim.ALIVE
-    return Claim.LEFT if held.state is State.LEFT else Claim.SUSPECT
+    return Claim.LEFT if held.state is MemberState.LEFT else Claim.SUSPECT
 
 
 def hears_of_itself(
-    rules: Rules, world: World, incarnation: Incarnation, claim: Claim, bounded: bool = True
-) -> World:
+    rules: Rules, world: ModelState, incarnation: Incarnation, claim: Claim, bounded: bool = True
+) -> ModelState:
     mine = world.mine
     if incarnation.process == mine.process:
         if claim is Claim.ALIVE or incarnation < mine or not rules.denies:
             return world
-        if bounded and mine.beat >= MOST_BEAT:
+        if bounded and mine.version >= MAX_MODEL_VERSION:
             return world  # beyond the bound of this check
-        mine = max(mine, incarnation).next()
+        mine = max(mine, incarnation).incremented()
         return world._replace(mine=mine, most=max(world.most, mine))
-    if incarnation > mine and rules.outranks and not (bounded and incarnation.run >= MOST_RUN):
-        mine = Incarnation(incarnation.run + 1, mine.life, 0)
+    if (
+        incarnation > mine
+        and rules.outranks
+        and not (bounded and incarnation.generation >= MAX_MODEL_GENERATION)
+    ):
+        mine = Incarnation(incarnation.generation + 1, mine.nonce, 0)
         return world._replace(mine=mine, most=max(world.most, mine))
     return world
 
 
-def deliver(rules: Rules, world: World, message: Message, bounded: bool = True) -> World:
+def deliver(rules: Rules, world: ModelState, message: Message, bounded: bool = True) -> ModelState:
     if message.to == SUBJECT:
         if not world.up or world.left:
             return world
         return hears_of_itself(rules, world, message.incarnation, message.claim, bounded)
     views = list(world.views)
-    views[message.to] = hear(rules, views[message.to], message.incarnation, message.claim)
+    views[message.to] = merge_claim(rules, views[message.to], message.incarnation, message.claim)
     return world._replace(views=(views[0], views[1]))
 
 
-def sent(world: World, message: Message) -> World:
+def sent(world: ModelState, message: Message) -> ModelState:
     return world._replace(messages=tuple(sorted((*world.messages, message))))
 
 
-def steps(rules: Rules, world: World) -> Iterator[tuple[str, World]]:
+def steps(rules: Rules, world: ModelState) -> Iterator[tuple[str, ModelState]]:
     """All that may happen next."""
-    room = len(world.messages) < MOST_MESSAGES
+    room = len(world.messages) < MAX_MESSAGES
     if world.up and world.joined and room:
         claim = Claim.LEFT if world.left else Claim.ALIVE
         for to in (A, B):
@@ -159,8 +170,8 @@
             most = max(asked.most, asked.mine)
             yield "it joins", asked._replace(joined=True, most=most)
             yield "it joins alone", world._replace(joined=True, most=max(world.most, world.mine))
-        elif world.mine.beat < MOST_BEAT:
-            renewed = world.mine.next()
+        elif world.mine.version < MAX_MODEL_VERSION:
+            renewed = world.mine.incremented()
             yield "it says something new", world._replace(mine=renewed, most=max(world.most, renewed))
         if world.joined:
             yield "it leaves", world._replace(left=True)
@@ -171,11 +182,13 @@
     for who in (A, B):
         held = world.views[who]
         views = list(world.views)
-        if held.state is State.ALIVE and held.incarnation is not None:
-            views[who] = hear(rules, held, held.incarnation, Claim.SUSPECT)
+        if held.state is MemberState.ALIVE and held.incarnation is not None:
+            views[who] = merge_claim(rules, held, held.incarnation, Claim.SUSPECT)
             yield "it is suspected", world._replace(views=(views[0], views[1]))
-        if held.state is State.SUSPECT:
-            views[who] = Held(rules.table[held.state, Happening.SUSPICION_OVER][0], held.incarnation)
+        if held.state is MemberState.SUSPECT:
+            views[who] = KnownState(
+                rules.table[held.state, ClaimEvent.SUSPICION_EXPIRED][0], held.incarnation
+            )
             yield "a suspicion runs out", world._replace(views=(views[0], views[1]))
         claim_of = told(held)
         if claim_of is not None and held.incarnation is not None and room:
@@ -188,28 +201,36 @@
         yield "delivered, and comes again", deliver(rules, world, message)
 
 
-def check_step(before: World, what: str, after: World) -> None:
+def check_step(before: ModelState, what: str, after: ModelState) -> None:
     for old, new in zip(before.views, after.views, strict=True):
         if old.incarnation is None or new.incarnation is None:
             continue
         if new.incarnation < old.incarnation:
-            raise Broken(f"{what}: a view goes back from {old.incarnation} to {new.incarnation}")
-        if old.state is State.DEAD and new.state in LIVING and new.incarnation <= old.incarnation:
-            raise Broken(f"{what}: {old.incarnation} was dead in a view, and lives in it again")
-        if old.state is State.LEFT and new.state is not State.LEFT and new.incarnation <= old.incarnation:
-            raise Broken(f"{what}: {old.incarnation} had left, and is {new.state.value}")
-        doubt = old.state is State.SUSPECT and new.state is State.ALIVE
+            raise InvariantViolationError(
+                f"{what}: a view goes back from {old.incarnation} to {new.incarnation}"
+            )
+        if old.state is MemberState.DEAD and new.state in LIVE_STATES and new.incarnation <= old.incarnation:
+            raise InvariantViolationError(
+                f"{what}: {old.incarnation} was dead in a view, and lives in it again"
+            )
+        if (
+            old.state is MemberState.LEFT
+            and new.state is not MemberState.LEFT
+            and new.incarnation <= old.incarnation
+        ):
+            raise InvariantViolationError(f"{what}: {old.incarnation} had left, and is {new.state.value}")
+        doubt = old.state is MemberState.SUSPECT and new.state is MemberState.ALIVE
         if doubt and new.incarnation <= old.incarnation:
-            raise Broken(f"{what}: a suspicion of {old.incarnation} ended without a denial")
+            raise InvariantViolationError(f"{what}: a suspicion of {old.incarnation} ended without a denial")
 
 
-def check_state(world: World) -> None:
+def check_state(world: ModelState) -> None:
     for held in world.views:
         if held.incarnation is not None and held.incarnation > world.most:
-            raise Broken(f"a view holds {held.incarnation}, which nobody has claimed")
+            raise InvariantViolationError(f"a view holds {held.incarnation}, which nobody has claimed")
 
 
-def settled(rules: Rules, world: World) -> World:
+def settled(rules: Rules, world: ModelState) -> ModelState:
     """What comes of it when nothing goes wrong any more and all talk to all, the subject while it is up.
     Suspicions run out where it is down."""
     world = world._replace(messages=())
@@ -230,10 +251,10 @@
                 world = deliver(rules, world, Message(to, held.incarnation, claim_of), False)
         if not world.up or world.left:  # it answers no probe
             views = tuple(
-                Held(rules.table[held.state, Happening.SUSPICION_OVER][0], held.incarnation)
-                if held.state is State.SUSPECT
-                else Held(State.SUSPECT, held.incarnation)
-                if held.state is State.ALIVE
+                KnownState(rules.table[held.state, ClaimEvent.SUSPICION_EXPIRED][0], held.incarnation)
+                if held.state is MemberState.SUSPECT
+                else KnownState(MemberState.SUSPECT, held.incarnation)
+                if held.state is MemberState.ALIVE
                 else held
                 for held in world.views
             )
@@ -243,26 +264,30 @@
     return world
 
 
-def check_end(world: World, end: World) -> None:
+def check_end(world: ModelState, end: ModelState) -> None:
     one, other = end.views
-    if (one.state in LIVING) != (other.state in LIVING):
-        raise Broken(f"it lives in one view and not in the other, for good: {one}, {other}")
+    if (one.state in LIVE_STATES) != (other.state in LIVE_STATES):
+        raise InvariantViolationError(f"it lives in one view and not in the other, for good: {one}, {other}")
     if end.up and not end.left:
         for held in end.views:
-            if held.state is not State.ALIVE or held.incarnation != end.mine:
-                raise Broken(f"it lives as {end.mine}, and a view has {held} for good")
+            if held.state is not MemberState.ALIVE or held.incarnation != end.mine:
+                raise InvariantViolationError(f"it lives as {end.mine}, and a view has {held} for good")
     if not end.up or end.left:
         for held in end.views:
-            if held.state in LIVING:
-                raise Broken(f"it is gone, and lives in a view for good: {held}")
+            if held.state in LIVE_STATES:
+                raise InvariantViolationError(f"it is gone, and lives in a view for good: {held}")
 
 
-def explore(rules: Rules = RIGHT, most: int = 5_000_000, tell: Callable[[int], None] | None = None) -> int:
+def explore(
+    rules: Rules = CORRECT_RULES, most: int = 5_000_000, tell: Callable[[int], None] | None = None
+) -> int:
     """The number of states. Raises Broken with what does not hold and the events that led there."""
-    known = Held(State.ALIVE, FIRST)
-    start = World(True, False, FIRST, FIRST, True, 0, (known, known), ())
-    unknown = start._replace(views=(Held(State.UNKNOWN, None), Held(State.UNKNOWN, None)))
-    came: dict[World, tuple[World, str] | None] = {start: None, unknown: None}
+    known = KnownState(MemberState.ALIVE, FIRST)
+    start = ModelState(True, False, FIRST, FIRST, True, 0, (known, known), ())
+    unknown = start._replace(
+        views=(KnownState(MemberState.UNKNOWN, None), KnownState(MemberState.UNKNOWN, None))
+    )
+    came: dict[ModelState, tuple[ModelState, str] | None] = {start: None, unknown: None}
     queue = deque((start, unknown))
     while queue:
         world = queue.popleft()
@@ -276,14 +301,14 @@
                     if len(came) > most:
                         raise RuntimeError(f"over {most} states")
                     queue.append(after)
-        except Broken as fault:
-            raise Broken(f"{fault}; after: {'; '.join(_way(came, world))}") from None
+        except InvariantViolationError as fault:
+            raise InvariantViolationError(f"{fault}; after: {'; '.join(_way(came, world))}") from None
         if tell is not None and len(came) % 100_000 < 8:
             tell(len(came))
     return len(came)
 
 
-def _way(came: Mapping[World, tuple[World, str] | None], world: World) -> list[str]:
+def _way(came: Mapping[ModelState, tuple[ModelState, str] | None], world: ModelState) -> list[str]:
     found: list[str] = []
     step = came[world]
     while step is not None:
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -25,7 +25,7 @@
     from service_proxy.admin.service import AdminService
     from service_proxy.deadlines.calls import Budgets
     from service_proxy.ephemeral_nodes.register import Registrar
-    from service_proxy.fleet.transport import Fleet
+    from service_proxy.fleet.service import FleetService
     from service_proxy.net.endpoint_sources import Subsystem
     from service_proxy.net.request_filters import RequestFilter
     from service_proxy.operator_file import Budgets as BudgetSettings
@@ -255,7 +255,7 @@
 
 def create_fleet(
     settings: FleetSettings, config: ProxyConfig, driver: RequestDispatcher, keys: Sequence[bytes]
-) -> Fleet | None:
+) -> FleetService | None:
     """Return the fleet's member, or None where the platform allows no messages between proxies.
 
     There nothing of the package is imported.
@@ -267,10 +267,10 @@
         )
         return None
     from service_proxy.clock import Clock
-    from service_proxy.fleet.transport import Fleet
+    from service_proxy.fleet.service import FleetService
 
     _log_at_info("service_proxy.fleet")
-    return Fleet(settings, config, driver, Clock(), keys)
+    return FleetService(settings, config, driver, Clock(), keys)
 
 
 def read_fleet_keys(operator: Operator) -> list[bytes]:
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -16,10 +16,16 @@
 import sys
 import time
 
-from service_proxy.fleet.entries import first_run
-from service_proxy.fleet.guard import Seals
-from service_proxy.fleet.pages import Page, Row, question, read_page, remarks
-from service_proxy.fleet.wire import MOST_DATAGRAM, Malformed
+from service_proxy.fleet.authentication import MessageAuthenticator
+from service_proxy.fleet.members import initial_generation
+from service_proxy.fleet.view_query import (
+    ViewPage,
+    ViewRow,
+    decode_view_page,
+    diagnose_view,
+    encode_view_request,
+)
+from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES, MalformedDatagramError
 from service_proxy.operator_file import OperatorError
 from service_proxy.operator_file.schema import address_fault
 
@@ -37,29 +43,29 @@
 class Asker:
     """One socket, and the numbers of its questions."""
 
-    def __init__(self, at: tuple[str, int], seals: Seals) -> None:
+    def __init__(self, at: tuple[str, int], seals: MessageAuthenticator) -> None:
         self.at = at
         self.seals = seals
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.connect(at)
-        self.run, self.life = first_run(time.time()), 1 + secrets.randbelow(65535)
+        self.run, self.life = initial_generation(time.time()), 1 + secrets.randbelow(65535)
         self.number = 0
 
-    def page(self, first: int) -> Page:
+    def page(self, first: int) -> ViewPage:
         """Raises NoAnswer."""
         instead = "nothing came"
         for _ in range(TRIES):
             self.number += 1
             due = time.monotonic() + PATIENCE
             try:
-                self.socket.send(question(first, self.number, self.run, self.life, self.seals))
+                self.socket.send(encode_view_request(first, self.number, self.run, self.life, self.seals))
                 while (left := due - time.monotonic()) > 0:
                     self.socket.settimeout(left)
                     try:
-                        page = read_page(self.socket.recv(MOST_DATAGRAM), self.seals)
-                        if page.number == self.number & 0xFFFF:
+                        page = decode_view_page(self.socket.recv(MAX_DATAGRAM_BYTES), self.seals)
+                        if page.request_id == self.number & 0xFFFF:
                             return page
-                    except Malformed as fault:
+                    except MalformedDatagramError as fault:
                         instead = f"what came is of no use: {fault}"
             except TimeoutError:
                 continue
@@ -68,39 +74,39 @@
                 time.sleep(max(0.0, due - time.monotonic()))
         raise NoAnswer(f"{self.at[0]}:{self.at[1]} did not answer: {instead}")
 
-    def view(self) -> tuple[Page, list[Row]]:
+    def view(self) -> tuple[ViewPage, list[ViewRow]]:
         """All of it; a view that changes meanwhile may lack a row, and is then not told as settled."""
         page = self.page(0)
-        rows = list(page.members)
-        while len(rows) < page.rows:
+        rows = list(page.rows)
+        while len(rows) < page.row_count:
             more = self.page(len(rows))
-            if not more.members:
+            if not more.rows:
                 break
-            rows += more.members
+            rows += more.rows
             page = more
         return page, rows
 
 
-def table(page: Page, rows: list[Row]) -> list[str]:
+def table(page: ViewPage, rows: list[ViewRow]) -> list[str]:
     said = "settled" if page.settled else "not settled"
     lines = [
-        f"fleet {page.fleet}: {page.living} live, {page.dead} dead, {page.left} left; {said}, "
-        f"change {page.changes}, view {page.digest:016x}",
+        f"fleet {page.fleet}: {page.alive_count} live, {page.dead_count} dead, {page.left_count} left; "
+        f"{said}, change {page.revision}, view {page.digest:016x}",
         f"{'name':<20}{'state':<9}{'phase':<10}{'tier':<12}{'zone':<8}{'address':<22}{'in flight':<10}"
         f"{'list':<9}{'heard':<8}incarnation",
     ]
     for row in sorted(rows, key=lambda row: (row.tier, row.name)):
-        heard = "-" if row.heard is None else f"{row.heard:.1f} s"
-        flying = "-" if row.tenths is None else f"{row.tenths}/10"
+        heard = "-" if row.last_contact_age_s is None else f"{row.last_contact_age_s:.1f} s"
+        flying = "-" if row.in_flight_tenths is None else f"{row.in_flight_tenths}/10"
         listed = str(row.list_version) if row.list_version else "-"
         lines.append(
             f"{row.name:<20}{row.state.value:<9}{row.phase.name.lower():<10}{row.tier:<12}{row.zone:<8}"
             f"{row.address:<22}{flying:<10}{listed:<9}{heard:<8}{row.incarnation}"
         )
-    return lines + remarks(page, rows)
+    return lines + diagnose_view(page, rows)
 
 
-def as_json(page: Page, rows: list[Row]) -> str:
+def as_json(page: ViewPage, rows: list[ViewRow]) -> str:
     members = [
         {
             "name": row.name,
@@ -110,39 +116,39 @@
             "zone": row.zone,
             "address": row.address,
             "incarnation": str(row.incarnation),
-            "reached": row.way or "directly",
-            "in_flight_tenths": row.tenths,
+            "reached": row.path or "directly",
+            "in_flight_tenths": row.in_flight_tenths,
             "list_version": row.list_version,
-            "heard_s_ago": row.heard,
+            "heard_s_ago": row.last_contact_age_s,
         }
         for row in rows
     ]
     whole = {
         "fleet": page.fleet,
         "settled": page.settled,
-        "minority": page.minority,
-        "conflict": page.conflict,
-        "alone": page.alone,
-        "living": page.living,
-        "dead": page.dead,
-        "left": page.left,
-        "changes": page.changes,
-        "instances": page.instances,
+        "minority": page.is_minority,
+        "conflict": page.in_conflict,
+        "alone": page.isolated,
+        "living": page.alive_count,
+        "dead": page.dead_count,
+        "left": page.left_count,
+        "changes": page.revision,
+        "instances": page.serving_count,
         "view": f"{page.digest:016x}",
         "members": members,
-        "remarks": remarks(page, rows),
+        "remarks": diagnose_view(page, rows),
     }
     return json.dumps(whole, indent=1)
 
 
-def seals_of(file: str | None) -> Seals:
+def seals_of(file: str | None) -> MessageAuthenticator:
     """Raises OperatorError."""
     if file is None:
-        return Seals()
+        return MessageAuthenticator()
     from service_proxy.composition import read_fleet_keys
     from service_proxy.operator_file import load
 
-    return Seals(read_fleet_keys(load(file)))
+    return MessageAuthenticator(read_fleet_keys(load(file)))
 
 
 def main(argv: list[str] | None = None) -> int:
--- /dev/null
+++ b/service_proxy/fleet/failure_detector.py
@@ -0,0 +1,250 @@
+"""Probes, directly and through others, and suspicions until their end. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from service_proxy.fleet import digest_tree, wire
+from service_proxy.fleet.anti_entropy import AntiEntropy
+from service_proxy.fleet.member_base import (
+    INDIRECT_PING_BYTES,
+    MAX_RELAYED_PROBES,
+    MAX_TRACKED_PATHS,
+    PATH_DESCRIPTIONS,
+    PATH_REPORT_THRESHOLD,
+    PathStatus,
+    Probe,
+    RelayedProbe,
+    Timer,
+)
+from service_proxy.fleet.member_states import LIVE_STATES, MemberState, MergeAction
+from service_proxy.fleet.members import (
+    Address,
+    Claim,
+    MemberKey,
+)
+from service_proxy.fleet.name_ownership import MembershipStatus
+from service_proxy.fleet.timing import (
+    INDIRECT_PING_AT,
+    INDIRECT_PROBES,
+    NACK_AFTER,
+    PING_RETRY_AT,
+    PROBE_TIMEOUT,
+)
+from service_proxy.fleet.wire import Datagram, DatagramWriter, MemberUpdate, MessageType, Section, update_of
+
+PROBE_TIMERS = frozenset(("again", "ask", "verdict"))  # timers that an answer makes void
+
+
+class FailureDetector(AntiEntropy):
+    def _timer_handlers(self) -> dict[str, Callable[[int, bytes], None]]:
+        return {
+            **super()._timer_handlers(),
+            "probe": self._on_probe_timer,
+            "again": self._on_ping_retry_timer,
+            "ask": self._on_indirect_ping_timer,
+            "verdict": self._on_probe_timeout,
+            "relay": self._on_relay_timeout,
+            "suspicion": self._on_suspicion_timer,
+        }
+
+    def _is_timer_void(self, timer: Timer) -> bool:
+        return timer[2] in PROBE_TIMERS and timer[3] not in self.probes
+
+    def _add_to_probe_ring(self, key: MemberKey) -> None:
+        if key in self.table.entries and key not in self.probe_ring:
+            self.probe_ring.insert(self.random.randint(0, len(self.probe_ring)), key)
+
+    def _next_probe_target(self) -> MemberKey | None:
+        for _ in range(2):
+            while self.probe_ring:
+                key = self.probe_ring.pop()
+                if key != self.key and key in self.table.entries:
+                    return key
+            self.probe_ring = [key for key in self.table.sorted_keys if key != self.key]
+            self.random.shuffle(self.probe_ring)
+        return None
+
+    def _on_probe_timer(self, number: int, key: bytes) -> None:
+        self._set_timer(self.timing.period, "probe", number)
+        if self.status is not MembershipStatus.MEMBER:
+            return
+        target = self.table.successor(self.key) if number else self._next_probe_target()
+        if target is not None:
+            self._start_probe(target)
+
+    def _start_probe(self, target: MemberKey) -> None:
+        entry = self.table.entries[target]
+        number = self._next_request_id()
+        self.probes[number] = Probe(target, entry.incarnation.process)
+        self._send_ping(number)
+        span = self.timing.period * (1 + self.local_health)
+        self._set_timer(PING_RETRY_AT * span, "again", number)
+        self._set_timer(INDIRECT_PING_AT * span, "ask", number)
+        self._set_timer(PROBE_TIMEOUT * span, "verdict", number)
+
+    def _send_ping(self, number: int) -> None:
+        probe = self.probes[number]
+        entry = self.table.entries.get(probe.target)
+        if entry is None:
+            return
+        writer = DatagramWriter().add_probe_id(number)
+        if probe.target in self.table.suspicions:  # the suspect hears of it first (Lifeguard, 4.3: buddy)
+            writer.add_update(digest_tree.current_update(self.table, probe.target, self.key))
+        self.dissemination.piggyback(writer)
+        self._send_datagram(entry.record.address, MessageType.PING, writer)
+
+    def _on_ping_retry_timer(self, number: int, key: bytes) -> None:
+        if number in self.probes:
+            self._send_ping(number)
+
+    def _on_indirect_ping_timer(self, number: int, key: bytes) -> None:
+        probe = self.probes.get(number)
+        entry = self.table.entries.get(probe.target) if probe is not None else None
+        if probe is None or entry is None:
+            return
+        helpers = self._random_members(INDIRECT_PROBES, (probe.target,))
+        probe.helpers = frozenset(helpers)
+        for helper in helpers:
+            writer = DatagramWriter().add_probe_id(number)
+            writer.add_section(Section.TARGET, probe.target + wire.pack_address(entry.record.address))
+            self._pad_datagram(writer, INDIRECT_PING_BYTES)
+            self._send_datagram(self.table.entries[helper].record.address, MessageType.INDIRECT_PING, writer)
+
+    def _on_probe_timeout(self, number: int, key: bytes) -> None:
+        probe = self.probes.pop(number, None)
+        if probe is None:
+            return
+        entry = self.table.entries.get(probe.target)
+        if entry is None or entry.incarnation.process != probe.process:
+            return
+        missing = max(0, len(probe.helpers) - probe.nacks)
+        # Helpers that say nothing, either: the fault may be here (Lifeguard, 4.1).
+        self._adjust_local_health(1 if missing or not probe.helpers else 0)
+        update = MemberUpdate(
+            probe.target, entry.incarnation, Claim.SUSPECT, entry.phase, entry.metadata, self.key
+        )
+        action = self.table.merge_update(self.now, update, self.key, f"does not answer {self.record.name}")
+        if action in (MergeAction.START_SUSPICION, MergeAction.CONFIRM_SUSPICION):
+            self._disseminate(update)
+            self._schedule_suspicion(probe.target)
+
+    def _answer_ping(self, message: Datagram, source: Address) -> None:
+        writer = self._start_reply(message)
+        origin = message.first_value(Section.ORIGIN)
+        if origin is not None:
+            writer.add_section(Section.HEARS_ORIGIN, b"\x01" if self._heard_recently(origin[:6]) else b"\x00")
+            asker = self.table.entries.get(origin[:6])
+            if asker is not None:  # whether it hears this member is seen by a datagram straight to it
+                self._send_datagram(asker.record.address, MessageType.GOSSIP, DatagramWriter())
+        state = self.table.state(message.sender)
+        if self.status is MembershipStatus.MEMBER:
+            if state not in LIVE_STATES:
+                writer.add_update(update_of(self.table.entries[self.key]))
+            if state not in (MemberState.ALIVE, MemberState.UNKNOWN):  # let it deny it
+                writer.add_update(digest_tree.current_update(self.table, message.sender, self.key))
+            if origin is None:
+                self.dissemination.piggyback(writer)
+        self._send_datagram(source, MessageType.ACK, writer)
+
+    def _on_ack(self, message: Datagram, source: Address) -> None:
+        number = message.probe_id() or 0
+        relay = self.relays.pop(number, None)
+        if relay is not None:
+            if message.sender == relay.target:
+                writer = DatagramWriter(message.size).add_probe_id(relay.probe_id)
+                writer.add_section(Section.HEARS_ORIGIN, message.first_value(Section.HEARS_ORIGIN) or b"")
+                self._send_datagram(relay.requester, MessageType.ACK, writer)
+            return
+        probe = self.probes.get(number)
+        if probe is None:
+            return
+        if message.sender == probe.target:
+            if message.incarnation.process == probe.process:
+                del self.probes[number]
+                self._adjust_local_health(-1)
+                self._record_path(probe.target, "")
+        elif message.sender in probe.helpers:
+            del self.probes[number]
+            heard_recently = self._heard_recently(probe.target)
+            hears_us = message.first_value(Section.HEARS_ORIGIN) == b"\x01"
+            self._record_path(
+                probe.target,
+                PATH_DESCRIPTIONS[
+                    1 if heard_recently and hears_us else 2 if hears_us else 3 if heard_recently else 4
+                ],
+            )
+            self._record_liveness(probe.target)
+
+    def _record_path(self, key: MemberKey, path: str) -> None:
+        previous = self.path_statuses.get(key)
+        if path:
+            count = previous.consecutive + 1 if previous is not None and previous.path == path else 1
+            if previous is not None or len(self.path_statuses) < MAX_TRACKED_PATHS:
+                self.path_statuses[key] = PathStatus(path, count)
+            if count == PATH_REPORT_THRESHOLD:
+                self.log_lines.append(f"{self._name_of(key)}: {path}")
+        elif previous is not None:
+            del self.path_statuses[key]
+            if previous.consecutive >= PATH_REPORT_THRESHOLD:
+                self.log_lines.append(f"{self._name_of(key)}: reached directly again")
+
+    def _relay_probe(self, message: Datagram, source: Address) -> None:
+        target = message.first_value(Section.TARGET)
+        number = message.probe_id()
+        if target is None or len(target) < 12 or number is None or len(self.relays) >= MAX_RELAYED_PROBES:
+            return
+        key = target[:6]
+        address = wire.unpack_address(target[6:])
+        entry = self.table.entries.get(key)
+        if entry is None or entry.record.address != address or message.sender not in self.table.entries:
+            return  # only who is known is asked, for who is known
+        relay_id = self._next_request_id()
+        self.relays[relay_id] = RelayedProbe(source, number, key)
+        writer = DatagramWriter(message.size).add_probe_id(relay_id)
+        writer.add_section(Section.ORIGIN, message.sender)
+        self._pad_datagram(writer, INDIRECT_PING_BYTES)
+        self._send_datagram(address, MessageType.PING, writer)
+        self._set_timer(NACK_AFTER * self.timing.period, "relay", relay_id)
+
+    def _on_relay_timeout(self, number: int, key: bytes) -> None:
+        relay = self.relays.pop(number, None)
+        if relay is not None:
+            self._send_datagram(
+                relay.requester, MessageType.NACK, DatagramWriter().add_probe_id(relay.probe_id)
+            )
+
+    # suspicion
+    def _schedule_suspicion(self, key: MemberKey) -> None:
+        suspicion = self.table.suspicions.get(key)
+        if suspicion is not None:
+            last = suspicion.deadline - self.timing.period * (1 + self.local_health)
+            self._set_timer(max(0.0, last - self.now), "suspicion", suspicion.timer_id, key)
+
+    def _on_suspicion_timer(self, timer_id: int, key: bytes) -> None:
+        """One more probe of this member's own comes before the end; who is heard meanwhile is not dead."""
+        suspicion = self.table.suspicions.get(key)
+        if suspicion is None or abs(timer_id) != suspicion.timer_id:
+            return
+        if timer_id > 0:
+            self._start_probe(key)
+            self._set_timer(max(0.0, suspicion.deadline - self.now), "suspicion", -timer_id, key)
+            return
+        span = self.timing.period * (1 + self.local_health)
+        if suspicion.last_contact_at > max(suspicion.started_at, self.now - 2 * span):
+            suspicion.deadline = self.now + span
+            self.table.renew_timer(suspicion)
+            self._schedule_suspicion(key)
+            return
+        accusers = ", ".join(sorted(self._name_of(accuser) for accuser in suspicion.accusers)) or "others"
+        span = self.now - suspicion.started_at
+        self.table.declare_dead(
+            self.now, key, f"suspected by {accusers} for {span:.2f} s and not heard", self.key
+        )
+        self.last_contacts.pop(key, None)
+        self.path_statuses.pop(key, None)
+
+    def _record_liveness(self, key: MemberKey) -> None:
+        suspicion = self.table.suspicions.get(key)
+        if suspicion is not None:
+            suspicion.last_contact_at = self.now
--- a/service_proxy/fleet/entries.py
+++ b/service_proxy/fleet/members.py
@@ -13,17 +13,17 @@
 from ipaddress import IPv4Address
 from typing import NamedTuple
 
-Key = bytes  # of a member: KEY_BYTES of its name's digest
+MemberKey = bytes  # of a member: KEY_BYTES of its name's digest
 Address = tuple[str, int]
 
 KEY_BYTES = 6
-MOST_NAME = 32  # bytes of a name in UTF-8
-MOST_LABEL = 16  # bytes of a tier's or zone's name
-MOST_WORD = 24  # bytes that a member says of itself for the parts that stand on the fleet
-MOST_RUN = (1 << 40) - 1
-MOST_LIFE = (1 << 16) - 1
-MOST_BEAT = (1 << 16) - 1
-RUN_UNIT = 0.01  # s
+MAX_NAME_BYTES = 32  # bytes of a name in UTF-8
+MAX_LABEL_BYTES = 16  # bytes of a tier's or zone's name
+MAX_METADATA_BYTES = 24  # bytes that a member says of itself for the parts that stand on the fleet
+MAX_GENERATION = (1 << 40) - 1
+MAX_NONCE = (1 << 16) - 1
+MAX_VERSION = (1 << 16) - 1
+GENERATION_UNIT_S = 0.01  # s
 
 
 class Claim(IntEnum):
@@ -34,7 +34,7 @@
     LEFT = 2
 
 
-class Phase(IntEnum):
+class ServicePhase(IntEnum):
     """What a member says of its own work."""
 
     STARTING = 0
@@ -44,26 +44,26 @@
 
 
 class Incarnation(NamedTuple):
-    run: int
-    life: int
-    beat: int
+    generation: int
+    nonce: int
+    version: int
 
     @property
     def process(self) -> tuple[int, int]:
         """The same for all of one process's time."""
-        return self.run, self.life
+        return self.generation, self.nonce
 
-    def next(self) -> Incarnation:
+    def incremented(self) -> Incarnation:
         """The one that denies this one's suspicion. After the last beat a new run begins."""
-        if self.beat < MOST_BEAT:
-            return self._replace(beat=self.beat + 1)
-        return Incarnation(min(MOST_RUN, self.run + 1), self.life, 0)
+        if self.version < MAX_VERSION:
+            return self._replace(version=self.version + 1)
+        return Incarnation(min(MAX_GENERATION, self.generation + 1), self.nonce, 0)
 
     def __str__(self) -> str:
-        return f"{self.run}.{self.life:04x}.{self.beat}"
+        return f"{self.generation}.{self.nonce:04x}.{self.version}"
 
 
-class Record(NamedTuple):
+class MemberRecord(NamedTuple):
     """What a process is for as long as it runs."""
 
     name: str
@@ -72,37 +72,37 @@
     zone: str = ""
 
 
-class Entry(NamedTuple):
+class MemberEntry(NamedTuple):
     """All that is known of a member; immutable, so that many views may hold the same one."""
 
-    key: Key
+    key: MemberKey
     incarnation: Incarnation
     claim: Claim
-    record: Record
-    phase: Phase
-    word: bytes
-    tag: int  # 64 bits of key, incarnation and claim; the digest of a set of entries is the XOR of theirs
+    record: MemberRecord
+    phase: ServicePhase
+    metadata: bytes
+    digest: int  # 64 bits of key, incarnation and claim; the digest of a set of entries is the XOR of theirs
 
     @property
     def name(self) -> str:
         return self.record.name
 
 
-def entry(
-    key: Key,
+def make_entry(
+    key: MemberKey,
     incarnation: Incarnation,
     claim: Claim,
-    record: Record,
-    phase: Phase = Phase.SERVING,
-    word: bytes = b"",
-) -> Entry:
-    run, life, beat = incarnation
-    said = b"%b%d.%d.%d.%d" % (key, run, life, beat, claim)
-    tag = int.from_bytes(blake2b(said, digest_size=8).digest(), "big")
-    return Entry(key, incarnation, claim, record, phase, word, tag)
+    record: MemberRecord,
+    phase: ServicePhase = ServicePhase.SERVING,
+    metadata: bytes = b"",
+) -> MemberEntry:
+    generation, nonce, version = incarnation
+    hashed = b"%b%d.%d.%d.%d" % (key, generation, nonce, version, claim)
+    digest = int.from_bytes(blake2b(hashed, digest_size=8).digest(), "big")
+    return MemberEntry(key, incarnation, claim, record, phase, metadata, digest)
 
 
-def shown(address: Address) -> str:
+def format_address(address: Address) -> str:
     """A proxy that members call by its number is shown by that."""
     host, port = address
     if host.startswith("0."):
@@ -110,7 +110,7 @@
     return f"{host}:{port}"
 
 
-def key_of(name: str) -> Key:
+def member_key(name: str) -> MemberKey:
     return blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
@@ -118,6 +118,6 @@
     return blake2b(name.encode(), digest_size=4, person=b"fleet").digest()
 
 
-def first_run(wall: float) -> int:
+def initial_generation(wall_time: float) -> int:
     """The run of a process that starts at this wall time, s; a clock before 1970 reads as 1970."""
-    return max(1, min(MOST_RUN, int(wall / RUN_UNIT)))
+    return max(1, min(MAX_GENERATION, int(wall_time / GENERATION_UNIT_S)))
--- a/service_proxy/fleet/share.py
+++ b/service_proxy/fleet/proxy_count.py
@@ -15,13 +15,15 @@
 
 from __future__ import annotations
 
-MOST_OVER = 1.5  # all shares added up, by the rule above
+MAX_TOTAL_SHARE = 1.5  # all shares added up, by the rule above
 
 
-def instances(by_settings: int, living: int, settled: bool, minority: bool, told: int) -> int:
+def effective_proxy_count(
+    configured: int, living: int, settled: bool, is_minority: bool, current: int
+) -> int:
     """`living`: of this tier, itself among them; `told`: what the module goes by now."""
-    if minority or 2 * living <= by_settings:
-        return max(by_settings, living)
+    if is_minority or 2 * living <= configured:
+        return max(configured, living)
     if not settled:
-        return max(told, living)
+        return max(current, living)
     return living
--- a/service_proxy/fleet/wire.py
+++ b/service_proxy/fleet/wire.py
@@ -46,144 +46,144 @@
 from functools import lru_cache
 from ipaddress import IPv4Address
 
-from service_proxy.fleet.entries import (
+from service_proxy.fleet.members import (
     KEY_BYTES,
-    MOST_LABEL,
-    MOST_NAME,
-    MOST_WORD,
+    MAX_LABEL_BYTES,
+    MAX_METADATA_BYTES,
+    MAX_NAME_BYTES,
     Address,
     Claim,
-    Entry,
     Incarnation,
-    Key,
-    Phase,
-    Record,
+    MemberEntry,
+    MemberKey,
+    MemberRecord,
+    ServicePhase,
 )
 
 VERSION = 1
-MOST_DATAGRAM = 256  # bytes, by PROTOCOL
-TAG_BYTES = 8  # of the MAC or checksum
-HEADER = struct.Struct("!BB4sB")
-BODY = struct.Struct("!6sIBHHI8sBB3s")  # run is 40 bits: 4 bytes and 1
-BODY_BYTES = BODY.size
-FIXED = HEADER.size + BODY_BYTES + TAG_BYTES
-UNTOLD = 255  # tenths in flight that are not told
-MOST_LIST = 1 << 24
+MAX_DATAGRAM_BYTES = 256  # bytes, by PROTOCOL
+AUTH_TAG_BYTES = 8  # of the MAC or checksum
+HEADER_LAYOUT = struct.Struct("!BB4sB")
+BODY_LAYOUT = struct.Struct("!6sIBHHI8sBB3s")  # run is 40 bits: 4 bytes and 1
+BODY_BYTES = BODY_LAYOUT.size
+OVERHEAD_BYTES = HEADER_LAYOUT.size + BODY_BYTES + AUTH_TAG_BYTES
+LOAD_UNKNOWN = 255  # tenths in flight that are not told
+LIST_VERSION_MODULUS = 1 << 24
 # bits of the header's flags
-CHANGING = 0x04
-MINORITY = 0x08
-BRANCHES = 16
-MOST_ADDRESSES = 4096  # that are remembered as text and bytes
-TREE = struct.Struct("!BH" + "8s" * BRANCHES)
-NODE = struct.Struct("!BH")
-PART = struct.Struct("!HHHHIBH")
-SEEN = struct.Struct("!BBB3sI")
+FLAG_CHANGING = 0x04
+FLAG_MINORITY = 0x08
+TREE_FANOUT = 16
+ADDRESS_CACHE_SIZE = 4096  # that are remembered as text and bytes
+CHILD_DIGESTS_LAYOUT = struct.Struct("!BH" + "8s" * TREE_FANOUT)
+PREFIX_LAYOUT = struct.Struct("!BH")
+VIEW_SUMMARY_LAYOUT = struct.Struct("!HHHHIBH")
+ROW_STATUS_LAYOUT = struct.Struct("!BBB3sI")
 
 
-class Malformed(ValueError):
+class MalformedDatagramError(ValueError):
     """No datagram of a fleet; the message says why."""
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     PING = 1
     ACK = 2
-    ASK = 3  # ping TARGET for me
+    INDIRECT_PING = 3  # ping TARGET for me
     NACK = 4  # it does not answer me either
     GOSSIP = 5
     JOIN = 6  # who is there?
-    WELCOME = 7
-    TREE = 8
-    BRANCHES = 9
-    LEAVES = 10
-    RECORDS = 11
-    VIEW = 12  # staff: what do you see?
-    PAGE = 13
-    DATA = 14
+    JOIN_REPLY = 7
+    DIGEST_REQUEST = 8
+    DIGEST_REPLY = 9
+    ENTRIES_REQUEST = 10
+    ENTRIES_REPLY = 11
+    VIEW_REQUEST = 12  # staff: what do you see?
+    VIEW_PAGE = 13
+    USER_DATA = 14
 
 
 class Section(IntEnum):
-    PROBE = 1
+    PROBE_ID = 1
     TARGET = 2
     ORIGIN = 3
-    HEARD = 4
+    HEARS_ORIGIN = 4
     UPDATE = 5
     RECORD = 6
-    TREE = 7
-    LEAVES = 8
-    WANT = 9
+    CHILD_DIGESTS = 7
+    ENTRY_DIGESTS = 8
+    MISSING_KEYS = 9
     MORE = 10
-    NAME = 11
-    DATA = 12
-    PAGE = 13
-    TOTAL = 14
-    ROW = 15
-    EVERYONE = 16
+    REQUESTED_NAME = 11
+    USER_DATA = 12
+    PAGE_REQUEST = 13
+    VIEW_SUMMARY = 14
+    VIEW_ROW = 15
+    BROADCAST = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class LoadSummary:
     """What a member says of its own work; it travels with its own datagrams and is never passed on."""
 
-    tenths: int = UNTOLD  # calls in flight, of what it may hold
+    in_flight_tenths: int = LOAD_UNKNOWN  # calls in flight, of what it may hold
     list_version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class MemberUpdate:
     """A claim as it travels. `record` is there where who says it takes the receiver for one who lacks it."""
 
-    key: Key
+    key: MemberKey
     incarnation: Incarnation
     claim: Claim
-    phase: Phase
-    word: bytes = b""
-    accuser: Key = b""  # who did not get an answer, with a suspicion
-    sure: bool = False  # who says it holds it for dead
-    record: Record | None = None
+    phase: ServicePhase
+    metadata: bytes = b""
+    accuser: MemberKey = b""  # who did not get an answer, with a suspicion
+    confirmed: bool = False  # who says it holds it for dead
+    record: MemberRecord | None = None
 
 
 @dataclass(slots=True)
 class Datagram:
     version: int
-    kind: int
-    sender: Key
+    message_type: int
+    sender: MemberKey
     incarnation: Incarnation
-    number: int
+    sequence_number: int
     digest: int
-    phase: Phase
-    changing: bool
-    minority: bool
-    figures: Figures
+    phase: ServicePhase
+    is_changing: bool
+    is_minority: bool
+    load: LoadSummary
     size: int
     sections: list[tuple[int, bytes]] = field(default_factory=list)
 
-    def one(self, section: Section) -> bytes | None:
+    def first_value(self, section: Section) -> bytes | None:
         return next((value for kind, value in self.sections if kind == section), None)
 
-    def all(self, section: Section) -> list[bytes]:
+    def values(self, section: Section) -> list[bytes]:
         return [value for kind, value in self.sections if kind == section]
 
-    def probe(self) -> int | None:
-        value = self.one(Section.PROBE)
+    def probe_id(self) -> int | None:
+        value = self.first_value(Section.PROBE_ID)
         return int.from_bytes(value[:4], "big") if value is not None and len(value) >= 4 else None
 
 
-@lru_cache(MOST_ADDRESSES)
+@lru_cache(ADDRESS_CACHE_SIZE)
 def pack_address(address: Address) -> bytes:
     """Raises ValueError where the host is no IPv4 address."""
     return IPv4Address(address[0]).packed + address[1].to_bytes(2, "big")
 
 
-@lru_cache(MOST_ADDRESSES)
+@lru_cache(ADDRESS_CACHE_SIZE)
 def unpack_address(value: bytes) -> Address:
     if len(value) < 6:
-        raise Malformed("an address that is cut short")
+        raise MalformedDatagramError("an address that is cut short")
     return str(IPv4Address(value[:4])), int.from_bytes(value[4:6], "big")
 
 
 def pack_incarnation(incarnation: Incarnation) -> bytes:
-    run, life, beat = incarnation
-    return run.to_bytes(5, "big") + life.to_bytes(2, "big") + beat.to_bytes(2, "big")
+    generation, nonce, version = incarnation
+    return generation.to_bytes(5, "big") + nonce.to_bytes(2, "big") + version.to_bytes(2, "big")
 
 
 def unpack_incarnation(value: bytes) -> Incarnation:
@@ -191,40 +191,42 @@
     return Incarnation(number(value[:5], "big"), number(value[5:7], "big"), number(value[7:9], "big"))
 
 
-def pack_update(said: Said) -> bytes:
-    bits = said.claim | said.phase << 2 | (0x10 if said.sure else 0)
-    accuser = (said.accuser or bytes(KEY_BYTES)) if said.claim is Claim.SUSPECT else b""
-    return said.key + pack_incarnation(said.incarnation) + bytes((bits,)) + accuser + said.word
+def pack_update(update: MemberUpdate) -> bytes:
+    flags = update.claim | update.phase << 2 | (0x10 if update.confirmed else 0)
+    accuser = (update.accuser or bytes(KEY_BYTES)) if update.claim is Claim.SUSPECT else b""
+    return update.key + pack_incarnation(update.incarnation) + bytes((flags,)) + accuser + update.metadata
 
 
-def unpack_update(value: bytes) -> Said:
+def unpack_update(value: bytes) -> MemberUpdate:
     if len(value) < 16:
-        raise Malformed("an update that is cut short")
-    bits = value[15]
-    if bits & 3 > Claim.LEFT:
-        raise Malformed("a claim that is none")
-    claim = Claim(bits & 3)
+        raise MalformedDatagramError("an update that is cut short")
+    flags = value[15]
+    if flags & 3 > Claim.LEFT:
+        raise MalformedDatagramError("a claim that is none")
+    claim = Claim(flags & 3)
     rest = value[16:]
     accuser = b""
     if claim is Claim.SUSPECT:
         if len(rest) < KEY_BYTES:
-            raise Malformed("a suspicion without who has it")
+            raise MalformedDatagramError("a suspicion without who has it")
         accuser = rest[:KEY_BYTES]
         rest = rest[KEY_BYTES:]
         if accuser == bytes(KEY_BYTES):
             accuser = b""
-    if len(rest) > MOST_WORD:
-        raise Malformed(f"a word of over {MOST_WORD} bytes")
+    if len(rest) > MAX_METADATA_BYTES:
+        raise MalformedDatagramError(f"a word of over {MAX_METADATA_BYTES} bytes")
     incarnation = unpack_incarnation(value[6:15])
-    if not incarnation.run:
-        raise Malformed("a run of nought")
-    return Said(value[:6], incarnation, claim, Phase(bits >> 2 & 3), rest, accuser, bool(bits & 0x10))
+    if not incarnation.generation:
+        raise MalformedDatagramError("a run of nought")
+    return MemberUpdate(
+        value[:6], incarnation, claim, ServicePhase(flags >> 2 & 3), rest, accuser, bool(flags & 0x10)
+    )
 
 
-def pack_record(said: Said) -> bytes:
-    assert said.record is not None
-    update = pack_update(said)
-    record = said.record
+def pack_record(member_update: MemberUpdate) -> bytes:
+    assert member_update.record is not None
+    update = pack_update(member_update)
+    record = member_update.record
     parts = [bytes((len(update),)), update]
     for text in (record.name, record.tier, record.zone):
         data = text.encode()
@@ -232,147 +234,167 @@
     return b"".join(parts) + pack_address(record.address)
 
 
-def unpack_record(value: bytes) -> Said:
-    update, at = _counted(value, 0, 255)
-    name, at = _text(value, at, MOST_NAME)
-    tier, at = _text(value, at, MOST_LABEL)
-    zone, at = _text(value, at, MOST_LABEL)
-    said = unpack_update(update)
-    record = Record(name, unpack_address(value[at:]), tier, zone)
-    return Said(
-        said.key, said.incarnation, said.claim, said.phase, said.word, said.accuser, said.sure, record
+def unpack_record(value: bytes) -> MemberUpdate:
+    update, at = _read_counted(value, 0, 255)
+    name, at = _read_text(value, at, MAX_NAME_BYTES)
+    tier, at = _read_text(value, at, MAX_LABEL_BYTES)
+    zone, at = _read_text(value, at, MAX_LABEL_BYTES)
+    member_update = unpack_update(update)
+    record = MemberRecord(name, unpack_address(value[at:]), tier, zone)
+    return MemberUpdate(
+        member_update.key,
+        member_update.incarnation,
+        member_update.claim,
+        member_update.phase,
+        member_update.metadata,
+        member_update.accuser,
+        member_update.confirmed,
+        record,
     )
 
 
-def _counted(value: bytes, at: int, most: int) -> tuple[bytes, int]:
-    if at >= len(value) or value[at] > most or at + 1 + value[at] > len(value):
-        raise Malformed("a text that is cut short or too long")
+def _read_counted(value: bytes, at: int, max_bytes: int) -> tuple[bytes, int]:
+    if at >= len(value) or value[at] > max_bytes or at + 1 + value[at] > len(value):
+        raise MalformedDatagramError("a text that is cut short or too long")
     end = at + 1 + value[at]
     return value[at + 1 : end], end
 
 
-def _text(value: bytes, at: int, most: int) -> tuple[str, int]:
-    data, at = _counted(value, at, most)
+def _read_text(value: bytes, at: int, max_bytes: int) -> tuple[str, int]:
+    data, at = _read_counted(value, at, max_bytes)
     try:
         text = data.decode()
     except UnicodeDecodeError:
-        raise Malformed("a text that is no UTF-8") from None
+        raise MalformedDatagramError("a text that is no UTF-8") from None
     if not text.isprintable():
-        raise Malformed("a text with control characters")
+        raise MalformedDatagramError("a text with control characters")
     return text, at
 
 
-def said_of(entry: Entry, sure: bool = False, accuser: Key = b"", record: bool = True) -> Said:
-    claim = Claim.SUSPECT if sure and entry.claim is not Claim.LEFT else entry.claim
-    return Said(
+def update_of(
+    entry: MemberEntry, confirmed: bool = False, accuser: MemberKey = b"", with_record: bool = True
+) -> MemberUpdate:
+    claim = Claim.SUSPECT if confirmed and entry.claim is not Claim.LEFT else entry.claim
+    return MemberUpdate(
         entry.key,
         entry.incarnation,
         claim,
         entry.phase,
-        entry.word,
+        entry.metadata,
         accuser,
-        sure,
-        entry.record if record else None,
+        confirmed,
+        entry.record if with_record else None,
     )
 
 
-class Writer:
+class DatagramWriter:
     """One datagram in the making; a section that does not fit is left out, and the call says so."""
 
-    __slots__ = ("most", "parts", "room")
+    __slots__ = ("max_bytes", "parts", "remaining_bytes")
 
-    def __init__(self, most: int = MOST_DATAGRAM) -> None:
+    def __init__(self, max_bytes: int = MAX_DATAGRAM_BYTES) -> None:
         self.parts: list[bytes] = []
-        self.most = most
-        self.room = most - FIXED
+        self.max_bytes = max_bytes
+        self.remaining_bytes = max_bytes - OVERHEAD_BYTES
 
-    def add(self, section: Section, value: bytes) -> bool:
-        if len(value) > 255 or len(value) + 2 > self.room:
+    def add_section(self, section: Section, value: bytes) -> bool:
+        if len(value) > 255 or len(value) + 2 > self.remaining_bytes:
             return False
         self.parts += [bytes((section, len(value))), value]
-        self.room -= len(value) + 2
+        self.remaining_bytes -= len(value) + 2
         return True
 
-    def probe(self, number: int) -> Writer:
+    def add_probe_id(self, number: int) -> DatagramWriter:
         """Begins with the number of a probe or question."""
-        self.add(Section.PROBE, number.to_bytes(4, "big"))
+        self.add_section(Section.PROBE_ID, number.to_bytes(4, "big"))
         return self
 
-    def said(self, said: Said) -> bool:
-        if said.record is not None:
-            return self.add(Section.RECORD, pack_record(said))
-        return self.add(Section.UPDATE, pack_update(said))
+    def add_update(self, update: MemberUpdate) -> bool:
+        if update.record is not None:
+            return self.add_section(Section.RECORD, pack_record(update))
+        return self.add_section(Section.UPDATE, pack_update(update))
 
 
-def write(
-    kind: Kind,
+def encode_datagram(
+    message_type: MessageType,
     fleet: bytes,
-    sender: Key,
+    sender: MemberKey,
     incarnation: Incarnation,
-    number: int,
+    sequence_number: int,
     digest: int,
-    phase: Phase,
+    phase: ServicePhase,
     flags: int,
-    figures: Figures,
-    parts: Iterable[bytes],
+    load: LoadSummary,
+    sections: Iterable[bytes],
 ) -> bytes:
     """All but the tag, which the guard puts behind it."""
-    run, life, beat = incarnation
-    head = HEADER.pack(VERSION, kind, fleet, BODY_BYTES)
-    body = BODY.pack(
+    generation, nonce, version = incarnation
+    head = HEADER_LAYOUT.pack(VERSION, message_type, fleet, BODY_BYTES)
+    body = BODY_LAYOUT.pack(
         sender,
-        run >> 8,
-        run & 0xFF,
-        life,
-        beat,
-        number,
+        generation >> 8,
+        generation & 0xFF,
+        nonce,
+        version,
+        sequence_number,
         digest.to_bytes(8, "big"),
         phase | flags,
-        figures.tenths,
-        (figures.list_version % MOST_LIST).to_bytes(3, "big"),
+        load.in_flight_tenths,
+        (load.list_version % LIST_VERSION_MODULUS).to_bytes(3, "big"),
     )
-    return b"".join((head, body, *parts))
+    return b"".join((head, body, *sections))
 
 
-def peek(data: bytes) -> tuple[int, int, bytes]:
+def peek_header(data: bytes) -> tuple[int, int, bytes]:
     """Version, kind and fleet, before anything is believed."""
-    if not FIXED <= len(data) <= MOST_DATAGRAM:
-        raise Malformed(f"{len(data)} bytes are no datagram of a fleet")
-    version, kind, fleet, length = HEADER.unpack_from(data)
+    if not OVERHEAD_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
+        raise MalformedDatagramError(f"{len(data)} bytes are no datagram of a fleet")
+    version, kind, fleet, length = HEADER_LAYOUT.unpack_from(data)
     if not version:
-        raise Malformed("version 0")
-    if length < BODY_BYTES or HEADER.size + length + TAG_BYTES > len(data):
-        raise Malformed("a header that is cut short")
+        raise MalformedDatagramError("version 0")
+    if length < BODY_BYTES or HEADER_LAYOUT.size + length + AUTH_TAG_BYTES > len(data):
+        raise MalformedDatagramError("a header that is cut short")
     return version, kind, fleet
 
 
-def read(data: bytes) -> Datagram:
+def decode_datagram(data: bytes) -> Datagram:
     """What `peek` has let through and whose tag is right. Raises Malformed. Kinds and sections of a newer
     version stay in it as they came."""
-    version, kind, _, length = HEADER.unpack_from(data)
-    sender, run, low, life, beat, number, digest, flags, tenths, listed = BODY.unpack_from(data, HEADER.size)
-    incarnation = Incarnation(run << 8 | low, life, beat)
-    if not incarnation.run or not number:
-        raise Malformed("a run or a number of nought")
-    at = HEADER.size + length
-    end = len(data) - TAG_BYTES
+    version, kind, _, length = HEADER_LAYOUT.unpack_from(data)
+    (
+        sender,
+        generation_high,
+        generation_low,
+        nonce,
+        incarnation_version,
+        sequence_number,
+        digest,
+        flags,
+        in_flight_tenths,
+        list_version,
+    ) = BODY_LAYOUT.unpack_from(data, HEADER_LAYOUT.size)
+    incarnation = Incarnation(generation_high << 8 | generation_low, nonce, incarnation_version)
+    if not incarnation.generation or not sequence_number:
+        raise MalformedDatagramError("a run or a number of nought")
+    position = HEADER_LAYOUT.size + length
+    end = len(data) - AUTH_TAG_BYTES
     sections = []
-    while at < end:
-        if at + 2 > end or at + 2 + data[at + 1] > end:
-            raise Malformed("a section that is cut short")
-        sections.append((data[at], data[at + 2 : at + 2 + data[at + 1]]))
-        at += 2 + data[at + 1]
+    while position < end:
+        if position + 2 > end or position + 2 + data[position + 1] > end:
+            raise MalformedDatagramError("a section that is cut short")
+        sections.append((data[position], data[position + 2 : position + 2 + data[position + 1]]))
+        position += 2 + data[position + 1]
     return Datagram(
         version,
         kind,
         sender,
         incarnation,
-        number,
+        sequence_number,
         int.from_bytes(digest, "big"),
-        Phase(flags & 3),
-        bool(flags & CHANGING),
-        bool(flags & MINORITY),
-        Figures(tenths, int.from_bytes(listed, "big")),
+        ServicePhase(flags & 3),
+        bool(flags & FLAG_CHANGING),
+        bool(flags & FLAG_MINORITY),
+        LoadSummary(in_flight_tenths, int.from_bytes(list_version, "big")),
         len(data),
         sections,
     )
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_processes.py
@@ -13,18 +13,18 @@
 import pytest
 import uvloop
 
-from harness.fleet.relay import host
-from harness.fleet.script import Player, read
-from harness.fleet.world import Setup, World, world
+from harness.fleet.fault_relay import loopback_address
+from harness.fleet.fault_script import FaultPlayer, parse_script
+from harness.fleet.harness import FleetHarness, FleetOptions, running_fleet
 from harness.kit import until
-from service_proxy.fleet.wire import MOST_DATAGRAM
+from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
 
 PATIENCE = 40.0  # s; what takes longer has failed
 T = TypeVar("T")
-Check = Callable[[World], Awaitable[None]]
+Check = Callable[[FleetHarness], Awaitable[None]]
 
 
-async def nothing(w: World) -> None:
+async def nothing(w: FleetHarness) -> None:
     pass
 
 
@@ -36,22 +36,22 @@
     return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(test())
 
 
-def play(setup: Setup, script: str = "", check: Check = nothing, end: Check = nothing) -> World:
+def play(setup: FleetOptions, script: str = "", check: Check = nothing, end: Check = nothing) -> FleetHarness:
     """A fleet that has settled; then the script's faults, `check` beside them, all equal again, and `end`."""
 
-    async def run() -> World:
-        async with world(setup) as w:
-            if setup.start and not setup.strangers:
-                await w.observer.settle(PATIENCE, True)
-            player = Player(read(f"members = {setup.members}\n{script}"), w)
-            w.observer.on_event = player.seen
-            player.begin()
+    async def run() -> FleetHarness:
+        async with running_fleet(setup) as w:
+            if setup.start_all and not setup.foreign_members:
+                await w.observer.wait_until_settled(PATIENCE, True)
+            player = FaultPlayer(parse_script(f"members = {setup.members}\n{script}"), w)
+            w.observer.on_event = player.on_event
+            player.start()
             await check(w)
-            await until(lambda: player.over, "the script's end", PATIENCE)
-            if not setup.strangers:
-                await w.observer.settle(PATIENCE, True)
+            await until(lambda: player.is_finished, "the script's end", PATIENCE)
+            if not setup.foreign_members:
+                await w.observer.wait_until_settled(PATIENCE, True)
             await end(w)
-            await w.quiet()
+            await w.finish_requests()
             await asyncio.sleep(0.05)
             w.observer.read_logs()
             faults = {
@@ -62,35 +62,35 @@
             assert w.audit() == []
             assert w.observer.false_deaths() == [] and w.observer.resurrections() == []
             if setup.rate:
-                assert sum(callers.codes[200] for callers in w.callers) > 0
+                assert sum(callers.codes[200] for callers in w.clients) > 0
             return w
 
     return bounded(run())
 
 
-def says(w: World, name: str, text: str) -> bool:
+def says(w: FleetHarness, name: str, text: str) -> bool:
     w.observer.read_logs()
     return any(text in line for line in w.observer.lines.get(name, ()))
 
 
-def told(w: World, name: str, state: str) -> set[str]:
-    return {change.by for change in w.observer.changes if change.name == name and change.after == state}
+def told(w: FleetHarness, name: str, state: str) -> set[str]:
+    return {change.observer for change in w.observer.changes if change.name == name and change.after == state}
 
 
 def test_forty_join_at_once() -> None:
-    w = play(Setup(members=40, rate=0.5))
+    w = play(FleetOptions(members=40, rate=0.5))
     assert w.observer.deaths() == []
 
 
 def test_the_first_is_alone_for_a_while() -> None:
-    async def check(w: World) -> None:
+    async def check(w: FleetHarness) -> None:
         w.start(0)
         await until(lambda: says(w, "p0", "nobody answers: goes on alone"), "alone", PATIENCE)
         for number in range(1, 5):
             w.start(number)
         await until(lambda: len(w.living) == 5 and not w.starting, "up", PATIENCE)
 
-    play(Setup(members=5, start=False), check=check)
+    play(FleetOptions(members=5, start_all=False), check=check)
 
 
 THIRD = "".join(
@@ -99,33 +99,35 @@
 
 
 def test_a_third_is_killed_within_a_second() -> None:
-    w = play(Setup(members=12), THIRD)
+    w = play(FleetOptions(members=12), THIRD)
     for number in range(4):
         assert told(w, f"p{number}", "dead") >= {f"p{other}" for other in range(4, 12)}
 
 
 def test_all_but_one_are_killed() -> None:
-    async def end(w: World) -> None:
-        page, _ = await w.observer.rows(w.seats[2])
-        assert page.living == 1 and page.dead == 5 and page.minority and page.alone
+    async def end(w: FleetHarness) -> None:
+        page, _ = await w.observer.fetch_view(w.slots[2])
+        assert page.alive_count == 1 and page.dead_count == 5 and page.is_minority and page.isolated
         assert not any("the module goes by" in line for line in w.observer.lines["p2"])
 
     script = '[[fault]]\nat = 0\ndo = "kill"\nwho = ["p0", "p1", "p3", "p4", "p5"]\n'
 
-    async def check(w: World) -> None:
-        await until(lambda: len([d for d in w.observer.deaths() if d.by == "p2"]) == 5, "deaths", PATIENCE)
+    async def check(w: FleetHarness) -> None:
+        await until(
+            lambda: len([d for d in w.observer.deaths() if d.observer == "p2"]) == 5, "deaths", PATIENCE
+        )
 
-    async def both(w: World) -> None:
+    async def both(w: FleetHarness) -> None:
         await check(w)
         await end(w)
 
     # Alone it never counts as settled, so the views are not waited for.
     async def run() -> None:
-        async with world(Setup(members=6)) as w:
-            await w.observer.settle(PATIENCE, True)
-            Player(read(f"members = 6\n{script}"), w).begin()
+        async with running_fleet(FleetOptions(members=6)) as w:
+            await w.observer.wait_until_settled(PATIENCE, True)
+            FaultPlayer(parse_script(f"members = 6\n{script}"), w).start()
             await both(w)
-            await w.quiet()
+            await w.finish_requests()
             assert w.audit() == []
 
     bounded(run())
@@ -136,7 +138,7 @@
         '[[fault]]\nat = 0\ndo = "kill"\nwho = ["p3"]\n'
         '[[fault]]\nwhen = "p3 is suspect"\ndo = "start"\nwho = ["p3"]\n'
     )
-    w = play(Setup(members=6, period=1.0), script)
+    w = play(FleetOptions(members=6, period=1.0), script)
     lives = {change.incarnation.split(".")[1] for change in w.observer.changes if change.name == "p3"}
     assert len(lives) == 2 and told(w, "p3", "dead") == set()
 
@@ -144,39 +146,39 @@
 def test_a_member_stopped_for_three_seconds_under_load_is_not_dead_and_buries_nobody() -> None:
     """The bound is the shortest suspicion: 3 periods of 1 s, from the first probe that it missed."""
     script = '[[fault]]\nat = 0\ndo = "stop"\nwho = ["p2"]\nlasts = 3.0\n'
-    w = play(Setup(members=8, period=1.0, rate=5.0), script)
+    w = play(FleetOptions(members=8, period=1.0, rate=5.0), script)
     assert w.observer.deaths() == [] and says(w, "p2", "this process stood still for")
 
 
 def test_a_fifth_of_the_datagrams_is_lost_each_way_for_half_a_minute() -> None:
     script = '[[fault]]\nat = 0\ndo = "loss"\nwho = ["all"]\nshare = 0.2\nlasts = 30.0\n'
-    w = play(Setup(members=10), script)
+    w = play(FleetOptions(members=10), script)
     assert w.observer.deaths() == [] and w.network.lost > 100
 
 
 def test_a_one_way_cut_between_two_is_named_and_kills_nobody() -> None:
-    async def check(w: World) -> None:
+    async def check(w: FleetHarness) -> None:
         await until(lambda: says(w, "p2", "p7: we hear it, and it does not hear us"), "named", PATIENCE)
-        _, rows = await w.observer.rows(w.seats[2])
-        assert {row.name for row in rows if row.way} == {"p7"}
+        _, rows = await w.observer.fetch_view(w.slots[2])
+        assert {row.name for row in rows if row.path} == {"p7"}
 
     script = '[[fault]]\nat = 0\ndo = "cut"\nwho = ["p2"]\nto = ["p7"]\nlasts = 20.0\n'
-    assert play(Setup(members=8, period=0.3), script, check).observer.deaths() == []
+    assert play(FleetOptions(members=8, period=0.3), script, check).observer.deaths() == []
 
 
 def test_a_member_that_is_cut_from_half_of_the_others_lives() -> None:
-    async def check(w: World) -> None:
+    async def check(w: FleetHarness) -> None:
         await until(lambda: says(w, "p0", ": neither way directly"), "named", PATIENCE)
 
     script = (
         '[[fault]]\nat = 0\ndo = "cut"\nwho = ["p0"]\nto = ["p1-p4"]\nlasts = 12.0\n'
         '[[fault]]\nat = 0\ndo = "cut"\nwho = ["p1-p4"]\nto = ["p0"]\nlasts = 12.0\n'
     )
-    assert play(Setup(members=9), script, check).observer.deaths() == []
+    assert play(FleetOptions(members=9), script, check).observer.deaths() == []
 
 
 def test_three_parts_for_twenty_seconds_with_deaths_a_join_and_a_restart_inside() -> None:
-    async def check(w: World) -> None:
+    async def check(w: FleetHarness) -> None:
         await asyncio.sleep(0)
         w.kill(11)
 
@@ -189,19 +191,19 @@
     )
 
     async def run() -> None:
-        async with world(Setup(members=12)) as w:
-            await w.observer.settle(PATIENCE, True)
-            player = Player(read(f"members = 12\n{script}"), w)
-            player.begin()
+        async with running_fleet(FleetOptions(members=12)) as w:
+            await w.observer.wait_until_settled(PATIENCE, True)
+            player = FaultPlayer(parse_script(f"members = 12\n{script}"), w)
+            player.start()
             await check(w)
-            await until(lambda: player.over, "the script's end", PATIENCE)
+            await until(lambda: player.is_finished, "the script's end", PATIENCE)
             parted = len(w.observer.changes)
-            await w.observer.settle(PATIENCE, True)
+            await w.observer.wait_until_settled(PATIENCE, True)
             assert [death for death in w.observer.changes[parted:] if death.after == "dead"] == []
             assert w.observer.resurrections() == []
-            page, _ = await w.observer.rows(w.seats[0])
-            assert page.living == 11 and page.dead == 1
-            await w.quiet()
+            page, _ = await w.observer.fetch_view(w.slots[0])
+            assert page.alive_count == 11 and page.dead_count == 1
+            await w.finish_requests()
             assert w.audit() == []
 
     bounded(run())
@@ -212,37 +214,40 @@
         f'[[fault]]\nat = {2.0 * turn}\ndo = "partition"\ngroups = ["p0-p4", "p5-p8"]\nlasts = 1.0\n'
         for turn in range(6)
     )
-    assert play(Setup(members=9), script).observer.deaths() == []
+    assert play(FleetOptions(members=9), script).observer.deaths() == []
 
 
 def test_another_fleet_at_these_addresses_is_told_of_and_never_heard() -> None:
-    async def end(w: World) -> None:
+    async def end(w: FleetHarness) -> None:
         odd = "datagrams of another fleet come from"
         wanted = (("p0", odd), ("p3", odd), ("p0", "settled: 3 live"), ("p3", "settled: 2 live"))
         for name, line in wanted:
             await until(lambda name=name, line=line: says(w, name, line), line, PATIENCE)  # type: ignore[misc]
-        names = {change.name for change in w.observer.changes if change.by in ("p0", "p1", "p2")}
+        names = {change.name for change in w.observer.changes if change.observer in ("p0", "p1", "p2")}
         assert names == {"p0", "p1", "p2"}
 
-    play(Setup(members=5, strangers=frozenset((3, 4))), end=end)
+    play(FleetOptions(members=5, foreign_members=frozenset((3, 4))), end=end)
 
 
 def test_a_storm_of_datagrams_at_one_member_moves_no_view() -> None:
     """Half garbage, half of another fleet; from an address that is a member's."""
     script = '[[fault]]\nat = 0\ndo = "storm"\nwho = ["p1"]\nshare = 3000\nlasts = 5.0\n'
 
-    async def check(w: World) -> None:
-        program = w.seats[1].program
+    async def check(w: FleetHarness) -> None:
+        program = w.slots[1].program
         assert program is not None
         before = program.memory()
         await asyncio.sleep(4.0)
         assert program.memory() < before + 8  # MB
 
-    assert play(Setup(members=6), script, check).observer.deaths() == []
+    assert play(FleetOptions(members=6), script, check).observer.deaths() == []
 
 
 def test_a_member_of_the_next_version_lives_among_these() -> None:
-    w = play(Setup(members=6, newer=frozenset((4,))), '[[fault]]\nat = 1\ndo = "restart"\nwho = ["p4"]\n')
+    w = play(
+        FleetOptions(members=6, next_version_members=frozenset((4,))),
+        '[[fault]]\nat = 1\ndo = "restart"\nwho = ["p4"]\n',
+    )
     assert told(w, "p4", "alive") == {f"p{number}" for number in range(6)}
 
 
@@ -254,7 +259,7 @@
         '[[fault]]\nat = 0\ndo = "clock"\nwho = ["p2"]\nby = -3600.0\nname = "monotonic"\n'
         '[[fault]]\nat = 4.0\ndo = "restart"\nwho = ["p2"]\n'
     )
-    w = play(Setup(members=6, keys=keys), script)
+    w = play(FleetOptions(members=6, keys=keys), script)
     assert told(w, "p2", "dead") == set()
     runs = [int(change.incarnation.split(".")[0]) for change in w.observer.changes if change.name == "p2"]
     assert runs[-1] > runs[0]
@@ -263,24 +268,24 @@
 def test_the_name_of_a_living_member_is_kept_and_both_are_told() -> None:
     """p5 comes back as p2; then as itself."""
 
-    async def check(w: World) -> None:
+    async def check(w: FleetHarness) -> None:
         await until(lambda: says(w, "p2", "is held by a living process at peer 2"), "told", PATIENCE)
         await until(lambda: says(w, "p2", "wants the name p2, which is this one's"), "told both", PATIENCE)
 
     script = '[[fault]]\nat = 0\ndo = "rename"\nwho = ["p5"]\nname = "p2"\nlasts = 12.0\n'
 
     async def run() -> None:
-        async with world(Setup(members=6, rate=0.0)) as w:
-            await w.observer.settle(PATIENCE, True)
-            player = Player(read(f"members = 6\n{script}"), w)
-            player.begin()
+        async with running_fleet(FleetOptions(members=6, rate=0.0)) as w:
+            await w.observer.wait_until_settled(PATIENCE, True)
+            player = FaultPlayer(parse_script(f"members = 6\n{script}"), w)
+            player.start()
             await check(w)
             seen = [
                 change for change in w.observer.changes if change.name == "p2" and change.before != "unknown"
             ]
             assert seen == []  # nothing flaps
-            await until(lambda: player.over, "over", PATIENCE)
-            await w.observer.settle(PATIENCE, True)
+            await until(lambda: player.is_finished, "over", PATIENCE)
+            await w.observer.wait_until_settled(PATIENCE, True)
 
     bounded(run())
 
@@ -299,9 +304,9 @@
         out, _ = await process.communicate()
         return process.returncode or 0, out.decode()
 
-    async def end(w: World) -> None:
-        at = f"{host(77, 0)}:{w.port}"
-        operator = str(w.seats[0].folder / "operator.toml")
+    async def end(w: FleetHarness) -> None:
+        at = f"{loopback_address(77, 0)}:{w.port}"
+        operator = str(w.slots[0].folder / "operator.toml")
         code, out = await ask("--of", at, "--operator", operator)
         assert code == 0 and "6 live, 0 dead, 0 left; settled" in out and out.count("peer ") == 6
         code, out = await ask("--of", at, "--json", "--operator", operator)
@@ -314,7 +319,7 @@
         code, out = await ask("--of", at, "--operator", operator)
         assert code == 3 and "not settled" in out
         w.start(3)
-        await w.observer.settle(PATIENCE, True)
+        await w.observer.wait_until_settled(PATIENCE, True)
 
-    w = play(Setup(members=6, keys=True, suspicion=30.0), end=end)
-    assert all(size <= MOST_DATAGRAM for size in (w.relay.bytes // w.relay.carried,))
+    w = play(FleetOptions(members=6, keys=True, suspicion=30.0), end=end)
+    assert all(size <= MAX_DATAGRAM_BYTES for size in (w.relay.bytes // w.relay.relayed_count,))
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_service.py
@@ -12,11 +12,11 @@
 from harness.program import free_port, settings
 from service_proxy.clock import Clock
 from service_proxy.composition import create_fleet
-from service_proxy.fleet import transport
-from service_proxy.fleet.entries import key_of
-from service_proxy.fleet.identity import Standing
-from service_proxy.fleet.transport import Fleet, numbered, pack_words, unpack_words
-from service_proxy.fleet.wire import Kind
+from service_proxy.fleet import service
+from service_proxy.fleet.members import member_key
+from service_proxy.fleet.name_ownership import MembershipStatus
+from service_proxy.fleet.service import FleetService, pack_metadata, peer_address, unpack_metadata
+from service_proxy.fleet.wire import MessageType
 from service_proxy.net.config import ConfigError, ProxyConfig, parse_config
 from service_proxy.operator_file import Fleet as Settings
 from service_proxy.operator_file import OperatorError
@@ -29,7 +29,7 @@
 
 
 class Driver:
-    """transport.Proxied."""
+    """service.ProxyStatus."""
 
     load = 0.25
     list_version = 41
@@ -72,10 +72,10 @@
             # Each knows the other at another loopback address than it listens at.
             seen = [f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}", f"127.0.0.1:{free_port()}"]
             where: dict[str, Any] = {"peer_listen": seen[me], "peers": seen}
-            fleet = Fleet(
+            fleet = FleetService(
                 Settings("portal", period=0.1), config(True, me, f"n{me}", **where), Driver(), Clock()
             )
-            assert fleet.core.record.address == numbered(me)
+            assert fleet.protocol.record.address == peer_address(me)
             fleet.start()
             made.append(fleet)
         one, other = made
@@ -86,14 +86,14 @@
         one.publish(9, b"word")
         await until(lambda: any(m.metadata == {9: b"word"} for m in other.members()), "the word")
         assert one.send(7, b"hello", other.own_key) and not one.send(7, bytes(250))
-        await until(lambda: heard == [(key_of("n0"), b"hello")], "the datagram")
+        await until(lambda: heard == [(member_key("n0"), b"hello")], "the datagram")
         with pytest.raises(ValueError, match="24 bytes"):
             one.publish(8, bytes(24))
         changes: list[Any] = []
         other.watch(changes.append)
         one.stop()
         await until(lambda: changes and changes[-1].after.value == "left", "its leave")
-        assert one.core.standing is Standing.LEFT
+        assert one.protocol.status is MembershipStatus.LEFT
         other.stop()
 
     asyncio.run(test())
@@ -101,33 +101,33 @@
 
 def test_floods_and_strangers_are_dropped_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(transport, "MOST_PER_SOURCE", 10)
-        fleet = Fleet(Settings("portal"), config(True, **PEERS), Driver(), Clock())
+        monkeypatch.setattr(service, "MAX_DATAGRAMS_PER_SOURCE_PER_S", 10)
+        fleet = FleetService(Settings("portal"), config(True, **PEERS), Driver(), Clock())
         for _ in range(20):
             fleet.datagram_received(bytes(60), ("127.9.0.2", 7946))
         fleet.datagram_received(bytes(60), ("127.9.0.2", 7947))
         fleet.datagram_received(bytes(257), ("127.9.0.3", 7946))
         fleet.datagram_received(bytes(60), ("10.0.0.1", 7946))
-        refused = fleet.core.counts.refused
+        refused = fleet.protocol.counters.rejected
         assert refused["too many in a second from one address"] == 11
         assert refused["from an address that is no member's"] == 1 and refused["malformed"] == 11
-        assert not fleet.core.take().out
+        assert not fleet.protocol.take_effects().datagrams
 
     asyncio.run(test())
 
 
 def test_times_may_change_while_it_runs_and_places_may_not(tmp_path: Path) -> None:
     async def test() -> None:
-        fleet = Fleet(Settings("portal"), config(True, **PEERS), Driver(), Clock())
+        fleet = FleetService(Settings("portal"), config(True, **PEERS), Driver(), Clock())
         file = tmp_path / "operator.toml"
         file.write_text('[fleet]\nname = "portal"\nperiod = 2.0\n')
         fleet.reload(str(file))
-        assert fleet.core.timing.period == 2.0
+        assert fleet.protocol.timing.period == 2.0
         for text, what in (('[fleet]\nname = "other"\n', "name of"), ("", "is gone")):
             file.write_text(text)
             with pytest.raises(OperatorError, match=what):
                 fleet.reload(str(file))
-        assert fleet.core.timing.period == 2.0
+        assert fleet.protocol.timing.period == 2.0
 
     asyncio.run(test())
 
@@ -135,17 +135,17 @@
 def test_names_that_no_datagram_has_room_for_are_refused_before_any_socket() -> None:
     async def test() -> None:
         with pytest.raises(ConfigError, match="names of up to 32 bytes"):
-            Fleet(Settings("portal"), config(True, name="n" * 33, **PEERS), Driver(), Clock())
+            FleetService(Settings("portal"), config(True, name="n" * 33, **PEERS), Driver(), Clock())
         with pytest.raises(ConfigError, match="names no peer_listen"):
-            Fleet(Settings("portal"), config(True), Driver(), Clock())
+            FleetService(Settings("portal"), config(True), Driver(), Clock())
 
     asyncio.run(test())
 
 
 def test_words_of_several_parts_share_the_room() -> None:
     words = {3: b"abc", 200: b""}
-    assert unpack_words(pack_words(words)) == words
-    assert unpack_words(pack_words(words) + b"\x05\x09cut") == words
+    assert unpack_metadata(pack_metadata(words)) == words
+    assert unpack_metadata(pack_metadata(words) + b"\x05\x09cut") == words
 
 
 def test_check_tells_two_fleets_of_one_name_and_one_with_two_clocks(tmp_path: Path) -> None:
@@ -175,14 +175,14 @@
         loop = asyncio.get_running_loop()
         asked, _ = await loop.create_datagram_endpoint(Asked, local_addr=("127.0.0.1", 0))
         everyone = ":".join(map(str, asked.get_extra_info("sockname")))
-        made = Fleet(
+        made = FleetService(
             Settings("portal", period=0.1),
             config(True, peer_listen="127.0.0.1:0", peers_all=everyone),
             Driver(),
             Clock(),
         )
         made.start()
-        await until(lambda: Kind.JOIN in kinds, "asked")
+        await until(lambda: MessageType.JOIN in kinds, "asked")
         assert not made.is_settled
         made.stop()
         asked.close()
--- a/tests/harness/test_fleet_rig.py
+++ b/tests/harness/test_fleet_harness.py
@@ -8,10 +8,10 @@
 import pytest
 
 from harness.fleet.__main__ import main
-from harness.fleet.bed import Bed
-from harness.fleet.network import Network, Weather
-from harness.fleet.script import numbers, read
-from service_proxy.fleet.timing import Timing
+from harness.fleet.fault_script import member_numbers, parse_script
+from harness.fleet.network import LinkFaults, Network
+from harness.fleet.virtual_fleet import VirtualFleet
+from service_proxy.fleet.timing import ProtocolTiming
 from service_proxy.operator_file import OperatorError
 
 FAULT = '[[fault]]\nat = 1.0\ndo = "kill"\nwho = ["p1"]\n'
@@ -31,17 +31,17 @@
 def test_a_broken_script_is_told_with_its_line(name: str) -> None:
     text, line, what = BROKEN[name]
     with pytest.raises(OperatorError) as fault:
-        read(text)
+        parse_script(text)
     assert any(p.line == line and what in f"{p.text} {p.instead}" for p in fault.value.problems)
 
 
 def test_members_are_named_singly_in_spans_or_all() -> None:
-    assert numbers(["p1", "p3-p5"], 6) == [1, 3, 4, 5] and numbers(["all"], 3) == [0, 1, 2]
+    assert member_numbers(["p1", "p3-p5"], 6) == [1, 3, 4, 5] and member_numbers(["all"], 3) == [0, 1, 2]
 
 
 def test_decisions_hang_on_seed_link_and_number_alone() -> None:
     def fates(order: list[tuple[int, int]]) -> dict[tuple[int, int], list[object]]:
-        network = Network(5, everywhere=Weather(loss=0.3, jitter=0.1, duplicate=0.2, corrupt=0.2))
+        network = Network(5, default_faults=LinkFaults(loss=0.3, jitter=0.1, duplicate=0.2, corrupt=0.2))
         found: dict[tuple[int, int], list[object]] = {}
         for link in order:
             found.setdefault(link, []).append(network.carry(*link, b"x" * 50, 0.0))
@@ -56,22 +56,22 @@
     network = Network(1)
     network.cut([0], [1])
     network.cut([0], [1, 2])
-    assert not network.open(0, 1) and network.open(1, 0) and not network.open(0, 2)
+    assert not network.is_open(0, 1) and network.is_open(1, 0) and not network.is_open(0, 2)
     network.cut([0], [1], -1)
-    assert not network.open(0, 1)
+    assert not network.is_open(0, 1)
     network.cut([0], [1, 2], -1)
-    assert network.open(0, 1) and network.open(0, 2)
+    assert network.is_open(0, 1) and network.is_open(0, 2)
 
 
 def test_a_stopped_member_keeps_what_came_and_answers_when_it_goes_on() -> None:
-    bed = Bed(3, Timing(), 1)
+    bed = VirtualFleet(3, ProtocolTiming(), 1)
     for number in range(3):
         bed.start(number)
     bed.run(5.0)
-    bed.stop(1)
+    bed.suspend(1)
     bed.run(6.5)
     assert bed.members[1].inbox
-    bed.go_on(1)
+    bed.resume(1)
     assert not bed.members[1].inbox
 
 
--- a/tests/recovery/test_power_loss.py
+++ b/tests/recovery/test_power_loss.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from harness.fleet.world import Seat, Setup, World, world
+from harness.fleet.harness import FleetHarness, FleetOptions, Slot, running_fleet
 from harness.kit import until
 from service_proxy.recovery.persisted_records import MaintenanceRecord, put_operation
 from service_proxy.recovery.store import Store, StoreOwner, read_store
@@ -21,28 +21,28 @@
 class Power:
     """What the logs say since the last look."""
 
-    def __init__(self, of: World) -> None:
+    def __init__(self, of: FleetHarness) -> None:
         self.world = of
-        self.at = {seat.name: 0 for seat in of.seats}
+        self.at = {seat.name: 0 for seat in of.slots}
 
     def mark(self) -> None:
         self.world.observer.read_logs()
         self.at = {name: len(self.world.observer.lines.get(name, [])) for name in self.at}
 
-    def lines(self, seat: Seat) -> str:
+    def lines(self, seat: Slot) -> str:
         self.world.observer.read_logs()
         return "\n".join(self.world.observer.lines.get(seat.name, [])[self.at[seat.name] :])
 
-    def happened(self, seat: Seat) -> list[str]:
+    def happened(self, seat: Slot) -> list[str]:
         return OUTAGE.findall(self.lines(seat))
 
-    def path(self, seat: Seat) -> list[str]:
+    def path(self, seat: Slot) -> list[str]:
         found = PHASE.findall(self.lines(seat))
         return [found[0][0], *(after for _, after in found)] if found else []
 
-    async def steady(self, *seats: Seat) -> None:
+    async def steady(self, *seats: Slot) -> None:
         """These, or all."""
-        wanted = seats or tuple(self.world.seats)
+        wanted = seats or tuple(self.world.slots)
         await until(
             lambda: not self.world.starting and all(self.path(seat)[-1:] == ["steady"] for seat in wanted),
             "steady",
@@ -50,18 +50,18 @@
         )
 
 
-def played(work: Callable[[World, Power], Coroutine[Any, Any, None]]) -> None:
+def played(work: Callable[[FleetHarness, Power], Coroutine[Any, Any, None]]) -> None:
     async def test() -> None:
-        setup = Setup(members=6, nodos=6, rate=10.0, period=0.25, recovery=True, cold=COLD)
-        async with world(setup) as made:
+        setup = FleetOptions(members=6, endpoints=6, rate=10.0, period=0.25, recovery=True, warm_up_s=COLD)
+        async with running_fleet(setup) as made:
             power = Power(made)
             await power.steady()
-            await made.observer.settle(30, True)
+            await made.observer.wait_until_settled(30, True)
             power.mark()
             await work(made, power)
-            await made.quiet()
+            await made.finish_requests()
             assert not made.audit()
-            for seat in made.seats:
+            for seat in made.slots:
                 assert "Traceback" not in power.lines(seat)
 
     asyncio.run(test())
@@ -70,10 +70,10 @@
 def test_everybody_lost_power_and_comes_back_in_the_worst_order() -> None:
     """First tier first, nodos late, one of them never; a machine was out for maintenance."""
 
-    async def work(made: World, power: Power) -> None:
+    async def work(made: FleetHarness, power: Power) -> None:
         made.power_off()
         await until(lambda: not made.living, "dark", 10)
-        folder = StoreDirectory(made.seats[0].folder / "store")
+        folder = StoreDirectory(made.slots[0].folder / "store")
         found = read_store(folder, None)
         assert set(found.state.tables["server"]) == {f"n{number}" for number in range(6)}
         assert len(found.state.tables["member"]) == 5
@@ -81,36 +81,36 @@
         store.start_generation(found, 1.0)
         store.append([put_operation("n1", MaintenanceRecord(1.0, "fan"))], 1.0)
         store.close()
-        made.nodos[1].last_by.clear()
-        for seat in made.seats:
+        made.endpoints[1].last_by.clear()
+        for seat in made.slots:
             made.start(seat.number)
         await until(lambda: all("fleet" in power.happened(seat) for seat in made.living), "verdict", 30)
-        assert all(power.path(seat) == [] for seat in made.seats)  # dark: no server answers
-        served = sum(callers.codes[200] for callers in made.callers)
-        refused = sum(callers.codes[503] for callers in made.callers)
-        await until(lambda: sum(callers.codes[503] for callers in made.callers) > refused, "refusals", 10)
+        assert all(power.path(seat) == [] for seat in made.slots)  # dark: no server answers
+        served = sum(callers.codes[200] for callers in made.clients)
+        refused = sum(callers.codes[503] for callers in made.clients)
+        await until(lambda: sum(callers.codes[503] for callers in made.clients) > refused, "refusals", 10)
         for number in (3, 0, 4, 1, 2):
-            await made.nodo_on(number)
+            await made.restart_endpoint(number)
             await asyncio.sleep(0.3)
         await power.steady()
         for seat in made.living:
             assert power.path(seat)[0] == "unavailable" and "ramp" in power.path(seat)
             assert power.happened(seat) == ["fleet"]
-        await until(lambda: sum(callers.codes[200] for callers in made.callers) > served + 50, "service", 20)
+        await until(lambda: sum(callers.codes[200] for callers in made.clients) > served + 50, "service", 20)
         # What was out stays out, where it was known: p0 alone had that word.
-        await until(lambda: len(made.nodos[1].last_by) >= 1, "others at n1", 20)
-        assert "p0" not in made.nodos[1].last_by
+        await until(lambda: len(made.endpoints[1].last_by) >= 1, "others at n1", 20)
+        assert "p0" not in made.endpoints[1].last_by
 
     played(work)
 
 
 def test_who_restarts_alone_or_in_turn_starts_no_recovery() -> None:
-    async def work(made: World, power: Power) -> None:
-        for seat in made.seats:
+    async def work(made: FleetHarness, power: Power) -> None:
+        for seat in made.slots:
             made.kill(seat.number)
             made.start(seat.number)
             await power.steady(seat)
-        for seat in made.seats:
+        for seat in made.slots:
             assert set(power.happened(seat)) <= {"process"}
             assert "ramp" not in power.path(seat) and "provisional" not in power.path(seat)
 
@@ -120,14 +120,14 @@
 def test_one_sala_lost_power() -> None:
     """The others go on; those that come back hold their sala's nodos for cold, and nobody else's."""
 
-    async def work(made: World, power: Power) -> None:
+    async def work(made: FleetHarness, power: Power) -> None:
         made.power_off("a")
         await until(lambda: len(made.living) == 4, "two down", 10)
         for number in (0, 3):
-            await made.nodo_on(number)
+            await made.restart_endpoint(number)
             made.start(number)
-        await power.steady(made.seats[0], made.seats[3])
-        for seat in made.seats:
+        await power.steady(made.slots[0], made.slots[3])
+        for seat in made.slots:
             lost = seat.number % 3 == 0
             assert power.happened(seat) == (["zone"] if lost else [])
             assert ("ramp" in power.path(seat)) is lost
@@ -138,13 +138,13 @@
 def test_all_proxies_and_no_machine() -> None:
     """They are warm again at once: nodos and machines had power all the while."""
 
-    async def work(made: World, power: Power) -> None:
-        for seat in made.seats:
+    async def work(made: FleetHarness, power: Power) -> None:
+        for seat in made.slots:
             made.kill(seat.number)
-        for seat in made.seats:
+        for seat in made.slots:
             made.start(seat.number)
         await power.steady()
-        for seat in made.seats:
+        for seat in made.slots:
             assert power.happened(seat) == ["process"]
             assert "ramp" not in power.path(seat)
 
