--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -27,8 +27,8 @@
 from harness.program import ROOT, Program, configuration, free_port, launch, settings
 from harness.skew import STEER
 from service_proxy.fleet.authentication import MessageAuthenticator
+from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.view_query import ViewPage, ViewRow, decode_view_page, encode_view_request
-from service_proxy.fleet.wire import MalformedDatagramError
 from service_proxy.net.endpoint_list import parse_address as address_of
 
 POLL_INTERVAL_S = 0.1  # s between two looks of the observer at each view
--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -21,7 +21,6 @@
     Proxy,
     create_deadline_propagation,
     freeze_long_lived_objects,
-    read_fleet_keys,
 )
 from service_proxy.log_setup import configure_logging
 from service_proxy.net.config import ConfigError, ProxyConfig, load_config, reload_discovery_address
@@ -117,6 +116,8 @@
     budgets = None
     if operator.budgets is not None:
         budgets = create_deadline_propagation(operator.budgets, DEFAULT_HOP)
+    from service_proxy.operator_file.key_file import read_fleet_keys
+
     return Proxy(
         config,
         operator.membership,
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -30,7 +30,7 @@
     from service_proxy.net.request_filters import RequestFilter
     from service_proxy.operator_file import Budgets as BudgetSettings
     from service_proxy.operator_file import Fleet as FleetSettings
-    from service_proxy.operator_file import Membership, Operator, Registration, WebSocket
+    from service_proxy.operator_file import Membership, Registration, WebSocket
     from service_proxy.operator_file import Recovery as RecoverySettings
     from service_proxy.policy.events import RequestClass
     from service_proxy.recovery.service import Recovery
@@ -273,19 +273,6 @@
     return FleetService(settings, config, driver, Clock(), keys)
 
 
-def read_fleet_keys(operator: Operator) -> list[bytes]:
-    """Return the keys that authenticate the fleet's datagrams: those of [budgets], or none without it.
-
-    Raises:
-        OperatorError: the key file can't be used.
-    """
-    if operator.fleet is None or operator.budgets is None:
-        return []
-    from service_proxy.deadlines.keys import read_keys
-
-    return list(read_keys(operator.budgets.keys_file).values())
-
-
 def create_recovery(settings: RecoverySettings, config: ProxyConfig) -> Recovery:
     """Return the recovery, with its store read."""
     from service_proxy.clock import Clock
--- a/service_proxy/deadlines/calls.py
+++ b/service_proxy/deadlines/calls.py
@@ -15,13 +15,13 @@
 from service_proxy.deadlines import header
 from service_proxy.deadlines.accounts import Account, Lent, finishing, root
 from service_proxy.deadlines.correlation import Correlation, Entry
-from service_proxy.deadlines.keys import read_keys
 from service_proxy.deadlines.usual import Transit, Usual
 from service_proxy.net.downstream import Request
 from service_proxy.net.request_filters import HeaderFields, Rejection
 from service_proxy.net.upstream import UpstreamAttempt
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError, Problem, load
+from service_proxy.operator_file.key_file import read_keys
 from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, RequestClass
 from service_proxy.policy.events import Settings as ProxySettings
 
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -17,6 +17,7 @@
 import time
 
 from service_proxy.fleet.authentication import MessageAuthenticator
+from service_proxy.fleet.errors import MalformedDatagramError, NoAnswerError
 from service_proxy.fleet.members import initial_generation
 from service_proxy.fleet.view_query import (
     ViewPage,
@@ -25,8 +26,9 @@
     diagnose_view,
     encode_view_request,
 )
-from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES, MalformedDatagramError
-from service_proxy.operator_file import OperatorError
+from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
+from service_proxy.operator_file import OperatorError, load
+from service_proxy.operator_file.key_file import read_fleet_keys
 from service_proxy.operator_file.schema import address_fault
 
 PATIENCE = 0.5  # s for one answer
@@ -36,10 +38,6 @@
 CLEAR = "\x1b[H\x1b[J"  # ECMA-48: cursor home, erase to the end
 
 
-class NoAnswer(Exception):
-    """The message says which address, and what came instead."""
-
-
 class Asker:
     """One socket, and the numbers of its questions."""
 
@@ -52,7 +50,7 @@
         self.number = 0
 
     def page(self, first: int) -> ViewPage:
-        """Raises NoAnswer."""
+        """Raises NoAnswerError."""
         instead = "nothing came"
         for _ in range(TRIES):
             self.number += 1
@@ -72,7 +70,7 @@
             except OSError as fault:
                 instead = str(fault)
                 time.sleep(max(0.0, due - time.monotonic()))
-        raise NoAnswer(f"{self.at[0]}:{self.at[1]} did not answer: {instead}")
+        raise NoAnswerError(self.at, instead)
 
     def view(self) -> tuple[ViewPage, list[ViewRow]]:
         """All of it; a view that changes meanwhile may lack a row, and is then not told as settled."""
@@ -145,9 +143,6 @@
     """Raises OperatorError."""
     if file is None:
         return MessageAuthenticator()
-    from service_proxy.composition import read_fleet_keys
-    from service_proxy.operator_file import load
-
     return MessageAuthenticator(read_fleet_keys(load(file)))
 
 
@@ -176,7 +171,7 @@
         return 2
     try:
         return watch(asker, wanted.json) if wanted.watch else look(asker, wanted.json)
-    except NoAnswer as error:
+    except NoAnswerError as error:
         print(f"{error}; is it up, and is this its machine or a member's?", file=sys.stderr)
         return 1
 
--- a/service_proxy/fleet/authentication.py
+++ b/service_proxy/fleet/authentication.py
@@ -22,6 +22,8 @@
 
 REPLAY_WINDOW = 256  # numbers that may come out of order
 MAX_SENDERS = 20_000  # processes whose numbers are remembered; the one heard of longest ago is let go
+# Domain separation of the MAC's key. It carries the package's former name, and stays as it is: members of the
+# former version must accept what this one signs, and the other way round.
 PURPOSE = b"granitepoint fleet datagram 1"
 
 
--- a/service_proxy/fleet/digest_tree.py
+++ b/service_proxy/fleet/digest_tree.py
@@ -9,6 +9,7 @@
 
 from dataclasses import dataclass, field
 
+from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.member_states import MemberState
 from service_proxy.fleet.member_table import KEY_NIBBLES, MemberTable
 from service_proxy.fleet.members import KEY_BYTES, Address, MemberEntry, MemberKey
@@ -17,7 +18,6 @@
     PREFIX_LAYOUT,
     TREE_FANOUT,
     DatagramWriter,
-    MalformedDatagramError,
     MemberUpdate,
     Section,
     update_of,
--- a/service_proxy/fleet/protocol.py
+++ b/service_proxy/fleet/protocol.py
@@ -13,6 +13,7 @@
 from typing import NamedTuple
 
 from service_proxy.fleet import wire
+from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.join import JoinProtocol
 from service_proxy.fleet.member_base import (
     ANY_FLEET,
@@ -46,7 +47,6 @@
     Datagram,
     DatagramWriter,
     LoadSummary,
-    MalformedDatagramError,
     MemberUpdate,
     MessageType,
     Section,
--- a/service_proxy/fleet/view_query.py
+++ b/service_proxy/fleet/view_query.py
@@ -9,10 +9,11 @@
 
 from service_proxy.fleet import wire
 from service_proxy.fleet.authentication import MessageAuthenticator
+from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.member_base import ANY_FLEET, PADDING_SECTION, PATH_DESCRIPTIONS
 from service_proxy.fleet.member_states import MemberState
 from service_proxy.fleet.members import Incarnation, ServicePhase, format_address, member_key
-from service_proxy.fleet.wire import DatagramWriter, LoadSummary, MalformedDatagramError, MessageType, Section
+from service_proxy.fleet.wire import DatagramWriter, LoadSummary, MessageType, Section
 
 
 @dataclass(frozen=True, slots=True)
--- a/service_proxy/fleet/wire.py
+++ b/service_proxy/fleet/wire.py
@@ -46,6 +46,7 @@
 from functools import lru_cache
 from ipaddress import IPv4Address
 
+from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.members import (
     KEY_BYTES,
     MAX_LABEL_BYTES,
@@ -80,10 +81,6 @@
 ROW_STATUS_LAYOUT = struct.Struct("!BBB3sI")
 
 
-class MalformedDatagramError(ValueError):
-    """No datagram of a fleet; the message says why."""
-
-
 class MessageType(IntEnum):
     PING = 1
     ACK = 2
--- a/service_proxy/deadlines/keys.py
+++ b/service_proxy/operator_file/key_file.py
@@ -1,4 +1,7 @@
-"""Reads the key file: one key a line, `ID HEX`, the first signs and all are accepted. One or two lines."""
+"""The key file that [budgets] names: one key a line, `ID HEX`; the first signs, all are accepted.
+
+Deadline propagation and the fleet's message authentication use the same keys, each for a purpose of its own.
+"""
 
 from __future__ import annotations
 
@@ -6,19 +9,23 @@
 import re
 
 from service_proxy.operator_file.reader import OperatorError, Problem
+from service_proxy.operator_file.schema import Operator
 
-MOST_KEYS = 2  # the one in use and the one before, while they are rotated
-# of a key
-LEAST_BYTES = 16
-MOST_BYTES = 64
-MOST_FILE = 1024  # bytes
+MAX_KEYS = 2  # the one in use and the one before, while they are rotated
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64
+MAX_FILE_BYTES = 1024
 LINE = re.compile(r"([a-z0-9]{1,16}) ([0-9a-f]+)")
 EXAMPLE = 'write a line "k1 " and 32 to 128 small hex digits'
 READABLE = 0o007  # by others than the file's owner and group
 
 
 def read_keys(file: str) -> dict[bytes, bytes]:
-    """By id, in the file's order. Raises OperatorError with file and line; never shows a key."""
+    """Return the keys by id, in the file's order.
+
+    Raises:
+        OperatorError: with file and line; it never shows a key.
+    """
 
     def fault(line: int, code: str, text: str, instead: str) -> OperatorError:
         return OperatorError([Problem(file, line, code, text, instead)])
@@ -26,25 +33,36 @@
     try:
         with open(file, "rb") as source:
             mode = os.fstat(source.fileno()).st_mode
-            data = source.read(MOST_FILE + 1)
+            data = source.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise fault(
             1, "C001", f"can't be read: {error.strerror}", "name the file of the fleet's keys"
         ) from None
     if mode & READABLE:
         raise fault(1, "S105", "may be read by everybody on this machine", "chmod o-rwx it")
-    if len(data) > MOST_FILE:
-        raise fault(1, "C003", f"larger than {MOST_FILE} bytes", EXAMPLE)
+    if len(data) > MAX_FILE_BYTES:
+        raise fault(1, "C003", f"larger than {MAX_FILE_BYTES} bytes", EXAMPLE)
     keys: dict[bytes, bytes] = {}
     for number, line in enumerate(data.decode("latin-1").splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
         found = LINE.fullmatch(line.rstrip())
-        if found is None or len(found[2]) % 2 or not LEAST_BYTES <= len(found[2]) // 2 <= MOST_BYTES:
+        if found is None or len(found[2]) % 2 or not MIN_KEY_BYTES <= len(found[2]) // 2 <= MAX_KEY_BYTES:
             raise fault(number, "S105", "is no key", EXAMPLE)
         if found[1].encode() in keys or bytes.fromhex(found[2]) in keys.values():
             raise fault(number, "S107", "is given twice", "take one of them out")
         keys[found[1].encode()] = bytes.fromhex(found[2])
-    if not 1 <= len(keys) <= MOST_KEYS:
-        raise fault(1, "S105", f"holds {len(keys)} keys", f"write one, or {MOST_KEYS} while they are rotated")
+    if not 1 <= len(keys) <= MAX_KEYS:
+        raise fault(1, "S105", f"holds {len(keys)} keys", f"write one, or {MAX_KEYS} while they are rotated")
     return keys
+
+
+def read_fleet_keys(operator: Operator) -> list[bytes]:
+    """Return the keys that authenticate the fleet's datagrams: those of [budgets], or none without it.
+
+    Raises:
+        OperatorError: the key file can't be used.
+    """
+    if operator.fleet is None or operator.budgets is None:
+        return []
+    return list(read_keys(operator.budgets.keys_file).values())
