--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -33,8 +33,8 @@
 from harness.padron import Padron, entry
 from harness.program import proxy
 from harness.world import Habits
-from service_proxy.deadlines.accounts import Account, Lent, root
-from service_proxy.deadlines.correlation import BYTES_EACH, Correlation
+from service_proxy.deadlines.correlation import BYTES_PER_REQUEST, CorrelationTable
+from service_proxy.deadlines.request_budget import AttemptGrant, RequestBudget, root_budget
 
 HOSTS = 2
 CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
@@ -81,52 +81,52 @@
     receiver
     has an account of its own, of what was lent to it, and says what it spent, if it says anything."""
     random = Random(seed)
-    top = root(random.randint(0, 20), 100.0, 50.0, 1.0, "stock", "0" * 16)
-    history = History(top.granted)
-    accounts: list[Account] = [top]
-    out: list[tuple[Lent, Account]] = []  # attempts, and what their receivers have
+    top = root_budget(random.randint(0, 20), 100.0, 50.0, 1.0, "stock", "0" * 16)
+    history = History(top.allowance)
+    accounts: list[RequestBudget] = [top]
+    out: list[tuple[AttemptGrant, RequestBudget]] = []  # attempts, and what their receivers have
 
     def check() -> None:
         for account in accounts:
-            if min(account.free, account.lent, account.spent) < 0:
-                history.faults.append(f"negative: {account.free} {account.lent} {account.spent}")
-            if account.free + account.lent + account.spent != account.granted:
+            if min(account.available, account.reserved, account.spent) < 0:
+                history.faults.append(f"negative: {account.available} {account.reserved} {account.spent}")
+            if account.available + account.reserved + account.spent != account.allowance:
                 history.faults.append("made from nothing")
 
     for step in range(random.randint(1, 60)):
         move = random.randrange(6)
         account = random.choice(accounts)
         if move == 0:
-            child = account.lend(random.randint(1, 4), float(step))
+            child = account.allocate_child(random.randint(1, 4), float(step))
             if child is not None:
                 accounts.append(child)
         elif move in (1, 2):
             before = account.spent
-            lent = account.begin(random.randint(1, 4))
+            lent = account.grant_attempt(random.randint(1, 4))
             if lent is not None:
                 history.sends += 1
                 if account.spent != before + 1:
                     history.faults.append("not debited once")
-                below = Account(lent.attempts, 100.0, 50.0, 1.0, "stock", (), "")
+                below = RequestBudget(lent.attempts, 100.0, 50.0, 1.0, "stock", (), "")
                 accounts.append(below)
                 out.append((lent, below))
         elif move in (3, 4) and out:
             lent, below = out.pop(random.randrange(len(out)))
             kind = random.randrange(4)
             if kind == 0:  # answered: it closes what is open below, and says what it spent
-                said = below.spent + below.lent
+                said = below.spent + below.reserved
                 below.close()
-                lent.end(said, False)
+                lent.settle(said, False)
             elif kind == 1:  # lost after it may have run: it may go on spending
-                lent.end(None, True)
-            elif kind == 2 and below.spent + below.lent == 0:  # never ran
+                lent.settle(None, True)
+            elif kind == 2 and below.spent + below.reserved == 0:  # never ran
                 below.close()
-                lent.end(None, False)
+                lent.settle(None, False)
             else:  # lost, and its own process hears of it
                 below.close()
-                lent.end(None, True)
+                lent.settle(None, True)
             if random.random() < 0.2:
-                lent.end(0, False)  # a second word
+                lent.settle(0, False)  # a second word
         elif move == 5:
             account.close()
         check()
@@ -337,16 +337,20 @@
 def memory(proof: Proof) -> None:
     """Of the correlation's table when it is full."""
     tracemalloc.start()
-    table = Correlation()
-    for number in range(table.most):
-        account = root(12, 1.0, 1.0, 1.0, "reserva", f"{number:016x}")
+    table = CorrelationTable()
+    for number in range(table.max_requests):
+        account = root_budget(12, 1.0, 1.0, 1.0, "reserva", f"{number:016x}")
         table.add(f"{number:016x}", b"%016x" % number, b"key-%012x" % number, "reserva", account)
-    each = tracemalloc.get_traced_memory()[0] / table.most
+    each = tracemalloc.get_traced_memory()[0] / table.max_requests
     tracemalloc.stop()
     proof.figure(
-        "correlation_full", each * table.most / 2**20, f"MB of {table.most} requests, {each:.0f} bytes each"
+        "correlation_full",
+        each * table.max_requests / 2**20,
+        f"MB of {table.max_requests} requests, {each:.0f} bytes each",
+    )
+    proof.claim(
+        each <= BYTES_PER_REQUEST, f"a request takes {each:.0f} bytes, and {BYTES_PER_REQUEST} are documented"
     )
-    proof.claim(each <= BYTES_EACH, f"a request takes {each:.0f} bytes, and {BYTES_EACH} are documented")
 
 
 async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
--- a/harness/chain.py
+++ b/harness/chain.py
@@ -113,7 +113,7 @@
 
     def loops_told(self) -> int:
         """Lines of the sidecars' logs that name a loop's path."""
-        return sum(host.log.read_text().count(": loop: ") for host in self.world.hosts)
+        return sum(host.log.read_text().count(": loop_rejected path=") for host in self.world.hosts)
 
 
 def key_file(folder: Path) -> Path:
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from service_proxy.admin.service import AdminService
-    from service_proxy.deadlines.calls import Budgets
+    from service_proxy.deadlines.propagation import BudgetPropagation
     from service_proxy.ephemeral_nodes.register import Registrar
     from service_proxy.fleet.service import FleetService
     from service_proxy.net.endpoint_sources import Subsystem
@@ -66,7 +66,7 @@
         self,
         config: ProxyConfig,
         membership: Membership | None,
-        budgets: Budgets | None = None,
+        budgets: BudgetPropagation | None = None,
         called: str = "",
         websocket: WebSocket | None = None,
         fleet: FleetSettings | None = None,
@@ -241,16 +241,16 @@
     return registrar_of(membership, registration, since_ms)
 
 
-def create_deadline_propagation(settings: BudgetSettings, hop: str) -> Budgets:
+def create_deadline_propagation(settings: BudgetSettings, hop: str) -> BudgetPropagation:
     """Return the deadline propagation of a process, for all its listeners.
 
     `hop`: the hop identifier, where the settings name none. Raises OperatorError where the key file can't be
     used.
     """
-    from service_proxy.deadlines.calls import Budgets
+    from service_proxy.deadlines.propagation import BudgetPropagation
 
     _log_at_info("service_proxy.deadlines")
-    return Budgets(settings, hop)
+    return BudgetPropagation(settings, hop)
 
 
 def create_fleet(
@@ -322,25 +322,27 @@
 
 
 def outer_filters(
-    budgets: Budgets | None, called: str, config: ProxyConfig, recovery: Recovery | None = None
+    budgets: BudgetPropagation | None, called: str, config: ProxyConfig, recovery: Recovery | None = None
 ) -> tuple[RequestFilter, ...]:
     """Return what acts on a request before the policy, in this order."""
     filters: tuple[RequestFilter, ...] = () if recovery is None else (recovery.filter,)
     if budgets is None:
         return filters
-    from service_proxy.deadlines.calls import OuterFilter
+    from service_proxy.deadlines.outbound import OutboundFilter
 
     classes = {cls.name: cls for cls in config.settings.classes}
-    return (*filters, OuterFilter(budgets, called, classes, config.settings.max_attempts))
+    return (*filters, OutboundFilter(budgets, called, classes, config.settings.max_attempts))
 
 
-def inner_filters(budgets: Budgets | None, classes: dict[str, RequestClass]) -> tuple[RequestFilter, ...]:
+def inner_filters(
+    budgets: BudgetPropagation | None, classes: dict[str, RequestClass]
+) -> tuple[RequestFilter, ...]:
     """Return what acts on a request before it goes to the application beside a sidecar."""
     if budgets is None:
         return ()
-    from service_proxy.deadlines.calls import InnerFilter
+    from service_proxy.deadlines.inbound import InboundFilter
 
-    return (InnerFilter(budgets, classes),)
+    return (InboundFilter(budgets, classes),)
 
 
 async def drain_server(server: HttpServer, has_unanswered: Callable[[], bool], end_by: float = 0.0) -> None:
--- a/service_proxy/deadlines/__init__.py
+++ b/service_proxy/deadlines/__init__.py
@@ -1,6 +1,6 @@
-"""Budgets across tiers: what time, attempts and worth a request has left, passed down the chain of its calls.
+"""Deadline propagation: the time, attempts and priority that a request has left, passed down its calls.
 
-Files that decide are pure: header (what travels), accounts (who may spend what), correlation (whose call is
-whose), usual (what a class takes). keys reads the key file, calls holds on to the driver and the inbound
-side.
+The modules that decide are pure: `header` (what travels), `request_budget` (who may spend what),
+`correlation` (which request a call belongs to), `latency_estimate` (what a class takes). `key_file` reads the
+keys; `filters` connects all of them to the request dispatcher.
 """
--- a/service_proxy/deadlines/header.py
+++ b/service_proxy/deadlines/header.py
@@ -1,4 +1,4 @@
-"""What travels between sidecars: one header field, read and written byte by byte, with its MAC. Pure.
+"""The header field that carries a budget between sidecars, byte by byte, with its MAC. Pure.
 
     Tier-Budget: 1;t=1200000;o=500000;a=4;w=12000;c=read;p=edge.front;i=9b1f03aa5c7e2d41;k=k1;m=<32 hex>
 
@@ -6,22 +6,23 @@
               ";i=" id ";k=" key ";m=" mac
     number  = "0" / ( %x31-39 *14DIGIT )             ; no sign, no leading zero
     name    = LOWER *62( LOWER / DIGIT / "-" / "_" )
-    mark    = name                                   ; one tier that the request has passed
+    mark    = name                                   ; hop identifier: one tier that the request has passed
     id      = 16HEXLOW                               ; of the whole tree of calls
     key     = 1*16( LOWER / DIGIT )
     mac     = 32HEXLOW
 
 `t`: microseconds that the receiver may take, counted from when it has the head: time left, not an instant, so
-no two clocks have to agree. `o`: the same until the outer aim, after which the answer is worth less; `a`:
-attempts that it and all below it may make. `w`: worth in thousandths. `c`:
-the class of the outermost request. `m`: the first 16 bytes of HMAC-SHA256 (RFC 2104, RFC 6234) over the value
-up to `;m=`, LF, and the request's X-Call-Id, so that a value is of no use on another call.
+no two clocks have to agree. `o`: the same until the outermost request's latency objective, after which its
+priority weight is less. `a`: attempts that the receiver and all below it may make. `w`: priority weight in
+thousandths. `c`: the class of the outermost request. `m`: the first 16 bytes of HMAC-SHA256 (RFC 2104, RFC
+6234) over the value up to `;m=`, LF, and the request's X-Call-Id, so that a value is of no use on another
+request.
 
-Back with an answer: `Tier-Budget: 1;s=3;q=81000`: attempts that were spent of `a`, and microseconds from the
+Back with an answer: `Tier-Budget: 1;s=3;q=81000`: attempts that were used of `a`, and microseconds from the
 whole request to the answer.
 
 To an application, and from it with the calls that it makes for that request: `Tier-Budget: ref;<16 hex>`, a
-name that only its own sidecar knows.
+reference that only its own sidecar knows.
 """
 
 from __future__ import annotations
@@ -30,123 +31,155 @@
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
-
-FIELD = b"tier-budget"
-MOST_BYTES = 512  # of a value
-MOST_HOPS = 8  # marks in a path
-MOST_TIME = 3600.0  # s; more is no call's time
-MOST_ATTEMPTS = 9999  # of a tree
-MOST_WORTH = 1e6  # as a description's class may have
+from typing import NamedTuple
+
+FIELD_NAME = b"tier-budget"
+MAX_VALUE_BYTES = 512
+MAX_HOPS = 8  # hop identifiers in a path
+MAX_TIME_S = 3600.0  # more is no request's time
+MAX_ATTEMPTS = 9999  # of a tree of calls
+MAX_PRIORITY_WEIGHT = 1e6  # as the settings of a class may have
 MAC_BYTES = 16
+MICROSECONDS = 1e6  # in a second
+MAX_TIME_US = int(MAX_TIME_S * MICROSECONDS)
+THOUSANDTHS = 1e3  # in one
+MAX_WEIGHT_THOUSANDTHS = int(MAX_PRIORITY_WEIGHT * THOUSANDTHS)
+MAC_PREFIX = b";m="
 NUMBER = rb"(0|[1-9][0-9]{0,14})"
 NAME = rb"[a-z][a-z0-9_-]{0,62}"
+PATH = rb"(" + NAME + rb"(?:\." + NAME + rb"){0,%d})" % (MAX_HOPS - 1)
 VALUE = re.compile(
-    rb"1;t="
-    + NUMBER
-    + rb";o="
-    + NUMBER
-    + rb";a="
-    + NUMBER
-    + rb";w="
-    + NUMBER
-    + rb";c=("
-    + NAME
-    + rb");p=("
-    + NAME
-    + rb"(?:\."
-    + NAME
-    + rb"){0,%d});i=([0-9a-f]{16});k=([a-z0-9]{1,16});m=([0-9a-f]{32})" % (MOST_HOPS - 1)
+    rb"1;t=%b;o=%b;a=%b;w=%b;c=(%b);p=%b;i=([0-9a-f]{16});k=([a-z0-9]{1,16});m=([0-9a-f]{32})"
+    % (NUMBER, NUMBER, NUMBER, NUMBER, NAME, PATH)
 )
-SPENT = re.compile(rb"1;s=" + NUMBER + rb";q=" + NUMBER)
+MAC_GROUP = 9  # of VALUE
+USAGE = re.compile(rb"1;s=" + NUMBER + rb";q=" + NUMBER)
 REFERENCE = re.compile(rb"ref;([0-9a-f]{16})")
+
 Keys = Mapping[bytes, bytes]  # by id; the first signs, all are accepted
 
 
-class Malformed(ValueError):
-    """A value that is none; the message says why."""
+class DeadlinePropagationError(Exception):
+    """Base class of what goes wrong with budgets on the wire."""
 
 
-@dataclass(frozen=True, slots=True)
-class Budget:
-    """What a request has left. Times in seconds."""
+class MalformedBudgetError(DeadlinePropagationError, ValueError):
+    """A header value is no budget, or not one for this request; the message says why."""
 
-    time: float
-    aim: float
+
+@dataclass(frozen=True, slots=True)
+class BudgetHeader:
+    """What a request has left, as it travels.
+
+    Attributes:
+        remaining_time: for the receiver, s.
+        remaining_objective: until the outermost request's latency objective, s.
+        attempts: that the receiver and all below it may make.
+        priority_weight: of the outermost request.
+        request_class: of the outermost request.
+        path: hop identifiers that the request has passed.
+        tree_id: of all calls that the outermost request causes.
+    """
+
+    remaining_time: float
+    remaining_objective: float
     attempts: int
-    worth: float
-    cls: str
+    priority_weight: float
+    request_class: str
     path: tuple[str, ...]
-    tree: str
+    tree_id: str
 
 
-def sign(unsigned: bytes, call: bytes, key: bytes) -> bytes:
-    return hmac.digest(key, unsigned + b"\n" + call, "sha256")[:MAC_BYTES].hex().encode()
+class Usage(NamedTuple):
+    """What a receiver used: attempts, and the time from the whole request to the answer, s."""
 
+    attempts: int
+    service_time: float
+
+
+def sign_value(unsigned: bytes, request_id: bytes, key: bytes) -> bytes:
+    """Return the MAC of a value, in hexadecimal digits."""
+    return hmac.digest(key, unsigned + b"\n" + request_id, "sha256")[:MAC_BYTES].hex().encode()
 
-def write(budget: Budget, call: bytes, keys: Keys) -> bytes:
-    """The field's value for the call of this X-Call-Id. What is too large is written as the most there is."""
-    name = next(iter(keys))
+
+def encode_budget(budget: BudgetHeader, request_id: bytes, keys: Keys) -> bytes:
+    """Return the value for the request of this X-Call-Id; numbers are cut to the largest that is allowed."""
+    key_id = next(iter(keys))
     unsigned = b"1;t=%d;o=%d;a=%d;w=%d;c=%s;p=%s;i=%s;k=%s" % (
-        max(0, min(int(budget.time * 1e6), int(MOST_TIME * 1e6))),
-        max(0, min(int(budget.aim * 1e6), int(MOST_TIME * 1e6))),
-        max(0, min(budget.attempts, MOST_ATTEMPTS)),
-        max(0, min(int(budget.worth * 1e3), int(MOST_WORTH * 1e3))),
-        budget.cls.encode(),
+        max(0, min(int(budget.remaining_time * MICROSECONDS), MAX_TIME_US)),
+        max(0, min(int(budget.remaining_objective * MICROSECONDS), MAX_TIME_US)),
+        max(0, min(budget.attempts, MAX_ATTEMPTS)),
+        max(0, min(int(budget.priority_weight * THOUSANDTHS), MAX_WEIGHT_THOUSANDTHS)),
+        budget.request_class.encode(),
         ".".join(budget.path).encode(),
-        budget.tree.encode(),
-        name,
+        budget.tree_id.encode(),
+        key_id,
     )
-    return unsigned + b";m=" + sign(unsigned, call, keys[name])
-
-
-def read(value: bytes, call: bytes, keys: Keys) -> Budget:
-    """Raises Malformed: also where the MAC is not that of a known key, or of this call."""
-    if len(value) > MOST_BYTES:
-        raise Malformed(f"longer than {MOST_BYTES} bytes")
-    found = VALUE.fullmatch(value)
-    if found is None:
-        raise Malformed("not of the form 1;t=..;a=..;w=..;c=..;p=..;i=..;k=..;m=..")
-    time, aim, attempts, worth, cls, path, tree, name, mac = found.groups()
-    key = keys.get(name)
+    return unsigned + MAC_PREFIX + sign_value(unsigned, request_id, keys[key_id])
+
+
+def decode_budget(value: bytes, request_id: bytes, keys: Keys) -> BudgetHeader:
+    """Return the budget of a value that came with the request of this X-Call-Id.
+
+    Raises:
+        MalformedBudgetError: it is not of the form, or its MAC is not that of a known key and this request.
+    """
+    if len(value) > MAX_VALUE_BYTES:
+        raise MalformedBudgetError(f"longer than {MAX_VALUE_BYTES} bytes")
+    match = VALUE.fullmatch(value)
+    if match is None:
+        raise MalformedBudgetError("not of the form 1;t=..;a=..;w=..;c=..;p=..;i=..;k=..;m=..")
+    time, objective, attempts, weight, request_class, path, tree_id, key_id, mac = match.groups()
+    key = keys.get(key_id)
     if key is None:
-        raise Malformed(f"key {name.decode()} is not known")
-    if not hmac.compare_digest(sign(value[: found.start(9) - 3], call, key), mac):
-        raise Malformed("its MAC is not that of this call")
+        raise MalformedBudgetError(f"key {key_id.decode()} is not known")
+    unsigned = value[: match.start(MAC_GROUP) - len(MAC_PREFIX)]
+    if not hmac.compare_digest(sign_value(unsigned, request_id, key), mac):
+        raise MalformedBudgetError("its MAC is not that of this call")
     if (
-        max(int(time), int(aim)) > MOST_TIME * 1e6
-        or int(attempts) > MOST_ATTEMPTS
-        or int(worth) > MOST_WORTH * 1e3
+        max(int(time), int(objective)) > MAX_TIME_US
+        or int(attempts) > MAX_ATTEMPTS
+        or int(weight) > MAX_WEIGHT_THOUSANDTHS
     ):
-        raise Malformed("a number is larger than any budget")
-    marks = tuple(path.decode().split("."))
-    return Budget(
-        int(time) / 1e6, int(aim) / 1e6, int(attempts), int(worth) / 1e3, cls.decode(), marks, tree.decode()
+        raise MalformedBudgetError("a number is larger than any budget")
+    return BudgetHeader(
+        remaining_time=int(time) / MICROSECONDS,
+        remaining_objective=int(objective) / MICROSECONDS,
+        attempts=int(attempts),
+        priority_weight=int(weight) / THOUSANDTHS,
+        request_class=request_class.decode(),
+        path=tuple(path.decode().split(".")),
+        tree_id=tree_id.decode(),
     )
 
 
-def write_spent(spent: int, took: float) -> bytes:
-    return b"1;s=%d;q=%d" % (max(0, spent), max(0, int(took * 1e6)))
+def encode_usage(attempts: int, service_time: float) -> bytes:
+    """Return the value that goes back with an answer."""
+    return b"1;s=%d;q=%d" % (max(0, attempts), max(0, int(service_time * MICROSECONDS)))
 
 
-def read_spent(value: bytes, lent: int) -> tuple[int, float] | None:
-    """Attempts spent of those lent, and s that the receiver took; None where it says nothing usable."""
-    found = SPENT.fullmatch(value) if len(value) <= MOST_BYTES else None
-    if found is None or int(found[1]) > lent:
+def decode_usage(value: bytes, granted_attempts: int) -> Usage | None:
+    """Return what a receiver used; None where it says nothing usable, or more than it was granted."""
+    match = USAGE.fullmatch(value) if len(value) <= MAX_VALUE_BYTES else None
+    if match is None or int(match[1]) > granted_attempts:
         return None
-    return int(found[1]), int(found[2]) / 1e6
+    return Usage(int(match[1]), int(match[2]) / MICROSECONDS)
+
 
+def encode_reference(reference: str) -> bytes:
+    """Return the value that names a request to its application."""
+    return b"ref;" + reference.encode()
 
-def write_reference(name: str) -> bytes:
-    return b"ref;" + name.encode()
 
+def decode_reference(value: bytes) -> str | None:
+    """Return the reference that an application copied; None where the value is none."""
+    match = REFERENCE.fullmatch(value) if len(value) <= MAX_VALUE_BYTES else None
+    return match[1].decode() if match is not None else None
 
-def read_reference(value: bytes) -> str | None:
-    found = REFERENCE.fullmatch(value) if len(value) <= MOST_BYTES else None
-    return found[1].decode() if found is not None else None
 
+def exceeds_hop_limit(path: tuple[str, ...], hop_id: str, max_passes: int) -> bool:
+    """Return whether a request that has passed these hops may not pass one again.
 
-def looped(path: tuple[str, ...], tier: str, passes: int) -> bool:
-    """Whether a request that has come this way may not pass the tier again. The path holds ancestors alone,
-    so
-    a tier that two branches call (a diamond) stands on each of them once."""
-    return len(path) >= MOST_HOPS or path.count(tier) >= passes
+    The path holds ancestors alone, so a tier that two branches call (a diamond) stands on each of them once.
+    """
+    return len(path) >= MAX_HOPS or path.count(hop_id) >= max_passes
--- /dev/null
+++ b/service_proxy/deadlines/outbound.py
@@ -0,0 +1,196 @@
+"""The filter towards a tier: it finds the request that a call is made for, and sends its budget along."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Mapping
+
+from service_proxy.deadlines import header
+from service_proxy.deadlines.correlation import CorrelatedRequest
+from service_proxy.deadlines.latency_estimate import TransitEstimate
+from service_proxy.deadlines.propagation import (
+    CONSUMED_HEADERS,
+    MAX_WEIGHT_SHARE,
+    NO_HEADERS,
+    BudgetPropagation,
+    ClassLatencies,
+    budget_value,
+    weight_share,
+)
+from service_proxy.deadlines.request_budget import AttemptGrant, RequestBudget, completion_factor
+from service_proxy.net.downstream import Request
+from service_proxy.net.request_filters import HeaderFields, Rejection
+from service_proxy.net.upstream import UpstreamAttempt
+from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, RequestClass
+from service_proxy.policy.events import Settings as ProxySettings
+
+DEADLINE_MARGIN_S = 0.002  # by which a time on the wire is less than what is left: a turn of each event loop
+
+
+class OutboundFilter(ClassLatencies):
+    """net.request_filters.RequestFilter towards one tier.
+
+    Attributes:
+        upstream_hop_id: of the tier; "" where that is not known.
+        max_attempts: that any call may have.
+    """
+
+    consumed_headers = CONSUMED_HEADERS
+
+    def __init__(
+        self,
+        propagation: BudgetPropagation,
+        upstream_hop_id: str,
+        classes: Mapping[str, RequestClass],
+        max_attempts: int,
+    ) -> None:
+        super().__init__(classes)
+        self.propagation = propagation
+        self.upstream_hop_id = upstream_hop_id
+        self.max_attempts = max_attempts
+        self.transit = TransitEstimate()
+
+    def on_settings_update(self, settings: ProxySettings) -> None:
+        """Use these settings from now on."""
+        super().on_settings_update(settings)
+        self.max_attempts = settings.max_attempts
+
+    def on_request(self, request: Request, give_up: Callable[[], None]) -> OutboundCallState | Rejection:
+        """Allocate a budget to a call, of its request's where that is known; or reject the call."""
+        request_class = self.classes[request.class_name]
+        now = time.monotonic()
+        parent = self._find_parent(request)
+        if parent is None:
+            deadline = request.received_at + min(request.time_budget, request_class.deadline)
+            allocated: RequestBudget | Rejection = self.propagation.new_root(request_class, deadline, now)
+        else:
+            allocated = self._allocate(parent, request_class, now)
+        if isinstance(allocated, Rejection):
+            return allocated
+        call = OutboundCallState(self, request, allocated, request_class, give_up)
+        self.propagation.open_calls[id(allocated)] = call
+        return call
+
+    def _find_parent(self, request: Request) -> CorrelatedRequest | None:
+        """Return the request that a call is made for, unless that was answered: then the call is its own."""
+        if self.propagation.settings.edge:
+            return None
+        try:
+            value = budget_value(request)
+        except header.MalformedBudgetError:
+            return None
+        reference = header.decode_reference(value) if value is not None else None
+        if value is not None and reference is None:
+            return None  # something else stands there, which this process did not write
+        parent = self.propagation.correlation.find(
+            reference, request.id, request.idempotency_key, request.class_name
+        )
+        if parent is not None and parent.ended_at is not None and not parent.is_abandoned:
+            return None
+        return parent
+
+    def _allocate(
+        self, parent: CorrelatedRequest, request_class: RequestClass, now: float
+    ) -> RequestBudget | Rejection:
+        if parent.is_abandoned:
+            return Rejection(b"nobody waits for its request any more\n")
+        budget = parent.budget
+        settings = self.propagation.settings
+        hop_id = self.upstream_hop_id
+        if hop_id and header.exceeds_hop_limit(budget.path, hop_id, settings.passes):
+            return self.propagation.reject_loop(budget.path, hop_id)
+        remaining_time = budget.deadline - now
+        if settings.refuse_below_usual and not self.latencies[request_class.name].is_sufficient(
+            remaining_time
+        ):
+            return Rejection(b"its budget can't cover the work\n")
+        child = budget.allocate_child(settings.calls_per_request, now)
+        if child is None:
+            return Rejection(b"its request has no attempts or no time left\n")
+        return child
+
+
+class OutboundCallState:
+    """net.request_filters.RequestFilterState of a call towards a tier, with its budget."""
+
+    cancels_on_disconnect = True
+
+    def __init__(
+        self,
+        filter: OutboundFilter,
+        request: Request,
+        budget: RequestBudget,
+        request_class: RequestClass,
+        give_up: Callable[[], None],
+    ) -> None:
+        self.filter = filter
+        self.request = request
+        self.budget = budget
+        self.request_class = request_class
+        self.give_up = give_up
+        self.deadline = budget.deadline
+        expected_end = time.monotonic() + filter.latencies[request_class.name].lower_quartile
+        self.weight_share = weight_share(budget, request_class, expected_end)
+        if budget.parent is not None:
+            calls_expected = filter.propagation.settings.calls_per_request
+            factor = completion_factor(calls_expected, budget.parent.child_count - 1)
+            self.weight_share = min(MAX_WEIGHT_SHARE, self.weight_share * factor)
+        self.max_attempts = budget.allowance
+        self.started_attempts = 0
+        self.grant: AttemptGrant | None = None
+
+    def on_attempt_start(self, timeout: float) -> bytes | None:
+        """Return the header line for an attempt that is sent now; None: no attempt is left."""
+        now = time.monotonic()
+        budget = self.budget
+        filter = self.filter
+        max_attempts = min(self.request_class.max_attempts or filter.max_attempts, filter.max_attempts)
+        grant = budget.grant_attempt(max(1, min(max_attempts - self.started_attempts, budget.available)))
+        if grant is None:
+            return None
+        self.started_attempts += 1
+        self.grant = grant
+        margin = filter.transit.mean + DEADLINE_MARGIN_S
+        sent = header.BudgetHeader(
+            min(timeout, budget.deadline - now) - margin,
+            budget.objective_at - now - margin,
+            grant.attempts,
+            budget.priority_weight,
+            budget.request_class,
+            budget.path,
+            budget.tree_id,
+        )
+        value = header.encode_budget(sent, self.request.id, filter.propagation.keys)
+        return header.FIELD_NAME + b": " + value + b"\r\n"
+
+    def on_attempt_end(self, attempt: UpstreamAttempt, status: AttemptStatus) -> None:
+        """Settle the attempt's grant by what its answer says, and learn how long it took."""
+        grant = self.grant
+        self.grant = None
+        if grant is None:
+            return
+        usage = _usage_of(attempt, grant.attempts)
+        if usage is not None:
+            self.filter.transit.record(attempt.elapsed, usage.service_time)
+        if status is AttemptStatus.OK:
+            self.filter.latencies[self.request_class.name].record(attempt.elapsed)
+        may_have_run = not attempt.status_code and status not in NEVER_EXECUTED
+        grant.settle(usage.attempts if usage is not None else None, may_have_run)
+
+    def response_headers(self) -> HeaderFields:
+        """Add nothing to the answer."""
+        return NO_HEADERS
+
+    def on_request_end(self, was_answered: bool) -> None:
+        """Close the budget, and end what is under way for a call that nobody waits for."""
+        propagation = self.filter.propagation
+        propagation.open_calls.pop(id(self.budget), None)
+        propagation.close(self.budget, not was_answered)
+
+
+def _usage_of(attempt: UpstreamAttempt, granted_attempts: int) -> header.Usage | None:
+    """Return what the answer of an attempt says that it used; None where it says nothing usable."""
+    if not attempt.status_code:
+        return None
+    values = [value for name, value in attempt.response_headers if name == header.FIELD_NAME]
+    return header.decode_usage(values[0], granted_attempts) if len(values) == 1 else None
--- a/service_proxy/recovery/admission.py
+++ b/service_proxy/recovery/admission.py
@@ -72,7 +72,7 @@
             self.keyed_requests.update_settings(settings)
 
     def on_request(
-        self, request: Request, give_up: Callable[[], None]
+        self, request: Request, _abandon: Callable[[], None]
     ) -> RequestFilterState | Rejection | None:
         """Reject a request that can't be served or must not be repeated, or track a keyed one."""
         if self.phase is not RecoveryPhase.STEADY:
--- a/service_proxy/recovery/keyed_requests.py
+++ b/service_proxy/recovery/keyed_requests.py
@@ -96,7 +96,7 @@
         self.class_name = class_name
         self.is_recorded = False
 
-    def on_attempt_start(self, timeout: float) -> bytes | None:
+    def on_attempt_start(self, _timeout: float) -> bytes | None:
         """Record the request before its first attempt."""
         if not self.is_recorded:
             self.is_recorded = True
@@ -104,7 +104,7 @@
                 self.request_log.record(self.key, self.class_name)
         return b""
 
-    def on_attempt_end(self, exchange: UpstreamAttempt, status: AttemptStatus) -> None:
+    def on_attempt_end(self, _attempt: UpstreamAttempt, status: AttemptStatus) -> None:
         """Forget a request that was not executed, as long as no other attempt was."""
         if status not in NEVER_EXECUTED:
             self.key = ""
--- a/service_proxy/recovery/record_format.py
+++ b/service_proxy/recovery/record_format.py
@@ -1,8 +1,8 @@
-"""Encode log records as text lines, and decode what a crash left of a file. Pure.
+r"""Encode log records as text lines, and decode what a crash left of a file. Pure.
 
 A snapshot or log file is a sequence of lines, each a record of its own:
 
-    0000002a 00000028 5f3c9a01 {"put":"server","key":"n7", ...}\\n
+    0000002a 00000028 5f3c9a01 {"put":"server","key":"n7", ...}\n
 
 The fields are the record's sequence number within the file (hexadecimal, from 0), the sequence number of the
 first record of its batch, the CRC-32 of generation, numbers and text (so that no line of another file is
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -115,7 +115,7 @@
         self.survey: MemberSurvey | None = None
         self.metadata: MetadataPublisher | None = None
         self.dispatcher: Dispatcher | None = None
-        self.push: Callable[[EndpointList], None] = lambda listing: None
+        self.push: Callable[[EndpointList], None] = lambda _listing: None
         self.current_maintenance: Callable[[], Mapping[str, float]] | None = None
         self.is_listed_by_source = False
         self.is_list_changed = False
--- a/service_proxy/sidecar/fleet.py
+++ b/service_proxy/sidecar/fleet.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from service_proxy.deadlines.accounts import reaches
-from service_proxy.deadlines.header import MOST_HOPS
+from service_proxy.deadlines.header import MAX_HOPS
+from service_proxy.deadlines.request_budget import covers_call_tree
 from service_proxy.net.limits import MIN_DESCRIPTORS, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.operator_file.positions import Path
 from service_proxy.sidecar import rulemodel
@@ -283,9 +283,11 @@
         )
     longest = max((_depth(_calls([d]), name, frozenset()) for name in d.tiers), default=1)
     each = max((route.attempts for route in d.routes.values()), default=1)
-    if longest <= MOST_HOPS and not reaches(budgets.attempts, longest, budgets.calls_per_request, each):
+    if longest <= MAX_HOPS and not covers_call_tree(
+        budgets.attempts, longest, budgets.calls_per_request, each
+    ):
         enough = budgets.attempts
-        while not reaches(enough, longest, budgets.calls_per_request, each):
+        while not covers_call_tree(enough, longest, budgets.calls_per_request, each):
             enough *= 2
         yield Finding(
             d.file,
@@ -295,12 +297,12 @@
             f"{budgets.calls_per_request} calls each",
             f"write up to {enough}, or fewer calls_per_request",
         )
-    if longest > MOST_HOPS:
+    if longest > MAX_HOPS:
         yield Finding(
             d.file,
             ("budgets",),
             "S107",
-            f"{longest} tiers, and a budget passes {MOST_HOPS}",
+            f"{longest} tiers, and a budget passes {MAX_HOPS}",
             "call fewer tiers one below another",
         )
     for sidecar in d.sidecars:
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("extends_ids", [False, True])
-def test_the_budget_reaches_the_inner_tier_by_the_field_or_by_the_ids(extends_ids: bool) -> None:
+def test_budget_reaches_the_inner_tier_by_the_header_or_by_the_ids(extends_ids: bool) -> None:
     """The application says nothing of the time, so its call would have its class's 1.5 s."""
 
     async def test() -> None:
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_without_the_field_and_with_ids_of_its_own_all_is_as_without_budgets() -> None:
+def test_call_without_header_and_with_ids_of_its_own_is_as_without_budgets() -> None:
     async def test() -> None:
         async with running(2, 1, habits=replace(HABITS, copies_budget=False)) as made:
             dues: list[float] = []
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("older", ["nucleo", "portal"])
-def test_a_tier_that_knows_of_no_budgets_works_as_ever(older: str) -> None:
+def test_tier_of_a_version_without_budgets_works(older: str) -> None:
     async def test() -> None:
         async with running(2, 1, habits=HABITS, older=frozenset((older,))) as made:
             assert [await call(made, cls) for cls in CLASSES for _ in range(4)] == [200] * 12
@@ -99,7 +99,7 @@
     run(test())
 
 
-def test_a_budget_that_runs_out_while_its_call_waits_is_never_begun() -> None:
+def test_call_whose_deadline_passes_in_the_queue_is_never_started() -> None:
     """One server with two slots, both taken by a paused application: the third waits, and its caller
     leaves."""
 
@@ -118,7 +118,7 @@
     run(test())
 
 
-def test_a_caller_that_leaves_ends_the_attempts_below_it() -> None:
+def test_client_that_leaves_ends_the_attempts_below_it() -> None:
     async def test() -> None:
         async with running(2, 1, habits=HABITS) as made:
             callers = made.world.callers
@@ -138,7 +138,7 @@
     run(test())
 
 
-def test_an_unsafe_call_whose_inner_attempt_broke_runs_once_and_is_answered_once() -> None:
+def test_unsafe_call_whose_inner_attempt_broke_runs_once_and_is_answered_once() -> None:
     async def test() -> None:
         async with running(2, 2, habits=HABITS) as made:
             inner = [host(made, "nucleo", number).application for number in range(2)]
@@ -158,7 +158,7 @@
     run(test())
 
 
-def test_a_budget_that_runs_out_in_the_middle_of_a_retry_ends_with_it() -> None:
+def test_deadline_in_the_middle_of_a_retry_ends_it() -> None:
     """Each attempt of a repeatable read is cut after 0.1 s: the one under way when the time is up is the
     last."""
 
@@ -179,7 +179,7 @@
     run(test())
 
 
-def test_of_two_calls_one_after_another_the_second_has_what_the_first_left() -> None:
+def test_second_of_two_sequential_calls_has_what_the_first_left() -> None:
     async def test() -> None:
         habits = replace(HABITS, calls=2, services={"portal": 0.004, "nucleo": 0.25})
         async with running(2, 1, habits=habits) as made:
@@ -197,15 +197,16 @@
 
 
 @pytest.mark.parametrize("tiers", [1, 2, 3])
-def test_a_loop_by_misroute_is_refused_within_three_hops_and_told(tiers: int) -> None:
+def test_loop_by_misroute_is_rejected_within_three_hops_and_logged(tiers: int) -> None:
     async def test() -> None:
         async with running(tiers, 1, misroute=True) as made:
             assert await call(made) != 200
             assert max(made.depth(a.call) for a in made.world.ledger.attempts) <= 3
             assert max(ran(made).values()) == 1  # nobody worked on it twice
             await until(made.loops_told, "the path is told")
-            said = next(h.log.read_text() for h in made.world.hosts if ": loop: " in h.log.read_text())
-            assert "portal > " in said and " > portal: refused, never ran" in said and audited(made) == []
+            logs = [host.log.read_text() for host in made.world.hosts]
+            log = next(text for text in logs if ": loop_rejected path=" in text)
+            assert "portal > " in log and ' > portal" remedy=' in log and audited(made) == []
 
     run(test())
 
--- a/tests/deadlines/test_correlation.py
+++ b/tests/deadlines/test_correlation.py
@@ -4,16 +4,18 @@
 
 import pytest
 
-from service_proxy.deadlines.accounts import root
-from service_proxy.deadlines.correlation import KEPT, MOST_ID, Correlation, Entry
+from service_proxy.deadlines.correlation import MAX_ID_BYTES, RETENTION_S, CorrelatedRequest, CorrelationTable
+from service_proxy.deadlines.request_budget import root_budget
 
 
-def known(table: Correlation, reference: str, call: bytes, key: bytes = b"", cls: str = "stock") -> Entry:
-    return table.add(reference, call, key, cls, root(3, 9.0, 9.0, 1.0, cls, "0" * 16))
+def known(
+    table: CorrelationTable, reference: str, call: bytes, key: bytes = b"", cls: str = "stock"
+) -> CorrelatedRequest:
+    return table.add(reference, call, key, cls, root_budget(3, 9.0, 9.0, 1.0, cls, "0" * 16))
 
 
-def test_the_field_goes_before_the_ids_and_these_before_the_key() -> None:
-    table = Correlation()
+def test_reference_takes_precedence_over_ids_and_these_over_the_key() -> None:
+    table = CorrelationTable()
     one, two, three = (known(table, f"r{n}", b"call-%d" % n, b"key", "reserva") for n in range(3))
     assert table.find("r2", b"call-1", b"key", "reserva") is three
     assert table.find(None, b"call-1", b"key", "reserva") is two
@@ -21,28 +23,28 @@
 
 
 @pytest.mark.parametrize("call", [b"ab", b"ab.1", b"ab-x", b"ab/2/3", b"ab:7.1"])
-def test_a_calls_id_may_be_or_begin_with_its_requests(call: bytes) -> None:
-    table = Correlation()
+def test_calls_id_may_be_or_begin_with_its_requests(call: bytes) -> None:
+    table = CorrelationTable()
     entry = known(table, "r", b"ab")
     assert table.find(None, call, b"", "stock") is entry
 
 
 @pytest.mark.parametrize("call", [b"abc", b"a", b"abc.1", b".ab", b"", b"xab"])
-def test_ids_that_only_look_alike_are_unknown(call: bytes) -> None:
-    table = Correlation()
+def test_similar_ids_are_unknown(call: bytes) -> None:
+    table = CorrelationTable()
     known(table, "r", b"ab")
     assert table.find(None, call, b"", "stock") is None
 
 
-def test_the_longest_id_that_fits_wins() -> None:
-    table = Correlation()
+def test_longest_matching_id_wins() -> None:
+    table = CorrelationTable()
     known(table, "short", b"ab")
     longer = known(table, "long", b"ab.1")
     assert table.find(None, b"ab.1.2", b"", "stock") is longer
 
 
-def test_a_key_counts_while_exactly_one_open_request_of_the_class_has_it() -> None:
-    table = Correlation()
+def test_key_counts_while_exactly_one_open_request_of_the_class_has_it() -> None:
+    table = CorrelationTable()
     one = known(table, "r1", b"a", b"key", "reserva")
     assert table.find(None, b"zz", b"key", "reserva") is one
     assert table.find(None, b"zz", b"key", "otro") is None
@@ -52,46 +54,46 @@
     assert table.find(None, b"zz", b"key", "reserva") is two
 
 
-def test_a_reference_that_nobody_gave_is_unknown_whatever_else_fits() -> None:
-    table = Correlation()
+def test_forged_reference_is_unknown_whatever_else_matches() -> None:
+    table = CorrelationTable()
     known(table, "r", b"ab")
     assert table.find("forged", b"ab", b"", "stock") is None
 
 
-def test_a_request_that_ended_is_known_for_a_while_and_then_forgotten() -> None:
-    table = Correlation()
+def test_ended_request_is_known_until_its_retention_is_over() -> None:
+    table = CorrelationTable()
     entry = known(table, "r", b"ab")
     table.end(entry, 1.0)
     table.end(entry, 5.0)
-    table.forget(1.0 + KEPT - 0.001)
+    table.expire(1.0 + RETENTION_S - 0.001)
     assert table.find("r", b"", b"", "stock") is entry
-    table.forget(1.0 + KEPT)
+    table.expire(1.0 + RETENTION_S)
     assert table.find("r", b"ab", b"", "stock") is None and len(table) == 0
-    assert not table.by_call and not table.by_key and not table.ended and not table.open
+    assert not table.by_request_id and not table.by_key and not table.ended and not table.open
 
 
-def test_a_full_table_forgets_first_what_ended_first_then_the_oldest() -> None:
-    table = Correlation(most=3)
+def test_full_table_evicts_first_what_ended_first_then_the_oldest() -> None:
+    table = CorrelationTable(max_requests=3)
     one, two, three = (known(table, f"r{n}", b"call%d" % n, b"k%d" % n) for n in range(3))
     table.end(two, 1.0)
     known(table, "r3", b"call3")
     assert table.find("r1", b"", b"", "stock") is None and table.find("r0", b"", b"", "stock") is one
     known(table, "r4", b"call4")
     assert table.find("r0", b"", b"", "stock") is None and table.find("r2", b"", b"", "stock") is three
-    assert (len(table), table.evicted) == (3, 2)
+    assert (len(table), table.evicted_count) == (3, 2)
     table.end(one, 2.0)  # it was pushed out: nothing to end
-    assert len(table) == 3 and len(table.by_call) == 3
+    assert len(table) == 3 and len(table.by_request_id) == 3
 
 
-def test_ids_of_no_sensible_length_are_not_kept() -> None:
-    table = Correlation()
-    known(table, "r", b"a" * (MOST_ID + 1), b"k" * (MOST_ID + 1))
-    assert not table.by_call and not table.by_key
-    assert table.find(None, b"a" * (MOST_ID + 1), b"", "stock") is None
+def test_too_long_ids_are_not_stored() -> None:
+    table = CorrelationTable()
+    known(table, "r", b"a" * (MAX_ID_BYTES + 1), b"k" * (MAX_ID_BYTES + 1))
+    assert not table.by_request_id and not table.by_key
+    assert table.find(None, b"a" * (MAX_ID_BYTES + 1), b"", "stock") is None
 
 
-def test_one_id_of_two_requests_is_the_later_ones_and_the_first_end_takes_nothing_from_it() -> None:
-    table = Correlation(most=2)
+def test_shared_id_belongs_to_the_later_request_and_survives_the_first_ones_end() -> None:
+    table = CorrelationTable(max_requests=2)
     known(table, "r1", b"ab")
     later = known(table, "r2", b"ab")
     known(table, "r3", b"cd")  # pushes r1 out
--- a/tests/deadlines/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -36,7 +36,7 @@
     return Caller(*await asyncio.open_connection(*program.address))
 
 
-def test_a_budget_that_runs_out_while_connecting_is_a_refusal_and_nothing_was_sent() -> None:
+def test_deadline_while_connecting_is_a_rejection_and_nothing_was_sent() -> None:
     """The listener's queue is full, so a connect neither comes up nor fails."""
 
     async def test() -> None:
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("cls", ["stock", "canje"])
-def test_a_budget_that_runs_out_before_the_answer_ends_its_attempt_and_begins_no_other(cls: str) -> None:
+def test_deadline_before_the_answer_ends_the_attempt_and_starts_no_other(cls: str) -> None:
     async def test() -> None:
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             """It has the last byte, and says nothing."""
@@ -81,7 +81,7 @@
     run(test())
 
 
-def test_an_unsafe_call_whose_caller_left_after_it_may_have_run_runs_no_second_time() -> None:
+def test_unsafe_call_whose_client_left_after_it_may_have_run_runs_no_second_time() -> None:
     async def test() -> None:
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(("window", "attempts"), [(0.2, 1), (6.0, 2)], ids=["over", "open"])
-def test_a_keyed_call_is_sent_again_within_its_window_however_much_its_budget_has_left(
+def test_keyed_call_is_retried_only_within_its_window_whatever_its_budget_has_left(
     window: float, attempts: int
 ) -> None:
     """Its connection breaks 0.4 s after it may have run; the budget has more than 3 s then."""
--- a/tests/deadlines/test_header.py
+++ b/tests/deadlines/test_header.py
@@ -7,20 +7,26 @@
 from hypothesis import strategies as st
 
 from service_proxy.deadlines import header
-from service_proxy.deadlines.header import Budget, Malformed, looped, read, write
+from service_proxy.deadlines.header import (
+    BudgetHeader,
+    MalformedBudgetError,
+    decode_budget,
+    encode_budget,
+    exceeds_hop_limit,
+)
 
 KEYS = {b"k1": b"a secret of the fleet", b"k0": b"the one before"}
 CALL = b"9b1f03aa5c7e2d41"
-BUDGET = Budget(1.2, 0.5, 4, 12.0, "stock", ("edge", "portal"), "00ff00ff00ff00ff")
+BUDGET = BudgetHeader(1.2, 0.5, 4, 12.0, "stock", ("edge", "portal"), "00ff00ff00ff00ff")
 NAMES = st.from_regex(r"[a-z][a-z0-9_-]{0,20}", fullmatch=True)
 
 
 def signed(unsigned: bytes, key: bytes = KEYS[b"k1"], call: bytes = CALL) -> bytes:
-    return unsigned + b";m=" + header.sign(unsigned, call, key)
+    return unsigned + b";m=" + header.sign_value(unsigned, call, key)
 
 
-def test_the_value_is_as_documented_to_the_byte() -> None:
-    value = write(BUDGET, CALL, KEYS)
+def test_value_is_as_documented_to_the_byte() -> None:
+    value = encode_budget(BUDGET, CALL, KEYS)
     head, _, mac = value.rpartition(b";m=")
     assert head == b"1;t=1200000;o=500000;a=4;w=12000;c=stock;p=edge.portal;i=00ff00ff00ff00ff;k=k1"
     # By another implementation: printf '%s\n%s' HEAD CALL | openssl dgst -sha256 -hmac KEY
@@ -29,7 +35,7 @@
 
 @given(
     st.builds(
-        Budget,
+        BudgetHeader,
         st.integers(0, 3_600_000_000).map(lambda us: us / 1e6),
         st.integers(0, 3_600_000_000).map(lambda us: us / 1e6),
         st.integers(0, 9999),
@@ -39,29 +45,33 @@
         st.from_regex(r"[0-9a-f]{16}", fullmatch=True),
     )
 )
-def test_what_is_written_is_read(budget: Budget) -> None:
-    if len(write(budget, CALL, KEYS)) > header.MOST_BYTES:
+def test_encoded_budget_is_decoded(budget: BudgetHeader) -> None:
+    if len(encode_budget(budget, CALL, KEYS)) > header.MAX_VALUE_BYTES:
         return
-    found = read(write(budget, CALL, KEYS), CALL, KEYS)
-    assert (found.attempts, found.cls, found.path, found.tree) == (
+    found = decode_budget(encode_budget(budget, CALL, KEYS), CALL, KEYS)
+    assert (found.attempts, found.request_class, found.path, found.tree_id) == (
         budget.attempts,
-        budget.cls,
+        budget.request_class,
         budget.path,
-        budget.tree,
+        budget.tree_id,
     )
-    assert found.time == pytest.approx(budget.time, abs=2e-6)
-    assert found.worth == pytest.approx(budget.worth, abs=2e-3)
+    assert found.remaining_time == pytest.approx(budget.remaining_time, abs=2e-6)
+    assert found.priority_weight == pytest.approx(budget.priority_weight, abs=2e-3)
 
 
 @pytest.mark.parametrize("time", [-1.0, -1e12])
-def test_time_that_has_run_out_is_written_as_none_left(time: float) -> None:
-    value = write(Budget(time, time, -3, -1.0, "stock", ("edge",), "0" * 16), CALL, KEYS)
-    assert read(value, CALL, KEYS) == Budget(0.0, 0.0, 0, 0.0, "stock", ("edge",), "0" * 16)
+def test_negative_numbers_are_encoded_as_zero(time: float) -> None:
+    value = encode_budget(BudgetHeader(time, time, -3, -1.0, "stock", ("edge",), "0" * 16), CALL, KEYS)
+    assert decode_budget(value, CALL, KEYS) == BudgetHeader(0.0, 0.0, 0, 0.0, "stock", ("edge",), "0" * 16)
 
 
-def test_numbers_that_are_too_large_are_written_as_the_most_there_is() -> None:
-    found = read(write(Budget(1e9, 1e9, 10**9, 1e12, "stock", ("edge",), "0" * 16), CALL, KEYS), CALL, KEYS)
-    assert (found.time, found.attempts, found.worth) == (3600.0, 9999, 1e6)
+def test_too_large_numbers_are_encoded_as_the_maximum() -> None:
+    found = decode_budget(
+        encode_budget(BudgetHeader(1e9, 1e9, 10**9, 1e12, "stock", ("edge",), "0" * 16), CALL, KEYS),
+        CALL,
+        KEYS,
+    )
+    assert (found.remaining_time, found.attempts, found.priority_weight) == (3600.0, 9999, 1e6)
 
 
 GOOD = b"1;t=1200000;o=500000;a=4;w=12000;c=stock;p=edge.portal;i=00ff00ff00ff00ff;k=k1"
@@ -99,20 +109,20 @@
         (b"o=500000", b"o=3600000001"),
     ],
 )
-def test_what_is_not_of_the_form_is_refused_though_it_is_signed(old: bytes, new: bytes) -> None:
-    read(signed(GOOD), CALL, KEYS)
+def test_malformed_value_is_rejected_though_it_is_signed(old: bytes, new: bytes) -> None:
+    decode_budget(signed(GOOD), CALL, KEYS)
     assert old in GOOD
-    with pytest.raises(Malformed):
-        read(signed(GOOD.replace(old, new, 1)), CALL, KEYS)
+    with pytest.raises(MalformedBudgetError):
+        decode_budget(signed(GOOD.replace(old, new, 1)), CALL, KEYS)
 
 
-def test_a_value_that_is_too_long_is_refused_before_it_is_looked_at() -> None:
+def test_too_long_value_is_rejected_before_it_is_parsed() -> None:
     long = GOOD.replace(b"edge.portal", b".".join([b"a" * 63] * 8))
-    with pytest.raises(Malformed, match="longer than 512"):
-        read(signed(long), CALL, KEYS)
+    with pytest.raises(MalformedBudgetError, match="longer than 512"):
+        decode_budget(signed(long), CALL, KEYS)
 
 
-def test_a_forged_value_is_refused() -> None:
+def test_forged_value_is_rejected() -> None:
     for forged in (
         signed(GOOD, b"a guess"),
         signed(GOOD).replace(b"w=12000", b"w=99000"),
@@ -120,27 +130,27 @@
         signed(GOOD, call=b"another call"),
         signed(GOOD)[:-32] + b"0" * 32,
     ):
-        with pytest.raises(Malformed, match="MAC"):
-            read(forged, CALL, KEYS)
-    with pytest.raises(Malformed, match="k9 is not known"):
-        read(signed(GOOD.replace(b"k=k1", b"k=k9")), CALL, KEYS)
+        with pytest.raises(MalformedBudgetError, match="MAC"):
+            decode_budget(forged, CALL, KEYS)
+    with pytest.raises(MalformedBudgetError, match="k9 is not known"):
+        decode_budget(signed(GOOD.replace(b"k=k1", b"k=k9")), CALL, KEYS)
 
 
-def test_both_keys_are_accepted_while_they_are_rotated_and_the_first_signs() -> None:
+def test_both_keys_are_accepted_during_rotation_and_the_first_signs() -> None:
     before = {b"k0": KEYS[b"k0"]}
     after = {b"k1": KEYS[b"k1"], b"k0": KEYS[b"k0"]}
-    assert read(write(BUDGET, CALL, before), CALL, after) == BUDGET
-    assert b";k=k1;" in write(BUDGET, CALL, after)
-    with pytest.raises(Malformed, match="k1 is not known"):
-        read(write(BUDGET, CALL, after), CALL, before)
+    assert decode_budget(encode_budget(BUDGET, CALL, before), CALL, after) == BUDGET
+    assert b";k=k1;" in encode_budget(BUDGET, CALL, after)
+    with pytest.raises(MalformedBudgetError, match="k1 is not known"):
+        decode_budget(encode_budget(BUDGET, CALL, after), CALL, before)
 
 
 @given(st.binary(max_size=600))
-def test_no_bytes_do_more_than_be_refused(value: bytes) -> None:
-    with pytest.raises(Malformed):
-        read(value, CALL, KEYS)
-    assert header.read_reference(value) is None or len(value) == 20
-    header.read_spent(value, 5)
+def test_arbitrary_bytes_are_rejected(value: bytes) -> None:
+    with pytest.raises(MalformedBudgetError):
+        decode_budget(value, CALL, KEYS)
+    assert header.decode_reference(value) is None or len(value) == 20
+    header.decode_usage(value, 5)
 
 
 @pytest.mark.parametrize(
@@ -154,15 +164,17 @@
         (b"", 4, None),
     ],
 )
-def test_what_a_receiver_says_that_it_spent(value: bytes, lent: int, found: tuple[int, float] | None) -> None:
-    assert header.read_spent(value, lent) == found
+def test_usage_is_decoded_only_within_the_grant(
+    value: bytes, lent: int, found: tuple[int, float] | None
+) -> None:
+    assert header.decode_usage(value, lent) == found
     if found is not None:
-        assert header.write_spent(*found) == value
+        assert header.encode_usage(*found) == value
 
 
-def test_references() -> None:
-    assert header.read_reference(header.write_reference("0123456789abcdef")) == "0123456789abcdef"
-    assert header.read_reference(b"ref;0123456789ABCDEF") is None
+def test_reference_is_decoded() -> None:
+    assert header.decode_reference(header.encode_reference("0123456789abcdef")) == "0123456789abcdef"
+    assert header.decode_reference(b"ref;0123456789ABCDEF") is None
 
 
 @pytest.mark.parametrize(
@@ -178,5 +190,5 @@
         (tuple("abcdefgh"), "i", 1, True),  # no chain of this length is meant
     ],
 )
-def test_what_is_a_loop(path: tuple[str, ...], tier: str, passes: int, loop: bool) -> None:
-    assert looped(path, tier, passes) is loop
+def test_hop_limit(path: tuple[str, ...], tier: str, passes: int, loop: bool) -> None:
+    assert exceeds_hop_limit(path, tier, passes) is loop
