--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -28,9 +28,9 @@
 from harness.backend import Backend
 from harness.callers import GIVE_UP
 from harness.chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.kit import until
 from harness.ledger import Ledger
-from harness.padron import Padron, entry
 from harness.program import proxy
 from harness.world import Habits
 from service_proxy.deadlines.correlation import BYTES_PER_REQUEST, CorrelationTable
@@ -304,20 +304,20 @@
     """CPU per call of a plain proxy at the edge, off and on, in turns."""
     calls, turns = (CALLS_SHORT, 2) if proof.short else (CALLS, 7)
     ledger = Ledger()
-    padron = Padron(ledger)
-    await padron.start()
+    registry = EndpointRegistry(ledger)
+    await registry.start()
     backends = [Backend(ledger, f"s-{number}", service=0.0) for number in range(3)]
     for backend in backends:
         await backend.start()
     known = [entry(backend.name, backend.address) for backend in backends]
     for item in known:
-        padron.put(item)
+        registry.put(item)
     with tempfile.TemporaryDirectory() as folder:
         keys = key_file(Path(folder))
         table = f'[budgets]\nkeys_file = "{keys}"\nedge = true\n'
         async with (
-            proxy("off", padron.address, known) as off,
-            proxy("on", padron.address, known, table) as on,
+            proxy("off", registry.address, known) as off,
+            proxy("on", registry.address, known, table) as on,
         ):
             used: dict[str, list[float]] = {"off": [], "on": []}
             for number in range(turns):
@@ -326,7 +326,7 @@
                     await Drive(f"{name}{number}", calls).run(program.address)
                     if number:
                         used[name].append((cpu(program.process.pid) - before) / calls * 1e6)
-    padron.stop()
+    registry.stop()
     for backend in backends:
         backend.stop()
     for name, costs in used.items():
--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -2,10 +2,10 @@
 
     python -m benchmarks.ephemeral [--short] [--seed N] [--json FILE]
 
-Two proxies read the stand-in's ephemeral nodes beside the padron; a third, in the same run, has the padron
-alone. Half of the lost sessions are of nodos that go on answering (the padron says Terminating, 0.7 to 4.3
-s late), half of nodos that fell silent (it says Gone, 5.5 to 11 s late). Each comes back cold after a
-while. Between them the ensemble is cut off and once is empty after a restore.
+Two proxies read the stand-in's ephemeral nodes beside the registry; a third, in the same run, has the
+registry alone. Half of the lost sessions are of endpoints that go on answering (the registry says
+Terminating, 0.7 to 4.3 s late), half of endpoints that fell silent (it says Gone, 5.5 to 11 s late). Each
+comes back cold after a while. Between them the ensemble is cut off and once is empty after a restore.
 
 What is told to whom is logged by the stand-in when it writes it; the rules are audited from outside.
 """
@@ -27,21 +27,21 @@
 from benchmarks.proof import Proof, run
 from harness.backend import Backend
 from harness.callers import EFFECTS, Callers
-from harness.coordination import Connection, Service, SessionRecord
+from harness.coordination import CoordinationService, ServiceConnection, SessionRecord
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.kit import until
 from harness.ledger import Ledger, Told
-from harness.padron import Padron, entry
 from harness.program import Program, proxy
-from service_proxy.ephemeral_nodes.jute import OPEN_ACL, Event
-from service_proxy.ephemeral_nodes.merger import MEMBERSHIP, Merger, Word
-from service_proxy.ephemeral_nodes.nodes import Node, listed
+from service_proxy.ephemeral_nodes.children_cache import ChildrenCache
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, to_endpoint
+from service_proxy.ephemeral_nodes.jute import OPEN_ACL, EventType
+from service_proxy.ephemeral_nodes.merger import MEMBERSHIP, EndpointListMerger, ReportedStatus
 from service_proxy.ephemeral_nodes.register import Registrar
-from service_proxy.ephemeral_nodes.tree import Tree
 from service_proxy.operator_file import Membership
 
 PARENT = "/salas/portal"
 SHARE = 0.34  # of a mass loss
-LEAVING_LATE = (0.7, 4.3)  # s by which the padron tells late that a nodo leaves
+LEAVING_LATE = (0.7, 4.3)  # s by which the registry tells late that a nodo leaves
 SILENT_LATE = (5.5, 11.0)  # s by which it tells late that one is gone without a word
 RECENT = 3.0  # s within which a proxy must have sent to a nodo that is in use
 GRACE = 2.0  # s of the drain window
@@ -75,13 +75,13 @@
 
 
 class Fleet:
-    """The nodos, their sidecars' registrations, the service and the padron."""
+    """The nodos, their sidecars' registrations, the service and the registry."""
 
     def __init__(self, size: Size, seed: int) -> None:
         self.size, self.random = size, Random(seed)
         self.ledger = Ledger()
-        self.padron = Padron(self.ledger, seed, LEAVING_LATE)
-        self.service = Service(3)
+        self.registry = EndpointRegistry(self.ledger, seed, LEAVING_LATE)
+        self.service = CoordinationService(3)
         self.nodes: dict[str, Backend] = {}
         self.registrars: dict[str, Registrar] = {}
         self.losses: list[Loss] = []
@@ -92,7 +92,7 @@
 
     async def start(self) -> None:
         at = await self.service.start()
-        await self.padron.start()
+        await self.registry.start()
         self.settings = Membership(
             tuple("{}:{}".format(*server) for server in at), PARENT, session_timeout=1.5, connect_timeout=0.4
         )
@@ -102,7 +102,7 @@
             backend = Backend(self.ledger, name, "abc"[number % 3], 0.005 + 0.02 * self.random.random())
             await backend.start()
             self.nodes[name] = backend
-            self.padron.put(self.entry(name), late=(0.0, 0.0))
+            self.registry.put(self.entry(name), delay_range=(0.0, 0.0))
             self.register(name)
         for registrar in self.registrars.values():
             await asyncio.wait_for(registrar.registered.wait(), 20)
@@ -113,19 +113,19 @@
 
     def register(self, name: str) -> None:
         backend = self.nodes[name]
-        node = Node(name, backend.address, backend.zone, "m", 1, 1.0, backend.since_ms)
+        node = EndpointNode(name, backend.address, backend.zone, "m", 1, 1.0, backend.since_ms)
         assert self.settings is not None
         registrar = Registrar(self.settings, node, Random(self.random.random()))
         registrar.start()
         self.registrars[name] = registrar
 
-    def sent(self, connection: Connection, event: int, names: list[str]) -> None:
+    def sent(self, connection: ServiceConnection, event: int, names: list[str]) -> None:
         """The stand-in has written a deletion, or (event 0) all names, to this connection."""
         via = next(iter(user.partition(":")[0] for user in connection.users), "")
         if not via:
             return  # a sidecar's
         now = time.monotonic()
-        if event == Event.DELETED:
+        if event == EventType.DELETED:
             gone = names
         else:
             there = set(names)
@@ -137,7 +137,7 @@
             if (via, name) not in self.told:
                 self.told.add((via, name))
                 self.ledger.told.append(Told(name, now, "gone", MEMBERSHIP, via))
-        if event == Event.CREATED:
+        if event == EventType.CREATED:
             for name in names:
                 self.ready(via, name, now)
 
@@ -152,13 +152,13 @@
         loss = Loss(name, silent, 0.0)
         if silent:
             backend.silent = True
-        number = self.registrars[name].session.id
+        number = self.registrars[name].session.session_id
         self.registrars[name].crash()
         self.service.expire(number)
         loss.at = self.lost_at[name] = time.monotonic()
-        self.padron.put(
+        self.registry.put(
             self.entry(name, "Gone" if silent else "Terminating"),
-            late=SILENT_LATE if silent else LEAVING_LATE,
+            delay_range=SILENT_LATE if silent else LEAVING_LATE,
         )
         self.losses.append(loss)
         await asyncio.sleep(self.size.away)
@@ -167,7 +167,7 @@
         backend.silent = False
         del self.lost_at[name]
         await backend.start(cold=True)
-        self.padron.put(self.entry(name), late=LEAVING_LATE)
+        self.registry.put(self.entry(name), delay_range=LEAVING_LATE)
         self.register(name)
         self.away.discard(name)
 
@@ -182,7 +182,7 @@
             registrar.crash()
         for backend in self.nodes.values():
             backend.stop()
-        self.padron.stop()
+        self.registry.stop()
 
 
 async def script(fleet: Fleet, size: Size, windows: list[tuple[str, float, float]]) -> None:
@@ -197,11 +197,11 @@
             await settle(fleet, pending)
             length = stops[number]
             begun = time.monotonic()
-            fleet.service.do({"do": "partition", "mode": "silent" if number % 2 else "reset"})
+            fleet.service.run_step({"do": "partition", "mode": "silent" if number % 2 else "reset"})
             await asyncio.sleep(length)
             windows.append((f"partition of {length:g} s", begun, time.monotonic()))
             # Cut off, sidecars could not keep their sessions either: without a leader none ran out.
-            fleet.service.do({"do": "heal"})
+            fleet.service.run_step({"do": "heal"})
             await back(fleet)
         free = [name for name in fleet.nodes if name not in fleet.away]
         name = fleet.random.choice(fleet.in_use(free))
@@ -211,7 +211,7 @@
     begun = time.monotonic()
     for registrar in fleet.registrars.values():
         registrar.crash()  # none is back before the proxies have read the empty list
-    fleet.service.do({"do": "empty"})
+    fleet.service.run_step({"do": "empty"})
     await asyncio.sleep(3.0)
     for name in fleet.nodes:
         fleet.register(name)
@@ -220,7 +220,7 @@
 
 
 async def settle(fleet: Fleet, pending: list[asyncio.Task[None]]) -> None:
-    """All that are away are back, at the service and at the padron."""
+    """All that are away are back, at the service and at the registry."""
     if pending:
         await asyncio.gather(*pending)
         pending.clear()
@@ -265,7 +265,7 @@
             proxies[name] = await stack.enter_async_context(
                 proxy(
                     name,
-                    fleet.padron.address,
+                    fleet.registry.address,
                     known,
                     operator if name[0] == "m" else "",
                     {"auth": f"{name}:secret"},
@@ -368,38 +368,38 @@
     """A proxy with 10,000 listed nodes beside one with a single one, and 1,000 changes of its list."""
     sizes = {}
     for count in (1, LISTED):
-        service = Service(1)
+        service = CoordinationService(1)
         at = await service.start()
         service.tree.create("/many", b"", list(OPEN_ACL), 0, 0)
         service.sessions[1] = SessionRecord(1, b"", 1e9, time.monotonic())
         for number in range(count):
             node = many(number)
-            service.tree.create(f"/many/{node.name}", node.data(), list(OPEN_ACL), 1, 1)
+            service.tree.create(f"/many/{node.name}", node.encode(), list(OPEN_ACL), 1, 1)
         operator = '[membership]\nservers = ["{}:{}"]\npath = "/many"\nreads_per_s = 10000.0\n'.format(*at[0])
-        padron = Padron(Ledger())
-        await padron.start()
-        async with proxy("many", padron.address, [], operator, ready=False) as program:
+        registry = EndpointRegistry(Ledger())
+        await registry.start()
+        async with proxy("many", registry.address, [], operator, ready=False) as program:
             await until(functools.partial(says_fresh, program), "all read", 60)
             await asyncio.sleep(0.5)
             sizes[count] = program.memory()
-        padron.stop()
+        registry.stop()
         await service.stop()
     proof.figure("memory_of_10000_nodes", sizes[LISTED] - sizes[1], "MB more than with one")
     proof.figure("memory_with_10000_nodes", sizes[LISTED], "MB in all")
-    tree = Tree()
-    merger = Merger(SHARE, 10.0)
+    tree = ChildrenCache()
+    merger = EndpointListMerger(SHARE, 10.0)
     nodes = [many(number) for number in range(LISTED)]
     tree.preload(nodes)
-    merger.told(MEMBERSHIP, [listed(node, 0.0) for node in nodes], 0.0)
-    merger.changes(0.0)
+    merger.update(MEMBERSHIP, [to_endpoint(node, 0.0) for node in nodes], 0.0)
+    merger.take_changes(0.0)
     begun = time.process_time()
     for number in range(CHANGES):
         node = nodes[number * 7 % LISTED]
         if number % 2:
-            merger.ended(MEMBERSHIP, [node.name], number * 0.001, Word.LOST)
+            merger.report_ended(MEMBERSHIP, [node.name], number * 0.001, ReportedStatus.LOST)
         else:
-            merger.told(MEMBERSHIP, [listed(node.draining(), 0.0)], number * 0.001)
-        merger.changes(number * 0.001)
+            merger.update(MEMBERSHIP, [to_endpoint(node.draining(), 0.0)], number * 0.001)
+        merger.take_changes(number * 0.001)
     proof.figure("cpu_of_1000_changes", time.process_time() - begun, "s, each given out alone")
 
 
@@ -407,8 +407,10 @@
     return "membership is fresh" in program.log.read_text()
 
 
-def many(number: int) -> Node:
-    return Node(f"s-{number:05d}", f"127.0.{number >> 8}.{number & 255}:8081", "abc"[number % 3], "m", 1)
+def many(number: int) -> EndpointNode:
+    return EndpointNode(
+        f"s-{number:05d}", f"127.0.{number >> 8}.{number & 255}:8081", "abc"[number % 3], "m", 1
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -24,12 +24,12 @@
 from benchmarks.proof import Proof, run
 from harness.backend import Backend
 from harness.callers import MIX, request
-from harness.coordination import Service, SessionRecord
+from harness.coordination import CoordinationService, SessionRecord
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.ledger import Ledger
-from harness.padron import Padron, entry
 from harness.program import ROOT, proxy
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
 from service_proxy.ephemeral_nodes.jute import OPEN_ACL
-from service_proxy.ephemeral_nodes.nodes import Node
 
 CONNECTIONS = 8
 TURNS = 5
@@ -115,34 +115,34 @@
         await process.wait()
 
 
-def fill(service: Service, backends: list[Backend]) -> None:
+def fill(service: CoordinationService, backends: list[Backend]) -> None:
     """The backends and others that are draining, so that the calls go where they go without it."""
     service.tree.create("/portal", b"", list(OPEN_ACL), 0, 0)
     record = SessionRecord(1, b"", 1e9, time.monotonic())
     service.sessions[1] = record
     for number in range(NODES):
         if number < len(backends):
-            node = Node(backends[number].name, backends[number].address, "a", "m", 1)
+            node = EndpointNode(backends[number].name, backends[number].address, "a", "m", 1)
         else:
-            node = Node(f"z-{number}", f"127.0.0.1:{number + 1}", "a", "m", 1, status="Terminating")
-        service.tree.create(f"/portal/{node.name}", node.data(), list(OPEN_ACL), 1, 1)
+            node = EndpointNode(f"z-{number}", f"127.0.0.1:{number + 1}", "a", "m", 1, status="Terminating")
+        service.tree.create(f"/portal/{node.name}", node.encode(), list(OPEN_ACL), 1, 1)
 
 
 async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
     calls = CALLS_SHORT if proof.short else CALLS
     turns = 3 if proof.short else TURNS
     ledger = Ledger()
-    padron = Padron(ledger)
-    await padron.start()
+    registry = EndpointRegistry(ledger)
+    await registry.start()
     backends = [Backend(ledger, f"s-{n}", service=0.0) for n in range(BACKENDS)]
     for backend in backends:
         await backend.start()
-    service = Service(3)
+    service = CoordinationService(3)
     servers = ", ".join('"{}:{}"'.format(*at) for at in await service.start())
     fill(service, backends)
     known = [entry(backend.name, backend.address) for backend in backends]
     for item in known:
-        padron.put(item)
+        registry.put(item)
     operator = f'[membership]\nservers = [{servers}]\npath = "/portal"\n'
     async with contextlib.AsyncExitStack() as stack:
         at: dict[str, tuple[int, tuple[str, int]]] = {}
@@ -152,7 +152,7 @@
             variants["against"] = {"root": wanted.against.resolve()}
         for name, how in variants.items():
             started = await stack.enter_async_context(
-                proxy(name, padron.address, known, quantum=0.001, **how)
+                proxy(name, registry.address, known, quantum=0.001, **how)
             )
             at[name] = started.process.pid, started.address
         found: dict[str, list[float]] = {name: [] for name in at}
@@ -171,7 +171,7 @@
                     served = served + drive.served
                     asked = asked + calls
     await service.stop()
-    padron.stop()
+    registry.stop()
     for backend in backends:
         backend.stop()
     proof.figure("calls", asked, "calls in all")
--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -23,11 +23,11 @@
 from benchmarks.per_call import cpu, relay
 from benchmarks.proof import Proof, run
 from harness.callers import EFFECTS, GRADES, MIX
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.frames import stream
 from harness.kiosks import Kiosk, Kiosks
 from harness.kit import until
 from harness.ledger import Effect, Ledger
-from harness.padron import Padron, entry
 from harness.program import Program, proxy, settings
 from harness.wsnode import WsNode
 from service_proxy.websocket.codec import Codec, Fault
@@ -69,16 +69,16 @@
 @asynccontextmanager
 async def fleet(
     size: Size, count: int, more: str = ""
-) -> AsyncIterator[tuple[Program, Kiosks, list[WsNode], Padron, Ledger]]:
+) -> AsyncIterator[tuple[Program, Kiosks, list[WsNode], EndpointRegistry, Ledger]]:
     """A proxy that may hold all sessions, before `count` nodes."""
     ledger = Ledger()
-    padron = Padron(ledger)
+    registry = EndpointRegistry(ledger)
     nodes = [WsNode(ledger, f"n-{n}", zone="abc"[n % 3]) for n in range(count)]
     for node in nodes:
         await node.start()
     known = [entry(node.name, node.address, zone=node.zone) for node in nodes]
     for item in known:
-        padron.put(item)
+        registry.put(item)
     operator = (
         f'[websocket]\nmessages = ["pantalla"]\ntunnels = ["vigia"]\nsessions = {size.sessions + 100}\n'
         f"reconnect_spread = {size.spread}\nping_every = 5.0\n{more}"
@@ -86,16 +86,16 @@
     limits = {"cores": 1.0, "memory_mb": 1024, "sockets": 3 * size.sessions + 1500}
     raw = {"settings": settings(grades=[*GRADES, TUNNEL]), "limits": limits}
     try:
-        async with proxy("edge", await padron.start(), known, operator, more=raw) as program:
+        async with proxy("edge", await registry.start(), known, operator, more=raw) as program:
             kiosks = Kiosks(ledger, [program.address])
             try:
-                yield program, kiosks, nodes, padron, ledger
+                yield program, kiosks, nodes, registry, ledger
             finally:
                 kiosks.close()
     finally:
         for node in nodes:
             node.stop()
-        padron.stop()
+        registry.stop()
 
 
 async def connected(kiosks: Kiosks, count: int, path: str) -> list[Kiosk]:
@@ -131,7 +131,7 @@
 
 async def faults(proof: Proof, size: Size) -> None:
     draw = Random(proof.seed)
-    async with fleet(size, size.nodes) as (program, kiosks, nodes, padron, ledger):
+    async with fleet(size, size.nodes) as (program, kiosks, nodes, registry, ledger):
         half = size.sessions // 2
         begun = time.monotonic()
         talks = await connected(kiosks, half, "/pantalla")
@@ -148,7 +148,7 @@
         before = len(kiosks.connects)
         told = len(ledger.told)
         for node in draining:
-            padron.put(entry(node.name, node.address, zone=node.zone, status="Terminating"))
+            registry.put(entry(node.name, node.address, zone=node.zone, status="Terminating"))
 
         def told_at() -> dict[str, float]:
             return {t.server: t.at for t in ledger.told[told:] if t.state != "ready"}
--- a/harness/coordination.py
+++ b/harness/coordination.py
@@ -36,15 +36,25 @@
 from typing import Any, cast
 
 from service_proxy.ephemeral_nodes import jute
-from service_proxy.ephemeral_nodes.jute import Err, Event, Op, Reader, ServiceError, Stat, Writer
+from service_proxy.ephemeral_nodes.jute import (
+    ErrorCode,
+    EventType,
+    OpCode,
+    RecordReader,
+    RecordWriter,
+    ServiceError,
+    Stat,
+)
 
 EXPIRY_STEP = 0.05  # s between looks at sessions
 # ms that a session is granted
-LEAST_TIMEOUT = 200
-MOST_TIMEOUT = 40_000
+MIN_SESSION_TIMEOUT_MS = 200
+MAX_SESSION_TIMEOUT_MS = 40_000
 SYNC_CONNECTED = 3  # state in a notification
 FOUR_LETTERS = {b"ruok": b"imok", b"isro": b"rw", b"srvr": b"Zookeeper version: 3.8.0\n"}
-WRITE_OPS = frozenset((Op.CREATE, Op.CREATE2, Op.CREATE_CONTAINER, Op.DELETE, Op.SET_DATA, Op.MULTI))
+WRITE_OPS = frozenset(
+    (OpCode.CREATE, OpCode.CREATE2, OpCode.CREATE_CONTAINER, OpCode.DELETE, OpCode.SET_DATA, OpCode.MULTI)
+)
 
 
 @dataclass(slots=True)
@@ -85,14 +95,14 @@
     timeout: float
     heard: float
     nodes: set[str] = field(default_factory=set)
-    connection: Connection | None = None
+    connection: ServiceConnection | None = None
 
 
 def parent_of(path: str) -> str:
     return path.rpartition("/")[0] or "/"
 
 
-class Tree:
+class ZnodeTree:
     """The nodes, and the one order of changes (zxid)."""
 
     def __init__(self) -> None:
@@ -108,22 +118,22 @@
     def node(self, path: str) -> Znode:
         found = self.nodes.get(path)
         if found is None:
-            raise ServiceError(Err.NO_NODE, path)
+            raise ServiceError(ErrorCode.NO_NODE, path)
         return found
 
     def create(self, path: str, data: bytes, acl: list[jute.Acl], flags: int, owner: int) -> str:
         if flags & 2:
             holder = self.node(parent_of(path))
             path = f"{path}{holder.sequence:010d}"
-        if jute.path_fault(path) or path == "/":
-            raise ServiceError(Err.BAD_ARGUMENTS, path)
+        if jute.find_path_problem(path) or path == "/":
+            raise ServiceError(ErrorCode.BAD_ARGUMENTS, path)
         parent = self.node(parent_of(path))
         if path in self.nodes:
-            raise ServiceError(Err.NODE_EXISTS, path)
+            raise ServiceError(ErrorCode.NODE_EXISTS, path)
         if parent.owner:
-            raise ServiceError(Err.NO_CHILDREN_FOR_EPHEMERALS, path)
+            raise ServiceError(ErrorCode.NO_CHILDREN_FOR_EPHEMERALS, path)
         if flags not in (0, 1, 2, 3, 4):
-            raise ServiceError(Err.UNIMPLEMENTED, path)
+            raise ServiceError(ErrorCode.UNIMPLEMENTED, path)
         self.zxid += 1
         now = int(time.time() * 1000)
         holder_id = owner if flags in (1, 3) else 0
@@ -132,47 +142,47 @@
         parent.cversion += 1
         parent.sequence += 1
         parent.pzxid = self.zxid
-        self.fire(Event.CREATED, path)
-        self.fire(Event.CHILDREN_CHANGED, parent_of(path))
+        self.fire(EventType.CREATED, path)
+        self.fire(EventType.CHILDREN_CHANGED, parent_of(path))
         return path
 
     def delete(self, path: str, version: int) -> Znode:
         node = self.node(path)
         if version not in (-1, node.version):
-            raise ServiceError(Err.BAD_VERSION, path)
+            raise ServiceError(ErrorCode.BAD_VERSION, path)
         if node.children:
-            raise ServiceError(Err.NOT_EMPTY, path)
+            raise ServiceError(ErrorCode.NOT_EMPTY, path)
         self.zxid += 1
         del self.nodes[path]
         parent = self.node(parent_of(path))
         parent.children.discard(path.rpartition("/")[2])
         parent.cversion += 1
         parent.pzxid = self.zxid
-        self.fire(Event.DELETED, path)
-        self.fire(Event.CHILDREN_CHANGED, parent_of(path))
+        self.fire(EventType.DELETED, path)
+        self.fire(EventType.CHILDREN_CHANGED, parent_of(path))
         return node
 
     def set_data(self, path: str, data: bytes, version: int) -> Stat:
         node = self.node(path)
         if version not in (-1, node.version):
-            raise ServiceError(Err.BAD_VERSION, path)
+            raise ServiceError(ErrorCode.BAD_VERSION, path)
         self.zxid += 1
         node.data, node.mzxid, node.mtime = data, self.zxid, int(time.time() * 1000)
         node.version += 1
-        self.fire(Event.DATA_CHANGED, path)
+        self.fire(EventType.DATA_CHANGED, path)
         return node.stat()
 
 
-class Service:
+class CoordinationService:
     """The ensemble: one tree, the sessions, and what the script does to them."""
 
     def __init__(self, servers: int = 1, persistent_watches: bool = True) -> None:
         self.loop = asyncio.get_running_loop()
-        self.tree = Tree()
+        self.tree = ZnodeTree()
         self.tree.fire = self._fire
         self.sessions: dict[int, SessionRecord] = {}
         self.ids = count((int(time.time() * 1000) << 20) & 0x00FFFFFFFFFFFFFF | 1)
-        self.servers = [Server(self, number) for number in range(servers)]
+        self.servers = [EnsembleServer(self, number) for number in range(servers)]
         self.persistent_watches = persistent_watches
         self.credentials: dict[str, str] = {}  # user: password; an unknown user's digest is refused if any
         self.slow = 0.0  # s that each answer takes
@@ -182,7 +192,7 @@
         self.requests: dict[int, int] = defaultdict(int)  # by type
         self.expired: list[tuple[float, int, set[str]]] = []  # when, which session, its nodes
         # What was just written to a client: an event and its node's name, or 0 and all names of a path.
-        self.on_sent: Callable[[Connection, int, list[str]], None] | None = None
+        self.on_sent: Callable[[ServiceConnection, int, list[str]], None] | None = None
         self._expiry: asyncio.Task[None] | None = None
         self._script: asyncio.Task[None] | None = None
 
@@ -225,19 +235,19 @@
         if session.connection is not None:
             session.connection.drop()
 
-    def connect(self, wanted: jute.Connect, connection: Connection) -> SessionRecord | None:
+    def connect(self, wanted: jute.ConnectRequest, connection: ServiceConnection) -> SessionRecord | None:
         """A new session, or the one asked for; None where it has expired. Moving it ends its old
         connection.
         """
-        timeout = min(MOST_TIMEOUT, max(LEAST_TIMEOUT, wanted.timeout)) / 1000
+        timeout = min(MAX_SESSION_TIMEOUT_MS, max(MIN_SESSION_TIMEOUT_MS, wanted.timeout_ms)) / 1000
         now = time.monotonic()
-        if wanted.session == 0:
+        if wanted.session_id == 0:
             number = next(self.ids)
             password = hashlib.sha256(b"%d" % number).digest()[:16]
             session = SessionRecord(number, password, timeout, now)
             self.sessions[number] = session
         else:
-            found = self.sessions.get(wanted.session)
+            found = self.sessions.get(wanted.session_id)
             if found is None or found.password != wanted.password:
                 return None
             session = found
@@ -255,16 +265,16 @@
                 connection.fire(event, path)
 
     # the script
-    def play(self, steps: list[dict[str, Any]]) -> None:
+    def run_script(self, steps: list[dict[str, Any]]) -> None:
         self._script = self.loop.create_task(self._playing(steps))
 
     async def _playing(self, steps: list[dict[str, Any]]) -> None:
         begun = self.loop.time()
         for step in sorted(steps, key=lambda step: float(step["at"])):
             await asyncio.sleep(max(0.0, begun + float(step["at"]) - self.loop.time()))
-            self.do(step)
+            self.run_step(step)
 
-    def do(self, step: dict[str, Any]) -> None:
+    def run_step(self, step: dict[str, Any]) -> None:
         """One step of a script, now. Raises ValueError for one that is not known."""
         action = step["do"]
         chosen = [self.servers[n] for n in step.get("servers", range(len(self.servers)))]
@@ -328,13 +338,13 @@
             server.drop_all()
 
 
-class Server:
+class EnsembleServer:
     """One of the ensemble: a listener and its connections."""
 
-    def __init__(self, service: Service, number: int) -> None:
+    def __init__(self, service: CoordinationService, number: int) -> None:
         self.service = service
         self.number = number
-        self.connections: set[Connection] = set()
+        self.connections: set[ServiceConnection] = set()
         self.address = ("127.0.0.1", 0)
         self.mode = ""  # "", "silent" or "reset"
         self.read_only = False
@@ -343,7 +353,7 @@
 
     async def listen(self, host: str, port: int) -> None:
         loop = asyncio.get_running_loop()
-        self.listener = await loop.create_server(lambda: Connection(self), host, port, backlog=1024)
+        self.listener = await loop.create_server(lambda: ServiceConnection(self), host, port, backlog=1024)
         self.address = self.listener.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
@@ -373,8 +383,8 @@
         self.drop_all()
 
 
-class Connection(asyncio.Protocol):
-    def __init__(self, server: Server) -> None:
+class ServiceConnection(asyncio.Protocol):
+    def __init__(self, server: EnsembleServer) -> None:
         self.server = server
         self.service = server.service
         self.transport: asyncio.Transport | None = None
@@ -417,13 +427,13 @@
             return
         self.buffer += data
         try:
-            for frame in jute.frames(self.buffer):
+            for frame in jute.split_frames(self.buffer):
                 if self.first:
                     self.first = False
                     self._connect(frame)
                 elif self.session is not None:
                     self._request(frame)
-        except jute.Malformed:
+        except jute.MalformedRecordError:
             self.drop()
 
     def _send(self, frame: bytes) -> None:
@@ -449,17 +459,17 @@
             self.service.loop.call_at(self.waiting[0][0], self._send_waiting)
 
     def _connect(self, frame: bytes) -> None:
-        wanted = jute.read_connect(frame)
+        wanted = jute.parse_connect_request(frame)
         if wanted.last_zxid > self.service.tree.zxid or (self.server.read_only and not wanted.read_only):
             self.drop()  # the client has seen what this server has not, or wants to write
             return
         session = self.service.connect(wanted, self)
         if session is None:
-            self._send(jute.Connected(0, 0, bytes(16)).frame())
+            self._send(jute.ConnectResponse(0, 0, bytes(16)).frame())
             self.service.loop.call_later(0.05 + self.service.slow, self.drop)
             return
         self.session = session
-        granted = jute.Connected(
+        granted = jute.ConnectResponse(
             int(session.timeout * 1000), session.id, session.password, self.server.read_only
         )
         self._send(granted.frame())
@@ -467,86 +477,86 @@
     def _request(self, frame: bytes) -> None:
         assert self.session is not None
         self.session.heard = time.monotonic()
-        source = Reader(frame)
+        source = RecordReader(frame)
         xid = source.int32()
         op = source.int32()
         self.service.requests[op] += 1
         try:
             if self.server.read_only and op in WRITE_OPS:
-                raise ServiceError(Err.NOT_READ_ONLY)
+                raise ServiceError(ErrorCode.NOT_READ_ONLY)
             body = self._do(op, source)
         except ServiceError as fault:
-            self._send(jute.reply(xid, self.service.tree.zxid, fault.code))
-            if op == Op.AUTH:
+            self._send(jute.encode_reply(xid, self.service.tree.zxid, fault.code))
+            if op == OpCode.AUTH:
                 self.service.loop.call_later(0.05, self.drop)
             return
-        self._send(jute.reply(xid, self.service.tree.zxid, Err.OK, body))
-        if op == Op.CLOSE:
+        self._send(jute.encode_reply(xid, self.service.tree.zxid, ErrorCode.OK, body))
+        if op == OpCode.CLOSE:
             self.service.loop.call_later(0.01, self.drop)
 
-    def _do(self, op: int, source: Reader) -> bytes:
+    def _do(self, op: int, source: RecordReader) -> bytes:
         tree = self.service.tree
         session = self.session
         assert session is not None
-        if op == Op.PING:
+        if op == OpCode.PING:
             return b""
-        if op == Op.CLOSE:
+        if op == OpCode.CLOSE:
             session.connection = None
             self.service.expire(session.id)
             return b""
-        if op == Op.AUTH:
+        if op == OpCode.AUTH:
             return self._auth(source)
-        if op in (Op.CREATE, Op.CREATE2, Op.CREATE_CONTAINER):
+        if op in (OpCode.CREATE, OpCode.CREATE2, OpCode.CREATE_CONTAINER):
             path = self._create(source)
-            stat = Writer() if op == Op.CREATE else tree.node(path).stat().write(Writer())
-            return Writer().string(path).whole() + stat.whole()
-        if op == Op.DELETE:
+            stat = RecordWriter() if op == OpCode.CREATE else tree.node(path).stat().write(RecordWriter())
+            return RecordWriter().string(path).to_bytes() + stat.to_bytes()
+        if op == OpCode.DELETE:
             self._delete(source.string(), source.int32())
             return b""
-        if op == Op.EXISTS:
-            return self._exists(source.string(), source.flag())
-        if op == Op.GET_DATA:
+        if op == OpCode.EXISTS:
+            return self._exists(source.string(), source.boolean())
+        if op == OpCode.GET_DATA:
             path = source.string()
-            watch = source.flag()
+            watch = source.boolean()
             node = self._allowed(path, 1)
             if watch:
                 self.data.add(path)
-            return node.stat().write(Writer().buffer(node.data)).whole()
-        if op == Op.SET_DATA:
+            return node.stat().write(RecordWriter().buffer(node.data)).to_bytes()
+        if op == OpCode.SET_DATA:
             path = source.string()
             data = source.buffer() or b""
             version = source.int32()
             self._allowed(path, 2)
-            return tree.set_data(path, data, version).write(Writer()).whole()
-        if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2):
+            return tree.set_data(path, data, version).write(RecordWriter()).to_bytes()
+        if op in (OpCode.GET_CHILDREN, OpCode.GET_CHILDREN2):
             path = source.string()
-            watch = source.flag()
+            watch = source.boolean()
             node = self._allowed(path, 1)
             if watch:
                 self.child.add(path)
-            body = Writer().strings(sorted(node.children))
+            body = RecordWriter().strings(sorted(node.children))
             self._sent(0, sorted(node.children))
-            return (body if op == Op.GET_CHILDREN else node.stat().write(body)).whole()
-        if op == Op.SYNC:
-            return Writer().string(source.string()).whole()
-        if op == Op.MULTI:
+            return (body if op == OpCode.GET_CHILDREN else node.stat().write(body)).to_bytes()
+        if op == OpCode.SYNC:
+            return RecordWriter().string(source.string()).to_bytes()
+        if op == OpCode.MULTI:
             return self._multi(source)
-        if op in (Op.SET_WATCHES, Op.SET_WATCHES2):
-            self._set_watches(source, op == Op.SET_WATCHES2)
+        if op in (OpCode.SET_WATCHES, OpCode.SET_WATCHES2):
+            self._set_watches(source, op == OpCode.SET_WATCHES2)
             return b""
-        if op == Op.ADD_WATCH and self.service.persistent_watches:
+        if op == OpCode.ADD_WATCH and self.service.persistent_watches:
             path = source.string()
             mode = source.int32()
             (self.recursive if mode else self.persistent).add(path)
-            return Writer().int32(0).whole()
-        if op == Op.REMOVE_WATCHES:
+            return RecordWriter().int32(0).to_bytes()
+        if op == OpCode.REMOVE_WATCHES:
             path = source.string()
             for watches in (self.data, self.exist, self.child, self.persistent, self.recursive):
                 watches.discard(path)
             return b""
-        raise ServiceError(Err.UNIMPLEMENTED)
+        raise ServiceError(ErrorCode.UNIMPLEMENTED)
 
-    def _create(self, source: Reader) -> str:
+    def _create(self, source: RecordReader) -> str:
         path = source.string()
         data = source.buffer() or b""
         acl = source.vector(lambda: jute.read_acl(source))
@@ -557,12 +567,12 @@
         for entry in acl:
             if entry.scheme == "auth":
                 if not self.users:
-                    raise ServiceError(Err.INVALID_ACL, path)
+                    raise ServiceError(ErrorCode.INVALID_ACL, path)
                 real += [jute.Acl(entry.perms, "digest", user) for user in sorted(self.users)]
             else:
                 real.append(entry)
         if not real:
-            raise ServiceError(Err.INVALID_ACL, path)
+            raise ServiceError(ErrorCode.INVALID_ACL, path)
         made = self.service.tree.create(path, data, real, flags, self.session.id)
         if flags in (1, 3):
             self.session.nodes.add(made)
@@ -581,12 +591,12 @@
         if node is None:
             if watch:
                 self.exist.add(path)
-            raise ServiceError(Err.NO_NODE, path)
+            raise ServiceError(ErrorCode.NO_NODE, path)
         if watch:
             self.data.add(path)
-        return node.stat().write(Writer()).whole()
+        return node.stat().write(RecordWriter()).to_bytes()
 
-    def _multi(self, source: Reader) -> bytes:
+    def _multi(self, source: RecordReader) -> bytes:
         """All or nothing: the tree is put back where a part fails, and each part has an error then."""
         tree = self.service.tree
         session = self.session
@@ -604,50 +614,50 @@
         try:
             while True:
                 op = source.int32()
-                last = source.flag()
+                last = source.boolean()
                 _ = source.int32()
                 if last:
                     break
                 if failed is not None:
                     raise failed
-                if op == Op.CHECK:
+                if op == OpCode.CHECK:
                     path = source.string()
                     version = source.int32()
                     if tree.node(path).version != version and version != -1:
-                        raise ServiceError(Err.BAD_VERSION, path)
+                        raise ServiceError(ErrorCode.BAD_VERSION, path)
                     done.append((op, b""))
-                elif op in (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA):
+                elif op in (OpCode.CREATE, OpCode.CREATE2, OpCode.DELETE, OpCode.SET_DATA):
                     done.append((op, self._do(op, source)))
                 else:
-                    raise ServiceError(Err.BAD_ARGUMENTS)
+                    raise ServiceError(ErrorCode.BAD_ARGUMENTS)
         except ServiceError as fault:
             failed = fault
         finally:
             tree.fire = real
-        body = Writer()
+        body = RecordWriter()
         if failed is not None:
             tree.zxid = before[0]
             tree.nodes = before[1]
             for number, nodes in before[2].items():
                 self.service.sessions[number].nodes = nodes
-            codes = [int(Err.OK)] * len(done) + [int(failed.code)]
+            codes = [int(ErrorCode.OK)] * len(done) + [int(failed.code)]
             for code in codes:
-                body.int32(Op.ERROR).flag(False).int32(code).int32(code)
+                body.int32(OpCode.ERROR).boolean(False).int32(code).int32(code)
         else:
             for op, result in done:
-                body.int32(op).flag(False).int32(0).record(result)
+                body.int32(op).boolean(False).int32(0).record(result)
             for event, path in fired:
                 tree.fire(event, path)
-        return body.int32(-1).flag(True).int32(-1).whole()
+        return body.int32(-1).boolean(True).int32(-1).to_bytes()
 
-    def _auth(self, source: Reader) -> bytes:
+    def _auth(self, source: RecordReader) -> bytes:
         source.int32()
         scheme = source.string()
         auth = source.buffer() or b""
         user, _, password = auth.decode("utf-8", "replace").partition(":")
         known = self.service.credentials
         if scheme != "digest" or (known and known.get(user) != password):
-            raise ServiceError(Err.AUTH_FAILED)
+            raise ServiceError(ErrorCode.AUTH_FAILED)
         digest = base64.b64encode(hashlib.sha1(auth).digest()).decode()
         self.users.add(f"{user}:{digest}")
         return b""
@@ -657,31 +667,36 @@
         for entry in node.acl:
             if entry.perms & permission and (entry.scheme == "world" or entry.id in self.users):
                 return node
-        raise ServiceError(Err.NO_AUTH, path)
+        raise ServiceError(ErrorCode.NO_AUTH, path)
 
-    def _set_watches(self, source: Reader, more: bool) -> None:
+    def _set_watches(self, source: RecordReader, more: bool) -> None:
         """Watches again, from a zxid: what has changed since fires at once (DataTree.setWatches)."""
         since = source.int64()
         data, exist, child = (source.vector(source.string) for _ in range(3))
         nodes = self.service.tree.nodes
-        self._watch_again(data, self.data, since, Event.DATA_CHANGED, lambda node: node.mzxid)
+        self._watch_again(data, self.data, since, EventType.DATA_CHANGED, lambda node: node.mzxid)
         for path in exist:
             if path in nodes:
-                self._notify(Event.CREATED, path)
+                self._notify(EventType.CREATED, path)
             else:
                 self.exist.add(path)
-        self._watch_again(child, self.child, since, Event.CHILDREN_CHANGED, lambda node: node.pzxid)
+        self._watch_again(child, self.child, since, EventType.CHILDREN_CHANGED, lambda node: node.pzxid)
         if more:
             self.persistent.update(source.vector(source.string))
             self.recursive.update(source.vector(source.string))
 
     def _watch_again(
-        self, paths: list[str], watches: set[str], since: int, event: Event, changed: Callable[[Znode], int]
+        self,
+        paths: list[str],
+        watches: set[str],
+        since: int,
+        event: EventType,
+        changed: Callable[[Znode], int],
     ) -> None:
         for path in paths:
             node = self.service.tree.nodes.get(path)
             if node is None:
-                self._notify(Event.DELETED, path)
+                self._notify(EventType.DELETED, path)
             elif changed(node) > since:
                 self._notify(event, path)
             else:
@@ -691,7 +706,7 @@
         """One-shot watches are spent; a persistent recursive one fires for each node below its path, and not
         for changes of lists of children."""
         hit = False
-        if event == Event.CHILDREN_CHANGED:
+        if event == EventType.CHILDREN_CHANGED:
             hit = path in self.child
             self.child.discard(path)
             hit = hit or path in self.persistent
@@ -699,7 +714,7 @@
             for watches in (self.data, self.exist):
                 hit = hit or path in watches
                 watches.discard(path)
-            if event == Event.DELETED:
+            if event == EventType.DELETED:
                 hit = hit or path in self.child
                 self.child.discard(path)
             hit = hit or path in self.persistent or self._below(path)
@@ -717,7 +732,7 @@
             path = parent_of(path)
 
     def _notify(self, event: int, path: str) -> None:
-        self._send(jute.Notification(event, SYNC_CONNECTED, path).frame())
+        self._send(jute.WatcherEvent(event, SYNC_CONNECTED, path).frame())
         self._sent(event, [path.rpartition("/")[2]])
 
     def _sent(self, event: int, names: list[str]) -> None:
@@ -744,11 +759,11 @@
 
 async def serve(listen: str, ensemble: int, script: Path | None, seconds: float) -> None:
     host, _, port = listen.rpartition(":")
-    service = Service(ensemble)
+    service = CoordinationService(ensemble)
     steps = read_script(script) if script else []
     for at in await service.start(host, int(port)):
         print(f"listening {at[0]}:{at[1]}", flush=True)
-    service.play(steps)
+    service.run_script(steps)
     try:
         await asyncio.sleep(seconds)
     finally:
--- a/harness/padron.py
+++ b/harness/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""A stand-in for the padron de nodos: the list and watches on its changes, told late.
+"""A stand-in for the endpoint registry ("padron" in the pages): its list and watches, answered late.
 
 Each change is put in force after a delay that is drawn from a range; what it then tells to whom, and when,
 goes to the ledger. Loopback, port 0.
@@ -28,27 +28,27 @@
     return {"name": name, "address": address, **usual, **more}
 
 
-class Padron:
+class EndpointRegistry:
     def __init__(
-        self, ledger: Ledger, seed: int = 0, late: tuple[float, float] = (0.0, 0.0), proxy: str = ""
+        self, ledger: Ledger, seed: int = 0, delay_range: tuple[float, float] = (0.0, 0.0), proxy: str = ""
     ) -> None:
         """`proxy`: the one that asks it, where each has its own."""
         self.loop = asyncio.get_running_loop()
         self.ledger = ledger
-        self.late = late
+        self.delay_range = delay_range
         self.proxy = proxy
         self.random = Random(seed)
         self.index = 1
         self.entries: dict[str, Entry] = {}
         self.changed: dict[str, int] = {}  # name: the index of its last change
-        self.waiting: set[_Connection] = set()
-        self.connections: set[_Connection] = set()
+        self.waiting: set[RegistryConnection] = set()
+        self.connections: set[RegistryConnection] = set()
         self.server: asyncio.Server | None = None
         self.address = ""
         self.silent = False
 
     async def start(self) -> str:
-        self.server, self.address = await listen(lambda: _Connection(self))
+        self.server, self.address = await listen(lambda: RegistryConnection(self))
         return self.address
 
     def stop(self) -> None:
@@ -58,9 +58,9 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    def put(self, item: Entry, late: tuple[float, float] | None = None) -> None:
+    def put(self, item: Entry, delay_range: tuple[float, float] | None = None) -> None:
         """In force after the delay."""
-        low, high = self.late if late is None else late
+        low, high = self.delay_range if delay_range is None else delay_range
         wait = self.random.uniform(low, high)
         if wait:
             self.loop.call_later(wait, self._put, item)
@@ -72,7 +72,7 @@
         self.entries[item["name"]] = item
         self.changed[item["name"]] = self.index
         for connection in list(self.waiting):
-            connection.tell()
+            connection.respond()
 
     def listing(self, since: int | None) -> bytes:
         if since is None or since > self.index:
@@ -83,24 +83,24 @@
         return json.dumps({"index": self.index, "snapshot": whole, "endpoints": found}).encode()
 
 
-class _Connection(asyncio.Protocol):
-    def __init__(self, padron: Padron) -> None:
-        self.padron = padron
+class RegistryConnection(asyncio.Protocol):
+    def __init__(self, registry: EndpointRegistry) -> None:
+        self.registry = registry
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.since: int | None = None
-        self.told: dict[str, str] = {}
+        self.sent: dict[str, str] = {}
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.padron.connections.add(self)
+        self.registry.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.padron.connections.discard(self)
-        self.padron.waiting.discard(self)
+        self.registry.connections.discard(self)
+        self.registry.waiting.discard(self)
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed_data(data)
@@ -112,24 +112,24 @@
         asked = parse_qs(urlsplit(self.target.decode()).query)
         self.since = int(asked["from"][0]) if "from" in asked else None
         hold = float(asked.get("hold_ms", ["0"])[0]) / 1000
-        if self.since is None or self.since != self.padron.index or not hold:
-            self.tell()
+        if self.since is None or self.since != self.registry.index or not hold:
+            self.respond()
             return
-        self.padron.waiting.add(self)
-        self.timer = self.padron.loop.call_later(hold, self.tell)
+        self.registry.waiting.add(self)
+        self.timer = self.registry.loop.call_later(hold, self.respond)
 
-    def tell(self) -> None:
-        if self.padron.silent:
+    def respond(self) -> None:
+        if self.registry.silent:
             return
-        self.padron.waiting.discard(self)
+        self.registry.waiting.discard(self)
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is None:
             return
-        body = self.padron.listing(self.since)
+        body = self.registry.listing(self.since)
         head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         self.transport.write(head.encode() + body)
         now = time.monotonic()
         for item in json.loads(body)["endpoints"]:
-            told = Told(item["name"], now, ENDS[item["status"]], "padron", self.padron.proxy)
-            self.padron.ledger.told.append(told)
+            told = Told(item["name"], now, ENDS[item["status"]], "padron", self.registry.proxy)
+            self.registry.ledger.told.append(told)
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -19,11 +19,11 @@
 
 from harness.backend import Backend
 from harness.callers import EFFECTS, Callers
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.fleet.fault_relay import DatagramRelay, TcpRelay, loopback_address
 from harness.fleet.network import Network
 from harness.kit import until
 from harness.ledger import Ledger, Violation
-from harness.padron import Padron, entry
 from harness.program import ROOT, Program, configuration, free_port, launch, settings
 from harness.skew import STEER
 from service_proxy.fleet.authentication import MessageAuthenticator
@@ -115,7 +115,7 @@
             Backend(self.ledger, f"n{number}", "abc"[number % 3], capacity=4.0)
             for number in range(setup.endpoints)
         ]
-        self.registries: list[Padron] = []
+        self.registries: list[EndpointRegistry] = []
         self.clients: list[Callers] = []
         self.relays: list[TcpRelay] = []
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -155,14 +155,14 @@
         (seat.folder / "machine").write_text(f"machine {seat.name}\n")
         self.renew_boot_id(seat.number)
         (seat.folder / "clock").write_bytes(STEER.pack(0.0, 0.0))
-        padron = Padron(self.ledger, self.options.seed + seat.number, proxy=seat.name)
-        at = await padron.start()
-        self.registries.append(padron)
+        registry = EndpointRegistry(self.ledger, self.options.seed + seat.number, proxy=seat.name)
+        at = await registry.start()
+        self.registries.append(registry)
         for number, nodo in enumerate(self.endpoints):
             pipe = TcpRelay(lambda nodo=nodo: address_of(nodo.address))  # type: ignore[misc]
             address = await pipe.start(f"127.79.{number}.{seat.number + 1}", self.http)
             seat.relays.append(pipe)
-            padron.put(entry(nodo.name, address, zone=nodo.zone))
+            registry.put(entry(nodo.name, address, zone=nodo.zone))
         pipe = TcpRelay(lambda: address_of(at))
         await pipe.start(f"127.79.250.{seat.number + 1}", self.http)
         seat.relays.append(pipe)
@@ -362,9 +362,9 @@
         await self.endpoints[number].start(cold=True)
 
     def set_draining(self, server: str, on: bool) -> None:
-        for padron in self.registries:
-            item = dict(padron.entries[server], status="Terminating" if on else "Ready")
-            padron.put(item)
+        for registry in self.registries:
+            item = dict(registry.entries[server], status="Terminating" if on else "Ready")
+            registry.put(item)
 
     # the end
     async def finish_requests(self) -> None:
@@ -398,8 +398,8 @@
                 connection.close()
         for pipe in self.relays:
             pipe.stop()
-        for padron in self.registries:
-            padron.stop()
+        for registry in self.registries:
+            registry.stop()
         for nodo in self.endpoints:
             nodo.stop()
         self.relay.stop()
--- a/harness/world.py
+++ b/harness/world.py
@@ -1,7 +1,7 @@
 """A described installation on loopback: its sidecars for real, and stand-ins for all else.
 
 Each [[sidecar]] is a process of the program itself beside an application that calls the next tiers through
-it; each asker has a padron of its own, so that the ledger knows who was told what; a plain proxy stands
+it; each asker has a registry of its own, so that the ledger knows who was told what; a plain proxy stands
 before the first tier. Everything is recorded in one ledger.
 """
 
@@ -19,9 +19,9 @@
 
 from harness.backend import Backend, Incoming
 from harness.callers import Callers, Class
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.kit import until
 from harness.ledger import Effect, Ledger
-from harness.padron import Padron, entry
 from harness.program import ROOT, Program, free_port, proxy
 from service_proxy.net.endpoint_list import parse_address
 from service_proxy.sidecar.model import Description, Sidecar
@@ -93,13 +93,13 @@
         return True
 
     async def start(self) -> None:
-        """The application, the padrones that its sidecar asks, and the sidecar's own description."""
+        """The application, the registries that its sidecar asks, and the sidecar's own description."""
         self.application.address = self.sidecar.application
         await self.application.start()
         tiers = dict(self.world.description.tiers)
         for called, at in self.sidecar.outbound.items():
-            padron = await self.world.padron(f"{self.name}.{called}", called)
-            tiers[called] = replace(tiers[called], padron=padron, membership=None)
+            registry = await self.world.start_registry(f"{self.name}.{called}", called)
+            tiers[called] = replace(tiers[called], padron=registry, membership=None)
             self.outbound[called] = Callers(self.world.ledger, parse_address(at), f"{self.name}.{called}", 0)
         mine = replace(self.world.description, tiers=tiers)
         if self.sidecar.tier in self.world.older:
@@ -129,7 +129,7 @@
             await until(outbound.up, f"{self.name} towards {called} ready")
 
     async def stop_sidecar(self) -> None:
-        """A planned restart's first half: the padron says that it leaves, SIGTERM, and it ends by itself."""
+        """The first half of a planned restart: the registry lists it as Terminating, then SIGTERM."""
         assert self.process is not None
         self.world.put(self.sidecar.tier, {**self.listed, "status": "Terminating"})
         self.process.terminate()
@@ -166,7 +166,7 @@
         self.older = older  # tiers whose sidecars know of no budgets
         self.parents: dict[str, str] = {}  # a call that an application made, and the one that it made it for
         self.ledger = Ledger()
-        self.padrones: dict[tuple[str, str], Padron] = {}  # by asker and tier
+        self.registries: dict[tuple[str, str], EndpointRegistry] = {}  # by asker and tier
         self.classes = {
             name: Class(name, 1.0, cls.deadline, Effect(EFFECTS[cls.effect], cls.window))
             for name, cls in description.classes.items()
@@ -214,20 +214,20 @@
         return replace(description, sidecars=sidecars)
 
     def put(self, tier: str, item: dict[str, object]) -> None:
-        for (_, of), padron in self.padrones.items():
+        for (_, of), registry in self.registries.items():
             if of == tier:
-                padron.put(item)
+                registry.put(item)
 
-    async def padron(self, asker: str, tier: str) -> str:
-        padron = self.padrones[asker, tier] = Padron(self.ledger, proxy=asker)
+    async def start_registry(self, asker: str, tier: str) -> str:
+        registry = self.registries[asker, tier] = EndpointRegistry(self.ledger, proxy=asker)
         tier = self.routes.get(tier, tier)  # a misroute: the list of another tier
         for host in self.hosts:
             if host.sidecar.tier == tier:
-                padron.put(host.listed)
+                registry.put(host.listed)
         for name, backend in self.plain:
             if name == tier:
-                padron.put(entry(backend.name, backend.address, zone=backend.zone))
-        return await padron.start()
+                registry.put(entry(backend.name, backend.address, zone=backend.zone))
+        return await registry.start()
 
     def call_directly(self) -> None:
         """Callers go to the sidecars of the first tier, with no proxy before these."""
@@ -256,8 +256,8 @@
                 await host.process.wait()
         for _, backend in self.plain:
             backend.stop()
-        for padron in self.padrones.values():
-            padron.stop()
+        for registry in self.registries.values():
+            registry.stop()
 
 
 @contextlib.asynccontextmanager
@@ -278,9 +278,9 @@
             for _, backend in made.plain:
                 await backend.start()
             await asyncio.gather(*(host.start() for host in made.hosts))
-            padron = await made.padron(EDGE, made.entry)
-            known = list(made.padrones[EDGE, made.entry].entries.values())
-            async with proxy(EDGE, padron, known, edge, more=made.edge_settings()) as program:
+            registry = await made.start_registry(EDGE, made.entry)
+            known = list(made.registries[EDGE, made.entry].entries.values())
+            async with proxy(EDGE, registry, known, edge, more=made.edge_settings()) as program:
                 mix = [made.classes[name] for name in made.description.tiers[made.entry].classes]
                 made.edge = program
                 made.callers = Callers(made.ledger, program.address, EDGE, 1, mix)
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -227,7 +227,7 @@
 
 def create_endpoint_source(settings: Membership, driver: RequestDispatcher, config: ProxyConfig) -> Subsystem:
     """Return the source of endpoints that reads ephemeral nodes; it feeds the dispatcher."""
-    from service_proxy.ephemeral_nodes.source import Membership as EndpointSource
+    from service_proxy.ephemeral_nodes.source import EphemeralNodeSource as EndpointSource
 
     # Its lines say which source decided: docs/operators/ephemeral.md.
     _log_at_info("service_proxy.ephemeral_nodes")
@@ -236,9 +236,9 @@
 
 def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
     """Return what keeps this machine's endpoint registered; it is not started yet."""
-    from service_proxy.ephemeral_nodes.register import registrar_of
+    from service_proxy.ephemeral_nodes.register import create_registrar
 
-    return registrar_of(membership, registration, since_ms)
+    return create_registrar(membership, registration, since_ms)
 
 
 def create_deadline_propagation(settings: BudgetSettings, hop: str) -> BudgetPropagation:
--- a/service_proxy/ephemeral_nodes/nodes.py
+++ b/service_proxy/ephemeral_nodes/endpoint_node.py
@@ -3,7 +3,7 @@
     {"name":"s-5be2a07c","address":"10.1.0.18:8081","zone":"a","type":"m2","group":3,"weight":1.0,
      "since_ms":1764583200000,"status":"Ready"}
 
-The names and meanings are those of the padron's list, and the node's name is its `name`. Keys that are not
+The names and meanings are those of discovery's list, and the node's name is its `name`. Keys that are not
 known are passed over, so that a newer sidecar can say more. docs/operators/ephemeral.md has it for operators.
 """
 
@@ -18,14 +18,14 @@
 
 from service_proxy.net.endpoint_list import Endpoint, parse_address, parse_endpoint
 
-MOST_DATA = 4096  # bytes of a node; what is larger is no registration
-MOST_NAME = 255  # letters
+MAX_DATA_BYTES = 4096  # bytes of a node; what is larger is no registration
+MAX_NAME_LENGTH = 255  # letters
 READY = "Ready"
 TERMINATING = "Terminating"
 
 
 @dataclass(frozen=True, slots=True)
-class Node:
+class EndpointNode:
     """What a server registers. `since_ms`: when its process started, Unix time in ms; 0: unknown."""
 
     name: str
@@ -37,17 +37,17 @@
     since_ms: int = 0
     status: str = READY
 
-    def data(self) -> bytes:
+    def encode(self) -> bytes:
         return json.dumps(asdict(self), separators=(",", ":"), ensure_ascii=False).encode()
 
-    def draining(self) -> Node:
+    def draining(self) -> EndpointNode:
         return replace(self, status=TERMINATING)
 
 
-def name_fault(name: str) -> str | None:
+def find_name_problem(name: str) -> str | None:
     """Why a node's name can't be a server's; None for a good one."""
-    if not name or len(name) > MOST_NAME:
-        return f"a name has 1 to {MOST_NAME} letters"
+    if not name or len(name) > MAX_NAME_LENGTH:
+        return f"a name has 1 to {MAX_NAME_LENGTH} letters"
     if "/" in name:
         return "a name holds no /"
     for letter in name:
@@ -58,13 +58,13 @@
     return None
 
 
-def read_node(name: str, data: bytes) -> Node:
+def parse_node(name: str, data: bytes) -> EndpointNode:
     """Raises ValueError with what is wrong and what would be right."""
-    fault = name_fault(name)
+    fault = find_name_problem(name)
     if fault:
         raise ValueError(fault)
-    if len(data) > MOST_DATA:
-        raise ValueError(f"{len(data)} bytes; a registration has {MOST_DATA} at most")
+    if len(data) > MAX_DATA_BYTES:
+        raise ValueError(f"{len(data)} bytes; a registration has {MAX_DATA_BYTES} at most")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as problem:
@@ -73,7 +73,7 @@
         raise ValueError("the JSON is no object")
     if raw.get("name") != name:
         raise ValueError(f"its name says {raw.get('name')!r:.60}; it must be the node's own")
-    node = Node(
+    node = EndpointNode(
         name=name,
         address=_text(raw, "address", None),
         zone=_text(raw, "zone", ""),
@@ -92,8 +92,8 @@
 
 def _text(raw: Mapping[str, Any], key: str, default: str | None) -> str:
     value = raw.get(key, default)
-    if not isinstance(value, str) or len(value) > MOST_NAME:
-        raise ValueError(f"its {key} must be a string of at most {MOST_NAME} letters")
+    if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH:
+        raise ValueError(f"its {key} must be a string of at most {MAX_NAME_LENGTH} letters")
     return value
 
 
@@ -111,6 +111,6 @@
     return float(value)
 
 
-def listed(node: Node, wall_offset: float) -> Endpoint:
+def to_endpoint(node: EndpointNode, wall_offset: float) -> Endpoint:
     """As a list's entry. `wall_offset`: wall less monotonic time, s."""
     return parse_endpoint(asdict(node), wall_offset)
--- a/service_proxy/ephemeral_nodes/jute.py
+++ b/service_proxy/ephemeral_nodes/jute.py
@@ -13,14 +13,14 @@
 from enum import IntEnum
 from typing import TypeVar
 
-MOST_FRAME = 8 << 20  # bytes; a getChildren of 100,000 names of 40 letters has 4.4 MB
-MOST_ENTRIES = 1 << 20  # of a vector
-PASSWORD = 16  # bytes of a session's password
+MAX_FRAME_BYTES = 8 << 20  # bytes; a getChildren of 100,000 names of 40 letters has 4.4 MB
+MAX_VECTOR_ENTRIES = 1 << 20  # of a vector
+PASSWORD_BYTES = 16  # bytes of a session's password
 
 T = TypeVar("T")
 
 
-class Op(IntEnum):
+class OpCode(IntEnum):
     """Request types (zookeeper.jute, ZooDefs.OpCode)."""
 
     CREATE = 1
@@ -47,7 +47,7 @@
     ERROR = -1  # in a multi's answer
 
 
-class Xid(IntEnum):
+class ReservedXid(IntEnum):
     """Ids of frames that answer no request of a number (ClientCnxn)."""
 
     NOTIFICATION = -1
@@ -56,7 +56,7 @@
     SET_WATCHES = -8
 
 
-class Err(IntEnum):
+class ErrorCode(IntEnum):
     """Errors by their numbers (KeeperException.Code)."""
 
     OK = 0
@@ -91,7 +91,7 @@
     QUOTA_EXCEEDED = -125
 
 
-class Create(IntEnum):
+class CreateMode(IntEnum):
     """Flags of a create (CreateMode)."""
 
     PERSISTENT = 0
@@ -101,7 +101,7 @@
     CONTAINER = 4
 
 
-class Event(IntEnum):
+class EventType(IntEnum):
     """Types of a watch's notification (Watcher.Event.EventType)."""
 
     NONE = -1
@@ -114,7 +114,7 @@
     PERSISTENT_WATCH_REMOVED = 7
 
 
-class WatchMode(IntEnum):
+class AddWatchMode(IntEnum):
     """Of an addWatch (AddWatchMode)."""
 
     PERSISTENT = 0
@@ -125,17 +125,17 @@
     """The service answered a request with an error; `code` is its number, `Err` where it is known."""
 
     def __init__(self, code: int, path: str = "") -> None:
-        known = {int(err): err for err in Err}
+        known = {int(err): err for err in ErrorCode}
         self.code = known.get(code, code)
-        name = self.code.name if isinstance(self.code, Err) else "an error of no known number"
+        name = self.code.name if isinstance(self.code, ErrorCode) else "an error of no known number"
         super().__init__(f"{name} ({code})" + (f" at {path}" if path else ""))
 
 
-class Malformed(ValueError):
+class MalformedRecordError(ValueError):
     """Bytes that are no record of this protocol."""
 
 
-class Writer:
+class RecordWriter:
     """Builds one record. Each method returns the writer, so that fields follow one another."""
 
     __slots__ = ("parts",)
@@ -143,61 +143,63 @@
     def __init__(self) -> None:
         self.parts: list[bytes] = []
 
-    def int32(self, value: int) -> Writer:
+    def int32(self, value: int) -> RecordWriter:
         self.parts.append(struct.pack(">i", value))
         return self
 
-    def int64(self, value: int) -> Writer:
+    def int64(self, value: int) -> RecordWriter:
         self.parts.append(struct.pack(">q", value))
         return self
 
-    def flag(self, value: bool) -> Writer:
+    def boolean(self, value: bool) -> RecordWriter:
         self.parts.append(b"\x01" if value else b"\x00")
         return self
 
-    def buffer(self, value: bytes | None) -> Writer:
+    def buffer(self, value: bytes | None) -> RecordWriter:
         if value is None:
             return self.int32(-1)
         self.parts.append(struct.pack(">i", len(value)) + value)
         return self
 
-    def string(self, value: str | None) -> Writer:
+    def string(self, value: str | None) -> RecordWriter:
         return self.buffer(None if value is None else value.encode())
 
-    def strings(self, values: Iterable[str]) -> Writer:
+    def strings(self, values: Iterable[str]) -> RecordWriter:
         entries = list(values)
         self.int32(len(entries))
         for entry in entries:
             self.string(entry)
         return self
 
-    def record(self, data: bytes) -> Writer:
+    def record(self, data: bytes) -> RecordWriter:
         self.parts.append(data)
         return self
 
-    def whole(self) -> bytes:
+    def to_bytes(self) -> bytes:
         return b"".join(self.parts)
 
     def frame(self) -> bytes:
         """With its length ahead, as it goes on the wire."""
-        data = self.whole()
+        data = self.to_bytes()
         return struct.pack(">i", len(data)) + data
 
 
-class Reader:
+class RecordReader:
     """Reads the fields of one record; raises Malformed where it ends early or holds what can't be."""
 
-    __slots__ = ("at", "data")
+    __slots__ = ("data", "position")
 
     def __init__(self, data: bytes, at: int = 0) -> None:
         self.data = data
-        self.at = at
+        self.position = at
 
     def take(self, size: int) -> bytes:
-        if size < 0 or self.at + size > len(self.data):
-            raise Malformed(f"a record ends early: {size} bytes wanted at {self.at} of {len(self.data)}")
-        piece = self.data[self.at : self.at + size]
-        self.at += size
+        if size < 0 or self.position + size > len(self.data):
+            raise MalformedRecordError(
+                f"a record ends early: {size} bytes wanted at {self.position} of {len(self.data)}"
+            )
+        piece = self.data[self.position : self.position + size]
+        self.position += size
         return piece
 
     def int32(self) -> int:
@@ -206,7 +208,7 @@
     def int64(self) -> int:
         return int(struct.unpack(">q", self.take(8))[0])
 
-    def flag(self) -> bool:
+    def boolean(self) -> bool:
         return self.take(1) != b"\x00"
 
     def buffer(self) -> bytes | None:
@@ -218,27 +220,27 @@
         try:
             return (data or b"").decode()
         except UnicodeDecodeError:
-            raise Malformed(f"a string that is no UTF-8: {data!r:.60}") from None
+            raise MalformedRecordError(f"a string that is no UTF-8: {data!r:.60}") from None
 
     def vector(self, entry: Callable[[], T]) -> list[T]:
         count = self.int32()
-        if not -1 <= count <= MOST_ENTRIES:
-            raise Malformed(f"a vector of {count} entries")
+        if not -1 <= count <= MAX_VECTOR_ENTRIES:
+            raise MalformedRecordError(f"a vector of {count} entries")
         return [entry() for _ in range(max(0, count))]
 
     @property
-    def left(self) -> int:
-        return len(self.data) - self.at
+    def remaining(self) -> int:
+        return len(self.data) - self.position
 
 
-def frames(buffer: bytearray) -> list[bytes]:
+def split_frames(buffer: bytearray) -> list[bytes]:
     """Takes the whole frames off the buffer. Raises Malformed at a length that can't be."""
     found = []
     at = 0
     while len(buffer) - at >= 4:
         size = int.from_bytes(buffer[at : at + 4], "big", signed=True)
-        if not 0 <= size <= MOST_FRAME:
-            raise Malformed(f"a frame of {size} bytes")
+        if not 0 <= size <= MAX_FRAME_BYTES:
+            raise MalformedRecordError(f"a frame of {size} bytes")
         if len(buffer) - at - 4 < size:
             break
         found.append(bytes(buffer[at + 4 : at + 4 + size]))
@@ -258,20 +260,20 @@
     version: int
     cversion: int  # of its children
     aversion: int
-    owner: int  # the session of an ephemeral node; 0: none
-    size: int  # bytes of data
-    children: int
+    ephemeral_owner: int  # the session of an ephemeral node; 0: none
+    data_length: int  # bytes of data
+    num_children: int
     pzxid: int  # of the last change of its children
 
-    def write(self, to: Writer) -> Writer:
-        return to.record(STAT.pack(*astuple(self)))
+    def write(self, to: RecordWriter) -> RecordWriter:
+        return to.record(STAT_LAYOUT.pack(*astuple(self)))
 
 
-STAT = struct.Struct(">qqqqiiiqiiq")
+STAT_LAYOUT = struct.Struct(">qqqqiiiqiiq")
 
 
-def read_stat(source: Reader) -> Stat:
-    return Stat(*STAT.unpack(source.take(STAT.size)))
+def read_stat(source: RecordReader) -> Stat:
+    return Stat(*STAT_LAYOUT.unpack(source.take(STAT_LAYOUT.size)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -282,132 +284,142 @@
     scheme: str
     id: str
 
-    def write(self, to: Writer) -> Writer:
+    def write(self, to: RecordWriter) -> RecordWriter:
         return to.int32(self.perms).string(self.scheme).string(self.id)
 
 
-ALL = 31
-OPEN_ACL = (Acl(ALL, "world", "anyone"),)
-CREATOR_ACL = (Acl(ALL, "auth", ""),)
+ALL_PERMISSIONS = 31
+OPEN_ACL = (Acl(ALL_PERMISSIONS, "world", "anyone"),)
+CREATOR_ACL = (Acl(ALL_PERMISSIONS, "auth", ""),)
 
 
-def read_acl(source: Reader) -> Acl:
+def read_acl(source: RecordReader) -> Acl:
     return Acl(source.int32(), source.string(), source.string())
 
 
 @dataclass(frozen=True, slots=True)
-class Connect:
+class ConnectRequest:
     """The first frame of a connection (ConnectRequest). `timeout` in ms."""
 
     last_zxid: int
-    timeout: int
-    session: int
+    timeout_ms: int
+    session_id: int
     password: bytes
     read_only: bool = False
-    version: int = 0
+    protocol_version: int = 0
 
     def frame(self) -> bytes:
-        body = Writer().int32(self.version).int64(self.last_zxid).int32(self.timeout).int64(self.session)
-        return body.buffer(self.password).flag(self.read_only).frame()
-
-
-def read_connect(data: bytes) -> Connect:
-    source = Reader(data)
+        body = (
+            RecordWriter()
+            .int32(self.protocol_version)
+            .int64(self.last_zxid)
+            .int32(self.timeout_ms)
+            .int64(self.session_id)
+        )
+        return body.buffer(self.password).boolean(self.read_only).frame()
+
+
+def parse_connect_request(data: bytes) -> ConnectRequest:
+    source = RecordReader(data)
     version = source.int32()
     zxid = source.int64()
     timeout = source.int32()
     session = source.int64()
     password = source.buffer() or b""
-    return Connect(zxid, timeout, session, password, source.flag() if source.left else False, version)
+    return ConnectRequest(
+        zxid, timeout, session, password, source.boolean() if source.remaining else False, version
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Connected:
+class ConnectResponse:
     """The answer to it (ConnectResponse). A session of 0, or a timeout of 0, says that it has expired."""
 
-    timeout: int  # ms, as granted
-    session: int
+    timeout_ms: int  # ms, as granted
+    session_id: int
     password: bytes
     read_only: bool = False  # by a server without its quorum
-    version: int = 0
+    protocol_version: int = 0
 
     def frame(self) -> bytes:
-        body = Writer().int32(self.version).int32(self.timeout).int64(self.session)
-        return body.buffer(self.password).flag(self.read_only).frame()
+        body = RecordWriter().int32(self.protocol_version).int32(self.timeout_ms).int64(self.session_id)
+        return body.buffer(self.password).boolean(self.read_only).frame()
 
 
-def read_connected(data: bytes) -> Connected:
-    source = Reader(data)
+def parse_connect_response(data: bytes) -> ConnectResponse:
+    source = RecordReader(data)
     version = source.int32()
     timeout = source.int32()
     session = source.int64()
     password = source.buffer() or b""
     # Servers before 3.4 leave the last field out.
-    return Connected(timeout, session, password, source.flag() if source.left else False, version)
+    return ConnectResponse(
+        timeout, session, password, source.boolean() if source.remaining else False, version
+    )
 
 
-def request(xid: int, op: int, body: bytes = b"") -> bytes:
+def encode_request(xid: int, op: int, body: bytes = b"") -> bytes:
     """A frame: RequestHeader and the request's record."""
-    return Writer().int32(xid).int32(op).record(body).frame()
+    return RecordWriter().int32(xid).int32(op).record(body).frame()
 
 
-def reply(xid: int, zxid: int, err: int, body: bytes = b"") -> bytes:
+def encode_reply(xid: int, zxid: int, err: int, body: bytes = b"") -> bytes:
     """A frame: ReplyHeader and the answer's record, which an error has not."""
-    return Writer().int32(xid).int64(zxid).int32(err).record(body).frame()
+    return RecordWriter().int32(xid).int64(zxid).int32(err).record(body).frame()
 
 
-def read_reply(data: bytes) -> tuple[int, int, int, Reader]:
+def parse_reply(data: bytes) -> tuple[int, int, int, RecordReader]:
     """xid, zxid, error number, and the rest."""
-    source = Reader(data)
+    source = RecordReader(data)
     return source.int32(), source.int64(), source.int32(), source
 
 
 # Requests' records
 
 
-def create_body(path: str, data: bytes, acl: Iterable[Acl], flags: int) -> bytes:
+def encode_create(path: str, data: bytes, acl: Iterable[Acl], flags: int) -> bytes:
     entries = list(acl)
-    body = Writer().string(path).buffer(data).int32(len(entries))
+    body = RecordWriter().string(path).buffer(data).int32(len(entries))
     for entry in entries:
         entry.write(body)
-    return body.int32(flags).whole()
+    return body.int32(flags).to_bytes()
 
 
-def delete_body(path: str, version: int = -1) -> bytes:
-    return Writer().string(path).int32(version).whole()
+def encode_delete(path: str, version: int = -1) -> bytes:
+    return RecordWriter().string(path).int32(version).to_bytes()
 
 
-def read_body(path: str, watch: bool) -> bytes:
+def encode_read(path: str, watch: bool) -> bytes:
     """Of exists, getData, getChildren and getChildren2."""
-    return Writer().string(path).flag(watch).whole()
+    return RecordWriter().string(path).boolean(watch).to_bytes()
 
 
-def set_data_body(path: str, data: bytes, version: int = -1) -> bytes:
-    return Writer().string(path).buffer(data).int32(version).whole()
+def encode_set_data(path: str, data: bytes, version: int = -1) -> bytes:
+    return RecordWriter().string(path).buffer(data).int32(version).to_bytes()
 
 
-def check_body(path: str, version: int) -> bytes:
-    return Writer().string(path).int32(version).whole()
+def encode_check(path: str, version: int) -> bytes:
+    return RecordWriter().string(path).int32(version).to_bytes()
 
 
-def path_body(path: str) -> bytes:
-    return Writer().string(path).whole()
+def encode_path(path: str) -> bytes:
+    return RecordWriter().string(path).to_bytes()
 
 
-def auth_body(scheme: str, auth: bytes) -> bytes:
-    return Writer().int32(0).string(scheme).buffer(auth).whole()
+def encode_auth(scheme: str, auth: bytes) -> bytes:
+    return RecordWriter().int32(0).string(scheme).buffer(auth).to_bytes()
 
 
-def add_watch_body(path: str, mode: WatchMode) -> bytes:
-    return Writer().string(path).int32(mode).whole()
+def encode_add_watch(path: str, mode: AddWatchMode) -> bytes:
+    return RecordWriter().string(path).int32(mode).to_bytes()
 
 
-def set_watches_body(zxid: int, data: Iterable[str], exist: Iterable[str], child: Iterable[str]) -> bytes:
+def encode_set_watches(zxid: int, data: Iterable[str], exist: Iterable[str], child: Iterable[str]) -> bytes:
     """SetWatches: `zxid` is the last one seen; the server fires at once what has changed since."""
-    return Writer().int64(zxid).strings(data).strings(exist).strings(child).whole()
+    return RecordWriter().int64(zxid).strings(data).strings(exist).strings(child).to_bytes()
 
 
-def set_watches2_body(
+def encode_set_watches2(
     zxid: int,
     data: Iterable[str],
     exist: Iterable[str],
@@ -415,67 +427,67 @@
     persistent: Iterable[str],
     recursive: Iterable[str],
 ) -> bytes:
-    more = Writer().strings(persistent).strings(recursive).whole()
-    return set_watches_body(zxid, data, exist, child) + more
+    more = RecordWriter().strings(persistent).strings(recursive).to_bytes()
+    return encode_set_watches(zxid, data, exist, child) + more
 
 
 @dataclass(frozen=True, slots=True)
-class Operation:
+class MultiOperation:
     """One part of a multi: its type and its record."""
 
-    op: Op
+    op: OpCode
     body: bytes
 
 
-def multi_body(operations: Iterable[Operation]) -> bytes:
+def encode_multi(operations: Iterable[MultiOperation]) -> bytes:
     """MultiHeader and record for each part; a header that is done ends them."""
-    body = Writer()
+    body = RecordWriter()
     for part in operations:
-        body.int32(part.op).flag(False).int32(-1).record(part.body)
-    return body.int32(-1).flag(True).int32(-1).whole()
+        body.int32(part.op).boolean(False).int32(-1).record(part.body)
+    return body.int32(-1).boolean(True).int32(-1).to_bytes()
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class MultiResult:
     """One part of a multi's answer: an error number, or 0 with what the part's type gives."""
 
     op: int
-    err: int
+    error_code: int
     path: str = ""
     stat: Stat | None = None
     data: bytes = b""
     children: tuple[str, ...] = ()
 
 
-def read_multi(source: Reader) -> list[Result]:
+def read_multi(source: RecordReader) -> list[MultiResult]:
     """The answer to a multi or multiRead: where one part of a multi failed, each part has an error."""
-    results: list[Result] = []
+    results: list[MultiResult] = []
     while True:
         op = source.int32()
-        done = source.flag()
+        done = source.boolean()
         err = source.int32()
         if done:
             return results
-        if op == Op.ERROR:
-            results.append(Result(op, source.int32()))
-        elif op in (Op.CREATE, Op.CREATE2, Op.CREATE_CONTAINER, Op.CREATE_TTL):
+        if op == OpCode.ERROR:
+            results.append(MultiResult(op, source.int32()))
+        elif op in (OpCode.CREATE, OpCode.CREATE2, OpCode.CREATE_CONTAINER, OpCode.CREATE_TTL):
             path = source.string()
-            results.append(Result(op, err, path, None if op == Op.CREATE else read_stat(source)))
-        elif op == Op.SET_DATA:
-            results.append(Result(op, err, stat=read_stat(source)))
-        elif op == Op.GET_DATA:
+            results.append(MultiResult(op, err, path, None if op == OpCode.CREATE else read_stat(source)))
+        elif op == OpCode.SET_DATA:
+            results.append(MultiResult(op, err, stat=read_stat(source)))
+        elif op == OpCode.GET_DATA:
             data = source.buffer() or b""
-            results.append(Result(op, err, data=data, stat=read_stat(source)))
-        elif op == Op.GET_CHILDREN:
-            results.append(Result(op, err, children=tuple(source.vector(source.string))))
-        elif op in (Op.DELETE, Op.CHECK):
-            results.append(Result(op, err))
+            results.append(MultiResult(op, err, data=data, stat=read_stat(source)))
+        elif op == OpCode.GET_CHILDREN:
+            results.append(MultiResult(op, err, children=tuple(source.vector(source.string))))
+        elif op in (OpCode.DELETE, OpCode.CHECK):
+            results.append(MultiResult(op, err))
         else:
-            raise Malformed(f"a part of a multi of the unknown type {op}")
+            raise MalformedRecordError(f"a part of a multi of the unknown type {op}")
 
 
 @dataclass(frozen=True, slots=True)
-class Notification:
+class WatcherEvent:
     """A watch has fired (WatcherEvent). `state` is the session's, as the server sees it."""
 
     type: int
@@ -483,18 +495,18 @@
     path: str
 
     def frame(self, zxid: int = -1) -> bytes:
-        body = Writer().int32(self.type).int32(self.state).string(self.path).whole()
-        return reply(Xid.NOTIFICATION, zxid, Err.OK, body)
+        body = RecordWriter().int32(self.type).int32(self.state).string(self.path).to_bytes()
+        return encode_reply(ReservedXid.NOTIFICATION, zxid, ErrorCode.OK, body)
 
 
-def read_notification(source: Reader) -> Notification:
-    return Notification(source.int32(), source.int32(), source.string())
+def read_watcher_event(source: RecordReader) -> WatcherEvent:
+    return WatcherEvent(source.int32(), source.int32(), source.string())
 
 
-FORBIDDEN = ((0, 0x1F), (0x7F, 0x9F), (0xD800, 0xF8FF), (0xFFF0, 0xFFFF))  # in a path
+FORBIDDEN_CODE_POINTS = ((0, 0x1F), (0x7F, 0x9F), (0xD800, 0xF8FF), (0xFFF0, 0xFFFF))  # in a path
 
 
-def path_fault(path: str) -> str | None:
+def find_path_problem(path: str) -> str | None:
     """What the service would refuse in a path (PathUtils.validatePath); None for a good one."""
     if not path.startswith("/"):
         return "it does not begin with /"
@@ -506,6 +518,6 @@
         if part in (".", ".."):
             return "it has a relative part"
         for letter in part:
-            if any(first <= ord(letter) <= last for first, last in FORBIDDEN):
+            if any(first <= ord(letter) <= last for first, last in FORBIDDEN_CODE_POINTS):
                 return f"it holds the character U+{ord(letter):04X}"
     return None
--- a/service_proxy/ephemeral_nodes/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -35,18 +35,20 @@
 from service_proxy.net.endpoint_sources import SourceHealth
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
-SAME_START = 2.0  # s by which two sources' starts of one process may differ
-WINDOW = 2.0  # s from a session's loss until its server is gone, the drain window of the rules
-MEMORY = 60.0  # s for which an end is remembered that nobody contradicts: the padron lists late, up to 44 s
-MOST_ENDED = 20_000  # names whose end is remembered
-HOLD = 600.0  # s after which a held loss may be believed
+START_TOLERANCE_S = 2.0  # s by which two sources' starts of one process may differ
+LOSS_WINDOW_S = 2.0  # s from a session's loss until its server is gone, the drain window of the rules
+END_MEMORY_S = (
+    60.0  # s for which an end is remembered that nobody contradicts: discovery lists late, up to 44 s
+)
+MAX_REMEMBERED_ENDS = 20_000  # names whose end is remembered
+WITHHOLD_S = 600.0  # s after which a held loss may be believed
 MEMBERSHIP = "membership"
-PADRON = "padron"
-ORDER = (MEMBERSHIP, PADRON)  # who is believed first where none is fresher
-HEALTHS = (SourceHealth.FRESH, SourceHealth.STALE, SourceHealth.UNREACHABLE, SourceHealth.NEVER_RECEIVED)
+DISCOVERY = "discovery"
+SOURCE_ORDER = (MEMBERSHIP, DISCOVERY)  # who is believed first where none is fresher
+HEALTH_ORDER = (SourceHealth.FRESH, SourceHealth.STALE, SourceHealth.UNREACHABLE, SourceHealth.NEVER_RECEIVED)
 
 
-class Word(Enum):
+class ReportedStatus(Enum):
     """What a source says of a server."""
 
     READY = "ready"
@@ -55,128 +57,138 @@
     GONE = "gone"
 
 
-ENDS = frozenset((Word.DRAINING, Word.LOST, Word.GONE))
+END_STATUSES = frozenset((ReportedStatus.DRAINING, ReportedStatus.LOST, ReportedStatus.GONE))
 
 
 @dataclass(slots=True)
-class Opinion:
+class SourceReport:
     """A source's word on one server."""
 
-    listed: Endpoint
-    word: Word
+    endpoint: Endpoint
+    status: ReportedStatus
     since: float  # when this word was told
-    held: bool = False  # a loss was told and is held to be the source's fault
-    held_since: float = 0.0
+    is_loss_withheld: bool = False  # a loss was told and is held to be the source's fault
+    withheld_since: float = 0.0
 
 
 @dataclass(slots=True)
 class Decision:
     """What is in force for one server, and why."""
 
-    listed: Endpoint
+    endpoint: Endpoint
     source: str  # whose word decided
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Source:
+class SourceView:
     name: str
-    share: float  # of its servers, above which a loss is held to be its own fault
-    within: float  # s
+    mass_loss_share: float  # of its servers, above which a loss is held to be its own fault
+    mass_loss_window_s: float  # s
     health: SourceHealth = SourceHealth.NEVER_RECEIVED
-    opinions: dict[str, Opinion] = field(default_factory=dict)
-    losses: deque[float] = field(default_factory=deque)  # when each loss that counted was told
-    held: int = 0
-    ready: int = 0  # opinions whose word is READY, those held among them
+    reports: dict[str, SourceReport] = field(default_factory=dict)
+    loss_times: deque[float] = field(default_factory=deque)  # when each loss that counted was told
+    withheld_count: int = 0
+    ready_count: int = 0  # opinions whose word is READY, those held among them
 
-    def allowed(self, now: float) -> int:
+    def count_allowed_losses(self, now: float) -> int:
         """How many more losses count now. The base is what was ready before those of the last `within` s."""
-        while self.losses and self.losses[0] <= now - self.within:
-            self.losses.popleft()
-        base = self.ready + len(self.losses)
-        most = max(1, int(self.share * base)) - len(self.losses)
-        return max(0, min(most, self.ready - 1))
+        while self.loss_times and self.loss_times[0] <= now - self.mass_loss_window_s:
+            self.loss_times.popleft()
+        base = self.ready_count + len(self.loss_times)
+        most = max(1, int(self.mass_loss_share * base)) - len(self.loss_times)
+        return max(0, min(most, self.ready_count - 1))
 
 
-class Merger:
+class EndpointListMerger:
     """`told`, `ended`, `whole` and `health_is` take what sources say; `changes` gives what is new in
     force.
     """
 
-    def __init__(self, share: float, within: float, order: tuple[str, ...] = ORDER) -> None:
+    def __init__(self, share: float, within: float, order: tuple[str, ...] = SOURCE_ORDER) -> None:
         self.order = order
-        self.sources = {name: Source(name, share, within) for name in order}
-        self.decided: dict[str, Decision] = {}  # by name: what was last given out
+        self.sources = {name: SourceView(name, share, within) for name in order}
+        self.decisions: dict[str, Decision] = {}  # by name: what was last given out
         self.dirty: dict[str, None] = {}
         self.version = 0
-        self.usable = 0  # servers that are given out as serving
-        self.by_address: dict[Address, dict[str, None]] = {}  # names that any source puts there
-        self.by_case: dict[str, dict[str, None]] = {}  # names by their small letters
-        self.windows: deque[tuple[float, str]] = deque()  # when a loss's window ends
-        self.tombs: dict[str, float] = {}  # names that are gone, and until when their ends are remembered
+        self.serving_count = 0  # servers that are given out as serving
+        self.names_by_address: dict[Address, dict[str, None]] = {}  # names that any source puts there
+        self.names_by_casefold: dict[str, dict[str, None]] = {}  # names by their small letters
+        self.loss_windows: deque[tuple[float, str]] = deque()  # when a loss's window ends
+        self.tombstones: dict[
+            str, float
+        ] = {}  # names that are gone, and until when their ends are remembered
         self.notes: list[str] = []  # for the log, taken by `take_notes`
-        self.noted: dict[str, str] = {}  # by name: the last disagreement that was noted
+        self.last_notes: dict[str, str] = {}  # by name: the last disagreement that was noted
 
     # what sources say
-    def health_is(self, source: str, health: SourceHealth) -> None:
+    def set_health(self, source: str, health: SourceHealth) -> None:
         mine = self.sources[source]
         if mine.health is not health:
             self.notes.append(f"source {source} is {health.value} (was {mine.health.value})")
             mine.health = health
-            self._touch(mine.opinions)
+            self._touch(mine.reports)
 
-    def told(self, source: str, entries: Iterable[Endpoint], now: float) -> None:
+    def update(self, source: str, entries: Iterable[Endpoint], now: float) -> None:
         """Servers that the source lists, ready or draining; a state GONE is an end like an absence."""
         gone = []
         for listed in entries:
             if listed.entry.state is EndpointState.REMOVED:
                 gone.append(listed.name)
                 continue
-            word = Word.READY if listed.entry.state is EndpointState.SERVING else Word.DRAINING
+            word = (
+                ReportedStatus.READY
+                if listed.entry.state is EndpointState.SERVING
+                else ReportedStatus.DRAINING
+            )
             self._set(self.sources[source], listed, word, now)
         if gone:
-            self.ended(source, gone, now, Word.GONE)
+            self.report_ended(source, gone, now, ReportedStatus.GONE)
 
-    def whole(self, source: str, entries: Iterable[Endpoint], now: float, word: Word = Word.GONE) -> None:
+    def replace_all(
+        self, source: str, entries: Iterable[Endpoint], now: float, word: ReportedStatus = ReportedStatus.GONE
+    ) -> None:
         """The source's whole list: what it listed before and does not now has ended."""
         listed = list(entries)
         names = {entry.name for entry in listed}
-        self.told(source, listed, now)
-        absent = [name for name in self.sources[source].opinions if name not in names]
-        self.ended(source, absent, now, word)
+        self.update(source, listed, now)
+        absent = [name for name in self.sources[source].reports if name not in names]
+        self.report_ended(source, absent, now, word)
 
-    def ended(self, source: str, names: Iterable[str], now: float, word: Word = Word.LOST) -> None:
+    def report_ended(
+        self, source: str, names: Iterable[str], now: float, word: ReportedStatus = ReportedStatus.LOST
+    ) -> None:
         """Servers that the source says are gone (GONE) or whose sessions are lost (LOST), told at once."""
         mine = self.sources[source]
         losing: list[str] = []
         for name in names:
-            opinion = mine.opinions.get(name)
-            if opinion is None or opinion.word in (Word.LOST, Word.GONE):
+            opinion = mine.reports.get(name)
+            if opinion is None or opinion.status in (ReportedStatus.LOST, ReportedStatus.GONE):
                 continue
-            if opinion.word is Word.DRAINING:  # an end that was announced is no loss
+            if opinion.status is ReportedStatus.DRAINING:  # an end that was announced is no loss
                 self._end(mine, name, word, now)
-            elif not opinion.held:
+            elif not opinion.is_loss_withheld:
                 losing.append(name)
         if not losing:
             return
-        if len(losing) > mine.allowed(now) and self._holds(mine, losing):
+        if len(losing) > mine.count_allowed_losses(now) and self._holds(mine, losing):
             for name in losing:
-                mine.opinions[name].held = True
-                mine.opinions[name].held_since = now
-            mine.held += len(losing)
+                mine.reports[name].is_loss_withheld = True
+                mine.reports[name].withheld_since = now
+            mine.withheld_count += len(losing)
             self.notes.append(
-                f"source {source} lost {len(losing)} of {mine.ready} servers within {mine.within:g} s: "
-                "held to be its own fault, and they stay in use"
+                f"source {source} lost {len(losing)} of {mine.ready_count} servers "
+                f"within {mine.mass_loss_window_s:g} s: held to be its own fault, and they stay in use"
             )
             self._touch(losing)
             return
         for name in losing:
-            mine.losses.append(now)
+            mine.loss_times.append(now)
             self._end(mine, name, word, now)
 
-    def _holds(self, source: Source, names: list[str]) -> bool:
-        """The padron's word ends a server by the platform's rules: it is doubted only against another's."""
-        if source.name != PADRON:
+    def _holds(self, source: SourceView, names: list[str]) -> bool:
+        """Discovery's word ends a server by the platform's rules: it is doubted only against another's."""
+        if source.name != DISCOVERY:
             return True
         others = [other for other in self.sources.values() if other is not source]
         backed = sum(
@@ -187,122 +199,128 @@
         return backed * 2 > len(names)
 
     @staticmethod
-    def _ready_by(source: Source, name: str) -> bool:
-        opinion = source.opinions.get(name)
-        return opinion is not None and opinion.word is Word.READY and not opinion.held
+    def _ready_by(source: SourceView, name: str) -> bool:
+        opinion = source.reports.get(name)
+        return opinion is not None and opinion.status is ReportedStatus.READY and not opinion.is_loss_withheld
 
     def tick(self, now: float) -> None:
         """Windows that are over, and holds that are long enough. Call it at least each second."""
-        while self.windows and self.windows[0][0] <= now:
-            self.dirty[self.windows.popleft()[1]] = None
-        while self.tombs:
-            name, until = next(iter(self.tombs.items()))
-            if until > now and len(self.tombs) <= MOST_ENDED:
+        while self.loss_windows and self.loss_windows[0][0] <= now:
+            self.dirty[self.loss_windows.popleft()[1]] = None
+        while self.tombstones:
+            name, until = next(iter(self.tombstones.items()))
+            if until > now and len(self.tombstones) <= MAX_REMEMBERED_ENDS:
                 break
-            del self.tombs[name]
+            del self.tombstones[name]
             self._forget(name)
         for source in self.sources.values():
-            if source.held and source.health is SourceHealth.FRESH:
-                due = [n for n, o in source.opinions.items() if o.held and o.held_since <= now - HOLD]
-                if due and len(due) == source.held and len(due) <= source.allowed(now):
+            if source.withheld_count and source.health is SourceHealth.FRESH:
+                due = [
+                    n
+                    for n, o in source.reports.items()
+                    if o.is_loss_withheld and o.withheld_since <= now - WITHHOLD_S
+                ]
+                if due and len(due) == source.withheld_count and len(due) <= source.count_allowed_losses(now):
                     for name in due:
-                        source.losses.append(now)
-                        self._end(source, name, Word.LOST, now)
+                        source.loss_times.append(now)
+                        self._end(source, name, ReportedStatus.LOST, now)
                     self.notes.append(f"source {source.name} is back without {len(due)} servers: believed")
 
-    def _set(self, source: Source, listed: Endpoint, word: Word, now: float) -> None:
+    def _set(self, source: SourceView, listed: Endpoint, word: ReportedStatus, now: float) -> None:
         name = listed.name
-        opinion = source.opinions.get(name)
+        opinion = source.reports.get(name)
         if opinion is not None:
-            if opinion.held:
-                source.held -= 1
-                opinion.held = False
-            elif opinion.word is word and opinion.listed == listed:
+            if opinion.is_loss_withheld:
+                source.withheld_count -= 1
+                opinion.is_loss_withheld = False
+            elif opinion.status is word and opinion.endpoint == listed:
                 return
-            self._unplace(opinion.listed)
-            opinion.listed = listed
-            if opinion.word is not word:
-                source.ready += (word is Word.READY) - (opinion.word is Word.READY)
-                opinion.word = word
+            self._unplace(opinion.endpoint)
+            opinion.endpoint = listed
+            if opinion.status is not word:
+                source.ready_count += (word is ReportedStatus.READY) - (
+                    opinion.status is ReportedStatus.READY
+                )
+                opinion.status = word
                 opinion.since = now
         else:
-            source.opinions[name] = Opinion(listed, word, now)
-            source.ready += word is Word.READY
-        self.by_address.setdefault(listed.address, {})[name] = None
-        self.by_case.setdefault(name.casefold(), {})[name] = None
+            source.reports[name] = SourceReport(listed, word, now)
+            source.ready_count += word is ReportedStatus.READY
+        self.names_by_address.setdefault(listed.address, {})[name] = None
+        self.names_by_casefold.setdefault(name.casefold(), {})[name] = None
         self._touch((name,))
 
-    def _end(self, source: Source, name: str, word: Word, now: float) -> None:
-        opinion = source.opinions[name]
-        if opinion.held:
-            source.held -= 1
-            opinion.held = False
-        source.ready -= opinion.word is Word.READY
-        opinion.word = word
+    def _end(self, source: SourceView, name: str, word: ReportedStatus, now: float) -> None:
+        opinion = source.reports[name]
+        if opinion.is_loss_withheld:
+            source.withheld_count -= 1
+            opinion.is_loss_withheld = False
+        source.ready_count -= opinion.status is ReportedStatus.READY
+        opinion.status = word
         opinion.since = now
-        if word is Word.LOST:
-            self.windows.append((now + WINDOW, name))
+        if word is ReportedStatus.LOST:
+            self.loss_windows.append((now + LOSS_WINDOW_S, name))
         self._touch((name,))
 
     def _unplace(self, listed: Endpoint) -> None:
-        names = self.by_address.get(listed.address)
+        names = self.names_by_address.get(listed.address)
         if names is not None and not any(
-            opinion.listed.address == listed.address
+            opinion.endpoint.address == listed.address
             for source in self.sources.values()
-            if (opinion := source.opinions.get(listed.name)) is not None and opinion.listed is not listed
+            if (opinion := source.reports.get(listed.name)) is not None and opinion.endpoint is not listed
         ):
             names.pop(listed.name, None)
             self._touch(names)
             if not names:
-                del self.by_address[listed.address]
+                del self.names_by_address[listed.address]
 
     def _touch(self, names: Iterable[str]) -> None:
         """These, and those whose decision rests on them (rules 7)."""
         for name in list(names):
             self.dirty[name] = None
-            for twin in self.by_case.get(name.casefold(), ()):
+            for twin in self.names_by_casefold.get(name.casefold(), ()):
                 self.dirty[twin] = None
             for source in self.sources.values():
-                opinion = source.opinions.get(name)
+                opinion = source.reports.get(name)
                 if opinion is not None:
-                    for neighbour in self.by_address.get(opinion.listed.address, ()):
+                    for neighbour in self.names_by_address.get(opinion.endpoint.address, ()):
                         self.dirty[neighbour] = None
 
     # what is in force
-    def changes(self, now: float) -> EndpointList | None:
+    def take_changes(self, now: float) -> EndpointList | None:
         """What has changed since the last call, as an incremental list; None where nothing has."""
         self.tick(now)
         found = []
         dirty = self.dirty
         self.dirty = {}
         for name in dirty:
-            before = self.decided.get(name)
+            before = self.decisions.get(name)
             after = self._decide(name, now)
             if after is None:
                 if before is not None:
-                    del self.decided[name]
-                    self.usable -= is_serving(before)
-                    self.noted.pop(name, None)
-                    gone = replace(before.listed.entry, state=EndpointState.REMOVED)
-                    found.append(Endpoint(before.listed.address, gone, name))
+                    del self.decisions[name]
+                    self.serving_count -= is_serving(before)
+                    self.last_notes.pop(name, None)
+                    gone = replace(before.endpoint.entry, state=EndpointState.REMOVED)
+                    found.append(Endpoint(before.endpoint.address, gone, name))
                     self._note(name, "removed", before)
                 continue
             if before is not None:
-                after.listed.entry.started_at = self._start(before.listed.entry, after.listed.entry)
-            self.decided[name] = after
-            self.usable += is_serving(after) - is_serving(before)
-            if before is None or before.listed != after.listed:
-                found.append(after.listed)
-            if before is None or (before.source, before.why) != (after.source, after.why):
-                self._note(name, after.listed.entry.state.value, after)
+                after.endpoint.entry.started_at = self._start(before.endpoint.entry, after.endpoint.entry)
+            self.decisions[name] = after
+            self.serving_count += is_serving(after) - is_serving(before)
+            if before is None or before.endpoint != after.endpoint:
+                found.append(after.endpoint)
+            if before is None or (before.source, before.reason) != (after.source, after.reason):
+                self._note(name, after.endpoint.entry.state.value, after)
         if not found:
             return None
         self.version += 1
         return EndpointList(self.version, False, found)
 
-    def everything(self) -> list[Endpoint]:
+    def endpoints_in_force(self) -> list[Endpoint]:
         """All that is in force, by name."""
-        return [self.decided[name].listed for name in sorted(self.decided)]
+        return [self.decisions[name].endpoint for name in sorted(self.decisions)]
 
     def take_notes(self) -> list[str]:
         notes = self.notes
@@ -311,65 +329,67 @@
 
     def _note(self, name: str, state: str, decision: Decision) -> None:
         """One line for each decision that a disagreement, a loss or a hold made; agreement is silent."""
-        text = f"server {name}: {state}, decided by {decision.source}: {decision.why}"
-        if decision.why != AGREED and self.noted.get(name) != text:
-            self.noted[name] = text
+        text = f"server {name}: {state}, decided by {decision.source}: {decision.reason}"
+        if decision.reason != NO_DISAGREEMENT and self.last_notes.get(name) != text:
+            self.last_notes[name] = text
             self.notes.append(text)
 
     @staticmethod
     def _start(before: EndpointEntry, after: EndpointEntry) -> float:
         """The start given out stays for one incarnation: another figure would look like a restart."""
-        same = abs(after.started_at - before.started_at) <= SAME_START or after.started_at == 0.0
+        same = abs(after.started_at - before.started_at) <= START_TOLERANCE_S or after.started_at == 0.0
         return before.started_at if same else after.started_at
 
-    def _opinions(self, name: str) -> list[tuple[Source, Opinion]]:
+    def _opinions(self, name: str) -> list[tuple[SourceView, SourceReport]]:
         """Rule 1: those that speak of the newest incarnation, in the order of rule 5."""
         found = [
             (source, opinion)
-            for health in HEALTHS
+            for health in HEALTH_ORDER
             for source in self.sources.values()
-            if source.health is health and (opinion := source.opinions.get(name)) is not None
+            if source.health is health and (opinion := source.reports.get(name)) is not None
         ]
-        newest = max((opinion.listed.entry.started_at for _, opinion in found), default=0.0)
+        newest = max((opinion.endpoint.entry.started_at for _, opinion in found), default=0.0)
         return [
             (source, opinion)
             for source, opinion in found
-            if opinion.listed.entry.started_at == 0.0
-            or opinion.listed.entry.started_at >= newest - SAME_START
+            if opinion.endpoint.entry.started_at == 0.0
+            or opinion.endpoint.entry.started_at >= newest - START_TOLERANCE_S
         ]
 
-    def _word(self, opinion: Opinion, now: float) -> Word:
+    def _word(self, opinion: SourceReport, now: float) -> ReportedStatus:
         """Rule 3: a loss is draining, then gone."""
-        if opinion.word is Word.LOST and now < opinion.since + WINDOW:
-            return Word.DRAINING
-        return Word.GONE if opinion.word is Word.LOST else opinion.word
+        if opinion.status is ReportedStatus.LOST and now < opinion.since + LOSS_WINDOW_S:
+            return ReportedStatus.DRAINING
+        return ReportedStatus.GONE if opinion.status is ReportedStatus.LOST else opinion.status
 
     def _decide(self, name: str, now: float) -> Decision | None:
         opinions = self._opinions(name)
         words = [self._word(opinion, now) for _, opinion in opinions]
-        if all(word is Word.GONE for word in words):
-            self.tombs.setdefault(name, now + MEMORY)
+        if all(word is ReportedStatus.GONE for word in words):
+            self.tombstones.setdefault(name, now + END_MEMORY_S)
             return None
-        self.tombs.pop(name, None)
+        self.tombstones.pop(name, None)
         source, opinion = opinions[0]
-        entry = replace(opinion.listed.entry)
+        entry = replace(opinion.endpoint.entry)
         speaker = source.name
-        why = AGREED
-        ends = [(s, o) for (s, o), word in zip(opinions, words, strict=True) if word in ENDS]
+        why = NO_DISAGREEMENT
+        ends = [(s, o) for (s, o), word in zip(opinions, words, strict=True) if word in END_STATUSES]
         if ends:
             entry.state = EndpointState.DRAINING
             speaker = ends[0][0].name
-            why = f"{ends[0][1].word.value}, which beats ready (rule 2)"
+            why = f"{ends[0][1].status.value}, which beats ready (rule 2)"
             if len(ends) == len(opinions):
-                why = "its session is lost" if ends[0][1].word is Word.LOST else AGREED
+                why = "its session is lost" if ends[0][1].status is ReportedStatus.LOST else NO_DISAGREEMENT
         else:
             entry.state = EndpointState.SERVING
-            if any(o.held for _, o in opinions):
+            if any(o.is_loss_withheld for _, o in opinions):
                 why = "its loss is held to be the source's fault (rule 4)"
-        entry.started_at = max(o.listed.entry.started_at for _, o in opinions)
-        if not ends and len({o.listed.address for _, o in opinions}) > 1:
+        entry.started_at = max(o.endpoint.entry.started_at for _, o in opinions)
+        if not ends and len({o.endpoint.address for _, o in opinions}) > 1:
             why = "the sources give other addresses (rule 5)"
-        places = {(o.listed.entry.zone, o.listed.entry.cell) for _, o in opinions if o.listed.entry.zone}
+        places = {
+            (o.endpoint.entry.zone, o.endpoint.entry.cell) for _, o in opinions if o.endpoint.entry.zone
+        }
         if len(places) > 1:
             entry.zone, entry.cell = f"?{name}", -(endpoint_id_of(name) % (1 << 31)) - 1
             why = why if ends else "the sources give other zones or groups (rule 6)"
@@ -378,36 +398,37 @@
             if hider is not None:
                 entry.state = EndpointState.DRAINING
                 why = f"{hider} stands for this address (rule 7)"
-        return Decision(Endpoint(opinion.listed.address, entry, name), speaker, why)
+        return Decision(Endpoint(opinion.endpoint.address, entry, name), speaker, why)
 
-    def _twin_end(self, name: str, opinion: Opinion) -> str | None:
+    def _twin_end(self, name: str, opinion: SourceReport) -> str | None:
         """A name that differs in case only, at the same address, and has ended."""
-        for twin in self.by_case.get(name.casefold(), ()):
+        for twin in self.names_by_casefold.get(name.casefold(), ()):
             if twin == name:
                 continue
             for source in self.sources.values():
-                other = source.opinions.get(twin)
+                other = source.reports.get(twin)
                 if (
                     other is not None
-                    and other.word in ENDS
-                    and other.listed.address == opinion.listed.address
-                    and other.listed.entry.started_at >= opinion.listed.entry.started_at - SAME_START
+                    and other.status in END_STATUSES
+                    and other.endpoint.address == opinion.endpoint.address
+                    and other.endpoint.entry.started_at
+                    >= opinion.endpoint.entry.started_at - START_TOLERANCE_S
                 ):
                     return twin
         return None
 
-    def _hider(self, name: str, opinion: Opinion, entry: EndpointEntry) -> str | None:
+    def _hider(self, name: str, opinion: SourceReport, entry: EndpointEntry) -> str | None:
         """The name that is used in place of this one."""
         best = (self._rank(name), -entry.started_at, name)
-        for other in self.by_address.get(opinion.listed.address, ()):
+        for other in self.names_by_address.get(opinion.endpoint.address, ()):
             if other == name:
                 continue
             theirs = self._opinions(other)
-            if not theirs or theirs[0][1].listed.address != opinion.listed.address:
+            if not theirs or theirs[0][1].endpoint.address != opinion.endpoint.address:
                 continue
-            if any(o.word in ENDS for _, o in theirs):
+            if any(o.status in END_STATUSES for _, o in theirs):
                 continue
-            start = max(o.listed.entry.started_at for _, o in theirs)
+            start = max(o.endpoint.entry.started_at for _, o in theirs)
             if (self._rank(other), -start, other) < best:
                 return other
         return None
@@ -419,20 +440,20 @@
     def _forget(self, name: str) -> None:
         """All words on it were of its end, and none was contradicted for MEMORY."""
         for source in self.sources.values():
-            opinion = source.opinions.get(name)
+            opinion = source.reports.get(name)
             if opinion is not None:
-                del source.opinions[name]
-                source.ready -= opinion.word is Word.READY
-                self._unplace(opinion.listed)
-        names = self.by_case.get(name.casefold())
+                del source.reports[name]
+                source.ready_count -= opinion.status is ReportedStatus.READY
+                self._unplace(opinion.endpoint)
+        names = self.names_by_casefold.get(name.casefold())
         if names is not None:
             names.pop(name, None)
             if not names:
-                del self.by_case[name.casefold()]
+                del self.names_by_casefold[name.casefold()]
 
 
 def is_serving(decision: Decision | None) -> bool:
-    return decision is not None and decision.listed.entry.state is EndpointState.SERVING
+    return decision is not None and decision.endpoint.entry.state is EndpointState.SERVING
 
 
-AGREED = "no source contradicts"
+NO_DISAGREEMENT = "no source contradicts"
--- a/service_proxy/ephemeral_nodes/register.py
+++ b/service_proxy/ephemeral_nodes/register.py
@@ -19,19 +19,26 @@
 from random import Random
 
 from service_proxy.ephemeral_nodes import jute
-from service_proxy.ephemeral_nodes.jute import Create, Err, Event, Op, Operation, ServiceError
-from service_proxy.ephemeral_nodes.nodes import Node, name_fault, read_node
-from service_proxy.ephemeral_nodes.session import Busy, ConnectionLost, Session
-from service_proxy.ephemeral_nodes.source import auth
-from service_proxy.ephemeral_nodes.states import USABLE, State
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, find_name_problem, parse_node
+from service_proxy.ephemeral_nodes.jute import (
+    CreateMode,
+    ErrorCode,
+    EventType,
+    MultiOperation,
+    OpCode,
+    ServiceError,
+)
+from service_proxy.ephemeral_nodes.session import ConnectionLostError, Session, TooManyRequestsError
+from service_proxy.ephemeral_nodes.session_states import USABLE_STATES, SessionState
+from service_proxy.ephemeral_nodes.source import read_credentials
 from service_proxy.net.endpoint_list import parse_address
 from service_proxy.operator_file import Membership, OperatorError, Registration, load
 
 log = logging.getLogger(__name__)
 
-RETRY = 0.2  # s after a try that failed on a connection that stands
-FOREIGN_PATIENCE = 1.0  # s between looks at a node of this name that another server holds
-CHECK = 5.0  # s between looks at the own node, beside its watch
+RETRY_S = 0.2  # s after a try that failed on a connection that stands
+FOREIGN_NODE_RECHECK_S = 1.0  # s between looks at a node of this name that another server holds
+NODE_RECHECK_S = 5.0  # s between looks at the own node, beside its watch
 
 
 class Registrar:
@@ -40,7 +47,7 @@
     def __init__(
         self,
         settings: Membership,
-        node: Node,
+        node: EndpointNode,
         random: Random,
         on_registered: Callable[[], None] | None = None,
     ) -> None:
@@ -59,7 +66,7 @@
             self._on_event,
             random,
             settings.chroot,
-            auth(settings),
+            read_credentials(settings),
         )
         self.registered = asyncio.Event()
         self.registrations = 0
@@ -70,45 +77,45 @@
         self.session.start()
         self._task = self.loop.create_task(self._keeping())
 
-    def _on_state(self, state: State) -> None:
-        if state not in USABLE:
+    def _on_state(self, state: SessionState) -> None:
+        if state not in USABLE_STATES:
             self.registered.clear()
-        if state is State.AUTH_FAILED:
+        if state is SessionState.AUTH_FAILED:
             log.error("the service refused the credentials: %s is not registered", self.path)
         self._look.set()
 
     def _on_event(self, event: int, path: str) -> None:
-        if path == self.path and event in (Event.DELETED, Event.DATA_CHANGED):
+        if path == self.path and event in (EventType.DELETED, EventType.DATA_CHANGED):
             self._look.set()
 
     async def _keeping(self) -> None:
         while True:
             self._look.clear()
-            wait = CHECK
-            if self.session.state in USABLE:
+            wait = NODE_RECHECK_S
+            if self.session.state in USABLE_STATES:
                 try:
                     if not await self._hold():
-                        wait = FOREIGN_PATIENCE
-                except (ServiceError, Busy) as fault:
+                        wait = FOREIGN_NODE_RECHECK_S
+                except (ServiceError, TooManyRequestsError) as fault:
                     log.warning("registration of %s: %s; tried again", self.path, fault)
-                    wait = RETRY
-                except ConnectionLost:
-                    wait = RETRY
+                    wait = RETRY_S
+                except ConnectionLostError:
+                    wait = RETRY_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait * (0.75 + 0.5 * self.random.random())):
                     await self._look.wait()
 
     async def _hold(self) -> bool:
         """Whether the node is this session's with the data it should have. Makes it so where it may."""
-        data = self.node.data()
+        data = self.node.encode()
         try:
             found, stat = await self.session.get_data(self.path, watch=True)
         except ServiceError as fault:
-            if fault.code != Err.NO_NODE:
+            if fault.code != ErrorCode.NO_NODE:
                 raise
             await self._create(data)
             return True
-        if stat.owner == self.session.id:
+        if stat.ephemeral_owner == self.session.session_id:
             if found != data:  # a drain was not told yet, or somebody wrote over it
                 await self.session.set_data(self.path, data, stat.version)
             self._is_registered(False)
@@ -120,8 +127,10 @@
         whole = self.session.absolute(self.path)
         await self.session.multi(
             [
-                Operation(Op.DELETE, jute.delete_body(whole, stat.version)),
-                Operation(Op.CREATE, jute.create_body(whole, data, self.acl, Create.EPHEMERAL)),
+                MultiOperation(OpCode.DELETE, jute.encode_delete(whole, stat.version)),
+                MultiOperation(
+                    OpCode.CREATE, jute.encode_create(whole, data, self.acl, CreateMode.EPHEMERAL)
+                ),
             ]
         )
         self._is_registered(True)
@@ -131,30 +140,30 @@
     def _is_own(self, found: bytes) -> bool:
         """Whether an earlier process at this address wrote it."""
         try:
-            return read_node(self.node.name, found).address == self.node.address
+            return parse_node(self.node.name, found).address == self.node.address
         except ValueError:
             return True  # of no use to anybody
 
     async def _create(self, data: bytes) -> None:
         try:
-            await self.session.create(self.path, data, Create.EPHEMERAL, self.acl)
+            await self.session.create(self.path, data, CreateMode.EPHEMERAL, self.acl)
         except ServiceError as fault:
-            if fault.code != Err.NO_NODE:
+            if fault.code != ErrorCode.NO_NODE:
                 raise
-            await self.session.ensure(self.parent)
-            await self.session.create(self.path, data, Create.EPHEMERAL, self.acl)
+            await self.session.ensure_path(self.parent)
+            await self.session.create(self.path, data, CreateMode.EPHEMERAL, self.acl)
         self._is_registered(True)
         await self.session.exists(self.path, watch=True)
 
     def _is_registered(self, anew: bool) -> None:
         if anew:
             self.registrations += 1
-            log.info("%s is registered by session 0x%x", self.path, self.session.id)
+            log.info("%s is registered by session 0x%x", self.path, self.session.session_id)
             if self.on_registered is not None:
                 self.on_registered()
         self.registered.set()
 
-    def say(self, node: Node) -> None:
+    def update(self, node: EndpointNode) -> None:
         """What the service is to hold from now on, also after an expiry."""
         self.node = node
         self.registered.clear()
@@ -163,7 +172,7 @@
     async def drain(self) -> None:
         """Says Terminating. Returns once the service has it, or can't be told: then the session's end
         tells."""
-        self.say(self.node.draining())
+        self.update(self.node.draining())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(1.0):
                 await self.registered.wait()
@@ -174,7 +183,7 @@
         await asyncio.sleep(drain)
         if self._task is not None:
             self._task.cancel()
-        with contextlib.suppress(ServiceError, ConnectionLost, Busy):
+        with contextlib.suppress(ServiceError, ConnectionLostError, TooManyRequestsError):
             await self.session.delete(self.path)
         await self.session.close()
 
@@ -185,8 +194,8 @@
         self.session.stop()
 
 
-def node_of(registration: Registration, since_ms: int) -> Node:
-    return Node(
+def create_node(registration: Registration, since_ms: int) -> EndpointNode:
+    return EndpointNode(
         registration.name,
         registration.address,
         registration.zone,
@@ -197,9 +206,9 @@
     )
 
 
-def registrar_of(settings: Membership, registration: Registration, since_ms: int) -> Registrar:
+def create_registrar(settings: Membership, registration: Registration, since_ms: int) -> Registrar:
     """Not started yet."""
-    node = node_of(registration, since_ms)
+    node = create_node(registration, since_ms)
     return Registrar(settings, node, Random(f"{node.name} {since_ms}"))
 
 
@@ -208,7 +217,7 @@
     term = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, term.set)
-    registrar = registrar_of(settings, registration, int(time.time() * 1000))
+    registrar = create_registrar(settings, registration, int(time.time() * 1000))
     registrar.start()
     await term.wait()
     await registrar.leave(registration.drain)
@@ -227,7 +236,7 @@
         if operator.membership is None or operator.registration is None:
             print(f"{wanted.operator}:1: [membership] and [registration] are needed", file=sys.stderr)
             return 2
-        wrong = name_fault(operator.registration.name)
+        wrong = find_name_problem(operator.registration.name)
         if wrong is not None:
             print(f"{wanted.operator}:1: registration.name: {wrong}", file=sys.stderr)
             return 2
--- a/service_proxy/ephemeral_nodes/snapshot.py
+++ b/service_proxy/ephemeral_nodes/snapshot.py
@@ -17,43 +17,45 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from service_proxy.ephemeral_nodes.nodes import Node, read_node
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, parse_node
 
 MAGIC = b"willowwing-nodes"
 VERSION = b"1"
-MOST_FILE = 64 << 20  # bytes; 20,000 nodes have 5 MB
+MAX_FILE_BYTES = 64 << 20  # bytes; 20,000 nodes have 5 MB
 
 
-class BadSnapshot(ValueError):
+class InvalidSnapshotError(ValueError):
     """The file can't be used; the message says why."""
 
 
-def encode(nodes: Iterable[Node]) -> bytes:
-    lines = [node.data() for node in nodes]
+def encode(nodes: Iterable[EndpointNode]) -> bytes:
+    lines = [node.encode() for node in nodes]
     body = b"".join(line + b"\n" for line in lines)
     digest = hashlib.sha256(body).hexdigest().encode()
     return b" ".join((MAGIC, VERSION, digest, b"%d" % len(lines))) + b"\n" + body
 
 
-def decode(data: bytes) -> list[Node]:
+def decode(data: bytes) -> list[EndpointNode]:
     head, newline, body = data.partition(b"\n")
     parts = head.split(b" ")
     if not newline or len(parts) != 4 or parts[0] != MAGIC:
-        raise BadSnapshot("it does not begin as a snapshot does")
+        raise InvalidSnapshotError("it does not begin as a snapshot does")
     if parts[1] != VERSION:
-        raise BadSnapshot(f"it has version {parts[1].decode('latin-1'):.20}, and {VERSION.decode()} is read")
+        raise InvalidSnapshotError(
+            f"it has version {parts[1].decode('latin-1'):.20}, and {VERSION.decode()} is read"
+        )
     if hashlib.sha256(body).hexdigest().encode() != parts[2]:
-        raise BadSnapshot("it is torn: its checksum is not that of its lines")
+        raise InvalidSnapshotError("it is torn: its checksum is not that of its lines")
     lines = body.splitlines()
     if parts[3] != b"%d" % len(lines):
-        raise BadSnapshot(f"it has {len(lines)} lines and says {parts[3].decode('latin-1'):.20}")
+        raise InvalidSnapshotError(f"it has {len(lines)} lines and says {parts[3].decode('latin-1'):.20}")
     nodes = []
     for number, line in enumerate(lines, 2):
         try:
             name = _name(line)
-            nodes.append(read_node(name, line))
+            nodes.append(parse_node(name, line))
         except ValueError as fault:
-            raise BadSnapshot(f"line {number}: {fault}") from None
+            raise InvalidSnapshotError(f"line {number}: {fault}") from None
     return nodes
 
 
@@ -65,16 +67,16 @@
     return name
 
 
-def read(path: Path) -> list[Node]:
+def read(path: Path) -> list[EndpointNode]:
     """Raises BadSnapshot; OSError where it can't be read, FileNotFoundError where there is none."""
     with path.open("rb") as source:
-        data = source.read(MOST_FILE + 1)
-    if len(data) > MOST_FILE:
-        raise BadSnapshot(f"it is larger than {MOST_FILE} bytes")
+        data = source.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise InvalidSnapshotError(f"it is larger than {MAX_FILE_BYTES} bytes")
     return decode(data)
 
 
-def write(path: Path, nodes: Iterable[Node]) -> None:
+def write(path: Path, nodes: Iterable[EndpointNode]) -> None:
     """The new file is whole on disk before it takes the old one's place. Raises OSError."""
     data = encode(nodes)
     handle, name = tempfile.mkstemp(prefix=path.name + ".", dir=path.parent)
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -167,13 +167,13 @@
             state = inbound.admission.state
             if state is State.UP and not ready:
                 since_ms = int(time.time() * 1000) if begun else node.since_ms
-                self.registrar.say(dataclasses.replace(node, since_ms=since_ms))
+                self.registrar.update(dataclasses.replace(node, since_ms=since_ms))
                 if not begun:
                     self.registrar.start()
                 begun = True
                 ready = True
             elif ready and state not in TAKING:
-                self.registrar.say(self.registrar.node.draining())
+                self.registrar.update(self.registrar.node.draining())
                 ready = False
             await inbound.changed.wait()
 
@@ -208,7 +208,7 @@
             proxy.end_all_by(end_by)
         if self.registering is not None and self.registrar is not None:
             self.registering.cancel()
-            self.registrar.say(self.registrar.node.draining())
+            self.registrar.update(self.registrar.node.draining())
         # Callers learn late that it drains, and may send for so long after that.
         await asyncio.sleep(min(tier.drain, max(0.0, end_by - time.monotonic())))
         self.inbound.close()
--- a/tests/ephemeral_nodes/test_tree.py
+++ b/tests/ephemeral_nodes/test_children_cache.py
@@ -9,67 +9,67 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from service_proxy.ephemeral_nodes import tree as tree_module
-from service_proxy.ephemeral_nodes.jute import Event, Stat
-from service_proxy.ephemeral_nodes.nodes import Node, name_fault, read_node
-from service_proxy.ephemeral_nodes.tree import Tree
+from service_proxy.ephemeral_nodes import children_cache as children_cache_module
+from service_proxy.ephemeral_nodes.children_cache import ChildrenCache
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, find_name_problem, parse_node
+from service_proxy.ephemeral_nodes.jute import EventType, Stat
 
 
-def node(name: str, **more: object) -> Node:
-    return replace(Node(name, "127.0.0.1:8081", "a", "m", 1, 1.0, 1000), **more)  # type: ignore[arg-type]
+def node(name: str, **more: object) -> EndpointNode:
+    return replace(EndpointNode(name, "127.0.0.1:8081", "a", "m", 1, 1.0, 1000), **more)  # type: ignore[arg-type]
 
 
 def stat(czxid: int = 5, mzxid: int = 5, owner: int = 9) -> Stat:
     return Stat(czxid, mzxid, 0, 0, 0, 0, 0, owner, 0, 0, czxid)
 
 
-def filled(*names: str) -> Tree:
-    tree = Tree()
-    tree.children(names)
+def filled(*names: str) -> ChildrenCache:
+    tree = ChildrenCache()
+    tree.on_names(names)
     for name in names:
-        assert tree.next_wanted() == name
-        assert tree.read(name, node(name).data(), stat()).present == [node(name)]
-    assert tree.complete
+        assert tree.next_read() == name
+        assert tree.on_data(name, node(name).encode(), stat()).present == [node(name)]
+    assert tree.is_complete
     return tree
 
 
 def test_new_names_are_wanted_once_and_absent_ones_lost() -> None:
     tree = filled("s-1", "s-2")
-    changes = tree.children(["s-2", "s-3"])
-    assert changes.lost == ["s-1"] and list(tree.wanted) == ["s-3"]
-    assert not tree.children(["s-2", "s-3"]) and list(tree.wanted) == ["s-3"]
+    changes = tree.on_names(["s-2", "s-3"])
+    assert changes.lost == ["s-1"] and list(tree.pending_reads) == ["s-3"]
+    assert not tree.on_names(["s-2", "s-3"]) and list(tree.pending_reads) == ["s-3"]
 
 
 def test_a_thousand_changes_of_one_node_want_one_reading() -> None:
     tree = filled("s-1")
     for _ in range(1000):
-        tree.fired(Event.DATA_CHANGED, "s-1")
-    assert list(tree.wanted) == ["s-1"]
+        tree.on_watch_event(EventType.DATA_CHANGED, "s-1")
+    assert list(tree.pending_reads) == ["s-1"]
 
 
 def test_a_delete_and_create_between_two_readings_is_seen_by_its_data() -> None:
     """The names are the same, so only the reading tells: a new start, under the same name."""
     tree = filled("s-1")
-    assert not tree.children(["s-1"])
-    tree.doubt_all()
-    assert tree.next_wanted() == "s-1"
-    changes = tree.read("s-1", node("s-1", since_ms=9000).data(), stat(8, 8))
+    assert not tree.on_names(["s-1"])
+    tree.invalidate_all()
+    assert tree.next_read() == "s-1"
+    changes = tree.on_data("s-1", node("s-1", since_ms=9000).encode(), stat(8, 8))
     assert [entry.since_ms for entry in changes.present] == [9000] and not changes.lost
 
 
 def test_an_older_reading_changes_nothing() -> None:
     tree = filled("s-1")
-    tree.read("s-1", node("s-1", status="Terminating").data(), stat(5, 9))
-    assert not tree.read("s-1", node("s-1").data(), stat(5, 7))
+    tree.on_data("s-1", node("s-1", status="Terminating").encode(), stat(5, 9))
+    assert not tree.on_data("s-1", node("s-1").encode(), stat(5, 7))
     assert tree.nodes()[0].status == "Terminating"
 
 
 def test_deleted_then_created_then_changed_in_order() -> None:
     tree = filled("s-1")
-    assert tree.fired(Event.DELETED, "s-1").lost == ["s-1"]
-    assert not tree.fired(Event.CREATED, "s-1") and list(tree.wanted) == ["s-1"]
-    assert not tree.fired(Event.DELETED, "s-1").lost  # never read since: nobody knew it
-    assert not tree.wanted
+    assert tree.on_watch_event(EventType.DELETED, "s-1").lost == ["s-1"]
+    assert not tree.on_watch_event(EventType.CREATED, "s-1") and list(tree.pending_reads) == ["s-1"]
+    assert not tree.on_watch_event(EventType.DELETED, "s-1").lost  # never read since: nobody knew it
+    assert not tree.pending_reads
 
 
 BAD = {
@@ -77,44 +77,44 @@
     "no object": b"[]",
     "deep": b"[" * 100_000,
     "no name": b"{}",
-    "another's name": node("s-9").data(),
+    "another's name": node("s-9").encode(),
     "no address": json.dumps({"name": "s-1"}).encode(),
-    "address without a port": node("s-1", address="127.0.0.1").data(),
-    "port 0": node("s-1", address="127.0.0.1:0").data(),
+    "address without a port": node("s-1", address="127.0.0.1").encode(),
+    "port 0": node("s-1", address="127.0.0.1:0").encode(),
     "zone of a number": json.dumps({"name": "s-1", "address": "1:1", "zone": 3}).encode(),
     "group of a fraction": json.dumps({"name": "s-1", "address": "1:1", "group": 1.5}).encode(),
     "group of true": json.dumps({"name": "s-1", "address": "1:1", "group": True}).encode(),
     "weight of nan": json.dumps({"name": "s-1", "address": "1:1", "weight": float("nan")}).encode(),
-    "weight below zero": node("s-1", weight=-1.0).data(),
-    "status gone": node("s-1", status="Gone").data(),
-    "too large": node("s-1", zone="a" * 5000).data(),
+    "weight below zero": node("s-1", weight=-1.0).encode(),
+    "status gone": node("s-1", status="Gone").encode(),
+    "too large": node("s-1", zone="a" * 5000).encode(),
     "no UTF-8": b'{"name":"s-1\xff"}',
 }
 
 
 @pytest.mark.parametrize("data", BAD.values(), ids=BAD)
 def test_bad_data_hides_that_node_only_and_is_told_once(data: bytes) -> None:
-    tree = Tree()
-    tree.children(["s-1", "s-2"])
-    first = tree.read("s-1", data, stat())
+    tree = ChildrenCache()
+    tree.on_names(["s-1", "s-2"])
+    first = tree.on_data("s-1", data, stat())
     assert [name for name, _ in first.hidden] == ["s-1"] and not first.present and not first.lost
-    assert not tree.read("s-1", data, stat(5, 6)).hidden
-    assert tree.read("s-2", node("s-2").data(), stat()).present
+    assert not tree.on_data("s-1", data, stat(5, 6)).hidden
+    assert tree.on_data("s-2", node("s-2").encode(), stat()).present
     assert [entry.name for entry in tree.nodes()] == ["s-2"]
-    assert tree.read("s-1", node("s-1").data(), stat(5, 7)).present  # mended
-    assert tree.read("s-1", data, stat(5, 8)).hidden and len(tree.nodes()) == 2  # and no end by bad data
+    assert tree.on_data("s-1", node("s-1").encode(), stat(5, 7)).present  # mended
+    assert tree.on_data("s-1", data, stat(5, 8)).hidden and len(tree.nodes()) == 2  # and no end by bad data
 
 
 def test_a_new_registration_with_bad_data_is_the_old_ones_end() -> None:
     tree = filled("s-1")
-    changes = tree.read("s-1", b"{", stat(8, 8))
+    changes = tree.on_data("s-1", b"{", stat(8, 8))
     assert changes.lost == ["s-1"] and changes.hidden
 
 
 def test_a_node_that_is_not_ephemeral_is_hidden() -> None:
-    tree = Tree()
-    tree.children(["s-1"])
-    assert "not ephemeral" in tree.read("s-1", node("s-1").data(), stat(owner=0)).hidden[0][1]
+    tree = ChildrenCache()
+    tree.on_names(["s-1"])
+    assert "not ephemeral" in tree.on_data("s-1", node("s-1").encode(), stat(owner=0)).hidden[0][1]
 
 
 NAMES = ["", "a/b", "a\x00b", "a\x1f", "a\u202eb", "n\u0303", "x" * 256, "\ud800"]
@@ -122,37 +122,37 @@
 
 @pytest.mark.parametrize("name", NAMES, ids=ascii)
 def test_names_that_cant_be_a_servers_are_hidden(name: str) -> None:
-    assert name_fault(name)
-    tree = Tree()
-    changes = tree.children(["s-1", name])
-    assert [hidden for hidden, _ in changes.hidden] == [name] and list(tree.wanted) == ["s-1"]
-    assert not tree.children(["s-1", name]).hidden  # told once
-    tree.fired(Event.CREATED, name)
-    assert list(tree.wanted) == ["s-1"]
+    assert find_name_problem(name)
+    tree = ChildrenCache()
+    changes = tree.on_names(["s-1", name])
+    assert [hidden for hidden, _ in changes.hidden] == [name] and list(tree.pending_reads) == ["s-1"]
+    assert not tree.on_names(["s-1", name]).hidden  # told once
+    tree.on_watch_event(EventType.CREATED, name)
+    assert list(tree.pending_reads) == ["s-1"]
 
 
 def test_names_that_differ_in_case_or_are_unicode_are_servers() -> None:
     for name in ("S-1", "s-1", "sala ñ", "日本"):
-        assert name_fault(name) is None
-        assert read_node(name, node(name).data()) == node(name)
+        assert find_name_problem(name) is None
+        assert parse_node(name, node(name).encode()) == node(name)
     assert len(filled("S-1", "s-1").nodes()) == 2
 
 
 def test_beyond_the_bound_new_names_are_hidden(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tree_module, "MOST_NODES", 2)
+    monkeypatch.setattr(children_cache_module, "MAX_CHILDREN", 2)
     tree = filled("s-1", "s-2")
-    assert [name for name, _ in tree.fired(Event.CREATED, "s-3").hidden] == ["s-3"]
-    assert [name for name, _ in tree.children(["s-1", "s-2", "s-4"]).hidden] == ["s-4"]
-    assert len(tree.known) == 2
+    assert [name for name, _ in tree.on_watch_event(EventType.CREATED, "s-3").hidden] == ["s-3"]
+    assert [name for name, _ in tree.on_names(["s-1", "s-2", "s-4"]).hidden] == ["s-4"]
+    assert len(tree.children_by_name) == 2
 
 
 def test_what_a_snapshot_has_is_there_until_a_reading_says_otherwise() -> None:
-    tree = Tree()
+    tree = ChildrenCache()
     tree.preload([node("s-1"), node("s-2")])
-    assert len(tree.nodes()) == 2 and not tree.complete
-    assert tree.children(["s-2"]).lost == ["s-1"]
-    tree.doubt_all()
-    assert not tree.read("s-2", node("s-2").data(), stat())  # the same as in the snapshot
+    assert len(tree.nodes()) == 2 and not tree.is_complete
+    assert tree.on_names(["s-2"]).lost == ["s-1"]
+    tree.invalidate_all()
+    assert not tree.on_data("s-2", node("s-2").encode(), stat())  # the same as in the snapshot
 
 
 NAME = st.sampled_from(["s-1", "s-2", "s-3"])
@@ -172,37 +172,37 @@
     """A model of the service beside the tree: watches in order, some of them lost, readings at any time.
     After a last reading of the names and of all that is wanted both agree, and each loss was of a name
     present."""
-    service: dict[str, tuple[Node, Stat]] = {}
+    service: dict[str, tuple[EndpointNode, Stat]] = {}
     zxid = 10
-    tree = Tree()
+    tree = ChildrenCache()
     present: set[str] = set()
 
-    def take(changes: tree_module.Changes) -> None:
+    def take(changes: children_cache_module.ChildChanges) -> None:
         for lost in changes.lost:
             assert lost in present
             present.discard(lost)
         present.update(entry.name for entry in changes.present)
 
     def read_wanted() -> None:
-        while (name := tree.next_wanted()) is not None:
+        while (name := tree.next_read()) is not None:
             if name in service:
                 found, its = service[name]
-                take(tree.read(name, found.data(), its))
+                take(tree.on_data(name, found.encode(), its))
             else:
-                take(tree.absent(name))
+                take(tree.on_absent(name))
 
     for what, name in steps:
         zxid += 1
         if what == "create" and name not in service:
             service[name] = node(name, since_ms=zxid), stat(zxid, zxid)
-            take(tree.fired(Event.CREATED, name))
+            take(tree.on_watch_event(EventType.CREATED, name))
         elif what == "delete" and name in service:
             del service[name]
-            take(tree.fired(Event.DELETED, name))
+            take(tree.on_watch_event(EventType.DELETED, name))
         elif what == "change" and name in service:
             found, its = service[name]
             service[name] = replace(found, weight=float(zxid)), replace(its, mzxid=zxid)
-            take(tree.fired(Event.DATA_CHANGED, name))
+            take(tree.on_watch_event(EventType.DATA_CHANGED, name))
         elif what == "unseen":
             if name in service:
                 del service[name]
@@ -211,9 +211,9 @@
         elif what == "read":
             read_wanted()
         elif what == "names":
-            take(tree.children(sorted(service)))
-    take(tree.children(sorted(service)))
-    tree.doubt_all()
+            take(tree.on_names(sorted(service)))
+    take(tree.on_names(sorted(service)))
+    tree.invalidate_all()
     read_wanted()
     assert {entry.name: entry for entry in tree.nodes()} == {
         name: found for name, (found, _) in service.items()
--- a/tests/ephemeral_nodes/test_jute.py
+++ b/tests/ephemeral_nodes/test_jute.py
@@ -7,7 +7,16 @@
 from kazoo.security import ACL, Id
 
 from service_proxy.ephemeral_nodes import jute
-from service_proxy.ephemeral_nodes.jute import Create, Op, Operation, Reader, Stat, WatchMode, Writer, Xid
+from service_proxy.ephemeral_nodes.jute import (
+    AddWatchMode,
+    CreateMode,
+    MultiOperation,
+    OpCode,
+    RecordReader,
+    RecordWriter,
+    ReservedXid,
+    Stat,
+)
 
 OPEN = [ACL(31, Id("world", "anyone"))]
 STAT = Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
@@ -23,17 +32,17 @@
 REQUESTS = {
     "create": (
         kazoo.Create("/a/b", b"x", OPEN, 1),
-        Op.CREATE,
-        jute.create_body("/a/b", b"x", jute.OPEN_ACL, Create.EPHEMERAL),
+        OpCode.CREATE,
+        jute.encode_create("/a/b", b"x", jute.OPEN_ACL, CreateMode.EPHEMERAL),
     ),
-    "delete": (kazoo.Delete("/a", 3), Op.DELETE, jute.delete_body("/a", 3)),
-    "exists": (kazoo.Exists("/a", True), Op.EXISTS, jute.read_body("/a", True)),
-    "getData": (kazoo.GetData("/ñ", None), Op.GET_DATA, jute.read_body("/ñ", False)),
-    "setData": (kazoo.SetData("/a", b"", -1), Op.SET_DATA, jute.set_data_body("/a", b"")),
-    "getChildren2": (kazoo.GetChildren2("/a", True), Op.GET_CHILDREN2, jute.read_body("/a", True)),
-    "sync": (kazoo.Sync("/a"), Op.SYNC, jute.path_body("/a")),
-    "check": (kazoo.CheckVersion("/a", 4), Op.CHECK, jute.check_body("/a", 4)),
-    "auth": (kazoo.Auth(0, "digest", "u:p"), Op.AUTH, jute.auth_body("digest", b"u:p")),
+    "delete": (kazoo.Delete("/a", 3), OpCode.DELETE, jute.encode_delete("/a", 3)),
+    "exists": (kazoo.Exists("/a", True), OpCode.EXISTS, jute.encode_read("/a", True)),
+    "getData": (kazoo.GetData("/ñ", None), OpCode.GET_DATA, jute.encode_read("/ñ", False)),
+    "setData": (kazoo.SetData("/a", b"", -1), OpCode.SET_DATA, jute.encode_set_data("/a", b"")),
+    "getChildren2": (kazoo.GetChildren2("/a", True), OpCode.GET_CHILDREN2, jute.encode_read("/a", True)),
+    "sync": (kazoo.Sync("/a"), OpCode.SYNC, jute.encode_path("/a")),
+    "check": (kazoo.CheckVersion("/a", 4), OpCode.CHECK, jute.encode_check("/a", 4)),
+    "auth": (kazoo.Auth(0, "digest", "u:p"), OpCode.AUTH, jute.encode_auth("digest", b"u:p")),
     "multi": (
         kazoo.Transaction(
             [
@@ -43,13 +52,15 @@
                 kazoo.CheckVersion("/d", 1),
             ]
         ),
-        Op.MULTI,
-        jute.multi_body(
+        OpCode.MULTI,
+        jute.encode_multi(
             [
-                Operation(Op.CREATE, jute.create_body("/a", b"x", jute.OPEN_ACL, Create.PERSISTENT)),
-                Operation(Op.DELETE, jute.delete_body("/b")),
-                Operation(Op.SET_DATA, jute.set_data_body("/c", b"y", 2)),
-                Operation(Op.CHECK, jute.check_body("/d", 1)),
+                MultiOperation(
+                    OpCode.CREATE, jute.encode_create("/a", b"x", jute.OPEN_ACL, CreateMode.PERSISTENT)
+                ),
+                MultiOperation(OpCode.DELETE, jute.encode_delete("/b")),
+                MultiOperation(OpCode.SET_DATA, jute.encode_set_data("/c", b"y", 2)),
+                MultiOperation(OpCode.CHECK, jute.encode_check("/d", 1)),
             ]
         ),
     ),
@@ -57,23 +68,23 @@
 
 
 @pytest.mark.parametrize(("stock", "op", "ours"), REQUESTS.values(), ids=REQUESTS)
-def test_requests_have_the_bytes_of_a_stock_client(stock: object, op: Op, ours: bytes) -> None:
+def test_requests_have_the_bytes_of_a_stock_client(stock: object, op: OpCode, ours: bytes) -> None:
     assert stock.type == op  # type: ignore[attr-defined]
-    assert jute.request(7, op, ours) == framed(7, op, bytes(stock.serialize()))  # type: ignore[attr-defined]
+    assert jute.encode_request(7, op, ours) == framed(7, op, bytes(stock.serialize()))  # type: ignore[attr-defined]
 
 
 def test_the_first_frame_has_the_bytes_of_a_stock_client() -> None:
     stock = bytes(kazoo.Connect(0, 5, 6000, 77, b"p" * 16, True).serialize())
-    ours = jute.Connect(5, 6000, 77, b"p" * 16, True)
+    ours = jute.ConnectRequest(5, 6000, 77, b"p" * 16, True)
     assert ours.frame() == kazoo.int_struct.pack(len(stock)) + stock
-    assert jute.read_connect(ours.frame()[4:]) == ours
+    assert jute.parse_connect_request(ours.frame()[4:]) == ours
 
 
 def test_the_first_frame_has_the_published_bytes() -> None:
     """A new session of 10 s, as the programmer's guide has clients begin: 44 bytes, with the read-only flag
     45.
     """
-    frame = jute.Connect(0, 10_000, 0, bytes(16)).frame()
+    frame = jute.ConnectRequest(0, 10_000, 0, bytes(16)).frame()
     published = (
         "0000002d" "00000000" "0000000000000000" "00002710" "0000000000000000" "00000010" + "00" * 16 + "00"
     )
@@ -81,77 +92,79 @@
 
 
 def test_the_service_side_has_the_bytes_that_a_stock_client_reads() -> None:
-    granted = jute.Connected(6000, 0x1234, b"q" * 16, True)
+    granted = jute.ConnectResponse(6000, 0x1234, b"q" * 16, True)
     stock, _ = kazoo.Connect.deserialize(granted.frame(), 4)
     assert (stock.time_out, stock.session_id, stock.passwd, stock.read_only) == (6000, 0x1234, b"q" * 16, 1)
-    header, at = kazoo.ReplyHeader.deserialize(jute.reply(3, 99, -101), 4)
+    header, at = kazoo.ReplyHeader.deserialize(jute.encode_reply(3, 99, -101), 4)
     assert (header.xid, header.zxid, header.err, at) == (3, 99, -101, 20)
-    notified = jute.Notification(jute.Event.DELETED, 3, "/a/b").frame()
+    notified = jute.WatcherEvent(jute.EventType.DELETED, 3, "/a/b").frame()
     header, at = kazoo.ReplyHeader.deserialize(notified, 4)
-    assert header.xid == Xid.NOTIFICATION
+    assert header.xid == ReservedXid.NOTIFICATION
     watch, _ = kazoo.Watch.deserialize(notified, at)
     assert (watch.type, watch.state, watch.path) == (2, 3, "/a/b")
-    body = STAT.write(Writer().buffer(b"data")).whole()
+    body = STAT.write(RecordWriter().buffer(b"data")).to_bytes()
     data, stat = kazoo.GetData.deserialize(body, 0)
     assert data == b"data" and tuple(stat) == (1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
-    assert kazoo.GetChildren.deserialize(Writer().strings(["a", "ñ"]).whole(), 0) == ["a", "ñ"]
+    assert kazoo.GetChildren.deserialize(RecordWriter().strings(["a", "ñ"]).to_bytes(), 0) == ["a", "ñ"]
 
 
 def test_answers_of_a_multi_are_read_part_by_part() -> None:
-    body = Writer().int32(Op.CREATE).flag(False).int32(0).string("/a")
-    STAT.write(body.int32(Op.SET_DATA).flag(False).int32(0))
-    body.int32(Op.DELETE).flag(False).int32(0).int32(-1).flag(True).int32(-1)
-    results = jute.read_multi(Reader(body.whole()))
+    body = RecordWriter().int32(OpCode.CREATE).boolean(False).int32(0).string("/a")
+    STAT.write(body.int32(OpCode.SET_DATA).boolean(False).int32(0))
+    body.int32(OpCode.DELETE).boolean(False).int32(0).int32(-1).boolean(True).int32(-1)
+    results = jute.read_multi(RecordReader(body.to_bytes()))
     assert [(result.op, result.path, result.stat) for result in results] == [
-        (Op.CREATE, "/a", None),
-        (Op.SET_DATA, "", STAT),
-        (Op.DELETE, "", None),
+        (OpCode.CREATE, "/a", None),
+        (OpCode.SET_DATA, "", STAT),
+        (OpCode.DELETE, "", None),
     ]
 
 
 def test_add_watch_has_the_published_bytes() -> None:
     """AddWatchRequest: the path, then the mode; 1 is persistent and recursive."""
-    frame = jute.request(2, Op.ADD_WATCH, jute.add_watch_body("/a", WatchMode.PERSISTENT_RECURSIVE))
+    frame = jute.encode_request(
+        2, OpCode.ADD_WATCH, jute.encode_add_watch("/a", AddWatchMode.PERSISTENT_RECURSIVE)
+    )
     assert frame.hex() == "00000012" "00000002" "0000006a" "00000002" "2f61" "00000001"
 
 
 def test_set_watches_are_of_the_published_form() -> None:
-    body = jute.set_watches2_body(9, ["/d"], [], ["/c"], [], ["/r"])
-    source = Reader(body)
+    body = jute.encode_set_watches2(9, ["/d"], [], ["/c"], [], ["/r"])
+    source = RecordReader(body)
     assert source.int64() == 9
     assert [source.vector(source.string) for _ in range(5)] == [["/d"], [], ["/c"], [], ["/r"]]
-    assert not source.left
-    assert body.startswith(jute.set_watches_body(9, ["/d"], [], ["/c"]))
+    assert not source.remaining
+    assert body.startswith(jute.encode_set_watches(9, ["/d"], [], ["/c"]))
 
 
 @pytest.mark.parametrize("cut", range(1, 40))
 def test_a_record_that_ends_early_is_malformed(cut: int) -> None:
-    whole = jute.Connected(6000, 1, b"q" * 16).frame()[4:-1]
-    with pytest.raises(jute.Malformed):
-        jute.read_connected(whole[: len(whole) - min(cut, len(whole))])
+    whole = jute.ConnectResponse(6000, 1, b"q" * 16).frame()[4:-1]
+    with pytest.raises(jute.MalformedRecordError):
+        jute.parse_connect_response(whole[: len(whole) - min(cut, len(whole))])
 
 
 @pytest.mark.parametrize("length", [b"\xff\xff\xff\xff", b"\x7f\xff\xff\xff", b"GET "])
 def test_a_frame_of_an_impossible_length_is_malformed(length: bytes) -> None:
-    with pytest.raises(jute.Malformed):
-        jute.frames(bytearray(length + b"rest"))
+    with pytest.raises(jute.MalformedRecordError):
+        jute.split_frames(bytearray(length + b"rest"))
 
 
 def test_frames_are_taken_whole_however_they_come() -> None:
-    data = jute.request(1, Op.PING) + jute.request(2, Op.SYNC, jute.path_body("/a"))
+    data = jute.encode_request(1, OpCode.PING) + jute.encode_request(2, OpCode.SYNC, jute.encode_path("/a"))
     buffer = bytearray()
     found = []
     for byte in data:
         buffer.append(byte)
-        found += jute.frames(buffer)
-    assert [Reader(frame).int32() for frame in found] == [1, 2] and not buffer
+        found += jute.split_frames(buffer)
+    assert [RecordReader(frame).int32() for frame in found] == [1, 2] and not buffer
 
 
 def test_strings_that_are_no_utf8_and_vectors_without_end_are_malformed() -> None:
-    with pytest.raises(jute.Malformed):
-        Reader(Writer().buffer(b"\xff").whole()).string()
-    source = Reader(Writer().int32(1 << 30).whole())
-    with pytest.raises(jute.Malformed):
+    with pytest.raises(jute.MalformedRecordError):
+        RecordReader(RecordWriter().buffer(b"\xff").to_bytes()).string()
+    source = RecordReader(RecordWriter().int32(1 << 30).to_bytes())
+    with pytest.raises(jute.MalformedRecordError):
         source.vector(source.int32)
 
 
@@ -164,8 +177,8 @@
     "path", ["a", "/a/", "//a", "/a/../b", "/a/.", "/a\x00", "/a\x1f", "/\x85", "/\uf000"]
 )
 def test_paths_that_the_service_refuses(path: str) -> None:
-    assert jute.path_fault(path)
+    assert jute.find_path_problem(path)
 
 
 def test_paths_that_it_takes() -> None:
-    assert not any(map(jute.path_fault, ["/", "/a", "/a/b-c_d.e", "/sala ñ/日本", "/a..b"]))
+    assert not any(map(jute.find_path_problem, ["/", "/a", "/a/b-c_d.e", "/sala ñ/日本", "/a..b"]))
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -9,7 +9,15 @@
 from hypothesis import strategies as st
 
 from service_proxy.ephemeral_nodes import merger as module
-from service_proxy.ephemeral_nodes.merger import HOLD, MEMBERSHIP, MEMORY, PADRON, WINDOW, Merger, Word
+from service_proxy.ephemeral_nodes.merger import (
+    DISCOVERY,
+    END_MEMORY_S,
+    LOSS_WINDOW_S,
+    MEMBERSHIP,
+    WITHHOLD_S,
+    EndpointListMerger,
+    ReportedStatus,
+)
 from service_proxy.net.endpoint_list import Endpoint, endpoint_id_of
 from service_proxy.net.endpoint_sources import SourceHealth
 from service_proxy.policy.events import EndpointEntry, EndpointState
@@ -37,19 +45,19 @@
     """A merger with both sources fresh, and what it has given out."""
 
     def __init__(self, *names: str, share: float = 0.34, both: bool = True) -> None:
-        self.merger = Merger(share, 10.0)
+        self.merger = EndpointListMerger(share, 10.0)
         self.now = 0.0
         self.given: dict[str, Endpoint] = {}
-        for source in (MEMBERSHIP, PADRON):
-            self.merger.health_is(source, SourceHealth.FRESH)
-        self.merger.told(MEMBERSHIP, [entry(name) for name in names], self.now)
+        for source in (MEMBERSHIP, DISCOVERY):
+            self.merger.set_health(source, SourceHealth.FRESH)
+        self.merger.update(MEMBERSHIP, [entry(name) for name in names], self.now)
         if both:
-            self.merger.told(PADRON, [entry(name) for name in names], self.now)
+            self.merger.update(DISCOVERY, [entry(name) for name in names], self.now)
         self.give()
 
     def give(self, after: float = 0.0) -> None:
         self.now += after
-        listing = self.merger.changes(self.now)
+        listing = self.merger.take_changes(self.now)
         for listed in listing.endpoints if listing else ():
             if listed.entry.state is GONE:
                 del self.given[listed.name]
@@ -57,11 +65,11 @@
                 self.given[listed.name] = listed
 
     def told(self, source: str, *entries: Endpoint) -> None:
-        self.merger.told(source, entries, self.now)
+        self.merger.update(source, entries, self.now)
         self.give()
 
-    def lost(self, *names: str, source: str = MEMBERSHIP, word: Word = Word.LOST) -> None:
-        self.merger.ended(source, names, self.now, word)
+    def lost(self, *names: str, source: str = MEMBERSHIP, word: ReportedStatus = ReportedStatus.LOST) -> None:
+        self.merger.report_ended(source, names, self.now, word)
         self.give()
 
     def states(self) -> dict[str, EndpointState]:
@@ -74,16 +82,16 @@
 def test_listed_by_one_and_never_by_the_other_is_used() -> None:
     pair = Pair()
     pair.told(MEMBERSHIP, entry("s-1"))
-    pair.told(PADRON, entry("s-2"))
+    pair.told(DISCOVERY, entry("s-2"))
     assert pair.serving() == {"s-1", "s-2"}
 
 
-def test_a_lost_session_drains_at_once_though_the_padron_says_ready_for_ever() -> None:
+def test_a_lost_session_drains_at_once_though_discovery_says_ready_for_ever() -> None:
     pair = Pair("s-1", "s-2", "s-3")
     pair.lost("s-1")
     assert pair.states()["s-1"] is DRAINING
     for _ in range(100):
-        pair.merger.told(PADRON, [entry("s-1"), entry("s-2"), entry("s-3")], pair.now)
+        pair.merger.update(DISCOVERY, [entry("s-1"), entry("s-2"), entry("s-3")], pair.now)
         pair.give(10.0)
         assert pair.states()["s-1"] is DRAINING
     notes = [note for note in pair.merger.take_notes() if "s-1" in note]
@@ -94,31 +102,31 @@
     pair = Pair("s-1", "s-2", "s-3", both=False)
     pair.lost("s-1")
     assert pair.states()["s-1"] is DRAINING
-    pair.give(WINDOW - 0.1)
+    pair.give(LOSS_WINDOW_S - 0.1)
     assert pair.states()["s-1"] is DRAINING
     pair.give(0.2)
     assert "s-1" not in pair.states()
 
 
-def test_a_late_padron_does_not_bring_back_what_was_lost() -> None:
+def test_a_late_discovery_does_not_bring_back_what_was_lost() -> None:
     """It lists a server that it never listed before, seconds after its session's end was told."""
     pair = Pair("s-1", "s-2", "s-3", both=False)
     pair.lost("s-1")
-    pair.give(WINDOW + 1)
-    pair.told(PADRON, entry("s-1"))
+    pair.give(LOSS_WINDOW_S + 1)
+    pair.told(DISCOVERY, entry("s-1"))
     assert pair.states()["s-1"] is DRAINING
-    pair.give(MEMORY * 2)
+    pair.give(END_MEMORY_S * 2)
     assert pair.states()["s-1"] is DRAINING
 
 
 def test_ends_are_forgotten_once_nobody_could_contradict_them() -> None:
     pair = Pair(*(f"s-{n}" for n in range(9)), both=False)
     pair.lost("s-1")
-    pair.give(WINDOW)
-    pair.give(MEMORY)
+    pair.give(LOSS_WINDOW_S)
+    pair.give(END_MEMORY_S)
     pair.give(0.1)
-    assert "s-1" not in pair.merger.sources[MEMBERSHIP].opinions and not pair.merger.tombs
-    assert not any("s-1" in names for names in pair.merger.by_address.values())
+    assert "s-1" not in pair.merger.sources[MEMBERSHIP].reports and not pair.merger.tombstones
+    assert not any("s-1" in names for names in pair.merger.names_by_address.values())
 
 
 def test_back_within_the_window_under_the_same_name() -> None:
@@ -128,7 +136,7 @@
     pair.give(1.0)
     pair.told(MEMBERSHIP, entry("s-1"))
     assert pair.states()["s-1"] is READY and pair.given["s-1"].entry.started_at == start
-    pair.give(WINDOW)
+    pair.give(LOSS_WINDOW_S)
     assert pair.states()["s-1"] is READY  # the window of the old session ends nothing
 
 
@@ -142,58 +150,58 @@
 def test_a_restart_is_a_newer_incarnation_and_outdates_both_words() -> None:
     pair = Pair("s-1", "s-2", "s-3")
     pair.lost("s-1")
-    pair.told(PADRON, entry("s-1", start=200.0))
+    pair.told(DISCOVERY, entry("s-1", start=200.0))
     assert pair.states()["s-1"] is READY and pair.given["s-1"].entry.started_at == 200.0
-    pair.told(PADRON, entry("s-2", DRAINING))
+    pair.told(DISCOVERY, entry("s-2", DRAINING))
     pair.told(MEMBERSHIP, entry("s-2", start=300.0))
-    assert pair.states()["s-2"] is READY  # the padron speaks of the process before
+    assert pair.states()["s-2"] is READY  # discovery speaks of the process before
 
 
 def test_an_older_start_counts_for_nothing_not_even_its_end() -> None:
     pair = Pair("s-1", "s-2", "s-3")
     pair.told(MEMBERSHIP, entry("s-1", start=200.0))
-    pair.told(PADRON, entry("s-1", DRAINING, start=100.0))
+    pair.told(DISCOVERY, entry("s-1", DRAINING, start=100.0))
     assert pair.states()["s-1"] is READY
 
 
 def test_starts_that_differ_a_little_are_one_incarnation_and_give_one_figure() -> None:
     pair = Pair("s-1")
-    pair.told(PADRON, entry("s-1", start=101.5))
+    pair.told(DISCOVERY, entry("s-1", start=101.5))
     assert pair.given["s-1"].entry.started_at == 100.0
     pair.told(MEMBERSHIP, entry("s-1", start=0.0))
     assert pair.given["s-1"].entry.started_at == 100.0
-    pair.told(PADRON, entry("s-1", DRAINING, start=0.0))
+    pair.told(DISCOVERY, entry("s-1", DRAINING, start=0.0))
     assert pair.states()["s-1"] is DRAINING  # an unknown start is as good as any
 
 
-@pytest.mark.parametrize("source", [MEMBERSHIP, PADRON])
+@pytest.mark.parametrize("source", [MEMBERSHIP, DISCOVERY])
 def test_draining_beats_ready_whoever_says_it(source: str) -> None:
     pair = Pair("s-1")
     pair.told(source, entry("s-1", DRAINING))
     assert pair.states()["s-1"] is DRAINING
-    pair.told(MEMBERSHIP if source == PADRON else PADRON, entry("s-1"))
+    pair.told(MEMBERSHIP if source == DISCOVERY else DISCOVERY, entry("s-1"))
     assert pair.states()["s-1"] is DRAINING
     pair.told(source, entry("s-1"))
     assert pair.states()["s-1"] is READY
 
 
-def test_gone_by_the_padron_beats_a_session_that_lives() -> None:
+def test_gone_by_discovery_beats_a_session_that_lives() -> None:
     pair = Pair("s-1", "s-2", "s-3")
-    pair.told(PADRON, entry("s-1", GONE))
+    pair.told(DISCOVERY, entry("s-1", GONE))
     assert pair.states()["s-1"] is DRAINING
     pair.lost("s-1")
-    pair.give(WINDOW)
+    pair.give(LOSS_WINDOW_S)
     assert "s-1" not in pair.states()
 
 
 def test_the_addresses_differ_and_the_freshest_of_the_first_counts() -> None:
     pair = Pair("s-1")
-    pair.told(PADRON, entry("s-1", port=7))
+    pair.told(DISCOVERY, entry("s-1", port=7))
     assert pair.given["s-1"].address != ("127.0.0.1", 7)
-    pair.merger.health_is(MEMBERSHIP, SourceHealth.STALE)
+    pair.merger.set_health(MEMBERSHIP, SourceHealth.STALE)
     pair.give()
     assert pair.given["s-1"].address == ("127.0.0.1", 7)
-    pair.merger.health_is(PADRON, SourceHealth.UNREACHABLE)
+    pair.merger.set_health(DISCOVERY, SourceHealth.UNREACHABLE)
     pair.give()
     assert pair.given["s-1"].address != ("127.0.0.1", 7)
 
@@ -201,25 +209,25 @@
 def test_another_zone_puts_the_server_in_a_group_of_its_own() -> None:
     """Which group drops its repeats is not known, so no keyed call may be resent from or to it."""
     pair = Pair("s-1", "s-2", "s-3")
-    pair.told(PADRON, entry("s-1", zone="b"), entry("s-2", zone="b"), entry("s-3", cell=7))
+    pair.told(DISCOVERY, entry("s-1", zone="b"), entry("s-2", zone="b"), entry("s-3", cell=7))
     places = {(listed.entry.zone, listed.entry.cell) for listed in pair.given.values()}
     assert len(places) == 3 and not places & {("a", 1), ("b", 1)}
     assert pair.serving() == {"s-1", "s-2", "s-3"}
-    pair.told(PADRON, entry("s-1"))
+    pair.told(DISCOVERY, entry("s-1"))
     assert pair.given["s-1"].entry.zone == "a"
 
 
 def test_a_source_without_zones_disputes_none() -> None:
     pair = Pair("s-1")
-    pair.told(PADRON, entry("s-1", zone=""))
+    pair.told(DISCOVERY, entry("s-1", zone=""))
     assert pair.given["s-1"].entry.zone == "a"
 
 
 @pytest.mark.parametrize("health", list(SourceHealth))
 def test_a_sources_health_removes_nobody(health: SourceHealth) -> None:
     pair = Pair("s-1", "s-2")
-    for source in (MEMBERSHIP, PADRON):
-        pair.merger.health_is(source, health)
+    for source in (MEMBERSHIP, DISCOVERY):
+        pair.merger.set_health(source, health)
         pair.give(1000.0)
     assert pair.serving() == {"s-1", "s-2"}
 
@@ -227,9 +235,9 @@
 def test_all_gone_at_once_removes_nobody() -> None:
     names = [f"s-{n}" for n in range(87)]
     pair = Pair(*names, both=False)
-    pair.merger.whole(MEMBERSHIP, [], pair.now, Word.LOST)
+    pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.give()
-    pair.give(HOLD * 3)
+    pair.give(WITHHOLD_S * 3)
     assert pair.serving() == set(names)
     assert sum("held to be its own fault" in note for note in pair.merger.take_notes()) == 1
 
@@ -262,13 +270,13 @@
 def test_a_held_loss_ends_when_the_source_lists_it_again_or_another_tells_its_end() -> None:
     names = [f"s-{n}" for n in range(9)]
     pair = Pair(*names)
-    pair.merger.whole(MEMBERSHIP, [], pair.now, Word.LOST)
+    pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.give()
-    assert pair.merger.sources[MEMBERSHIP].held == 9
-    pair.told(PADRON, entry("s-1", DRAINING))
+    assert pair.merger.sources[MEMBERSHIP].withheld_count == 9
+    pair.told(DISCOVERY, entry("s-1", DRAINING))
     assert pair.serving() == set(names) - {"s-1"}
     pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    assert pair.merger.sources[MEMBERSHIP].held == 2
+    assert pair.merger.sources[MEMBERSHIP].withheld_count == 2
     pair.lost("s-5")
     assert pair.states()["s-5"] is DRAINING  # a single loss is believed again
 
@@ -276,9 +284,9 @@
 def test_a_long_hold_is_believed_once_the_others_are_back() -> None:
     names = [f"s-{n}" for n in range(9)]
     pair = Pair(*names, both=False)
-    pair.merger.whole(MEMBERSHIP, [], pair.now, Word.LOST)
+    pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    pair.give(HOLD - 1)
+    pair.give(WITHHOLD_S - 1)
     assert pair.serving() == set(names)
     pair.give(2)
     assert pair.serving() == set(names[2:])
@@ -287,22 +295,22 @@
 def test_while_the_source_is_not_fresh_no_hold_ends() -> None:
     names = [f"s-{n}" for n in range(9)]
     pair = Pair(*names, both=False)
-    pair.merger.whole(MEMBERSHIP, [], pair.now, Word.LOST)
+    pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    pair.merger.health_is(MEMBERSHIP, SourceHealth.UNREACHABLE)
-    pair.give(HOLD * 10)
+    pair.merger.set_health(MEMBERSHIP, SourceHealth.UNREACHABLE)
+    pair.give(WITHHOLD_S * 10)
     assert pair.serving() == set(names)
 
 
-def test_an_empty_padron_is_doubted_only_against_living_sessions() -> None:
+def test_an_empty_discovery_list_is_doubted_only_against_living_sessions() -> None:
     names = [f"s-{n}" for n in range(9)]
     pair = Pair(*names)
-    pair.merger.whole(PADRON, [], pair.now)
+    pair.merger.replace_all(DISCOVERY, [], pair.now)
     pair.give()
     assert pair.serving() == set(names)
     pair = Pair()
-    pair.told(PADRON, *(entry(name) for name in names))
-    pair.merger.whole(PADRON, [], pair.now)
+    pair.told(DISCOVERY, *(entry(name) for name in names))
+    pair.merger.replace_all(DISCOVERY, [], pair.now)
     pair.give()
     assert not pair.serving()  # the platform's word, and nobody against it
 
@@ -312,14 +320,14 @@
     pair = Pair(*names, both=False)
     pair.told(MEMBERSHIP, *(entry(name, DRAINING) for name in names[:8]))
     pair.lost(*names[:8])
-    pair.give(WINDOW)
+    pair.give(LOSS_WINDOW_S)
     assert set(pair.states()) == {"s-8"}
 
 
 def test_names_that_differ_in_case_only_at_one_address_end_together() -> None:
     pair = Pair()
     pair.told(MEMBERSHIP, entry("S-1"), entry("s-2"), entry("s-3"))
-    pair.told(PADRON, entry("s-1"))
+    pair.told(DISCOVERY, entry("s-1"))
     assert pair.serving() == {"S-1", "s-2", "s-3"}  # one address, one server
     pair.lost("S-1")
     assert pair.serving() == {"s-2", "s-3"}
@@ -327,7 +335,7 @@
 
 def test_two_names_at_one_address_are_one_server() -> None:
     pair = Pair()
-    pair.told(PADRON, entry("s-1", port=7))
+    pair.told(DISCOVERY, entry("s-1", port=7))
     pair.told(MEMBERSHIP, entry("s-2", port=7), entry("s-3"))
     assert pair.serving() == {"s-2", "s-3"}
     pair.lost("s-2")
@@ -344,56 +352,56 @@
 
 def test_only_what_changed_is_given_out() -> None:
     pair = Pair("s-1", "s-2")
-    assert pair.merger.changes(pair.now) is None
-    pair.merger.told(MEMBERSHIP, [entry("s-1"), entry("s-2")], pair.now)
-    pair.merger.told(PADRON, [entry("s-1")], pair.now)
-    assert pair.merger.changes(pair.now) is None
-    pair.merger.told(MEMBERSHIP, [entry("s-2", DRAINING)], pair.now)
-    listing = pair.merger.changes(pair.now)
+    assert pair.merger.take_changes(pair.now) is None
+    pair.merger.update(MEMBERSHIP, [entry("s-1"), entry("s-2")], pair.now)
+    pair.merger.update(DISCOVERY, [entry("s-1")], pair.now)
+    assert pair.merger.take_changes(pair.now) is None
+    pair.merger.update(MEMBERSHIP, [entry("s-2", DRAINING)], pair.now)
+    listing = pair.merger.take_changes(pair.now)
     assert listing is not None and [listed.name for listed in listing.endpoints] == ["s-2"]
-    assert [listed.name for listed in pair.merger.everything()] == [
+    assert [listed.name for listed in pair.merger.endpoints_in_force()] == [
         "s-1",
         "s-2",
-    ] and pair.merger.usable == 1
+    ] and pair.merger.serving_count == 1
 
 
 def test_which_source_decided_is_said_where_they_disagree() -> None:
     pair = Pair("s-1", "s-2", "s-3")
     pair.merger.take_notes()
-    pair.told(PADRON, entry("s-1", DRAINING))
-    pair.told(PADRON, entry("s-2", zone="b"))
-    pair.told(PADRON, entry("s-3", port=9))
+    pair.told(DISCOVERY, entry("s-1", DRAINING))
+    pair.told(DISCOVERY, entry("s-2", zone="b"))
+    pair.told(DISCOVERY, entry("s-3", port=9))
     assert pair.merger.take_notes() == [
-        "server s-1: draining, decided by padron: draining, which beats ready (rule 2)",
+        "server s-1: draining, decided by discovery: draining, which beats ready (rule 2)",
         "server s-2: serving, decided by membership: the sources give other zones or groups (rule 6)",
         "server s-3: serving, decided by membership: the sources give other addresses (rule 5)",
     ]
 
 
 def test_what_is_remembered_of_ends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_ENDED", 5)
+    monkeypatch.setattr(module, "MAX_REMEMBERED_ENDS", 5)
     pair = Pair("s-x", "s-y", both=False)
     for number in range(50):
         pair.told(MEMBERSHIP, entry(f"s-{number}", DRAINING))
         pair.lost(f"s-{number}")
-        pair.give(WINDOW)
-    pair.give(WINDOW)
-    assert len(pair.merger.sources[MEMBERSHIP].opinions) <= 2 + 6
+        pair.give(LOSS_WINDOW_S)
+    pair.give(LOSS_WINDOW_S)
+    assert len(pair.merger.sources[MEMBERSHIP].reports) <= 2 + 6
 
 
 NAMES = [f"s-{n}" for n in range(6)] + ["S-0"]
 TELL = st.tuples(
     st.just("tell"),
-    st.sampled_from([MEMBERSHIP, PADRON]),
+    st.sampled_from([MEMBERSHIP, DISCOVERY]),
     st.sampled_from(NAMES),
     st.sampled_from([READY, READY, DRAINING, GONE]),
     st.sampled_from([0.0, 100.0, 101.0, 200.0]),
     st.sampled_from([0, 7]),
 )
 LOSE = st.tuples(st.just("lose"), st.sets(st.sampled_from(NAMES), min_size=1))
-WHOLE = st.tuples(st.just("whole"), st.sampled_from([MEMBERSHIP, PADRON]), st.sets(st.sampled_from(NAMES)))
+WHOLE = st.tuples(st.just("whole"), st.sampled_from([MEMBERSHIP, DISCOVERY]), st.sets(st.sampled_from(NAMES)))
 HEALTH = st.tuples(
-    st.just("health"), st.sampled_from([MEMBERSHIP, PADRON]), st.sampled_from(list(SourceHealth))
+    st.just("health"), st.sampled_from([MEMBERSHIP, DISCOVERY]), st.sampled_from(list(SourceHealth))
 )
 WAIT = st.tuples(st.just("wait"), st.sampled_from([0.0, 0.5, 2.5, 15.0, 700.0]))
 
@@ -411,32 +419,34 @@
         before = pair.serving()
         if step[0] == "tell":
             _, source, name, state, start, port = step
-            merger.told(source, [entry(name, state, port=port, start=start)], pair.now)
+            merger.update(source, [entry(name, state, port=port, start=start)], pair.now)
         elif step[0] == "lose":
-            merger.ended(MEMBERSHIP, sorted(step[1]), pair.now)
+            merger.report_ended(MEMBERSHIP, sorted(step[1]), pair.now)
         elif step[0] == "whole":
-            word = Word.LOST if step[1] == MEMBERSHIP else Word.GONE
-            merger.whole(step[1], [entry(name) for name in sorted(step[2])], pair.now, word)
+            word = ReportedStatus.LOST if step[1] == MEMBERSHIP else ReportedStatus.GONE
+            merger.replace_all(step[1], [entry(name) for name in sorted(step[2])], pair.now, word)
         elif step[0] == "health":
-            merger.health_is(step[1], step[2])
+            merger.set_health(step[1], step[2])
         else:
             pair.now += step[1]
         pair.give()
         if step[0] == "lose":
-            base = merger.sources[MEMBERSHIP].ready + len(merger.sources[MEMBERSHIP].losses)
+            base = merger.sources[MEMBERSHIP].ready_count + len(merger.sources[MEMBERSHIP].loss_times)
             assert len(before - pair.serving()) <= 2 * max(1, int(0.34 * base))  # twins in case end together
-        assert {listed.name: listed for listed in merger.everything()} == pair.given
-        assert merger.usable == len(pair.serving())
+        assert {listed.name: listed for listed in merger.endpoints_in_force()} == pair.given
+        assert merger.serving_count == len(pair.serving())
         addresses = [pair.given[name].address for name in pair.serving()]
         assert len(addresses) == len(set(addresses))
         for source in merger.sources.values():
-            assert source.ready == sum(o.word is Word.READY for o in source.opinions.values())
-            assert source.held == sum(o.held for o in source.opinions.values())
-            assert source.held <= source.ready
+            assert source.ready_count == sum(
+                report.status is ReportedStatus.READY for report in source.reports.values()
+            )
+            assert source.withheld_count == sum(report.is_loss_withheld for report in source.reports.values())
+            assert source.withheld_count <= source.ready_count
         for name in pair.serving():
-            opinions = [s.opinions[name] for s in merger.sources.values() if name in s.opinions]
-            newest = max(opinion.listed.entry.started_at for opinion in opinions)
+            opinions = [s.reports[name] for s in merger.sources.values() if name in s.reports]
+            newest = max(opinion.endpoint.entry.started_at for opinion in opinions)
             for opinion in opinions:
-                start = opinion.listed.entry.started_at
-                if start == 0.0 or start >= newest - module.SAME_START:
-                    assert opinion.word is Word.READY
+                start = opinion.endpoint.entry.started_at
+                if start == 0.0 or start >= newest - module.START_TOLERANCE_S:
+                    assert opinion.status is ReportedStatus.READY
--- a/tests/ephemeral_nodes/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -11,15 +11,15 @@
 
 from harness.backend import Backend
 from harness.callers import EFFECTS, MIX, Callers
-from harness.coordination import Service
+from harness.coordination import CoordinationService
+from harness.endpoint_registry import EndpointRegistry
 from harness.kit import until
 from harness.ledger import Ledger
-from harness.padron import Padron
 from harness.program import Program, proxy
-from service_proxy.ephemeral_nodes.nodes import Node
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
 
 
-def operator(*services: Service) -> str:
+def operator(*services: CoordinationService) -> str:
     servers = ", ".join('"{}:{}"'.format(*s.address) for service in services for s in service.servers)
     return (
         f'[membership]\nservers = [{servers}]\npath = "{PATH}"\nsession_timeout = 1.0\n'
@@ -43,23 +43,23 @@
 def test_calls_follow_the_service_and_sighup_moves_it_while_suspended() -> None:
     async def test() -> None:
         ledger = Ledger()
-        padron = Padron(ledger)
-        await padron.start()
+        registry = EndpointRegistry(ledger)
+        await registry.start()
         nodos = {name: Backend(ledger, name) for name in ("s-1", "s-2", "s-3")}
         async with ensemble(1) as old, ensemble(1) as new:
             for name, nodo in nodos.items():
                 await nodo.start()
-                put(old, name, Node(name, nodo.address, "a", "m", 1))
-            async with proxy("n0", padron.address, [], operator(old), ready=False) as program:
+                put(old, name, EndpointNode(name, nodo.address, "a", "m", 1))
+            async with proxy("n0", registry.address, [], operator(old), ready=False) as program:
                 await until(program.up, "ready")
                 await until(lambda: says(program, "membership is fresh"), "fresh")
                 callers = Callers(ledger, program.address, "n0", 1)
                 assert set(await ask(callers, 30)) == set(nodos)
-                old.do({"do": "expire", "path": f"{PATH}/s-1"})
+                old.run_step({"do": "expire", "path": f"{PATH}/s-1"})
                 await until(lambda: says(program, "in use: 2 servers, 3 before"), "the drain")
                 assert set(await ask(callers, 30)) == {"s-2", "s-3"}
 
-                old.do({"do": "partition", "mode": "reset"})
+                old.run_step({"do": "partition", "mode": "reset"})
                 await until(lambda: says(program, "CONNECTED -> SUSPENDED"), "SUSPENDED")
                 file = program.log.with_name("operator.toml")
                 file.write_text(operator(new) + "reed = 1\n")
@@ -67,7 +67,7 @@
                 await until(lambda: says(program, "unknown key reed"), "the refusal")
                 assert set(await ask(callers, 30)) == {"s-2", "s-3"}
                 for name in ("s-1", "s-2"):
-                    put(new, name, Node(name, nodos[name].address, "a", "m", 1))
+                    put(new, name, EndpointNode(name, nodos[name].address, "a", "m", 1))
                 file.write_text(operator(new))
                 program.process.send_signal(signal.SIGHUP)
                 await until(lambda: says(program, "another ensemble"), "the move")
@@ -76,7 +76,7 @@
                 assert callers.codes == {200: 120}
                 program.process.send_signal(signal.SIGTERM)
                 assert await program.process.wait() == 0
-        padron.stop()
+        registry.stop()
         for nodo in nodos.values():
             nodo.stop()
         assert ledger.audit(EFFECTS) == []
--- a/tests/ephemeral_nodes/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -13,9 +13,9 @@
 
 from test_session import ensemble, run
 
-from harness.coordination import Service
+from harness.coordination import CoordinationService
 from harness.kit import until
-from service_proxy.ephemeral_nodes.nodes import Node, read_node
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, parse_node
 from service_proxy.ephemeral_nodes.register import Registrar
 from service_proxy.operator_file import Membership
 
@@ -23,22 +23,22 @@
 PATH = "/salas/portal"
 
 
-def settings(service: Service, **more: object) -> Membership:
+def settings(service: CoordinationService, **more: object) -> Membership:
     servers = tuple("{}:{}".format(*server.address) for server in service.servers)
     return Membership(servers, PATH, session_timeout=1.0, connect_timeout=0.3, **more)  # type: ignore[arg-type]
 
 
-def node(name: str = "s-1", address: str = "127.0.0.1:8081", since: int = 1000) -> Node:
-    return Node(name, address, "a", "m", 1, 1.0, since)
+def node(name: str = "s-1", address: str = "127.0.0.1:8081", since: int = 1000) -> EndpointNode:
+    return EndpointNode(name, address, "a", "m", 1, 1.0, since)
 
 
-def registrar(service: Service, of: Node | None = None, **more: object) -> Registrar:
+def registrar(service: CoordinationService, of: EndpointNode | None = None, **more: object) -> Registrar:
     found = Registrar(settings(service, **more), of or node(), Random(1))
     found.start()
     return found
 
 
-def has_come_back(service: Service, taken: int) -> bool:
+def has_come_back(service: CoordinationService, taken: int) -> bool:
     return sum(server.taken for server in service.servers) > taken
 
 
@@ -46,9 +46,9 @@
     return by.registrations == times
 
 
-def held(service: Service, name: str = "s-1") -> Node | None:
+def held(service: CoordinationService, name: str = "s-1") -> EndpointNode | None:
     found = service.tree.nodes.get(f"{PATH}/{name}")
-    return read_node(name, found.data) if found is not None else None
+    return parse_node(name, found.data) if found is not None else None
 
 
 def test_it_registers_drains_and_leaves() -> None:
@@ -56,7 +56,7 @@
         async with ensemble() as service:
             mine = registrar(service)
             await until(lambda: held(service) == node(), "the registration")
-            assert service.tree.nodes[f"{PATH}/s-1"].owner == mine.session.id
+            assert service.tree.nodes[f"{PATH}/s-1"].owner == mine.session.session_id
             leaving = asyncio.ensure_future(mine.leave(0.2))
             await until(lambda: held(service) == node().draining(), "the drain")
             await leaving
@@ -71,7 +71,7 @@
             mine = registrar(service)
             await asyncio.wait_for(mine.registered.wait(), 10)
             for count in range(2, 5):
-                service.do({"do": "expire", "path": f"{PATH}/s-1"})
+                service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
                 assert held(service) is None
                 await until(functools.partial(registered, mine, count), "again")
                 assert held(service) == node()
@@ -87,7 +87,7 @@
             await asyncio.wait_for(mine.registered.wait(), 10)
             for _ in range(3):
                 taken = sum(server.taken for server in service.servers)
-                service.do({"do": "drop"})
+                service.run_step({"do": "drop"})
                 await until(functools.partial(has_come_back, service, taken), "the reconnect")
                 await asyncio.wait_for(mine.registered.wait(), 10)
             assert mine.registrations == 1 and held(service) == node()
@@ -104,7 +104,7 @@
             service.tree.delete(f"{PATH}/s-1", -1)
             await until(lambda: held(service) == node(), "again")
             service.tree.set_data(f"{PATH}/s-1", b"{}", -1)
-            await until(lambda: service.tree.nodes[f"{PATH}/s-1"].data == node().data(), "again")
+            await until(lambda: service.tree.nodes[f"{PATH}/s-1"].data == node().encode(), "again")
             mine.crash()
 
     run(test)
@@ -153,7 +153,7 @@
             mine = registrar(service)
             await asyncio.wait_for(mine.registered.wait(), 10)
             await mine.drain()
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             await until(lambda: mine.registrations == 2, "again")
             assert held(service) == node().draining()
             mine.crash()
