--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -12,30 +12,30 @@
 
 import pytest
 
-from harness.coordination import Service
+from harness.coordination import CoordinationService
 from harness.kit import PATIENCE, until
 from service_proxy.ephemeral_nodes import session as module
 from service_proxy.ephemeral_nodes.jute import (
     CREATOR_ACL,
     OPEN_ACL,
-    Create,
-    Err,
-    Event,
-    Op,
-    Operation,
+    CreateMode,
+    ErrorCode,
+    EventType,
+    MultiOperation,
+    OpCode,
     ServiceError,
-    create_body,
-    delete_body,
+    encode_create,
+    encode_delete,
 )
-from service_proxy.ephemeral_nodes.session import Busy, ConnectionLost, Session
-from service_proxy.ephemeral_nodes.states import State
+from service_proxy.ephemeral_nodes.session import ConnectionLostError, Session, TooManyRequestsError
+from service_proxy.ephemeral_nodes.session_states import SessionState
 
 
 class Client:
     """A session with its states and events kept."""
 
-    def __init__(self, service: Service, timeout: float = 2.0, **more: object) -> None:
-        self.states: list[State] = []
+    def __init__(self, service: CoordinationService, timeout: float = 2.0, **more: object) -> None:
+        self.states: list[SessionState] = []
         self.events: list[tuple[int, str]] = []
         self.session = Session(
             [server.address for server in service.servers],
@@ -48,13 +48,13 @@
         )
         self.session.start()
 
-    async def reaches(self, state: State) -> None:
+    async def reaches(self, state: SessionState) -> None:
         await until(lambda: self.session.state is state, f"{state} after {self.states}")
 
 
 @contextlib.asynccontextmanager
-async def ensemble(servers: int = 3, **more: bool) -> AsyncIterator[Service]:
-    service = Service(servers, **more)
+async def ensemble(servers: int = 3, **more: bool) -> AsyncIterator[CoordinationService]:
+    service = CoordinationService(servers, **more)
     await service.start()
     try:
         yield service
@@ -63,7 +63,7 @@
 
 
 def moved(client: Client, left: tuple[str, int]) -> bool:
-    return client.session.at not in (None, left)
+    return client.session.server not in (None, left)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -78,32 +78,38 @@
     async def test() -> None:
         async with ensemble() as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             session = client.session
-            await session.ensure("/a/b")
-            await session.ensure("/a/b")
-            assert await session.create("/a/b/s-", b"1", Create.EPHEMERAL_SEQUENTIAL) == "/a/b/s-0000000000"
+            await session.ensure_path("/a/b")
+            await session.ensure_path("/a/b")
+            assert (
+                await session.create("/a/b/s-", b"1", CreateMode.EPHEMERAL_SEQUENTIAL) == "/a/b/s-0000000000"
+            )
             assert (await session.get_children2("/a/b"))[0] == ["s-0000000000"]
             data, stat = await session.get_data("/a/b/s-0000000000")
-            assert data == b"1" and stat.owner == session.id
+            assert data == b"1" and stat.ephemeral_owner == session.session_id
             assert (await session.set_data("/a/b", b"2", 0)).version == 1
             assert await session.exists("/nowhere") is None
             with pytest.raises(ServiceError, match=r"BAD_VERSION \(-103\)"):
                 await session.set_data("/a/b", b"3", 0)
             with pytest.raises(ValueError, match="containers are not created"):
-                await session.create("/c", b"", Create.CONTAINER)
+                await session.create("/c", b"", CreateMode.CONTAINER)
             results = await session.multi(
                 [
-                    Operation(Op.DELETE, delete_body("/a/b/s-0000000000")),
-                    Operation(Op.CREATE, create_body("/a/c", b"", OPEN_ACL, Create.PERSISTENT)),
+                    MultiOperation(OpCode.DELETE, encode_delete("/a/b/s-0000000000")),
+                    MultiOperation(
+                        OpCode.CREATE, encode_create("/a/c", b"", OPEN_ACL, CreateMode.PERSISTENT)
+                    ),
                 ]
             )
             assert len(results) == 2
             with pytest.raises(ServiceError, match="NO_NODE"):
-                await session.multi([Operation(Op.DELETE, delete_body(path)) for path in ("/a/c", "/x")])
+                await session.multi(
+                    [MultiOperation(OpCode.DELETE, encode_delete(path)) for path in ("/a/c", "/x")]
+                )
             assert await session.exists("/a/c") is not None
             await session.close()
-            assert session.state is State.CLOSED and not service.sessions
+            assert session.state is SessionState.CLOSED and not service.sessions
 
     run(test)
 
@@ -113,14 +119,14 @@
         async with ensemble() as service:
             plain = Client(service)
             rooted = Client(service, chroot="/prod")
-            await plain.reaches(State.CONNECTED)
-            await rooted.reaches(State.CONNECTED)
-            await plain.session.ensure("/prod")
+            await plain.reaches(SessionState.CONNECTED)
+            await rooted.reaches(SessionState.CONNECTED)
+            await plain.session.ensure_path("/prod")
             await rooted.session.get_children2("/", watch=True)
             assert await rooted.session.create("/s-1", b"") == "/s-1"
             assert await plain.session.exists("/prod/s-1") is not None
             await until(lambda: rooted.events, "the watch")
-            assert rooted.events == [(Event.CHILDREN_CHANGED, "/")]
+            assert rooted.events == [(EventType.CHILDREN_CHANGED, "/")]
 
     run(test)
 
@@ -129,17 +135,17 @@
     async def test() -> None:
         async with ensemble() as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
-            await client.session.create("/mine", b"", Create.EPHEMERAL)
-            number = client.session.id
+            await client.reaches(SessionState.CONNECTED)
+            await client.session.create("/mine", b"", CreateMode.EPHEMERAL)
+            number = client.session.session_id
             for mode in ("reset", "silent"):
-                used = next(s.number for s in service.servers if s.address == client.session.at)
-                service.do({"do": "partition", "servers": [used], "mode": mode})
+                used = next(s.number for s in service.servers if s.address == client.session.server)
+                service.run_step({"do": "partition", "servers": [used], "mode": mode})
                 await until(functools.partial(moved, client, service.servers[used].address), "the move")
-                await client.reaches(State.CONNECTED)
-                assert client.session.id == number and "/mine" in service.tree.nodes
-                service.do({"do": "heal"})
-            assert State.EXPIRED not in client.states and State.SUSPENDED in client.states
+                await client.reaches(SessionState.CONNECTED)
+                assert client.session.session_id == number and "/mine" in service.tree.nodes
+                service.run_step({"do": "heal"})
+            assert SessionState.EXPIRED not in client.states and SessionState.SUSPENDED in client.states
 
     run(test)
 
@@ -148,17 +154,23 @@
     async def test() -> None:
         async with ensemble() as service:
             client = Client(service, timeout=0.4)
-            await client.reaches(State.CONNECTED)
-            number = client.session.id
-            service.do({"do": "partition", "mode": "reset"})
-            await client.reaches(State.LOST)
-            with pytest.raises(ConnectionLost):
+            await client.reaches(SessionState.CONNECTED)
+            number = client.session.session_id
+            service.run_step({"do": "partition", "mode": "reset"})
+            await client.reaches(SessionState.LOST)
+            with pytest.raises(ConnectionLostError):
                 await client.session.exists("/")
-            service.do({"do": "heal"})
-            await client.reaches(State.CONNECTED)
-            assert client.session.id != number
-            kept = [s for s in client.states if s is not State.CONNECTING]
-            assert kept == [State.CONNECTED, State.SUSPENDED, State.LOST, State.EXPIRED, State.CONNECTED]
+            service.run_step({"do": "heal"})
+            await client.reaches(SessionState.CONNECTED)
+            assert client.session.session_id != number
+            kept = [s for s in client.states if s is not SessionState.CONNECTING]
+            assert kept == [
+                SessionState.CONNECTED,
+                SessionState.SUSPENDED,
+                SessionState.LOST,
+                SessionState.EXPIRED,
+                SessionState.CONNECTED,
+            ]
 
     run(test)
 
@@ -167,12 +179,12 @@
     async def test() -> None:
         async with ensemble() as service:
             client = Client(service, timeout=0.4)
-            await client.reaches(State.CONNECTED)
-            number = client.session.id
-            service.do({"do": "lose_leader", "seconds": 1.0})
-            await client.reaches(State.LOST)
-            await client.reaches(State.CONNECTED)
-            assert client.session.id == number and State.EXPIRED not in client.states
+            await client.reaches(SessionState.CONNECTED)
+            number = client.session.session_id
+            service.run_step({"do": "lose_leader", "seconds": 1.0})
+            await client.reaches(SessionState.LOST)
+            await client.reaches(SessionState.CONNECTED)
+            assert client.session.session_id == number and SessionState.EXPIRED not in client.states
 
     run(test)
 
@@ -181,11 +193,11 @@
     async def test() -> None:
         async with ensemble(1) as service:
             client = Client(service, timeout=0.6)
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            service.do({"do": "partition", "mode": "silent"})
-            await client.reaches(State.SUSPENDED)
+            service.run_step({"do": "partition", "mode": "silent"})
+            await client.reaches(SessionState.SUSPENDED)
             assert 0.15 < loop.time() - begun < 5
 
     run(test)
@@ -195,9 +207,9 @@
     async def test() -> None:
         async with ensemble(1) as service:
             client = Client(service, timeout=0.3)
-            await client.reaches(State.CONNECTED)
-            await until(lambda: service.requests[Op.PING] >= 8, "pings")
-            assert client.states == [State.CONNECTING, State.CONNECTED]
+            await client.reaches(SessionState.CONNECTED)
+            await until(lambda: service.requests[OpCode.PING] >= 8, "pings")
+            assert client.states == [SessionState.CONNECTING, SessionState.CONNECTED]
 
     run(test)
 
@@ -209,30 +221,30 @@
         async with ensemble() as service:
             client = Client(service)
             other = Client(service)
-            await client.reaches(State.CONNECTED)
-            await other.reaches(State.CONNECTED)
-            await other.session.ensure("/p")
+            await client.reaches(SessionState.CONNECTED)
+            await other.reaches(SessionState.CONNECTED)
+            await other.session.ensure_path("/p")
             await other.session.create("/p/s-1", b"")
             await other.session.create("/p/s-2", b"")
             await client.session.get_children2("/p", watch=True)
             await client.session.get_data("/p/s-1", watch=True)
             await client.session.get_data("/p/s-2", watch=True)
             await client.session.exists("/p/s-3", watch=True)
-            service.do({"do": "lose_watches", "on": True})
+            service.run_step({"do": "lose_watches", "on": True})
             await other.session.delete("/p/s-1")
             await other.session.set_data("/p/s-2", b"x")
             await other.session.create("/p/s-3", b"")
-            service.do({"do": "lose_watches", "on": False})
+            service.run_step({"do": "lose_watches", "on": False})
             assert not client.events
-            service.do({"do": "drop"})
+            service.run_step({"do": "drop"})
             await until(lambda: len(client.events) == 4, "the watches")
             assert sorted(client.events) == [
-                (Event.CREATED, "/p/s-3"),
-                (Event.DELETED, "/p/s-1"),
-                (Event.DATA_CHANGED, "/p/s-2"),
-                (Event.CHILDREN_CHANGED, "/p"),
+                (EventType.CREATED, "/p/s-3"),
+                (EventType.DELETED, "/p/s-1"),
+                (EventType.DATA_CHANGED, "/p/s-2"),
+                (EventType.CHILDREN_CHANGED, "/p"),
             ]
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             assert not client.session.data_watches and not client.session.child_watches
 
     run(test)
@@ -243,19 +255,21 @@
         async with ensemble() as service:
             client = Client(service)
             other = Client(service)
-            await client.reaches(State.CONNECTED)
-            await other.reaches(State.CONNECTED)
-            await other.session.ensure("/p")
+            await client.reaches(SessionState.CONNECTED)
+            await other.reaches(SessionState.CONNECTED)
+            await other.session.ensure_path("/p")
             assert await client.session.watch_recursive("/p")
-            service.do({"do": "drop"})
-            await until(lambda: client.states.count(State.CONNECTED) == 2, "the reconnect")
-            await until(lambda: other.states.count(State.CONNECTED) == 2, "the reconnect")
+            service.run_step({"do": "drop"})
+            await until(lambda: client.states.count(SessionState.CONNECTED) == 2, "the reconnect")
+            await until(lambda: other.states.count(SessionState.CONNECTED) == 2, "the reconnect")
             for _ in range(2):
-                await other.session.create("/p/s-1", b"", Create.EPHEMERAL)
+                await other.session.create("/p/s-1", b"", CreateMode.EPHEMERAL)
                 await other.session.set_data("/p/s-1", b"x")
                 await other.session.delete("/p/s-1")
             await until(lambda: len(client.events) == 6, "the events")
-            once = [(kind, "/p/s-1") for kind in (Event.CREATED, Event.DATA_CHANGED, Event.DELETED)]
+            once = [
+                (kind, "/p/s-1") for kind in (EventType.CREATED, EventType.DATA_CHANGED, EventType.DELETED)
+            ]
             assert client.events == once * 2
 
     run(test)
@@ -265,7 +279,7 @@
     async def test() -> None:
         async with ensemble(1, persistent_watches=False) as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             assert not await client.session.watch_recursive("/")
 
     run(test)
@@ -275,17 +289,17 @@
     async def test() -> None:
         async with ensemble(1) as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
-            service.do({"do": "save"})
+            await client.reaches(SessionState.CONNECTED)
+            service.run_step({"do": "save"})
             await client.session.create("/a", b"")
             seen = client.session.last_zxid
-            service.do({"do": "restore"})  # the server refuses a client that has seen more
-            await client.reaches(State.SUSPENDED)
+            service.run_step({"do": "restore"})  # the server refuses a client that has seen more
+            await client.reaches(SessionState.SUSPENDED)
             taken = service.servers[0].taken
             await until(lambda: service.servers[0].taken >= taken + 3, "tries")
-            assert client.session.last_zxid == seen and client.states[-1] is not State.CONNECTED
+            assert client.session.last_zxid == seen and client.states[-1] is not SessionState.CONNECTED
             client.session.forget_zxid()
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             assert client.session.last_zxid < seen
 
     run(test)
@@ -297,12 +311,12 @@
     async def test() -> None:
         async with ensemble(1) as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             await client.session.create("/a", b"")
             service.tree.zxid -= 1
-            with pytest.raises(ConnectionLost):
+            with pytest.raises(ConnectionLostError):
                 await client.session.exists("/a")
-            assert client.session.regressions == 1 and client.session.state is State.SUSPENDED
+            assert client.session.zxid_regressions == 1 and client.session.state is SessionState.SUSPENDED
 
     run(test)
 
@@ -313,16 +327,16 @@
             service.credentials = {"u": "p"}
             good = Client(service, auth=b"u:p")
             nobody = Client(service)
-            await good.reaches(State.CONNECTED)
-            await nobody.reaches(State.CONNECTED)
+            await good.reaches(SessionState.CONNECTED)
+            await nobody.reaches(SessionState.CONNECTED)
             await good.session.create("/mine", b"x", acl=CREATOR_ACL)
             with pytest.raises(ServiceError, match="NO_AUTH"):
                 await nobody.session.get_data("/mine")
             with pytest.raises(ServiceError) as refused:
                 await nobody.session.create("/other", b"", acl=CREATOR_ACL)
-            assert refused.value.code == Err.INVALID_ACL
+            assert refused.value.code == ErrorCode.INVALID_ACL
             bad = Client(service, auth=b"u:wrong")
-            await bad.reaches(State.AUTH_FAILED)
+            await bad.reaches(SessionState.AUTH_FAILED)
             taken = service.servers[0].taken
             await asyncio.sleep(0.3)
             assert service.servers[0].taken == taken
@@ -331,22 +345,22 @@
 
 
 def test_a_read_only_server_serves_until_one_has_its_quorum_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "WRITABLE_FIRST", 0.1)
+    monkeypatch.setattr(module, "WRITABLE_CHECK_INITIAL_S", 0.1)
 
     async def test() -> None:
         async with ensemble(2) as service:
-            service.do({"do": "read_only", "on": True})
+            service.run_step({"do": "read_only", "on": True})
             client = Client(service, read_only=True)
             plain = Client(service)
-            await client.reaches(State.CONNECTED_RO)
+            await client.reaches(SessionState.CONNECTED_RO)
             with pytest.raises(ServiceError, match="NOT_READ_ONLY"):
                 await client.session.create("/a", b"")
             assert await client.session.exists("/") is not None
-            used = next(s.number for s in service.servers if s.address == client.session.at)
+            used = next(s.number for s in service.servers if s.address == client.session.server)
             service.servers[1 - used].read_only = False
-            await client.reaches(State.CONNECTED)
-            await plain.reaches(State.CONNECTED)
-            assert client.session.at == service.servers[1 - used].address
+            await client.reaches(SessionState.CONNECTED)
+            await plain.reaches(SessionState.CONNECTED)
+            assert client.session.server == service.servers[1 - used].address
 
     run(test)
 
@@ -355,15 +369,17 @@
     async def test() -> None:
         async with ensemble(1) as old, ensemble(1) as new:
             client = Client(old)
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             await client.session.create("/a", b"")
             await client.session.get_children2("/", watch=True)
-            old.do({"do": "partition", "mode": "reset"})
-            await client.reaches(State.SUSPENDED)
-            assert client.session.move([server.address for server in new.servers])
-            await client.reaches(State.CONNECTED)
-            assert client.session.id in new.sessions and not client.session.child_watches
-            assert not client.session.move([*(server.address for server in new.servers), ("127.0.0.1", 1)])
+            old.run_step({"do": "partition", "mode": "reset"})
+            await client.reaches(SessionState.SUSPENDED)
+            assert client.session.set_servers([server.address for server in new.servers])
+            await client.reaches(SessionState.CONNECTED)
+            assert client.session.session_id in new.sessions and not client.session.child_watches
+            assert not client.session.set_servers(
+                [*(server.address for server in new.servers), ("127.0.0.1", 1)]
+            )
             assert await client.session.exists("/a") is None
 
     run(test)
@@ -372,20 +388,20 @@
 def test_requests_beyond_the_bound_are_refused_and_a_break_fails_those_that_are_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "MOST_PENDING", 5)
+    monkeypatch.setattr(module, "MAX_PENDING_REQUESTS", 5)
 
     async def test() -> None:
         async with ensemble(1) as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
-            service.do({"do": "slow", "seconds": 5})
+            await client.reaches(SessionState.CONNECTED)
+            service.run_step({"do": "slow", "seconds": 5})
             out = [asyncio.ensure_future(client.session.exists("/")) for _ in range(5)]
             await asyncio.sleep(0)
-            with pytest.raises(Busy):
+            with pytest.raises(TooManyRequestsError):
                 await client.session.exists("/")
-            service.do({"do": "drop"})
+            service.run_step({"do": "drop"})
             ended = await asyncio.gather(*out, return_exceptions=True)
-            assert all(isinstance(fault, ConnectionLost) for fault in ended)
+            assert all(isinstance(fault, ConnectionLostError) for fault in ended)
 
     run(test)
 
@@ -411,11 +427,11 @@
         peer = await asyncio.start_server(answer, "127.0.0.1", 0)
         async with ensemble(1) as service:
             client = Client(service)
-            await client.reaches(State.CONNECTED)
+            await client.reaches(SessionState.CONNECTED)
             client.session.stop()
             again = Client(service)
-            again.session.move([peer.sockets[0].getsockname()[:2], service.servers[0].address])
-            await again.reaches(State.CONNECTED)
+            again.session.set_servers([peer.sockets[0].getsockname()[:2], service.servers[0].address])
+            await again.reaches(SessionState.CONNECTED)
         peer.close()
 
     run(test)
--- /dev/null
+++ b/tests/ephemeral_nodes/test_session_states.py
@@ -0,0 +1,69 @@
+"""The table of a session's states, row by row, and that no way leads out of it."""
+
+from __future__ import annotations
+
+from itertools import product
+
+import pytest
+
+from service_proxy.ephemeral_nodes.session_states import (
+    ENDED_STATES,
+    RECOVERABLE_STATES,
+    TRANSITIONS,
+    USABLE_STATES,
+    InvalidTransitionError,
+    SessionEvent,
+    SessionState,
+    next_state,
+)
+
+ONLY = {  # states in which little can happen
+    SessionState.CLOSED: {SessionEvent.OPEN, SessionEvent.CLOSE},
+    SessionState.EXPIRED: {SessionEvent.OPEN, SessionEvent.CLOSE},
+    SessionState.AUTH_FAILED: {SessionEvent.DISCONNECTED, SessionEvent.CLOSE},
+}
+NEVER = {  # what can't come in states where the connection is up, or the session has begun
+    SessionEvent.OPEN: set(SessionState) - {SessionState.CLOSED, SessionState.EXPIRED},
+    SessionEvent.CONNECTED: set(USABLE_STATES),
+    SessionEvent.CONNECTED_READ_ONLY: set(USABLE_STATES),
+    SessionEvent.TIMED_OUT: set(USABLE_STATES),
+}
+
+
+def impossible(state: SessionState, happening: SessionEvent) -> bool:
+    return happening not in ONLY.get(state, set(SessionEvent)) or state in NEVER.get(happening, set())
+
+
+@pytest.mark.parametrize(("state", "happening"), list(product(SessionState, SessionEvent)))
+def test_every_pair_is_in_the_table_or_is_impossible(state: SessionState, happening: SessionEvent) -> None:
+    if impossible(state, happening):
+        with pytest.raises(InvalidTransitionError):
+            next_state(state, happening)
+    else:
+        assert next_state(state, happening) is TRANSITIONS[state, happening]
+
+
+def test_closing_ends_every_state() -> None:
+    assert all(next_state(state, SessionEvent.CLOSE) is SessionState.CLOSED for state in SessionState)
+
+
+def test_a_lost_connection_is_suspended_then_lost_and_only_the_service_says_expired() -> None:
+    assert next_state(SessionState.CONNECTED, SessionEvent.DISCONNECTED) is SessionState.SUSPENDED
+    assert next_state(SessionState.SUSPENDED, SessionEvent.TIMED_OUT) is SessionState.LOST
+    assert {happening for (_, happening), to in TRANSITIONS.items() if to is SessionState.EXPIRED} == {
+        SessionEvent.SESSION_EXPIRED
+    }
+    assert next_state(SessionState.LOST, SessionEvent.CONNECTED) is SessionState.CONNECTED
+
+
+def test_the_kinds_of_state_do_not_overlap() -> None:
+    assert (
+        not USABLE_STATES & ENDED_STATES
+        and not USABLE_STATES & RECOVERABLE_STATES
+        and not ENDED_STATES & RECOVERABLE_STATES
+    )
+
+
+def test_every_state_is_reached_and_all_but_two_lead_on() -> None:
+    reached = {to for (state, _), to in TRANSITIONS.items() if to is not state}
+    assert reached == set(SessionState)
--- a/tests/ephemeral_nodes/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -15,14 +15,14 @@
 from test_register import PATH, node, settings
 from test_session import ensemble, run
 
-from harness.coordination import Service, SessionRecord
+from harness.coordination import CoordinationService, SessionRecord
 from harness.kit import until
 from service_proxy.ephemeral_nodes import snapshot, source
-from service_proxy.ephemeral_nodes.jute import OPEN_ACL, Op
-from service_proxy.ephemeral_nodes.nodes import Node, listed
-from service_proxy.ephemeral_nodes.source import Membership
-from service_proxy.ephemeral_nodes.states import State
-from service_proxy.ephemeral_nodes.tree import Changes
+from service_proxy.ephemeral_nodes.children_cache import ChildChanges
+from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, to_endpoint
+from service_proxy.ephemeral_nodes.jute import OPEN_ACL, OpCode
+from service_proxy.ephemeral_nodes.session_states import SessionState
+from service_proxy.ephemeral_nodes.source import EphemeralNodeSource
 from service_proxy.net.config import ProxyConfig
 from service_proxy.net.discovery import WALL_CLOCK_OFFSET_S, DiscoveryClient
 from service_proxy.net.endpoint_list import EndpointList
@@ -35,7 +35,7 @@
 
 
 class Seat:
-    """Stands for the driver: keeps what it is given, and whatever it is told of the padron's failures."""
+    """Stands for the driver: keeps what it is given, and whatever it is told of discovery's failures."""
 
     def __init__(self, known: EndpointList | None = None) -> None:
         self.initial_list = known or EndpointList(0, True, [])
@@ -74,7 +74,11 @@
 
 
 def put(
-    service: Service, name: str, of: Node | None = None, data: bytes | None = None, owner: int = 0
+    service: CoordinationService,
+    name: str,
+    of: EndpointNode | None = None,
+    data: bytes | None = None,
+    owner: int = 0,
 ) -> int:
     """A node of a session of its own, as a sidecar would have made it. Returns the session."""
     parts = PATH.split("/")[1:]
@@ -86,16 +90,18 @@
     record = service.sessions.get(number) or SessionRecord(number, b"", 1e9, time.monotonic())
     service.sessions[number] = record
     entry = of or node(name, at(name))
-    service.tree.create(f"{PATH}/{name}", entry.data() if data is None else data, list(OPEN_ACL), 1, number)
+    service.tree.create(f"{PATH}/{name}", entry.encode() if data is None else data, list(OPEN_ACL), 1, number)
     record.nodes.add(f"{PATH}/{name}")
     return number
 
 
 class Proxy:
-    def __init__(self, service: Service | None, seat: Seat, settings: Settings, seed: int = 1) -> None:
+    def __init__(
+        self, service: CoordinationService | None, seat: Seat, settings: Settings, seed: int = 1
+    ) -> None:
         self.seat = seat
         config = cast(ProxyConfig, SimpleNamespace(name="n0", seed=seed))
-        self.membership = Membership(settings, cast(Any, seat), config)
+        self.membership = EphemeralNodeSource(settings, cast(Any, seat), config)
         self.membership.start()
 
     async def serves(self, names: list[str] | set[str]) -> None:
@@ -107,9 +113,9 @@
     def health(self) -> SourceHealth:
         return self.membership.merger.sources["membership"].health
 
-    def padron(self, *nodes: Node, whole: bool = True) -> None:
+    def discover(self, *nodes: EndpointNode, whole: bool = True) -> None:
         self.seat.discovery.on_list(
-            EndpointList(1, whole, [listed(entry, WALL_CLOCK_OFFSET_S) for entry in nodes])
+            EndpointList(1, whole, [to_endpoint(entry, WALL_CLOCK_OFFSET_S) for entry in nodes])
         )
 
 
@@ -119,7 +125,7 @@
 @contextlib.asynccontextmanager
 async def watched(
     watch: str = "auto", names: list[str] = NAMES, **more: Any
-) -> AsyncIterator[tuple[Service, Proxy]]:
+) -> AsyncIterator[tuple[CoordinationService, Proxy]]:
     """A service with these nodes and a proxy that has read them."""
     async with ensemble() as service:
         for name in names:
@@ -139,7 +145,7 @@
     async def test() -> None:
         async with watched(watch) as (service, proxy):
             begun = time.monotonic()
-            service.do({"do": "expire", "path": f"{PATH}/s-3"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-3"})
             await proxy.serves(set(NAMES) - {"s-3"})
             assert proxy.seat.ended_at["s-3"] - begun < 2.0
             await until(lambda: "s-3" not in proxy.seat.state, "its removal")
@@ -152,7 +158,7 @@
 def test_draining_by_the_node_itself_and_a_new_node(watch: str) -> None:
     async def test() -> None:
         async with watched(watch) as (service, proxy):
-            service.tree.set_data(f"{PATH}/s-2", node("s-2", "127.0.0.1:7").draining().data(), -1)
+            service.tree.set_data(f"{PATH}/s-2", node("s-2", "127.0.0.1:7").draining().encode(), -1)
             await proxy.serves(set(NAMES) - {"s-2"})
             put(service, "s-new")
             await proxy.serves({*NAMES, "s-new"} - {"s-2"})
@@ -164,27 +170,27 @@
 def test_back_within_the_drain_window_under_the_same_and_under_a_new_name(watch: str) -> None:
     async def test() -> None:
         async with watched(watch) as (service, proxy):
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             await proxy.serves(set(NAMES) - {"s-1"})
             put(service, "s-1")
             await proxy.serves(NAMES)
             address = at("s-2")
-            service.do({"do": "expire", "path": f"{PATH}/s-2"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-2"})
             put(service, "s-other", replace(node("s-other"), address=address))
             await proxy.serves({*NAMES, "s-other"} - {"s-2"})
 
     run(test)
 
 
-def test_a_session_that_expires_while_the_node_still_answers_drains_it_though_the_padron_lists_it() -> None:
+def test_a_session_that_expires_while_the_node_still_answers_drains_it_though_discovery_lists_it() -> None:
     async def test() -> None:
         async with watched() as (service, proxy):
             every = [node(name, at(name)) for name in NAMES]
-            proxy.padron(*every)
-            service.do({"do": "expire", "path": f"{PATH}/s-3"})
+            proxy.discover(*every)
+            service.run_step({"do": "expire", "path": f"{PATH}/s-3"})
             await proxy.serves(set(NAMES) - {"s-3"})
-            for _ in range(5):  # for ever, in the padron's eyes
-                proxy.padron(*every)
+            for _ in range(5):  # for ever, in discovery's eyes
+                proxy.discover(*every)
                 await asyncio.sleep(0.3)
                 assert proxy.seat.serving() == set(NAMES) - {"s-3"}
             put(service, "s-3")
@@ -193,23 +199,23 @@
     run(test)
 
 
-def test_the_service_unreachable_from_the_start_leaves_the_padrons_list() -> None:
+def test_the_service_unreachable_from_the_start_leaves_discoverys_list() -> None:
     async def test() -> None:
         known = [
-            listed(node(name, f"127.0.0.1:{9000 + place}"), WALL_CLOCK_OFFSET_S)
+            to_endpoint(node(name, f"127.0.0.1:{9000 + place}"), WALL_CLOCK_OFFSET_S)
             for place, name in enumerate(NAMES)
         ]
         async with ensemble() as service:
-            service.do({"do": "partition", "mode": "reset"})
+            service.run_step({"do": "partition", "mode": "reset"})
             proxy = Proxy(service, Seat(EndpointList(1, True, known)), settings(service, reread_jitter=0.0))
             await proxy.serves(NAMES)
             await until(lambda: service.servers[0].taken >= 2, "tries")
-            proxy.padron(node("s-new"), whole=False)
+            proxy.discover(node("s-new"), whole=False)
             await proxy.serves({*NAMES, "s-new"})
             assert proxy.health() is SourceHealth.NEVER_RECEIVED
             for name in NAMES[:3]:
                 put(service, name, replace(node(name), address=f"127.0.0.1:{9000 + NAMES.index(name)}"))
-            service.do({"do": "heal"})
+            service.run_step({"do": "heal"})
             await proxy.is_fresh()
             assert proxy.seat.serving() == {
                 *NAMES,
@@ -225,16 +231,16 @@
 def test_unreachable_for_longer_than_the_session_the_list_stays_and_catches_up(watch: str, mode: str) -> None:
     async def test() -> None:
         async with watched(watch) as (service, proxy):
-            service.do({"do": "partition", "mode": mode})
-            await until(lambda: proxy.membership.session.state is State.LOST, "LOST")
+            service.run_step({"do": "partition", "mode": mode})
+            await until(lambda: proxy.membership.session.state is SessionState.LOST, "LOST")
             assert proxy.health() is SourceHealth.UNREACHABLE and proxy.seat.serving() == set(NAMES)
-            await until(lambda: proxy.membership.session.id not in service.sessions, "the expiry")
-            service.do({"do": "expire", "path": f"{PATH}/s-4"})
-            service.tree.set_data(f"{PATH}/s-5", node("s-5", "127.0.0.1:8").draining().data(), -1)
+            await until(lambda: proxy.membership.session.session_id not in service.sessions, "the expiry")
+            service.run_step({"do": "expire", "path": f"{PATH}/s-4"})
+            service.tree.set_data(f"{PATH}/s-5", node("s-5", "127.0.0.1:8").draining().encode(), -1)
             put(service, "s-new")
             await asyncio.sleep(0.2)
             assert proxy.seat.serving() == set(NAMES)
-            service.do({"do": "heal"})
+            service.run_step({"do": "heal"})
             await proxy.serves({*NAMES, "s-new"} - {"s-4", "s-5"})
             await proxy.is_fresh()
             assert proxy.seat.least >= len(NAMES) - 2
@@ -246,17 +252,17 @@
 def test_a_watch_that_fired_unseen_and_a_delete_and_create_between_two_readings(watch: str) -> None:
     async def test() -> None:
         async with watched(watch) as (service, proxy):
-            service.do({"do": "lose_watches", "on": True})
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "lose_watches", "on": True})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             again = replace(node("s-1", at("s-1")), since_ms=int(time.time() * 1000))
             put(service, "s-1", again)
-            service.do({"do": "expire", "path": f"{PATH}/s-2"})
-            service.tree.set_data(f"{PATH}/s-3", node("s-3", "127.0.0.1:8").draining().data(), -1)
-            service.do({"do": "lose_watches", "on": False})
-            service.do({"do": "drop"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-2"})
+            service.tree.set_data(f"{PATH}/s-3", node("s-3", "127.0.0.1:8").draining().encode(), -1)
+            service.run_step({"do": "lose_watches", "on": False})
+            service.run_step({"do": "drop"})
             await proxy.serves(set(NAMES) - {"s-2", "s-3"})
-            await until(lambda: again in proxy.membership.tree.nodes(), "the new start")
-            assert proxy.membership.session.state is State.CONNECTED
+            await until(lambda: again in proxy.membership.children.nodes(), "the new start")
+            assert proxy.membership.session.state is SessionState.CONNECTED
 
     run(test)
 
@@ -270,13 +276,13 @@
             proxies = [Proxy(service, Seat(), replace(both, servers=(server,))) for server in both.servers]
             for proxy in proxies:
                 await proxy.serves(NAMES)
-            service.do({"do": "partition", "servers": [1], "mode": "silent"})
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "partition", "servers": [1], "mode": "silent"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             await proxies[0].serves(set(NAMES) - {"s-1"})
             assert proxies[1].seat.serving() == set(NAMES)
             await until(lambda: proxies[1].health() is SourceHealth.UNREACHABLE, "unreachable")
             assert proxies[1].seat.serving() == set(NAMES)
-            service.do({"do": "heal"})
+            service.run_step({"do": "heal"})
             await proxies[1].serves(set(NAMES) - {"s-1"})
             for proxy in proxies:
                 proxy.membership.stop()
@@ -288,14 +294,16 @@
 def test_the_service_empty_after_a_restore_removes_nobody(watch: str) -> None:
     async def test() -> None:
         async with watched(watch) as (service, proxy):
-            service.do({"do": "empty"})
-            await until(lambda: proxy.membership.merger.sources["membership"].held == len(NAMES), "held")
+            service.run_step({"do": "empty"})
+            await until(
+                lambda: proxy.membership.merger.sources["membership"].withheld_count == len(NAMES), "held"
+            )
             await asyncio.sleep(0.3)
             assert proxy.seat.serving() == set(NAMES)
             for name in NAMES[2:]:
                 put(service, name)
-            await until(lambda: proxy.membership.merger.sources["membership"].held == 2, "back")
-            service.do({"do": "expire", "path": f"{PATH}/s-5"})
+            await until(lambda: proxy.membership.merger.sources["membership"].withheld_count == 2, "back")
+            service.run_step({"do": "expire", "path": f"{PATH}/s-5"})
             await proxy.serves(set(NAMES) - {"s-5"})
 
     run(test)
@@ -303,14 +311,16 @@
 
 def test_all_sessions_expire_in_one_burst_and_nobody_is_removed(monkeypatch: pytest.MonkeyPatch) -> None:
     """One by one in the service's order: gathered, and judged as one."""
-    monkeypatch.setattr(source, "GATHER", 1.0)
+    monkeypatch.setattr(source, "LOSS_BATCH_S", 1.0)
 
     async def test() -> None:
         async with watched() as (service, proxy):
             for name in NAMES:
-                service.do({"do": "expire", "path": f"{PATH}/{name}"})
+                service.run_step({"do": "expire", "path": f"{PATH}/{name}"})
                 await asyncio.sleep(0.01)
-            await until(lambda: proxy.membership.merger.sources["membership"].held == len(NAMES), "held")
+            await until(
+                lambda: proxy.membership.merger.sources["membership"].withheld_count == len(NAMES), "held"
+            )
             assert proxy.seat.least == len(NAMES)
 
     run(test)
@@ -320,30 +330,32 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What comes is told at once; the losses are still gathered. Judged one by one, three would pass."""
-    monkeypatch.setattr(source, "GATHER", 0.5)
+    monkeypatch.setattr(source, "LOSS_BATCH_S", 0.5)
 
     async def test() -> None:
         async with watched() as (service, proxy):
-            lost = Changes(present=[], lost=["s-0"], hidden=[])
+            lost = ChildChanges(present=[], lost=["s-0"], hidden=[])
             put(service, "s-new")
             proxy.membership._soon(0.0)
             proxy.membership._take(lost)
             await proxy.serves({*NAMES, "s-new"})
-            proxy.membership._take(Changes(present=[], lost=NAMES[1:], hidden=[]))
-            await until(lambda: proxy.membership.merger.sources["membership"].held == len(NAMES), "held")
+            proxy.membership._take(ChildChanges(present=[], lost=NAMES[1:], hidden=[]))
+            await until(
+                lambda: proxy.membership.merger.sources["membership"].withheld_count == len(NAMES), "held"
+            )
             assert proxy.seat.serving() == {*NAMES, "s-new"}
 
     run(test)
 
 
 def test_back_before_its_loss_was_judged_is_no_loss(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "GATHER", 0.5)
+    monkeypatch.setattr(source, "LOSS_BATCH_S", 0.5)
 
     async def test() -> None:
         async with watched() as (service, proxy):
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             put(service, "s-1")
-            service.do({"do": "expire", "path": f"{PATH}/s-2"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-2"})
             await proxy.serves(set(NAMES) - {"s-2"})
             assert "s-1" not in proxy.seat.ended_at
 
@@ -353,12 +365,12 @@
 def test_a_zxid_that_goes_back_is_refused_and_the_list_kept_until_sighup(tmp_path: Path) -> None:
     async def test() -> None:
         async with watched() as (service, proxy):
-            service.do({"do": "save"})
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "save"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             await proxy.serves(set(NAMES) - {"s-1"})
             # A notification carries no zxid; the next ping's answer does.
             await until(lambda: proxy.membership.session.last_zxid == service.tree.zxid, "the zxid")
-            service.do({"do": "restore"})  # s-1 is back in the service's eyes
+            service.run_step({"do": "restore"})  # s-1 is back in the service's eyes
             taken = sum(server.taken for server in service.servers)
             await until(lambda: sum(server.taken for server in service.servers) > taken + 3, "tries")
             assert proxy.seat.serving() == set(NAMES) - {"s-1"} and proxy.health() is not SourceHealth.FRESH
@@ -385,8 +397,8 @@
 def test_sighup_while_suspended_changes_the_ensemble_and_keeps_the_list(tmp_path: Path) -> None:
     async def test() -> None:
         async with watched() as (service, proxy), ensemble(1) as other:
-            service.do({"do": "partition", "mode": "reset"})
-            await until(lambda: proxy.membership.session.state is State.SUSPENDED, "SUSPENDED")
+            service.run_step({"do": "partition", "mode": "reset"})
+            await until(lambda: proxy.membership.session.state is SessionState.SUSPENDED, "SUSPENDED")
             for name in NAMES[1:]:
                 put(other, name)
             servers = ("{}:{}".format(*other.servers[0].address),)
@@ -410,16 +422,18 @@
         file = tmp_path / "nodes"
         async with watched(snapshot=str(file)) as (service, proxy):
             await until(file.exists, "the file")
-            service.do({"do": "expire", "path": f"{PATH}/s-1"})
+            service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             await proxy.serves(set(NAMES) - {"s-1"})
         assert [entry.name for entry in snapshot.read(file)] == [name for name in NAMES if name != "s-1"]
         async with ensemble(1) as dead:
-            dead.do({"do": "partition", "mode": "reset"})
+            dead.run_step({"do": "partition", "mode": "reset"})
             proxy = Proxy(dead, Seat(), settings(dead, snapshot=str(file)))
             await proxy.serves(set(NAMES) - {"s-1"})
             put(dead, "s-2")
-            dead.do({"do": "heal"})
-            await until(lambda: proxy.membership.merger.sources["membership"].held == 7, "a mass loss, held")
+            dead.run_step({"do": "heal"})
+            await until(
+                lambda: proxy.membership.merger.sources["membership"].withheld_count == 7, "a mass loss, held"
+            )
             assert proxy.seat.serving() == set(NAMES) - {"s-1"}
             proxy.membership.stop()
             file.write_bytes(file.read_bytes()[:-5])
@@ -434,8 +448,10 @@
     async def test() -> None:
         file = tmp_path / "nodes"
         async with watched(snapshot=str(file)) as (service, proxy):
-            service.do({"do": "empty"})
-            await until(lambda: proxy.membership.merger.sources["membership"].held == len(NAMES), "held")
+            service.run_step({"do": "empty"})
+            await until(
+                lambda: proxy.membership.merger.sources["membership"].withheld_count == len(NAMES), "held"
+            )
             kept = proxy.membership._to_keep()
             assert [entry.name for entry in kept] == NAMES and kept[0].address == at("s-0")
 
@@ -454,15 +470,15 @@
             begun = time.monotonic()
             for number in range(1000):
                 name = NAMES[number % 9]
-                service.tree.set_data(f"{PATH}/{name}", node(name, at(name)).data(), -1)
+                service.tree.set_data(f"{PATH}/{name}", node(name, at(name)).encode(), -1)
                 if number % 100 == 0:
                     await asyncio.sleep(0.01)
-            service.tree.set_data(f"{PATH}/s-8", node("s-8", "127.0.0.1:8").draining().data(), -1)
+            service.tree.set_data(f"{PATH}/s-8", node("s-8", "127.0.0.1:8").draining().encode(), -1)
             await proxy.serves(NAMES[:8])
             await proxy.is_fresh()
             reads = proxy.membership.reads_done - before
             span = time.monotonic() - begun
-            assert reads <= 100.0 * (span + source.BURST) + 2
+            assert reads <= 100.0 * (span + source.READ_BURST_S) + 2
 
     run(test)
 
@@ -474,11 +490,11 @@
 
     async def test() -> None:
         async with watched("one-shot", reads_per_s=1000.0) as (service, proxy):
-            before = service.requests[Op.GET_CHILDREN2]
+            before = service.requests[OpCode.GET_CHILDREN2]
             for number in range(200):
                 put(service, f"n-{number}")
             await proxy.serves({*NAMES, *(f"n-{number}" for number in range(200))})
-            assert service.requests[Op.GET_CHILDREN2] - before <= 3
+            assert service.requests[OpCode.GET_CHILDREN2] - before <= 3
 
     run(test)
 
@@ -490,7 +506,7 @@
         for number in range(50):
             config = cast(ProxyConfig, SimpleNamespace(name=f"n{number}", seed=number))
             fake = Settings(("127.0.0.1:1",), PATH)
-            draws.add(round(Membership(fake, cast(Any, Seat()), config).random.random(), 6))
+            draws.add(round(EphemeralNodeSource(fake, cast(Any, Seat()), config).random.random(), 6))
 
     run(test)
     assert len(draws) == 50 and max(draws) - min(draws) > 0.8
@@ -506,13 +522,13 @@
             put(service, "n\u0303", data=b"{}")
             for name in BAD_NAMES:
                 put(service, name)
-            service.tree.create(f"{PATH}/plain", node("plain").data(), list(OPEN_ACL), 0, 0)
+            service.tree.create(f"{PATH}/plain", node("plain").encode(), list(OPEN_ACL), 0, 0)
             # What no honest service would list: names with a / and a NUL.
             service.tree.nodes[PATH].children |= {"a/b", "a\x00b"}
-            service.do({"do": "drop"})
+            service.run_step({"do": "drop"})
             await proxy.serves({*NAMES, *BAD_NAMES})
-            await until(lambda: len(proxy.membership.tree.faults) == 5, "all hidden")
-            service.do({"do": "drop"})
+            await until(lambda: len(proxy.membership.children.problems) == 5, "all hidden")
+            service.run_step({"do": "drop"})
             await until(lambda: proxy.health() is SourceHealth.STALE, "the break")
             await proxy.is_fresh()
             hidden = [record.getMessage() for record in caplog.records if "is hidden" in record.getMessage()]
@@ -521,21 +537,21 @@
     run(test)
 
 
-def test_the_padrons_failures_reach_the_module_and_remove_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "PADRON_PATIENCE", 0.3)
+def test_discoverys_failures_reach_the_module_and_remove_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(source, "DISCOVERY_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with watched() as (_, proxy):
-            proxy.padron(node("s-p"), whole=False)
+            proxy.discover(node("s-p"), whole=False)
             await proxy.serves({*NAMES, "s-p"})
             proxy.seat.discovery.on_failed()
             assert proxy.seat.failures == 1
-            health = proxy.membership.merger.sources["padron"]
+            health = proxy.membership.merger.sources["discovery"]
             assert health.health is SourceHealth.STALE
             await until(lambda: health.health is SourceHealth.UNREACHABLE, "unreachable")
             assert proxy.seat.serving() == {*NAMES, "s-p"}
             lists = proxy.seat.lists
-            proxy.padron(node("s-p"), whole=False)
+            proxy.discover(node("s-p"), whole=False)
             assert (
                 proxy.seat.lists > lists
             )  # the module hears that its watch was answered, though nothing changed
@@ -548,7 +564,7 @@
         auth = tmp_path / "auth"
         auth.write_text("u:wrong")
         known = [
-            listed(node(name, f"127.0.0.1:{9000 + place}"), WALL_CLOCK_OFFSET_S)
+            to_endpoint(node(name, f"127.0.0.1:{9000 + place}"), WALL_CLOCK_OFFSET_S)
             for place, name in enumerate(NAMES)
         ]
         async with ensemble(1) as service:
@@ -556,7 +572,7 @@
             put(service, "s-0")
             mine = settings(service, auth_file=str(auth))
             proxy = Proxy(service, Seat(EndpointList(1, True, known)), mine)
-            await until(lambda: proxy.membership.session.state is State.AUTH_FAILED, "refused")
+            await until(lambda: proxy.membership.session.state is SessionState.AUTH_FAILED, "refused")
             assert proxy.seat.serving() == set(NAMES)
             auth.write_text("u:p")
             file = operator_file(tmp_path, mine)
--- a/tests/harness/test_coordination.py
+++ b/tests/harness/test_coordination.py
@@ -22,7 +22,7 @@
 from kazoo.protocol.states import KazooState
 from kazoo.security import CREATOR_ALL_ACL
 
-from harness.coordination import Service, main, read_script
+from harness.coordination import CoordinationService, main, read_script
 from harness.kit import PATIENCE, LoopThread
 
 ROOT = Path(__file__).parent.parent.parent
@@ -35,8 +35,8 @@
         self.hosts = ",".join("{}:{}".format(*server.address) for server in self.service.servers)
         self.clients: list[KazooClient] = []
 
-    async def _start(self) -> Service:
-        service = Service(3)
+    async def _start(self) -> CoordinationService:
+        service = CoordinationService(3)
         await service.start()
         return service
 
@@ -47,7 +47,7 @@
         return client
 
     def do(self, **step: object) -> None:
-        self.thread.call(lambda: self.service.do(step))
+        self.thread.call(lambda: self.service.run_step(step))
 
     def stop(self) -> None:
         for client in self.clients:
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -13,7 +13,7 @@
 from netkit import PATIENCE, Backend, Caller, Discovery, Seen, endpoint, next_call, run, serve_ok
 from test_description import PLAIN, ROOT, put
 
-from harness.coordination import Service
+from harness.coordination import CoordinationService
 from harness.kit import until
 from harness.program import free_port
 
@@ -306,7 +306,7 @@
     """Ephemeral nodes: [tier.portal.membership] and [sidecar.registration]."""
 
     async def test() -> None:
-        service = Service()
+        service = CoordinationService()
         ((host, port),) = await service.start()
         application = Backend()
         application.healthy = False
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -173,7 +173,7 @@
             zones = {"n-0": "a", "n-1": "a", "n-2": "b"}
             for node in made.nodes:
                 node.zone = zones[node.name]
-                made.padron.put(made.entry(node, zone=zones[node.name]))
+                made.registry.put(made.entry(node, zone=zones[node.name]))
             raw, _ = await talk(made)
             await until(
                 lambda: len([t for t in made.ledger.told if t.state == "ready"]) >= 3, "zones are told"
--- a/tests/websocket/test_stock.py
+++ b/tests/websocket/test_stock.py
@@ -13,8 +13,8 @@
 from websockets.http11 import Request, Response
 from wskit import ALL, CONFIG, Made, run, running
 
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.ledger import Ledger
-from harness.padron import Padron, entry
 from harness.program import proxy, settings
 
 
@@ -85,10 +85,11 @@
         async with serve(echo, "127.0.0.1", 0, process_request=process) as server:
             address = "{}:{}".format(*next(iter(server.sockets)).getsockname()[:2])
             known = [entry("stock", address)]
-            padron = Padron(Ledger())
-            padron.put(known[0])
+            registry = EndpointRegistry(Ledger())
+            registry.put(known[0])
             raw = settings(grades=ALL)
-            async with proxy("edge", await padron.start(), known, CONFIG, more={"settings": raw}) as program:
+            at = await registry.start()
+            async with proxy("edge", at, known, CONFIG, more={"settings": raw}) as program:
                 uri = "ws://{}:{}/vigia".format(*program.address)
                 clients = [await connect(uri) for _ in range(5)]
                 for number, client in enumerate(clients):
@@ -99,6 +100,6 @@
                     await (await client.ping())
                 await asyncio.gather(*(client.close() for client in clients))
                 assert all(client.close_code == 1000 for client in clients)
-            padron.stop()
+            registry.stop()
 
     run(test())
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -227,7 +227,7 @@
     async def test() -> None:
         async with running() as made:
             raw = await made.opened()
-            made.padron.put(made.entry(made.nodes[0], since_ms=int(time.time() * 1000) + 1000))
+            made.registry.put(made.entry(made.nodes[0], since_ms=int(time.time() * 1000) + 1000))
             code, said = await raw.closed()
             assert code == 1012 and WAIT.fullmatch(said)
             await until(lambda: not made.nodes[0].open, "the old one is left")
--- a/tests/websocket/wskit.py
+++ b/tests/websocket/wskit.py
@@ -14,10 +14,10 @@
 from wsproto.frame_protocol import Frame, FrameProtocol, Opcode
 
 from harness.callers import EFFECTS, GRADES
+from harness.endpoint_registry import EndpointRegistry, entry
 from harness.kiosks import Kiosks
 from harness.kit import until
 from harness.ledger import Effect, Ledger
-from harness.padron import Padron, entry
 from harness.program import Program, proxy, settings
 from harness.wsnode import Fault, WsNode
 
@@ -37,10 +37,12 @@
 class Made:
     """A proxy, its nodes, and what it is told."""
 
-    def __init__(self, program: Program, nodes: list[WsNode], padron: Padron, ledger: Ledger) -> None:
+    def __init__(
+        self, program: Program, nodes: list[WsNode], registry: EndpointRegistry, ledger: Ledger
+    ) -> None:
         self.program = program
         self.nodes = nodes
-        self.padron = padron
+        self.registry = registry
         self.ledger = ledger
         self.kiosks = Kiosks(ledger, [program.address])
 
@@ -49,7 +51,7 @@
         return entry(node.name, node.address, **more)
 
     def tell(self, node: WsNode, status: str) -> None:
-        self.padron.put(self.entry(node, status=status))
+        self.registry.put(self.entry(node, status=status))
 
     async def reread(self, text: str) -> None:
         """Another operator's file, and SIGHUP; returns when the proxy has looked at it."""
@@ -169,21 +171,21 @@
 ) -> AsyncIterator[Made]:
     """`faults`: of each node in turn; `service`: s that they work on a call; `more`: of the JSON."""
     ledger = Ledger()
-    padron = Padron(ledger)
+    registry = EndpointRegistry(ledger)
     count = max(nodes, len(faults))
     made = [WsNode(ledger, f"n-{n}", faults[n] if n < len(faults) else (), service) for n in range(count)]
     for node in made:
         await node.start()
     known = [entry(node.name, node.address) for node in made]
     for item in known:
-        padron.put(item)
-    at = await padron.start()
+        registry.put(item)
+    at = await registry.start()
     raw = settings(grades=ALL, **changes)
     try:
         async with proxy(
             "edge", at, known, operator=config, more={"settings": raw, **(more or {})}
         ) as program:
-            found = Made(program, made, padron, ledger)
+            found = Made(program, made, registry, ledger)
             try:
                 yield found
             finally:
@@ -191,7 +193,7 @@
     finally:
         for node in made:
             node.stop()
-        padron.stop()
+        registry.stop()
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
