--- a/service_proxy/net/__init__.py
+++ b/service_proxy/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy round the decision module: sockets on one side, events and actions on the other."""
+"""Sockets and time: downstream connections, upstream pools, discovery, and the dispatcher between them."""
--- a/service_proxy/net/endpoint_list.py
+++ b/service_proxy/net/endpoint_list.py
@@ -1,4 +1,7 @@
-"""Lists of backends: their shape, and how one is read. Pure: who reads brings the clock's offset."""
+"""Endpoint lists as discovery has them: their shape, and how one is read.
+
+Pure: who reads a list brings the clock's offset.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,41 @@
 from hashlib import blake2b
 from typing import Any
 
+from service_proxy.net.errors import NetError
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host, as a number, and port
+
+MAX_PORT = 65535
+MIN_STARTED_AT_S = 1e-3  # of a process whose start is known; 0 says that it is not
+ENDPOINT_ID_BYTES = 6
 
-STATE_BY_STATUS = {
+STATE_BY_STATUS = {  # by the list's `status`
     "Ready": EndpointState.SERVING,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
 
 
+class InvalidAddressError(NetError, ValueError):
+    """A text is no address.
+
+    Attributes:
+        value: what stands in its place.
+    """
+
+    def __init__(self, value: object) -> None:
+        super().__init__(f"not an address: {value!r}")
+        self.value = value
+
+
+class InvalidEndpointListError(NetError, ValueError):
+    """An endpoint list can't be used."""
+
+
 @dataclass(slots=True)
 class Endpoint:
-    """A backend as a list names it."""
+    """An endpoint as a list names it: where it is, and what the policy takes of it."""
 
     address: Address
     entry: EndpointEntry
@@ -29,7 +53,11 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """`whole`: what is not in it is gone. Else only what changed."""
+    """Endpoints at one version.
+
+    Attributes:
+        is_snapshot: what is not in it is removed; else it holds only what changed.
+    """
 
     version: int
     is_snapshot: bool
@@ -37,35 +65,51 @@
 
 
 def parse_address(text: object) -> Address:
-    """`host:port` with a numeric host; there is no DNS."""
+    """Read `host:port` with a numeric host; there is no DNS.
+
+    Raises:
+        InvalidAddressError: it is none.
+    """
     if not isinstance(text, str):
-        raise ValueError(f"not an address: {text!r}")
+        raise InvalidAddressError(text)
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
-        raise ValueError(f"not an address: {text!r}")
+    if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
+        raise InvalidAddressError(text)
     return host.strip("[]"), int(port)
 
 
 def endpoint_id_of(name: str) -> int:
-    """The module's number of a backend: the same at every proxy, whose rings of backends must agree."""
-    return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
+    """Return the policy's number of an endpoint: the same at every proxy, whose hash rings must agree."""
+    return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
 
 def parse_endpoint_list(raw: object, wall_clock_offset: float) -> EndpointList:
-    """`wall_offset`: wall less monotonic time, s. Raises ValueError where the list can't be used."""
+    """Read a list from its JSON object.
+
+    Args:
+        raw: the object.
+        wall_clock_offset: wall less monotonic time, s.
+
+    Raises:
+        InvalidEndpointListError: it can't be used, or an endpoint in it.
+    """
     try:
         if not isinstance(raw, Mapping):
-            raise ValueError("not an object")
+            raise InvalidEndpointListError("not an object")
         endpoints = [parse_endpoint(item, wall_clock_offset) for item in raw["endpoints"]]
         return EndpointList(int(raw["index"]), bool(raw["snapshot"]), endpoints)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"malformed list: {error!r}") from None
+        raise InvalidEndpointListError(f"malformed list: {error!r}") from None
 
 
 def parse_endpoint(item: Mapping[str, Any], wall_clock_offset: float) -> Endpoint:
-    """One backend; raises ValueError, KeyError, TypeError, AttributeError or OverflowError."""
+    """Read one endpoint of a list.
+
+    Raises:
+        ValueError, KeyError, TypeError, AttributeError, OverflowError: it can't be used.
+    """
     since_ms = float(item.get("since_ms") or 0)
-    started_at = max(since_ms / 1000 - wall_clock_offset, 1e-3) if since_ms > 0 else 0.0
+    started_at = max(since_ms / 1000 - wall_clock_offset, MIN_STARTED_AT_S) if since_ms > 0 else 0.0
     name = str(item["name"])
     entry = EndpointEntry(
         endpoint_id=endpoint_id_of(name),
@@ -77,5 +121,5 @@
         started_at=started_at,
     )
     if not (entry.weight - entry.weight == 0.0 and started_at - started_at == 0.0):
-        raise ValueError("a figure of the list is not finite")
+        raise InvalidEndpointListError("a figure of the list is not finite")
     return Endpoint(parse_address(item["address"]), entry, name)
--- a/service_proxy/net/endpoint_sources.py
+++ b/service_proxy/net/endpoint_sources.py
@@ -1,7 +1,7 @@
-"""The seam for sources of servers and other subsystems: what each fills, and how main holds them.
+"""Protocols of endpoint sources and other subsystems that the operator's file turns on.
 
-A source yields lists of the shape of `net.discovery.Listing` and its own health; which of them counts is the
-subsystem's pure merger's to say, never this file's.
+A source yields endpoint lists (`net.endpoint_list`) and its own health; which source counts is decided by the
+subsystem's pure merger, never here.
 """
 
 from __future__ import annotations
@@ -13,29 +13,36 @@
 
 
 class SourceHealth(Enum):
-    """What is known of a source itself."""
+    """What is known of a source itself; the values stand in its reports."""
 
     NEVER_RECEIVED = "never heard"
-    FRESH = "fresh"  # what it said last is what it says now, but for its usual delay
+    FRESH = "fresh"  # its last list is its list now, but for its usual delay
     STALE = "stale"  # its connection or watch broke a moment ago; its list may be behind
-    UNREACHABLE = "unreachable"  # for longer than its session or patience: nothing it says is news
+    UNREACHABLE = "unreachable"  # for longer than its session or timeout: its list is not trusted
 
 
 class EndpointListListener(Protocol):
-    """Where merged lists go: the driver."""
+    """Where merged lists go: the dispatcher."""
 
-    def apply_endpoint_list(self, endpoint_list: EndpointList) -> None: ...
+    def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
+        """Put a list in force."""
 
-    def endpoint_list_failed(self) -> None: ...
+    def endpoint_list_failed(self) -> None:
+        """Take note that there is no list to be had."""
 
 
 class Subsystem(Protocol):
     """A part that the operator's file turns on."""
 
-    def start(self) -> None: ...
+    def start(self) -> None:
+        """Begin its tasks; called once, in the running loop."""
 
     def stop(self) -> None:
-        """Ends its tasks and sockets; called once, when the proxy ends."""
+        """End its tasks and sockets; called once, when the proxy ends."""
 
     def reload(self, file: str) -> None:
-        """After SIGHUP. Raises `operator.OperatorError`, and then nothing has changed."""
+        """Read its table again, after SIGHUP.
+
+        Raises:
+            OperatorError: it can't be used; then nothing has changed.
+        """
--- a/service_proxy/net/fleet_protocols.py
+++ b/service_proxy/net/fleet_protocols.py
@@ -1,7 +1,7 @@
-"""The seam to the other proxies: what parts that need them are handed, and nothing of how it is done.
+"""Protocols of the fleet: what parts that need the other proxies are handed, and nothing of how it is done.
 
-Datagrams are lost, doubled, late and in no order; what must be reliable or agreed is built above, by the part
-that needs it.
+Datagrams are lost, duplicated, late and in no order; what must be reliable or agreed is built above, by the
+part that needs it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMember:
-    """One of the fleet, as one view has it."""
+    """One proxy of the fleet, as one membership view has it."""
 
     key: bytes
     name: str
@@ -21,41 +21,52 @@
     zone: str
     incarnation: tuple[int, ...]  # greater is later; the first two are the same for one process's time
     state: str  # alive, suspect, dead or left
-    phase: str  # starting, serving, draining or leaving, by its own word
-    metadata: Mapping[int, bytes]  # by the port of the part that said it
+    phase: str  # starting, serving, draining or leaving, as it says itself
+    metadata: Mapping[int, bytes]  # by the port of the part that published it
 
 
 class MembershipView(Protocol):
+    """The fleet's members as this one knows them."""
+
     @property
     def own_key(self) -> bytes:
-        """The key of this member."""
+        """Return the key of this member."""
 
     @property
     def revision(self) -> int:
-        """Grows with each change."""
+        """Return a number that grows with each change."""
 
     @property
     def is_settled(self) -> bool:
-        """Nothing has changed lately, and all who were heard lately see the same."""
+        """Tell whether nothing has changed lately, and all who sent anything lately see the same."""
 
     @property
     def is_minority(self) -> bool:
-        """Less than half lives of all that it knew: others may go on without it."""
+        """Tell whether less than half is alive of all that it knew: others may go on without it."""
 
-    def members(self) -> list[FleetMember]: ...
+    def members(self) -> list[FleetMember]:
+        """Return all members that are known, this one among them."""
 
     def watch(self, callback: Callable[[Any], None]) -> None:
-        """Called after each change."""
+        """Call `callback` after each change."""
 
 
 class DatagramChannel(Protocol):
+    """An unreliable datagram channel to the members; each part has a port of its own."""
+
     def send(self, port: int, data: bytes, to: bytes | None = None) -> bool:
-        """To one member, or to all; whether it fits in a datagram and there is somebody."""
+        """Send to one member, or to all; tell whether it fits in a datagram and there is somebody."""
 
     def receive(self, port: int, callback: Callable[[bytes, bytes], None]) -> None:
-        """`callback` gets the sender's key and the data."""
+        """Call `callback` with the sender's key and the data of each datagram."""
 
 
 class MetadataPublisher(Protocol):
+    """Publishes metadata of this member to all others."""
+
     def publish(self, port: int, data: bytes) -> None:
-        """A few bytes that travel with this member's entry. Raises ValueError where there is no room."""
+        """Publish a few bytes that travel with this member's entry.
+
+        Raises:
+            ValueError: there is no room for them.
+        """
--- a/service_proxy/net/header_fields.py
+++ b/service_proxy/net/header_fields.py
@@ -9,14 +9,17 @@
 
 
 def parse_field(name: bytes, value: bytes) -> tuple[bytes, bytes]:
-    """A field without the white space behind its value, which is no part of it (RFC 9110, 5.5). The parser
-    reads a coding with a tab behind it as none at all, so there a tab stays, and the message is refused."""
+    """Return a field without the white space behind its value, which is no part of it (RFC 9110, 5.5).
+
+    The parser reads a coding with a tab behind it as none at all, so there a tab stays, and the message is
+    refused.
+    """
     name = name.lower()
     return name, value.strip(b" " if name == b"transfer-encoding" else b" \t")
 
 
 def closes_connection(headers: list[tuple[bytes, bytes]]) -> bool:
-    """Whether Connection says that this message is the last; the parser wants no white space there."""
+    """Tell whether Connection says that this message is the last; the parser wants no white space there."""
     return any(
         name == b"connection" and b"close" in (option.strip(b" \t").lower() for option in value.split(b","))
         for name, value in headers
--- /dev/null
+++ b/service_proxy/net/health_checker.py
@@ -0,0 +1,66 @@
+"""Health checks of endpoints: one short GET each, whose answer may be a load report."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from service_proxy.net.load_report import parse_load_report
+from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
+from service_proxy.policy import events as api
+
+MAX_HEALTH_CHECKS = 32  # at once
+HEALTH_CHECK_TIMEOUT_S = 0.2  # a load report that comes later is of no use
+
+
+class HealthChecker:
+    """Runs the health checks that are asked for.
+
+    Args:
+        cluster: the endpoints.
+        load_report_source: as the settings have it; "none": there are no load reports to ask for.
+        enqueue_event: takes the result for the policy.
+        report_outcome: called with the endpoint id and the status of each check.
+    """
+
+    def __init__(
+        self,
+        cluster: UpstreamCluster,
+        load_report_source: str,
+        enqueue_event: Callable[[api.Event], None],
+        report_outcome: Callable[[int, api.AttemptStatus], None],
+    ) -> None:
+        self.cluster = cluster
+        self.load_report_source = load_report_source
+        self.enqueue_event = enqueue_event
+        self.report_outcome = report_outcome
+        self.checks_in_flight = 0
+
+    def check(self, action: api.CheckHealth) -> None:
+        """Start a health check, unless the endpoint is not serving or too many are in flight."""
+        endpoint_id = action.endpoint_id
+        pool = self.cluster.pools.get(endpoint_id)
+        if pool is None or not pool.is_serving or self.checks_in_flight >= MAX_HEALTH_CHECKS:
+            # not the endpoint's fault
+            self.enqueue_event(api.HealthCheckEnded(endpoint_id, api.AttemptStatus.REJECTED, 0.0))
+            return
+        self.checks_in_flight += 1
+        target = "/healthz" if self.load_report_source == "none" else "/load"
+        host, port = pool.address
+        request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
+
+        def on_end(attempt: UpstreamAttempt) -> None:
+            self._on_check_end(endpoint_id, attempt)
+
+        self.cluster.start_attempt(
+            UpstreamAttempt(pool, request, HEALTH_CHECK_TIMEOUT_S, lambda: pool.is_serving, on_end)
+        )
+
+    def _on_check_end(self, endpoint_id: int, attempt: UpstreamAttempt) -> None:
+        self.checks_in_flight -= 1
+        status = attempt.status
+        assert status is not None
+        report = parse_load_report(attempt.response_body) if status is api.AttemptStatus.OK else None
+        self.report_outcome(endpoint_id, status)
+        if status is api.AttemptStatus.NOT_SENT:
+            status = api.AttemptStatus.REJECTED  # not asked, so nothing is known against it
+        self.enqueue_event(api.HealthCheckEnded(endpoint_id, status, attempt.elapsed, report))
--- /dev/null
+++ b/service_proxy/net/open_request.py
@@ -0,0 +1,68 @@
+"""A request that was taken and is owed its response: an entry of the dispatcher's table."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from typing import NamedTuple
+
+from service_proxy.net.downstream.request import Request, ResponseWriter
+from service_proxy.net.request_filters import RequestFilterState
+from service_proxy.net.upstream import UpstreamAttempt
+
+NO_FILTER_STATES: list[RequestFilterState] = []  # of all requests that no filter has a state of
+
+
+class FilterLimits(NamedTuple):
+    """What the filters leave of a request's attempts and weight."""
+
+    max_attempts: int = 0  # 0: as many as its class has
+    weight_share: float = 1.0
+
+
+NO_FILTER_LIMITS = FilterLimits()
+
+
+class OpenRequest:
+    """A taken request that is owed its response.
+
+    Attributes:
+        request_id: the policy's number of it; `request.id` is the client's.
+        deadline: by which it is answered, whatever the policy decides (monotonic, s).
+        maybe_executed: some attempt may have been executed.
+        attempt: the one that is in flight.
+    """
+
+    __slots__ = (
+        "attempt",
+        "attempts_started",
+        "deadline",
+        "deadline_timer",
+        "filter_states",
+        "is_open",
+        "maybe_executed",
+        "request",
+        "request_id",
+        "writer",
+    )
+
+    def __init__(self, request_id: int, request: Request, writer: ResponseWriter, deadline: float) -> None:
+        self.request_id = request_id
+        self.request = request
+        self.writer = writer
+        self.deadline = deadline
+        self.is_open = True
+        self.attempts_started = 0
+        self.maybe_executed = False
+        self.attempt: UpstreamAttempt | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.filter_states: list[RequestFilterState] = NO_FILTER_STATES
+
+    def limit_by_filters(self, filter_states: list[RequestFilterState]) -> FilterLimits:
+        """Take over the filters' states, and return what they leave of attempts and weight."""
+        self.filter_states = filter_states
+        for state in filter_states:
+            self.deadline = min(self.deadline, state.deadline)
+        attempts = [state.max_attempts for state in filter_states if state.max_attempts]
+        weight_share = math.prod(state.weight_share for state in filter_states)
+        return FilterLimits(min(attempts, default=0), weight_share)
--- /dev/null
+++ b/service_proxy/net/policy_runner.py
@@ -0,0 +1,90 @@
+"""Runs the one `Balancer`: gathers events into batches, and hands each action to its handler.
+
+The only caller of the policy. It keeps the policy's timers, and what the policy fails on ends here.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from service_proxy.policy import events as api
+from service_proxy.policy.balancer import Balancer
+
+log = logging.getLogger(__name__)
+
+LOOP_LAG_DECAY = 0.995  # of the measured lag that is left at each timer
+RETRIED_TIMER_S = 0.05  # after which a timer comes again that the policy failed on
+
+
+class PolicyRunner:
+    """Events in, actions out, no more often than once a quantum.
+
+    Attributes:
+        quantum: s between two batches of events.
+        action_handlers: by the type of action; filled by who runs the actions.
+        on_request_failed: called with the id of a request that an event or action of a failure belongs to.
+        loop_lag: s by which this loop's timers were late lately.
+    """
+
+    def __init__(self, balancer: Balancer, quantum: float, on_request_failed: Callable[[int], None]) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.balancer = balancer
+        self.quantum = quantum
+        self.on_request_failed = on_request_failed
+        self.action_handlers: Mapping[type, Callable[[Any], None]] = {}
+        self.pending_events: list[api.Event] = []
+        self.flush_handle: asyncio.Handle | None = None
+        self.last_flush_at = 0.0
+        self.loop_lag = 0.0
+
+    def enqueue(self, event: api.Event) -> None:
+        """Queue an event for the next batch."""
+        self.pending_events.append(event)
+        if self.flush_handle is None:
+            wait = self.last_flush_at + self.quantum - time.monotonic()
+            if wait > 0:
+                self.flush_handle = self.loop.call_later(wait, self.flush)
+            else:
+                self.flush_handle = self.loop.call_soon(self.flush)
+
+    def flush(self) -> None:
+        """Hand all queued events to the policy, and run the actions that it returns."""
+        self.flush_handle = None
+        now = self.last_flush_at = time.monotonic()
+        events = self.pending_events
+        self.pending_events = []
+        try:
+            actions = self.balancer.handle(now, events)
+        except Exception:
+            log.exception("policy_failed events=%d", len(events))
+            self._recover(events)
+            return
+        for action in actions:
+            try:
+                self.action_handlers[type(action)](action)
+            except Exception:  # one action's failure must not take the others with it
+                log.exception("action_failed action=%s", action)
+                request_id = getattr(action, "request_id", None)
+                if request_id is not None:
+                    self.on_request_failed(request_id)
+
+    def _recover(self, events: list[api.Event]) -> None:
+        """The policy failed on a batch: its requests fail, its timers come again, the rest goes on."""
+        for event in events:
+            if isinstance(event, api.RequestArrived | api.AttemptEnded):
+                self.on_request_failed(event.request_id)
+            elif isinstance(event, api.TimerFired):
+                self.set_timer(api.SetTimer(RETRIED_TIMER_S, event.token))
+
+    def set_timer(self, action: api.SetTimer) -> None:
+        """Queue a TimerFired event after the action's delay (s)."""
+        due = time.monotonic() + action.delay
+        self.loop.call_later(max(0.0, action.delay), self._on_timer, due, action.token)
+
+    def _on_timer(self, due: float, token: int) -> None:
+        self.loop_lag = max(self.loop_lag * LOOP_LAG_DECAY, time.monotonic() - due)
+        self.enqueue(api.TimerFired(token))
--- a/service_proxy/net/protocols.py
+++ b/service_proxy/net/protocols.py
@@ -1,4 +1,4 @@
-"""What callers' and backends' sides are to each other: neither imports the other, both know these."""
+"""What the downstream and upstream sides are to each other: neither imports the other, both know these."""
 
 from __future__ import annotations
 
@@ -9,38 +9,42 @@
 
 
 class ResponseSink(Protocol):
-    """Where an answer goes that is passed on as it comes."""
+    """Where a response goes that is streamed."""
 
-    def write(self, data: bytes) -> None: ...
+    def write(self, data: bytes) -> None:
+        """Take the next piece of the body."""
 
     def finish(self) -> None:
-        """It is whole."""
+        """Take note that the body is complete."""
 
     def fail(self) -> None:
-        """It will never be whole."""
+        """Take note that the body will never be complete."""
 
 
 class ResponseSource(Protocol):
-    """An answer that comes on by and by."""
+    """A response that is streamed."""
 
-    def stream_to(self, sink: ResponseSink) -> None: ...
+    def stream_to(self, sink: ResponseSink) -> None:
+        """Write the body to this sink from now on."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Write no more for now: the sink has had enough."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Write on."""
 
     def discard(self) -> None:
-        """Nobody takes the rest."""
+        """Give up: nobody takes the rest."""
 
 
 class UpgradeNegotiation(Protocol):
-    """Who wants a connection to a backend that is no HTTP any more: a request for an upgrade."""
+    """Who wants a connection to an endpoint that speaks no HTTP any more, for a request for an upgrade."""
 
     def request_headers(self) -> bytes:
-        """Header lines of the next attempt."""
+        """Return the header lines of the next attempt."""
 
     def verify_response(self, headers: list[tuple[bytes, bytes]]) -> str | None:
-        """What is wrong with the 101; None: nothing."""
+        """Return what is wrong with a 101; None: nothing."""
 
     def upgraded(
         self,
@@ -49,7 +53,7 @@
         surplus: bytes,
         on_end: Callable[[AttemptStatus], None],
     ) -> None:
-        """It is theirs from now on, with what came behind the 101. `over` is called once, at its end."""
+        """Take the connection, with what came behind the 101; `on_end` is called once, at its end."""
 
     def client_disconnected(self) -> None:
-        """Who asked for it has gone first."""
+        """Take note that the client has left first."""
--- a/service_proxy/net/request_body.py
+++ b/service_proxy/net/request_body.py
@@ -1,6 +1,6 @@
-"""A request's body between its caller and backends: held whole, or passed on as it comes.
+"""A request's body between its client and the endpoints: buffered until complete, or streamed.
 
-No sockets here: who reads it is told when there is more, who fills it when there is room.
+No sockets here: who reads it is notified when there is more, who fills it when there is room.
 """
 
 from __future__ import annotations
@@ -8,23 +8,31 @@
 from collections.abc import Callable
 from typing import Protocol
 
-STREAM_WINDOW_BYTES = 64 * 1024  # bytes of a body that is passed on which may wait here for the backend
+STREAM_WINDOW_BYTES = 64 * 1024  # of a streamed body that may wait here for the endpoint
 
 
 def encode_chunk(data: bytes) -> tuple[bytes, bytes, bytes]:
-    """As it stands in a chunked message (RFC 9112, 7.1); not for none, which would end it."""
+    """Return the pieces of a chunk (RFC 9112, 7.1); not for no data, which would end the message."""
     return b"%x\r\n" % len(data), data, b"\r\n"
 
 
 class BodyReader(Protocol):
-    """Who sends it on."""
+    """Who sends the body on."""
 
     def on_body_progress(self) -> None:
-        """There is more of it, or it has ended."""
+        """Take note that there is more of it, or that it has ended."""
 
 
 class RequestBody:
-    """`kept`: all of it stays until the call has ended, so it can be sent again."""
+    """A body that may still be coming.
+
+    Attributes:
+        length: as announced; None: it ends when it ends.
+        received_bytes: of all that have come; `buffered_bytes`: of `parts`.
+        is_replayable: all of it stays until the request has ended, so it can be sent again.
+        reader: who sends it on.
+        on_drained: called when there is room again; `on_complete`: with the last byte.
+    """
 
     __slots__ = (
         "buffered_bytes",
@@ -39,11 +47,10 @@
     )
 
     def __init__(self, length: int | None = None) -> None:
-        """`length`: as announced; None: it ends when it ends."""
         self.length = length
         self.parts: list[bytes] = []
-        self.received_bytes = 0  # bytes that have come
-        self.buffered_bytes = 0  # bytes of `parts`
+        self.received_bytes = 0
+        self.buffered_bytes = 0
         self.is_replayable = True
         self.is_complete = False
         self.reader: BodyReader | None = None
@@ -52,7 +59,7 @@
 
     @classmethod
     def of(cls, content: bytes) -> RequestBody:
-        """One that is whole."""
+        """Return a complete body."""
         body = cls(len(content))
         if content:
             body.append(content)
@@ -60,6 +67,7 @@
         return body
 
     def append(self, part: bytes) -> None:
+        """Take a part that has come."""
         self.parts.append(part)
         self.received_bytes += len(part)
         self.buffered_bytes += len(part)
@@ -67,7 +75,7 @@
             self.reader.on_body_progress()
 
     def finish(self) -> None:
-        """Its last byte has come."""
+        """Take note that the last byte has come."""
         self.is_complete = True
         if self.length is None and self.is_replayable:
             self.length = self.received_bytes
@@ -78,11 +86,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether who fills it should wait."""
+        """Tell whether who fills it should wait."""
         return not self.is_replayable and self.buffered_bytes > STREAM_WINDOW_BYTES
 
     def take_parts(self) -> list[bytes]:
-        """All that waits; it is let go where the body is passed on."""
+        """Return all that is buffered, and let go of it: the body is streamed."""
         parts = self.parts
         self.parts = []
         self.buffered_bytes = 0
--- a/service_proxy/net/request_filters.py
+++ b/service_proxy/net/request_filters.py
@@ -1,7 +1,7 @@
-"""The seam for what acts on a call before the module: budgets, and what comes after them.
+"""Protocols of request filters, which act on a request before the policy: deadline propagation and others.
 
-A filter looks at each call once as it comes: it answers in the module's place, or holds on to the call with a
-ticket until its end. Filters act in the order in which the assembly names them. With none, a call costs one
+A filter sees each request once as it comes: it rejects it in the policy's place, or keeps a state of it until
+its end. Filters act in the order in which the composition root names them. With none, a request costs one
 `if`.
 """
 
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from service_proxy.net.downstream import Request
+from service_proxy.net.downstream.request import Request
 from service_proxy.net.upstream import UpstreamAttempt
 from service_proxy.policy.events import AttemptStatus, Settings
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A refusal before any work: it never ran. With another code than 503 that is not said."""
+    """A rejection before any work: the request was not executed, which only a 503 says."""
 
     body: bytes
     status_code: int = 503
@@ -28,47 +28,52 @@
 
 
 class RequestFilterState(Protocol):
-    """A filter's hold on one call. Instants are monotonic, s."""
+    """What a filter knows of one request, until its end. Instants are monotonic, s."""
 
-    deadline: float  # when it has to be over
+    deadline: float  # by which the request has to end
     max_attempts: int  # at the most; 0: as many as its class has
-    weight_share: float  # of its class's worth
-    cancels_on_disconnect: bool  # an attempt ends where its caller leaves
+    weight_share: float  # of its class's priority weight
+    cancels_on_disconnect: bool  # an attempt ends where its client leaves
 
     def on_attempt_start(self, timeout: float) -> bytes | None:
-        """Header lines for an attempt that goes out now; None: it must not."""
+        """Return header lines for an attempt that starts now; None: it must not."""
 
     def on_attempt_end(self, attempt: UpstreamAttempt, status: AttemptStatus) -> None:
-        """The attempt's end."""
+        """Take note of an attempt's end."""
 
     def response_headers(self) -> HeaderFields:
-        """What the answer says to who asked."""
+        """Return header fields of the response."""
 
     def on_request_end(self, was_answered: bool) -> None:
-        """The call's end, once: it was answered by who worked on it, or nobody waits for that any more."""
+        """Take note of the request's end, once: it was answered, or nobody waits for that any more."""
 
 
 class RequestFilter(Protocol):
-    consumed_headers: frozenset[bytes]  # fields of requests and answers, in small letters, that end here
+    """Acts on requests before the policy."""
+
+    consumed_headers: frozenset[bytes]  # fields of requests and responses, in lower case, that end here
 
     def on_settings_update(self, settings: Settings) -> None:
-        """Other settings are in force from now on."""
+        """Take other settings, which are in force from now on."""
 
     def on_request(
         self, request: Request, abandon: Callable[[], None]
     ) -> RequestFilterState | Rejection | None:
-        """`give_up` ends the call at once, for want of anybody who waits for it. None: no hold on it."""
+        """Return a state of the request, or its rejection; None: it is of no concern here.
+
+        `abandon` ends the request at once, for want of anybody who waits for it.
+        """
 
 
 def headers_consumed_by(filters: Iterable[RequestFilter]) -> frozenset[bytes]:
-    """The fields that end at these filters."""
+    """Return the header fields that end at these filters."""
     return frozenset(name for request_filter in filters for name in request_filter.consumed_headers)
 
 
 def apply_filters(
     filters: Iterable[RequestFilter], request: Request, abandon: Callable[[], None]
 ) -> list[RequestFilterState] | Rejection:
-    """The tickets of all, in their order; where one turns the call away, those before it have ended."""
+    """Return the states of all, in their order; where one rejects the request, those before it have ended."""
     states: list[RequestFilterState] = []
     for request_filter in filters:
         state = request_filter.on_request(request, abandon)
--- /dev/null
+++ b/service_proxy/net/upstream/__init__.py
@@ -0,0 +1,17 @@
+"""The upstream side: attempts, connections, a connection pool for each endpoint, and the cluster of all."""
+
+from __future__ import annotations
+
+from service_proxy.net.upstream.attempt import UpgradeAttempt, UpstreamAttempt
+from service_proxy.net.upstream.cluster import UpstreamCluster
+from service_proxy.net.upstream.connection import ConnectionPool, UpstreamConnection
+from service_proxy.net.upstream.endpoint_pool import EndpointConnectionPool
+
+__all__ = [
+    "ConnectionPool",
+    "EndpointConnectionPool",
+    "UpgradeAttempt",
+    "UpstreamAttempt",
+    "UpstreamCluster",
+    "UpstreamConnection",
+]
--- a/service_proxy/websocket/front.py
+++ b/service_proxy/websocket/front.py
@@ -24,7 +24,7 @@
 )
 from service_proxy.net.limits import MIN_DESCRIPTORS
 from service_proxy.net.request_body import RequestBody
-from service_proxy.net.upstream import EndpointConnectionPool
+from service_proxy.net.upstream import ConnectionPool
 from service_proxy.operator_file import OperatorError, Problem, WebSocket, load
 from service_proxy.policy.events import Idempotency
 from service_proxy.websocket.codec import Codec
@@ -102,7 +102,7 @@
         self.doors = Doors()
         self.spread = Spread(config.seed, settings.reconnect_spread)
         self.peers: dict[Peer, None] = {}  # the clients' sides, and the nodes' sides of tunnels
-        self.tunnels: dict[EndpointConnectionPool, dict[Tunnel, None]] = {}  # by node
+        self.tunnels: dict[ConnectionPool, dict[Tunnel, None]] = {}  # by node
         self.loads: dict[Peer, int] = {}  # bytes that some have not taken
         self.load = 0  # of them together
         self.draining = False
@@ -273,7 +273,7 @@
         if not upstream.is_serving:  # it was told to drain while the handshake went on
             self.leaving(upstream)
 
-    def closed_tunnel(self, tunnel: Tunnel, upstream: EndpointConnectionPool) -> None:
+    def closed_tunnel(self, tunnel: Tunnel, upstream: ConnectionPool) -> None:
         here = self.tunnels.get(upstream)
         if here is not None:
             here.pop(tunnel, None)
@@ -323,7 +323,7 @@
         self.talks.sweep(now)
 
     # drains
-    def leaving(self, upstream: EndpointConnectionPool) -> None:
+    def leaving(self, upstream: ConnectionPool) -> None:
         """A node drains, is gone, or is another one by now: its tunnels leave it, one after another."""
         here = list(self.tunnels.get(upstream, ()))
         if not here:
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from service_proxy.net.upstream import EndpointConnectionPool, UpstreamConnection
+from service_proxy.net.upstream import ConnectionPool, UpstreamConnection
 from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.closing import State
 from service_proxy.websocket.codec import ABNORMAL, Codec, Piece
@@ -86,7 +86,7 @@
         self.bucket = Bucket(front.settings.burst, time.monotonic())
 
     @property
-    def upstream(self) -> EndpointConnectionPool | None:
+    def upstream(self) -> ConnectionPool | None:
         return self.origin.pool if self.origin is not None else None
 
     # before the 101
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,8 +12,8 @@
 from netkit import PATIENCE, Backend, Seen, proxy, response, run
 
 from service_proxy.net import upstream as up
-from service_proxy.net.dispatcher import parse_load_report
 from service_proxy.net.endpoint_list import Endpoint, EndpointList
+from service_proxy.net.load_report import parse_load_report
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
 OK = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -13,7 +13,7 @@
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, proxy, read_message, resets_on_close, response, run
 
 from service_proxy.net.request_body import STREAM_WINDOW_BYTES, RequestBody
-from service_proxy.net.upstream import BUFFERING_TIMEOUT_S
+from service_proxy.net.upstream.connection import BUFFERING_TIMEOUT_S
 
 MB = 1 << 20
 LONG = 32 * MB  # bytes; the longest that the operators have seen
