--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -24,15 +24,15 @@
 from statistics import median
 
 from benchmarks.per_call import Drive, cpu
-from benchmarks.proof import Proof, run
-from harness.backend import Backend
-from harness.callers import GIVE_UP
-from harness.chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.clients import GIVE_UP_MARGIN_S
+from harness.deployment import ApplicationProfile
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.kit import until
-from harness.ledger import Ledger
-from harness.program import proxy
-from harness.world import Habits
+from harness.event_loop import until
+from harness.proxy_process import running_proxy
+from harness.recorder import Recorder
+from harness.stub_endpoint import StubEndpoint
+from harness.tier_chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
 from service_proxy.deadlines.correlation import BYTES_PER_REQUEST, CorrelationTable
 from service_proxy.deadlines.request_budget import AttemptGrant, RequestBudget, root_budget
 
@@ -162,54 +162,64 @@
 
 def judge(made: Chain, seconds: tuple[float, float], into: Half) -> None:
     """The requests that came in this span, by the ledger."""
-    ledger, begun, ended = made.world.ledger, *seconds
-    mine = {t.call: t for t in ledger.taken if t.call.startswith("edge-") and begun <= t.at < ended}
-    answers = {answer.call: answer for answer in ledger.answers}
+    ledger, begun, ended = made.deployment.recorder, *seconds
+    mine = {
+        t.request_id: t
+        for t in ledger.requests
+        if t.request_id.startswith("edge-") and begun <= t.sent_at < ended
+    }
+    answers = {answer.request_id: answer for answer in ledger.answers}
     for call, taken in mine.items():
-        cls = CLASSES[taken.cls]
+        cls = CLASSES[taken.class_name]
         answer = answers.get(call)
         into.calls += 1
         into.offered += cls.worth
-        if answer is not None and answer.code == 200 and not answer.left:
+        if answer is not None and answer.status_code == 200 and not answer.client_gave_up:
             into.served += 1
-            if answer.at <= taken.at + cls.aim:
+            if answer.received_at <= taken.sent_at + cls.aim:
                 into.in_time += cls.worth
-        into.refused += answer is not None and answer.code == 503
+        into.refused += answer is not None and answer.status_code == 503
     for attempt in ledger.attempts:
-        first = mine.get(made.root(attempt.call))
-        if first is None or not attempt.ran:
+        first = mine.get(made.root(attempt.request_id))
+        if first is None or not attempt.executed:
             continue
-        answer = answers.get(first.call)
+        answer = answers.get(first.request_id)
         into.work += attempt.work
-        end = answer.at if answer is not None else first.due
-        into.nobody += max(0.0, attempt.ran_at + attempt.work - max(attempt.ran_at, end))
-        if attempt.server.startswith("nucleo"):
+        end = answer.received_at if answer is not None else first.deadline
+        into.nobody += max(0.0, attempt.executed_at + attempt.work - max(attempt.executed_at, end))
+        if attempt.endpoint.startswith("nucleo"):
             into.inner += attempt.work
-            if answer is not None and answer.code == 200 and answer.at <= first.at + CLASSES[first.cls].aim:
+            if (
+                answer is not None
+                and answer.status_code == 200
+                and answer.received_at <= first.sent_at + CLASSES[first.class_name].aim
+            ):
                 into.used += attempt.work
-        if answer is None or answer.code != 200 or answer.left:
+        if answer is None or answer.status_code != 200 or answer.client_gave_up:
             into.wasted += attempt.work
-    into.late += [by for attempt, by in made.late(ALLOWANCE) if made.root(attempt.call) in mine]
+    into.late += [by for attempt, by in made.late(ALLOWANCE) if made.root(attempt.request_id) in mine]
     counts = made.attempts()
     into.most_attempts = max([into.most_attempts, *(counts[call] for call in mine)])
 
 
 async def turn(on: bool, half: float, hangs: int, seed: int, calm: Half, over: Half) -> None:
-    habits = Habits(CALLS_EACH, passes_time=False, copies_budget=on, services=SERVICES)
-    async with running(2, HOSTS, on, habits=habits) as made:
-        callers = made.world.callers
+    habits = ApplicationProfile(
+        CALLS_EACH, propagates_deadline=False, copies_budget_header=on, service_time_by_tier=SERVICES
+    )
+    async with running(2, HOSTS, on, profile=habits) as made:
+        callers = made.deployment.clients
         assert callers is not None
-        made.world.call_directly()
-        callers.patience = PATIENCE
+        made.deployment.bypass_edge_proxy()
+        callers.budget_shares = PATIENCE
         callers.random = Random(seed)  # the same calls at the same moments, on and off
         loop = asyncio.get_running_loop()
         spans = []
-        await callers.run(WARM, CALM * CAPACITY, wait=False)  # until the windows know what is usual
+        await callers.run(WARM, CALM * CAPACITY, wait_and_close=False)  # until the windows know what is usual
         for share in (CALM, OVER):
             begun = loop.time()
-            calling = asyncio.create_task(callers.run(half, share * CAPACITY, wait=False))
+            calling = asyncio.create_task(callers.run(half, share * CAPACITY, wait_and_close=False))
             if share == OVER:
-                inner = [host.application for host in made.world.hosts if host.sidecar.tier == "nucleo"]
+                inner = [host.application for host in made.deployment.hosts if host.sidecar.tier == "nucleo"]
                 for number in range(hangs):
                     await asyncio.sleep(half / (hangs + 1) - (HANG if number else 0.0))
                     hung = inner[number % len(inner)]
@@ -217,77 +227,80 @@
                     await asyncio.sleep(HANG)
             await calling
             spans.append((begun, loop.time()))
-            longest = max(cls.budget for cls in made.world.classes.values()) + GIVE_UP
-            await until(lambda: not callers.open, "the last answers", longest + 1.0)
+            longest = max(cls.budget for cls in made.deployment.classes.values()) + GIVE_UP_MARGIN_S
+            await until(lambda: not callers.open_requests, "the last answers", longest + 1.0)
             await asyncio.sleep(0.5)  # what still works for nobody shows
-        effects = {name: cls.effect for name, cls in made.world.classes.items()}
+        effects = {name: cls.idempotency for name, cls in made.deployment.classes.items()}
         for into, span in zip((calm, over), spans, strict=True):
             judge(made, span, into)
-            into.broken += [str(violation) for violation in made.world.ledger.audit(effects)]
+            into.broken += [str(violation) for violation in made.deployment.recorder.audit(effects)]
 
 
-async def overload(proof: Proof) -> None:
+async def overload(proof: BenchmarkReport) -> None:
     half, turns, hangs = (HALF_SHORT, TURNS_SHORT, HANGS_SHORT) if proof.short else (HALF, TURNS, HANGS)
     found = {on: (Half(), Half()) for on in (True, False)}
     for number in range(turns):
         for on in (True, False) if number % 2 == 0 else (False, True):
             await turn(on, half, hangs, proof.seed + number, *found[on])
-    proof.figure(
+    proof.record(
         "chain", HOSTS * 2, f"sidecars; {CAPACITY:.0f} calls a second at the most; {half:g} s a half"
     )
     for on, (calm, over) in found.items():
         word = "on" if on else "off"
         for name, part in (("calm", calm), ("over", over)):
-            proof.figure(f"{word}_{name}_calls", part.calls, f"served {part.served}, refused {part.refused}")
-            proof.figure(f"{word}_{name}_worth", part.worth, "of the worth asked for, in time")
-            proof.figure(f"{word}_{name}_wasted", part.wasted, f"s of {part.work:.2f} s of work")
-            proof.figure(f"{word}_{name}_for_nobody", part.nobody, "s of work after its request's end")
-            proof.figure(
+            proof.record(f"{word}_{name}_calls", part.calls, f"served {part.served}, refused {part.refused}")
+            proof.record(f"{word}_{name}_worth", part.worth, "of the worth asked for, in time")
+            proof.record(f"{word}_{name}_wasted", part.wasted, f"s of {part.work:.2f} s of work")
+            proof.record(f"{word}_{name}_for_nobody", part.nobody, "s of work after its request's end")
+            proof.record(
                 f"{word}_{name}_inner", part.inner, f"s of the inner tier, {part.used:.2f} of it in time"
             )
-            proof.figure(
+            proof.record(
                 f"{word}_{name}_begun_late",
                 len(part.late),
                 f"works for nobody, the latest {max(part.late, default=0.0):.3f} s",
             )
-            proof.figure(
+            proof.record(
                 f"{word}_{name}_attempts", part.most_attempts, "that reached an application, at the most"
             )
-            proof.claim(not part.broken, f"{word}: rules broken: {part.broken[:2]}")
-    proof.figure("allowance", ALLOWANCE, "s")
+            proof.check(not part.broken, f"{word}: rules broken: {part.broken[:2]}")
+    proof.record("allowance", ALLOWANCE, "s")
     (calm_on, over_on), (calm_off, over_off) = found[True], found[False]
     late = len(calm_on.late) + len(over_on.late)
-    proof.claim(not late, f"{late} works were begun for nobody with budgets on")
-    proof.claim(over_on.nobody < over_off.nobody, "no less work was done for nobody with budgets on")
-    proof.claim(over_on.wasted < over_off.wasted, "no less work was wasted with budgets on")
-    proof.claim(calm_on.worth >= calm_off.worth - SAME, "the calm half lost worth with budgets on")
-    proof.claim(over_on.worth > over_off.worth, "the overloaded half gained no worth with budgets on")
+    proof.check(not late, f"{late} works were begun for nobody with budgets on")
+    proof.check(over_on.nobody < over_off.nobody, "no less work was done for nobody with budgets on")
+    proof.check(over_on.wasted < over_off.wasted, "no less work was wasted with budgets on")
+    proof.check(calm_on.worth >= calm_off.worth - SAME, "the calm half lost worth with budgets on")
+    proof.check(over_on.worth > over_off.worth, "the overloaded half gained no worth with budgets on")
     most = max(calm_on.most_attempts, over_on.most_attempts)
-    proof.claim(most <= ATTEMPTS, f"a request had {most} attempts, and its tree {ATTEMPTS}")
+    proof.check(most <= ATTEMPTS, f"a request had {most} attempts, and its tree {ATTEMPTS}")
 
 
-async def loops(proof: Proof) -> None:
+async def loops(proof: BenchmarkReport) -> None:
     calls = LOOPED_SHORT if proof.short else LOOPED
     for tiers in (1, 2, 3):
         async with running(tiers, 1, misroute=True) as made:
-            callers = made.world.callers
+            callers = made.deployment.clients
             assert callers is not None
-            await asyncio.gather(*(callers.call(made.world.classes["canje"]) for _ in range(calls)))
-            hops = [made.depth(attempt.call) for attempt in made.world.ledger.attempts]
-            again = Counter((made.root(a.call), a.server) for a in made.world.ledger.attempts if a.ran)
-            proof.figure(
-                f"loop_{tiers}_hops", max(hops, default=0), f"of {calls} calls; told {made.loops_told()}"
+            await asyncio.gather(*(callers.request(made.deployment.classes["canje"]) for _ in range(calls)))
+            hops = [made.depth(attempt.request_id) for attempt in made.deployment.recorder.attempts]
+            again = Counter(
+                (made.root(a.request_id), a.endpoint) for a in made.deployment.recorder.attempts if a.executed
+            )
+            proof.record(
+                f"loop_{tiers}_hops", max(hops, default=0), f"of {calls} calls; told {made.reported_loops()}"
             )
-            proof.claim(
-                callers.codes[200] == 0 and max(hops, default=0) <= MOST_HOPS, f"loop of {tiers} went on"
+            proof.check(
+                callers.status_codes[200] == 0 and max(hops, default=0) <= MOST_HOPS,
+                f"loop of {tiers} went on",
             )
-            proof.claim(hops and made.loops_told(), f"no line names the loop of {tiers}")
-            proof.claim(
+            proof.check(hops and made.reported_loops(), f"no line names the loop of {tiers}")
+            proof.check(
                 max(again.values(), default=0) == 1, f"a server worked twice on a call in a loop of {tiers}"
             )
 
 
-def histories(proof: Proof) -> None:
+def histories(proof: BenchmarkReport) -> None:
     count = HISTORIES_SHORT if proof.short else HISTORIES
     faults: list[str] = []
     sends = 0
@@ -295,18 +308,18 @@
         history = play(proof.seed * 1_000_003 + number)
         sends += history.sends
         faults += history.faults
-    proof.figure("histories", count, f"of the accounts, with {sends} attempts")
-    proof.figure("histories_broken", len(faults), "times negative, made from nothing, or debited twice")
-    proof.claim(not faults, f"the accounts broke: {faults[:2]}")
+    proof.record("histories", count, f"of the accounts, with {sends} attempts")
+    proof.record("histories_broken", len(faults), "times negative, made from nothing, or debited twice")
+    proof.check(not faults, f"the accounts broke: {faults[:2]}")
 
 
-async def cost(proof: Proof) -> None:
+async def cost(proof: BenchmarkReport) -> None:
     """CPU per call of a plain proxy at the edge, off and on, in turns."""
     calls, turns = (CALLS_SHORT, 2) if proof.short else (CALLS, 7)
-    ledger = Ledger()
+    ledger = Recorder()
     registry = EndpointRegistry(ledger)
     await registry.start()
-    backends = [Backend(ledger, f"s-{number}", service=0.0) for number in range(3)]
+    backends = [StubEndpoint(ledger, f"s-{number}", service_time=0.0) for number in range(3)]
     for backend in backends:
         await backend.start()
     known = [entry(backend.name, backend.address) for backend in backends]
@@ -316,8 +329,8 @@
         keys = key_file(Path(folder))
         table = f'[budgets]\nkeys_file = "{keys}"\nedge = true\n'
         async with (
-            proxy("off", registry.address, known) as off,
-            proxy("on", registry.address, known, table) as on,
+            running_proxy("off", registry.address, known) as off,
+            running_proxy("on", registry.address, known, table) as on,
         ):
             used: dict[str, list[float]] = {"off": [], "on": []}
             for number in range(turns):
@@ -330,11 +343,11 @@
     for backend in backends:
         backend.stop()
     for name, costs in used.items():
-        proof.figure(f"cpu_{name}", median(costs), "us a call")
-    proof.figure("cpu_on_to_off", median(used["on"]) / median(used["off"]), "times")
+        proof.record(f"cpu_{name}", median(costs), "us a call")
+    proof.record("cpu_on_to_off", median(used["on"]) / median(used["off"]), "times")
 
 
-def memory(proof: Proof) -> None:
+def memory(proof: BenchmarkReport) -> None:
     """Of the correlation's table when it is full."""
     tracemalloc.start()
     table = CorrelationTable()
@@ -343,17 +356,17 @@
         table.add(f"{number:016x}", b"%016x" % number, b"key-%012x" % number, "reserva", account)
     each = tracemalloc.get_traced_memory()[0] / table.max_requests
     tracemalloc.stop()
-    proof.figure(
+    proof.record(
         "correlation_full",
         each * table.max_requests / 2**20,
         f"MB of {table.max_requests} requests, {each:.0f} bytes each",
     )
-    proof.claim(
+    proof.check(
         each <= BYTES_PER_REQUEST, f"a request takes {each:.0f} bytes, and {BYTES_PER_REQUEST} are documented"
     )
 
 
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     histories(proof)
     memory(proof)
     await cost(proof)
@@ -362,4 +375,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("budgets", measure))
+    sys.exit(run_benchmark("budgets", measure))
--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -24,14 +24,14 @@
 from random import Random
 from statistics import median
 
-from benchmarks.proof import Proof, run
-from harness.backend import Backend
-from harness.callers import EFFECTS, Callers
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.clients import IDEMPOTENCY_BY_CLASS, ClientPool
 from harness.coordination import CoordinationService, ServiceConnection, SessionRecord
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.kit import until
-from harness.ledger import Ledger, Told
-from harness.program import Program, proxy
+from harness.event_loop import until
+from harness.proxy_process import ProxyProcess, running_proxy
+from harness.recorder import Notification, Recorder
+from harness.stub_endpoint import StubEndpoint
 from service_proxy.ephemeral_nodes.children_cache import ChildrenCache
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, to_endpoint
 from service_proxy.ephemeral_nodes.jute import OPEN_ACL, EventType
@@ -79,10 +79,10 @@
 
     def __init__(self, size: Size, seed: int) -> None:
         self.size, self.random = size, Random(seed)
-        self.ledger = Ledger()
+        self.ledger = Recorder()
         self.registry = EndpointRegistry(self.ledger, seed, LEAVING_LATE)
         self.service = CoordinationService(3)
-        self.nodes: dict[str, Backend] = {}
+        self.nodes: dict[str, StubEndpoint] = {}
         self.registrars: dict[str, Registrar] = {}
         self.losses: list[Loss] = []
         self.away: set[str] = set()
@@ -99,7 +99,7 @@
         self.service.on_sent = self.sent
         for number in range(self.size.nodes):
             name = f"s-{number:02d}"
-            backend = Backend(self.ledger, name, "abc"[number % 3], 0.005 + 0.02 * self.random.random())
+            backend = StubEndpoint(self.ledger, name, "abc"[number % 3], 0.005 + 0.02 * self.random.random())
             await backend.start()
             self.nodes[name] = backend
             self.registry.put(self.entry(name), delay_range=(0.0, 0.0))
@@ -136,14 +136,14 @@
         for name in gone:
             if (via, name) not in self.told:
                 self.told.add((via, name))
-                self.ledger.told.append(Told(name, now, "gone", MEMBERSHIP, via))
+                self.ledger.notifications.append(Notification(name, now, "gone", MEMBERSHIP, via))
         if event == EventType.CREATED:
             for name in names:
                 self.ready(via, name, now)
 
     def ready(self, via: str, name: str, now: float) -> None:
         self.told.discard((via, name))
-        self.ledger.told.append(Told(name, now, "ready", MEMBERSHIP, via))
+        self.ledger.notifications.append(Notification(name, now, "ready", MEMBERSHIP, via))
 
     async def lose(self, name: str, silent: bool) -> None:
         """A nodo's session ends; it comes back after a while, cold and under its name."""
@@ -162,11 +162,11 @@
         )
         self.losses.append(loss)
         await asyncio.sleep(self.size.away)
-        loss.last = dict(backend.last_by)
+        loss.last = dict(backend.last_request_by_proxy)
         backend.stop()
         backend.silent = False
         del self.lost_at[name]
-        await backend.start(cold=True)
+        await backend.start(warming_up=True)
         self.registry.put(self.entry(name), delay_range=LEAVING_LATE)
         self.register(name)
         self.away.discard(name)
@@ -174,7 +174,9 @@
     def in_use(self, names: list[str]) -> list[str]:
         """Of these, those that the most proxies have sent to lately: whose loss matters."""
         since = time.monotonic() - RECENT
-        users = {name: sum(at > since for at in self.nodes[name].last_by.values()) for name in names}
+        users = {
+            name: sum(at > since for at in self.nodes[name].last_request_by_proxy.values()) for name in names
+        }
         return [name for name in names if users[name] == max(users.values())]
 
     def stop(self) -> None:
@@ -244,17 +246,17 @@
     return min((int(now) for now, _ in found), default=nodes)
 
 
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     size = SHORT if proof.short else FULL
-    proof.figure("nodes", size.nodes, "nodos")
-    proof.figure("rate", size.rate, "calls a second, over three proxies")
+    proof.record("nodes", size.nodes, "nodos")
+    proof.record("rate", size.rate, "calls a second, over three proxies")
     fleet = Fleet(size, proof.seed)
     await fleet.start()
     assert fleet.settings is not None
     servers = ", ".join(f'"{server}"' for server in fleet.settings.servers)
     windows: list[tuple[str, float, float]] = []
     async with contextlib.AsyncExitStack() as stack:
-        proxies: dict[str, Program] = {}
+        proxies: dict[str, ProxyProcess] = {}
         known = [fleet.entry(name) for name in fleet.nodes]
         for name in ("m0", "m1", "p0"):
             operator = (
@@ -263,7 +265,7 @@
                 'snapshot = "{folder}/nodes"\n'
             )
             proxies[name] = await stack.enter_async_context(
-                proxy(
+                running_proxy(
                     name,
                     fleet.registry.address,
                     known,
@@ -276,7 +278,7 @@
         await asyncio.sleep(2.0)
         begun = time.monotonic()
         callers = {
-            name: Callers(fleet.ledger, node.address, name, proof.seed) for name, node in proxies.items()
+            name: ClientPool(fleet.ledger, node.address, name, proof.seed) for name, node in proxies.items()
         }
         played = asyncio.ensure_future(script(fleet, size, windows))
         driving = [
@@ -286,85 +288,87 @@
         await played
         await asyncio.gather(*driving)
         ended = time.monotonic()
-        logs = {name: node.log.read_text() for name, node in proxies.items()}
+        logs = {name: node.log_file.read_text() for name, node in proxies.items()}
         for name, node in proxies.items():
-            proof.figure(f"{name}_memory", node.memory(), "MB")
+            proof.record(f"{name}_memory", node.resident_mb(), "MB")
     fleet.stop()
     await fleet.service.stop()
     judge(proof, fleet, size, windows, begun, ended, logs, callers)
     await of_many(proof)
 
 
-async def drive(callers: Callers, until_done: asyncio.Future[None], rate: float) -> None:
+async def drive(callers: ClientPool, until_done: asyncio.Future[None], rate: float) -> None:
     """Calls at the rate until the script has been played, then what is owed is waited for."""
     while not until_done.done():
-        await callers.run(1.0, rate, wait=False)
+        await callers.run(1.0, rate, wait_and_close=False)
     await callers.run(0.0, rate)
 
 
 def judge(
-    proof: Proof,
+    proof: BenchmarkReport,
     fleet: Fleet,
     size: Size,
     windows: list[tuple[str, float, float]],
     begun: float,
     ended: float,
     logs: dict[str, str],
-    callers: dict[str, Callers],
+    callers: dict[str, ClientPool],
 ) -> None:
     ledger = fleet.ledger
-    proof.figure("span", ended - begun, "s")
-    proof.figure("calls", len(ledger.taken), "calls")
-    proof.figure("expiries", len(fleet.losses), "sessions lost")
-    proof.claim(len(fleet.losses) == size.expiries, "not all expiries were played")
-    proof.claim(not any(c.unsent for c in callers.values()), "callers could not send all of their calls")
+    proof.record("span", ended - begun, "s")
+    proof.record("calls", len(ledger.requests), "calls")
+    proof.record("expiries", len(fleet.losses), "sessions lost")
+    proof.check(len(fleet.losses) == size.expiries, "not all expiries were played")
+    proof.check(
+        not any(c.unsent_count for c in callers.values()), "callers could not send all of their calls"
+    )
     ours: list[float] = []
     theirs: list[float] = []
     for loss in fleet.losses:
         for name, last in loss.last.items():
             (ours if name[0] == "m" else theirs).append(max(0.0, last - loss.at))
-    proof.claim(ours, "no nodo that was lost had been sent to before")
+    proof.check(ours, "no nodo that was lost had been sent to before")
     ours = ours or [0.0]
     theirs = theirs or [0.0]
-    proof.figure("last_send_by_session", median(ours), "s after the loss, median")
-    proof.figure("last_send_by_session_worst", max(ours), "s after the loss")
-    proof.figure("last_send_by_padron", median(theirs), "s after the loss, median")
-    proof.figure("last_send_by_padron_worst", max(theirs), "s after the loss")
+    proof.record("last_send_by_session", median(ours), "s after the loss, median")
+    proof.record("last_send_by_session_worst", max(ours), "s after the loss")
+    proof.record("last_send_by_padron", median(theirs), "s after the loss, median")
+    proof.record("last_send_by_padron_worst", max(theirs), "s after the loss")
     late = [
         f"{loss.name} by {name} {last - loss.at:.2f} s"
         for loss in fleet.losses
         for name, last in loss.last.items()
         if name[0] == "m" and last - loss.at > GRACE + SLACK
     ]
-    proof.claim(not late, f"new sends later than {GRACE:g} s after a session's loss: {late[:5]}")
-    told = sum(item.source == MEMBERSHIP and item.state == "gone" for item in ledger.told)
-    proof.figure("told", told, "ends written to proxies by the service")
-    proof.claim(told >= 2 * size.expiries, "not every loss was told to both proxies")
+    proof.check(not late, f"new sends later than {GRACE:g} s after a session's loss: {late[:5]}")
+    told = sum(item.source == MEMBERSHIP and item.state == "gone" for item in ledger.notifications)
+    proof.record("told", told, "ends written to proxies by the service")
+    proof.check(told >= 2 * size.expiries, "not every loss was told to both proxies")
     for what, since, until_ in windows:
         for name in ("m0", "m1"):
-            taken = {item.call for item in ledger.taken if item.proxy == name}
-            mine = [a for a in ledger.answers if since <= a.at <= until_ and a.call in taken]
-            served = sum(a.code == 200 for a in mine)
+            taken = {item.request_id for item in ledger.requests if item.proxy == name}
+            mine = [a for a in ledger.answers if since <= a.received_at <= until_ and a.request_id in taken]
+            served = sum(a.status_code == 200 for a in mine)
             label = what.replace(" ", "_")
-            proof.figure(f"{label}_{name}", f"{served}/{len(mine)}", "calls served")
-            proof.claim(mine and served >= 0.99 * len(mine), f"{what}: {name} served {served} of {len(mine)}")
+            proof.record(f"{label}_{name}", f"{served}/{len(mine)}", "calls served")
+            proof.check(mine and served >= 0.99 * len(mine), f"{what}: {name} served {served} of {len(mine)}")
     for name in ("m0", "m1"):
         least = least_in_use(logs[name], size.nodes)
-        proof.figure(f"{name}_least_in_use", least, f"of {size.nodes} servers")
+        proof.record(f"{name}_least_in_use", least, f"of {size.nodes} servers")
         fewest = size.nodes - int(SHARE * size.nodes)
-        proof.claim(least >= fewest, f"{name} had {least} servers in use, {fewest} is the share's bound")
+        proof.check(least >= fewest, f"{name} had {least} servers in use, {fewest} is the share's bound")
         held = logs[name].count("held to be its own fault")
-        proof.figure(f"{name}_held", held, "mass losses held")
-        proof.claim(held >= 1, f"{name} did not hold the empty ensemble's loss")
+        proof.record(f"{name}_held", held, "mass losses held")
+        proof.check(held >= 1, f"{name} did not hold the empty ensemble's loss")
     for name, caller in callers.items():
-        total = sum(caller.codes.values())
-        proof.figure(f"{name}_served", caller.codes[200] / max(1, total), "of its calls")
-    broken = ledger.audit(EFFECTS)
-    proof.figure("rules_broken", len(broken), "of the four, over all proxies")
-    proof.claim(not broken, "; ".join(map(str, broken[:5])))
+        total = sum(caller.status_codes.values())
+        proof.record(f"{name}_served", caller.status_codes[200] / max(1, total), "of its calls")
+    broken = ledger.audit(IDEMPOTENCY_BY_CLASS)
+    proof.record("rules_broken", len(broken), "of the four, over all proxies")
+    proof.check(not broken, "; ".join(map(str, broken[:5])))
 
 
-async def of_many(proof: Proof) -> None:
+async def of_many(proof: BenchmarkReport) -> None:
     """A proxy with 10,000 listed nodes beside one with a single one, and 1,000 changes of its list."""
     sizes = {}
     for count in (1, LISTED):
@@ -376,16 +380,16 @@
             node = many(number)
             service.tree.create(f"/many/{node.name}", node.encode(), list(OPEN_ACL), 1, 1)
         operator = '[membership]\nservers = ["{}:{}"]\npath = "/many"\nreads_per_s = 10000.0\n'.format(*at[0])
-        registry = EndpointRegistry(Ledger())
+        registry = EndpointRegistry(Recorder())
         await registry.start()
-        async with proxy("many", registry.address, [], operator, ready=False) as program:
+        async with running_proxy("many", registry.address, [], operator, ready=False) as program:
             await until(functools.partial(says_fresh, program), "all read", 60)
             await asyncio.sleep(0.5)
-            sizes[count] = program.memory()
+            sizes[count] = program.resident_mb()
         registry.stop()
         await service.stop()
-    proof.figure("memory_of_10000_nodes", sizes[LISTED] - sizes[1], "MB more than with one")
-    proof.figure("memory_with_10000_nodes", sizes[LISTED], "MB in all")
+    proof.record("memory_of_10000_nodes", sizes[LISTED] - sizes[1], "MB more than with one")
+    proof.record("memory_with_10000_nodes", sizes[LISTED], "MB in all")
     tree = ChildrenCache()
     merger = EndpointListMerger(SHARE, 10.0)
     nodes = [many(number) for number in range(LISTED)]
@@ -400,11 +404,11 @@
         else:
             merger.update(MEMBERSHIP, [to_endpoint(node.draining(), 0.0)], number * 0.001)
         merger.take_changes(number * 0.001)
-    proof.figure("cpu_of_1000_changes", time.process_time() - begun, "s, each given out alone")
+    proof.record("cpu_of_1000_changes", time.process_time() - begun, "s, each given out alone")
 
 
-def says_fresh(program: Program) -> bool:
-    return "membership is fresh" in program.log.read_text()
+def says_fresh(program: ProxyProcess) -> bool:
+    return "membership is fresh" in program.log_file.read_text()
 
 
 def many(number: int) -> EndpointNode:
@@ -416,4 +420,4 @@
 if __name__ == "__main__":
     # Sidecars that lose their sessions say so. Not in measure(): a test that runs it keeps its log.
     logging.getLogger("service_proxy").setLevel(logging.CRITICAL)
-    sys.exit(run("ephemeral", measure))
+    sys.exit(run_benchmark("ephemeral", measure))
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,13 +23,13 @@
 from statistics import median
 
 from benchmarks.per_call import Drive, cpu
-from benchmarks.proof import Proof, run
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.event_loop import until
 from harness.fleet import state_model
 from harness.fleet.fault_script import ACTIONS, FaultPlayer, FaultScript, ScriptedFault, ScriptHeader
 from harness.fleet.harness import FleetHarness, FleetOptions, LoggedChange, running_fleet
 from harness.fleet.network import LinkFaults
 from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet, VirtualMember, address_of
-from harness.kit import until
 from service_proxy.fleet.authentication import MessageAuthenticator
 from service_proxy.fleet.member_states import MemberState
 from service_proxy.fleet.member_table import MembershipChange
@@ -115,7 +115,7 @@
     return {seat.name for seat in w.slots if seat.alive and not any(end > since for _, end in seat.downtimes)}
 
 
-async def real(proof: Proof, seed: int) -> None:
+async def real(proof: BenchmarkReport, seed: int) -> None:
     members, count = (12, 1) if proof.short else (40, 12)
     setup = FleetOptions(
         members=members, endpoints=4 if proof.short else 8, rate=1.0, period=PERIOD, seed=seed
@@ -128,8 +128,8 @@
     begun = time.monotonic()
     async with running_fleet(setup) as w:
         joined = await w.observer.wait_until_settled(60, True)
-        proof.figure("real_members", members, "processes")
-        proof.figure("real_join", joined / PERIOD, "periods from their being up to equal views")
+        proof.record("real_members", members, "processes")
+        proof.record("real_join", joined / PERIOD, "periods from their being up to equal views")
         for faults in rounds(members, count, seed):
             mark = len(w.observer.changes)
             begins = time.monotonic()
@@ -143,7 +143,7 @@
             try:
                 took = await w.observer.wait_until_settled(3 * SETTLING * PERIOD)
             except TimeoutError:
-                proof.claim(False, f"views were not equal {3 * SETTLING:.0f} periods after a last fault")
+                proof.check(False, f"views were not equal {3 * SETTLING:.0f} periods after a last fault")
                 continue
             settled.append(took / PERIOD)
             parted = any(fault.do in ("partition", "cut") for fault in faults)
@@ -171,7 +171,7 @@
             late = late_by(fresh, at)
             if late is not None:
                 beyond.append(late)
-            proof.claim(knew == len(w.living), f"{knew} of {len(w.living)} knew of {name}'s crash")
+            proof.check(knew == len(w.living), f"{knew} of {len(w.living)} knew of {name}'s crash")
             w.start(number)
             await until(lambda: not w.starting, "restart", 60)
             settled.append(await w.observer.wait_until_settled(60) / PERIOD)
@@ -182,8 +182,8 @@
         raised = [line for lines in w.observer.lines.values() for line in lines if "Traceback" in line]
         broken = w.audit()
         left_out = [line for lines in w.observer.lines.values() for line in lines if "left out" in line]
-        proof.figure("real_lines_left_out", len(left_out), "times, of members' logs")
-        codes = sum((callers.codes for callers in w.clients), start=type(w.clients[0].codes)())
+        proof.record("real_lines_left_out", len(left_out), "times, of members' logs")
+        codes = sum((callers.status_codes for callers in w.clients), start=type(w.clients[0].status_codes)())
         served = codes[200] / max(1, sum(codes.values()))
         dead_at_end = [
             seat.name
@@ -192,30 +192,30 @@
             if (page := w.observer.pages.get(other.name)) and page[1].alive_count != len(w.living)
         ]
         revived = w.observer.resurrections()
-        proof.figure("real_span", time.monotonic() - begun, "s")
-        proof.figure("real_faults", played, "faults")
-        proof.figure("real_datagrams", w.relay.relayed_count, "through the relay")
-        proof.figure("real_calls", sum(codes.values()), f"calls, {served:.3f} served")
-    proof.figure("real_settled", median(settled), "periods after the last fault, median")
-    proof.figure("real_settled_worst", max(settled), "periods")
+        proof.record("real_span", time.monotonic() - begun, "s")
+        proof.record("real_faults", played, "faults")
+        proof.record("real_datagrams", w.relay.relayed_count, "through the relay")
+        proof.record("real_calls", sum(codes.values()), f"calls, {served:.3f} served")
+    proof.record("real_settled", median(settled), "periods after the last fault, median")
+    proof.record("real_settled_worst", max(settled), "periods")
     own = [late[0] for late in beyond]
     first = [late[1] for late in beyond]
-    proof.figure(
+    proof.record(
         "real_crash_known", median(own), f"periods beyond each view's suspicion, median of {len(own)}"
     )
-    proof.figure("real_crash_known_worst", max(own), "periods")
-    proof.figure("real_crash_known_strict", median(first), "periods beyond the first verdict's, median")
-    proof.figure("real_crash_known_strict_worst", max(first), "periods")
-    proof.figure("real_rounds_with_cuts", cuts, "in which both sides rightly buried the other")
-    proof.claim(max(settled) <= SETTLING, f"views equal only after {max(settled):.1f} periods")
-    proof.claim(median(own) <= MEDIAN_BEYOND, f"a crash was known {median(own):.1f} periods late")
-    proof.claim(max(own) <= WORST_BEYOND, f"a crash was known {max(own):.1f} periods late at worst")
-    proof.claim(not false, f"{len(false)} false deaths: {false[:2]}")
-    proof.claim(not dead_at_end, f"living members missing at the end: {dead_at_end[:3]}")
-    proof.claim(not revived, f"{len(revived)} dead incarnations came back")
-    proof.claim(not broken, f"rules broken: {broken[:2]}")
-    proof.claim(not raised, f"exceptions in logs: {raised[:2]}")
-    proof.claim(served > 0.8, f"only {served:.3f} of the calls were served")
+    proof.record("real_crash_known_worst", max(own), "periods")
+    proof.record("real_crash_known_strict", median(first), "periods beyond the first verdict's, median")
+    proof.record("real_crash_known_strict_worst", max(first), "periods")
+    proof.record("real_rounds_with_cuts", cuts, "in which both sides rightly buried the other")
+    proof.check(max(settled) <= SETTLING, f"views equal only after {max(settled):.1f} periods")
+    proof.check(median(own) <= MEDIAN_BEYOND, f"a crash was known {median(own):.1f} periods late")
+    proof.check(max(own) <= WORST_BEYOND, f"a crash was known {max(own):.1f} periods late at worst")
+    proof.check(not false, f"{len(false)} false deaths: {false[:2]}")
+    proof.check(not dead_at_end, f"living members missing at the end: {dead_at_end[:3]}")
+    proof.check(not revived, f"{len(revived)} dead incarnations came back")
+    proof.check(not broken, f"rules broken: {broken[:2]}")
+    proof.check(not raised, f"exceptions in logs: {raised[:2]}")
+    proof.check(served > 0.8, f"only {served:.3f} of the calls were served")
 
 
 # -- virtual time ------------------------------------------------------------------------------------
@@ -245,7 +245,7 @@
     return max(known.values()) - at, min(known.values()) - min(suspected)
 
 
-def scale(proof: Proof, seed: int) -> None:
+def scale(proof: BenchmarkReport, seed: int) -> None:
     sizes = (37, 200) if proof.short else (37, 200, 1000, 10_000)
     bytes_at: dict[int, float] = {}
     known_at: dict[int, float] = {}
@@ -265,20 +265,20 @@
         known_at[size] = known - suspicion
         used = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024 / size
         sent_each = (bed.datagrams - count) / size / periods
-        proof.figure(f"scale_{size}_datagrams", sent_each, "a member and period")
-        proof.figure(f"scale_{size}_bytes", bytes_at[size], "a member and period")
-        proof.figure(f"scale_{size}_known", known, "periods from a crash to all")
-        proof.figure(f"scale_{size}_beyond", known_at[size], "periods of these beyond its suspicion")
-        proof.figure(f"scale_{size}_memory", used * 1024, "kB a member")
-        proof.claim(bed.is_converged(), f"views of {size} members were not equal after a crash")
+        proof.record(f"scale_{size}_datagrams", sent_each, "a member and period")
+        proof.record(f"scale_{size}_bytes", bytes_at[size], "a member and period")
+        proof.record(f"scale_{size}_known", known, "periods from a crash to all")
+        proof.record(f"scale_{size}_beyond", known_at[size], "periods of these beyond its suspicion")
+        proof.record(f"scale_{size}_memory", used * 1024, "kB a member")
+        proof.check(bed.is_converged(), f"views of {size} members were not equal after a crash")
         del bed
         gc.unfreeze()
     ratio = bytes_at[sizes[-1]] / bytes_at[sizes[0]]
-    proof.figure("scale_ratio", ratio, f"bytes at {sizes[-1]} members against {sizes[0]}")
-    proof.claim(ratio <= FLAT, f"bytes grow {ratio:.2f} times")
+    proof.record("scale_ratio", ratio, f"bytes at {sizes[-1]} members against {sizes[0]}")
+    proof.check(ratio <= FLAT, f"bytes grow {ratio:.2f} times")
     slope = (known_at[sizes[-1]] - known_at[sizes[0]]) / math.log10(sizes[-1] / sizes[0])
     fit = known_at[sizes[0]] - slope * math.log10(sizes[0])
-    proof.figure("scale_fit", f"{fit:.2f} + {slope:.2f} log10 N", "periods beyond the suspicion")
+    proof.record("scale_fit", f"{fit:.2f} + {slope:.2f} log10 N", "periods beyond the suspicion")
 
 
 def schedule(seed: int, members: int) -> FaultScript:
@@ -357,7 +357,7 @@
     return "; ".join((oracle.wrong + oracle.resurrections)[:2]), took
 
 
-def seeds(proof: Proof, seed: int) -> None:
+def seeds(proof: BenchmarkReport, seed: int) -> None:
     count = 40 if proof.short else 1000
     wrong: list[str] = []
     took = []
@@ -370,12 +370,12 @@
             wrong.append(f"seed {number}: {what}")
     took.sort()
     late = sum(span > SETTLING for span in took)
-    proof.figure("seeds", count, "random schedules")
-    proof.figure("seeds_settled", took[len(took) // 2], "periods after the last fault, median")
-    proof.figure("seeds_settled_worst", took[-1], "periods")
-    proof.figure("seeds_late", late, f"of them took over {SETTLING:.0f} periods")
-    proof.claim(not wrong, f"{len(wrong)} broken: {wrong[:3]}")
-    proof.claim(not late, f"{late} of {count} took over {SETTLING:.0f} periods, {took[-1]:.1f} at worst")
+    proof.record("seeds", count, "random schedules")
+    proof.record("seeds_settled", took[len(took) // 2], "periods after the last fault, median")
+    proof.record("seeds_settled_worst", took[-1], "periods")
+    proof.record("seeds_late", late, f"of them took over {SETTLING:.0f} periods")
+    proof.check(not wrong, f"{len(wrong)} broken: {wrong[:3]}")
+    proof.check(not late, f"{late} of {count} took over {SETTLING:.0f} periods, {took[-1]:.1f} at worst")
 
 
 # -- against baselines -------------------------------------------------------------------------------
@@ -502,46 +502,46 @@
     return healthy, ill, bed.bytes / members / periods
 
 
-def against(proof: Proof, seed: int) -> None:
+def against(proof: BenchmarkReport, seed: int) -> None:
     members, periods = (40, 40.0) if proof.short else (100, 120.0)
     ours = suffers(MembershipProtocol, members, periods, seed)
     plain = suffers(Plain, members, periods, seed)
     beats = Heartbeats(members, seed, slow_spells(members, 0.05, periods, seed))
     beats.run(int(periods))
     beating = beats.bytes / members / periods
-    proof.figure("against_members", members, f"members, one of twenty slow, {periods:.0f} periods")
-    proof.figure(
+    proof.record("against_members", members, f"members, one of twenty slow, {periods:.0f} periods")
+    proof.record(
         "against_healthy",
         f"{ours[0]} ours, {plain[0]} plain SWIM",
         "views in which a healthy member was dead",
     )
-    proof.figure(
+    proof.record(
         "against_slow",
         f"{ours[1]} ours, {plain[1]} plain SWIM, {beats.false} heartbeats",
         "views in which a slow member was dead",
     )
-    proof.figure(
+    proof.record(
         "against_bytes",
         f"{ours[2]:.0f} ours, {plain[2]:.0f} plain SWIM, {beating:.0f} heartbeats",
         "bytes a member and period",
     )
-    proof.claim(ours[0] == 0, f"{ours[0]} healthy members were declared dead")
-    proof.claim(ours[0] + ours[1] < plain[0] + plain[1], "plain SWIM has no more false deaths than ours")
-    proof.claim(ours[2] < beating, "heartbeats to all cost no more than ours")
+    proof.check(ours[0] == 0, f"{ours[0]} healthy members were declared dead")
+    proof.check(ours[0] + ours[1] < plain[0] + plain[1], "plain SWIM has no more false deaths than ours")
+    proof.check(ours[2] < beating, "heartbeats to all cost no more than ours")
 
 
 # -- the table, datagrams, cost ----------------------------------------------------------------------
 
 
-def checked(proof: Proof, seed: int) -> None:
+def checked(proof: BenchmarkReport, seed: int) -> None:
     """No chance in it: the seed is of no account."""
     state_model.MAX_MESSAGES = 1 if proof.short else 2
     begun = time.monotonic()
     try:
-        proof.figure("model_states", state_model.explore(), "states, exhaustively")
+        proof.record("model_states", state_model.explore(), "states, exhaustively")
     except state_model.InvariantViolationError as fault:
-        proof.claim(False, f"the table: {fault}")
-    proof.figure("model_span", time.monotonic() - begun, "s")
+        proof.check(False, f"the table: {fault}")
+    proof.record("model_span", time.monotonic() - begun, "s")
     missed = []
     for name, rules in state_model.MUTATIONS.items():
         try:
@@ -549,11 +549,11 @@
             missed.append(name)
         except state_model.InvariantViolationError:
             continue
-    proof.figure("model_planted", len(state_model.MUTATIONS), f"faults planted, {len(missed)} not found")
-    proof.claim(not missed, f"planted faults that were not found: {missed}")
+    proof.record("model_planted", len(state_model.MUTATIONS), f"faults planted, {len(missed)} not found")
+    proof.check(not missed, f"planted faults that were not found: {missed}")
 
 
-def fuzz(proof: Proof, seed: int) -> None:
+def fuzz(proof: BenchmarkReport, seed: int) -> None:
     count = 5_000 if proof.short else 100_000
     random = Random(seed)
     seals = MessageAuthenticator()
@@ -591,14 +591,14 @@
         if number == count // 2:
             middle = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     grown = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - middle) / 1024
-    proof.figure("fuzz", count, f"datagrams, {answered} answered")
-    proof.figure("fuzz_memory", grown, "MB more in the second half")
-    proof.claim(not raised, f"{raised} exceptions")
-    proof.claim(not longer, f"{longer} answers were longer than their questions")
-    proof.claim(grown < 8, f"memory grew by {grown:.1f} MB")
+    proof.record("fuzz", count, f"datagrams, {answered} answered")
+    proof.record("fuzz_memory", grown, "MB more in the second half")
+    proof.check(not raised, f"{raised} exceptions")
+    proof.check(not longer, f"{longer} answers were longer than their questions")
+    proof.check(grown < 8, f"memory grew by {grown:.1f} MB")
 
 
-async def cost(proof: Proof, seed: int) -> None:
+async def cost(proof: BenchmarkReport, seed: int) -> None:
     """CPU of one proxy of a fleet of 12, for the same calls, with the view on and off, in turns."""
     calls, turns = (1500, 2) if proof.short else (4000, 5)
     spent: dict[bool, list[float]] = {True: [], False: []}
@@ -623,15 +623,15 @@
             before = cpu(program.process.pid)
             await asyncio.sleep(4.0)
             idle[view] = (cpu(program.process.pid) - before) / 4.0 * 1e6
-    proof.figure("cost_on", median(spent[True]), "us a call")
-    proof.figure("cost_off", median(spent[False]), "us a call")
-    proof.figure("cost_ratio", median(spent[True]) / median(spent[False]), "on against off")
-    proof.figure("cost_idle", idle[True] - idle[False], "us of CPU a second for the view alone, period 1 s")
+    proof.record("cost_on", median(spent[True]), "us a call")
+    proof.record("cost_off", median(spent[False]), "us a call")
+    proof.record("cost_ratio", median(spent[True]) / median(spent[False]), "on against off")
+    proof.record("cost_idle", idle[True] - idle[False], "us of CPU a second for the view alone, period 1 s")
     ratio = median(spent[True]) / median(spent[False])
-    proof.claim(ratio < 1.25, f"a call costs {ratio:.2f} times as much with the view on")
+    proof.check(ratio < 1.25, f"a call costs {ratio:.2f} times as much with the view on")
 
 
-class Noted(Proof):
+class Noted(BenchmarkReport):
     """Keeps what a part in a process of its own says, to be said in one."""
 
     def __init__(self, short: bool, seed: int) -> None:
@@ -639,15 +639,15 @@
         self.said: list[tuple[str, float | str, str]] = []
         self.fell: list[str] = []
 
-    def figure(self, name: str, value: float | str, unit: str = "") -> None:
+    def record(self, name: str, value: float | str, unit: str = "") -> None:
         self.said.append((name, value, unit))
 
-    def claim(self, holds: object, what: str) -> None:
+    def check(self, holds: object, what: str) -> None:
         if not holds:
             self.fell.append(what)
 
 
-VIRTUAL: dict[str, Callable[[Proof, int], None]] = {
+VIRTUAL: dict[str, Callable[[BenchmarkReport, int], None]] = {
     "model": checked,
     "fuzz": fuzz,
     "against": against,
@@ -663,7 +663,7 @@
     return noted
 
 
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     """The parts on real processes have the cores to themselves, but in the short form."""
     parts = [part for part in PARTS if part in (wanted.only or PARTS)]
     with ProcessPoolExecutor(WORKERS, multiprocessing.get_context("spawn")) as pool:
@@ -680,9 +680,9 @@
             await cost(proof, proof.seed)
         for noted in await asyncio.gather(*(waiting if proof.short else begin())):
             for name, value, unit in noted.said:
-                proof.figure(name, value, unit)
+                proof.record(name, value, unit)
             for what in noted.fell:
-                proof.claim(False, what)
+                proof.check(False, what)
 
 
 def more(parser: argparse.ArgumentParser) -> None:
@@ -690,4 +690,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("fleet", measure, more=more))
+    sys.exit(run_benchmark("fleet", measure, add_arguments=more))
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -21,13 +21,13 @@
 
 import httptools
 
-from benchmarks.proof import Proof, run
-from harness.backend import Backend
-from harness.callers import MIX, request
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.clients import DEFAULT_CLASSES, format_request
 from harness.coordination import CoordinationService, SessionRecord
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.ledger import Ledger
-from harness.program import ROOT, proxy
+from harness.proxy_process import ROOT, running_proxy
+from harness.recorder import Recorder
+from harness.stub_endpoint import StubEndpoint
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
 from service_proxy.ephemeral_nodes.jute import OPEN_ACL
 
@@ -66,7 +66,7 @@
         self.drive.left -= 1
         self.drive.count += 1
         self.parser = httptools.HttpResponseParser(self)
-        self.transport.write(request(MIX[0], f"{self.drive.name}{self.drive.count:08x}"))
+        self.transport.write(format_request(DEFAULT_CLASSES[0], f"{self.drive.name}{self.drive.count:08x}"))
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed_data(data)
@@ -103,7 +103,7 @@
 @contextlib.asynccontextmanager
 async def relay(to: str) -> AsyncIterator[tuple[int, tuple[str, int]]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "harness.relay", "--to", to, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-m", "harness.tcp_relay", "--to", to, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
     assert process.stdout is not None
     try:
@@ -115,7 +115,7 @@
         await process.wait()
 
 
-def fill(service: CoordinationService, backends: list[Backend]) -> None:
+def fill(service: CoordinationService, backends: list[StubEndpoint]) -> None:
     """The backends and others that are draining, so that the calls go where they go without it."""
     service.tree.create("/portal", b"", list(OPEN_ACL), 0, 0)
     record = SessionRecord(1, b"", 1e9, time.monotonic())
@@ -128,13 +128,13 @@
         service.tree.create(f"/portal/{node.name}", node.encode(), list(OPEN_ACL), 1, 1)
 
 
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     calls = CALLS_SHORT if proof.short else CALLS
     turns = 3 if proof.short else TURNS
-    ledger = Ledger()
+    ledger = Recorder()
     registry = EndpointRegistry(ledger)
     await registry.start()
-    backends = [Backend(ledger, f"s-{n}", service=0.0) for n in range(BACKENDS)]
+    backends = [StubEndpoint(ledger, f"s-{n}", service_time=0.0) for n in range(BACKENDS)]
     for backend in backends:
         await backend.start()
     service = CoordinationService(3)
@@ -152,7 +152,7 @@
             variants["against"] = {"root": wanted.against.resolve()}
         for name, how in variants.items():
             started = await stack.enter_async_context(
-                proxy(name, registry.address, known, quantum=0.001, **how)
+                running_proxy(name, registry.address, known, quantum=0.001, **how)
             )
             at[name] = started.process.pid, started.address
         found: dict[str, list[float]] = {name: [] for name in at}
@@ -174,25 +174,25 @@
     registry.stop()
     for backend in backends:
         backend.stop()
-    proof.figure("calls", asked, "calls in all")
+    proof.record("calls", asked, "calls in all")
     for name, costs in found.items():
-        proof.figure(f"{name}_cpu", median(costs), "us a call")
+        proof.record(f"{name}_cpu", median(costs), "us a call")
     ratios = {
         name: [cost / bare for cost, bare in zip(costs, found["relay"], strict=True)]
         for name, costs in found.items()
         if name != "relay"
     }
     for name, values in ratios.items():
-        proof.figure(f"{name}_to_relay", median(values), f"times, {min(values):.2f} to {max(values):.2f}")
-    proof.figure("not_served", asked - served, "calls")
+        proof.record(f"{name}_to_relay", median(values), f"times, {min(values):.2f} to {max(values):.2f}")
+    proof.record("not_served", asked - served, "calls")
     # A machine that stands still for a moment has a few refused, as it should: not a matter of cost.
-    proof.claim(asked - served <= MOST_REFUSED * asked, f"{asked - served} of {asked} calls were not served")
+    proof.check(asked - served <= MOST_REFUSED * asked, f"{asked - served} of {asked} calls were not served")
     if "against" in ratios:
         spread = max(max(values) - min(values) for values in (ratios["off"], ratios["against"]))
         more = median(ratios["off"]) - median(ratios["against"])
-        proof.figure("off_over_against", more, "times the relay")
-        proof.figure("noise", spread, "times the relay, the widest spread of the turns")
-        proof.claim(more <= spread, f"off costs {more:.2f} relays more than the other checkout")
+        proof.record("off_over_against", more, "times the relay")
+        proof.record("noise", spread, "times the relay, the widest spread of the turns")
+        proof.check(more <= spread, f"off costs {more:.2f} relays more than the other checkout")
 
 
 def more(parser: argparse.ArgumentParser) -> None:
@@ -200,4 +200,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("per_call", measure, more=more))
+    sys.exit(run_benchmark("per_call", measure, add_arguments=more))
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -27,9 +27,9 @@
 from random import Random
 from statistics import median
 
-from benchmarks.proof import Proof, run
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.event_loop import until
 from harness.fleet.harness import FleetHarness, FleetOptions, running_fleet
-from harness.kit import until
 from harness.recovery.crash_points import crash_faults, record_store_run
 from harness.recovery.planted_bugs import BUGS_SEEN_ON_FAULTY_DISK, ORDERING_BUGS
 from service_proxy.recovery.persisted_records import (
@@ -50,7 +50,7 @@
 # -- crash points ------------------------------------------------------------------------------------
 
 
-def points(proof: Proof) -> None:
+def points(proof: BenchmarkReport) -> None:
     runs, batches = (4, 20) if proof.short else (40, 60)
     judged = 0
     bad = 0
@@ -79,16 +79,16 @@
         tried = (record_store_run(cls, proof.seed, 12, fault_at=at, fault_count=1) for at in range(0, 40, 4))
         if not any(any(crash_faults(*run_of)) for run_of in tried):
             missed.append(name)
-    proof.figure("points_steps", steps, f"writes, syncs and changes of names in {runs} recorded runs")
-    proof.figure("points", judged, f"states that a cut may leave, {bad} of them neither before nor after")
-    proof.figure("points_faulty", faulty, f"of runs on a disk that fails, {worse} of them neither")
-    proof.figure(
+    proof.record("points_steps", steps, f"writes, syncs and changes of names in {runs} recorded runs")
+    proof.record("points", judged, f"states that a cut may leave, {bad} of them neither before nor after")
+    proof.record("points_faulty", faulty, f"of runs on a disk that fails, {worse} of them neither")
+    proof.record(
         "points_planted",
         len(ORDERING_BUGS) + len(BUGS_SEEN_ON_FAULTY_DISK),
         f"bugs planted, {len(missed)} not found",
     )
-    proof.claim(not bad and not worse, f"{bad + worse} cuts leave neither the state before nor the one after")
-    proof.claim(not missed, f"planted bugs that were not found: {missed}")
+    proof.check(not bad and not worse, f"{bad + worse} cuts leave neither the state before nor the one after")
+    proof.check(not missed, f"planted bugs that were not found: {missed}")
 
 
 # -- ours beside a database --------------------------------------------------------------------------
@@ -251,11 +251,11 @@
     }
 
 
-def stores(proof: Proof, pool: ProcessPoolExecutor) -> None:
+def stores(proof: BenchmarkReport, pool: ProcessPoolExecutor) -> None:
     count, batches = (1000, 100) if proof.short else (10_000, 1000)
     kinds: tuple[type[WillowwingStore] | type[Database], ...] = (WillowwingStore, Database)
     figures = {kind.name: pool.submit(weighed, kind, count, batches).result() for kind in kinds}
-    proof.figure("store_facts", count, f"servers, as many keyed requests, {batches} batches of {BATCH}")
+    proof.record("store_facts", count, f"servers, as many keyed requests, {batches} batches of {BATCH}")
     units = {
         "cpu_us": "us of CPU a record",
         "batch_ms": "ms of a batch, median",
@@ -268,11 +268,11 @@
     for what, unit in units.items():
         ours = figures["ours"][what]
         other = figures["sqlite"][what]
-        proof.figure(f"store_{what}", f"{ours:.3g} ours, {other:.3g} SQLite", unit)
-    proof.claim(figures["ours"]["read_s"] < 2.0, "reading takes over 2 s")
+        proof.record(f"store_{what}", f"{ours:.3g} ours, {other:.3g} SQLite", unit)
+    proof.check(figures["ours"]["read_s"] < 2.0, "reading takes over 2 s")
 
 
-def torn(proof: Proof) -> None:
+def torn(proof: BenchmarkReport) -> None:
     """Files cut at a random byte, and one bit turned: how much of what was safe is found, and whether what is
     lost is said."""
     tries = 20 if proof.short else 200
@@ -311,18 +311,18 @@
                 kept[way].append(right / len(true))
                 false += len(found) - right
                 silent += said and right < len(true) and way == "turned"
-        proof.figure(f"torn_{kind.name}_cut", sum(kept["cut"]) / tries, "of the facts found, mean of cuts")
-        proof.figure(f"torn_{kind.name}_turned", sum(kept["turned"]) / tries, "the same, one bit turned")
-        proof.figure(f"torn_{kind.name}_silent", silent, f"of {tries} turned bits lose facts unsaid")
-        proof.figure(f"torn_{kind.name}_false", false, "facts found that were never said")
+        proof.record(f"torn_{kind.name}_cut", sum(kept["cut"]) / tries, "of the facts found, mean of cuts")
+        proof.record(f"torn_{kind.name}_turned", sum(kept["turned"]) / tries, "the same, one bit turned")
+        proof.record(f"torn_{kind.name}_silent", silent, f"of {tries} turned bits lose facts unsaid")
+        proof.record(f"torn_{kind.name}_false", false, "facts found that were never said")
         if kind is WillowwingStore:
-            proof.claim(not false, f"{false} facts were found that were never said")
+            proof.check(not false, f"{false} facts were found that were never said")
 
 
 # -- real processes ----------------------------------------------------------------------------------
 
 
-async def power(proof: Proof) -> None:
+async def power(proof: BenchmarkReport) -> None:
     """Everybody loses power under load and comes back in the worst order, nodos late."""
     members, cold = (6, 2.0) if proof.short else (24, 8.0)
     nodos = 6 if proof.short else 24
@@ -365,19 +365,19 @@
         told = ["\n".join(w.observer.lines[seat.name][marks[seat.name] :]) for seat in w.slots]
         verdicts = sum("outage_determined scope=fleet" in text for text in told)
         raised = [line for lines in w.observer.lines.values() for line in lines if "Traceback" in line]
-        proof.figure("power_members", members, f"proxies, {nodos} nodos cold for {cold:g} s")
-        proof.figure("power_verdicts", verdicts, "of them said that everybody lost power")
-        proof.figure("power_usual", usual, "calls served a second before")
-        proof.figure("power_back", back or "never", "s from the last nodo's start to nine tenths of that")
-        proof.figure("power_steady", steady, "s from it to the last proxy's being steady")
-        proof.claim(verdicts == members, f"{members - verdicts} proxies said something else happened")
-        proof.claim(back, "nine tenths were not served again within 30 s of the last nodo's start")
-        proof.claim(not broken, f"rules broken: {broken[:2]}")
-        proof.claim(not raised, f"exceptions in logs: {raised[:2]}")
+        proof.record("power_members", members, f"proxies, {nodos} nodos cold for {cold:g} s")
+        proof.record("power_verdicts", verdicts, "of them said that everybody lost power")
+        proof.record("power_usual", usual, "calls served a second before")
+        proof.record("power_back", back or "never", "s from the last nodo's start to nine tenths of that")
+        proof.record("power_steady", steady, "s from it to the last proxy's being steady")
+        proof.check(verdicts == members, f"{members - verdicts} proxies said something else happened")
+        proof.check(back, "nine tenths were not served again within 30 s of the last nodo's start")
+        proof.check(not broken, f"rules broken: {broken[:2]}")
+        proof.check(not raised, f"exceptions in logs: {raised[:2]}")
 
 
 def codes(w: FleetHarness, code: int) -> int:
-    return sum(callers.codes[code] for callers in w.clients)
+    return sum(callers.status_codes[code] for callers in w.clients)
 
 
 def phases(w: FleetHarness, least: int, marks: dict[str, int] | None = None) -> int:
@@ -391,7 +391,7 @@
     return found
 
 
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     parts = [part for part in PARTS if part in (wanted.only or PARTS)]
     if "points" in parts:
         points(proof)
@@ -409,4 +409,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("recovery", measure, more=more))
+    sys.exit(run_benchmark("recovery", measure, add_arguments=more))
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -21,13 +21,15 @@
 import time
 from collections import Counter
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from random import Random
 
-from benchmarks.proof import Proof, run
-from harness.callers import GIVE_UP
-from harness.kit import until
-from harness.world import EDGE, world
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.clients import GIVE_UP_MARGIN_S
+from harness.deployment import EDGE_PROXY_NAME, running_deployment
+from harness.event_loop import until
+from harness.stub_endpoint import StubEndpoint
 from service_proxy.sidecar.checking import check
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.model import Description
@@ -187,61 +189,66 @@
     return found
 
 
-async def restarts(proof: Proof) -> None:
+def has_more_requests(endpoint: StubEndpoint, count: int) -> bool:
+    """Whether the endpoint got a request after that many."""
+    return endpoint.request_count > count
+
+
+async def restarts(proof: BenchmarkReport) -> None:
     """Two tiers, four applications: each dies and comes back under traffic, then each sidecar restarts."""
     _, description = load(str(EXAMPLE))
     assert description is not None
     rate, rounds, away = (RATE_SHORT, 1, AWAY_SHORT) if proof.short else (RATE, ROUNDS, AWAY)
-    async with world(description) as made:
-        callers = made.callers
+    async with running_deployment(description) as made:
+        callers = made.clients
         assert callers is not None
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        calling = asyncio.create_task(callers.run(LONGEST, rate, wait=False))
+        calling = asyncio.create_task(callers.run(LONGEST, rate, wait_and_close=False))
         await asyncio.sleep(SETTLE)
         ended = []
         back = []
         for _ in range(rounds):
             for host in made.hosts:
-                before = host.application.seen
+                before = host.application.request_count
                 await host.restart_application(away)
                 at = loop.time()
-                await until(lambda h=host, b=before: h.application.seen > b, f"calls to {host.name} again")  # type: ignore[misc]
+                await until(partial(has_more_requests, host.application, before), f"calls to {host.name}")
                 back.append(loop.time() - at)
             for host in made.hosts:
                 at = loop.time()
                 await host.stop_sidecar()
                 ended.append(loop.time() - at)
-                proof.claim(host.code == 0, f"{host.name} ended with {host.code}")
+                proof.check(host.exit_code == 0, f"{host.name} ended with {host.exit_code}")
                 await host.start_sidecar()
-                made.put(host.sidecar.tier, host.listed)
+                made.update_lists(host.sidecar.tier, host.list_entry)
         await asyncio.sleep(SETTLE)
         calling.cancel()
-        longest = max(cls.budget for cls in made.classes.values()) + GIVE_UP
-        await until(lambda: not callers.open, "the last answers", longest + 1.0)
+        longest = max(cls.budget for cls in made.classes.values()) + GIVE_UP_MARGIN_S
+        await until(lambda: not callers.open_requests, "the last answers", longest + 1.0)
         span = loop.time() - begun
-        codes = callers.codes
-        total = callers.codes.total()
-        lost = codes[0] + codes[-1] + callers.unsent
-        broken = made.ledger.audit({name: cls.effect for name, cls in made.classes.items()})
-        inner = sum(taken.proxy != EDGE for taken in made.ledger.taken)
-    proof.figure("restarts_applications", len(back), f"each away for {away:g} s")
-    proof.figure("restarts_sidecars", len(ended), "by SIGTERM")
-    proof.figure("calls", total, f"in {span:.1f} s, and {inner} of them to the second tier")
-    proof.figure("served", codes[200], "")
-    proof.figure("refused", codes[503], "with 503, harmless to try again")
-    proof.figure("failed", total - codes[200] - codes[503] - codes[0] - codes[-1], "with another code")
-    proof.figure("lost", lost, "taken and not answered in time, or not taken")
-    proof.figure("rules_broken", len(broken), "by the ledger")
-    proof.figure("application_back", max(back), "s at the most until it was called again")
-    proof.figure("sidecar_ended", max(ended), "s at the most from SIGTERM to its end")
-    proof.claim(total > rate and inner > total / 2, "too few calls to tell anything")
-    proof.claim(not lost, f"{lost} calls lost")
-    proof.claim(not broken, f"rules broken: {[str(violation) for violation in broken[:3]]}")
-    proof.claim(codes[200] >= LEAST_SERVED * total, f"{codes[200]} of {total} calls served")
-
-
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+        codes = callers.status_codes
+        total = callers.status_codes.total()
+        lost = codes[0] + codes[-1] + callers.unsent_count
+        broken = made.recorder.audit({name: cls.idempotency for name, cls in made.classes.items()})
+        inner = sum(taken.proxy != EDGE_PROXY_NAME for taken in made.recorder.requests)
+    proof.record("restarts_applications", len(back), f"each away for {away:g} s")
+    proof.record("restarts_sidecars", len(ended), "by SIGTERM")
+    proof.record("calls", total, f"in {span:.1f} s, and {inner} of them to the second tier")
+    proof.record("served", codes[200], "")
+    proof.record("refused", codes[503], "with 503, harmless to try again")
+    proof.record("failed", total - codes[200] - codes[503] - codes[0] - codes[-1], "with another code")
+    proof.record("lost", lost, "taken and not answered in time, or not taken")
+    proof.record("rules_broken", len(broken), "by the ledger")
+    proof.record("application_back", max(back), "s at the most until it was called again")
+    proof.record("sidecar_ended", max(ended), "s at the most from SIGTERM to its end")
+    proof.check(total > rate and inner > total / 2, "too few calls to tell anything")
+    proof.check(not lost, f"{lost} calls lost")
+    proof.check(not broken, f"rules broken: {[str(violation) for violation in broken[:3]]}")
+    proof.check(codes[200] >= LEAST_SERVED * total, f"{codes[200]} of {total} calls served")
+
+
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     random = Random(proof.seed)
     good = [(path.name, path.read_text()) for path in sorted(CORPUS.glob("*.toml")) if path.stem not in ODD]
     with tempfile.TemporaryDirectory() as text_folder:
@@ -268,12 +275,12 @@
             elif BREAKS[mutation] not in codes:
                 wrong.append(f"{mutation.__name__} of {name}: {sorted(codes)}")
         for kind, times in sorted(kinds.items()):
-            proof.figure(f"mutations_{kind}", times, "")
-        proof.figure("mutations", kinds.total(), "that break a rule")
-        proof.figure("slipped", len(slipped), "of them accepted")
-        proof.figure("told_otherwise", len(wrong), "of them refused for another reason")
-        proof.claim(not slipped, f"accepted: {slipped[:3]}")
-        proof.claim(not wrong, f"refused, but not by their rule: {wrong[:3]}")
+            proof.record(f"mutations_{kind}", times, "")
+        proof.record("mutations", kinds.total(), "that break a rule")
+        proof.record("slipped", len(slipped), "of them accepted")
+        proof.record("told_otherwise", len(wrong), "of them refused for another reason")
+        proof.check(not slipped, f"accepted: {slipped[:3]}")
+        proof.check(not wrong, f"refused, but not by their rule: {wrong[:3]}")
         refused = []
         edits = EDITS_SHORT if proof.short else EDITS
         for _ in range(edits):
@@ -282,17 +289,17 @@
             problems = check([str(file)], "")
             if problems:
                 refused.append(f"{name}: {problems[0]}")
-        proof.figure("harmless_edits", edits, "")
-        proof.figure("harmless_refused", len(refused), "of them")
-        proof.claim(not refused, f"refused: {refused[:2]}")
+        proof.record("harmless_edits", edits, "")
+        proof.record("harmless_refused", len(refused), "of them")
+        proof.check(not refused, f"refused: {refused[:2]}")
         files = fleet(folder)
         begun = time.perf_counter()
         problems = check(files, "")
         span = time.perf_counter() - begun
-        proof.figure("fleet", len(files), f"sidecars before {NODES} nodes")
-        proof.figure("fleet_time", span / len(files) * 1000, "ms a file")
-        proof.figure("memory", resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, "MB at the most")
-        proof.claim(not problems, f"the fleet was refused: {problems[:1]}")
+        proof.record("fleet", len(files), f"sidecars before {NODES} nodes")
+        proof.record("fleet_time", span / len(files) * 1000, "ms a file")
+        proof.record("memory", resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, "MB at the most")
+        proof.check(not problems, f"the fleet was refused: {problems[:1]}")
     await restarts(proof)
 
 
@@ -300,4 +307,4 @@
 ODD = frozenset(("comments", "crlf", "inline-tables", "dotted", "quoted-names", "tabs", "long-strings"))
 
 if __name__ == "__main__":
-    sys.exit(run("sidecar", measure))
+    sys.exit(run_benchmark("sidecar", measure))
--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -21,15 +21,15 @@
 from typing import Any
 
 from benchmarks.per_call import cpu, relay
-from benchmarks.proof import Proof, run
-from harness.callers import EFFECTS, GRADES, MIX
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.clients import CLASS_SETTINGS, DEFAULT_CLASSES, IDEMPOTENCY_BY_CLASS
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.frames import stream
-from harness.kiosks import Kiosk, Kiosks
-from harness.kit import until
-from harness.ledger import Effect, Ledger
-from harness.program import Program, proxy, settings
-from harness.wsnode import WsNode
+from harness.event_loop import until
+from harness.proxy_process import ProxyProcess, running_proxy, settings
+from harness.recorder import Idempotency, Recorder
+from harness.websocket_clients import Kiosk, WebSocketClientPool
+from harness.websocket_endpoint import WebSocketEndpoint
+from harness.websocket_frames import stream
 from service_proxy.websocket.codec import Codec, Fault
 from service_proxy.websocket.sessions import Book, Outcome, Taking
 
@@ -69,11 +69,13 @@
 @asynccontextmanager
 async def fleet(
     size: Size, count: int, more: str = ""
-) -> AsyncIterator[tuple[Program, Kiosks, list[WsNode], EndpointRegistry, Ledger]]:
+) -> AsyncIterator[
+    tuple[ProxyProcess, WebSocketClientPool, list[WebSocketEndpoint], EndpointRegistry, Recorder]
+]:
     """A proxy that may hold all sessions, before `count` nodes."""
-    ledger = Ledger()
+    ledger = Recorder()
     registry = EndpointRegistry(ledger)
-    nodes = [WsNode(ledger, f"n-{n}", zone="abc"[n % 3]) for n in range(count)]
+    nodes = [WebSocketEndpoint(ledger, f"n-{n}", zone="abc"[n % 3]) for n in range(count)]
     for node in nodes:
         await node.start()
     known = [entry(node.name, node.address, zone=node.zone) for node in nodes]
@@ -84,10 +86,10 @@
         f"reconnect_spread = {size.spread}\nping_every = 5.0\n{more}"
     )
     limits = {"cores": 1.0, "memory_mb": 1024, "sockets": 3 * size.sessions + 1500}
-    raw = {"settings": settings(grades=[*GRADES, TUNNEL]), "limits": limits}
+    raw = {"settings": settings(grades=[*CLASS_SETTINGS, TUNNEL]), "limits": limits}
     try:
-        async with proxy("edge", await registry.start(), known, operator, more=raw) as program:
-            kiosks = Kiosks(ledger, [program.address])
+        async with running_proxy("edge", await registry.start(), known, operator, overrides=raw) as program:
+            kiosks = WebSocketClientPool(ledger, [program.address])
             try:
                 yield program, kiosks, nodes, registry, ledger
             finally:
@@ -98,7 +100,7 @@
         registry.stop()
 
 
-async def connected(kiosks: Kiosks, count: int, path: str) -> list[Kiosk]:
+async def connected(kiosks: WebSocketClientPool, count: int, path: str) -> list[Kiosk]:
     made: list[Kiosk] = []
     for first in range(0, count, STEP):
         some = [kiosks.add(f"{path[1]}{first + n}", path) for n in range(min(STEP, count - first))]
@@ -108,7 +110,7 @@
     return made
 
 
-async def speak(kiosks: Kiosks, draw: Random) -> None:
+async def speak(kiosks: WebSocketClientPool, draw: Random) -> None:
     """Each session says something every PAUSE s, spread evenly."""
     while True:
         begun = time.monotonic()
@@ -119,7 +121,7 @@
                 due = begun + PAUSE * place / len(waiting)
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
             if kiosk.up and kiosk.talks:
-                kiosk.send(draw.choices(MIX, [cls.share for cls in MIX])[0])
+                kiosk.send(draw.choices(DEFAULT_CLASSES, [cls.share for cls in DEFAULT_CLASSES])[0])
             elif kiosk.up:
                 kiosk.say("x")
         await asyncio.sleep(max(0.0, begun + PAUSE - time.monotonic()))
@@ -129,29 +131,29 @@
     return kiosk.served if kiosk.talks else len(kiosk.texts)
 
 
-async def faults(proof: Proof, size: Size) -> None:
+async def faults(proof: BenchmarkReport, size: Size) -> None:
     draw = Random(proof.seed)
     async with fleet(size, size.nodes) as (program, kiosks, nodes, registry, ledger):
         half = size.sessions // 2
         begun = time.monotonic()
         talks = await connected(kiosks, half, "/pantalla")
         tunnels = await connected(kiosks, size.sessions - half, "/vigia")
-        proof.figure("sessions", len(talks) + len(tunnels), f"over {size.nodes} nodes, half of them tunnels")
-        proof.figure("opened_in", time.monotonic() - begun, "s")
+        proof.record("sessions", len(talks) + len(tunnels), f"over {size.nodes} nodes, half of them tunnels")
+        proof.record("opened_in", time.monotonic() - begun, "s")
         speaking = asyncio.create_task(speak(kiosks, draw))
         await asyncio.sleep(size.calm)
         quarter = size.nodes // 4
         draining = nodes[:quarter]
         killed = nodes[quarter : 2 * quarter]
         left_at: dict[str, float] = {}
-        hit = sum(len(node.open) for node in draining + killed)
+        hit = sum(len(node.open_sessions) for node in draining + killed)
         before = len(kiosks.connects)
-        told = len(ledger.told)
+        told = len(ledger.notifications)
         for node in draining:
             registry.put(entry(node.name, node.address, zone=node.zone, status="Terminating"))
 
         def told_at() -> dict[str, float]:
-            return {t.server: t.at for t in ledger.told[told:] if t.state != "ready"}
+            return {t.endpoint: t.notified_at for t in ledger.notifications[told:] if t.state != "ready"}
 
         await until(lambda: len(told_at()) == quarter, "the drains are told")
         for node in killed:
@@ -162,7 +164,7 @@
         again_at = 0.0
         while time.monotonic() < due and not again_at:
             for node in draining:
-                if not node.open:
+                if not node.open_sessions:
                     left_at.setdefault(node.name, time.monotonic())
             if all(served(kiosk) > since[id(kiosk)] for kiosk in kiosks.kiosks):
                 again_at = time.monotonic()
@@ -176,36 +178,36 @@
         most = max((sum(1 for b in back if a <= b < a + 0.1) for a in back), default=0)
         even = hit * 0.1 / size.spread
         unserved = sum(1 for kiosk in kiosks.kiosks if served(kiosk) <= since[id(kiosk)])
-        broken = ledger.audit({**EFFECTS, "vigia": Effect("repeatable")})
-        proof.figure(
+        broken = ledger.audit({**IDEMPOTENCY_BY_CLASS, "vigia": Idempotency("repeatable")})
+        proof.record(
             "hit_sessions", hit, f"tunnels on {len(draining)} nodes that drain, {len(killed)} killed"
         )
-        proof.figure("drained_after", worst, "s after it was told, the last session of a node that drains")
-        proof.figure("served_again", again_at - hit_at if again_at else -1.0, "s until all sessions were")
-        proof.figure(
+        proof.record("drained_after", worst, "s after it was told, the last session of a node that drains")
+        proof.record("served_again", again_at - hit_at if again_at else -1.0, "s until all sessions were")
+        proof.record(
             "reconnects", len(back), f"after the faults, at most {most} in 100 ms (even: {even:.1f})"
         )
         closes = ", ".join(f"{code}: {n}" for code, n in sorted(kiosks.closes.items()))
-        proof.figure("closes", sum(kiosks.closes.values()), closes)
-        proof.figure("messages", len([t for t in ledger.taken]), "taken in message mode")
+        proof.record("closes", sum(kiosks.closes.values()), closes)
+        proof.record("messages", len([t for t in ledger.requests]), "taken in message mode")
         counted = ", ".join(f"{kind} {n}" for kind, n in sorted(kiosks.outcomes.items()))
-        proof.figure("outcomes", sum(kiosks.outcomes.values()), counted)
-        proof.figure("echoes", kiosks.echoed, "of tunnels")
-        proof.figure("rules_broken", len(broken), "by the ledger's audit")
+        proof.record("outcomes", sum(kiosks.outcomes.values()), counted)
+        proof.record("echoes", kiosks.echoed, "of tunnels")
+        proof.record("rules_broken", len(broken), "by the ledger's audit")
         for violation in broken[:3]:
             print(violation)
-        proof.claim(hit > 0, "no session was on the nodes that were hit")
-        proof.claim(worst <= DRAIN + SLACK, f"a node that drains was held for {worst:.2f} s")
-        proof.claim(not unserved, f"{unserved} sessions were not served again")
-        proof.claim(most <= MOST_SHARE * even + 3, f"{most} reconnects in 100 ms")
-        taken = {t.call for t in ledger.taken}
-        proof.claim(
-            len(ledger.taken) == len(ledger.answers) == sum(kiosks.outcomes.values())
-            and {answer.call for answer in ledger.answers} == taken,
+        proof.check(hit > 0, "no session was on the nodes that were hit")
+        proof.check(worst <= DRAIN + SLACK, f"a node that drains was held for {worst:.2f} s")
+        proof.check(not unserved, f"{unserved} sessions were not served again")
+        proof.check(most <= MOST_SHARE * even + 3, f"{most} reconnects in 100 ms")
+        taken = {t.request_id for t in ledger.requests}
+        proof.check(
+            len(ledger.requests) == len(ledger.answers) == sum(kiosks.outcomes.values())
+            and {answer.request_id for answer in ledger.answers} == taken,
             "messages and outcomes don't pair",
         )
-        proof.claim(not broken, f"{len(broken)} rules broken")
-        proof.claim(set(kiosks.closes) <= {1012}, f"sessions closed otherwise: {closes}")
+        proof.check(not broken, f"{len(broken)} rules broken")
+        proof.check(set(kiosks.closes) <= {1012}, f"sessions closed otherwise: {closes}")
 
 
 @dataclass(slots=True)
@@ -280,7 +282,7 @@
     return wrong
 
 
-def fuzz(proof: Proof, size: Size) -> None:
+def fuzz(proof: BenchmarkReport, size: Size) -> None:
     fuzz_frames(proof.seed, 200)  # what is made once is there now
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -288,35 +290,35 @@
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     wrong = fuzz_sessions(proof.seed, size.histories)
-    proof.figure("fuzz_streams", size.streams, f"with {found.events} events and {found.faults} faults")
-    proof.figure("fuzz_wrong", found.wrong, "exceptions, or codes that none has")
-    proof.figure("fuzz_grown", grown / 1000, "kB held after them")
-    proof.figure("fuzz_histories", size.histories, f"of the session table, {wrong} wrong")
-    proof.claim(not found.wrong and not wrong, "the fuzz found something")
-    proof.claim(0 < found.faults < size.streams, "the fuzz's streams are all good, or all bad")
-    proof.claim(grown < 100_000, f"the fuzz left {grown} bytes")
+    proof.record("fuzz_streams", size.streams, f"with {found.events} events and {found.faults} faults")
+    proof.record("fuzz_wrong", found.wrong, "exceptions, or codes that none has")
+    proof.record("fuzz_grown", grown / 1000, "kB held after them")
+    proof.record("fuzz_histories", size.histories, f"of the session table, {wrong} wrong")
+    proof.check(not found.wrong and not wrong, "the fuzz found something")
+    proof.check(0 < found.faults < size.streams, "the fuzz's streams are all good, or all bad")
+    proof.check(grown < 100_000, f"the fuzz left {grown} bytes")
 
 
-async def memory(proof: Proof, size: Size) -> None:
+async def memory(proof: BenchmarkReport, size: Size) -> None:
     async with fleet(size, 4) as (program, kiosks, _, _, _):
         for name, path in (("talk", "/pantalla"), ("tunnel", "/vigia")):
             await connected(kiosks, 50, path)  # what the first ones bring with them
-            before = program.memory()
+            before = program.resident_mb()
             count = size.sessions // 2 - 50
             await connected(kiosks, count, path)
-            each = (program.memory() - before) * 1024 / count
-            proof.figure(f"idle_{name}", each, f"kB of the proxy's memory, each of {count}")
-            proof.claim(each < MOST_MEMORY, f"an idle {name} holds {each:.1f} kB")
+            each = (program.resident_mb() - before) * 1024 / count
+            proof.record(f"idle_{name}", each, f"kB of the proxy's memory, each of {count}")
+            proof.check(each < MOST_MEMORY, f"an idle {name} holds {each:.1f} kB")
 
 
-async def cost(proof: Proof, size: Size) -> None:
+async def cost(proof: BenchmarkReport, size: Size) -> None:
     """CPU of an echo through a tunnel and through a bare relay, in turns; and of a message that is a call."""
     more = "messages_per_s = 10000.0\nburst = 10000.0\nopen_messages = 1000\n"
     async with AsyncExitStack() as stack:
         program, kiosks, nodes, _, _ = await stack.enter_async_context(fleet(size, 1, more))
         bare, at = await stack.enter_async_context(relay(nodes[0].address))
-        direct = Kiosks(Ledger(), [at])
-        through: dict[str, tuple[int, Kiosks, list[Kiosk]]] = {
+        direct = WebSocketClientPool(Recorder(), [at])
+        through: dict[str, tuple[int, WebSocketClientPool, list[Kiosk]]] = {
             "relay": (bare, direct, await connected(direct, 8, "/vigia")),
             "tunnel": (program.process.pid, kiosks, await connected(kiosks, 8, "/vigia")),
         }
@@ -328,10 +330,10 @@
             found["talk"].append(await calls(program.process.pid, talks, size.echoes // 4))
         direct.close()
         for name, turns in found.items():
-            proof.figure(f"cpu_{name}", median(c for c, _ in turns) * 1e6, "us a message and its answer")
-            proof.figure(f"rate_{name}", median(r for _, r in turns), "a second, one at a time on 8 sessions")
+            proof.record(f"cpu_{name}", median(c for c, _ in turns) * 1e6, "us a message and its answer")
+            proof.record(f"rate_{name}", median(r for _, r in turns), "a second, one at a time on 8 sessions")
         ratios = [t[0] / b[0] for t, b in zip(found["tunnel"], found["relay"], strict=True)]
-        proof.figure(
+        proof.record(
             "tunnel_to_relay", median(ratios), f"times its CPU, {min(ratios):.2f} to {max(ratios):.2f}"
         )
 
@@ -355,7 +357,7 @@
     async def one(kiosk: Kiosk) -> None:
         for _ in range(count // len(some)):
             kiosk.said.clear()
-            kiosk.send(MIX[1])
+            kiosk.send(DEFAULT_CLASSES[1])
             while kiosk.open:
                 await kiosk.said.wait()
                 kiosk.said.clear()
@@ -370,7 +372,7 @@
     return (cpu(pid) - used) / count, count / (time.monotonic() - begun)
 
 
-async def measure(proof: Proof, wanted: argparse.Namespace) -> None:
+async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
     size = SHORT if wanted.short else FULL
     fuzz(proof, size)
     await memory(proof, size)
@@ -379,4 +381,4 @@
 
 
 if __name__ == "__main__":
-    raise SystemExit(run("websocket", measure))
+    raise SystemExit(run_benchmark("websocket", measure))
--- a/harness/endpoint_registry.py
+++ b/harness/endpoint_registry.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from harness.kit import listen
-from harness.ledger import Ledger, Told
+from harness.event_loop import listen
+from harness.recorder import Notification, Recorder
 
 Entry = dict[str, Any]
 ENDS = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
@@ -30,7 +30,7 @@
 
 class EndpointRegistry:
     def __init__(
-        self, ledger: Ledger, seed: int = 0, delay_range: tuple[float, float] = (0.0, 0.0), proxy: str = ""
+        self, ledger: Recorder, seed: int = 0, delay_range: tuple[float, float] = (0.0, 0.0), proxy: str = ""
     ) -> None:
         """`proxy`: the one that asks it, where each has its own."""
         self.loop = asyncio.get_running_loop()
@@ -131,5 +131,5 @@
         self.transport.write(head.encode() + body)
         now = time.monotonic()
         for item in json.loads(body)["endpoints"]:
-            told = Told(item["name"], now, ENDS[item["status"]], "padron", self.registry.proxy)
-            self.registry.ledger.told.append(told)
+            told = Notification(item["name"], now, ENDS[item["status"]], "padron", self.registry.proxy)
+            self.registry.ledger.notifications.append(told)
--- /dev/null
+++ b/harness/event_loop.py
@@ -0,0 +1,64 @@
+"""What harnesses and tests share: waiting for an event with a bound, listening, and a loop in a thread."""
+
+from __future__ import annotations
+
+import asyncio
+import threading
+import time
+from collections.abc import Callable, Coroutine
+from typing import Any, TypeVar
+
+DEFAULT_TIMEOUT_S = 20.0  # what takes longer has failed
+POLL_INTERVAL_S = 0.005
+
+T = TypeVar("T")
+
+
+async def until(
+    condition: Callable[[], object], description: str = "", timeout: float = DEFAULT_TIMEOUT_S
+) -> None:
+    """Wait until the condition holds; raise TimeoutError with the description where it does not."""
+    deadline = time.monotonic() + timeout
+    while not condition():
+        if time.monotonic() > deadline:
+            raise TimeoutError(description or "the condition never held")
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+async def listen(
+    factory: Callable[[], asyncio.Protocol], address: str = "", backlog: int = 256
+) -> tuple[asyncio.Server, str]:
+    """Listen on loopback, at the address's port or at a free one; return the address it has now."""
+    port = int(address.rpartition(":")[2]) if address else 0
+    server = await asyncio.get_running_loop().create_server(
+        factory, "127.0.0.1", port, reuse_address=True, backlog=backlog
+    )
+    host, port = server.sockets[0].getsockname()[:2]
+    return server, f"{host}:{port}"
+
+
+class LoopThread:
+    """An event loop in a thread of its own, for harnesses beside clients that block."""
+
+    def __init__(self) -> None:
+        self.loop = asyncio.new_event_loop()
+        self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
+        self.thread.start()
+
+    def run(self, coroutine: Coroutine[Any, Any, T]) -> T:
+        """Run a coroutine on the loop and wait for its result."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(DEFAULT_TIMEOUT_S)
+
+    def call(self, function: Callable[[], T]) -> T:
+        """Call a function on the loop's thread and wait for its result."""
+
+        async def called() -> T:
+            return function()
+
+        return self.run(called())
+
+    def stop(self) -> None:
+        """Stop the loop and end its thread."""
+        self.loop.call_soon_threadsafe(self.loop.stop)
+        self.thread.join(DEFAULT_TIMEOUT_S)
+        self.loop.close()
--- a/harness/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -20,11 +20,11 @@
 
 import uvloop
 
+from harness.event_loop import until
 from harness.fleet.fault_script import FaultPlayer, FaultScript, ScriptedFault, ScriptHeader, parse_script
 from harness.fleet.harness import FleetOptions, running_fleet
 from harness.fleet.network import Network
 from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet
-from harness.kit import until
 from service_proxy.fleet.timing import ProtocolTiming
 from service_proxy.operator_file.reader import OperatorError, read_text
 from service_proxy.sidecar.explain import table_schema
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -17,15 +17,15 @@
 from random import Random
 from typing import Any
 
-from harness.backend import Backend
-from harness.callers import EFFECTS, Callers
+from harness.clients import IDEMPOTENCY_BY_CLASS, ClientPool
+from harness.clock_skew import OFFSETS
 from harness.endpoint_registry import EndpointRegistry, entry
+from harness.event_loop import until
 from harness.fleet.fault_relay import DatagramRelay, TcpRelay, loopback_address
 from harness.fleet.network import Network
-from harness.kit import until
-from harness.ledger import Ledger, Violation
-from harness.program import ROOT, Program, configuration, free_port, launch, settings
-from harness.skew import STEER
+from harness.proxy_process import ROOT, ProxyProcess, configuration, free_port, settings, start_process
+from harness.recorder import Recorder, Violation
+from harness.stub_endpoint import StubEndpoint
 from service_proxy.fleet.authentication import MessageAuthenticator
 from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.view_query import ViewPage, ViewRow, decode_view_page, encode_view_request
@@ -85,7 +85,7 @@
     name: str
     folder: Path
     process: asyncio.subprocess.Process | None = None
-    program: Program | None = None
+    program: ProxyProcess | None = None
     suspended: bool = False
     starts: int = 0
     log_position: int = 0  # bytes of its log that were looked at
@@ -109,14 +109,14 @@
         self.network = Network(setup.seed, base_delay_range=(0.0, 0.0))
         self.port, self.http = free_port(), free_port()
         self.relay = DatagramRelay(setup.members, self.port, self.network)
-        self.ledger = Ledger()
+        self.ledger = Recorder()
         self.slots = [Slot(number, f"p{number}", folder / f"p{number}") for number in range(setup.members)]
         self.endpoints = [
-            Backend(self.ledger, f"n{number}", "abc"[number % 3], capacity=4.0)
+            StubEndpoint(self.ledger, f"n{number}", "abc"[number % 3], capacity=4.0)
             for number in range(setup.endpoints)
         ]
         self.registries: list[EndpointRegistry] = []
-        self.clients: list[Callers] = []
+        self.clients: list[ClientPool] = []
         self.relays: list[TcpRelay] = []
         self.tasks: set[asyncio.Task[Any]] = set()
         self.random = Random(setup.seed)
@@ -147,14 +147,14 @@
         self.observer.start()
         if self.options.rate:
             for callers in self.clients:
-                self.create_task(callers.run(3600.0, self.options.rate, wait=False))
+                self.create_task(callers.run(3600.0, self.options.rate, wait_and_close=False))
 
     async def _prepare_slot(self, seat: Slot) -> None:
         """Its list, its ways to the servers, and its callers."""
         seat.folder.mkdir()
         (seat.folder / "machine").write_text(f"machine {seat.name}\n")
         self.renew_boot_id(seat.number)
-        (seat.folder / "clock").write_bytes(STEER.pack(0.0, 0.0))
+        (seat.folder / "clock").write_bytes(OFFSETS.pack(0.0, 0.0))
         registry = EndpointRegistry(self.ledger, self.options.seed + seat.number, proxy=seat.name)
         at = await registry.start()
         self.registries.append(registry)
@@ -168,7 +168,9 @@
         seat.relays.append(pipe)
         self.relays += seat.relays
         self.clients.append(
-            Callers(self.ledger, (loopback_address(77, seat.number), self.http), seat.name, self.options.seed)
+            ClientPool(
+                self.ledger, (loopback_address(77, seat.number), self.http), seat.name, self.options.seed
+            )
         )
 
     def _config(self, seat: Slot) -> dict[str, Any]:
@@ -229,15 +231,15 @@
                 keys = seat.folder / "keys"
                 keys.write_text(f"k1 {FLEET_KEY}\n")
                 keys.chmod(0o600)
-            through: tuple[str, ...] = ("harness.skew", "--steer", str(seat.folder / "clock"))
+            through: tuple[str, ...] = ("harness.clock_skew", "--steer", str(seat.folder / "clock"))
             if seat.number in self.options.next_version_members:
                 through += ("harness.fleet.next_version",)
-            process = await launch(
+            process = await start_process(
                 seat.folder, self._config(seat), self._operator(seat), self.options.root, through
             )
             seat.process = process
             address = (loopback_address(77, seat.number), self.http)
-            program = Program(process, address, seat.folder / "log")
+            program = ProxyProcess(process, address, seat.folder / "log")
             await self._wait_for(program, process)
             if process.returncode is None:
                 seat.program = program
@@ -245,7 +247,7 @@
         finally:
             self.starting -= 1
 
-    async def _wait_for(self, program: Program, process: asyncio.subprocess.Process) -> None:
+    async def _wait_for(self, program: ProxyProcess, process: asyncio.subprocess.Process) -> None:
         """Until it says that it is ready, or has ended."""
         due = self.loop.time() + READY_TIMEOUT_S
         while process.returncode is None and self.loop.time() < due:
@@ -316,9 +318,9 @@
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
         file = self.slots[number].folder / "clock"
-        before = STEER.unpack(file.read_bytes())
+        before = OFFSETS.unpack(file.read_bytes())
         with file.open("r+b") as sink:
-            sink.write(STEER.pack(before[0] + wall, before[1] + monotonic))
+            sink.write(OFFSETS.pack(before[0] + wall, before[1] + monotonic))
 
     def flood(self, number: int, rate: float, lasts: float) -> None:
         self.create_task(self._send_flood(number, rate, lasts))
@@ -359,7 +361,7 @@
 
     async def restart_endpoint(self, number: int) -> None:
         """It is back, cold, and its list does not say so yet."""
-        await self.endpoints[number].start(cold=True)
+        await self.endpoints[number].start(warming_up=True)
 
     def set_draining(self, server: str, on: bool) -> None:
         for registry in self.registries:
@@ -377,11 +379,11 @@
     def audit(self) -> list[Violation]:
         """Calls of a proxy that was killed, stopped or ending meanwhile can't be answered by it."""
         down = {seat.name: seat.downtimes for seat in self.slots}
-        for taken in self.ledger.taken:
+        for taken in self.ledger.requests:
             for begun, ended in down.get(taken.proxy, ()):
-                if taken.at <= ended and taken.due + 1.0 >= begun:
-                    self.ledger.excused.add(taken.call)
-        return self.ledger.audit(EFFECTS)
+                if taken.sent_at <= ended and taken.deadline + 1.0 >= begun:
+                    self.ledger.excused_requests.add(taken.request_id)
+        return self.ledger.audit(IDEMPOTENCY_BY_CLASS)
 
     async def stop_all(self) -> None:
         for task in list(self.tasks):
@@ -394,7 +396,7 @@
                 seat.process.kill()
                 await seat.process.wait()
         for callers in self.clients:
-            for connection in list(callers.pool):
+            for connection in list(callers.live_connections):
                 connection.close()
         for pipe in self.relays:
             pipe.stop()
--- a/harness/program.py
+++ b/harness/proxy_process.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from harness.callers import GRADES
-from harness.kit import until
+from harness.clients import CLASS_SETTINGS
+from harness.event_loop import until
 
 ROOT = Path(__file__).parent.parent
 
@@ -33,7 +33,7 @@
         "dcs": ["a", "b", "c"],
         "discovery": "ask",
         "quantum": 0.005,
-        "grades": GRADES,
+        "grades": CLASS_SETTINGS,
         "tenants": [],
         "report": {"names": ["busy_reqs", "pending"], "via": "on_probe"},
         "policy_limits": {
@@ -60,7 +60,7 @@
     }
 
 
-class Ports:
+class PortAllocator:
     """Ports for programs that are told theirs. Nobody else gets one between the choice and the listening:
     they lie below those that the kernel deals out, and no other process of this machine has this block."""
 
@@ -70,21 +70,21 @@
     BLOCKS = 220
 
     def __init__(self) -> None:
-        self.claim = socket.socket(socket.AF_UNIX)  # holds the block for as long as this process lives
+        self.block_lock = socket.socket(socket.AF_UNIX)  # holds the block for as long as this process lives
         self.first = 0
-        self.given = 0
+        self.next_offset = 0
         begin = os.getpid() % self.BLOCKS
         for block in (*range(begin, self.BLOCKS), *range(begin)):
             with contextlib.suppress(OSError):
-                self.claim.bind(f"\0granitepoint-ports-{block}")
+                self.block_lock.bind(f"\0granitepoint-ports-{block}")
                 self.first = self.FIRST + block * self.BLOCK
                 return
         raise RuntimeError("all blocks of ports are in use: end some of the programs that hold them")
 
     def next(self) -> int:
         for _ in range(self.BLOCK):
-            port = self.first + self.given % self.BLOCK
-            self.given += 1
+            port = self.first + self.next_offset % self.BLOCK
+            self.next_offset += 1
             with contextlib.suppress(OSError), socket.socket() as probe:
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 probe.bind(("127.0.0.1", port))
@@ -93,35 +93,35 @@
 
 
 @functools.cache
-def ports() -> Ports:
-    return Ports()
+def port_allocator() -> PortAllocator:
+    return PortAllocator()
 
 
 def free_port() -> int:
-    return ports().next()
+    return port_allocator().next()
 
 
-class Program:
+class ProxyProcess:
     """A running proxy."""
 
     def __init__(self, process: asyncio.subprocess.Process, address: tuple[str, int], log: Path) -> None:
         self.process = process
         self.address = address
-        self.log = log
+        self.log_file = log
 
-    def cpu(self) -> float:
+    def cpu_seconds(self) -> float:
         """s of CPU that it has used (proc(5), utime and stime)."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def memory(self) -> float:
+    def resident_mb(self) -> float:
         """MB that it holds (proc(5), VmRSS)."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
-    def up(self) -> bool:
+    def is_ready(self) -> bool:
         with contextlib.suppress(OSError), socket.create_connection(self.address, 0.2) as caller:
             caller.settimeout(0.5)
             caller.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -134,7 +134,7 @@
     listen: str,
     discovery: str,
     known: list[dict[str, Any]],
-    more: dict[str, Any] | None = None,
+    overrides: dict[str, Any] | None = None,
     **changes: Any,
 ) -> dict[str, Any]:
     """The JSON of one proxy; `more`: what it has beside the usual, or in its place."""
@@ -146,17 +146,18 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 1, "snapshot": True, "endpoints": known},
         "settings": settings(**changes),
-        **(more or {}),
+        **(overrides or {}),
     }
 
 
-async def launch(
-    folder: Path, raw: dict[str, Any], operator: str = "", root: Path = ROOT, through: tuple[str, ...] = ()
+async def start_process(
+    folder: Path, raw: dict[str, Any], operator: str = "", root: Path = ROOT, runner: tuple[str, ...] = ()
 ) -> asyncio.subprocess.Process:
     """A process of the program, whose log is `folder`/log, behind what an earlier one wrote there. `through`:
     a module and its arguments that run the program's."""
     (folder / "config.json").write_text(json.dumps(raw))
-    command = [sys.executable, "-m", *through, "service_proxy"]
+    package = "service_proxy" if (root / "service_proxy").is_dir() else "granitepoint"  # its name until 0.2
+    command = [sys.executable, "-m", *runner, package]
     if operator:
         (folder / "operator.toml").write_text(operator.replace("{folder}", str(folder)))
         command += ["--operator", str(folder / "operator.toml")]
@@ -167,7 +168,7 @@
 
 
 @contextlib.asynccontextmanager
-async def proxy(
+async def running_proxy(
     name: str,
     discovery: str,
     known: list[dict[str, Any]],
@@ -175,25 +176,27 @@
     files: dict[str, str] | None = None,
     root: Path = ROOT,
     ready: bool = True,
-    more: dict[str, Any] | None = None,
+    overrides: dict[str, Any] | None = None,
     **changes: Any,
-) -> AsyncIterator[Program]:
+) -> AsyncIterator[ProxyProcess]:
     """A proxy that is `ready`, or just started. `operator`: text of its operator's file, in which
     `{folder}` stands for a folder of its own; `files`: further files there; `root`: the checkout whose
     program is started; `more`: what the JSON has beside the usual, or in its place."""
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
         listen = f"127.0.0.1:{free_port()}"
-        raw = configuration(name, listen, discovery, known, more, **changes)
+        raw = configuration(name, listen, discovery, known, overrides, **changes)
         for file, content in (files or {}).items():
             (folder / file).write_text(content)
-        process = await launch(folder, raw, operator, root)
+        process = await start_process(folder, raw, operator, root)
         host, _, port = listen.rpartition(":")
-        program = Program(process, (host, int(port)), folder / "log")
+        program = ProxyProcess(process, (host, int(port)), folder / "log")
         try:
-            await until(lambda: process.returncode is not None or not ready or program.up(), f"{name} ready")
+            await until(
+                lambda: process.returncode is not None or not ready or program.is_ready(), f"{name} ready"
+            )
             if process.returncode is not None:
-                said = program.log.read_text()[-2000:]
+                said = program.log_file.read_text()[-2000:]
                 raise RuntimeError(f"{name} ended with {process.returncode}: {said}")
             yield program
         finally:
--- a/harness/chain.py
+++ b/harness/tier_chain.py
@@ -1,6 +1,6 @@
 """A chain of up to three tiers of real sidecars on loopback: budgets on or off, skewed clocks, misroutes.
 
-    python -m harness.chain [--tiers 2] [--hosts 2] [--budgets on|off] [--misroute] [--skew]
+    python -m harness.tier_chain [--tiers 2] [--hosts 2] [--budgets on|off] [--misroute] [--skew]
                          [--seconds 5] [--rate 20]
 
 Prints what became of the calls, and who worked on which request when nobody waited for it any more.
@@ -23,8 +23,8 @@
 
 import uvloop
 
-from harness.ledger import Attempt
-from harness.world import Habits, World, world
+from harness.deployment import ApplicationProfile, Deployment, running_deployment
+from harness.recorder import RecordedAttempt
 from service_proxy.operator_file.schema import Budgets
 from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier, Top
 
@@ -43,7 +43,7 @@
 ATTEMPTS = 12  # of a tree
 SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # calls at a time of one application
 SERVICES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}  # s that it works on each
-STARTED = "127.0.0.1:1"  # an address that the world replaces
+PLACEHOLDER_ADDRESS = "127.0.0.1:1"  # an address that the world replaces
 
 
 def chain(tiers: int, hosts: int, budgets: Budgets | None, misroute: bool = False) -> Description:
@@ -54,23 +54,27 @@
     sidecars = []
     for place, name in enumerate(names):
         calls = (TIERS[place + 1],) if place + 1 < tiers or misroute else ()
-        described[name] = Tier(ZONES, tuple(CLASSES), hosts, calls, padron=STARTED, stop_after=3.0)
+        described[name] = Tier(
+            ZONES, tuple(CLASSES), hosts, calls, padron=PLACEHOLDER_ADDRESS, stop_after=3.0
+        )
         for number in range(hosts):
             sidecars.append(
                 Sidecar(
                     f"h-{number}",
                     ZONES[number % 2],
                     name,
-                    STARTED,
-                    STARTED,
+                    PLACEHOLDER_ADDRESS,
+                    PLACEHOLDER_ADDRESS,
                     slots=SLOTS[name],
                     waiting=64,
-                    outbound={called: STARTED for called in calls},
+                    outbound={called: PLACEHOLDER_ADDRESS for called in calls},
                 )
             )
     if misroute:
-        described[TIERS[tiers]] = Tier(ZONES, tuple(CLASSES), hosts, padron=STARTED, stop_after=3.0)
-    top = Top(2, "chain", padron=STARTED)
+        described[TIERS[tiers]] = Tier(
+            ZONES, tuple(CLASSES), hosts, padron=PLACEHOLDER_ADDRESS, stop_after=3.0
+        )
+    top = Top(2, "chain", padron=PLACEHOLDER_ADDRESS)
     return Description(
         "chain", top, dict(CLASSES), dict(ROUTES), described, {}, tuple(sidecars), Features(), budgets
     )
@@ -80,40 +84,40 @@
 class Chain:
     """A running chain, and what its ledger says of the trees of calls."""
 
-    world: World
+    deployment: Deployment
     keys: Path  # of all its processes
 
     def root(self, call: str) -> str:
         """The outermost request that a call was made for."""
-        while call in self.world.parents:
-            call = self.world.parents[call]
+        while call in self.deployment.parent_requests:
+            call = self.deployment.parent_requests[call]
         return call
 
     def depth(self, call: str) -> int:
         """Hops from the edge to who has the call: 1 for the first tier's."""
         hops = 1
-        while call in self.world.parents:
-            call = self.world.parents[call]
+        while call in self.deployment.parent_requests:
+            call = self.deployment.parent_requests[call]
             hops += 1
         return hops
 
     def attempts(self) -> Counter[str]:
         """Of each outermost request, those that reached an application."""
-        return Counter(self.root(attempt.call) for attempt in self.world.ledger.attempts)
+        return Counter(self.root(attempt.request_id) for attempt in self.deployment.recorder.attempts)
 
-    def late(self, allowance: float) -> list[tuple[Attempt, float]]:
+    def late(self, allowance: float) -> list[tuple[RecordedAttempt, float]]:
         """Work that was begun when the outermost caller no longer waited, and how late, s."""
-        due = {taken.call: taken.due for taken in self.world.ledger.taken}
+        due = {taken.request_id: taken.deadline for taken in self.deployment.recorder.requests}
         found = []
-        for attempt in self.world.ledger.attempts:
-            behind = attempt.ran_at - due.get(self.root(attempt.call), float("inf"))
-            if attempt.ran and behind > allowance:
+        for attempt in self.deployment.recorder.attempts:
+            behind = attempt.executed_at - due.get(self.root(attempt.request_id), float("inf"))
+            if attempt.executed and behind > allowance:
                 found.append((attempt, behind))
         return found
 
-    def loops_told(self) -> int:
+    def reported_loops(self) -> int:
         """Lines of the sidecars' logs that name a loop's path."""
-        return sum(host.log.read_text().count(": loop_rejected path=") for host in self.world.hosts)
+        return sum(host.log_file.read_text().count(": loop_rejected path=") for host in self.deployment.hosts)
 
 
 def key_file(folder: Path) -> Path:
@@ -131,16 +135,18 @@
     budgets: bool = True,
     misroute: bool = False,
     skew: bool = False,
-    habits: Habits | None = None,
-    older: frozenset[str] = frozenset(),
+    profile: ApplicationProfile | None = None,
+    tiers_without_budgets: frozenset[str] = frozenset(),
 ) -> AsyncIterator[Chain]:
     """`older`: tiers whose sidecars know of no budgets."""
     with tempfile.TemporaryDirectory() as folder:
         keys = key_file(Path(folder))
-        usual = habits or Habits(passes_time=False, copies_budget=True, services=SERVICES)
+        usual = profile or ApplicationProfile(
+            propagates_deadline=False, copies_budget_header=True, service_time_by_tier=SERVICES
+        )
         settings = None
         if budgets:
-            settings = Budgets(str(keys), attempts=ATTEMPTS, calls_per_request=usual.calls)
+            settings = Budgets(str(keys), attempts=ATTEMPTS, calls_per_request=usual.requests_per_tier)
         edge = f'[budgets]\nkeys_file = "{keys}"\nedge = true\nattempts = {ATTEMPTS}\n' if budgets else ""
         description = chain(tiers, hosts, settings, misroute)
         skews = {}
@@ -155,20 +161,26 @@
                         f"--monotonic={number * 1000}",
                     ]
         routes = {TIERS[tiers]: TIERS[0]} if misroute else {}
-        async with world(description, usual, routes, skews, edge, older) as made:
-            yield Chain(made, keys)
+        async with running_deployment(
+            description, usual, routes, skews, edge, tiers_without_budgets
+        ) as deployment:
+            yield Chain(deployment, keys)
 
 
-async def show(wanted: argparse.Namespace) -> int:
+async def run_and_print(wanted: argparse.Namespace) -> int:
     on = wanted.budgets == "on"
     async with running(wanted.tiers, wanted.hosts, on, wanted.misroute, wanted.skew) as made:
-        callers = made.world.callers
+        callers = made.deployment.clients
         assert callers is not None
         await callers.run(wanted.seconds, wanted.rate)
-        codes = callers.codes
-        broken = made.world.ledger.audit({name: cls.effect for name, cls in made.world.classes.items()})
+        codes = callers.status_codes
+        broken = made.deployment.recorder.audit(
+            {name: cls.idempotency for name, cls in made.deployment.classes.items()}
+        )
         late = made.late(0.0)
-        deepest = max((made.depth(attempt.call) for attempt in made.world.ledger.attempts), default=0)
+        deepest = max(
+            (made.depth(attempt.request_id) for attempt in made.deployment.recorder.attempts), default=0
+        )
         print(f"calls {codes.total()}: served {codes[200]}, refused {codes[503]}")
         print(
             f"work begun for nobody: {len(late)}, the latest {max((by for _, by in late), default=0.0):.3f} s"
@@ -176,7 +188,7 @@
         print(
             f"attempts of a request: {max(made.attempts().values(), default=0)} at the most; hops {deepest}"
         )
-        print(f"loops told: {made.loops_told()}; rules broken: {len(broken)}")
+        print(f"loops told: {made.reported_loops()}; rules broken: {len(broken)}")
         for violation in broken[:3]:
             print(violation)
     return 1 if broken else 0
@@ -184,7 +196,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m harness.chain",
+        prog="python -m harness.tier_chain",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -196,7 +208,7 @@
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--rate", type=float, default=20.0, help="calls a second")
     wanted = parser.parse_args(argv)
-    return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(show(wanted))
+    return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(run_and_print(wanted))
 
 
 if __name__ == "__main__":
--- a/harness/trial.py
+++ b/harness/trial.py
@@ -15,80 +15,84 @@
 
 import uvloop
 
-from harness.world import World, world
+from harness.deployment import Deployment, running_deployment
 from service_proxy.operator_file.reader import OperatorError
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.model import Description
 
-LOOK = 0.5  # s between two looks at a terminal
-LINE = 1.0  # s between two lines elsewhere
-MOST_ROWS = 24
+REFRESH_INTERVAL_S = 0.5  # s between two looks at a terminal
+LINE_INTERVAL_S = 1.0  # s between two lines elsewhere
+MAX_ROWS = 24
 # ECMA-48: cursor to the top left, erase to the end
-HOME = "\x1b[H"
-CLEAR = "\x1b[J"
-
-
-def rows(world: World, passed: float, seconds: float) -> list[str]:
-    """The table: each server with what it did."""
-    assert world.callers is not None
-    assert world.edge is not None
-    codes = world.callers.codes
-    other = codes.total() - codes[200] - codes[503]
-    host, port = world.edge.address
-    found = [
-        f"{world.description.top.application}: {passed:.0f} of {seconds:.0f} s; calls to http://{host}:{port}",
-        f"served {codes[200]}  refused {codes[503]}  failed {other}  under way {len(world.callers.open)}",
+CURSOR_HOME = "\x1b[H"
+ERASE_TO_END = "\x1b[J"
+
+
+def table_rows(deployment: Deployment, elapsed: float, seconds: float) -> list[str]:
+    """Format the table: each endpoint with what it did."""
+    assert deployment.clients is not None
+    assert deployment.edge_proxy is not None
+    codes = deployment.clients.status_codes
+    failed = codes.total() - codes[200] - codes[503]
+    host, port = deployment.edge_proxy.address
+    application = deployment.description.top.application
+    in_flight = len(deployment.clients.open_requests)
+    lines = [
+        f"{application}: {elapsed:.0f} of {seconds:.0f} s; calls to http://{host}:{port}",
+        f"served {codes[200]}  refused {codes[503]}  failed {failed}  under way {in_flight}",
         f"{'server':<24}{'zone':<10}{'inbound':<18}{'calls':>7}{'a second':>10}",
     ]
-    servers = [
-        (entry.name, entry.sidecar.zone, entry.sidecar.inbound, entry.application) for entry in world.hosts
-    ]
-    servers += [(backend.name, backend.zone, backend.address, backend) for _, backend in world.plain]
-    for name, zone, at, application in servers[:MOST_ROWS]:
-        rate = application.seen / passed if passed else 0.0
-        found.append(f"{name:<24}{zone:<10}{at:<18}{application.seen:>7}{rate:>10.1f}")
-    if len(servers) > MOST_ROWS:
-        found.append(f"... and {len(servers) - MOST_ROWS} more")
-    return found
+    endpoints = [(h.name, h.sidecar.zone, h.sidecar.inbound, h.application) for h in deployment.hosts]
+    endpoints += [(e.name, e.zone, e.address, e) for _, e in deployment.plain_endpoints]
+    for name, zone, address, endpoint in endpoints[:MAX_ROWS]:
+        rate = endpoint.request_count / elapsed if elapsed else 0.0
+        lines.append(f"{name:<24}{zone:<10}{address:<18}{endpoint.request_count:>7}{rate:>10.1f}")
+    if len(endpoints) > MAX_ROWS:
+        lines.append(f"... and {len(endpoints) - MAX_ROWS} more")
+    return lines
 
 
-async def show(world: World, seconds: float, live: bool) -> None:
+async def print_progress(deployment: Deployment, seconds: float, live: bool) -> None:
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_at = loop.time()
     while True:
-        passed = loop.time() - begun
-        table = rows(world, passed, seconds)
+        elapsed = loop.time() - started_at
+        table = table_rows(deployment, elapsed, seconds)
         if live:
-            print(HOME + "\n".join(f"{line}\x1b[K" for line in table) + "\n" + CLEAR, end="", flush=True)
+            print(
+                CURSOR_HOME + "\n".join(f"{line}\x1b[K" for line in table) + "\n" + ERASE_TO_END,
+                end="",
+                flush=True,
+            )
         else:
-            print(f"{passed:.0f} s: {table[1]}", flush=True)
-        await asyncio.sleep(LOOK if live else LINE)
+            print(f"{elapsed:.0f} s: {table[1]}", flush=True)
+        await asyncio.sleep(REFRESH_INTERVAL_S if live else LINE_INTERVAL_S)
 
 
-async def trial(description: Description, seconds: float, rate: float, live: bool) -> int:
+async def run_trial(description: Description, seconds: float, rate: float, live: bool) -> int:
     print(f"starting {len(description.sidecars)} sidecars and their stand-ins ...", flush=True)
-    async with world(description) as made:
-        assert made.callers is not None
-        assert made.edge is not None
+    async with running_deployment(description) as deployment:
+        assert deployment.clients is not None
+        assert deployment.edge_proxy is not None
         if live:
             print("\x1b[2J", end="")
-        showing = asyncio.create_task(show(made, seconds, live))
+        showing = asyncio.create_task(print_progress(deployment, seconds, live))
         try:
-            await made.callers.run(seconds, rate)
+            await deployment.clients.run(seconds, rate)
         finally:
             showing.cancel()
         if live:
-            print("\n".join(rows(made, seconds, seconds)))
+            print("\n".join(table_rows(deployment, seconds, seconds)))
         else:
-            print("\n".join(rows(made, seconds, seconds)[2:]))
-        codes = made.callers.codes
-        total = codes.total() + made.callers.unsent
-        effects: Any = {name: cls.effect for name, cls in made.classes.items()}
-        broken = made.ledger.audit(effects)
-    print(f"{codes[200]} of {total} calls served; rules broken: {len(broken)}")
-    for violation in broken[:3]:
+            print("\n".join(table_rows(deployment, seconds, seconds)[2:]))
+        codes = deployment.clients.status_codes
+        total = codes.total() + deployment.clients.unsent_count
+        effects: Any = {name: cls.idempotency for name, cls in deployment.classes.items()}
+        violations = deployment.recorder.audit(effects)
+    print(f"{codes[200]} of {total} calls served; rules broken: {len(violations)}")
+    for violation in violations[:3]:
         print(violation)
-    return 0 if total and codes[200] == total and not broken else 1
+    return 0 if total and codes[200] == total and not violations else 1
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -110,7 +114,7 @@
     if description is None or not description.tiers:
         print(f"{wanted.file}: see `check`, or add a tier", file=sys.stderr)
         return 1
-    work = trial(description, wanted.seconds, wanted.rate, sys.stdout.isatty())
+    work = run_trial(description, wanted.seconds, wanted.rate, sys.stdout.isatty())
     return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(work)
 
 
--- a/harness/kiosks.py
+++ b/harness/websocket_clients.py
@@ -20,21 +20,21 @@
 import httptools
 from wsproto.frame_protocol import FrameProtocol, Opcode
 
-from harness.callers import MIX, Class
-from harness.ledger import Answer, Ledger, Taken
+from harness.clients import DEFAULT_CLASSES, ClientClass
+from harness.recorder import ReceivedAnswer, Recorder, SentRequest
 
-WAIT = re.compile(r"reconnect in ([0-9.]+) s")
-CODES = {"served": 200, "refused": 503, "failed": 502}
-GIVE_UP = 0.25  # s beyond a message's budget after which one without an outcome is written off
-TALKS = "/pantalla"  # the route of message mode; any other is a tunnel
-USUAL_WAIT = 1.0  # s, at the most, before it comes back where nobody told it how long
+RECONNECT_WAIT = re.compile(r"reconnect in ([0-9.]+) s")
+STATUS_BY_OUTCOME = {"served": 200, "refused": 503, "failed": 502}
+GIVE_UP_MARGIN_S = 0.25  # s beyond a message's budget after which one without an outcome is written off
+MESSAGE_ROUTE = "/pantalla"  # the route of message mode; any other is a tunnel
+MAX_DEFAULT_WAIT_S = 1.0  # s, at the most, before it comes back where nobody told it how long
 
 
-class Kiosks:
+class WebSocketClientPool:
     """All of one process."""
 
-    def __init__(self, ledger: Ledger, proxies: list[tuple[str, int]], seed: int = 0) -> None:
-        self.ledger, self.proxies, self.random = ledger, proxies, Random(seed)
+    def __init__(self, recorder: Recorder, proxies: list[tuple[str, int]], seed: int = 0) -> None:
+        self.recorder, self.proxies, self.random = recorder, proxies, Random(seed)
         self.loop = asyncio.get_running_loop()
         self.kiosks: list[Kiosk] = []
         self.closes: Counter[int] = Counter()  # codes that came; 1006: the connection just ended
@@ -63,12 +63,12 @@
 
 
 class Kiosk(asyncio.Protocol):
-    def __init__(self, owner: Kiosks, name: str, path: str, comes_back: bool) -> None:
+    def __init__(self, owner: WebSocketClientPool, name: str, path: str, comes_back: bool) -> None:
         self.owner = owner
         self.name = name
         self.path = path
         self.comes_back = comes_back
-        self.talks = path.startswith(TALKS)
+        self.talks = path.startswith(MESSAGE_ROUTE)
         self.transport: Any = None
         self.frames: FrameProtocol | None = None
         self.parser: Any = None
@@ -125,7 +125,7 @@
     def _later(self) -> None:
         if self.over or not self.comes_back:
             return
-        wait = self.told if self.told is not None else self.owner.random.uniform(0, USUAL_WAIT)
+        wait = self.told if self.told is not None else self.owner.random.uniform(0, MAX_DEFAULT_WAIT_S)
         self.owner.loop.call_later(wait, self._again)
 
     def _again(self) -> None:
@@ -150,7 +150,7 @@
             if frame.opcode is Opcode.CLOSE:
                 assert isinstance(frame.payload, tuple)
                 self.closed_with = int(frame.payload[0])
-                found = WAIT.search(frame.payload[1])
+                found = RECONNECT_WAIT.search(frame.payload[1])
                 self.told = float(found[1]) if found else None
                 self._write(bytes(self.frames.close(frame.payload[0] if frame.payload[0] != 1005 else None)))
                 if self.transport is not None:
@@ -197,15 +197,17 @@
         self.owner.outcomes[said["outcome"]] += 1
         self.served += said["outcome"] == "served"
         if said["id"] in self.open:
-            self._ended(said["id"], CODES[said["outcome"]])
+            self._ended(said["id"], STATUS_BY_OUTCOME[said["outcome"]])
         else:  # the audit is to find it
-            self.owner.ledger.answers.append(Answer(said["id"], time.monotonic(), CODES[said["outcome"]]))
+            self.owner.recorder.answers.append(
+                ReceivedAnswer(said["id"], time.monotonic(), STATUS_BY_OUTCOME[said["outcome"]])
+            )
 
     def _ended(self, id: str, code: int) -> None:
         self.open.pop(id).cancel()
-        self.owner.ledger.answers.append(Answer(id, time.monotonic(), code))
+        self.owner.recorder.answers.append(ReceivedAnswer(id, time.monotonic(), code))
 
-    def send(self, cls: Class = MIX[0], key: str = "", budget: float = 0.0) -> str:
+    def send(self, cls: ClientClass = DEFAULT_CLASSES[0], key: str = "", budget: float = 0.0) -> str:
         """One message as a call; its id. Not sent where the kiosk has no connection: then ""."""
         if not self.up or self.frames is None:
             return ""
@@ -214,16 +216,16 @@
         budget = budget or cls.budget
         now = time.monotonic()
         fields: dict[str, Any] = {"id": id, "class": cls.name, "budget_ms": budget * 1e3, "seen": self.seen}
-        if cls.effect.kind == "by_key":
+        if cls.idempotency.kind == "by_key":
             fields["key"] = key or id
-        self.owner.ledger.taken.append(Taken(id, cls.name, now, now + budget, key or id, "kiosks"))
-        self.open[id] = self.owner.loop.call_later(budget + GIVE_UP, self._give_up, id, now + budget)
+        self.owner.recorder.requests.append(SentRequest(id, cls.name, now, now + budget, key or id, "kiosks"))
+        self.open[id] = self.owner.loop.call_later(budget + GIVE_UP_MARGIN_S, self._give_up, id, now + budget)
         self.say(json.dumps(fields))
         return id
 
     def _give_up(self, id: str, due: float) -> None:
         self.open.pop(id)
-        self.owner.ledger.answers.append(Answer(id, due, 0, left=True))
+        self.owner.recorder.answers.append(ReceivedAnswer(id, due, 0, client_gave_up=True))
 
     def say(self, text: str) -> None:
         assert self.frames is not None
--- a/harness/wsnode.py
+++ b/harness/websocket_endpoint.py
@@ -1,6 +1,6 @@
-"""A stand-in for a nodo that speaks WebSocket and serves calls as harness.backend does, with scripted faults.
+"""A stand-in for an endpoint that speaks WebSocket and serves requests, with scripted faults.
 
-    python -m harness.wsnode --listen 127.0.0.1:0 [--script FILE]
+    python -m harness.websocket_endpoint --listen 127.0.0.1:0 [--script FILE]
 
 It echoes each message, begun with its own name. The script is JSON, `{"faults": [{"session": 3, "after": 2,
 "what": "silent"}]}`: what it does in its nth session (0: in each) after so many messages. `what` is one of
@@ -25,13 +25,13 @@
 import uvloop
 from wsproto.frame_protocol import CloseReason, FrameProtocol, Opcode, ParseFailed
 
-from harness.backend import LOAD
-from harness.kit import listen
-from harness.ledger import Attempt, Ledger
+from harness.event_loop import listen
+from harness.recorder import RecordedAttempt, Recorder
+from harness.stub_endpoint import LOAD_REPORT
 
 GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
-MOST_HEAD = 16 * 1024
-FAULTS = (
+MAX_HEAD_BYTES = 16 * 1024
+FAULT_KINDS = (
     "silent",  # nothing more is looked at or said, the connection stays
     "mute",  # reads on, answers nothing, not even pings
     "slow",  # reads nothing for a while, so that the sender's buffers fill
@@ -54,13 +54,15 @@
     "behind",
     "late",
 )
-HANDSHAKE = frozenset(("decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late"))
-SLOW = 0.5  # s
+HANDSHAKE_FAULT_KINDS = frozenset(
+    ("decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late")
+)
+SLOW_S = 0.5  # s
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    what: str
+class ScriptedFault:
+    kind: str
     session: int = 0  # 0: each
     after: int = 0  # messages
 
@@ -73,7 +75,7 @@
     return 1 + text.count("\n", 0, place)
 
 
-def read_script(text: str, file: str = "script") -> list[Fault]:
+def read_script(text: str, file: str = "script") -> list[ScriptedFault]:
     """Raises ValueError with file and line."""
     try:
         raw = json.loads(text)
@@ -86,42 +88,42 @@
     for number, entry in enumerate(entries):
         at = f"{file}:{line_of(text, number)}: fault {number + 1}"
         try:
-            made = Fault(**entry)
+            made = ScriptedFault(**{"kind" if key == "what" else key: value for key, value in entry.items()})
         except TypeError as fault:
             raise ValueError(f"{at}: {fault}") from None
-        if made.what not in FAULTS:
-            raise ValueError(f"{at}: what must be one of {', '.join(FAULTS)}")
+        if made.kind not in FAULT_KINDS:
+            raise ValueError(f"{at}: what must be one of {', '.join(FAULT_KINDS)}")
         found.append(made)
     return found
 
 
-class WsNode:
+class WebSocketEndpoint:
     def __init__(
         self,
-        ledger: Ledger,
+        recorder: Recorder,
         name: str,
-        faults: tuple[Fault, ...] = (),
-        service: float = 0.002,
+        faults: tuple[ScriptedFault, ...] = (),
+        service_time: float = 0.002,
         zone: str = "a",
     ) -> None:
-        self.ledger = ledger
+        self.recorder = recorder
         self.name = name
         self.faults = faults
-        self.service = service
+        self.service_time = service_time
         self.zone = zone
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
         self.address = ""
-        self.connections: set[_Node] = set()
-        self.sessions = 0
+        self.connections: set[_EndpointConnection] = set()
+        self.session_count = 0
         self.answers_closes = True
-        self.open: set[_Node] = set()  # sessions
-        self.closes: Counter[int] = Counter()  # codes that came; 1006: none did
-        self.heard: list[str | bytes] = []  # messages
+        self.open_sessions: set[_EndpointConnection] = set()  # sessions
+        self.close_codes: Counter[int] = Counter()  # codes that came; 1006: none did
+        self.messages: list[str | bytes] = []  # messages
 
     async def start(self) -> str:
         """Listens where it did before, if it did."""
-        self.server, self.address = await listen(lambda: _Node(self), self.address, 1024)
+        self.server, self.address = await listen(lambda: _EndpointConnection(self), self.address, 1024)
         return self.address
 
     def stop(self) -> None:
@@ -134,41 +136,41 @@
                 connection.transport.abort()
 
 
-class _Node(asyncio.Protocol):
-    def __init__(self, node: WsNode) -> None:
-        self.node = node
+class _EndpointConnection(asyncio.Protocol):
+    def __init__(self, node: WebSocketEndpoint) -> None:
+        self.endpoint = node
         self.transport: Any = None
         self.head = bytearray()
         self.frames: FrameProtocol | None = None
         self.number = 0
         self.messages = 0
         self.parts: list[Any] = []
-        self.mute = False
-        self.dead = False
-        self.attempt: Attempt | None = None
+        self.is_mute = False
+        self.is_silent = False
+        self.attempt: RecordedAttempt | None = None
         self.close_code = 1006
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.node.connections.add(self)
+        self.endpoint.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.node.connections.discard(self)
-        if self in self.node.open:
-            self.node.open.discard(self)
-            self.node.closes[self.close_code] += 1
+        self.endpoint.connections.discard(self)
+        if self in self.endpoint.open_sessions:
+            self.endpoint.open_sessions.discard(self)
+            self.endpoint.close_codes[self.close_code] += 1
         if self.attempt is not None:
-            self.attempt.ended = min(self.attempt.ended, time.monotonic())
+            self.attempt.ended_at = min(self.attempt.ended_at, time.monotonic())
 
     def data_received(self, data: bytes) -> None:
-        if self.dead:
+        if self.is_silent:
             return
         if self.frames is not None:
             self._frames(data)
             return
         self.head += data
-        while not self.dead and self.frames is None and (end := self.head.find(b"\r\n\r\n")) >= 0:
+        while not self.is_silent and self.frames is None and (end := self.head.find(b"\r\n\r\n")) >= 0:
             head = bytes(self.head[:end])
             fields = {}
             line, *rest = head.split(b"\r\n")
@@ -188,59 +190,61 @@
     def _request(self, line: bytes, fields: dict[bytes, bytes]) -> None:
         _, target, _ = line.split(b" ")
         if target in (b"/load", b"/healthz"):
-            self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(LOAD), LOAD))
+            self.transport.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(LOAD_REPORT), LOAD_REPORT)
+            )
             return
         now = time.monotonic()
         call = fields.get(b"x-call-id", b"").decode()
         key = fields.get(b"idempotency-key", b"").decode()
         via = fields.get(b"x-via", b"").decode()
-        self.attempt = attempt = self.node.ledger.attempt(
-            call, self.node.name, self.node.zone, now, key=key, proxy=via, whole=now
+        self.attempt = attempt = self.endpoint.recorder.attempt(
+            call, self.endpoint.name, self.endpoint.zone, now, key=key, proxy=via, last_byte_at=now
         )
         if fields.get(b"upgrade", b"").lower() == b"websocket":
             self._upgrade(fields, attempt)
             return
-        attempt.ran = True
-        attempt.ran_at = now
-        self.node.loop.call_later(self.node.service, self._served, attempt)
-
-    def _served(self, attempt: Attempt) -> None:
-        if self.transport is not None and not self.dead:
-            attempt.ended = time.monotonic()
-            body = b"done " + attempt.call.encode()
+        attempt.executed = True
+        attempt.executed_at = now
+        self.endpoint.loop.call_later(self.endpoint.service_time, self._served, attempt)
+
+    def _served(self, attempt: RecordedAttempt) -> None:
+        if self.transport is not None and not self.is_silent:
+            attempt.ended_at = time.monotonic()
+            body = b"done " + attempt.request_id.encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def _fault(self, handshake: bool) -> str:
-        for fault in self.node.faults:
-            mine = fault.session in (0, self.number) and (fault.what in HANDSHAKE) is handshake
+        for fault in self.endpoint.faults:
+            mine = fault.session in (0, self.number) and (fault.kind in HANDSHAKE_FAULT_KINDS) is handshake
             if mine and (handshake or fault.after == self.messages):
-                return fault.what
+                return fault.kind
         return ""
 
-    def _upgrade(self, fields: dict[bytes, bytes], attempt: Attempt) -> None:
-        node = self.node
-        node.sessions += 1
-        self.number = node.sessions
+    def _upgrade(self, fields: dict[bytes, bytes], attempt: RecordedAttempt) -> None:
+        node = self.endpoint
+        node.session_count += 1
+        self.number = node.session_count
         what = self._fault(True)
         accept = base64.b64encode(hashlib.sha1(fields[b"sec-websocket-key"] + GUID).digest())
         offered = fields.get(b"sec-websocket-protocol", b"")
         more = b"Sec-WebSocket-Protocol: %s\r\n" % offered.split(b",")[0].strip() if offered else b""
         if what == "no-answer":
-            self.dead = True
+            self.is_silent = True
             return
         if what in ("decline", "reject", "plain"):
             line = {"decline": b"403 Forbidden", "reject": b"503 Full", "plain": b"200 OK"}[what]
             mark = b"X-Rejected: 1\r\n" if what == "reject" else b""
-            attempt.refused = what == "reject"
+            attempt.rejected = what == "reject"
             self.transport.write(b"HTTP/1.1 " + line + b"\r\n" + mark + b"Content-Length: 2\r\n\r\nno")
-            attempt.ended = time.monotonic()
+            attempt.ended_at = time.monotonic()
             return
         if what == "wrong-key":
             accept = base64.b64encode(b"x" * 20)
         if what == "extension":
             more += b"Sec-WebSocket-Extensions: permessage-deflate\r\n"
         if what == "late":
-            node.loop.call_later(SLOW, self._accept, accept, more, "")
+            node.loop.call_later(SLOW_S, self._accept, accept, more, "")
         else:
             self._accept(accept, more, what)
 
@@ -254,24 +258,24 @@
         )
         behind = bytes(self.frames.send_data("behind")) if what == "behind" else b""
         self.transport.write(head + behind)
-        self.node.open.add(self)
-        self._do(self._fault(False))
+        self.endpoint.open_sessions.add(self)
+        self._inject(self._fault(False))
 
     def _frames(self, data: bytes) -> None:
         assert self.frames is not None
         self.frames.receive_bytes(data)
         try:
             for frame in self.frames.received_frames():
-                if self.transport is None or self.dead:
+                if self.transport is None or self.is_silent:
                     return
                 if frame.opcode is Opcode.CLOSE:
                     assert isinstance(frame.payload, tuple)
                     self.close_code = int(frame.payload[0])
-                    if not self.mute and self.node.answers_closes:
+                    if not self.is_mute and self.endpoint.answers_closes:
                         self.transport.write(bytes(self.frames.close(self.close_code)))
                         self.transport.close()
                 elif frame.opcode is Opcode.PING:
-                    if not self.mute:
+                    if not self.is_mute:
                         self.transport.write(bytes(self.frames.pong(bytes(frame.payload))))  # type: ignore[arg-type]
                 elif frame.opcode is not Opcode.PONG:
                     self.parts.append(frame.payload)
@@ -287,24 +291,24 @@
     def _message(self, message: str | bytes) -> None:
         assert self.frames is not None
         self.messages += 1
-        self.node.heard.append(message)
+        self.endpoint.messages.append(message)
         what = self._fault(False)
         if what:
-            self._do(what)
+            self._inject(what)
             return
-        if not self.mute:
-            own = f"{self.node.name} " if isinstance(message, str) else self.node.name.encode() + b" "
+        if not self.is_mute:
+            own = f"{self.endpoint.name} " if isinstance(message, str) else self.endpoint.name.encode() + b" "
             self.transport.write(bytes(self.frames.send_data(own + message)))  # type: ignore[operator]
 
-    def _do(self, what: str) -> None:
+    def _inject(self, what: str) -> None:
         write = self.transport.write
         if what == "silent":
-            self.dead = True
+            self.is_silent = True
         elif what == "mute":
-            self.mute = True
+            self.is_mute = True
         elif what == "slow":
             self.transport.pause_reading()
-            self.node.loop.call_later(SLOW, self._resume)
+            self.endpoint.loop.call_later(SLOW_S, self._resume)
         elif what == "reset":
             self.transport.abort()
         elif what == "close":
@@ -330,18 +334,18 @@
             self.transport.resume_reading()
 
 
-async def serve(listen: str, faults: list[Fault], seconds: float) -> None:
-    node = WsNode(Ledger(), "wsnode", tuple(faults))
+async def serve(listen: str, faults: list[ScriptedFault], seconds: float) -> None:
+    node = WebSocketEndpoint(Recorder(), "wsnode", tuple(faults))
     node.address = listen
     print(f"listening {await node.start()}", flush=True)
     await asyncio.sleep(seconds)
     node.stop()
-    print(f"sessions {node.sessions}, messages {len(node.heard)}, closes {dict(node.closes)}")
+    print(f"sessions {node.session_count}, messages {len(node.messages)}, closes {dict(node.close_codes)}")
 
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m harness.wsnode",
+        prog="python -m harness.websocket_endpoint",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -349,7 +353,7 @@
     parser.add_argument("--script", type=Path)
     parser.add_argument("--seconds", type=float, default=60.0, help="then it ends")
     wanted = parser.parse_args(argv)
-    faults: list[Fault] = []
+    faults: list[ScriptedFault] = []
     if wanted.script is not None:
         try:
             faults = read_script(wanted.script.read_text(), str(wanted.script))
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -31,7 +31,7 @@
     until_ready,
 )
 
-from harness.program import free_port
+from harness.proxy_process import free_port
 from service_proxy.admin.metrics import Metrics
 from service_proxy.admin.routes import AdminResponse, route
 from service_proxy.admin.server import MAX_CONNECTIONS
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -15,7 +15,7 @@
 from netkit import PATIENCE, Backend, Caller, Discovery, config, endpoint, listing, run, start_program
 from test_admin_server import ProxyWithAdmin
 
-from harness.program import free_port
+from harness.proxy_process import free_port
 from service_proxy.admin import reuse_port
 from service_proxy.admin.process_generations import ProcessGenerations
 
--- a/tests/admin/test_settings_update.py
+++ b/tests/admin/test_settings_update.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from harness.program import settings
+from harness.proxy_process import settings
 from service_proxy.admin.errors import InvalidSettingsUpdateError
 from service_proxy.admin.settings_update import parse_update, transitional_settings
 from service_proxy.net.config import flatten_settings
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -13,13 +13,18 @@
 
 import pytest
 
-from harness.chain import ATTEMPTS, CLASSES, Chain, running
-from harness.kit import until
-from harness.program import Program
-from harness.world import Habits, Host
+from harness.deployment import ApplicationProfile, SidecarHost
+from harness.event_loop import until
+from harness.proxy_process import ProxyProcess
+from harness.stub_endpoint import IncomingRequest
+from harness.tier_chain import ATTEMPTS, CLASSES, Chain, running
 from service_proxy.net.endpoint_list import parse_address
 
-HABITS = Habits(passes_time=False, copies_budget=True, services={"portal": 0.004, "nucleo": 0.02})
+HABITS = ApplicationProfile(
+    propagates_deadline=False,
+    copies_budget_header=True,
+    service_time_by_tier={"portal": 0.004, "nucleo": 0.02},
+)
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -30,26 +35,28 @@
     asyncio.run(bounded())
 
 
-def host(made: Chain, tier: str, number: int = 0) -> Host:
-    return [host for host in made.world.hosts if host.sidecar.tier == tier][number]
+def host(made: Chain, tier: str, number: int = 0) -> SidecarHost:
+    return [host for host in made.deployment.hosts if host.sidecar.tier == tier][number]
 
 
 async def call(made: Chain, cls: str = "canje", budget: float = 0.0) -> int:
-    callers = made.world.callers
+    callers = made.deployment.clients
     assert callers is not None
-    usual = made.world.classes[cls]
-    return await callers.call(replace(usual, budget=budget or usual.budget))
+    usual = made.deployment.classes[cls]
+    return await callers.request(replace(usual, budget=budget or usual.budget))
 
 
 def audited(made: Chain) -> list[str]:
-    effects = {name: cls.effect for name, cls in made.world.classes.items()}
-    return [str(violation) for violation in made.world.ledger.audit(effects)]
+    effects = {name: cls.idempotency for name, cls in made.deployment.classes.items()}
+    return [str(violation) for violation in made.deployment.recorder.audit(effects)]
 
 
 def ran(made: Chain) -> Counter[tuple[str, str]]:
     """How often each tier worked on each outermost request."""
     return Counter(
-        (made.root(a.call), a.server.partition("-")[0]) for a in made.world.ledger.attempts if a.ran
+        (made.root(a.request_id), a.endpoint.partition("-")[0])
+        for a in made.deployment.recorder.attempts
+        if a.executed
     )
 
 
@@ -58,16 +65,16 @@
     """The application says nothing of the time, so its call would have its class's 1.5 s."""
 
     async def test() -> None:
-        habits = replace(HABITS, copies_budget=not extends_ids, extends_ids=extends_ids)
-        async with running(2, 1, habits=habits) as made:
+        habits = replace(HABITS, copies_budget_header=not extends_ids, extends_ids=extends_ids)
+        async with running(2, 1, profile=habits) as made:
             dues: list[float] = []
             inner = host(made, "nucleo").application
 
-            async def look(incoming: Any) -> bool:
-                dues.append(incoming.due - time.monotonic())
+            async def look(incoming: IncomingRequest) -> bool:
+                dues.append(incoming.deadline - time.monotonic())
                 return True
 
-            inner.further = look
+            inner.handler = look
             assert await call(made, budget=0.5) == 200 and 0.0 < dues[0] < 0.5
             assert audited(made) == []
 
@@ -76,14 +83,14 @@
 
 def test_call_without_header_and_with_ids_of_its_own_is_as_without_budgets() -> None:
     async def test() -> None:
-        async with running(2, 1, habits=replace(HABITS, copies_budget=False)) as made:
+        async with running(2, 1, profile=replace(HABITS, copies_budget_header=False)) as made:
             dues: list[float] = []
 
-            async def look(incoming: Any) -> bool:
-                dues.append(incoming.due - time.monotonic())
+            async def look(incoming: IncomingRequest) -> bool:
+                dues.append(incoming.deadline - time.monotonic())
                 return True
 
-            host(made, "nucleo").application.further = look
+            host(made, "nucleo").application.handler = look
             assert await call(made, budget=0.5) == 200 and 0.5 < dues[0] < CLASSES["canje"].deadline
 
     run(test())
@@ -92,7 +99,7 @@
 @pytest.mark.parametrize("older", ["nucleo", "portal"])
 def test_tier_of_a_version_without_budgets_works(older: str) -> None:
     async def test() -> None:
-        async with running(2, 1, habits=HABITS, older=frozenset((older,))) as made:
+        async with running(2, 1, profile=HABITS, tiers_without_budgets=frozenset((older,))) as made:
             assert [await call(made, cls) for cls in CLASSES for _ in range(4)] == [200] * 12
             assert audited(made) == []
 
@@ -104,14 +111,18 @@
     leaves."""
 
     async def test() -> None:
-        async with running(2, 1, habits=HABITS) as made:
+        async with running(2, 1, profile=HABITS) as made:
             inner = host(made, "nucleo").application
             inner.paused_until = time.monotonic() + 1.0
             codes = await asyncio.gather(*(call(made, budget=0.4) for _ in range(5)))
             assert set(codes) <= {502, 503, 504}
             await asyncio.sleep(1.0)  # until the pause is over: work for nobody would begin now
             assert made.late(0.02) == [] and ran(made).total() == len(
-                [a for a in made.world.ledger.attempts if a.ran and a.server.startswith("portal")]
+                [
+                    a
+                    for a in made.deployment.recorder.attempts
+                    if a.executed and a.endpoint.startswith("portal")
+                ]
             )
             assert audited(made) == []
 
@@ -120,30 +131,34 @@
 
 def test_client_that_leaves_ends_the_attempts_below_it() -> None:
     async def test() -> None:
-        async with running(2, 1, habits=HABITS) as made:
-            callers = made.world.callers
+        async with running(2, 1, profile=HABITS) as made:
+            callers = made.deployment.clients
             assert callers is not None
             inner = host(made, "nucleo").application
             inner.paused_until = time.monotonic() + 1.0
-            callers.send(replace(made.world.classes["canje"], budget=1.4))
-            await until(lambda: inner.seen, "the inner tier has it")
-            (connection,) = callers.pool
+            callers.send(replace(made.deployment.classes["canje"], budget=1.4))
+            await until(lambda: inner.request_count, "the inner tier has it")
+            (connection,) = callers.live_connections
             connection.close()
             begun = time.monotonic()
-            await until(lambda: all(a.ended < float("inf") for a in made.world.ledger.attempts), "all ended")
+            await until(
+                lambda: all(a.ended_at < float("inf") for a in made.deployment.recorder.attempts), "all ended"
+            )
             assert time.monotonic() - begun < 0.8  # not the end of the pause, nor of its time
             await asyncio.sleep(max(0.0, inner.paused_until - time.monotonic()) + 0.1)
-            assert not any(a.ran for a in made.world.ledger.attempts if a.server.startswith("nucleo"))
+            assert not any(
+                a.executed for a in made.deployment.recorder.attempts if a.endpoint.startswith("nucleo")
+            )
 
     run(test())
 
 
 def test_unsafe_call_whose_inner_attempt_broke_runs_once_and_is_answered_once() -> None:
     async def test() -> None:
-        async with running(2, 2, habits=HABITS) as made:
+        async with running(2, 2, profile=HABITS) as made:
             inner = [host(made, "nucleo", number).application for number in range(2)]
 
-            async def breaks(incoming: Any) -> bool:
+            async def breaks(incoming: IncomingRequest) -> bool:
                 for application in inner:
                     for connection in list(application.connections):
                         if connection.transport is not None:
@@ -151,7 +166,7 @@
                 return True
 
             for application in inner:
-                application.further = breaks
+                application.handler = breaks
             assert await call(made) in (502, 504)
             assert ran(made)["edge-00000001", "nucleo"] == 1 and audited(made) == []
 
@@ -163,7 +178,7 @@
     last."""
 
     async def test() -> None:
-        async with running(2, 2, habits=HABITS) as made:
+        async with running(2, 2, profile=HABITS) as made:
             inner = [host(made, "nucleo", number).application for number in range(2)]
             for application in inner:
                 application.paused_until = time.monotonic() + 2.0
@@ -171,9 +186,9 @@
             assert await call(made, "stock", budget=0.6) in (502, 503, 504)
             assert time.monotonic() - begun < 0.7
             await asyncio.sleep(0.3)
-            attempts = len(made.world.ledger.attempts)
+            attempts = len(made.deployment.recorder.attempts)
             await asyncio.sleep(0.3)
-            assert len(made.world.ledger.attempts) == attempts and made.late(0.02) == []
+            assert len(made.deployment.recorder.attempts) == attempts and made.late(0.02) == []
             assert made.attempts()["edge-00000001"] <= ATTEMPTS
 
     run(test())
@@ -181,15 +196,15 @@
 
 def test_second_of_two_sequential_calls_has_what_the_first_left() -> None:
     async def test() -> None:
-        habits = replace(HABITS, calls=2, services={"portal": 0.004, "nucleo": 0.25})
-        async with running(2, 1, habits=habits) as made:
+        habits = replace(HABITS, requests_per_tier=2, service_time_by_tier={"portal": 0.004, "nucleo": 0.25})
+        async with running(2, 1, profile=habits) as made:
             dues: list[float] = []
 
-            async def look(incoming: Any) -> bool:
-                dues.append(incoming.due - time.monotonic())
+            async def look(incoming: IncomingRequest) -> bool:
+                dues.append(incoming.deadline - time.monotonic())
                 return True
 
-            host(made, "nucleo").application.further = look
+            host(made, "nucleo").application.handler = look
             assert await call(made, budget=1.0) == 200
             assert dues[0] - dues[1] >= 0.25 and dues[0] < 0.76
 
@@ -201,10 +216,10 @@
     async def test() -> None:
         async with running(tiers, 1, misroute=True) as made:
             assert await call(made) != 200
-            assert max(made.depth(a.call) for a in made.world.ledger.attempts) <= 3
+            assert max(made.depth(a.request_id) for a in made.deployment.recorder.attempts) <= 3
             assert max(ran(made).values()) == 1  # nobody worked on it twice
-            await until(made.loops_told, "the path is told")
-            logs = [host.log.read_text() for host in made.world.hosts]
+            await until(made.reported_loops, "the path is told")
+            logs = [host.log_file.read_text() for host in made.deployment.hosts]
             log = next(text for text in logs if ": loop_rejected path=" in text)
             assert "portal > " in log and ' > portal" remedy=' in log and audited(made) == []
 
@@ -213,7 +228,7 @@
 
 def test_clocks_that_are_hours_off_and_step_change_nothing() -> None:
     async def test() -> None:
-        async with running(2, 2, skew=True, habits=HABITS) as made:
+        async with running(2, 2, skew=True, profile=HABITS) as made:
             begun = time.monotonic()
             codes: list[int] = []
             while time.monotonic() < begun + 2.5:  # the step comes after 2 s
@@ -227,39 +242,41 @@
     """What the module refuses on a busy machine is its own matter; no call may lose its budget to a key."""
 
     async def test() -> None:
-        async with running(2, 1, habits=HABITS) as made:
-            callers = made.world.callers
-            edge = made.world.edge
+        async with running(2, 1, profile=HABITS) as made:
+            callers = made.deployment.clients
+            edge = made.deployment.edge_proxy
             assert callers is not None and edge is not None
             programs = [edge]
-            for host in made.world.hosts:
+            for host in made.deployment.hosts:
                 assert host.process is not None
-                programs.append(Program(host.process, parse_address(host.sidecar.inbound), host.log))
+                programs.append(
+                    ProxyProcess(host.process, parse_address(host.sidecar.inbound), host.log_file)
+                )
 
             async def served(more: int) -> None:
-                wanted = callers.codes[200] + more
-                await until(lambda: callers.codes[200] >= wanted, "calls with these keys")
+                wanted = callers.status_codes[200] + more
+                await until(lambda: callers.status_codes[200] >= wanted, "calls with these keys")
 
             async def rotate(text: str) -> None:
                 made.keys.write_text(text)
                 for program in programs:
                     program.process.send_signal(signal.SIGHUP)
                     for _ in range(2):  # what is asked after the signal may share one turn with it, not two
-                        await until(program.up, "an answer after the signal")
+                        await until(program.is_ready, "an answer after the signal")
                     await served(3)  # while some have these keys and others don't
 
             old = made.keys.read_text()
             new = "k2 " + "cd" * 16 + "\n"
-            calling = asyncio.create_task(callers.run(30.0, 60.0, wait=False))
+            calling = asyncio.create_task(callers.run(30.0, 60.0, wait_and_close=False))
             for text in (old + new, new + old, new):
                 await rotate(text)
             await served(20)
             calling.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await calling
-            await until(lambda: not callers.open, "the last answers")
-            assert set(callers.codes) <= {200, 503}, callers.codes
-            logs = "".join(program.log.read_text() for program in programs)
+            await until(lambda: not callers.open_requests, "the last answers")
+            assert set(callers.status_codes) <= {200, 503}, callers.status_codes
+            logs = "".join(program.log_file.read_text() for program in programs)
             assert "left out of account" not in logs and "all stays as it was" not in logs
             assert "reload_rejected" not in logs
             assert audited(made) == []
--- a/tests/deadlines/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -16,23 +16,23 @@
 import pytest
 from netkit import PATIENCE, SETTINGS, Backend, Caller, Discovery, Seen, endpoint, next_call, run, serve_ok
 
-from harness.chain import key_file
-from harness.program import Program, proxy
+from harness.proxy_process import ProxyProcess, running_proxy
+from harness.tier_chain import key_file
 
 
 @contextlib.asynccontextmanager
-async def edge(addresses: list[str], **changes: Any) -> AsyncIterator[Program]:
+async def edge(addresses: list[str], **changes: Any) -> AsyncIterator[ProxyProcess]:
     discovery = await Discovery().start()
     known = [endpoint(f"s-{number}", address) for number, address in enumerate(addresses)]
     with tempfile.TemporaryDirectory() as folder:
         table = f'[budgets]\nkeys_file = "{key_file(Path(folder))}"\nedge = true\n'
-        async with proxy("n0", discovery.address, known, table, **changes) as program:
+        async with running_proxy("n0", discovery.address, known, table, **changes) as program:
             yield program
     assert discovery.server is not None
     discovery.server.close()
 
 
-async def caller_of(program: Program) -> Caller:
+async def caller_of(program: ProxyProcess) -> Caller:
     return Caller(*await asyncio.open_connection(*program.address))
 
 
--- a/tests/ephemeral_nodes/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -9,13 +9,13 @@
 from test_session import ensemble, run
 from test_source import put
 
-from harness.backend import Backend
-from harness.callers import EFFECTS, MIX, Callers
+from harness.clients import DEFAULT_CLASSES, IDEMPOTENCY_BY_CLASS, ClientPool
 from harness.coordination import CoordinationService
 from harness.endpoint_registry import EndpointRegistry
-from harness.kit import until
-from harness.ledger import Ledger
-from harness.program import Program, proxy
+from harness.event_loop import until
+from harness.proxy_process import ProxyProcess, running_proxy
+from harness.recorder import Recorder
+from harness.stub_endpoint import StubEndpoint
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
 
 
@@ -27,33 +27,33 @@
     )
 
 
-async def ask(callers: Callers, count: int) -> Counter[str]:
+async def ask(callers: ClientPool, count: int) -> Counter[str]:
     """So many calls of canje, all served; which nodos had them."""
-    before = len(callers.ledger.attempts)
+    before = len(callers.recorder.attempts)
     for _ in range(count):
-        callers.send(MIX[2])
-    await until(lambda: not callers.open, "the answers")
-    return Counter(attempt.server for attempt in callers.ledger.attempts[before:])
+        callers.send(DEFAULT_CLASSES[2])
+    await until(lambda: not callers.open_requests, "the answers")
+    return Counter(attempt.endpoint for attempt in callers.recorder.attempts[before:])
 
 
-def says(program: Program, text: str) -> bool:
-    return text in program.log.read_text()
+def says(program: ProxyProcess, text: str) -> bool:
+    return text in program.log_file.read_text()
 
 
 def test_calls_follow_the_service_and_sighup_moves_it_while_suspended() -> None:
     async def test() -> None:
-        ledger = Ledger()
+        ledger = Recorder()
         registry = EndpointRegistry(ledger)
         await registry.start()
-        nodos = {name: Backend(ledger, name) for name in ("s-1", "s-2", "s-3")}
+        nodos = {name: StubEndpoint(ledger, name) for name in ("s-1", "s-2", "s-3")}
         async with ensemble(1) as old, ensemble(1) as new:
             for name, nodo in nodos.items():
                 await nodo.start()
                 put(old, name, EndpointNode(name, nodo.address, "a", "m", 1))
-            async with proxy("n0", registry.address, [], operator(old), ready=False) as program:
-                await until(program.up, "ready")
+            async with running_proxy("n0", registry.address, [], operator(old), ready=False) as program:
+                await until(program.is_ready, "ready")
                 await until(lambda: says(program, "membership is fresh"), "fresh")
-                callers = Callers(ledger, program.address, "n0", 1)
+                callers = ClientPool(ledger, program.address, "n0", 1)
                 assert set(await ask(callers, 30)) == set(nodos)
                 old.run_step({"do": "expire", "path": f"{PATH}/s-1"})
                 await until(lambda: says(program, "in use: 2 servers, 3 before"), "the drain")
@@ -61,7 +61,7 @@
 
                 old.run_step({"do": "partition", "mode": "reset"})
                 await until(lambda: says(program, "CONNECTED -> SUSPENDED"), "SUSPENDED")
-                file = program.log.with_name("operator.toml")
+                file = program.log_file.with_name("operator.toml")
                 file.write_text(operator(new) + "reed = 1\n")
                 program.process.send_signal(signal.SIGHUP)
                 await until(lambda: says(program, "unknown key reed"), "the refusal")
@@ -73,12 +73,12 @@
                 await until(lambda: says(program, "another ensemble"), "the move")
                 await until(lambda: says(program, "server s-3: draining, decided by"), "s-3's end")
                 assert set(await ask(callers, 30)) == {"s-1", "s-2"}
-                assert callers.codes == {200: 120}
+                assert callers.status_codes == {200: 120}
                 program.process.send_signal(signal.SIGTERM)
                 assert await program.process.wait() == 0
         registry.stop()
         for nodo in nodos.values():
             nodo.stop()
-        assert ledger.audit(EFFECTS) == []
+        assert ledger.audit(IDEMPOTENCY_BY_CLASS) == []
 
     run(test)
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -13,7 +13,7 @@
 import pytest
 
 from harness.coordination import CoordinationService
-from harness.kit import PATIENCE, until
+from harness.event_loop import DEFAULT_TIMEOUT_S, until
 from service_proxy.ephemeral_nodes import session as module
 from service_proxy.ephemeral_nodes.jute import (
     CREATOR_ACL,
@@ -68,7 +68,7 @@
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(3 * PATIENCE):
+        async with asyncio.timeout(3 * DEFAULT_TIMEOUT_S):
             await test()
 
     asyncio.run(bounded())
--- a/tests/ephemeral_nodes/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -16,7 +16,7 @@
 from test_session import ensemble, run
 
 from harness.coordination import CoordinationService, SessionRecord
-from harness.kit import until
+from harness.event_loop import until
 from service_proxy.ephemeral_nodes import snapshot, source
 from service_proxy.ephemeral_nodes.children_cache import ChildChanges
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, to_endpoint
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -13,10 +13,10 @@
 import pytest
 import uvloop
 
+from harness.event_loop import until
 from harness.fleet.fault_relay import loopback_address
 from harness.fleet.fault_script import FaultPlayer, parse_script
 from harness.fleet.harness import FleetHarness, FleetOptions, running_fleet
-from harness.kit import until
 from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
 
 PATIENCE = 40.0  # s; what takes longer has failed
@@ -62,7 +62,7 @@
             assert w.audit() == []
             assert w.observer.false_deaths() == [] and w.observer.resurrections() == []
             if setup.rate:
-                assert sum(callers.codes[200] for callers in w.clients) > 0
+                assert sum(callers.status_codes[200] for callers in w.clients) > 0
             return w
 
     return bounded(run())
@@ -236,9 +236,9 @@
     async def check(w: FleetHarness) -> None:
         program = w.slots[1].program
         assert program is not None
-        before = program.memory()
+        before = program.resident_mb()
         await asyncio.sleep(4.0)
-        assert program.memory() < before + 8  # MB
+        assert program.resident_mb() < before + 8  # MB
 
     assert play(FleetOptions(members=6), script, check).observer.deaths() == []
 
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from harness.kit import until
-from harness.program import free_port, settings
+from harness.event_loop import until
+from harness.proxy_process import free_port, settings
 from service_proxy.clock import Clock
 from service_proxy.composition import create_fleet
 from service_proxy.fleet import service
--- a/tests/harness/test_proofs.py
+++ b/tests/harness/test_benchmarks.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from benchmarks import budgets, ephemeral, per_call, proof, sidecar, websocket
-from harness.trial import rows
-from harness.world import world
+from benchmarks import budgets, ephemeral, per_call, report, sidecar, websocket
+from harness.deployment import running_deployment
+from harness.trial import table_rows
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.description import load
 
@@ -39,12 +39,14 @@
     async def test() -> None:
         _, description = load(str(ROOT / "tests" / "corpus" / "good" / "one-tier.toml"))
         assert description is not None
-        async with world(description) as made:
-            assert made.callers is not None
-            assert await made.callers.call(made.classes["stock"]) == 200
-            text = "\n".join(rows(made, 1.0, 2.0))
+        async with running_deployment(description) as made:
+            assert made.clients is not None
+            assert await made.clients.request(made.classes["stock"]) == 200
+            text = "\n".join(table_rows(made, 1.0, 2.0))
             assert "served 1  refused 0  failed 0" in text
-            for name in [host.name for host in made.hosts] + [backend.name for _, backend in made.plain]:
+            for name in [host.name for host in made.hosts] + [
+                backend.name for _, backend in made.plain_endpoints
+            ]:
                 assert name in text
 
     asyncio.run(test())
@@ -55,7 +57,7 @@
 ) -> None:
     monkeypatch.setattr(sidecar, "MUTATIONS_SHORT", 20)
     monkeypatch.setattr(sidecar, "EDITS_SHORT", 10)
-    code = proof.run("sidecar", sidecar.measure, ["--short"])
+    code = report.run_benchmark("sidecar", sidecar.measure, ["--short"])
     said = capsys.readouterr().out
     assert code == 0, said
     assert "slipped 0 " in said and "restarts_sidecars 4 " in said and "lost 0 " in said
@@ -66,7 +68,7 @@
 ) -> None:
     monkeypatch.setattr(ephemeral, "SHORT", ephemeral.Size(9, 90.0, 2, (1.0,), 3.0, 1.0))
     monkeypatch.setattr(ephemeral, "LISTED", 300)
-    code = proof.run("ephemeral", ephemeral.measure, ["--short"])
+    code = report.run_benchmark("ephemeral", ephemeral.measure, ["--short"])
     said = capsys.readouterr().out
     assert code == 0, said
     assert "rules_broken 0 " in said and "empty_ensemble_m0" in said and said.endswith("PROOF held\n")
@@ -80,7 +82,7 @@
     monkeypatch.setattr(budgets, "CALLS_SHORT", 60)
     monkeypatch.setattr(budgets, "LOOPED_SHORT", 3)
 
-    async def measure(found: proof.Proof, wanted: object) -> None:
+    async def measure(found: report.BenchmarkReport, wanted: object) -> None:
         budgets.histories(found)
         budgets.memory(found)
         await budgets.cost(found)
@@ -88,11 +90,11 @@
         calm = budgets.Half()
         over = budgets.Half()
         await budgets.turn(True, 1.0, 1, 1, calm, over)
-        found.claim(calm.calls and over.calls, "no calls")
-        found.claim(not calm.late + over.late, "work was begun for nobody")
-        found.claim(not calm.broken + over.broken, f"rules broken: {calm.broken + over.broken}")
+        found.check(calm.calls and over.calls, "no calls")
+        found.check(not calm.late + over.late, "work was begun for nobody")
+        found.check(not calm.broken + over.broken, f"rules broken: {calm.broken + over.broken}")
 
-    code = proof.run("budgets", measure, ["--short"])
+    code = report.run_benchmark("budgets", measure, ["--short"])
     said = capsys.readouterr().out
     assert code == 0, said
     assert "histories_broken 0 " in said and "loop_3_hops 3 " in said
@@ -102,7 +104,7 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(websocket, "SHORT", websocket.Size(160, 4, 1.0, 300, 50, 80, 0.5))
-    code = proof.run("websocket", websocket.measure, ["--short"])
+    code = report.run_benchmark("websocket", websocket.measure, ["--short"])
     said = capsys.readouterr().out
     assert code == 0, said
     assert "rules_broken 0 " in said and "fuzz_wrong 0 " in said and "tunnel_to_relay" in said
@@ -113,16 +115,16 @@
 ) -> None:
     monkeypatch.setattr(per_call, "CALLS_SHORT", 100)
     monkeypatch.setattr(per_call, "MOST_REFUSED", 1.0)  # a machine that stands still is no verdict here
-    code = proof.run("per_call", per_call.measure, ["--short"], more=per_call.more)
+    code = report.run_benchmark("per_call", per_call.measure, ["--short"], add_arguments=per_call.more)
     said = capsys.readouterr().out
     assert code == 0, said
     assert "membership_to_relay" in said
 
 
 def test_a_claim_that_fails_is_said_and_is_exit_1(capsys: pytest.CaptureFixture[str]) -> None:
-    async def measure(found: proof.Proof, wanted: object) -> None:
-        found.claim(True, "never")
-        found.claim(False, "the moon is no cheese")
+    async def measure(found: report.BenchmarkReport, wanted: object) -> None:
+        found.check(True, "never")
+        found.check(False, "the moon is no cheese")
 
-    assert proof.run("moon", measure, []) == 1
+    assert report.run_benchmark("moon", measure, []) == 1
     assert capsys.readouterr().out.endswith("PROOF fell short: the moon is no cheese\n")
--- a/tests/harness/test_coordination.py
+++ b/tests/harness/test_coordination.py
@@ -23,7 +23,7 @@
 from kazoo.security import CREATOR_ALL_ACL
 
 from harness.coordination import CoordinationService, main, read_script
-from harness.kit import PATIENCE, LoopThread
+from harness.event_loop import DEFAULT_TIMEOUT_S, LoopThread
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -42,7 +42,7 @@
 
     def client(self, timeout: float = 5.0, **more: object) -> KazooClient:
         client = KazooClient(self.hosts, timeout=timeout, **more)
-        client.start(PATIENCE)
+        client.start(DEFAULT_TIMEOUT_S)
         self.clients.append(client)
         return client
 
@@ -125,15 +125,15 @@
     client.get_children("/p", watch=watch)
     client.exists("/p/s", watch=watch)
     other.create("/p/s", b"", ephemeral=True)
-    assert done.acquire(timeout=PATIENCE) and done.acquire(timeout=PATIENCE)
+    assert done.acquire(timeout=DEFAULT_TIMEOUT_S) and done.acquire(timeout=DEFAULT_TIMEOUT_S)
     assert seen == [("CREATED", "/p/s"), ("CHILD", "/p")]
     client.get("/p/s", watch=watch)
     other.set("/p/s", b"x")
     other.set("/p/s", b"y")
-    assert done.acquire(timeout=PATIENCE)
+    assert done.acquire(timeout=DEFAULT_TIMEOUT_S)
     client.get("/p/s", watch=watch)
     other.stop()
-    assert done.acquire(timeout=PATIENCE)
+    assert done.acquire(timeout=DEFAULT_TIMEOUT_S)
     assert seen[2:] == [("CHANGED", "/p/s"), ("DELETED", "/p/s")]
 
 
@@ -152,13 +152,13 @@
     session = client.client_id[0]
     ensemble.do(do="drop")
     with changed:
-        assert changed.wait_for(lambda: states[-1:] == [KazooState.CONNECTED], PATIENCE)
+        assert changed.wait_for(lambda: states[-1:] == [KazooState.CONNECTED], DEFAULT_TIMEOUT_S)
     assert states[0] == KazooState.SUSPENDED and client.client_id[0] == session
     assert client.exists("/mine").ephemeralOwner == session
     ensemble.do(do="expire", path="/mine")
     with changed:
-        assert changed.wait_for(lambda: KazooState.LOST in states, PATIENCE)
-        assert changed.wait_for(lambda: states[-1] == KazooState.CONNECTED, PATIENCE)
+        assert changed.wait_for(lambda: KazooState.LOST in states, DEFAULT_TIMEOUT_S)
+        assert changed.wait_for(lambda: states[-1] == KazooState.CONNECTED, DEFAULT_TIMEOUT_S)
     assert client.client_id[0] != session and client.exists("/mine") is None
 
 
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from harness.program import free_port, settings
+from harness.proxy_process import free_port, settings
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 20.0  # s; a test that waits longer has failed
@@ -250,7 +250,7 @@
         "import asyncio, sys\n"
         "from service_proxy.composition import Proxy\n"
         "from service_proxy.net.config import parse_config\n"
-        "from harness.program import settings\n"
+        "from harness.proxy_process import settings\n"
         "raw = {'listen': '127.0.0.1:0', 'discovery': '127.0.0.1:1', 'settings': settings()}\n"
         "async def test():\n"
         "    Proxy(parse_config(raw, {}), None).stop()\n"
--- a/tests/recovery/test_power_loss.py
+++ b/tests/recovery/test_power_loss.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from harness.event_loop import until
 from harness.fleet.harness import FleetHarness, FleetOptions, Slot, running_fleet
-from harness.kit import until
 from service_proxy.recovery.persisted_records import MaintenanceRecord, put_operation
 from service_proxy.recovery.store import Store, StoreOwner, read_store
 from service_proxy.recovery.store_directory import StoreDirectory
@@ -81,14 +81,16 @@
         store.start_generation(found, 1.0)
         store.append([put_operation("n1", MaintenanceRecord(1.0, "fan"))], 1.0)
         store.close()
-        made.endpoints[1].last_by.clear()
+        made.endpoints[1].last_request_by_proxy.clear()
         for seat in made.slots:
             made.start(seat.number)
         await until(lambda: all("fleet" in power.happened(seat) for seat in made.living), "verdict", 30)
         assert all(power.path(seat) == [] for seat in made.slots)  # dark: no server answers
-        served = sum(callers.codes[200] for callers in made.clients)
-        refused = sum(callers.codes[503] for callers in made.clients)
-        await until(lambda: sum(callers.codes[503] for callers in made.clients) > refused, "refusals", 10)
+        served = sum(callers.status_codes[200] for callers in made.clients)
+        refused = sum(callers.status_codes[503] for callers in made.clients)
+        await until(
+            lambda: sum(callers.status_codes[503] for callers in made.clients) > refused, "refusals", 10
+        )
         for number in (3, 0, 4, 1, 2):
             await made.restart_endpoint(number)
             await asyncio.sleep(0.3)
@@ -96,10 +98,12 @@
         for seat in made.living:
             assert power.path(seat)[0] == "unavailable" and "ramp" in power.path(seat)
             assert power.happened(seat) == ["fleet"]
-        await until(lambda: sum(callers.codes[200] for callers in made.clients) > served + 50, "service", 20)
+        await until(
+            lambda: sum(callers.status_codes[200] for callers in made.clients) > served + 50, "service", 20
+        )
         # What was out stays out, where it was known: p0 alone had that word.
-        await until(lambda: len(made.endpoints[1].last_by) >= 1, "others at n1", 20)
-        assert "p0" not in made.endpoints[1].last_by
+        await until(lambda: len(made.endpoints[1].last_request_by_proxy) >= 1, "others at n1", 20)
+        assert "p0" not in made.endpoints[1].last_request_by_proxy
 
     played(work)
 
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from harness.program import ROOT
+from harness.proxy_process import ROOT
 from harness.recovery.crash_disk import RecordingDirectory
 from harness.recovery.crash_points import OWNER, crash_faults, record_store_run, same_state
 from harness.recovery.planted_bugs import BUGS_SEEN_ON_FAULTY_DISK, ORDERING_BUGS
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -14,8 +14,8 @@
 from netkit import Backend, Caller, Seen, next_call, response, run, serve_ok
 from test_description import PLAIN
 
-from harness.kit import until
-from harness.program import free_port
+from harness.event_loop import until
+from harness.proxy_process import free_port
 from service_proxy.net.downstream import Request
 from service_proxy.net.request_body import RequestBody
 from service_proxy.sidecar.admission import Heard, State
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -14,8 +14,8 @@
 from test_description import PLAIN, ROOT, put
 
 from harness.coordination import CoordinationService
-from harness.kit import until
-from harness.program import free_port
+from harness.event_loop import until
+from harness.proxy_process import free_port
 
 
 class Ports:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,7 +12,7 @@
 import pytest
 from netkit import PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
 
-from harness.callers import GRADES
+from harness.clients import CLASS_SETTINGS
 from service_proxy.log_setup import MAX_LOG_RECORDS, LogRateLimit
 from service_proxy.net.downstream import DownstreamConnection, HttpServer
 from service_proxy.policy.events import Idempotency
@@ -117,7 +117,7 @@
             await serve_ok(seen, writer)
 
         backend = Backend(behave)
-        grades = [{**grade, "objective": grade["deadline"]} for grade in GRADES]
+        grades = [{**grade, "objective": grade["deadline"]} for grade in CLASS_SETTINGS]
         async with proxy({"s-1": backend}, grades=grades) as node:
             old = await node.caller()
             silent = await node.caller()
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -30,7 +30,7 @@
     start_program,
 )
 
-from harness.program import free_port
+from harness.proxy_process import free_port
 from service_proxy.__main__ import LISTENER_GRACE_S
 from service_proxy.net.downstream import DownstreamConnection, HttpServer
 from service_proxy.net.downstream.http_server import KEEP_ALIVE_TIMEOUT_S, REQUEST_TIMEOUT_S
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,8 +16,8 @@
 from hypothesis import settings as checks
 from netkit import PATIENCE, ROOT, Backend, Caller, Seen, config, listing, proxy, read_message, response, run
 
-from harness.callers import GRADES
-from harness.ledger import Answer, Effect, Ledger, Rules, Taken
+from harness.clients import CLASS_SETTINGS
+from harness.recorder import Idempotency, ReceivedAnswer, Recorder, Rules, SentRequest
 from service_proxy.net.config import parse_config
 from service_proxy.policy.balancer import Balancer
 from service_proxy.policy.events import Event, Fail, Reject, RequestArrived, StartAttempt
@@ -151,7 +151,7 @@
 
     async def test() -> None:
         settings = drawn(seed)
-        ledger = Ledger()
+        ledger = Recorder()
         loop = asyncio.get_running_loop()
         chance = Random(seed)
 
@@ -159,18 +159,18 @@
             async def behaves(seen: Seen, writer: asyncio.StreamWriter) -> None:
                 key = seen.headers.get("idempotency-key", "")
                 entry = ledger.attempt(seen.headers["x-call-id"], name, "a", loop.time(), key=key)
-                entry.whole = loop.time()
+                entry.last_byte_at = loop.time()
                 kind = chance.choice(["ok", "ok", "ok", "error", "full", "reset", "hang"])
                 if kind == "full":
-                    entry.refused = True
+                    entry.rejected = True
                     writer.write(response(503, X_Rejected="1"))
                 elif kind != "hang":
-                    entry.ran, entry.ran_at = True, loop.time()
+                    entry.executed, entry.executed_at = True, loop.time()
                     if kind == "reset":
                         writer.transport.abort()
                     else:
                         writer.write(response(200 if kind == "ok" else 500, b"done"))
-                entry.ended = loop.time()  # of one that hangs, too: how long it is out is not told here
+                entry.ended_at = loop.time()  # of one that hangs, too: how long it is out is not told here
 
             return behaves
 
@@ -186,14 +186,16 @@
             length = "" if get else "Content-Length: 0\r\n"
             caller.writer.write(f"{head}X-Budget: {budget * 1000:.0f}m\r\n{key}{length}\r\n".encode())
             begun = loop.time()
-            ledger.taken.append(Taken(id, grade["name"], begun, begun + budget, key=key and f"k{id}"))
+            ledger.requests.append(
+                SentRequest(id, grade["name"], begun, begun + budget, key=key and f"k{id}")
+            )
             if leaves:
                 caller.writer.close()
-                ledger.excused.add(id)  # nobody is there to be answered
+                ledger.excused_requests.add(id)  # nobody is there to be answered
                 return
             async with asyncio.timeout(PATIENCE):
                 line, _, _ = await read_message(caller.reader)
-            ledger.answers.append(Answer(id, loop.time(), int(line.split(" ")[1])))
+            ledger.answers.append(ReceivedAnswer(id, loop.time(), int(line.split(" ")[1])))
             caller.writer.close()
 
         async def lane(node: Any, first: int) -> None:
@@ -204,11 +206,13 @@
         own = {key: settings[key] for key in ("discovery", "grades", "tenants", "policy_limits", "contract")}
         async with proxy(backends, **own) as node:
             await asyncio.gather(*(lane(node, first) for first in range(6)))
-        effects = {g["name"]: Effect(g["effect"], g["window"], everywhere(g)) for g in settings["grades"]}
+        effects = {
+            g["name"]: Idempotency(g["effect"], g["window"], everywhere(g)) for g in settings["grades"]
+        }
         # A busy machine delays what is seen of an answer, and that of a resend; not that there is one.
         found = [v for v in ledger.audit(effects, Rules(slack=PATIENCE)) if v.rule == 1]
         found += [v for v in ledger.audit(effects, Rules(slack=0.5)) if v.rule == 2]
-        assert len(ledger.answers) + len(ledger.excused) == 120 and len(ledger.attempts) >= 20
+        assert len(ledger.answers) + len(ledger.excused_requests) == 120 and len(ledger.attempts) >= 20
         assert not found, [str(violation) for violation in found]
 
     run(test())
@@ -219,7 +223,7 @@
 
 def deployment_names() -> set[str]:
     """Of classes, tenants, zones and tiers of the deployments that are known here."""
-    names = {str(grade["name"]) for grade in GRADES} | {"sala", "salas", "sala-a", "portal", "nucleo"}
+    names = {str(grade["name"]) for grade in CLASS_SETTINGS} | {"sala", "salas", "sala-a", "portal", "nucleo"}
     for path in sorted((ROOT / "deploy" / "sites").glob("*.toml")):
         site = tomllib.loads(path.read_text(encoding="utf-8"))
         names |= {site["name"], *site["net"]["zones"]}
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -19,7 +19,7 @@
 import pytest
 from netkit import PATIENCE, ROOT, SETTINGS
 
-from harness.program import free_port
+from harness.proxy_process import free_port
 
 # Runs in the watched process before its first line. What the loop's own C does is not seen here: /proc tells.
 HOOK = """
--- a/tests/websocket/test_codec.py
+++ b/tests/websocket/test_codec.py
@@ -11,7 +11,7 @@
 from wsproto.frame_protocol import FrameProtocol, Opcode
 
 from benchmarks.websocket import fuzz_frames
-from harness.frames import frame
+from harness.websocket_frames import frame
 from service_proxy.websocket.closing import TABLE, Event, State, Step
 from service_proxy.websocket.codec import MOST_FRAGMENTS, Close, Codec, Fault, Piece, Ping, Pong
 from service_proxy.websocket.deflate import FLOOR, Agreed, Deflate, negotiate
--- a/tests/websocket/test_front.py
+++ b/tests/websocket/test_front.py
@@ -12,8 +12,8 @@
 import pytest
 from wskit import CONFIG, PATIENCE, run, running
 
-from harness.program import ROOT
-from harness.wsnode import Fault, read_script
+from harness.proxy_process import ROOT
+from harness.websocket_endpoint import ScriptedFault, read_script
 from service_proxy.operator_file import WebSocket
 from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.codec import ABNORMAL
@@ -139,7 +139,7 @@
                 assert (await raw.said())["outcome"] == "served"
             raw.send('{"id":"b","class":"reserva","key":"b","budget_ms":25}')
             said = await raw.said()
-            assert said["outcome"] == "refused" and not any(a.call == "b" for a in made.ledger.attempts)
+            assert said["outcome"] == "refused" and not any(a.request_id == "b" for a in made.ledger.attempts)
             tunnel = await made.opened("/vigia")
             tunnel.send("x")
             assert await tunnel.text() == "n-0 x"
@@ -166,13 +166,13 @@
 def test_a_scripted_node_starts_as_a_program(tmp_path: Path) -> None:
     file = tmp_path / "script.json"
     file.write_text('{"faults": [{"session": 3, "after": 2, "what": "silent"}]}')
-    assert read_script(file.read_text()) == [Fault("silent", 3, 2)]
+    assert read_script(file.read_text()) == [ScriptedFault("silent", 3, 2)]
 
     async def test() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "harness.wsnode",
+            "harness.websocket_endpoint",
             "--script",
             str(file),
             "--seconds",
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -12,11 +12,11 @@
 import pytest
 from wskit import CONFIG, PATIENCE, Made, Raw, run, running
 
-from harness.callers import MIX
-from harness.kiosks import Kiosks
-from harness.kit import until
+from harness.clients import DEFAULT_CLASSES
+from harness.event_loop import until
+from harness.websocket_clients import WebSocketClientPool
 
-STOCK, RESERVA, CANJE = MIX
+STOCK, RESERVA, CANJE = DEFAULT_CLASSES
 FREE = CONFIG + "messages_per_s = 10000.0\nburst = 10000.0\nopen_messages = 1000\n"
 
 
@@ -30,7 +30,7 @@
 
 
 def attempts(made: Made, call: str) -> list[tuple[str, bool]]:
-    return [(a.server, a.ran) for a in made.ledger.attempts if a.call == call]
+    return [(a.endpoint, a.executed) for a in made.ledger.attempts if a.request_id == call]
 
 
 def test_each_class_is_a_call_as_the_protocol_has_it() -> None:
@@ -45,8 +45,8 @@
             assert {id: one["outcome"] for id, one in found.items()} == dict.fromkeys("abc", "served")
             assert sorted(one["n"] for one in found.values()) == [1, 2, 3]
             assert found["b"]["body"] == "done b"
-            assert Counter(a.call for a in made.ledger.attempts) == {"a": 1, "b": 1, "c": 1}
-            assert [a.key for a in made.ledger.attempts if a.call == "b"] == ["k1"]
+            assert Counter(a.request_id for a in made.ledger.attempts) == {"a": 1, "b": 1, "c": 1}
+            assert [a.key for a in made.ledger.attempts if a.request_id == "b"] == ["k1"]
 
     run(test())
 
@@ -116,7 +116,7 @@
             found = {(one := await raw.said())["id"]: one for _ in range(6)}
             assert [found[f"m{n}"]["outcome"] for n in range(6)] == ["served"] * 2 + ["refused"] * 4
             assert found["m2"]["retry_ms"] == 1000 and 0 < found["m5"]["retry_ms"] <= 2000
-            assert {a.call for a in made.ledger.attempts} == {"m0", "m1"}
+            assert {a.request_id for a in made.ledger.attempts} == {"m0", "m1"}
 
     run(test())
 
@@ -134,18 +134,18 @@
             await until(lambda: not made.kiosks.open, "the last outcomes")
             assert made.kiosks.outcomes["served"] > 100 and not made.kiosks.closes
             assert set(made.kiosks.outcomes) <= {"served", "refused"}
-            assert max(a.begun for a in made.ledger.attempts if a.server == "n-0") < at + 2.0
+            assert max(a.first_byte_at for a in made.ledger.attempts if a.endpoint == "n-0") < at + 2.0
             assert made.audited() == []
 
     run(test())
 
 
-async def keep_sending(kiosks: Kiosks, seconds: float) -> None:
+async def keep_sending(kiosks: WebSocketClientPool, seconds: float) -> None:
     """The usual mix, one message after another over all kiosks."""
     due = time.monotonic() + seconds
     while time.monotonic() < due:
         for kiosk in kiosks.kiosks:
-            kiosk.send(kiosks.random.choice(MIX))
+            kiosk.send(kiosks.random.choice(DEFAULT_CLASSES))
         await asyncio.sleep(0.1)
 
 
@@ -176,7 +176,8 @@
                 made.registry.put(made.entry(node, zone=zones[node.name]))
             raw, _ = await talk(made)
             await until(
-                lambda: len([t for t in made.ledger.told if t.state == "ready"]) >= 3, "zones are told"
+                lambda: len([t for t in made.ledger.notifications if t.state == "ready"]) >= 3,
+                "zones are told",
             )
             await asyncio.sleep(0.1)
             say(raw, "a", "reserva", key="k")
@@ -220,7 +221,7 @@
             say(raw, "b", "canje")
             await until(lambda: attempts(made, "b"), "both run")
             raw.writer.transport.abort()
-            await until(lambda: all(a.ended < 1e9 for a in made.ledger.attempts), "both are over")
+            await until(lambda: all(a.ended_at < 1e9 for a in made.ledger.attempts), "both are over")
             await asyncio.sleep(0.1)
             one, back = await talk(made, f"?session={hello['session']}&seen=0")
             assert back["open"] == [] and back["lost"] == 0
@@ -288,7 +289,7 @@
             slow, _ = await talk(made)
             quick, _ = await talk(made)
             slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            before = made.program.memory()
+            before = made.program.resident_mb()
 
             async def flood() -> None:
                 for n in range(20_000):
@@ -301,7 +302,7 @@
             for n in range(50):
                 say(quick, f"q{n}")
                 assert (await quick.said())["outcome"] == "served"
-            assert made.program.memory() - before < 12.0  # MB
+            assert made.program.resident_mb() - before < 12.0  # MB
             await flooding
 
     run(test())
@@ -360,7 +361,10 @@
             found = {(one := await raw.said())["id"]: one["outcome"] for _ in range(2)}
             assert found == {"a": "served", "b": "refused"}
             await made.reread(CONFIG.replace("sessions = 64", "sessions = 65"))
-            assert "S109" in made.program.log.read_text() and "sessions" in made.program.log.read_text()
+            assert (
+                "S109" in made.program.log_file.read_text()
+                and "sessions" in made.program.log_file.read_text()
+            )
             await made.reread(CONFIG + "ping_every = -1.0\n")
             say(raw, "c")
             assert (await raw.said())["outcome"] == "refused"  # the limits are those of before
--- a/tests/websocket/test_stock.py
+++ b/tests/websocket/test_stock.py
@@ -14,8 +14,8 @@
 from wskit import ALL, CONFIG, Made, run, running
 
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.ledger import Ledger
-from harness.program import proxy, settings
+from harness.proxy_process import running_proxy, settings
+from harness.recorder import Recorder
 
 
 def at(made: Made, path: str) -> str:
@@ -85,11 +85,11 @@
         async with serve(echo, "127.0.0.1", 0, process_request=process) as server:
             address = "{}:{}".format(*next(iter(server.sockets)).getsockname()[:2])
             known = [entry("stock", address)]
-            registry = EndpointRegistry(Ledger())
+            registry = EndpointRegistry(Recorder())
             registry.put(known[0])
             raw = settings(grades=ALL)
             at = await registry.start()
-            async with proxy("edge", at, known, CONFIG, more={"settings": raw}) as program:
+            async with running_proxy("edge", at, known, CONFIG, overrides={"settings": raw}) as program:
                 uri = "ws://{}:{}/vigia".format(*program.address)
                 clients = [await connect(uri) for _ in range(5)]
                 for number, client in enumerate(clients):
