--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -11,9 +11,9 @@
 from wskit import CONFIG, PATIENCE, Made, Raw, run, running
 from wsproto.frame_protocol import Opcode
 
-from harness.frames import frame
-from harness.kit import until
-from harness.wsnode import Fault
+from harness.event_loop import until
+from harness.websocket_endpoint import ScriptedFault
+from harness.websocket_frames import frame
 
 WAIT = re.compile(r"reconnect in \d+\.\d\d s")
 QUICK = CONFIG + "ping_every = 0.4\nping_timeout = 0.4\n"
@@ -32,9 +32,9 @@
             raw.send("dos", True)
             found = [await raw.frame(), await raw.frame()]
             assert Opcode.PONG in [f.opcode for f in found]
-            assert made.nodes[0].heard[-1] == "en dos"
+            assert made.nodes[0].messages[-1] == "en dos"
             raw.raw(frame(2, b"\x00\xff", False) + frame(0, b"\x01"))
-            await until(lambda: made.nodes[0].heard[-1] == b"\x00\xff\x01", "a binary message")
+            await until(lambda: made.nodes[0].messages[-1] == b"\x00\xff\x01", "a binary message")
             assert made.audited() == []
 
     run(test())
@@ -42,7 +42,7 @@
 
 def test_what_a_node_sends_right_behind_its_101_arrives() -> None:
     async def test() -> None:
-        async with running((Fault("behind"),)) as made:
+        async with running((ScriptedFault("behind"),)) as made:
             raw = await made.opened()
             assert await raw.text() == "behind"
 
@@ -52,11 +52,11 @@
 @pytest.mark.parametrize("code", [1000, 1001, 3999, 4321])
 def test_a_close_goes_to_the_other_end_with_its_code(code: int) -> None:
     async def test() -> None:
-        async with running((Fault("close", session=2, after=1),)) as made:
+        async with running((ScriptedFault("close", session=2, after=1),)) as made:
             raw = await made.opened()
             raw.raw(bytes(raw.frames.close(code, "adios")))
             assert (await raw.closed())[0] == code and await raw.ended()
-            await until(lambda: made.nodes[0].closes[code] == 1, "the node's close")
+            await until(lambda: made.nodes[0].close_codes[code] == 1, "the node's close")
             other = await made.opened()
             other.send("x")
             assert await other.closed() == (4321, "scripted")
@@ -69,13 +69,13 @@
     """The node closes at the message behind which the client's own close comes."""
 
     async def test() -> None:
-        async with running((Fault("close", after=1),)) as made:
+        async with running((ScriptedFault("close", after=1),)) as made:
             for _ in range(10):
                 raw = await made.opened()
                 raw.raw(bytes(raw.frames.send_data("x")) + bytes(raw.frames.close(1000, "")))
                 assert (await raw.closed())[0] in (1000, 4321)
                 assert await raw.ended()
-            await until(lambda: not made.nodes[0].open, "no session is left at the node")
+            await until(lambda: not made.nodes[0].open_sessions, "no session is left at the node")
 
     run(test())
 
@@ -95,7 +95,7 @@
 )
 def test_a_node_that_breaks_the_protocol_or_is_lost_is_told_to_its_client_alone(what: str, code: int) -> None:
     async def test() -> None:
-        async with running((Fault(what, session=1, after=1),)) as made:
+        async with running((ScriptedFault(what, session=1, after=1),)) as made:
             raw = await made.opened()
             other = await made.opened()
             raw.send("x")
@@ -131,7 +131,7 @@
             assert (await raw.closed())[0] == code and await raw.ended()
             other.send("y")
             assert await other.text() == "n-0 y"
-            await until(lambda: len(made.nodes[0].open) == 1, "the node is left")
+            await until(lambda: len(made.nodes[0].open_sessions) == 1, "the node is left")
 
     run(test())
 
@@ -154,7 +154,7 @@
     """The client is told 1012 with a wait, and the node holds no session 2 s after it was told."""
     code, said = await raw.closed()
     assert code == 1012 and WAIT.fullmatch(said)
-    await until(lambda: not made.nodes[0].open, "the node is left")
+    await until(lambda: not made.nodes[0].open_sessions, "the node is left")
     assert time.monotonic() < told_at + 2.0
     assert made.audited() == []
 
@@ -179,7 +179,7 @@
             at = await made.told(made.nodes[0], state)
             if when == "in the closing handshake":
                 assert (await raw.closed())[0] in (1000, 1012)
-                await until(lambda: not made.nodes[0].open, "the node is left")
+                await until(lambda: not made.nodes[0].open_sessions, "the node is left")
                 assert time.monotonic() < at + 2.0
                 return
             await drained(made, at, raw)
@@ -189,14 +189,14 @@
 
 def test_a_drain_that_is_told_while_the_handshake_goes_on_leaves_no_session_there() -> None:
     async def test() -> None:
-        async with running((Fault("no-answer"),), (), nodes=2) as made:
+        async with running((ScriptedFault("no-answer"),), (), nodes=2) as made:
             raw = [await made.client() for _ in range(6)]
-            await until(lambda: made.nodes[0].sessions and made.nodes[1].sessions, "both are asked")
+            await until(lambda: made.nodes[0].session_count and made.nodes[1].session_count, "both are asked")
             at = await made.told(made.nodes[0], "Terminating")
             heads = [await one.head() for one in raw]
             assert any(" 101 " in head for head in heads)
-            await until(lambda: not made.nodes[0].open, "no session there")
-            assert all(a.begun < at + 2.0 for a in made.ledger.attempts if a.server == "n-0")
+            await until(lambda: not made.nodes[0].open_sessions, "no session there")
+            assert all(a.first_byte_at < at + 2.0 for a in made.ledger.attempts if a.endpoint == "n-0")
             assert made.audited() == []
 
     run(test())
@@ -204,14 +204,14 @@
 
 def test_a_101_that_comes_after_the_drain_was_told_opens_nothing_for_long() -> None:
     async def test() -> None:
-        async with running((Fault("late"),)) as made:
+        async with running((ScriptedFault("late"),)) as made:
             for _ in range(20):  # until the drain is told while a handshake goes on
                 raw = await made.client()
-                await until(lambda: any(a.ended > 1e9 for a in made.ledger.attempts), "it is asked")
+                await until(lambda: any(a.ended_at > 1e9 for a in made.ledger.attempts), "it is asked")
                 at = await made.told(made.nodes[0], "Terminating")
                 if " 101 " in await raw.head():
                     assert (await raw.closed())[0] == 1012
-                    await until(lambda: not made.nodes[0].open, "the node is left")
+                    await until(lambda: not made.nodes[0].open_sessions, "the node is left")
                     assert time.monotonic() < at + 2.0
                     assert made.audited() == []
                     return
@@ -230,7 +230,7 @@
             made.registry.put(made.entry(made.nodes[0], since_ms=int(time.time() * 1000) + 1000))
             code, said = await raw.closed()
             assert code == 1012 and WAIT.fullmatch(said)
-            await until(lambda: not made.nodes[0].open, "the old one is left")
+            await until(lambda: not made.nodes[0].open_sessions, "the old one is left")
 
     run(test())
 
@@ -242,12 +242,14 @@
             for n in range(40):
                 await made.kiosks.add(f"k{n}", "/vigia").connect()
             await until(lambda: made.kiosks.up == 40, "all are up")
-            leaving = len(made.nodes[0].open)
+            leaving = len(made.nodes[0].open_sessions)
             assert 5 <= leaving <= 35
             at = await made.told(made.nodes[0], "Terminating")
-            await until(lambda: not made.nodes[0].open, "the node is left")
+            await until(lambda: not made.nodes[0].open_sessions, "the node is left")
             assert time.monotonic() < at + 2.0
-            await until(lambda: made.kiosks.up == 40 and len(made.nodes[1].open) == 40, "all are back")
+            await until(
+                lambda: made.kiosks.up == 40 and len(made.nodes[1].open_sessions) == 40, "all are back"
+            )
             assert made.kiosks.closes == {1012: leaving}
             back = sorted(made.kiosks.connects)[40:]
             assert len(back) == leaving
@@ -259,21 +261,21 @@
 
 def test_a_node_that_goes_silent_after_its_101_is_left() -> None:
     async def test() -> None:
-        async with running((Fault("silent", session=1, after=0),), config=QUICK) as made:
+        async with running((ScriptedFault("silent", session=1, after=0),), config=QUICK) as made:
             raw = await made.opened()
             begun = time.monotonic()
             code, said = await raw.closed()
             assert code == 1012 and WAIT.fullmatch(said)
             # 0.4 s to the ping, 0.4 s for its pong, 0.25 s between looks, and a busy machine.
             assert 0.75 < time.monotonic() - begun < 4.0
-            await until(lambda: not made.nodes[0].open, "its connection ends")
+            await until(lambda: not made.nodes[0].open_sessions, "its connection ends")
 
     run(test())
 
 
 def test_a_node_that_reads_but_answers_no_ping_is_left() -> None:
     async def test() -> None:
-        async with running((Fault("mute", session=1, after=0),), config=QUICK) as made:
+        async with running((ScriptedFault("mute", session=1, after=0),), config=QUICK) as made:
             assert (await (await made.opened()).closed())[0] == 1012
 
     run(test())
@@ -283,10 +285,10 @@
     async def test() -> None:
         async with running(config=QUICK) as made:
             raw = await made.opened()
-            await until(lambda: len(made.nodes[0].open) == 1, "the session")
+            await until(lambda: len(made.nodes[0].open_sessions) == 1, "the session")
             raw.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await until(lambda: not made.nodes[0].open, "the node is left")
-            assert made.nodes[0].closes[1001] + made.nodes[0].closes[1006] == 1
+            await until(lambda: not made.nodes[0].open_sessions, "the node is left")
+            assert made.nodes[0].close_codes[1001] + made.nodes[0].close_codes[1006] == 1
 
     run(test())
 
@@ -313,7 +315,7 @@
             quick = await made.opened()
             transport = slow.writer.transport
             transport.pause_reading()  # type: ignore[attr-defined]
-            before = made.program.memory()
+            before = made.program.resident_mb()
             data = bytes(slow.frames.send_data("x" * 60_000))
             longest = 0.0
 
@@ -330,8 +332,8 @@
                 longest = max(longest, time.monotonic() - at)
                 await asyncio.sleep(0.01)
             assert longest < 1.0
-            assert made.program.memory() - before < 12.0  # MB
-            await until(lambda: len(made.nodes[0].open) == 1, "its node is left")
+            assert made.program.resident_mb() - before < 12.0  # MB
+            await until(lambda: len(made.nodes[0].open_sessions) == 1, "its node is left")
             transport.resume_reading()  # type: ignore[attr-defined]
             assert (await slow.closed())[0] == 1008
             flooding.cancel()
@@ -342,7 +344,7 @@
 
 def test_a_slow_node_holds_its_client_back_and_nothing_is_lost() -> None:
     async def test() -> None:
-        async with running((Fault("slow", session=1, after=1),), config=FREE) as made:
+        async with running((ScriptedFault("slow", session=1, after=1),), config=FREE) as made:
             raw = await made.opened()
             texts = [f"{n:04d}" + "x" * 20_000 for n in range(100)]
 
@@ -355,7 +357,7 @@
             for text in texts[1:]:  # the first one made it slow
                 assert await raw.text() == "n-0 " + text
             await sending
-            assert made.nodes[0].heard == texts
+            assert made.nodes[0].messages == texts
 
     run(test())
 
--- a/tests/websocket/test_upgrade.py
+++ b/tests/websocket/test_upgrade.py
@@ -9,8 +9,8 @@
 from netkit import loads
 from wskit import CONFIG, Raw, run, running
 
-from harness.kit import until
-from harness.wsnode import Fault
+from harness.event_loop import until
+from harness.websocket_endpoint import ScriptedFault
 
 
 def test_without_its_table_an_upgrade_is_answered_400_as_ever() -> None:
@@ -22,7 +22,7 @@
                 head.lower() == "http/1.1 400 bad request\r\ncontent-length: 12\r\nconnection: close\r\n\r\n"
             )
             assert await raw.reader.read() == b"no upgrades\n"
-            assert made.nodes[0].sessions == 0
+            assert made.nodes[0].session_count == 0
 
     run(test())
 
@@ -55,7 +55,7 @@
                 raw.raw(b"0\r\n\r\n")
             assert (await raw.head()).split(" ")[1] == str(code)
             assert await raw.ended()
-            assert made.nodes[0].sessions == 0
+            assert made.nodes[0].session_count == 0
             good = await made.client("/vigia", "Origin: https://kiosk.example\r\n")
             assert " 101 " in await good.head()
 
@@ -67,7 +67,7 @@
     """Right behind the request, in one piece with it; and while a node has not answered yet."""
 
     async def test() -> None:
-        async with running((Fault("no-answer"),)) as made:
+        async with running((ScriptedFault("no-answer"),)) as made:
             raw = Raw(*await asyncio.open_connection(*made.program.address))
             head = (
                 f"GET {path} HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
@@ -75,14 +75,14 @@
             )
             raw.raw(head.encode() + b"\x81\x85aaaa\x00\x00\x00\x00\x00")
             assert (await raw.head()).startswith("HTTP/1.1 400 ")
-            assert await raw.ended() and made.nodes[0].sessions == 0
+            assert await raw.ended() and made.nodes[0].session_count == 0
             if path == "/vigia":
                 slow = await made.client(path)
-                await until(lambda: made.nodes[0].sessions == 1, "the node is asked")
+                await until(lambda: made.nodes[0].session_count == 1, "the node is asked")
                 slow.raw(b"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: smuggled\r\nX-Budget: 500m\r\n\r\n")
                 assert (await slow.head()).startswith("HTTP/1.1 400 ")
                 assert await slow.ended()
-            assert not any(a.call == "smuggled" for a in made.ledger.attempts)
+            assert not any(a.request_id == "smuggled" for a in made.ledger.attempts)
 
     run(test())
 
@@ -92,13 +92,13 @@
     """Not even where the client goes on as if there were one."""
 
     async def test() -> None:
-        async with running((Fault(what),)) as made:
+        async with running((ScriptedFault(what),)) as made:
             raw = await made.client("/vigia")
             head = await raw.head()
             assert head.split(" ")[1] in ("502", "503", "504"), head
             raw.raw(b"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: smuggled\r\nX-Budget: 500m\r\n\r\n")
             assert await raw.ended()
-            assert not any(a.call == "smuggled" for a in made.ledger.attempts)
+            assert not any(a.request_id == "smuggled" for a in made.ledger.attempts)
             again = await made.client("/vigia")  # and its place is free again
             assert " 101 " not in await again.head()
 
@@ -107,12 +107,12 @@
 
 def test_a_node_that_declines_is_no_reason_to_fail_where_another_accepts() -> None:
     async def test() -> None:
-        async with running((Fault("reject"),), (), nodes=2) as made:
+        async with running((ScriptedFault("reject"),), (), nodes=2) as made:
             for _ in range(6):
                 raw = await made.opened("/vigia")
                 raw.send("hola")
                 assert await raw.text() == "n-1 hola"
-            assert made.nodes[1].sessions == 6
+            assert made.nodes[1].session_count == 6
 
     run(test())
 
@@ -141,9 +141,9 @@
 
 def test_a_client_that_leaves_in_the_handshake_gives_its_place_back() -> None:
     async def test() -> None:
-        async with running((Fault("no-answer"),), config=CONFIG.replace("64", "1")) as made:
+        async with running((ScriptedFault("no-answer"),), config=CONFIG.replace("64", "1")) as made:
             raw = await made.client("/vigia")
-            await until(lambda: made.nodes[0].sessions == 1, "the node is asked")
+            await until(lambda: made.nodes[0].session_count == 1, "the node is asked")
             assert (await (await made.client("/pantalla")).head()).startswith("HTTP/1.1 503 ")
             raw.writer.transport.abort()
             async with asyncio.timeout(20):
--- a/tests/websocket/wskit.py
+++ b/tests/websocket/wskit.py
@@ -13,13 +13,13 @@
 
 from wsproto.frame_protocol import Frame, FrameProtocol, Opcode
 
-from harness.callers import EFFECTS, GRADES
+from harness.clients import CLASS_SETTINGS, IDEMPOTENCY_BY_CLASS
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.kiosks import Kiosks
-from harness.kit import until
-from harness.ledger import Effect, Ledger
-from harness.program import Program, proxy, settings
-from harness.wsnode import Fault, WsNode
+from harness.event_loop import until
+from harness.proxy_process import ProxyProcess, running_proxy, settings
+from harness.recorder import Idempotency, Recorder
+from harness.websocket_clients import WebSocketClientPool
+from harness.websocket_endpoint import ScriptedFault, WebSocketEndpoint
 
 PATIENCE = 20.0
 CONFIG = '[websocket]\nmessages = ["pantalla"]\ntunnels = ["vigia"]\nsessions = 64\n'
@@ -31,48 +31,56 @@
     "effect": "repeatable",
     "stream": True,
 }
-ALL = [*GRADES, TUNNEL]
+ALL = [*CLASS_SETTINGS, TUNNEL]
 
 
 class Made:
     """A proxy, its nodes, and what it is told."""
 
     def __init__(
-        self, program: Program, nodes: list[WsNode], registry: EndpointRegistry, ledger: Ledger
+        self,
+        program: ProxyProcess,
+        nodes: list[WebSocketEndpoint],
+        registry: EndpointRegistry,
+        ledger: Recorder,
     ) -> None:
         self.program = program
         self.nodes = nodes
         self.registry = registry
         self.ledger = ledger
-        self.kiosks = Kiosks(ledger, [program.address])
+        self.kiosks = WebSocketClientPool(ledger, [program.address])
 
     @staticmethod
-    def entry(node: WsNode, **more: Any) -> dict[str, Any]:
+    def entry(node: WebSocketEndpoint, **more: Any) -> dict[str, Any]:
         return entry(node.name, node.address, **more)
 
-    def tell(self, node: WsNode, status: str) -> None:
+    def tell(self, node: WebSocketEndpoint, status: str) -> None:
         self.registry.put(self.entry(node, status=status))
 
     async def reread(self, text: str) -> None:
         """Another operator's file, and SIGHUP; returns when the proxy has looked at it."""
-        (self.program.log.parent / "operator.toml").write_text(text)
+        (self.program.log_file.parent / "operator.toml").write_text(text)
         self.program.process.send_signal(signal.SIGHUP)
         for _ in range(2):  # what is asked after the signal may share one turn with it, not two
-            await until(self.program.up, "an answer after the signal")
+            await until(self.program.is_ready, "an answer after the signal")
 
-    async def told(self, node: WsNode, status: str) -> float:
+    async def told(self, node: WebSocketEndpoint, status: str) -> float:
         """Tells it, and returns when the proxy had it (monotonic, s)."""
-        before = len(self.ledger.told)
+        before = len(self.ledger.notifications)
         self.tell(node, status)
 
         def found() -> list[float]:
-            return [t.at for t in self.ledger.told[before:] if t.server == node.name and t.state != "ready"]
+            return [
+                t.notified_at
+                for t in self.ledger.notifications[before:]
+                if t.endpoint == node.name and t.state != "ready"
+            ]
 
         await until(found, "the proxy is told")
         return found()[0]
 
     def audited(self) -> list[str]:
-        effects = {**EFFECTS, "vigia": Effect("repeatable")}
+        effects = {**IDEMPOTENCY_BY_CLASS, "vigia": Idempotency("repeatable")}
         return [str(violation) for violation in self.ledger.audit(effects)]
 
     async def client(self, path: str = "/vigia", headers: str = "", key: str = "") -> Raw:
@@ -162,7 +170,7 @@
 
 @contextlib.asynccontextmanager
 async def running(
-    *faults: tuple[Fault, ...],
+    *faults: tuple[ScriptedFault, ...],
     nodes: int = 1,
     config: str = CONFIG,
     service: float = 0.002,
@@ -170,10 +178,13 @@
     **changes: Any,
 ) -> AsyncIterator[Made]:
     """`faults`: of each node in turn; `service`: s that they work on a call; `more`: of the JSON."""
-    ledger = Ledger()
+    ledger = Recorder()
     registry = EndpointRegistry(ledger)
     count = max(nodes, len(faults))
-    made = [WsNode(ledger, f"n-{n}", faults[n] if n < len(faults) else (), service) for n in range(count)]
+    made = [
+        WebSocketEndpoint(ledger, f"n-{n}", faults[n] if n < len(faults) else (), service)
+        for n in range(count)
+    ]
     for node in made:
         await node.start()
     known = [entry(node.name, node.address) for node in made]
@@ -182,8 +193,8 @@
     at = await registry.start()
     raw = settings(grades=ALL, **changes)
     try:
-        async with proxy(
-            "edge", at, known, operator=config, more={"settings": raw, **(more or {})}
+        async with running_proxy(
+            "edge", at, known, operator=config, overrides={"settings": raw, **(more or {})}
         ) as program:
             found = Made(program, made, registry, ledger)
             try:
