--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -410,7 +410,7 @@
         name=entry.name,
         address=f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
         zone=entry.entry.zone,
-        type=entry.entry.kind,
+        type=entry.entry.endpoint_type,
         group=entry.entry.cell,
         weight=entry.entry.weight,
         since_ms=round((started + WALL_CLOCK_OFFSET_S) * 1000) if started > 0 else 0,
--- a/service_proxy/net/endpoint_list.py
+++ b/service_proxy/net/endpoint_list.py
@@ -114,7 +114,7 @@
     entry = EndpointEntry(
         endpoint_id=endpoint_id_of(name),
         zone=str(item.get("zone", "")),
-        kind=str(item.get("type", "")),
+        endpoint_type=str(item.get("type", "")),
         cell=int(item.get("group", 0)),
         state=STATE_BY_STATUS[item["status"]],
         weight=float(item.get("weight", 1.0)),
--- a/service_proxy/policy/admission.py
+++ b/service_proxy/policy/admission.py
@@ -85,7 +85,7 @@
         retries, one that is not marked has not waited, however short its budget. Cost: a client that forgets
         the mark gets work that comes too late.
         """
-        is_first = self.settings.clients_mark_retries and not is_retry
+        is_first = self.settings.clients_flag_retries and not is_retry
         typical = request_class.observe_budget(budget)  # also learned from first attempts
         if self.settings.tier_index or is_first or budget >= typical - CONTROL_INTERVAL_S:
             return request_class.latency_objective
--- a/service_proxy/policy/attempt_feedback.py
+++ b/service_proxy/policy/attempt_feedback.py
@@ -80,7 +80,7 @@
             self.limiter.on_timely_answer(in_flight)
             return
         if status == AttemptStatus.ERROR:
-            shows_overload = not self.outliers.has_own_errors(attempt.endpoint)
+            shows_overload = not self.outliers.has_excess_errors(attempt.endpoint)
         elif status == AttemptStatus.REJECTED and fails_class:
             shows_overload = False  # the endpoint's own fault
         else:
--- a/service_proxy/policy/balancer.py
+++ b/service_proxy/policy/balancer.py
@@ -34,7 +34,7 @@
     TimerFired,
 )
 from service_proxy.policy.health_checks import HealthChecker
-from service_proxy.policy.hedging import StuckAttemptMonitor
+from service_proxy.policy.hedging import OverdueAttemptMonitor
 from service_proxy.policy.in_flight import InFlightAttempts
 from service_proxy.policy.outlier_detection import OutlierDetector
 from service_proxy.policy.request import RequestState
@@ -84,7 +84,7 @@
             self.quotas,
             self.selector,
             self.slow_start,
-            self.stuck_attempts,
+            self.overdue_attempts,
             self.watch,
         )
         self._handlers: dict[type, Callable[[Any, float], None]] = {
@@ -169,7 +169,7 @@
             self.admission,
             self.retry_budget,
         )
-        self.stuck_attempts = StuckAttemptMonitor(
+        self.overdue_attempts = OverdueAttemptMonitor(
             self.settings,
             self.actions,
             self.in_flight,
@@ -285,12 +285,12 @@
             request_class.update_latency_target(span)
             request_class.update_shedding_weight(self.request_classes.values())
         self.watch.run(now)
-        self.stuck_attempts.run(now)
+        self.overdue_attempts.run(now)
         if self.limiter.latency.count:
             self.loads.update_mean_latency(self.limiter.latency.value)
         self.slow_start.refill_tokens(now, span)
         self.loads.fade_samples(span)
-        self.connections.restore_trust(span)
+        self.connections.recover_reuse(span)
         self.health_checks.run(now, span)
         self._rescale_limit(now)
         self.limiter.update_shed_threshold()
--- a/service_proxy/policy/connections.py
+++ b/service_proxy/policy/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: which idle ones can be trusted, what a new one costs, and who takes no more."""
+"""Connections to endpoints: which idle ones are reused, what a new one costs, and who takes no more."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from service_proxy.policy.settings_types import Settings
 from service_proxy.policy.settings_user import SettingsUser
 
-MIN_TRUSTED_IDLE_S = 0.2  # a connection used within it is not taken to be lost for lack of use
-TRUSTED_IDLE_SHARE = 0.7  # share of the age at which an idle connection was lost that is still trusted
-TRUSTED_IDLE_DOUBLING_S = 15.0  # in which the trusted age doubles again
+MIN_REUSE_IDLE_S = 0.2  # a connection used within it is not taken to be lost for lack of use
+REUSE_IDLE_SHARE = 0.7  # share of the age at which an idle connection was lost up to which others are reused
+REUSE_IDLE_DOUBLING_S = 15.0  # in which the age up to which they are reused doubles again
 MAX_OPENING_COST = 1.5  # mean latencies that a new connection adds, above which a doubtful old one is used
 MIN_OPENING_COST = 0.3  # mean latencies by which an endpoint with an open connection is preferred at least
 OPENING_SAMPLES = 30  # attempts over which new and open connections are compared
@@ -27,7 +27,9 @@
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         super().__init__(settings)
         self.actions = actions
-        self.trusted_idle = settings.connection_idle_timeout  # seconds without use after which one is trusted
+        self.max_reuse_idle = (
+            settings.connection_idle_timeout
+        )  # seconds without use, up to which one is reused
         self.open_latency = RunningMean(1.0)  # mean latencies of a request on an open connection
         self.new_latency = RunningMean(1.0)  # the same on a new one
 
@@ -37,8 +39,8 @@
         return 0.0 if endpoint.in_flight or age >= self.settings.connection_idle_timeout else age
 
     def is_open(self, endpoint: TrackedEndpoint, now: float) -> bool:
-        """Tell whether a connection to the endpoint is in use or can be trusted."""
-        return endpoint.in_flight > 0 or now - endpoint.last_used_at <= self.trusted_idle
+        """Tell whether a connection to the endpoint is in use or can be reused."""
+        return endpoint.in_flight > 0 or now - endpoint.last_used_at <= self.max_reuse_idle
 
     @property
     def opening_cost(self) -> float:
@@ -50,9 +52,9 @@
         return max(MIN_OPENING_COST, self.new_latency.value - self.open_latency.value)
 
     def prepare(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Close idle connections that can't be trusted; return the idle time of the one that will be used."""
+        """Close connections that were idle for too long; return the idle time of the one to be used."""
         idle = self.idle_time(endpoint, now)
-        if idle > self.trusted_idle and self.opening_cost < MAX_OPENING_COST:
+        if idle > self.max_reuse_idle and self.opening_cost < MAX_OPENING_COST:
             self.actions.append(CloseIdleConnections(endpoint.endpoint_id))
             endpoint.last_used_at = -math.inf
             return 0.0
@@ -68,23 +70,23 @@
         mean.add(latency, OPENING_SAMPLES)
 
     def lost_while_idle(self, attempt: AttemptState) -> bool:
-        """Tell whether an attempt failed because its connection was lost while idle, and trust them for less.
+        """Tell whether an attempt failed because its connection was lost while idle; reuse others less.
 
         Something between here and the endpoint drops idle connections unseen: what is sent on one is reset at
         once or never answered. That is the connection's fault: the endpoint stays, and connections as old are
         closed before they are used. Cost: if the endpoint was at fault after all, it gets one more request,
         and some good connections are opened anew.
         """
-        if attempt.idle_time < MIN_TRUSTED_IDLE_S or attempt.endpoint.last_success_at >= attempt.sent_at:
+        if attempt.idle_time < MIN_REUSE_IDLE_S or attempt.endpoint.last_success_at >= attempt.sent_at:
             return False
-        trusted = min(self.trusted_idle, TRUSTED_IDLE_SHARE * attempt.idle_time)
-        self.trusted_idle = max(MIN_TRUSTED_IDLE_S, trusted)
+        reusable = min(self.max_reuse_idle, REUSE_IDLE_SHARE * attempt.idle_time)
+        self.max_reuse_idle = max(MIN_REUSE_IDLE_S, reusable)
         return True
 
-    def restore_trust(self, span: float) -> None:
-        """Let the trusted age grow again for `span` seconds."""
-        grown = self.trusted_idle * (1 + span / TRUSTED_IDLE_DOUBLING_S)
-        self.trusted_idle = min(self.settings.connection_idle_timeout, grown)
+    def recover_reuse(self, span: float) -> None:
+        """Let the age up to which connections are reused grow again for `span` seconds."""
+        grown = self.max_reuse_idle * (1 + span / REUSE_IDLE_DOUBLING_S)
+        self.max_reuse_idle = min(self.settings.connection_idle_timeout, grown)
 
     def record_failed_connect(self, endpoint: TrackedEndpoint, now: float) -> None:
         """Take in a connect that failed at an endpoint which answers other attempts.
--- a/service_proxy/policy/endpoint.py
+++ b/service_proxy/policy/endpoint.py
@@ -84,7 +84,7 @@
         self.reported_load = 0.0
         self.reported_at = -math.inf
         self.load_change = 0  # own attempts sent less own attempts ended since the load report
-        self.consecutive_slow = 0  # attempts that timed out or got stuck
+        self.consecutive_slow = 0  # attempts that timed out or are overdue
         self.last_used_at = -math.inf  # the last attempt sent or answered
         # While the endpoint takes no further connections:
         self.connection_limit = 0
--- a/service_proxy/policy/endpoint_watch.py
+++ b/service_proxy/policy/endpoint_watch.py
@@ -27,7 +27,7 @@
         self.is_watching = not settings.polls_discovery
         self.next_watch_at = -1.0
         self.failures = 0  # in a row
-        self.last_news_at = 0.0  # the last list, or the start of a watch
+        self.last_update_at = 0.0  # the last list, or the start of a watch
         self.recheck_at = math.inf  # when to start a new watch although one is on
 
     def start(self, now: float) -> None:
@@ -44,18 +44,18 @@
             self.next_watch_at = now + longest * (0.5 + 0.5 * self.random.random())
         elif scope is not ListScope.CACHED:
             self.failures = 0
-            self.last_news_at = now
+            self.last_update_at = now
             self.recheck_at = math.inf
 
     def run(self, now: float) -> None:
         """Start a watch if one is due."""
         if (not self.is_watching and now >= self.next_watch_at) or now >= self.recheck_at:
             self.is_watching = True
-            self.last_news_at = now
+            self.last_update_at = now
             self.recheck_at = math.inf
             self.actions.append(WatchEndpoints(True))
 
-    def doubt(self, now: float) -> None:
+    def schedule_recheck(self, now: float) -> None:
         """Plan a new watch because an endpoint contradicts the list: it is listed and goes on refusing.
 
         The watch may be held by what no longer answers; a new one brings at once what was missed. Guards
@@ -63,5 +63,5 @@
         each proxy that sees it asks once more in RECHECK_INTERVAL_S, spread out.
         """
         if self.settings.polls_discovery and self.is_watching and math.isinf(self.recheck_at):
-            earliest = max(now, self.last_news_at + RECHECK_INTERVAL_S)
+            earliest = max(now, self.last_update_at + RECHECK_INTERVAL_S)
             self.recheck_at = earliest + self.random.random() * RECHECK_SPREAD_S
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -100,7 +100,7 @@
 
     endpoint_id: int
     zone: str = ""
-    kind: str = ""
+    endpoint_type: str = ""
     cell: int = 0
     state: EndpointState = EndpointState.SERVING
     weight: float = 1.0
--- a/service_proxy/policy/health_checks.py
+++ b/service_proxy/policy/health_checks.py
@@ -95,12 +95,12 @@
         """
         if request.candidates is None:
             request.candidates = []
-            if not self._is_worth_waiting(request, now):
+            if not self._should_check_candidates(request, now):
                 return False
             self._check_candidates(request, now)
         return request.awaits_reports(now) and any(e.health_check_pending for e in request.candidates)
 
-    def _is_worth_waiting(self, request: RequestState, now: float) -> bool:
+    def _should_check_candidates(self, request: RequestState, now: float) -> bool:
         rate = self._rate()
         if request.attempts or request.deadline - now < MIN_BUDGET_IN_WAITS * CANDIDATES_WAIT_S:
             return False
@@ -147,7 +147,7 @@
         endpoint.failed_health_checks += 1
         if endpoint.ejected_until:
             if status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.ERROR):
-                self.watch.doubt(now)
+                self.watch.schedule_recheck(now)
             self.outliers.extend_ejection(endpoint, now)
         elif (
             endpoint.failed_health_checks >= MAX_FAILED_CHECKS
--- a/service_proxy/policy/hedging.py
+++ b/service_proxy/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Attempts that get stuck: they show endpoints that hang, and their requests are hedged."""
+"""Overdue attempts: they show endpoints that hang, and their requests are hedged."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from service_proxy.policy.settings_types import Idempotency, Settings
 from service_proxy.policy.settings_user import SettingsUser
 
-STUCK_LATENCIES = 4.0  # mean latencies after which an attempt is taken to be stuck
-MAX_CONSECUTIVE_STUCK = 2  # slow attempts, without success between, from which an endpoint is taken to hang
+OVERDUE_LATENCIES = 4.0  # mean latencies after which an attempt is overdue
+MAX_CONSECUTIVE_OVERDUE = 2  # slow attempts, without success between, from which an endpoint is taken to hang
 HEDGE_COST = 1.0  # tokens of the retry budget
 
 
-class StuckAttemptMonitor(SettingsUser):
+class OverdueAttemptMonitor(SettingsUser):
     """Looks at the ages of the attempts in flight: an endpoint that hangs ends none."""
 
     def __init__(
@@ -42,21 +42,21 @@
         self.outliers = outliers
 
     def run(self, now: float) -> None:
-        """Take in the ages of all attempts in flight and act on those that are stuck."""
+        """Take in the ages of all attempts in flight and act on those that are overdue."""
         for attempt in self._observe_ages(now):
             endpoint = attempt.endpoint
             if endpoint.last_success_at < attempt.sent_at and not endpoint.ejected_until:
-                attempt.hedged = True
+                attempt.overdue_handled = True
                 endpoint.consecutive_slow += 1
-                if endpoint.consecutive_slow >= MAX_CONSECUTIVE_STUCK or endpoint.on_trial:
+                if endpoint.consecutive_slow >= MAX_CONSECUTIVE_OVERDUE or endpoint.on_trial:
                     self.outliers.eject(endpoint, now, is_certain=False)
             self._hedge(attempt, now)
 
     def _observe_ages(self, now: float) -> list[AttemptState]:
-        """Tell the concurrency limit what is late, and return the attempts that have got stuck."""
+        """Tell the concurrency limit what is late, and return the attempts that have become overdue."""
         total_age = 0.0
         count = 0.0
-        stuck: list[AttemptState] = []
+        overdue: list[AttemptState] = []
         for attempt in self.in_flight.attempts.values():
             if attempt.request.is_streaming:
                 continue  # how long a stream takes is its peers' matter
@@ -68,13 +68,13 @@
                 if not attempt.is_late and age > request_class.latency_target:
                     attempt.is_late = True
                     self.limiter.on_late_answer()
-            if age > STUCK_LATENCIES * request_class.mean_latency.value and not attempt.hedged:
-                stuck.append(attempt)
+            if age > OVERDUE_LATENCIES * request_class.mean_latency.value and not attempt.overdue_handled:
+                overdue.append(attempt)
         self.limiter.in_flight_age = total_age / count if count else 0.0
-        return stuck
+        return overdue
 
     def _hedge(self, attempt: AttemptState, now: float) -> None:
-        """Start a further attempt of a request that seems stuck, where its class allows it."""
+        """Start a further attempt of a request whose attempt is overdue, where its class allows it."""
         request = attempt.request
         if request.has_ended or request.is_streaming or request.is_queued or request.in_flight > 1:
             return
@@ -85,7 +85,7 @@
             return
         if request.useful_until - now < request_class.mean_latency.value:
             return
-        attempt.hedged = True
+        attempt.overdue_handled = True
         if self.settings.can_hedge:
             self.budget.spend(HEDGE_COST)
             self.queue.add(request)
--- a/service_proxy/policy/outlier_detection.py
+++ b/service_proxy/policy/outlier_detection.py
@@ -19,7 +19,7 @@
 ALIVE_S = 1.0  # since its last response, of any kind, within which an endpoint is not taken to be dead
 MAX_CONSECUTIVE_BROKEN = 3  # broken connections in a row, without a response, after which it is all the same
 MAX_ERROR_EXCESS = 0.35  # error share above the pool's from which an endpoint is an outlier
-OWN_ERROR_EXCESS = 0.1  # error share above the pool's from which errors say nothing about overload
+OVERLOAD_ERROR_EXCESS = 0.1  # error share above the pool's from which errors say nothing about overload
 ERROR_WEIGHT = 0.2  # of the newest attempt in an endpoint's error share
 POOL_ERROR_SAMPLES = 100  # attempts over which the pool's error share is averaged
 FAILURE_WEIGHT = 0.3  # of the newest response in the share of a class's requests that an endpoint fails
@@ -91,9 +91,9 @@
         endpoint.error_share += (has_failed - endpoint.error_share) * ERROR_WEIGHT
         self.error_share.add(float(has_failed), POOL_ERROR_SAMPLES)
 
-    def has_own_errors(self, endpoint: TrackedEndpoint) -> bool:
+    def has_excess_errors(self, endpoint: TrackedEndpoint) -> bool:
         """Tell whether the endpoint's errors are its own fault rather than a sign of overload."""
-        return endpoint.error_share > self.error_share.value + OWN_ERROR_EXCESS
+        return endpoint.error_share > self.error_share.value + OVERLOAD_ERROR_EXCESS
 
     def is_outlier(self, endpoint: TrackedEndpoint) -> bool:
         """Tell whether the endpoint, after a failed attempt, has to be ejected for its errors."""
--- a/service_proxy/policy/request.py
+++ b/service_proxy/policy/request.py
@@ -15,12 +15,12 @@
     __slots__ = (
         "counts_to_limit",
         "endpoint",
-        "hedged",
         "idle_time",
         "is_late",
         "load",
         "number",
         "on_new_connection",
+        "overdue_handled",
         "request",
         "sent_at",
         "status",
@@ -39,7 +39,7 @@
         self.is_late = False  # was counted as late
         self.idle_time = 0.0  # for which its connection had not been used; 0: in use or new
         self.on_new_connection = False
-        self.hedged = False  # was taken as stuck, and hedged where its class allows it
+        self.overdue_handled = False  # was taken for overdue, and hedged where its class allows it
 
 
 class RequestState:
--- a/service_proxy/policy/request_queue.py
+++ b/service_proxy/policy/request_queue.py
@@ -40,13 +40,13 @@
 
         The wait at a position is about (position + 1) * mean latency / concurrency limit.
         """
-        kept: list[RequestState] = []
+        remaining: list[RequestState] = []
         removed: list[RequestState] = []
         for request in self.requests:
             left = request.useful_until - now
             mean_latency = request.request_class.mean_latency.value
-            wait = (len(kept) + 1) * wait_per_position
-            fits = not kept or wait + TAIL_LATENCIES * mean_latency <= left
+            wait = (len(remaining) + 1) * wait_per_position
+            fits = not remaining or wait + TAIL_LATENCIES * mean_latency <= left
             # One that waits for its candidates' load reports goes out or comes back here before its deadline;
             # if less than a mean latency were left, it would be wasted work, most of all on crowded
             # endpoints.
@@ -54,9 +54,9 @@
                 left > mean_latency and request.awaits_reports(now)
             )
             if fits and left > 0 and can_wait:
-                kept.append(request)
+                remaining.append(request)
             else:
                 request.is_queued = False
                 removed.append(request)
-        self.requests[:] = kept
+        self.requests[:] = remaining
         return removed
--- a/service_proxy/policy/selection.py
+++ b/service_proxy/policy/selection.py
@@ -78,7 +78,7 @@
         estimate_load = self.loads.estimate
         random = self.random.random
         zone = self.settings.zone
-        trusted_idle = self.connections.trusted_idle
+        max_reuse_idle = self.connections.max_reuse_idle
         opening_cost = self.connections.opening_cost
         cross_zone_cost = self._cross_zone_cost()
         prior_load = self._prior_load()
@@ -96,7 +96,7 @@
                 cost /= self.slow_start.capacity_share(endpoint, now)
             if endpoint.zone != zone:
                 cost += cross_zone_cost
-            if not endpoint.in_flight and now - endpoint.last_used_at > trusted_idle:
+            if not endpoint.in_flight and now - endpoint.last_used_at > max_reuse_idle:
                 cost += opening_cost
             if endpoint.endpoint_id in tried:
                 cost += FAILURE_COST
--- a/service_proxy/policy/settings_types.py
+++ b/service_proxy/policy/settings_types.py
@@ -118,7 +118,7 @@
     tier_index: int = 0  # 0: takes clients' requests; more: takes requests of services
     tier_count: int = 1
     zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()  # of endpoints
+    endpoint_types: tuple[str, ...] = ()  # of endpoints
     quantum: float = 0.0  # events come no more often than this
     polls_discovery: bool = False
     max_poll_interval: float = 10.0
@@ -128,12 +128,12 @@
     can_check_health: bool = False
     can_message_peers: bool = False
     max_open_requests: int = 0  # 0: no limit
-    clients_mark_retries: bool = False
+    clients_flag_retries: bool = False
     can_send_retry_after: bool = False
     max_retry_after: float = 0.0
     over_quota_weight_share: float = 1.0  # of the weight, that requests over their tenant's quota keep
     weight_by_work: bool = False  # the priority weight is that of a second of work, not of a request
-    passes_deadline: bool = False
+    propagates_deadline: bool = False
     load_report_fields: tuple[str, ...] = ()  # of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps
     load_report_source: str = "probe"  # "answer" (health checks bring some, too), "probe" or "none"
     weight_meaning: str = "nominal"  # what a listed weight means: "none", "nominal", "rough" or "live"
@@ -142,7 +142,7 @@
     requests_per_connection: int = 1  # at a time
     cpu_per_s: float = 0.0  # CPU seconds of a proxy each second; 0: no limit
     cpu_per_request: float = 0.0  # CPU seconds
-    goal_whole: float = 1.0  # weights of the parts of the result
+    goal_overall: float = 1.0  # weights of the parts of the result
     goal_window: float = 0.0
     goal_class: float = 0.0
     goal_tenant: float = 0.0
@@ -196,7 +196,7 @@
             "price_late_fail",
             "price_peer",
             "price_discovery",
-            "goal_whole",
+            "goal_overall",
             "goal_window",
             "goal_class",
             "goal_tenant",
--- a/service_proxy/recovery/restoration.py
+++ b/service_proxy/recovery/restoration.py
@@ -76,7 +76,7 @@
     entry = EndpointEntry(
         endpoint_id=endpoint_id_of(name),
         zone=record.zone,
-        kind=record.kind,
+        endpoint_type=record.kind,
         cell=record.cell,
         state=EndpointState.DRAINING if record.is_draining else EndpointState.SERVING,
         weight=record.weight,
@@ -93,7 +93,7 @@
     return EndpointRecord(
         address=f"{host}:{port}",
         zone=entry.zone,
-        kind=entry.kind,
+        kind=entry.endpoint_type,
         cell=entry.cell,
         weight=entry.weight,
         is_draining=entry.state is EndpointState.DRAINING,
--- a/service_proxy/settings.py
+++ b/service_proxy/settings.py
@@ -33,7 +33,7 @@
 MICROSECONDS_PER_S = 1e6
 
 TEXT = "a text"
-WHOLE_NUMBER = "a whole number"
+INTEGER = "a whole number"
 NUMBER = "a number"
 TRUTH_VALUE = "true or false"
 LIST_OF_OBJECTS = "[{...}]"
@@ -92,9 +92,9 @@
     try:
         return int(fields[key])
     except KeyError:
-        raise _missing(key, WHOLE_NUMBER) from None
+        raise _missing(key, INTEGER) from None
     except ValueError:
-        raise _unreadable(key, "is not a whole number", fields[key], WHOLE_NUMBER) from None
+        raise _unreadable(key, "is not a whole number", fields[key], INTEGER) from None
 
 
 def field_integer_or(fields: Fields, key: str, default: int) -> int:
@@ -255,7 +255,7 @@
     _Setting("tier_index", "stage", _integer(0)),
     _Setting("tier_count", "stages", _tier_count),
     _Setting("zones", "dcs", _names),
-    _Setting("kinds", "kinds", _names),
+    _Setting("endpoint_types", "kinds", _names),
     _Setting("quantum", "quantum", _number(0.0)),
     _Setting("max_poll_interval", "contract.must_ask_in", _number(10.0)),
     _Setting("max_attempts", "policy_limits.send_cap", field_integer),
@@ -264,12 +264,12 @@
     _Setting("can_check_health", "policy_limits.probes", field_truth),
     _Setting("can_message_peers", "policy_limits.peers", _truth(False)),
     _Setting("max_open_requests", "policy_limits.most_held", _integer(0)),
-    _Setting("clients_mark_retries", "callers.marks_retry", _truth(False)),
+    _Setting("clients_flag_retries", "callers.marks_retry", _truth(False)),
     _Setting("can_send_retry_after", "policy_limits.retry_after", _truth(False)),
     _Setting("max_retry_after", "policy_limits.max_retry_after", _number(0.0)),
     _Setting("over_quota_weight_share", "over_share_worth", _number(1.0)),
     _Setting("weight_by_work", "worth_by", _any_of(WEIGHTS_BY_WORK, "request")),
-    _Setting("passes_deadline", "specifics.passes_deadline", _truth(False)),
+    _Setting("propagates_deadline", "specifics.passes_deadline", _truth(False)),
     _Setting("load_report_fields", "report.names", _load_report_fields),
     _Setting("load_report_source", "report.via", _any_of(LOAD_REPORT_SOURCES, "on_probe")),
     _Setting("weight_meaning", "weights", _any_of(WEIGHT_MEANINGS, "nominal")),
@@ -277,7 +277,7 @@
     _Setting("requests_per_connection", "policy_limits.streams_per_conn", _integer(1)),
     _Setting("cpu_per_s", "policy_limits.cpu_us_per_s", _cpu_seconds),
     _Setting("cpu_per_request", "policy_limits.cpu_us_per_request", _cpu_seconds),
-    _Setting("goal_whole", "objective_mix.whole", _number(1.0)),
+    _Setting("goal_overall", "objective_mix.whole", _number(1.0)),
     _Setting("goal_window", "objective_mix.worst_window", _number(0.0)),
     _Setting("goal_class", "objective_mix.worst_class", _number(0.0)),
     _Setting("goal_tenant", "objective_mix.worst_tenant", _number(0.0)),
--- a/service_proxy/simulator_adapter.py
+++ b/service_proxy/simulator_adapter.py
@@ -94,7 +94,7 @@
     return api.EndpointEntry(
         endpoint_id=field_integer(fields, "backend"),
         zone=fields.get("campus", ""),
-        kind=fields.get("sku", ""),
+        endpoint_type=fields.get("sku", ""),
         cell=field_integer_or(fields, "bay", 0),
         state=ENDPOINT_STATES[state],
         weight=field_number(fields, "power_hint", 1.0),
@@ -267,10 +267,10 @@
                 return
             if not line:
                 continue
-            tag, _, rest = line.partition(" ")
+            tag, _, arguments = line.partition(" ")
             if tag != "tick":
                 raise FieldError("a tick was due")
-            fields = _split(rest.split(" "))
+            fields = _split(arguments.split(" "))
             self.now = field_number(fields, "clock")
             sequence = field_text(fields, "seq")
             self._read_batch()
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -312,7 +312,7 @@
 def test_a_first_try_with_a_short_budget_is_not_late_where_retries_are_marked() -> None:
     # Found on seed 7001: a quarter of the calls was refused as useless while backends stood idle.
     for marked, resent, sent in ((True, False, True), (True, True, False), (False, False, False)):
-        driver = BalancerDriver(settings(clients_mark_retries=marked))
+        driver = BalancerDriver(settings(clients_flag_retries=marked))
         for call in range(20):
             driver.end_attempt(only_attempt(driver.arrive(call)), AttemptStatus.OK)
         assert bool(attempts(driver.arrive(99, budget=0.9, is_retry=resent))) == sent
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -223,7 +223,7 @@
         )
     )
     assert isinstance(shown, Settings)
-    assert (shown.tier_count, shown.zones, shown.kinds, shown.quantum) == (
+    assert (shown.tier_count, shown.zones, shown.endpoint_types, shown.quantum) == (
         2,
         ("north", "south"),
         ("std",),
@@ -237,7 +237,7 @@
     assert (
         shown.weight_by_work
         and shown.can_message_peers
-        and shown.clients_mark_retries
+        and shown.clients_flag_retries
         and shown.max_open_requests == 9
     )
     assert (shown.connect_timeout, shown.requests_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
