--- a/tests/policy/balancer_driver.py
+++ b/tests/policy/balancer_driver.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders and a driver of the Balancer that the policy's tests share."""
 
 from __future__ import annotations
 
@@ -63,22 +63,26 @@
     return Settings(**{**values, **changes})
 
 
-def entries(*servers: int, zone: str = "a", **changes: Any) -> list[EndpointEntry]:
-    return [EndpointEntry(server, zone=zone, cell=server % 2, **changes) for server in servers]
+def entries(*endpoint_ids: int, zone: str = "a", **changes: Any) -> list[EndpointEntry]:
+    """Entries of an endpoint list, in two cells of one zone."""
+    return [
+        EndpointEntry(endpoint_id, zone=zone, cell=endpoint_id % 2, **changes) for endpoint_id in endpoint_ids
+    ]
 
 
 class BalancerDriver:
-    """Feeds a Balancer and keeps what it said; a step of the clock delivers the timers that are due."""
+    """Feeds a Balancer and records its actions; `advance` delivers the timers that are due."""
 
-    def __init__(self, setup: Settings, seed: int = 1, servers: list[EndpointEntry] | None = None) -> None:
+    def __init__(self, setup: Settings, seed: int = 1, endpoints: list[EndpointEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
         self.now = 100.0
         self.timers: list[tuple[float, int]] = []
         self.actions: list[Action] = []
-        listed = entries(1, 2, 3, 4) if servers is None else servers
+        listed = entries(1, 2, 3, 4) if endpoints is None else endpoints
         self.feed(EndpointListUpdate(ListScope.CACHED, listed))
 
     def feed(self, *events: Event) -> list[Action]:
+        """Deliver events in one batch now."""
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, SetTimer):
@@ -87,6 +91,7 @@
         return actions
 
     def advance(self, span: float) -> list[Action]:
+        """Let `span` seconds pass."""
         end = self.now + span
         actions: list[Action] = []
         while self.timers and min(self.timers)[0] <= end:
@@ -97,29 +102,38 @@
         self.now = end
         return actions
 
-    def arrive(self, call: int, cls: str = "safe", budget: float = 2.0, **fields: Any) -> list[Action]:
-        return self.feed(RequestArrived(call, cls, budget, **fields))
+    def arrive(
+        self, request_id: int, class_name: str = "safe", budget: float = 2.0, **fields: Any
+    ) -> list[Action]:
+        """Deliver a request."""
+        return self.feed(RequestArrived(request_id, class_name, budget, **fields))
 
     def end_attempt(
         self,
-        send: StartAttempt,
+        attempt: StartAttempt,
         status: AttemptStatus,
-        attempt: int = 0,
+        number: int = 0,
         elapsed: float = 0.05,
         final: bool | None = None,
     ) -> list[Action]:
-        ended = status is AttemptStatus.OK if final is None else final
-        return self.feed(AttemptEnded(send.request_id, attempt, send.endpoint_id, status, elapsed, ended))
+        """Deliver the end of an attempt; it is final if it succeeded, unless said otherwise."""
+        is_final = status is AttemptStatus.OK if final is None else final
+        return self.feed(
+            AttemptEnded(attempt.request_id, number, attempt.endpoint_id, status, elapsed, is_final)
+        )
 
 
-def attempts(actions: list[Action], call: int | None = None) -> list[StartAttempt]:
-    return [a for a in actions if isinstance(a, StartAttempt) and call in (None, a.request_id)]
+def attempts(actions: list[Action], request_id: int | None = None) -> list[StartAttempt]:
+    """The attempts among actions, of one request or of all."""
+    return [a for a in actions if isinstance(a, StartAttempt) and request_id in (None, a.request_id)]
 
 
 def only_attempt(actions: list[Action]) -> StartAttempt:
-    (send,) = attempts(actions)
-    return send
+    """The one attempt among actions."""
+    (attempt,) = attempts(actions)
+    return attempt
 
 
-def state_change(server: int, state: EndpointState) -> EndpointListUpdate:
-    return EndpointListUpdate(ListScope.INCREMENTAL, entries(server, state=state))
+def state_change(endpoint_id: int, state: EndpointState) -> EndpointListUpdate:
+    """A list update after which an endpoint has another state."""
+    return EndpointListUpdate(ListScope.INCREMENTAL, entries(endpoint_id, state=state))
--- /dev/null
+++ b/tests/policy/test_retry_budget.py
@@ -0,0 +1,38 @@
+"""The retry budget."""
+
+from __future__ import annotations
+
+from balancer_driver import BalancerDriver, attempts, only_attempt, settings
+
+from service_proxy import AttemptStatus
+from service_proxy.policy.retry_budget import UNEXECUTED_RETRY_COST
+
+
+def test_retries_keep_to_their_budget() -> None:
+    driver = BalancerDriver(settings(max_attempts=3))
+    tries = 0
+    for request_id in range(200):
+        driver.advance(0.02)
+        todo = [(attempt, 0) for attempt in attempts(driver.arrive(request_id))]
+        while todo:
+            attempt, number = todo.pop()
+            tries += 1
+            todo += [
+                (retry, number + 1)
+                for retry in attempts(
+                    driver.end_attempt(attempt, AttemptStatus.ERROR, number), attempt.request_id
+                )
+            ]
+    assert tries <= 200 * 1.15 + 5
+
+
+def test_retry_of_what_was_never_executed_costs_less() -> None:
+    # Found on wide+reset+stale days of central-santiago: the retry budget of inner tiers went to requests
+    # rejected; each lost its caller.
+    driver = BalancerDriver(settings())
+    driver.balancer.retry_budget.tokens = UNEXECUTED_RETRY_COST
+    first = only_attempt(driver.arrive(1))
+    driver.balancer.retry_budget.tokens = UNEXECUTED_RETRY_COST
+    assert len(attempts(driver.end_attempt(first, AttemptStatus.REJECTED))) == 1
+    driver.balancer.retry_budget.tokens = UNEXECUTED_RETRY_COST
+    assert not attempts(driver.end_attempt(only_attempt(driver.arrive(2)), AttemptStatus.ERROR))
