--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -31,6 +31,7 @@
 from harness.fleet.network import LinkFaults
 from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet, VirtualMember, address_of
 from service_proxy.fleet.authentication import MessageAuthenticator
+from service_proxy.fleet.member_base import TimerKind
 from service_proxy.fleet.member_states import MemberState
 from service_proxy.fleet.member_table import MembershipChange
 from service_proxy.fleet.protocol import MembershipProtocol
@@ -181,7 +182,9 @@
         w.observer.read_logs()
         raised = [line for lines in w.observer.lines.values() for line in lines if "Traceback" in line]
         broken = w.audit()
-        left_out = [line for lines in w.observer.lines.values() for line in lines if "left out" in line]
+        left_out = [
+            line for lines in w.observer.lines.values() for line in lines if "log_lines_dropped" in line
+        ]
         proof.record("real_lines_left_out", len(left_out), "times, of members' logs")
         codes = sum((callers.status_codes for callers in w.clients), start=type(w.clients[0].status_codes)())
         served = codes[200] / max(1, sum(codes.values()))
@@ -413,7 +416,7 @@
         if suspicion is not None:
             suspicion.last_contact_at = float("-inf")
             if turn > 0 and turn == suspicion.timer_id:
-                self._set_timer(max(0.0, suspicion.deadline - self.now), "suspicion", -turn, key)
+                self._set_timer(max(0.0, suspicion.deadline - self.now), TimerKind.SUSPICION, -turn, key)
                 return
         super()._on_suspicion_timer(turn, key)
 
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -35,7 +35,8 @@
 READY_POLL_INTERVAL_S = 0.1  # s between two questions whether a process is ready
 READY_TIMEOUT_S = 90.0  # s for all processes to be up on a busy machine
 CHANGE_LINE = re.compile(
-    r"service_proxy\.fleet: change (\d+) at ([\d.]+): (\S+) (\w+) -> (\w+), (\S+), told by (\S+): (.*)"
+    r"service_proxy\.fleet: member_state_changed revision=(\d+) at_s=([\d.]+) member=(\S+) "
+    r"before=(\w+) after=(\w+) incarnation=(\S+) source=(\S+) reason=(.*)"
 )
 FLEET_KEY = "0123456789abcdef" * 4  # of fleets whose datagrams are sealed
 KEPT_LINES = ("service_proxy.fleet", "service_proxy.recovery", "ERROR", "Traceback")  # lines that are kept
--- a/harness/fleet/virtual_fleet.py
+++ b/harness/fleet/virtual_fleet.py
@@ -109,8 +109,8 @@
             for change in taken.changes:
                 self.on_change(member, change)
         if self.on_log_line is not None:
-            for note in taken.log_lines:
-                self.on_log_line(member, note)
+            for line in taken.log_lines:
+                self.on_log_line(member, line.text)
         due = max(self.now, core.next_timer_at - member.clock_offset)
         if member.timer_deadline < 0 or due < member.timer_deadline - 1e-9:
             member.timer_deadline = due
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -31,80 +31,105 @@
 from service_proxy.operator_file.key_file import read_fleet_keys
 from service_proxy.operator_file.schema import address_fault
 
-PATIENCE = 0.5  # s for one answer
-TRIES = 4  # of one question
-EVERY = 1.0  # s between two looks
-NOT_SETTLED = 3
-CLEAR = "\x1b[H\x1b[J"  # ECMA-48: cursor home, erase to the end
-
-
-class Asker:
-    """One socket, and the numbers of its questions."""
-
-    def __init__(self, at: tuple[str, int], seals: MessageAuthenticator) -> None:
-        self.at = at
-        self.seals = seals
+ANSWER_TIMEOUT_S = 0.5
+MAX_ATTEMPTS = 4  # of one request
+WATCH_INTERVAL_S = 1.0
+MAX_NONCE = 65535
+EXIT_SETTLED = 0
+EXIT_NO_ANSWER = 1
+EXIT_BAD_CALL = 2
+EXIT_NOT_SETTLED = 3
+CLEAR_SCREEN = "\x1b[H\x1b[J"  # ECMA-48: cursor home, erase to the end
+
+
+class ViewClient:
+    """Requests a member's view; one socket, and the ids of its requests. A context manager."""
+
+    def __init__(self, address: tuple[str, int], authenticator: MessageAuthenticator) -> None:
+        self.address = address
+        self.authenticator = authenticator
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.socket.connect(at)
-        self.run, self.life = initial_generation(time.time()), 1 + secrets.randbelow(65535)
-        self.number = 0
-
-    def page(self, first: int) -> ViewPage:
-        """Raises NoAnswerError."""
-        instead = "nothing came"
-        for _ in range(TRIES):
-            self.number += 1
-            due = time.monotonic() + PATIENCE
+        self.socket.connect(address)
+        self.generation = initial_generation(time.time())
+        self.nonce = 1 + secrets.randbelow(MAX_NONCE)
+        self.last_request_id = 0
+
+    def __enter__(self) -> ViewClient:
+        return self
+
+    def __exit__(self, *_exception: object) -> None:
+        self.socket.close()
+
+    def fetch_page(self, first_row: int) -> ViewPage:
+        """Return the page from this row on.
+
+        Raises:
+            NoAnswerError: there was none to any of several requests.
+        """
+        cause = "nothing came"
+        for _ in range(MAX_ATTEMPTS):
+            self.last_request_id += 1
+            deadline = time.monotonic() + ANSWER_TIMEOUT_S
             try:
-                self.socket.send(encode_view_request(first, self.number, self.run, self.life, self.seals))
-                while (left := due - time.monotonic()) > 0:
-                    self.socket.settimeout(left)
+                self.socket.send(
+                    encode_view_request(
+                        first_row, self.last_request_id, self.generation, self.nonce, self.authenticator
+                    )
+                )
+                while (remaining := deadline - time.monotonic()) > 0:
+                    self.socket.settimeout(remaining)
                     try:
-                        page = decode_view_page(self.socket.recv(MAX_DATAGRAM_BYTES), self.seals)
-                        if page.request_id == self.number & 0xFFFF:
-                            return page
-                    except MalformedDatagramError as fault:
-                        instead = f"what came is of no use: {fault}"
+                        page = decode_view_page(self.socket.recv(MAX_DATAGRAM_BYTES), self.authenticator)
+                    except MalformedDatagramError as error:
+                        cause = f"what came is of no use: {error}"
+                        continue
+                    if page.request_id == self.last_request_id & 0xFFFF:
+                        return page
             except TimeoutError:
                 continue
-            except OSError as fault:
-                instead = str(fault)
-                time.sleep(max(0.0, due - time.monotonic()))
-        raise NoAnswerError(self.at, instead)
-
-    def view(self) -> tuple[ViewPage, list[ViewRow]]:
-        """All of it; a view that changes meanwhile may lack a row, and is then not told as settled."""
-        page = self.page(0)
+            except OSError as error:
+                cause = str(error)
+                time.sleep(max(0.0, deadline - time.monotonic()))
+        raise NoAnswerError(self.address, cause)
+
+    def fetch_view(self) -> tuple[ViewPage, list[ViewRow]]:
+        """Return the last page and all rows.
+
+        A view that changes meanwhile may lack a row, and is not settled.
+        """
+        page = self.fetch_page(0)
         rows = list(page.rows)
         while len(rows) < page.row_count:
-            more = self.page(len(rows))
-            if not more.rows:
+            page_of_more = self.fetch_page(len(rows))
+            if not page_of_more.rows:
                 break
-            rows += more.rows
-            page = more
+            rows += page_of_more.rows
+            page = page_of_more
         return page, rows
 
 
-def table(page: ViewPage, rows: list[ViewRow]) -> list[str]:
-    said = "settled" if page.settled else "not settled"
+def format_table(page: ViewPage, rows: list[ViewRow]) -> list[str]:
+    """Return a view as lines of text, with its totals first and remarks last."""
+    stability = "settled" if page.settled else "not settled"
     lines = [
         f"fleet {page.fleet}: {page.alive_count} live, {page.dead_count} dead, {page.left_count} left; "
-        f"{said}, change {page.revision}, view {page.digest:016x}",
+        f"{stability}, change {page.revision}, view {page.digest:016x}",
         f"{'name':<20}{'state':<9}{'phase':<10}{'tier':<12}{'zone':<8}{'address':<22}{'in flight':<10}"
         f"{'list':<9}{'heard':<8}incarnation",
     ]
     for row in sorted(rows, key=lambda row: (row.tier, row.name)):
-        heard = "-" if row.last_contact_age_s is None else f"{row.last_contact_age_s:.1f} s"
-        flying = "-" if row.in_flight_tenths is None else f"{row.in_flight_tenths}/10"
-        listed = str(row.list_version) if row.list_version else "-"
+        last_contact = "-" if row.last_contact_age_s is None else f"{row.last_contact_age_s:.1f} s"
+        in_flight = "-" if row.in_flight_tenths is None else f"{row.in_flight_tenths}/10"
+        list_version = str(row.list_version) if row.list_version else "-"
         lines.append(
             f"{row.name:<20}{row.state.value:<9}{row.phase.name.lower():<10}{row.tier:<12}{row.zone:<8}"
-            f"{row.address:<22}{flying:<10}{listed:<9}{heard:<8}{row.incarnation}"
+            f"{row.address:<22}{in_flight:<10}{list_version:<9}{last_contact:<8}{row.incarnation}"
         )
     return lines + diagnose_view(page, rows)
 
 
-def as_json(page: ViewPage, rows: list[ViewRow]) -> str:
+def format_json(page: ViewPage, rows: list[ViewRow]) -> str:
+    """Return a view as JSON."""
     members = [
         {
             "name": row.name,
@@ -121,7 +146,7 @@
         }
         for row in rows
     ]
-    whole = {
+    view = {
         "fleet": page.fleet,
         "settled": page.settled,
         "minority": page.is_minority,
@@ -136,17 +161,22 @@
         "members": members,
         "remarks": diagnose_view(page, rows),
     }
-    return json.dumps(whole, indent=1)
+    return json.dumps(view, indent=1)
 
 
-def seals_of(file: str | None) -> MessageAuthenticator:
-    """Raises OperatorError."""
-    if file is None:
+def create_authenticator(operator_file: str | None) -> MessageAuthenticator:
+    """Return the authenticator by the operator's file.
+
+    Raises:
+        OperatorError: the file, or the key file that it names, can't be used.
+    """
+    if operator_file is None:
         return MessageAuthenticator()
-    return MessageAuthenticator(read_fleet_keys(load(file)))
+    return MessageAuthenticator(read_fleet_keys(load(operator_file)))
 
 
-def main(argv: list[str] | None = None) -> int:
+def create_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy.fleet",
         description=__doc__,
@@ -158,37 +188,47 @@
     view.add_argument("--json", action="store_true")
     view.add_argument("--watch", action="store_true", help="again each second, until Ctrl-C")
     view.add_argument("--operator", metavar="FILE", help="the operator's file, for the fleet's keys")
-    wanted = parser.parse_args(argv)
-    fault = address_fault(wanted.of)
-    if fault is not None:
-        print(f"--of {fault}; write the member's `listen`, such as 10.0.0.4:7946", file=sys.stderr)
-        return 2
-    host, _, port = wanted.of.rpartition(":")
+    return parser
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Run the command; return its exit code."""
+    options = create_parser().parse_args(argv)
+    problem = address_fault(options.of)
+    if problem is not None:
+        print(f"--of {problem}; write the member's `listen`, such as 10.0.0.4:7946", file=sys.stderr)
+        return EXIT_BAD_CALL
+    host, _, port = options.of.rpartition(":")
     try:
-        asker = Asker((host, int(port)), seals_of(wanted.operator))
+        authenticator = create_authenticator(options.operator)
     except OperatorError as error:
         print(error, file=sys.stderr)
-        return 2
+        return EXIT_BAD_CALL
+    show = watch_view if options.watch else show_view
     try:
-        return watch(asker, wanted.json) if wanted.watch else look(asker, wanted.json)
+        with ViewClient((host, int(port)), authenticator) as client:
+            return show(client, options.json)
     except NoAnswerError as error:
         print(f"{error}; is it up, and is this its machine or a member's?", file=sys.stderr)
-        return 1
+        return EXIT_NO_ANSWER
 
 
-def look(asker: Asker, json_form: bool, before: str = "") -> int:
-    page, rows = asker.view()
-    text = as_json(page, rows) if json_form else "\n".join(table(page, rows))
-    print(before + text, flush=True)
-    return 0 if page.settled else NOT_SETTLED
+def show_view(client: ViewClient, json_form: bool, prefix: str = "") -> int:
+    """Print the view once; return the exit code that it stands for."""
+    page, rows = client.fetch_view()
+    text = format_json(page, rows) if json_form else "\n".join(format_table(page, rows))
+    print(prefix + text, flush=True)
+    return EXIT_SETTLED if page.settled else EXIT_NOT_SETTLED
 
 
-def watch(asker: Asker, json_form: bool) -> int:
-    code = 0
+def watch_view(client: ViewClient, json_form: bool) -> int:
+    """Print the view each second until Ctrl-C; return the last exit code."""
+    code = EXIT_SETTLED
+    prefix = "" if json_form or not sys.stdout.isatty() else CLEAR_SCREEN
     try:
         while True:
-            code = look(asker, json_form, "" if json_form or not sys.stdout.isatty() else CLEAR)
-            time.sleep(EVERY)
+            code = show_view(client, json_form, prefix)
+            time.sleep(WATCH_INTERVAL_S)
     except KeyboardInterrupt:
         return code
 
--- a/service_proxy/fleet/anti_entropy.py
+++ b/service_proxy/fleet/anti_entropy.py
@@ -1,12 +1,14 @@
-"""Anti-entropy as one member does it: when it compares its view with another's, and what it answers. Pure."""
+"""Anti-entropy (push-pull sync) as one member does it: when it compares its view.
+
+And what it answers. Pure.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
 
 from service_proxy.fleet import digest_tree
-from service_proxy.fleet.member_base import MemberBase
+from service_proxy.fleet.member_base import MemberBase, MessageHandler, TimerHandler, TimerKind
 from service_proxy.fleet.members import (
     Address,
     MemberKey,
@@ -23,12 +25,43 @@
 
 
 class AntiEntropy(MemberBase):
-    def _timer_handlers(self) -> dict[str, Callable[[int, bytes], None]]:
-        return {**super()._timer_handlers(), "begin walk": self._on_sync_start, "walk": self._on_sync_timeout}
+    """The layer that compares this member's view with others' and makes both equal (push-pull sync).
+
+    Attributes:
+        sync_session: the comparison that is under way; one at a time.
+        sync_requests_left: that may be sent in this period.
+    """
+
+    def _initialise(self) -> None:
+        super()._initialise()
+        self.sync_session: digest_tree.SyncSession | None = None
+        self.last_sync_at = float("-inf")
+        self.sync_requests_left = 0
+        self.corrections_left = 0  # in this period
+
+    def _message_handlers(self) -> dict[MessageType, MessageHandler]:
+        return {
+            **super()._message_handlers(),
+            MessageType.DIGEST_REQUEST: self._answer_digest_request,
+            MessageType.DIGEST_REPLY: self._on_sync_reply,
+            MessageType.ENTRIES_REQUEST: self._answer_entries_request,
+            MessageType.ENTRIES_REPLY: self._on_sync_reply,
+        }
+
+    def _timer_handlers(self) -> dict[TimerKind, TimerHandler]:
+        return {
+            **super()._timer_handlers(),
+            TimerKind.SYNC_START: self._on_sync_start,
+            TimerKind.SYNC_TIMEOUT: self._on_sync_timeout,
+        }
 
     def _maybe_start_sync(
         self, partner: MemberKey, address: Address, digest: int, joining: bool = False
     ) -> None:
+        """Begin a session with a member whose digest differs, unless it will likely agree by gossip alone.
+
+        `joining`: the partner answered a request to join; it need not be known, and there is all to learn.
+        """
         if (
             digest == self.table.digest
             or self.sync_session is not None
@@ -48,9 +81,9 @@
             partner, known.record.address if known is not None else address
         )
         self.last_sync_at = self.now
-        self._set_timer(0.0, "begin walk")  # not at once: nobody is answered with more than came
+        self._set_timer(0.0, TimerKind.SYNC_START)  # not at once: nobody is answered with more than came
 
-    def _on_sync_start(self, number: int, key: bytes) -> None:
+    def _on_sync_start(self, _number: int, _key: bytes) -> None:
         if self.sync_session is not None and not self.sync_session.request_id:
             self._send_sync_request()
 
@@ -74,10 +107,12 @@
             session.address, MessageType.ENTRIES_REQUEST if by_name else MessageType.DIGEST_REQUEST, writer
         )
         self._set_timer(
-            INDIRECT_PING_AT * self.timing.period * (1 + self.local_health), "walk", session.request_id
+            INDIRECT_PING_AT * self.timing.period * (1 + self.local_health),
+            TimerKind.SYNC_TIMEOUT,
+            session.request_id,
         )
 
-    def _on_sync_timeout(self, number: int, key: bytes) -> None:
+    def _on_sync_timeout(self, number: int, _key: bytes) -> None:
         session = self.sync_session
         if session is None or session.request_id != number:
             return
@@ -87,13 +122,13 @@
         else:
             self._send_sync_request()
 
-    def _on_sync_reply(self, message_type: MessageType, message: Datagram, source: Address) -> None:
+    def _on_sync_reply(self, message: Datagram, _source: Address) -> None:
         session = self.sync_session
         if session is None or message.probe_id() != session.request_id or message.sender != session.partner:
             return
         session.attempts = 0
         session.pending.pop()
-        if message_type is MessageType.DIGEST_REPLY:
+        if message.message_type == MessageType.DIGEST_REPLY:
             for value in message.values(Section.CHILD_DIGESTS):
                 session.pending += digest_tree.differing_children(self.table, value)
         else:
@@ -105,6 +140,7 @@
         self._send_sync_request()
 
     def _send_entries(self, address: Address, missing: bytes, size: int) -> None:
+        """Send the records of the keys that a partner lacks, as far as they fit."""
         writer = DatagramWriter(size)
         for at in range(0, len(missing) - 5, 6):
             key = bytes(missing[at : at + 6])
@@ -127,7 +163,7 @@
             self._send_datagram(source, MessageType.ENTRIES_REPLY, writer)
 
     def _send_correction(self, key: MemberKey, address: Address, size: int) -> None:
-        """Who told an old claim is told what holds."""
+        """Tell a member that sent an outdated claim what this view holds."""
         self.corrections_left -= 1
         if self.corrections_left < 0 or self.status is not MembershipStatus.MEMBER:
             return
--- a/service_proxy/fleet/authentication.py
+++ b/service_proxy/fleet/authentication.py
@@ -1,12 +1,12 @@
-"""Whether a datagram is one of this fleet: its tag, and that it was not seen before. Pure.
+"""Message authentication and replay protection of datagrams. Pure.
 
-With keys the tag is HMAC-SHA256 (RFC 2104) under a key made from the fleet's for this one use, cut to 8 bytes
-(RFC 2104, 5: no less than half of the hash is usual for long-lived data; these are of use for seconds, and a
-forger has one guess a datagram). Without keys it is a checksum, for what the network spoils.
+With keys the tag is HMAC-SHA256 (RFC 2104) under a key derived from the fleet's for this one use, cut to 8
+bytes (RFC 2104, 5: no less than half of the hash is usual for long-lived data; these are of use for seconds,
+and a forger has one guess a datagram). Without keys it is a checksum, against what the network spoils.
 
-Replays: a window over the numbers of each sender's process, as in RFC 4303, 3.4.3 and appendix A2. It is kept
-by receivers in memory: what is replayed to one that has just started is taken once, and says nothing that the
-order of incarnations does not already put below what holds.
+Replays: a window over the sequence numbers of each sender's process, as in RFC 4303, 3.4.3 and appendix A2.
+It is kept by receivers in memory: what is replayed to one that has just started is accepted once, and says
+nothing that the order of incarnations does not already put below what holds.
 """
 
 from __future__ import annotations
@@ -21,14 +21,17 @@
 from service_proxy.fleet.wire import AUTH_TAG_BYTES
 
 REPLAY_WINDOW = 256  # numbers that may come out of order
-MAX_SENDERS = 20_000  # processes whose numbers are remembered; the one heard of longest ago is let go
+MAX_SENDERS = 20_000  # processes whose numbers are remembered; the one that sent longest ago is forgotten
 # Domain separation of the MAC's key. It carries the package's former name, and stays as it is: members of the
 # former version must accept what this one signs, and the other way round.
 PURPOSE = b"granitepoint fleet datagram 1"
 
 
 class MessageAuthenticator:
-    """Puts tags on and checks them. `keys`: the first signs, all are accepted; none: checksums."""
+    """Appends tags to datagrams and verifies them.
+
+    `keys`: the first signs, all are accepted, so that keys can be rotated; without any: checksums.
+    """
 
     def __init__(self, keys: Iterable[bytes] = ()) -> None:
         self.keys = [hmac.digest(key, PURPOSE, "sha256") for key in keys]
@@ -41,11 +44,13 @@
         return mac.digest()[:AUTH_TAG_BYTES]
 
     def seal(self, data: bytes) -> bytes:
+        """Return the datagram with its tag."""
         if not self.keyed_hashes:
             return data + zlib.crc32(data).to_bytes(4, "big") + bytes(4)
         return data + self._mac(self.keyed_hashes[0], data)
 
     def verify(self, data: bytes) -> bool:
+        """Return whether the datagram's tag is right under any of the keys."""
         message = data[:-AUTH_TAG_BYTES]
         tag = data[-AUTH_TAG_BYTES:]
         if not self.keyed_hashes:
@@ -56,14 +61,14 @@
 
 
 class ReplayWindow:
-    """The numbers that came from each sender's process."""
+    """The sequence numbers that arrived from each sender's process, in a sliding window for each."""
 
     def __init__(self, max_senders: int = MAX_SENDERS) -> None:
         self.max_senders = max_senders
         self.windows: OrderedDict[tuple[MemberKey, int, int], tuple[int, int]] = OrderedDict()
 
     def accept(self, sender: MemberKey, process: tuple[int, int], sequence_number: int) -> bool:
-        """Whether it comes for the first time and not too late; then it counts as come."""
+        """Return whether a number arrives for the first time and not too late, and remember it."""
         process_key = (sender, *process)
         highest, bitmap = self.windows.get(process_key, (0, 0))
         if sequence_number > highest:
--- a/service_proxy/fleet/digest_tree.py
+++ b/service_proxy/fleet/digest_tree.py
@@ -1,8 +1,9 @@
-"""Anti-entropy: two views made equal by questions of one datagram, each with an answer of one. Pure.
+"""The comparison of two views by a tree of digests, as a Merkle tree over prefixes of keys. Pure.
 
-Who asks walks down the tree of key prefixes where digests differ (as a Merkle tree), to parts of few entries,
-and names these with a tag each; the answer holds what the asker lacks or has otherwise. What the asker has
-newer goes back at once. Who answers keeps nothing. Equal views cost nothing beyond the digest in each header.
+The requester walks down the tree where digests differ, to parts of few entries, and lists these with a short
+digest each; the answer has what the requester lacks or has otherwise. What the requester has newer goes back
+at once. The responder keeps no state. Each request and each answer is one datagram. Equal views cost nothing
+beyond the digest in each header.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True)
 class SyncSession:
-    """One comparison with one member, as who asks keeps it."""
+    """One comparison with one member, as the requester keeps it."""
 
     partner: MemberKey
     address: Address
@@ -42,7 +43,7 @@
 
 
 def write_request(table: MemberTable, prefix: Prefix, writer: DatagramWriter) -> bool:
-    """Writes the question about a prefix; whether it names entries one by one."""
+    """Write the request about a prefix; return whether it lists entries one by one."""
     depth, path = prefix
     local = []
     for item in table.entries_below(depth, path):
@@ -56,19 +57,19 @@
 
 
 def _short_digest(item: MemberEntry) -> bytes:
-    """What an entry is named by, beside its key."""
+    """Return what an entry is listed by, beside its key."""
     return item.digest.to_bytes(8, "big")[:ENTRY_DIGEST_BYTES]
 
 
 def _pack_child_digests(table: MemberTable, prefix: Prefix) -> bytes:
-    """The digests of a prefix's parts, as they travel."""
+    """Return the digests of a prefix's 16 parts, as they travel."""
     return CHILD_DIGESTS_LAYOUT.pack(
         *prefix, *(digest.to_bytes(8, "big") for digest in table.child_digests(*prefix))
     )
 
 
 def _parse_digests_prefix(value: bytes) -> Prefix:
-    """The prefix of digests that came, all of them."""
+    """Return the prefix of digests that arrived complete."""
     if len(value) != CHILD_DIGESTS_LAYOUT.size:
         raise MalformedDatagramError("digests that are cut short")
     return _parse_prefix(value)
@@ -84,12 +85,12 @@
 
 
 def answer_digest_request(table: MemberTable, value: bytes, writer: DatagramWriter) -> None:
-    """The same part's digests as this side has them."""
+    """Write the digests of the same part as this side has them."""
     writer.add_section(Section.CHILD_DIGESTS, _pack_child_digests(table, _parse_digests_prefix(value)))
 
 
 def differing_children(table: MemberTable, value: bytes) -> list[Prefix]:
-    """The parts that the other side has otherwise."""
+    """Return the parts that the other side has otherwise."""
     depth, path = prefix = _parse_digests_prefix(value)
     local = CHILD_DIGESTS_LAYOUT.unpack(_pack_child_digests(table, prefix))
     remote = CHILD_DIGESTS_LAYOUT.unpack(value)
@@ -101,6 +102,11 @@
 
 
 def parse_entry_digests(value: bytes) -> tuple[Prefix, dict[MemberKey, bytes]]:
+    """Return the prefix, and the short digests by key, of a list of entries.
+
+    Raises:
+        MalformedDatagramError: it is cut short, or the prefix is out of range.
+    """
     prefix = _parse_prefix(value)
     rest = value[PREFIX_LAYOUT.size :]
     size = KEY_BYTES + ENTRY_DIGEST_BYTES
@@ -114,8 +120,11 @@
 def answer_entries_request(
     table: MemberTable, value: bytes, local_key: MemberKey, writer: DatagramWriter
 ) -> bool:
-    """What the asker lacks, or has otherwise than this side, as far as it fits. Whether something of the
-    asker's is wanted."""
+    """Write what the requester lacks or has otherwise, as far as it fits, and the keys that this side lacks.
+
+    Returns:
+        Whether this side lacks any.
+    """
     prefix, remote = parse_entry_digests(value)
     updates: list[MemberUpdate] = []
     missing: list[MemberKey] = []
@@ -144,7 +153,10 @@
 
 
 def current_update(table: MemberTable, key: MemberKey, local_key: MemberKey) -> MemberUpdate:
-    """What this view holds of a member, as it is told: the dead as suspicions that need no confirmation."""
+    """Return what this view holds of a member, as it is disseminated.
+
+    The dead travel as suspicions that need no further confirmation: see member_states.
+    """
     state = table.state(key)
     item = table.find(key)
     assert item is not None
--- a/service_proxy/fleet/dissemination.py
+++ b/service_proxy/fleet/dissemination.py
@@ -1,8 +1,7 @@
-"""What a member has to pass on, and how often still. Pure.
+"""The updates that a member has to pass on, and how often still (SWIM, 4.1: piggybacking). Pure.
 
-Each change is sent so many times, those first that were sent least lately; a newer one about the same member
-takes the place of the older. Suspicions of several accusers travel side by side, for they shorten the
-suspicion.
+Each update is sent so many times, those first that were sent least recently; a newer one about the same
+member replaces the older. Suspicions of several accusers travel side by side, for they shorten the suspicion.
 """
 
 from __future__ import annotations
@@ -21,6 +20,13 @@
 
 
 class DisseminationQueue:
+    """Updates that wait to be piggybacked or gossiped.
+
+    Attributes:
+        pending: updates and their transmissions left, by member and accuser; the next to be sent comes first.
+        accusers: of the pending suspicions of each member.
+    """
+
     def __init__(self) -> None:
         self.pending: OrderedDict[QueueKey, tuple[MemberUpdate, int]] = (
             OrderedDict()
@@ -31,12 +37,13 @@
         return bool(self.pending)
 
     def enqueue(self, update: MemberUpdate, transmissions: int) -> None:
+        """Add an update that is to be sent so many times, in place of older ones."""
         accuser = update.accuser if update.claim is Claim.SUSPECT else b""
         for other in list(self.accusers.get(update.key, ())):
             queued = self.pending[update.key, other][0]
             if (queued.incarnation, queued.claim) < (update.incarnation, update.claim):
                 if queued.record is not None and update.record is None:
-                    update = replace(update, record=queued.record)  # not all have been told yet who it is
+                    update = replace(update, record=queued.record)  # not all have its record yet
                 self._remove((update.key, other))
         self.pending[update.key, accuser] = update, transmissions
         self.pending.move_to_end((update.key, accuser), last=False)
@@ -52,7 +59,7 @@
             del self.accusers[queue_key[0]]
 
     def piggyback(self, writer: DatagramWriter) -> None:
-        """As many as there is room for."""
+        """Add as many pending updates to a datagram as fit."""
         for _ in range(len(self.pending)):
             if writer.remaining_bytes < MIN_UPDATE_BYTES:
                 return
--- a/service_proxy/fleet/failure_detector.py
+++ b/service_proxy/fleet/failure_detector.py
@@ -1,24 +1,28 @@
-"""Probes, directly and through others, and suspicions until their end. Pure."""
+"""The failure detector: probes, directly and through others, and suspicions until they run out. Pure.
+
+SWIM's protocol period (4.1) with Lifeguard's local health multiplier, suspicions that confirmations shorten,
+and early word to the suspect (4.1 to 4.3).
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from dataclasses import dataclass
 
-from service_proxy.fleet import digest_tree, wire
+from service_proxy.fleet import digest_tree, log_lines, wire
 from service_proxy.fleet.anti_entropy import AntiEntropy
 from service_proxy.fleet.member_base import (
-    INDIRECT_PING_BYTES,
-    MAX_RELAYED_PROBES,
     MAX_TRACKED_PATHS,
     PATH_DESCRIPTIONS,
     PATH_REPORT_THRESHOLD,
+    MessageHandler,
     PathStatus,
-    Probe,
-    RelayedProbe,
-    Timer,
+    ScheduledTimer,
+    TimerHandler,
+    TimerKind,
 )
 from service_proxy.fleet.member_states import LIVE_STATES, MemberState, MergeAction
 from service_proxy.fleet.members import (
+    KEY_BYTES,
     Address,
     Claim,
     MemberKey,
@@ -33,23 +37,80 @@
 )
 from service_proxy.fleet.wire import Datagram, DatagramWriter, MemberUpdate, MessageType, Section, update_of
 
-PROBE_TIMERS = frozenset(("again", "ask", "verdict"))  # timers that an answer makes void
+PROBE_TIMERS = frozenset(
+    (TimerKind.PING_RETRY, TimerKind.INDIRECT_PING, TimerKind.PROBE_TIMEOUT)
+)  # timers that an answer makes void
+
+
+MAX_RELAYED_PROBES = 256  # probes for others that are open at once
+STALL_HEALTH_PENALTY = 2  # added to the local health score after this process stood still
+INDIRECT_PING_BYTES = 128  # room for the answer, and for the datagram to the member that is asked about
+
+
+@dataclass(slots=True)
+class Probe:
+    """A probe that is under way."""
+
+    target: MemberKey
+    process: tuple[int, int]
+    helpers: frozenset[MemberKey] = frozenset()  # that were sent an indirect ping
+    nacks: int = 0
+
+
+@dataclass(slots=True)
+class RelayedProbe:
+    """A ping that this member sends for another one."""
+
+    requester: Address
+    probe_id: int
+    target: MemberKey
 
 
 class FailureDetector(AntiEntropy):
-    def _timer_handlers(self) -> dict[str, Callable[[int, bytes], None]]:
+    """The layer that probes members, directly and through others, and times suspicions.
+
+    Attributes:
+        probes: of this member's own that are under way, by their id.
+        relays: pings for others that are under way, by their id.
+        probe_ring: members in the order in which they are probed; refilled and shuffled when it is empty.
+        path_statuses: of members that are not reached directly.
+    """
+
+    def _initialise(self) -> None:
+        super()._initialise()
+        self.probes: dict[int, Probe] = {}
+        self.relays: dict[int, RelayedProbe] = {}
+        self.probe_ring: list[MemberKey] = []
+        self.path_statuses: dict[MemberKey, PathStatus] = {}
+
+    def _message_handlers(self) -> dict[MessageType, MessageHandler]:
+        return {
+            **super()._message_handlers(),
+            MessageType.PING: self._answer_ping,
+            MessageType.ACK: self._on_ack,
+            MessageType.INDIRECT_PING: self._relay_probe,
+            MessageType.NACK: self._on_nack,
+        }
+
+    def _on_stall(self, delay: float) -> None:
+        super()._on_stall(delay)
+        self.probes.clear()
+        self.relays.clear()
+        self._adjust_local_health(STALL_HEALTH_PENALTY)
+
+    def _timer_handlers(self) -> dict[TimerKind, TimerHandler]:
         return {
             **super()._timer_handlers(),
-            "probe": self._on_probe_timer,
-            "again": self._on_ping_retry_timer,
-            "ask": self._on_indirect_ping_timer,
-            "verdict": self._on_probe_timeout,
-            "relay": self._on_relay_timeout,
-            "suspicion": self._on_suspicion_timer,
+            TimerKind.PROBE: self._on_probe_timer,
+            TimerKind.PING_RETRY: self._on_ping_retry_timer,
+            TimerKind.INDIRECT_PING: self._on_indirect_ping_timer,
+            TimerKind.PROBE_TIMEOUT: self._on_probe_timeout,
+            TimerKind.RELAY_TIMEOUT: self._on_relay_timeout,
+            TimerKind.SUSPICION: self._on_suspicion_timer,
         }
 
-    def _is_timer_void(self, timer: Timer) -> bool:
-        return timer[2] in PROBE_TIMERS and timer[3] not in self.probes
+    def _is_timer_void(self, timer: ScheduledTimer) -> bool:
+        return timer.kind in PROBE_TIMERS and timer.number not in self.probes
 
     def _add_to_probe_ring(self, key: MemberKey) -> None:
         if key in self.table.entries and key not in self.probe_ring:
@@ -65,8 +126,8 @@
             self.random.shuffle(self.probe_ring)
         return None
 
-    def _on_probe_timer(self, number: int, key: bytes) -> None:
-        self._set_timer(self.timing.period, "probe", number)
+    def _on_probe_timer(self, number: int, _key: bytes) -> None:
+        self._set_timer(self.timing.period, TimerKind.PROBE, number)
         if self.status is not MembershipStatus.MEMBER:
             return
         target = self.table.successor(self.key) if number else self._next_probe_target()
@@ -79,9 +140,9 @@
         self.probes[number] = Probe(target, entry.incarnation.process)
         self._send_ping(number)
         span = self.timing.period * (1 + self.local_health)
-        self._set_timer(PING_RETRY_AT * span, "again", number)
-        self._set_timer(INDIRECT_PING_AT * span, "ask", number)
-        self._set_timer(PROBE_TIMEOUT * span, "verdict", number)
+        self._set_timer(PING_RETRY_AT * span, TimerKind.PING_RETRY, number)
+        self._set_timer(INDIRECT_PING_AT * span, TimerKind.INDIRECT_PING, number)
+        self._set_timer(PROBE_TIMEOUT * span, TimerKind.PROBE_TIMEOUT, number)
 
     def _send_ping(self, number: int) -> None:
         probe = self.probes[number]
@@ -94,11 +155,11 @@
         self.dissemination.piggyback(writer)
         self._send_datagram(entry.record.address, MessageType.PING, writer)
 
-    def _on_ping_retry_timer(self, number: int, key: bytes) -> None:
+    def _on_ping_retry_timer(self, number: int, _key: bytes) -> None:
         if number in self.probes:
             self._send_ping(number)
 
-    def _on_indirect_ping_timer(self, number: int, key: bytes) -> None:
+    def _on_indirect_ping_timer(self, number: int, _key: bytes) -> None:
         probe = self.probes.get(number)
         entry = self.table.entries.get(probe.target) if probe is not None else None
         if probe is None or entry is None:
@@ -111,7 +172,7 @@
             self._pad_datagram(writer, INDIRECT_PING_BYTES)
             self._send_datagram(self.table.entries[helper].record.address, MessageType.INDIRECT_PING, writer)
 
-    def _on_probe_timeout(self, number: int, key: bytes) -> None:
+    def _on_probe_timeout(self, number: int, _key: bytes) -> None:
         probe = self.probes.pop(number, None)
         if probe is None:
             return
@@ -133,8 +194,9 @@
         writer = self._start_reply(message)
         origin = message.first_value(Section.ORIGIN)
         if origin is not None:
-            writer.add_section(Section.HEARS_ORIGIN, b"\x01" if self._heard_recently(origin[:6]) else b"\x00")
-            asker = self.table.entries.get(origin[:6])
+            hears_origin = self._heard_recently(origin[:KEY_BYTES])
+            writer.add_section(Section.HEARS_ORIGIN, bytes((hears_origin,)))
+            asker = self.table.entries.get(origin[:KEY_BYTES])
             if asker is not None:  # whether it hears this member is seen by a datagram straight to it
                 self._send_datagram(asker.record.address, MessageType.GOSSIP, DatagramWriter())
         state = self.table.state(message.sender)
@@ -147,7 +209,7 @@
                 self.dissemination.piggyback(writer)
         self._send_datagram(source, MessageType.ACK, writer)
 
-    def _on_ack(self, message: Datagram, source: Address) -> None:
+    def _on_ack(self, message: Datagram, _source: Address) -> None:
         number = message.probe_id() or 0
         relay = self.relays.pop(number, None)
         if relay is not None:
@@ -176,6 +238,11 @@
             )
             self._record_liveness(probe.target)
 
+    def _on_nack(self, message: Datagram, _source: Address) -> None:
+        probe = self.probes.get(message.probe_id() or 0)
+        if probe is not None:
+            probe.nacks += 1
+
     def _record_path(self, key: MemberKey, path: str) -> None:
         previous = self.path_statuses.get(key)
         if path:
@@ -183,19 +250,21 @@
             if previous is not None or len(self.path_statuses) < MAX_TRACKED_PATHS:
                 self.path_statuses[key] = PathStatus(path, count)
             if count == PATH_REPORT_THRESHOLD:
-                self.log_lines.append(f"{self._name_of(key)}: {path}")
+                self.log_lines.append(log_lines.path_degraded(self._name_of(key), path))
         elif previous is not None:
             del self.path_statuses[key]
             if previous.consecutive >= PATH_REPORT_THRESHOLD:
-                self.log_lines.append(f"{self._name_of(key)}: reached directly again")
+                self.log_lines.append(log_lines.path_restored(self._name_of(key)))
 
     def _relay_probe(self, message: Datagram, source: Address) -> None:
         target = message.first_value(Section.TARGET)
         number = message.probe_id()
-        if target is None or len(target) < 12 or number is None or len(self.relays) >= MAX_RELAYED_PROBES:
+        if target is None or len(target) < wire.TARGET_BYTES or number is None:
+            return
+        if len(self.relays) >= MAX_RELAYED_PROBES:
             return
-        key = target[:6]
-        address = wire.unpack_address(target[6:])
+        key = target[:KEY_BYTES]
+        address = wire.unpack_address(target[KEY_BYTES:])
         entry = self.table.entries.get(key)
         if entry is None or entry.record.address != address or message.sender not in self.table.entries:
             return  # only who is known is asked, for who is known
@@ -205,9 +274,9 @@
         writer.add_section(Section.ORIGIN, message.sender)
         self._pad_datagram(writer, INDIRECT_PING_BYTES)
         self._send_datagram(address, MessageType.PING, writer)
-        self._set_timer(NACK_AFTER * self.timing.period, "relay", relay_id)
+        self._set_timer(NACK_AFTER * self.timing.period, TimerKind.RELAY_TIMEOUT, relay_id)
 
-    def _on_relay_timeout(self, number: int, key: bytes) -> None:
+    def _on_relay_timeout(self, number: int, _key: bytes) -> None:
         relay = self.relays.pop(number, None)
         if relay is not None:
             self._send_datagram(
@@ -219,16 +288,16 @@
         suspicion = self.table.suspicions.get(key)
         if suspicion is not None:
             last = suspicion.deadline - self.timing.period * (1 + self.local_health)
-            self._set_timer(max(0.0, last - self.now), "suspicion", suspicion.timer_id, key)
+            self._set_timer(max(0.0, last - self.now), TimerKind.SUSPICION, suspicion.timer_id, key)
 
     def _on_suspicion_timer(self, timer_id: int, key: bytes) -> None:
-        """One more probe of this member's own comes before the end; who is heard meanwhile is not dead."""
+        """Probe once more before a suspicion runs out; who was heard meanwhile is not declared dead."""
         suspicion = self.table.suspicions.get(key)
         if suspicion is None or abs(timer_id) != suspicion.timer_id:
             return
         if timer_id > 0:
             self._start_probe(key)
-            self._set_timer(max(0.0, suspicion.deadline - self.now), "suspicion", -timer_id, key)
+            self._set_timer(max(0.0, suspicion.deadline - self.now), TimerKind.SUSPICION, -timer_id, key)
             return
         span = self.timing.period * (1 + self.local_health)
         if suspicion.last_contact_at > max(suspicion.started_at, self.now - 2 * span):
--- a/service_proxy/fleet/member_states.py
+++ b/service_proxy/fleet/member_states.py
@@ -1,9 +1,10 @@
-"""The states of a member in one view, as a table, and how two claims are merged. Pure; nothing else here.
+"""The states of a member in one view, as a table of transitions, and the order of claims. Pure.
 
 What travels is a claim about an incarnation, and of two claims the greater of (incarnation, claim) holds:
 that order is total, so merging is commutative, associative and idempotent. DEAD never travels. It is what a
-view concludes by itself when a suspicion has run its time, and to others it is told as a suspicion that needs
-no more confirmation: a side of a partition that buried the other can't bury it for anybody else.
+view concludes by itself when a suspicion has run out, and to others it is told as a suspicion that needs no
+further
+confirmation: a side of a partition that declared the other dead can't do so for anybody else.
 """
 
 from __future__ import annotations
@@ -16,15 +17,17 @@
 
 
 class MemberState(Enum):
+    """The state of a member in one view."""
+
     UNKNOWN = "unknown"
     ALIVE = "alive"
-    SUSPECT = "suspect"  # does not answer, or is said not to; counts as living until its time is up
+    SUSPECT = "suspect"  # gave somebody no answer; counts as living until the suspicion runs out
     DEAD = "dead"
-    LEFT = "left"  # said so itself
+    LEFT = "left"  # announced it itself
 
 
 class ClaimEvent(Enum):
-    """A claim beside what is held: about a newer incarnation, or the same one; or a time that ran out."""
+    """A claim by how it compares with what the view holds, or a time that ran out."""
 
     ALIVE_NEWER = "alive, newer"
     SUSPECT_NEWER = "suspect, newer"
@@ -46,7 +49,7 @@
     CONFIRM_SUSPICION = "count who says so"
     DECLARE_DEAD = "remember as dead"
     RECORD_LEAVE = "remember as left, pass it on"
-    SEND_CORRECTION = "tell who said so"
+    SEND_CORRECTION = "send what holds to the sender"
     FORGET = "forget"
 
 
@@ -96,12 +99,12 @@
 
 
 def merge(one: VersionedClaim, other: VersionedClaim) -> VersionedClaim:
-    """What holds of two claims about one member."""
+    """Return which of two claims about one member holds."""
     return max(one, other)
 
 
 def classify_claim(known: Incarnation | None, claimed: VersionedClaim) -> ClaimEvent:
-    """What a claim is beside the incarnation that a view holds; None: it holds none."""
+    """Return how a claim compares with the incarnation that a view holds; None: it holds none."""
     incarnation, claim = claimed
     if known is None or incarnation > known:
         return _NEWER[claim]
--- a/service_proxy/fleet/member_table.py
+++ b/service_proxy/fleet/member_table.py
@@ -1,7 +1,7 @@
-"""One member's view: who lives, who is suspected, who is remembered as dead or left; and what changed. Pure.
+"""One member's view: who lives, who is suspected, who is remembered as dead or left, and what changed. Pure.
 
-Claims come in with who told them; each makes one step of `states.TABLE`. What lives is in `entries` (also
-who is suspected), and the digest is that of what lives: two views are equal where their digests are.
+Updates come in with who sent them; each makes one step of `member_states.TRANSITIONS`. Who lives, suspects
+among them, is in `entries`, and the digest is theirs: two views are equal where their digests are.
 """
 
 from __future__ import annotations
@@ -28,16 +28,27 @@
 
 @dataclass(slots=True)
 class Suspicion:
+    """A suspicion that is under way.
+
+    Attributes:
+        deadline: when it runs out, unless it is denied.
+        confirmed: somebody holds the member for dead, which needs no further accuser.
+        timer_id: of its timer, no two alike in a view; an earlier one is void.
+        last_contact_at: when the member was heard since, by this one or through others.
+    """
+
     started_at: float
     deadline: float
     accusers: set[MemberKey] = field(default_factory=set)
     confirmed: bool = False
     timer_id: int = 0  # of its timer, no two alike in a view; an earlier one is void
-    last_contact_at: float = float("-inf")  # when it was heard since, by itself or through others
+    last_contact_at: float = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Tombstone:
+    """A member that is remembered as DEAD or LEFT."""
+
     entry: MemberEntry
     state: MemberState  # DEAD or LEFT
     departed_at: float
@@ -45,7 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """`stamp`: grows by one with each change of this view."""
+    """A change of this view.
+
+    Attributes:
+        revision: grows by one with each change of the view.
+        at: on the member's clock, s.
+        source: who told it.
+    """
 
     revision: int
     at: float
@@ -57,10 +74,23 @@
 
 
 class MemberTable:
+    """A view.
+
+    Attributes:
+        entries: the living, by key.
+        sorted_keys: of these.
+        tombstones: of the dead and those that left, in the order in which they went.
+        dead_count: tombstones of the dead.
+        digest: XOR of the digests of all entries.
+        revision: number of changes.
+        changes: that were not taken yet.
+        rejected: updates that were dropped for want of room, or since two names share a key.
+    """
+
     def __init__(self, timing: ProtocolTiming) -> None:
         self.timing = timing
         self.entries: dict[MemberKey, MemberEntry] = {}
-        self.sorted_keys: list[MemberKey] = []  # of what lives, sorted
+        self.sorted_keys: list[MemberKey] = []
         self.tombstones: dict[MemberKey, Tombstone] = {}
         self.dead_count = 0  # of these
         self.suspicions: dict[MemberKey, Suspicion] = {}
@@ -75,6 +105,7 @@
         return len(self.entries)
 
     def state(self, key: MemberKey) -> MemberState:
+        """Return the state of a member; UNKNOWN if it is not in the view."""
         if key in self.suspicions:
             return MemberState.SUSPECT
         if key in self.entries:
@@ -83,7 +114,7 @@
         return tombstone.state if tombstone is not None else MemberState.UNKNOWN
 
     def find(self, key: MemberKey) -> MemberEntry | None:
-        """Also of who is dead or left."""
+        """Return a member's entry, also where it is dead or has left."""
         live = self.entries.get(key)
         if live is None and key in self.tombstones:
             return self.tombstones[key].entry
@@ -92,28 +123,17 @@
     def merge_update(
         self, now: float, update: MemberUpdate, source: MemberKey, reason: str = ""
     ) -> MergeAction:
-        """Takes a claim; what is to be done about it beside. Claims without a record about a process that is
-        not known teach nothing."""
+        """Take in an update; return what is to be done about it beside.
+
+        An update without a record about a process that is not known teaches nothing.
+        """
         known = self.find(update.key)
         before = self.state(update.key)
-        if known is None and (update.record is None or update.confirmed):
-            return MergeAction.NOTHING  # the dead of others are no news to who never knew them
-        if (
-            known is not None
-            and update.record is None
-            and known.incarnation.process != update.incarnation.process
-        ):
-            if update.incarnation < known.incarnation:  # of an earlier process
-                return TRANSITIONS[before, ClaimEvent.OLDER][1]
-            return MergeAction.NOTHING
+        early = self._check_update(known, before, update)
+        if early is not None:
+            return early
         record = update.record or (known.record if known is not None else None)
         assert record is not None
-        if known is not None and known.record.name != record.name:
-            self.rejected += 1
-            return MergeAction.NOTHING
-        if known is None and len(self.entries) >= MAX_MEMBERS:
-            self.rejected += 1
-            return MergeAction.NOTHING
         event = classify_claim(
             known.incarnation if known is not None else None, (update.incarnation, update.claim)
         )
@@ -121,7 +141,7 @@
         if action in (MergeAction.NOTHING, MergeAction.SEND_CORRECTION):
             return action
         if action is MergeAction.CONFIRM_SUSPICION:
-            return self._confirm_suspicion(now, update)
+            return self._confirm_suspicion(update)
         new = make_entry(update.key, update.incarnation, update.claim, record, update.phase, update.metadata)
         if action is MergeAction.START_SUSPICION:
             self._insert_live(new)
@@ -129,17 +149,35 @@
         elif action is MergeAction.ACCEPT:
             self.suspicions.pop(update.key, None)
             self._insert_live(new)
-        else:  # PART
+        else:  # RECORD_LEAVE
             self._bury(now, new, MemberState.LEFT)
         self._record_change(now, new, before, after, reason or DEFAULT_REASONS[action], source)
         return action
 
+    def _check_update(
+        self, known: MemberEntry | None, before: MemberState, update: MemberUpdate
+    ) -> MergeAction | None:
+        """Return the action of an update that changes nothing; None: it is to be merged."""
+        if known is None:
+            if update.record is None or update.confirmed:
+                return MergeAction.NOTHING  # the dead of others are no news to who never knew them
+            is_rejected = len(self.entries) >= MAX_MEMBERS
+        elif update.record is None:
+            if known.incarnation.process == update.incarnation.process:
+                return None
+            is_earlier_process = update.incarnation < known.incarnation
+            return TRANSITIONS[before, ClaimEvent.OLDER][1] if is_earlier_process else MergeAction.NOTHING
+        else:
+            is_rejected = known.record.name != update.record.name  # two names share a key
+        self.rejected += is_rejected
+        return MergeAction.NOTHING if is_rejected else None
+
     def _start_suspicion(self, now: float, update: MemberUpdate) -> None:
         suspicion = Suspicion(now, 0.0, {update.accuser} if update.accuser else set(), update.confirmed)
         self.suspicions[update.key] = suspicion
         self._set_deadline(suspicion)
 
-    def _confirm_suspicion(self, now: float, update: MemberUpdate) -> MergeAction:
+    def _confirm_suspicion(self, update: MemberUpdate) -> MergeAction:
         suspicion = self.suspicions[update.key]
         if update.confirmed and not suspicion.confirmed:
             suspicion.confirmed = True
@@ -159,19 +197,19 @@
         self.renew_timer(suspicion)
 
     def renew_timer(self, suspicion: Suspicion) -> None:
-        """Timers that were set for it before are void."""
+        """Give a suspicion a new timer; those that were set for it before are void."""
         self.last_timer_id += 1
         suspicion.timer_id = self.last_timer_id
 
     def declare_dead(self, now: float, key: MemberKey, reason: str, source: MemberKey) -> None:
-        """Its suspicion has run out."""
+        """Move a member whose suspicion has run out to the dead."""
         old = self.entries[key]
         after, _ = TRANSITIONS[self.state(key), ClaimEvent.SUSPICION_EXPIRED]
         self._bury(now, old, after)
         self._record_change(now, old, MemberState.SUSPECT, after, reason, source)
 
     def shift_times(self, delay: float) -> None:
-        """So many seconds passed that this process had no part in: nothing ages by them."""
+        """Move all times by what this process had no part in: nothing ages by that."""
         for suspicion in self.suspicions.values():
             suspicion.started_at += delay
             suspicion.deadline += delay
@@ -180,7 +218,7 @@
             self.tombstones[key] = Tombstone(tombstone.entry, tombstone.state, tombstone.departed_at + delay)
 
     def expire_tombstones(self, now: float) -> None:
-        """Who went longer ago than the memory lasts."""
+        """Forget who went longer ago than tombstones are kept."""
         expiry = now - self.timing.tombstone_ttl
         for key, tombstone in list(self.tombstones.items()):  # in the order in which they went
             if tombstone.departed_at > expiry:
@@ -188,7 +226,7 @@
             self._remove_tombstone(key)
 
     def set_local_entry(self, now: float, new: MemberEntry, reason: str) -> None:
-        """What this process says of itself; nobody else's word counts for that."""
+        """Take this process's own entry; no other member's claim counts for that."""
         before = self.state(new.key)
         self.suspicions.pop(new.key, None)
         if new.claim is Claim.LEFT:
@@ -239,7 +277,7 @@
 
     # for who compares views
     def entries_below(self, depth: int, path: int) -> Iterator[MemberEntry]:
-        """What lives whose key begins with these `depth` half bytes."""
+        """Yield the living whose key begins with these `depth` half bytes."""
         low = (path << 4 * (KEY_NIBBLES - depth)).to_bytes(KEY_NIBBLES // 2, "big")
         place = bisect_left(self.sorted_keys, low)
         last = (path + 1) << 4 * (KEY_NIBBLES - depth)
@@ -248,22 +286,22 @@
             place += 1
 
     def child_digests(self, depth: int, path: int) -> list[int]:
-        """Digests of the 16 parts of what lives below a prefix."""
-        found = [0] * 16
+        """Return the digests of the 16 parts of the living below a prefix."""
+        digests = [0] * 16
         shift = 4 * (KEY_NIBBLES - depth - 1)
         for item in self.entries_below(depth, path):
-            found[int.from_bytes(item.key, "big") >> shift & 15] ^= item.digest
-        return found
+            digests[int.from_bytes(item.key, "big") >> shift & 15] ^= item.digest
+        return digests
 
     def successor(self, key: MemberKey) -> MemberKey | None:
-        """The next that lives, by key, in a ring."""
+        """Return the next living member by key, in a ring; None where there is no other."""
         place = bisect_left(self.sorted_keys, key)
         if place < len(self.sorted_keys) and self.sorted_keys[place] == key:
             place += 1
         if not self.sorted_keys:
             return None
-        found = self.sorted_keys[place % len(self.sorted_keys)]
-        return found if found != key else None
+        successor = self.sorted_keys[place % len(self.sorted_keys)]
+        return successor if successor != key else None
 
 
 DEFAULT_REASONS = {
--- a/service_proxy/fleet/members.py
+++ b/service_proxy/fleet/members.py
@@ -1,9 +1,9 @@
-"""What is said of a member: its name's key, its incarnation, and the record that only it can change. Pure.
+"""What is known of a member: the key of its name, its incarnation, and its record. Pure.
 
-An incarnation is (run, life, beat). `run`: hundredths of a second of the wall clock at the process's start,
-and above whatever the fleet still knows of an earlier process of the name, so that no disk and no right clock
-is needed to outrank it. `life`: drawn at random, tells two processes of one name apart. `beat`: grows each
-time the process denies a suspicion or changes what it says of itself.
+An incarnation is (generation, nonce, version). `generation`: hundredths of a second of the wall clock at the
+process's start, and above whatever the fleet still knows of an earlier process of the name, so that neither a
+disk nor a right clock is needed to outrank it. `nonce`: drawn at random, tells two processes of one name
+apart. `version`: grows each time the process denies a suspicion or changes what it says of itself.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 KEY_BYTES = 6
 MAX_NAME_BYTES = 32  # bytes of a name in UTF-8
 MAX_LABEL_BYTES = 16  # bytes of a tier's or zone's name
-MAX_METADATA_BYTES = 24  # bytes that a member says of itself for the parts that stand on the fleet
+MAX_METADATA_BYTES = 24  # of all subsystems that use the fleet together
 MAX_GENERATION = (1 << 40) - 1
 MAX_NONCE = (1 << 16) - 1
 MAX_VERSION = (1 << 16) - 1
@@ -44,6 +44,8 @@
 
 
 class Incarnation(NamedTuple):
+    """Orders the claims about one name: the greater is the later."""
+
     generation: int
     nonce: int
     version: int
@@ -54,7 +56,7 @@
         return self.generation, self.nonce
 
     def incremented(self) -> Incarnation:
-        """The one that denies this one's suspicion. After the last beat a new run begins."""
+        """Return the one that denies this one's suspicion. After the last version a new generation begins."""
         if self.version < MAX_VERSION:
             return self._replace(version=self.version + 1)
         return Incarnation(min(MAX_GENERATION, self.generation + 1), self.nonce, 0)
@@ -64,7 +66,7 @@
 
 
 class MemberRecord(NamedTuple):
-    """What a process is for as long as it runs."""
+    """What a process is for as long as it runs; only it can change that."""
 
     name: str
     address: Address  # where its datagrams arrive
@@ -73,7 +75,10 @@
 
 
 class MemberEntry(NamedTuple):
-    """All that is known of a member; immutable, so that many views may hold the same one."""
+    """All that is known of a member; immutable, so that many views may share one.
+
+    `digest`: 64 bits of key, incarnation and claim; the digest of a set of entries is the XOR of theirs.
+    """
 
     key: MemberKey
     incarnation: Incarnation
@@ -81,10 +86,11 @@
     record: MemberRecord
     phase: ServicePhase
     metadata: bytes
-    digest: int  # 64 bits of key, incarnation and claim; the digest of a set of entries is the XOR of theirs
+    digest: int
 
     @property
     def name(self) -> str:
+        """The member's name."""
         return self.record.name
 
 
@@ -96,6 +102,7 @@
     phase: ServicePhase = ServicePhase.SERVING,
     metadata: bytes = b"",
 ) -> MemberEntry:
+    """Return an entry with its digest."""
     generation, nonce, version = incarnation
     hashed = b"%b%d.%d.%d.%d" % (key, generation, nonce, version, claim)
     digest = int.from_bytes(blake2b(hashed, digest_size=8).digest(), "big")
@@ -103,7 +110,7 @@
 
 
 def format_address(address: Address) -> str:
-    """A proxy that members call by its number is shown by that."""
+    """Return an address as text; a peer that members name by its number is shown by that."""
     host, port = address
     if host.startswith("0."):
         return f"peer {int.from_bytes(IPv4Address(host).packed, 'big')}"
@@ -111,13 +118,15 @@
 
 
 def member_key(name: str) -> MemberKey:
+    """Return the key of a member's name."""
     return blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
 def fleet_id(name: str) -> bytes:
+    """Return the id of a fleet's name, as it stands in each datagram."""
     return blake2b(name.encode(), digest_size=4, person=b"fleet").digest()
 
 
 def initial_generation(wall_time: float) -> int:
-    """The run of a process that starts at this wall time, s; a clock before 1970 reads as 1970."""
+    """Return the generation of a process that starts at this wall time, s; before 1970 reads as 1970."""
     return max(1, min(MAX_GENERATION, int(wall_time / GENERATION_UNIT_S)))
--- a/service_proxy/fleet/name_ownership.py
+++ b/service_proxy/fleet/name_ownership.py
@@ -1,10 +1,11 @@
-"""A process's claim to its name: how it outranks its predecessor without a disk or a right clock, and how it
-gives way to a living namesake. Pure.
-
-It asks before it claims. What others still know of an earlier process at the same address is outranked: its
-run becomes one more than theirs. A holder at another address is asked whether it lives; if so the name stays
-its, and this process is in conflict until it does not answer any more. Two that were parted when they took
-the name can't both go on: who is outranked a second time by the same life gives way if its own is smaller.
+"""A process's claim to its name. Pure.
+
+It outranks its predecessor without a disk or a right clock, and gives way to a living namesake. It asks
+before it claims. What others still know of an earlier process at the same address is outranked: its
+generation becomes one more than theirs. A holder at another address is asked whether it lives; if so the name
+stays its, and this process is in conflict until it does not answer any more. Two that were parted when they
+took the name can't both go on: who is outranked a second time by the same process gives way if its own nonce
+is smaller.
 """
 
 from __future__ import annotations
@@ -13,10 +14,12 @@
 
 from service_proxy.fleet.members import MAX_GENERATION, Address, Incarnation, MemberRecord
 
-MAX_OUTRANKED = 16  # lives that are remembered as outranked
+MAX_OUTRANKED = 16  # processes that are remembered as outranked
 
 
 class MembershipStatus(Enum):
+    """Whether this process is a member."""
+
     JOINING = "joining"
     CONTESTING = "asking the name's holder"
     MEMBER = "member"
@@ -24,52 +27,82 @@
     LEFT = "left"
 
 
+class ChallengeOutcome(Enum):
+    """What a member does about another process of its name."""
+
+    NONE = "nothing: it is outranked as it is, or a contest is under way"
+    OUTRANK = "announce an incarnation above it"
+    CONTEST = "ask it whether it lives"
+    CONFLICT = "give way to it"
+
+
 class NameOwnership:
+    """This process's claim to its name.
+
+    Attributes:
+        outranked: nonces of processes that it has outranked, with the generation that they had.
+        rival: incarnation of the process that is asked whether it lives.
+        status_before_contest: that a won contest returns to.
+        reported_holder: of the name, as it was logged last.
+    """
+
     def __init__(self, record: MemberRecord, incarnation: Incarnation) -> None:
         self.record = record
         self.incarnation = incarnation
         self.status = MembershipStatus.JOINING
-        self.outranked: dict[int, int] = {}  # lives, and the run that they had
+        self.outranked: dict[int, int] = {}
         self.rival: Incarnation | None = None
         self.rival_address: Address = ("", 0)
-        self.status_before_contest = MembershipStatus.JOINING  # the contest
+        self.status_before_contest = MembershipStatus.JOINING
         self.reported_holder = ""
 
     def refute(self, claimed: Incarnation) -> None:
-        """Denies a suspicion of this process, or takes back what it last said of itself."""
+        """Deny a suspicion of this process, or supersede what it last said of itself."""
         self.incarnation = max(self.incarnation, claimed).incremented()
 
     def leave(self) -> None:
+        """Record that this process has left."""
         self.status = MembershipStatus.LEFT
 
-    def resolve_challenge(self, challenger: Incarnation, address: Address | None, departed: bool) -> str:
-        """An incarnation of this name, of another process: `outrank` it, `contest` it, give way to it
-        (`conflict`), or nothing ("") while that is found out. `over`: it left, or is dead to who says it."""
-        if self.status in (MembershipStatus.CONFLICT, MembershipStatus.LEFT):
-            return ""
-        older = challenger < self.incarnation
-        if older and (self.status is MembershipStatus.MEMBER or departed or address == self.record.address):
-            return ""  # it is outranked as it is
-        if departed or address == self.record.address:
+    def resolve_challenge(
+        self, challenger: Incarnation, address: Address | None, departed: bool
+    ) -> ChallengeOutcome:
+        """Return what to do about an incarnation of this name that is another process's.
+
+        `departed`: it left, or is dead to the member that sent it.
+        """
+        is_same_place = address == self.record.address
+        if self._is_outranked(challenger, departed or is_same_place):
+            return ChallengeOutcome.NONE
+        if departed or is_same_place:
             return self._outrank(challenger)
-        if challenger.nonce in self.outranked and challenger.generation > self.outranked[challenger.nonce]:
+        if challenger.generation > self.outranked.get(challenger.nonce, MAX_GENERATION):
             # It has denied what outranked it, so it lives.
             if self.incarnation.nonce < challenger.nonce:
-                return "conflict"
+                return ChallengeOutcome.CONFLICT
             return self._outrank(challenger)
+        return self._contest(challenger, address)
+
+    def _is_outranked(self, challenger: Incarnation, is_predecessor: bool) -> bool:
+        """Return whether a challenger needs no answer: it is outranked as it is, or this claims no name."""
+        if self.status in (MembershipStatus.CONFLICT, MembershipStatus.LEFT):
+            return True
+        return challenger < self.incarnation and (self.status is MembershipStatus.MEMBER or is_predecessor)
+
+    def _contest(self, challenger: Incarnation, address: Address | None) -> ChallengeOutcome:
         if self.rival is not None:
             self.rival = max(self.rival, challenger)
-            return ""
+            return ChallengeOutcome.NONE
         if address is None:
-            return ""  # who tells the whole record will come
+            return ChallengeOutcome.NONE  # who sends the whole record will come
         self.rival = challenger
         self.rival_address = address
         self.status_before_contest = self.status
         if self.status is MembershipStatus.JOINING:
             self.status = MembershipStatus.CONTESTING
-        return "contest"
+        return ChallengeOutcome.CONTEST
 
-    def _outrank(self, challenger: Incarnation) -> str:
+    def _outrank(self, challenger: Incarnation) -> ChallengeOutcome:
         self.outranked[challenger.nonce] = challenger.generation
         if len(self.outranked) > MAX_OUTRANKED:
             del self.outranked[next(iter(self.outranked))]
@@ -79,7 +112,7 @@
             )
         if self.rival is not None and self.rival <= self.incarnation:
             self._end_contest()
-        return "outrank"
+        return ChallengeOutcome.OUTRANK
 
     def _end_contest(self) -> None:
         self.rival = None
@@ -87,18 +120,20 @@
             self.status = self.status_before_contest
 
     def is_rival(self, holder: Incarnation) -> bool:
-        """Somebody of this name answers: whether it is the rival, and so this one gives way."""
+        """Return whether a process of this name that answers is the rival, to which this one gives way."""
         return self.rival is not None and holder.nonce == self.rival.nonce
 
     def outrank_silent_rival(self) -> None:
+        """Take the name of a rival that did not answer."""
         assert self.rival is not None
         self._outrank(self.rival)
 
     def yield_name(self) -> None:
+        """Give way: the name is another's."""
         self.rival = None
         self.status = MembershipStatus.CONFLICT
 
     def retry_claim(self) -> None:
-        """The holder may have gone: it is asked again from the beginning."""
+        """Begin anew: the holder may have gone."""
         self.status = MembershipStatus.JOINING
         self.rival = None
--- a/service_proxy/fleet/timing.py
+++ b/service_proxy/fleet/timing.py
@@ -35,24 +35,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolTiming:
-    """`period`: s in which a member begins two probes: of its ring's next, and of its successor by key.
-    `suspicion`: the shortest suspicion, in periods, of a fleet of up to 9; it grows as log10 of its size.
-    `memory`: s for which who died or left is remembered."""
+    """The times that an operator may set.
+
+    Attributes:
+        period: the protocol period, s, in which a member begins two probes.
+        suspicion_multiplier: the shortest suspicion, in periods, of a fleet of up to 9; it grows as log10 of
+            the size.
+        tombstone_ttl: for which who died or left is remembered, s.
+    """
 
     period: float = 1.0
     suspicion_multiplier: float = 3.0
     tombstone_ttl: float = 600.0
 
     def min_suspicion(self, living: int) -> float:
-        """s of a suspicion that enough others share. A member that stands still for less, from the moment it
-        is first suspected, is not declared dead by those who can reach it afterwards."""
+        """Return how long a suspicion lasts that enough others share, s.
+
+        A member that stands still for less, from the moment it is first suspected, is not declared dead by
+        those that can reach it afterwards.
+        """
         return self.suspicion_multiplier * max(1.0, math.log10(living + 1)) * self.period
 
     def max_suspicion(self, living: int) -> float:
+        """Return how long a suspicion lasts that nobody shares, s."""
         return 2.0 * self.min_suspicion(living)
 
     def suspicion_timeout(self, living: int, confirmations: int) -> float:
-        """s, by how many others than the first say the same (Lifeguard, 4.2)."""
+        """Return how long a suspicion lasts, s, by the number of confirmations (Lifeguard, 4.2)."""
         minimum = self.min_suspicion(living)
         maximum = self.max_suspicion(living)
         enough = min(CONFIRMATIONS, max(0, living - 2))
@@ -62,5 +71,5 @@
 
     @staticmethod
     def transmissions(living: int) -> int:
-        """How often each member passes one change on (SWIM, 5: lambda log n)."""
+        """Return how often each member passes one update on (SWIM, 5: lambda log n)."""
         return math.ceil(6 * math.log10(living + 1) + 1)
--- a/service_proxy/fleet/view_query.py
+++ b/service_proxy/fleet/view_query.py
@@ -1,6 +1,6 @@
-"""A member's view as staff see it: the question for a page of it, its answer, and what odd things mean. Pure.
+"""A member's view for operators: the request for a page of it, its answer, and what oddities mean. Pure.
 
-A question has 256 bytes, and its answer no more: a view comes in pages of up to four rows.
+A request has 256 bytes, and its answer no more: a view comes in pages of up to four rows.
 """
 
 from __future__ import annotations
@@ -15,9 +15,19 @@
 from service_proxy.fleet.members import Incarnation, ServicePhase, format_address, member_key
 from service_proxy.fleet.wire import DatagramWriter, LoadSummary, MessageType, Section
 
+MIN_MEMBERS_TO_JUDGE_PATHS = 3  # that live, below which a third of them says nothing
+
 
 @dataclass(frozen=True, slots=True)
 class ViewRow:
+    """A member as the member that was asked sees it.
+
+    Attributes:
+        path: how it is reached, where not directly.
+        in_flight_tenths: its requests in flight, in tenths of its limit; None: unknown.
+        last_contact_age_s: since a datagram of its own; None: there was none.
+    """
+
     name: str
     state: MemberState
     incarnation: Incarnation
@@ -34,6 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewPage:
+    """A page of a view, with the totals of all of it.
+
+    Attributes:
+        request_id: modulo 65,536.
+        row_count: of the whole view.
+        revision: number of changes of the view.
+        serving_count: members of the tier that serve or will.
+    """
+
     request_id: int  # of the question, modulo 65,536
     fleet: str
     row_count: int  # of the whole view
@@ -58,7 +77,7 @@
     authenticator: MessageAuthenticator,
     fleet: bytes = ANY_FLEET,
 ) -> bytes:
-    """For the rows from `first` on."""
+    """Return the datagram that requests the rows from `first_row` on."""
     writer = DatagramWriter()
     writer.add_section(
         Section.PAGE_REQUEST, first_row.to_bytes(2, "big") + (request_id & 0xFFFF).to_bytes(2, "big")
@@ -82,7 +101,11 @@
 
 
 def decode_view_page(data: bytes, authenticator: MessageAuthenticator) -> ViewPage:
-    """Raises Malformed."""
+    """Return a page.
+
+    Raises:
+        MalformedDatagramError: it is none, or its tag is wrong.
+    """
     wire.peek_header(data)
     if not authenticator.verify(data):
         raise MalformedDatagramError("spoilt, or sealed with another key")
@@ -138,12 +161,12 @@
         PATH_DESCRIPTIONS[path],
         None if in_flight_tenths == wire.LOAD_UNKNOWN else in_flight_tenths,
         int.from_bytes(list_version, "big"),
-        None if age_ms == 0xFFFFFFFF else age_ms / 1000,
+        None if age_ms == wire.CONTACT_UNKNOWN_MS else age_ms / 1000,
     )
 
 
 def diagnose_view(page: ViewPage, rows: list[ViewRow]) -> list[str]:
-    """What is odd about a view, a sentence each."""
+    """Return what is odd about a view, a sentence each."""
     remarks = []
     if page.in_conflict:
         remarks.append("the name of the member that was asked is held by another living process")
@@ -159,7 +182,7 @@
         remarks.append(f"suspected, and not yet decided on: {', '.join(sorted(suspects))}")
     indirect = sum(bool(row.path) for row in rows)
     living = sum(row.state in (MemberState.ALIVE, MemberState.SUSPECT) for row in rows)
-    if living > 2 and indirect * 3 >= living:
+    if living >= MIN_MEMBERS_TO_JUDGE_PATHS and indirect * 3 >= living:
         remarks.append(f"the member that was asked reaches {living - 1 - indirect} of {living - 1} directly")
     if not page.settled and not suspects:
         remarks.append("changed a moment ago, or others see something else still")
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -85,7 +85,13 @@
 def test_the_first_is_alone_for_a_while() -> None:
     async def check(w: FleetHarness) -> None:
         w.start(0)
-        await until(lambda: says(w, "p0", "nobody answers: goes on alone"), "alone", PATIENCE)
+        await until(
+            lambda: says(
+                w, "p0", "join_unanswered attempts=3 reason=nobody answers; this member goes on alone"
+            ),
+            "alone",
+            PATIENCE,
+        )
         for number in range(1, 5):
             w.start(number)
         await until(lambda: len(w.living) == 5 and not w.starting, "up", PATIENCE)
@@ -108,7 +114,7 @@
     async def end(w: FleetHarness) -> None:
         page, _ = await w.observer.fetch_view(w.slots[2])
         assert page.alive_count == 1 and page.dead_count == 5 and page.is_minority and page.isolated
-        assert not any("the module goes by" in line for line in w.observer.lines["p2"])
+        assert not any("proxy_count_changed" in line for line in w.observer.lines["p2"])
 
     script = '[[fault]]\nat = 0\ndo = "kill"\nwho = ["p0", "p1", "p3", "p4", "p5"]\n'
 
@@ -147,7 +153,7 @@
     """The bound is the shortest suspicion: 3 periods of 1 s, from the first probe that it missed."""
     script = '[[fault]]\nat = 0\ndo = "stop"\nwho = ["p2"]\nlasts = 3.0\n'
     w = play(FleetOptions(members=8, period=1.0, rate=5.0), script)
-    assert w.observer.deaths() == [] and says(w, "p2", "this process stood still for")
+    assert w.observer.deaths() == [] and says(w, "p2", "process_stalled duration_s=")
 
 
 def test_a_fifth_of_the_datagrams_is_lost_each_way_for_half_a_minute() -> None:
@@ -158,7 +164,11 @@
 
 def test_a_one_way_cut_between_two_is_named_and_kills_nobody() -> None:
     async def check(w: FleetHarness) -> None:
-        await until(lambda: says(w, "p2", "p7: we hear it, and it does not hear us"), "named", PATIENCE)
+        await until(
+            lambda: says(w, "p2", "path_degraded member=p7 path=we hear it, and it does not hear us"),
+            "named",
+            PATIENCE,
+        )
         _, rows = await w.observer.fetch_view(w.slots[2])
         assert {row.name for row in rows if row.path} == {"p7"}
 
@@ -168,7 +178,7 @@
 
 def test_a_member_that_is_cut_from_half_of_the_others_lives() -> None:
     async def check(w: FleetHarness) -> None:
-        await until(lambda: says(w, "p0", ": neither way directly"), "named", PATIENCE)
+        await until(lambda: says(w, "p0", " path=neither way directly"), "named", PATIENCE)
 
     script = (
         '[[fault]]\nat = 0\ndo = "cut"\nwho = ["p0"]\nto = ["p1-p4"]\nlasts = 12.0\n'
@@ -219,8 +229,13 @@
 
 def test_another_fleet_at_these_addresses_is_told_of_and_never_heard() -> None:
     async def end(w: FleetHarness) -> None:
-        odd = "datagrams of another fleet come from"
-        wanted = (("p0", odd), ("p3", odd), ("p0", "settled: 3 live"), ("p3", "settled: 2 live"))
+        odd = "foreign_datagrams address="
+        wanted = (
+            ("p0", odd),
+            ("p3", odd),
+            ("p0", "view_settled living=3 "),
+            ("p3", "view_settled living=2 "),
+        )
         for name, line in wanted:
             await until(lambda name=name, line=line: says(w, name, line), line, PATIENCE)  # type: ignore[misc]
         names = {change.name for change in w.observer.changes if change.observer in ("p0", "p1", "p2")}
@@ -269,8 +284,8 @@
     """p5 comes back as p2; then as itself."""
 
     async def check(w: FleetHarness) -> None:
-        await until(lambda: says(w, "p2", "is held by a living process at peer 2"), "told", PATIENCE)
-        await until(lambda: says(w, "p2", "wants the name p2, which is this one's"), "told both", PATIENCE)
+        await until(lambda: says(w, "p2", "name_conflict name=p2 holder=peer 2 "), "told", PATIENCE)
+        await until(lambda: says(w, "p2", "name_requested name=p2 address="), "told both", PATIENCE)
 
     script = '[[fault]]\nat = 0\ndo = "rename"\nwho = ["p5"]\nname = "p2"\nlasts = 12.0\n'
 
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -12,10 +12,12 @@
 from harness.proxy_process import free_port, settings
 from service_proxy.clock import Clock
 from service_proxy.composition import create_fleet
-from service_proxy.fleet import service
+from service_proxy.fleet import rate_limits
+from service_proxy.fleet.addressing import peer_address
 from service_proxy.fleet.members import member_key
+from service_proxy.fleet.metadata import pack_metadata, unpack_metadata
 from service_proxy.fleet.name_ownership import MembershipStatus
-from service_proxy.fleet.service import FleetService, pack_metadata, peer_address, unpack_metadata
+from service_proxy.fleet.service import FleetService
 from service_proxy.fleet.wire import MessageType
 from service_proxy.net.config import ConfigError, ProxyConfig, parse_config
 from service_proxy.operator_file import Fleet as Settings
@@ -101,7 +103,7 @@
 
 def test_floods_and_strangers_are_dropped_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(service, "MAX_DATAGRAMS_PER_SOURCE_PER_S", 10)
+        monkeypatch.setattr(rate_limits, "MAX_DATAGRAMS_PER_SOURCE_PER_S", 10)
         fleet = FleetService(Settings("portal"), config(True, **PEERS), Driver(), Clock())
         for _ in range(20):
             fleet.datagram_received(bytes(60), ("127.9.0.2", 7946))
--- a/tests/fleet/test_virtual_fleet.py
+++ b/tests/fleet/test_virtual_fleet.py
@@ -143,7 +143,9 @@
     bed.run(60.0)
     first = core(bed.members[0])
     assert first.is_isolated and not first.is_settled() and first.status is MembershipStatus.MEMBER
-    assert lines == ["nobody answers: goes on alone, and goes on asking"]
+    assert lines == [
+        "join_unanswered attempts=3 reason=nobody answers; this member goes on alone and goes on asking"
+    ]
     asked = bed.datagrams
     bed.run(80.0)
     assert bed.datagrams - asked <= 12  # of 3 addresses, one each two periods
@@ -260,10 +262,10 @@
     lines: list[tuple[str, str]] = []
     bed.on_log_line = lambda member, line: lines.append((member.name, line))
     bed.network.cut([2], [7])
-    named = ("p2", "p7: we hear it, and it does not hear us")
+    named = ("p2", "path_degraded member=p7 path=we hear it, and it does not hear us")
     until(bed, lambda: named in lines, 60)
     bed.network.cut([2], [7], -1)
-    until(bed, lambda: ("p2", "p7: reached directly again") in lines, 60)
+    until(bed, lambda: ("p2", "path_restored member=p7") in lines, 60)
     assert not [change for _, change in seen if change.after is MemberState.DEAD]
 
 
@@ -283,8 +285,13 @@
         MembershipStatus.CONTESTING,
     )
     assert core(bed.members[2]).incarnation == holder  # nothing flaps
-    assert len([line for number, line in lines if number == 5 and "held by a living process" in line]) == 1
-    assert len([line for number, line in lines if number == 2 and "wants the name p2" in line]) == 1
+    assert (
+        len([line for number, line in lines if number == 5 and "name_conflict name=p2 holder=" in line]) == 1
+    )
+    assert (
+        len([line for number, line in lines if number == 2 and "name_requested name=p2 address=" in line])
+        == 1
+    )
     bed.kill(2)  # the holder is gone: the name is free
     until(bed, lambda: newcomer.status is MembershipStatus.MEMBER, 40)
 
