--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -13,22 +13,22 @@
 from typing import Any
 
 import pytest
-from netkit import (
-    PATIENCE,
+from net_harness import (
     SETTINGS,
-    Answer,
-    Backend,
-    Discovery,
-    Proxy,
+    TEST_TIMEOUT_S,
+    DiscoveryServer,
+    EndpointServer,
+    ProxyProcess,
+    Response,
     config,
-    endpoint,
-    listing,
-    loads,
-    next_call,
+    endpoint_entry,
+    endpoint_list,
+    idle_proxy_loads,
+    next_request,
     read_message,
-    run,
-    start_program,
-    until_ready,
+    run_async,
+    start_proxy,
+    wait_until_ready,
 )
 
 from harness.proxy_process import free_port
@@ -37,25 +37,25 @@
 from service_proxy.admin.server import MAX_CONNECTIONS
 
 
-class ProxyWithAdmin(Proxy):
+class ProxyWithAdmin(ProxyProcess):
     """A proxy with an admin server."""
 
     admin_address: tuple[str, int]
 
-    async def admin(self, request_line: str, data: bytes = b"") -> Answer:
-        async with asyncio.timeout(PATIENCE):
+    async def admin(self, request_line: str, data: bytes = b"") -> Response:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*self.admin_address)
             method, _, target = request_line.partition(" ")
             head = f"{method} {target} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
             writer.write(head.encode() + data)
-            response = Answer(*await read_message(reader))
+            response = Response(*await read_message(reader))
             assert await reader.read() == b""  # one request a connection
             writer.close()
             return response
 
     async def metrics(self) -> dict[str, int]:
         response = await self.admin("GET /stats")
-        assert response.code == 200
+        assert response.status_code == 200
         found = {}
         for line in response.body.decode().splitlines():
             name, _, rest = line.partition(":")
@@ -65,7 +65,7 @@
         return found
 
     async def until_metric(self, name: str, value: int) -> dict[str, int]:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while (found := await self.metrics()).get(name) != value:
                 await asyncio.sleep(0.02)
             return found
@@ -73,19 +73,19 @@
 
 @contextlib.asynccontextmanager
 async def proxy_with_admin(
-    backends: dict[str, Backend], discovery: Discovery, **changes: Any
+    backends: dict[str, EndpointServer], discovery: DiscoveryServer, **changes: Any
 ) -> AsyncIterator[ProxyWithAdmin]:
     for backend in backends.values():
         await backend.start()
-    known = listing(1, *(endpoint(name, backend.address) for name, backend in backends.items()))
+    known = endpoint_list(1, *(endpoint_entry(name, backend.address) for name, backend in backends.items()))
     listen = free_port()
     console = free_port()
     with tempfile.TemporaryDirectory() as folder:
         raw = config(discovery.address, known, f"127.0.0.1:{listen}", **changes)
         raw["console"] = f"127.0.0.1:{console}"
-        process = await start_program(raw, folder, TMPDIR=folder)
+        process = await start_proxy(raw, folder, TMPDIR=folder)
         try:
-            await until_ready(("127.0.0.1", listen))
+            await wait_until_ready(("127.0.0.1", listen))
             made = ProxyWithAdmin(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
             made.admin_address = "127.0.0.1", console
             yield made
@@ -172,101 +172,106 @@
             code = b"500 X" if seen.target.startswith("/reserva") else b"200 X"
             writer.write(b"HTTP/1.1 " + code + b"\r\nContent-Length: 2\r\n\r\nok")
 
-        discovery = await Discovery().start()
-        backend = Backend(behave)
+        discovery = await DiscoveryServer().start()
+        backend = EndpointServer(behave)
         async with proxy_with_admin({"s-1": backend}, discovery) as node:
-            caller = await node.caller()
-            slow_client = await node.caller()
+            caller = await node.connect()
+            slow_client = await node.connect()
             for n in range(3):
-                assert (await caller.call("stock", f"a{n}")).code == 200
-            assert (await caller.call("reserva", "b")).code != 200
-            assert (await caller.call("nosuch", "c")).code == 404
+                assert (await caller.request("stock", f"a{n}")).status_code == 200
+            assert (await caller.request("reserva", "b")).status_code != 200
+            assert (await caller.request("nosuch", "c")).status_code == 404
             slow_client.send("canje", "d")
-            while (await next_call(backend)).headers["x-call-id"] != "d":
+            while (await next_request(backend)).headers["x-call-id"] != "d":
                 pass
             found = await node.metrics()
             assert found["inflight"] == 1 and found["hosts_listed"] == 1
             assert found["calls.stock.success"] == 3 and found["calls.canje.success"] == 0
             assert found["calls.reserva.success"] == 0
             assert found["calls.reserva.busy"] + found["calls.reserva.failure"] == 1
-            assert found["backend_calls"] == backend.count
+            assert found["backend_calls"] == backend.received_count
             gate.set()
-            assert (await slow_client.answer()).code == 200
+            assert (await slow_client.response()).status_code == 200
             found = await node.metrics()
             assert found["calls.canje.success"] == 1 and found["inflight"] == 0
 
-    run(test())
+    run_async(test())
 
 
 def test_the_admin_server_answers_beside_clients_that_hold_its_connections() -> None:
     """More connections than it holds, each with half a request."""
 
     async def test() -> None:
-        discovery = await Discovery().start()
-        backend = Backend()
+        discovery = await DiscoveryServer().start()
+        backend = EndpointServer()
         async with proxy_with_admin({"s-1": backend}, discovery) as node:
             held = [await asyncio.open_connection(*node.admin_address) for _ in range(MAX_CONNECTIONS + 4)]
             for _, writer in held:
                 writer.write(b"GET /sta")
             begun = asyncio.get_running_loop().time()
-            assert (await node.admin("GET /healthcheck")).code == 200
+            assert (await node.admin("GET /healthcheck")).status_code == 200
             assert asyncio.get_running_loop().time() - begun < 1.0
-            assert (await node.admin("POST /nothing")).code == 404
-            assert (await node.admin("GET /" + "x" * 9000)).code in (400, 404)  # by how it came in pieces
+            assert (await node.admin("POST /nothing")).status_code == 404
+            assert (await node.admin("GET /" + "x" * 9000)).status_code in (
+                400,
+                404,
+            )  # by how it came in pieces
             for _, writer in held:
                 writer.close()
 
-    run(test())
+    run_async(test())
 
 
 def test_an_endpoint_in_maintenance_gets_nothing_and_a_request_soon_after_it_is_back() -> None:
     async def test() -> None:
-        discovery = await Discovery().start()
-        one = Backend()
-        two = Backend()
+        discovery = await DiscoveryServer().start()
+        one = EndpointServer()
+        two = EndpointServer()
         async with proxy_with_admin({"s-1": one, "s-2": two}, discovery) as node:
-            caller = await node.caller()
-            assert (await node.admin("POST /backends/s-9/maint")).code == 404
+            caller = await node.connect()
+            assert (await node.admin("POST /backends/s-9/maint")).status_code == 404
             for _ in range(2):
-                assert (await node.admin("POST /backends/s-1/maint")).code == 200
-            before = one.count
-            discovery.put(2, endpoint("s-1", one.address), endpoint("s-2", two.address), snapshot=True)
-            while "?from=2&hold_ms=" not in await discovery.asked.get():
+                assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
+            before = one.received_count
+            discovery.publish(
+                2, endpoint_entry("s-1", one.address), endpoint_entry("s-2", two.address), snapshot=True
+            )
+            while "?from=2&hold_ms=" not in await discovery.polls.get():
                 pass
             for n in range(20):
-                assert (await caller.call("canje", f"a{n}", budget="6000m")).code == 200
-            assert one.count == before and (await node.metrics())["hosts_down"] == 1
-            assert (await node.admin("POST /backends/s-1/ready")).code == 200
-            assert (await caller.call("canje", "b", budget="6000m")).code == 200
-            assert one.count == before + 1 and (await node.metrics())["hosts_down"] == 0
+                assert (await caller.request("canje", f"a{n}", budget="6000m")).status_code == 200
+            assert one.received_count == before and (await node.metrics())["hosts_down"] == 1
+            assert (await node.admin("POST /backends/s-1/ready")).status_code == 200
+            assert (await caller.request("canje", "b", budget="6000m")).status_code == 200
+            assert one.received_count == before + 1 and (await node.metrics())["hosts_down"] == 0
 
-    run(test())
+    run_async(test())
 
 
 def test_maintenance_goes_on_in_the_process_that_follows() -> None:
     async def test() -> None:
-        discovery = await Discovery().start()
-        one = Backend()
-        two = Backend()
+        discovery = await DiscoveryServer().start()
+        one = EndpointServer()
+        two = EndpointServer()
         async with proxy_with_admin({"s-1": one, "s-2": two}, discovery) as node:
-            assert (await node.admin("POST /backends/s-1/maint")).code == 200
+            assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
             node.process.kill()
             await node.process.wait()
-            folder = str(node.path.parent)
-            node.process = await start_program(node.first, folder, TMPDIR=folder)
+            folder = str(node.config_path.parent)
+            node.process = await start_proxy(node.initial_config, folder, TMPDIR=folder)
             try:
-                await until_ready(node.address)
-                before = one.count
-                caller = await node.caller()
+                await wait_until_ready(node.address)
+                before = one.received_count
+                caller = await node.connect()
                 for n in range(10):
-                    assert (await caller.call("stock", f"a{n}")).code == 200
-                assert one.count == before
+                    assert (await caller.request("stock", f"a{n}")).status_code == 200
+                assert one.received_count == before
                 assert (await node.metrics())["hosts_down"] == 1
             finally:
                 node.process.kill()
                 await node.process.wait()
 
-    run(test())
+    run_async(test())
 
 
 def request_classes(**changes: Any) -> list[dict[str, Any]]:
@@ -285,51 +290,54 @@
                 await gate.wait()
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
 
-        discovery = await Discovery().start()
-        backend = Backend(behave)
+        discovery = await DiscoveryServer().start()
+        backend = EndpointServer(behave)
         async with proxy_with_admin({"s-1": backend}, discovery) as node:
-            caller = await node.caller()
-            slow_client = await node.caller()
+            caller = await node.connect()
+            slow_client = await node.connect()
             slow_client.send("canje", "held", budget="6000m")
-            assert (await next_call(backend)).headers["x-call-id"] == "held"
+            assert (await next_request(backend)).headers["x-call-id"] == "held"
             classes = [g for g in request_classes(stock={"effect": "once"}) if g["name"] != "canje"]
             classes.append({**classes[0], "name": "express"})
-            node.reload(settings={**node.first["settings"], "grades": classes})
+            node.reload(settings={**node.initial_config["settings"], "grades": classes})
             await node.until_metric("reconfig_ok", 1)
-            assert (await caller.call("express", "e")).code == 200  # at once
+            assert (await caller.request("express", "e")).status_code == 200  # at once
             served = 0
-            async with asyncio.timeout(PATIENCE):
-                while (code := (await caller.call("canje", "x")).code) != 404:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while (code := (await caller.request("canje", "x")).status_code) != 404:
                     served += code == 200
                     await asyncio.sleep(0.02)
             head = b"POST /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: s\r\nX-Budget: 900m\r\n"
-            assert (await caller.raw(head + b"Content-Length: 0\r\n\r\n")).code == 200
+            assert (await caller.send_raw(head + b"Content-Length: 0\r\n\r\n")).status_code == 200
             gate.set()
-            assert (await slow_client.answer()).code == 200
+            assert (await slow_client.response()).status_code == 200
             found = await node.metrics()
             assert found["calls.canje.success"] == served + 1 and found["calls.express.success"] == 1
 
-    run(test())
+    run_async(test())
 
 
 def test_an_invalid_file_changes_nothing_and_is_counted() -> None:
     async def test() -> None:
-        discovery = await Discovery().start()
-        backend = Backend()
+        discovery = await DiscoveryServer().start()
+        backend = EndpointServer()
         async with proxy_with_admin({"s-1": backend}, discovery) as node:
-            cut = json.dumps(node.first)[:-20]
+            cut = json.dumps(node.initial_config)[:-20]
             nought = {
-                **node.first,
-                "settings": {**node.first["settings"], "grades": request_classes(stock={"deadline": 0})},
+                **node.initial_config,
+                "settings": {
+                    **node.initial_config["settings"],
+                    "grades": request_classes(stock={"deadline": 0}),
+                },
             }
             for n, text in enumerate(["", cut, json.dumps(nought)], 1):
                 node.reload(text=text)
                 await node.until_metric("reconfig_failed", n)
-            assert (await (await node.caller()).call("stock", "a")).code == 200
+            assert (await (await node.connect()).request("stock", "a")).status_code == 200
             assert (await node.metrics())["reconfig_ok"] == 0
 
-    run(test())
+    run_async(test())
 
 
 def test_without_an_admin_address_nothing_of_the_package_is_imported() -> None:
-    assert not loads("service_proxy.admin")
+    assert not idle_proxy_loads("service_proxy.admin")
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -12,7 +12,17 @@
 import tempfile
 from pathlib import Path
 
-from netkit import PATIENCE, Backend, Caller, Discovery, config, endpoint, listing, run, start_program
+from net_harness import (
+    TEST_TIMEOUT_S,
+    Client,
+    DiscoveryServer,
+    EndpointServer,
+    config,
+    endpoint_entry,
+    endpoint_list,
+    run_async,
+    start_proxy,
+)
 from test_admin_server import ProxyWithAdmin
 
 from harness.proxy_process import free_port
@@ -47,7 +57,7 @@
         f"ProcessGenerations(Path({str(stem)!r}))\n"
         "os._exit(9)\n"
     )
-    assert subprocess.run([sys.executable, "-c", code], timeout=PATIENCE).returncode == 9
+    assert subprocess.run([sys.executable, "-c", code], timeout=TEST_TIMEOUT_S).returncode == 9
     left = stem.with_name("x.process.1")
     assert left.exists()
     here = ProcessGenerations(stem)
@@ -120,10 +130,10 @@
     """Callers that use connections once and callers that keep them, over three upgrades in a row."""
 
     async def test() -> None:
-        discovery = await Discovery().start()
-        one = await Backend().start()
-        two = await Backend().start()
-        known = listing(1, endpoint("s-1", one.address), endpoint("s-2", two.address))
+        discovery = await DiscoveryServer().start()
+        one = await EndpointServer().start()
+        two = await EndpointServer().start()
+        known = endpoint_list(1, endpoint_entry("s-1", one.address), endpoint_entry("s-2", two.address))
         listen = free_port()
         with tempfile.TemporaryDirectory() as folder:
             raw = config(discovery.address, known, f"127.0.0.1:{listen}")
@@ -132,14 +142,14 @@
             async def start() -> ProxyWithAdmin:
                 console = free_port()
                 raw["console"] = f"127.0.0.1:{console}"
-                process = await start_program(raw, folder, TMPDIR=folder)
+                process = await start_proxy(raw, folder, TMPDIR=folder)
                 made = ProxyWithAdmin(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
                 made.admin_address = "127.0.0.1", console
                 running.append(made)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     while True:
                         try:
-                            if (await made.admin("GET /healthcheck")).code == 200:
+                            if (await made.admin("GET /healthcheck")).status_code == 200:
                                 return made
                         except OSError:
                             await asyncio.sleep(0.02)
@@ -148,13 +158,13 @@
             stop = asyncio.Event()
 
             async def keeps(name: str) -> None:
-                caller: Caller | None = None
+                caller: Client | None = None
                 n = 0
                 while not stop.is_set():
                     if caller is None:
-                        caller = Caller(*await asyncio.open_connection("127.0.0.1", listen))
-                    answer = await caller.call("stock", f"{name}{n}")
-                    codes.append(answer.code)
+                        caller = Client(*await asyncio.open_connection("127.0.0.1", listen))
+                    answer = await caller.request("stock", f"{name}{n}")
+                    codes.append(answer.status_code)
                     n += 1
                     if answer.headers.get("connection") == "close" or name.startswith("once"):
                         caller.writer.close()
@@ -163,7 +173,7 @@
 
             try:
                 node = await start()
-                assert (await node.admin("POST /backends/s-1/maint")).code == 200
+                assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
                 callers = [
                     asyncio.create_task(keeps(f"{kind}{n}")) for kind in ("once", "kept") for n in range(4)
                 ]
@@ -172,15 +182,15 @@
                     node = await start()
                     assert (await node.metrics())["hosts_down"] == 1
                     old.terminate()
-                    assert await old.code() == 0
+                    assert await old.exit_code() == 0
                 stop.set()
                 await asyncio.gather(*callers)  # none met a connection that ended on its request
                 assert len(codes) > 100 and set(codes) == {200}
-                assert one.count == 0
-                assert (await node.admin("POST /backends/s-1/ready")).code == 200
-                caller = Caller(*await asyncio.open_connection("127.0.0.1", listen))
-                assert (await caller.call("stock", "back")).code == 200
-                assert one.count == 1
+                assert one.received_count == 0
+                assert (await node.admin("POST /backends/s-1/ready")).status_code == 200
+                caller = Client(*await asyncio.open_connection("127.0.0.1", listen))
+                assert (await caller.request("stock", "back")).status_code == 200
+                assert one.received_count == 1
                 names = {path.name.rpartition(".")[2] for path in Path(folder).glob("granitepoint-*")}
                 assert names == {"maintenance", str(len(running))}
             finally:
@@ -191,4 +201,4 @@
                 await one.stop()
                 await two.stop()
 
-    run(test())
+    run_async(test())
--- a/tests/deadlines/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -14,7 +14,18 @@
 from typing import Any
 
 import pytest
-from netkit import PATIENCE, SETTINGS, Backend, Caller, Discovery, Seen, endpoint, next_call, run, serve_ok
+from net_harness import (
+    SETTINGS,
+    TEST_TIMEOUT_S,
+    Client,
+    DiscoveryServer,
+    EndpointServer,
+    ReceivedRequest,
+    endpoint_entry,
+    next_request,
+    respond_ok,
+    run_async,
+)
 
 from harness.proxy_process import ProxyProcess, running_proxy
 from harness.tier_chain import key_file
@@ -22,8 +33,8 @@
 
 @contextlib.asynccontextmanager
 async def edge(addresses: list[str], **changes: Any) -> AsyncIterator[ProxyProcess]:
-    discovery = await Discovery().start()
-    known = [endpoint(f"s-{number}", address) for number, address in enumerate(addresses)]
+    discovery = await DiscoveryServer().start()
+    known = [endpoint_entry(f"s-{number}", address) for number, address in enumerate(addresses)]
     with tempfile.TemporaryDirectory() as folder:
         table = f'[budgets]\nkeys_file = "{key_file(Path(folder))}"\nedge = true\n'
         async with running_proxy("n0", discovery.address, known, table, **changes) as program:
@@ -32,8 +43,8 @@
     discovery.server.close()
 
 
-async def caller_of(program: ProxyProcess) -> Caller:
-    return Caller(*await asyncio.open_connection(*program.address))
+async def caller_of(program: ProxyProcess) -> Client:
+    return Client(*await asyncio.open_connection(*program.address))
 
 
 def test_deadline_while_connecting_is_a_rejection_and_nothing_was_sent() -> None:
@@ -52,57 +63,57 @@
             async with edge([at], policy_limits=limits) as program:
                 caller = await caller_of(program)
                 begun = time.monotonic()
-                assert (await caller.call("canje", "a" * 16, budget="300m")).code == 503
+                assert (await caller.request("canje", "a" * 16, budget="300m")).status_code == 503
                 assert time.monotonic() - begun < 0.5
             for one in fill:
                 one.close()
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("cls", ["stock", "canje"])
 def test_deadline_before_the_answer_ends_the_attempt_and_starts_no_other(cls: str) -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             """It has the last byte, and says nothing."""
 
-        backend = await Backend(behave).start()
+        backend = await EndpointServer(behave).start()
         async with edge([backend.address]) as program:
             caller = await caller_of(program)
-            code = (await caller.call(cls, "a" * 16, budget="400m")).code
+            code = (await caller.request(cls, "a" * 16, budget="400m")).status_code
             assert code in (502, 504) or (code == 503 and cls == "stock")
-            async with asyncio.timeout(PATIENCE):
-                await backend.closed.get()  # the attempt is given up on the wire, too
-            count = backend.count
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await backend.closed_connections.get()  # the attempt is given up on the wire, too
+            count = backend.received_count
             await asyncio.sleep(0.4)
-            assert backend.count == count and (count == 1 or cls == "stock")
+            assert backend.received_count == count and (count == 1 or cls == "stock")
         await backend.stop()
 
-    run(test())
+    run_async(test())
 
 
 def test_unsafe_call_whose_client_left_after_it_may_have_run_runs_no_second_time() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
             writer.transport.abort()  # after the caller has gone
 
-        one = await Backend(behave).start()
-        two = await Backend(behave).start()
+        one = await EndpointServer(behave).start()
+        two = await EndpointServer(behave).start()
         async with edge([one.address, two.address]) as program:
             caller = await caller_of(program)
             caller.send("canje", "a" * 16, budget="5000m")
-            async with asyncio.timeout(PATIENCE):
-                while one.count + two.count == 0:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while one.received_count + two.received_count == 0:
                     await asyncio.sleep(0.005)
             caller.writer.transport.abort()
             await asyncio.sleep(0.5)
-            assert one.count + two.count == 1
-            assert (await (await caller_of(program)).call("nosuch", "b" * 16)).code == 404
+            assert one.received_count + two.received_count == 1
+            assert (await (await caller_of(program)).request("nosuch", "b" * 16)).status_code == 404
         await one.stop()
         await two.stop()
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(("window", "attempts"), [(0.2, 1), (6.0, 2)], ids=["over", "open"])
@@ -112,24 +123,24 @@
     """Its connection breaks 0.4 s after it may have run; the budget has more than 3 s then."""
 
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if backend.count == 1:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if backend.received_count == 1:
                 await asyncio.sleep(0.4)
                 writer.transport.abort()
             else:
-                await serve_ok(seen, writer)
+                await respond_ok(seen, writer)
 
         grades = copy.deepcopy(SETTINGS["grades"])
         for grade in grades:
             if grade["name"] == "reserva":
                 grade["window"] = window
-        backend = await Backend(behave).start()
+        backend = await EndpointServer(behave).start()
         async with edge([backend.address], grades=grades) as program:
             caller = await caller_of(program)
             caller.send("reserva", "a" * 16, budget="4000m")
-            await next_call(backend)
-            code = (await caller.answer()).code
-            assert (code == 200) == (attempts == 2) and backend.count == attempts
+            await next_request(backend)
+            code = (await caller.response()).status_code
+            assert (code == 200) == (attempts == 2) and backend.received_count == attempts
         await backend.stop()
 
-    run(test())
+    run_async(test())
--- a/tests/netkit.py
+++ b/tests/net/net_harness.py
@@ -19,13 +19,13 @@
 
 from harness.proxy_process import free_port, settings
 
-ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # s; a test that waits longer has failed
+ROOT = Path(__file__).parents[2]
+TEST_TIMEOUT_S = 20.0  # s; a test that waits longer has failed
 
 SETTINGS: dict[str, Any] = settings(dcs=["a", "b"])
 
 
-class Seen:
+class ReceivedRequest:
     """A request as a backend got it."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, connection: int) -> None:
@@ -52,29 +52,29 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-Behaviour = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Responder = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def serve_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_ok(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(200, b"done " + seen.headers["x-call-id"].encode()))
 
 
-class Backend:
+class EndpointServer:
     """Answers calls by `behave`; keeps what it saw, apart from probes."""
 
-    def __init__(self, behave: Behaviour = serve_ok) -> None:
-        self.behave = behave
-        self.healthy: bool | None = True  # what a probe is told; None: nothing
-        self.probed = asyncio.Event()
-        self.calls: asyncio.Queue[Seen] = asyncio.Queue()
-        self.count = 0
-        self.connections = 0
-        self.closed: asyncio.Queue[int] = asyncio.Queue()  # connections that the proxy closed
+    def __init__(self, behave: Responder = respond_ok) -> None:
+        self.respond = behave
+        self.health_answer: bool | None = True  # what a probe is told; None: nothing
+        self.health_checked = asyncio.Event()
+        self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.received_count = 0
+        self.connections_accepted = 0
+        self.closed_connections: asyncio.Queue[int] = asyncio.Queue()  # connections that the proxy closed
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
         self.server: asyncio.Server | None = None
 
-    async def start(self) -> Backend:
+    async def start(self) -> EndpointServer:
         """Listens where it did before, if it did."""
         port = int(self.address.rpartition(":")[2]) if self.address else 0
         self.server = await asyncio.start_server(self._connection, "127.0.0.1", port)
@@ -83,21 +83,21 @@
         return self
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        number = self.connections
+        self.connections_accepted += 1
+        number = self.connections_accepted
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                seen = Seen(*await read_message(reader), number)
+                seen = ReceivedRequest(*await read_message(reader), number)
                 if seen.target in ("/load", "/healthz"):
-                    self.probed.set()
-                    if self.healthy is not None:
-                        writer.write(response(200 if self.healthy else 503, b"inflight=0,queue=0"))
+                    self.health_checked.set()
+                    if self.health_answer is not None:
+                        writer.write(response(200 if self.health_answer else 503, b"inflight=0,queue=0"))
                     continue
-                self.count += 1
-                self.calls.put_nowait(seen)
-                await self.behave(seen, writer)
-        self.closed.put_nowait(number)
+                self.received_count += 1
+                self.received.put_nowait(seen)
+                await self.respond(seen, writer)
+        self.closed_connections.put_nowait(number)
         writer.close()
 
     async def stop(self) -> None:
@@ -107,16 +107,16 @@
                 writer.close()
 
 
-class Discovery:
+class DiscoveryServer:
     """Tells the list at once, then each change as it is put."""
 
     def __init__(self) -> None:
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
+        self.polls: asyncio.Queue[str] = asyncio.Queue()
         self.address = ""
         self.server: asyncio.Server | None = None
 
-    async def start(self) -> Discovery:
+    async def start(self) -> DiscoveryServer:
         self.server = await asyncio.start_server(self._connection, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -126,16 +126,16 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 line, _, _ = await read_message(reader)
-                self.asked.put_nowait(line.split(" ")[1])
+                self.polls.put_nowait(line.split(" ")[1])
                 writer.write(await self.changes.get())
         writer.close()
 
-    def put(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
-        told = json.dumps(listing(index, *endpoints, snapshot=snapshot))
-        self.changes.put_nowait(response(200, told.encode()))
+    def publish(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
+        body = json.dumps(endpoint_list(index, *endpoints, snapshot=snapshot))
+        self.changes.put_nowait(response(200, body.encode()))
 
 
-def endpoint(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
+def endpoint_entry(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
     return {
         "name": name,
         "address": address,
@@ -149,18 +149,18 @@
     }
 
 
-def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
+def endpoint_list(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
-class Answer:
+class Response:
     def __init__(self, line: str, headers: dict[str, str], body: bytes) -> None:
-        self.code = int(line.split(" ")[1])
+        self.status_code = int(line.split(" ")[1])
         self.headers = headers
         self.body = body
 
 
-class Caller:
+class Client:
     """One caller's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -177,28 +177,28 @@
             lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    async def answer(self) -> Answer:
-        async with asyncio.timeout(PATIENCE):
-            return Answer(*await read_message(self.reader))
+    async def response(self) -> Response:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            return Response(*await read_message(self.reader))
 
-    async def call(
+    async def request(
         self, cls: str, id: str, budget: str = "1000m", body: bytes = b"", **headers: str
-    ) -> Answer:
+    ) -> Response:
         self.send(cls, id, budget, body, **headers)
-        return await self.answer()
+        return await self.response()
 
-    async def raw(self, data: bytes) -> Answer:
+    async def send_raw(self, data: bytes) -> Response:
         self.writer.write(data)
-        return await self.answer()
+        return await self.response()
 
-    async def ended(self) -> bool:
-        async with asyncio.timeout(PATIENCE):
+    async def is_closed(self) -> bool:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 return await self.reader.read(1) == b""
             return True
 
 
-class Proxy:
+class ProxyProcess:
     """The program itself, as a process."""
 
     def __init__(
@@ -206,27 +206,27 @@
     ) -> None:
         self.process = process
         self.address = address
-        self.path = path
-        self.first = first
+        self.config_path = path
+        self.initial_config = first
 
-    async def caller(self) -> Caller:
-        return Caller(*await asyncio.open_connection(*self.address))
+    async def connect(self) -> Client:
+        return Client(*await asyncio.open_connection(*self.address))
 
     def reload(self, **changes: Any) -> None:
         """Replaces the file (with `text`, or with these keys changed), then sends SIGHUP."""
         text = changes.pop("text", None)
         if text is None:
-            text = json.dumps({**self.first, **changes})
-        new = self.path.with_suffix(".new")
+            text = json.dumps({**self.initial_config, **changes})
+        new = self.config_path.with_suffix(".new")
         new.write_text(text, encoding="utf-8")
-        new.replace(self.path)
+        new.replace(self.config_path)
         self.process.send_signal(signal.SIGHUP)
 
     def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
 
-    async def code(self) -> int:
-        async with asyncio.timeout(PATIENCE):
+    async def exit_code(self) -> int:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
 
@@ -243,7 +243,7 @@
     }
 
 
-def loads(*prefixes: str) -> bool:
+def idle_proxy_loads(*prefixes: str) -> bool:
     """Whether a proxy with all off has a module loaded whose name begins so; it is put together in a process
     of its own."""
     code = (
@@ -257,12 +257,12 @@
         "asyncio.run(test())\n"
         f"sys.exit(7 if any(name.startswith({prefixes!r}) for name in sys.modules) else 0)\n"
     )
-    code_of = subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=PATIENCE).returncode
+    code_of = subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=TEST_TIMEOUT_S).returncode
     assert code_of in (0, 7)
     return code_of == 7
 
 
-async def start_program(raw: object, folder: str, **variables: str) -> asyncio.subprocess.Process:
+async def start_proxy(raw: object, folder: str, **variables: str) -> asyncio.subprocess.Process:
     path = Path(folder) / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw), encoding="utf-8")
     environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
@@ -274,36 +274,36 @@
     )
 
 
-async def until_ready(address: tuple[str, int]) -> None:
-    async with asyncio.timeout(PATIENCE):
+async def wait_until_ready(address: tuple[str, int]) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                caller = Caller(*await asyncio.open_connection(*address))
-                reply = await caller.raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                caller = Client(*await asyncio.open_connection(*address))
+                reply = await caller.send_raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
                 caller.writer.close()
-                if reply.code == 200:
+                if reply.status_code == 200:
                     return
             await asyncio.sleep(0.02)
 
 
 @contextlib.asynccontextmanager
-async def proxy(
-    backends: dict[str, Backend], discovery: Discovery | None = None, /, **changes: Any
-) -> AsyncIterator[Proxy]:
+async def running_proxy(
+    backends: dict[str, EndpointServer], discovery: DiscoveryServer | None = None, /, **changes: Any
+) -> AsyncIterator[ProxyProcess]:
     """A proxy before these backends, ready; ended by force if the test has not ended it."""
-    own = discovery or await Discovery().start()
+    own = discovery or await DiscoveryServer().start()
     for backend in backends.values():
         if not backend.address:
             await backend.start()
-    known = listing(1, *(endpoint(name, backend.address) for name, backend in backends.items()))
+    known = endpoint_list(1, *(endpoint_entry(name, backend.address) for name, backend in backends.items()))
     listen = f"127.0.0.1:{free_port()}"
     host, _, port = listen.rpartition(":")
     with tempfile.TemporaryDirectory() as folder:
         raw = config(own.address, known, listen, **changes)
-        process = await start_program(raw, folder)
+        process = await start_proxy(raw, folder)
         try:
-            await until_ready((host, int(port)))
-            yield Proxy(process, (host, int(port)), Path(folder) / "config.json", raw)
+            await wait_until_ready((host, int(port)))
+            yield ProxyProcess(process, (host, int(port)), Path(folder) / "config.json", raw)
         finally:
             if process.returncode is None:
                 process.kill()
@@ -314,24 +314,87 @@
                 own.server.close()
 
 
-def resets_on_close(raw: socket.socket) -> None:
+def reset_on_close(raw: socket.socket) -> None:
     """socket(7), SO_LINGER with no time: what is closed from now on is reset."""
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-def get(id: str) -> bytes:
+def get_request(id: str) -> bytes:
     """A call of a class that is safe, as its bytes."""
     return f"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id:>016}\r\nX-Budget: 5000m\r\n\r\n".encode()
 
 
-def run(test: Coroutine[Any, Any, None]) -> None:
+def run_async(test: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(4 * PATIENCE):
+        async with asyncio.timeout(4 * TEST_TIMEOUT_S):
             await test
 
     asyncio.run(bounded())
 
 
-async def next_call(backend: Backend) -> Seen:
-    async with asyncio.timeout(PATIENCE):
-        return await backend.calls.get()
+async def next_request(backend: EndpointServer) -> ReceivedRequest:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        return await backend.received.get()
+
+
+SYN_SENT = "02"  # in /proc/net/tcp
+
+
+class Unreachable:
+    """Listens with no room for a connection, so that a connect comes up about a second late."""
+
+    def __init__(self) -> None:
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=3)
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.blocking = [socket.socket() for _ in range(5)]  # one more than it holds
+        for each in self.blocking:
+            each.setblocking(False)
+            each.connect_ex(self.listener.getsockname())
+
+    def close(self) -> None:
+        for each in (self.listener, *self.blocking):
+            each.close()
+
+    async def tried(self, count: int) -> None:
+        """Until so many connects of the proxy are on their way, by the kernel's table."""
+        port = self.listener.getsockname()[1]
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while True:
+                rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
+                if sum(row[2].endswith(f":{port:04X}") and row[3] == SYN_SENT for row in rows) > count:
+                    return
+                await asyncio.sleep(0.01)
+
+    async def up(self, count: int) -> list[socket.socket]:
+        """So many connections of the proxy, from now on."""
+        loop = asyncio.get_running_loop()
+        self.listener.setblocking(False)
+        own = {each.getsockname() for each in self.blocking}
+        came: list[socket.socket] = []
+        while len(came) < count:
+            connection, peer = await loop.sock_accept(self.listener)
+            if peer not in own:
+                came.append(connection)
+        return came
+
+    async def first(self) -> bytes:
+        """What the proxy's connection brings up to its end, or at first."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            (connection,) = await self.up(1)
+            with contextlib.suppress(ConnectionError):
+                return await asyncio.get_running_loop().sock_recv(connection, 65536)
+            return b""
+
+    async def calls(self) -> tuple[list[bytes], list[socket.socket]]:
+        """What two connections of the proxy have brought once they are up and one of them has a call, which
+        is answered."""
+        loop = asyncio.get_running_loop()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            came = await self.up(2)
+            reads = {loop.create_task(loop.sock_recv(each, 65536)): each for each in came}
+            done, waiting = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                await loop.sock_sendall(reads[task], response(200, b"done"))
+            for task in waiting:
+                task.cancel()
+        return [task.result() for task in done], [reads[task] for task in waiting]
--- a/tests/test_leaving.py
+++ b/tests/net/test_client_disconnects.py
@@ -6,26 +6,26 @@
 import contextlib
 import socket
 from collections.abc import AsyncIterator, Callable
-from pathlib import Path
 from typing import Any
 
 import pytest
 import uvloop
-from netkit import (
-    PATIENCE,
+from net_harness import (
     SETTINGS,
-    Backend,
-    Proxy,
-    Seen,
-    endpoint,
-    get,
-    next_call,
-    proxy,
-    resets_on_close,
+    TEST_TIMEOUT_S,
+    EndpointServer,
+    ProxyProcess,
+    ReceivedRequest,
+    Unreachable,
+    endpoint_entry,
+    get_request,
+    next_request,
+    reset_on_close,
     response,
-    run,
+    run_async,
+    running_proxy,
 )
-from netkit import Discovery as Told
+from net_harness import DiscoveryServer as Told
 
 from service_proxy.net.downstream import HttpServer
 from service_proxy.net.limits import MAX_MESSAGE_BYTES
@@ -41,11 +41,10 @@
 
 
 def reset(raw: socket.socket) -> None:
-    resets_on_close(raw)
+    reset_on_close(raw)
     raw.close()
 
 
-SYN_SENT = "02"  # in /proc/net/tcp
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 ENDS = [fin, half_close, reset]
 
@@ -55,11 +54,11 @@
     b"Content-Length: 8000000\r\n\r\n" + b"a" * 8_000_000
 )
 BEHIND = {
-    "nothing behind it": get("1"),
-    "a whole request behind it": get("1") + get("2"),
-    "the begin of a request behind it": get("1") + get("2")[:30],
-    "many requests behind it": b"".join(get(str(number)) for number in range(1, 1000)),
-    "nonsense behind it": get("1") + b"nonsense\r\n\r\n",
+    "nothing behind it": get_request("1"),
+    "a whole request behind it": get_request("1") + get_request("2"),
+    "the begin of a request behind it": get_request("1") + get_request("2")[:30],
+    "many requests behind it": b"".join(get_request(str(number)) for number in range(1, 1000)),
+    "nonsense behind it": get_request("1") + b"nonsense\r\n\r\n",
     "a body that is not taken": LONG,
 }
 
@@ -82,7 +81,7 @@
 
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("sent", BEHIND.values(), ids=list(BEHIND))
-def test_a_client_that_leaves_is_seen_whatever_lies_behind_its_request(
+def test_a_client_that_disconnects_is_detected_whatever_lies_behind_its_request(
     sent: bytes, end: Callable[[socket.socket], None]
 ) -> None:
     """What is not read from, since more has come than may be held, does not tell that it has ended."""
@@ -98,7 +97,7 @@
         raw.setblocking(False)
         loop = asyncio.get_running_loop()
         writing = loop.create_task(loop.sock_sendall(raw, sent))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             call = await holding.taken.get()
             if sent is LONG:  # the proxy stops reading, so it is never sent whole
                 while not any(connection.read_paused for connection in server.connections):
@@ -116,127 +115,69 @@
     uvloop.run(test())
 
 
-def test_a_burst_of_hundreds_leaves_from_the_queue_and_none_of_it_is_sent_on() -> None:
+def test_hundreds_that_disconnect_from_the_queue_at_once_are_not_forwarded() -> None:
     """Their places serve who is still there, once a server has room."""
 
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if not free.is_set():
                 await free.wait()
             writer.write(response(200, b"done"))
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}) as node:
-            first = [await node.caller() for _ in range(12)]
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}) as node:
+            first = [await node.connect() for _ in range(12)]
             for number, caller in enumerate(first):
                 caller.send("canje", f"{number:016x}", budget="5000m")
-            await next_call(backend)
-            leaving = [await node.caller() for _ in range(200)]
+            await next_request(backend)
+            leaving = [await node.connect() for _ in range(200)]
             for number, caller in enumerate(leaving):
                 caller.send("stock", f"aa{number:014x}", budget="5000m")
                 if number % 2:
                     caller.send("stock", f"bb{number:014x}", budget="5000m")
             # An answer on the listener's loop, so all of these have been read.
-            assert (await (await node.caller()).raw(HEALTH)).code == 200
+            assert (await (await node.connect()).send_raw(HEALTH)).status_code == 200
             for caller in leaving:
                 half_close(caller.writer.get_extra_info("socket"))
             for caller in leaving:  # refused and ended, or ended
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     await caller.reader.read()
-            seen = backend.count
+            seen = backend.received_count
             free.set()
             for number in range(5):
-                assert (await (await node.caller()).call("stock", f"cc{number:014x}")).code == 200
-            ids = [backend.calls.get_nowait().headers["x-call-id"] for _ in range(backend.calls.qsize())]
+                assert (await (await node.connect()).request("stock", f"cc{number:014x}")).status_code == 200
+            ids = [
+                backend.received.get_nowait().headers["x-call-id"] for _ in range(backend.received.qsize())
+            ]
             assert not [id for id in ids[max(0, seen - 1) :] if id[:2] in ("aa", "bb")]
 
-    run(test())
-
-
-class Unreachable:
-    """Listens with no room for a connection, so that a connect comes up about a second late."""
-
-    def __init__(self) -> None:
-        self.listener = socket.create_server(("127.0.0.1", 0), backlog=3)
-        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.blocking = [socket.socket() for _ in range(5)]  # one more than it holds
-        for each in self.blocking:
-            each.setblocking(False)
-            each.connect_ex(self.listener.getsockname())
-
-    def close(self) -> None:
-        for each in (self.listener, *self.blocking):
-            each.close()
-
-    async def tried(self, count: int) -> None:
-        """Until so many connects of the proxy are on their way, by the kernel's table."""
-        port = self.listener.getsockname()[1]
-        async with asyncio.timeout(PATIENCE):
-            while True:
-                rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
-                if sum(row[2].endswith(f":{port:04X}") and row[3] == SYN_SENT for row in rows) > count:
-                    return
-                await asyncio.sleep(0.01)
-
-    async def up(self, count: int) -> list[socket.socket]:
-        """So many connections of the proxy, from now on."""
-        loop = asyncio.get_running_loop()
-        self.listener.setblocking(False)
-        own = {each.getsockname() for each in self.blocking}
-        came: list[socket.socket] = []
-        while len(came) < count:
-            connection, peer = await loop.sock_accept(self.listener)
-            if peer not in own:
-                came.append(connection)
-        return came
-
-    async def first(self) -> bytes:
-        """What the proxy's connection brings up to its end, or at first."""
-        async with asyncio.timeout(PATIENCE):
-            (connection,) = await self.up(1)
-            with contextlib.suppress(ConnectionError):
-                return await asyncio.get_running_loop().sock_recv(connection, 65536)
-            return b""
-
-    async def calls(self) -> tuple[list[bytes], list[socket.socket]]:
-        """What two connections of the proxy have brought once they are up and one of them has a call, which
-        is answered."""
-        loop = asyncio.get_running_loop()
-        async with asyncio.timeout(PATIENCE):
-            came = await self.up(2)
-            reads = {loop.create_task(loop.sock_recv(each, 65536)): each for each in came}
-            done, waiting = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
-            for task in done:
-                await loop.sock_sendall(reads[task], response(200, b"done"))
-            for task in waiting:
-                task.cancel()
-        return [task.result() for task in done], [reads[task] for task in waiting]
+    run_async(test())
 
 
 @contextlib.asynccontextmanager
-async def before(late: Unreachable) -> AsyncIterator[tuple[Proxy, Told]]:
+async def before(late: Unreachable) -> AsyncIterator[tuple[ProxyProcess, Told]]:
     """A proxy whose list has nobody else, with time enough for a slow connect."""
     settings = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
     discovery = await Told().start()
-    async with proxy({"s-1": Backend()}, discovery, policy_limits=settings) as node:
-        async with asyncio.timeout(PATIENCE):
-            await discovery.asked.get()
-            discovery.put(2, endpoint("s-2", late.address), snapshot=True)
-            await discovery.asked.get()
+    async with running_proxy({"s-1": EndpointServer()}, discovery, policy_limits=settings) as node:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await discovery.polls.get()
+            discovery.publish(2, endpoint_entry("s-2", late.address), snapshot=True)
+            await discovery.polls.get()
         yield node, discovery
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_a_call_whose_client_left_during_a_slow_connect_is_not_sent(
+def test_a_request_whose_client_disconnected_during_a_slow_connect_is_not_sent(
     end: Callable[[socket.socket], None],
 ) -> None:
     async def test() -> None:
         late = Unreachable()
         async with before(late) as (node, _):
-            caller = await node.caller()
-            stays = await node.caller()
+            caller = await node.connect()
+            stays = await node.connect()
             caller.send("canje", "a" * 16, budget="8000m")
             await late.tried(1)
             stays.send("canje", "b" * 16, budget="8000m")
@@ -246,35 +187,37 @@
                 half_close(raw)
             else:
                 if end is reset:
-                    resets_on_close(raw)
+                    reset_on_close(raw)
                 caller.writer.transport.abort()
             heard, idle = await late.calls()
             assert len(heard) == 1 and b"b" * 16 in heard[0] and b"a" * 16 not in heard[0]
-            assert (await stays.answer()).code == 200
+            assert (await stays.response()).status_code == 200
             for each in idle:  # it came up for a call that had ended, and nothing was written to it
                 with pytest.raises(BlockingIOError):
                     each.recv(1, socket.MSG_DONTWAIT)
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("status", ["Terminating", "Gone"])
-def test_a_server_that_began_to_leave_during_a_slow_connect_gets_nothing(status: str) -> None:
+def test_an_endpoint_that_began_to_drain_during_a_slow_connect_gets_nothing(status: str) -> None:
     """State is looked at right before the first byte, not when it is decided to send."""
 
     async def test() -> None:
         late = Unreachable()
-        stays = await Backend().start()
+        stays = await EndpointServer().start()
         async with before(late) as (node, discovery):
-            caller = await node.caller()
+            caller = await node.connect()
             caller.send("canje", "a" * 16, budget="8000m")
             await late.tried(1)
-            discovery.put(3, endpoint("s-2", late.address, status), endpoint("s-3", stays.address))
-            async with asyncio.timeout(PATIENCE):
-                assert "from=3&" in await discovery.asked.get()
+            discovery.publish(
+                3, endpoint_entry("s-2", late.address, status), endpoint_entry("s-3", stays.address)
+            )
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                assert "from=3&" in await discovery.polls.get()
             assert await late.first() == b""  # it came up, and was closed unused
-            answer = await caller.answer()  # sent to the other, where its time allowed: it never ran
-            assert (answer.code, stays.count) in ((200, 1), (503, 0))
+            answer = await caller.response()  # sent to the other, where its time allowed: it never ran
+            assert (answer.status_code, stays.received_count) in ((200, 1), (503, 0))
         await stays.stop()
 
-    run(test())
+    run_async(test())
--- a/tests/test_settings.py
+++ b/tests/net/test_configuration.py
@@ -14,7 +14,19 @@
 import pytest
 from hypothesis import given
 from hypothesis import settings as checks
-from netkit import PATIENCE, ROOT, Backend, Caller, Seen, config, listing, proxy, read_message, response, run
+from net_harness import (
+    ROOT,
+    TEST_TIMEOUT_S,
+    Client,
+    EndpointServer,
+    ReceivedRequest,
+    config,
+    endpoint_list,
+    read_message,
+    response,
+    run_async,
+    running_proxy,
+)
 
 from harness.clients import CLASS_SETTINGS
 from harness.recorder import Idempotency, ReceivedAnswer, Recorder, Rules, SentRequest
@@ -80,12 +92,12 @@
 
 
 def raw_of(settings: dict[str, Any], discovery: str = "127.0.0.1:1") -> dict[str, Any]:
-    return {**config(discovery, listing(1), "127.0.0.1:0"), "settings": settings}
+    return {**config(discovery, endpoint_list(1), "127.0.0.1:0"), "settings": settings}
 
 
 @checks(max_examples=150, deadline=None, derandomize=True)
 @given(settings=whole_settings())
-def test_any_settings_are_read_and_each_call_is_sent_or_answered(settings: dict[str, Any]) -> None:
+def test_any_settings_are_read_and_each_request_is_sent_or_answered(settings: dict[str, Any]) -> None:
     read = parse_config(raw_of(settings), {}).settings
     assert [cls.name for cls in read.classes] == [grade["name"] for grade in settings["grades"]]
     balancer = Balancer(read, 1)
@@ -156,7 +168,7 @@
         chance = Random(seed)
 
         def behave(name: str) -> Any:
-            async def behaves(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            async def behaves(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
                 key = seen.headers.get("idempotency-key", "")
                 entry = ledger.attempt(seen.headers["x-call-id"], name, "a", loop.time(), key=key)
                 entry.last_byte_at = loop.time()
@@ -176,7 +188,7 @@
 
         async def calls(node: Any, number: int) -> None:
             grade = settings["grades"][number % len(settings["grades"])]
-            caller: Caller = await node.caller()
+            caller: Client = await node.connect()
             id = f"{number:016x}"
             leaves = number % 7 == 6
             get = grade["effect"] == "repeatable"
@@ -193,7 +205,7 @@
                 caller.writer.close()
                 ledger.excused_requests.add(id)  # nobody is there to be answered
                 return
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 line, _, _ = await read_message(caller.reader)
             ledger.answers.append(ReceivedAnswer(id, loop.time(), int(line.split(" ")[1])))
             caller.writer.close()
@@ -202,20 +214,20 @@
             for number in range(first, 120, 6):
                 await calls(node, number)
 
-        backends = {f"s-{n}": Backend(behave(f"s-{n}")) for n in range(4)}
+        backends = {f"s-{n}": EndpointServer(behave(f"s-{n}")) for n in range(4)}
         own = {key: settings[key] for key in ("discovery", "grades", "tenants", "policy_limits", "contract")}
-        async with proxy(backends, **own) as node:
+        async with running_proxy(backends, **own) as node:
             await asyncio.gather(*(lane(node, first) for first in range(6)))
         effects = {
             g["name"]: Idempotency(g["effect"], g["window"], everywhere(g)) for g in settings["grades"]
         }
         # A busy machine delays what is seen of an answer, and that of a resend; not that there is one.
-        found = [v for v in ledger.audit(effects, Rules(slack=PATIENCE)) if v.rule == 1]
+        found = [v for v in ledger.audit(effects, Rules(slack=TEST_TIMEOUT_S)) if v.rule == 1]
         found += [v for v in ledger.audit(effects, Rules(slack=0.5)) if v.rule == 2]
         assert len(ledger.answers) + len(ledger.excused_requests) == 120 and len(ledger.attempts) >= 20
         assert not found, [str(violation) for violation in found]
 
-    run(test())
+    run_async(test())
 
 
 ROOTS = [ROOT / "service_proxy", ROOT / "deploy" / "balancer.toml"]
@@ -260,7 +272,7 @@
     assert not {path: those for path, those in found.items() if those}
 
 
-def test_the_look_for_names_finds_one() -> None:
+def test_the_search_for_names_finds_one() -> None:
     assert found_names('if cls == "Weighing":', {"weighing"}) == {"weighing"}
     assert not found_names("outweighing", {"weighing"})
 
@@ -296,10 +308,10 @@
 
 
 @pytest.mark.parametrize(("path", "value", "said"), WRONG.values(), ids=list(WRONG))
-def test_wrong_settings_are_refused_with_the_key_and_what_to_write(
+def test_invalid_settings_are_rejected_with_the_key_and_what_to_write(
     path: tuple[str | int, ...], value: object, said: str
 ) -> None:
-    made: Any = config("127.0.0.1:1", listing(1), "127.0.0.1:0")
+    made: Any = config("127.0.0.1:1", endpoint_list(1), "127.0.0.1:0")
     assert parse_config(made, {})
     place = made["settings"]
     for key in path[:-1]:
@@ -328,8 +340,10 @@
 
 
 @pytest.mark.parametrize(("key", "value", "said"), OUTSIDE.values(), ids=list(OUTSIDE))
-def test_a_wrong_file_is_refused_with_the_key_and_what_to_write(key: str, value: object, said: str) -> None:
-    made: Any = config("127.0.0.1:1", listing(1), "127.0.0.1:0")
+def test_an_invalid_file_is_rejected_with_the_key_and_what_to_write(
+    key: str, value: object, said: str
+) -> None:
+    made: Any = config("127.0.0.1:1", endpoint_list(1), "127.0.0.1:0")
     made[key] = value
     with pytest.raises(ValueError, match=re.escape(said)):
         parse_config(made, {})
--- a/tests/test_standing.py
+++ b/tests/net/test_deployment_commands.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 import pytest
-from netkit import PATIENCE, ROOT, SETTINGS
+from net_harness import ROOT, SETTINGS, TEST_TIMEOUT_S
 
 from harness.proxy_process import free_port
 
@@ -88,7 +88,7 @@
 
 
 def until(condition: object, what: str) -> None:
-    due = time.monotonic() + PATIENCE
+    due = time.monotonic() + TEST_TIMEOUT_S
     while not condition():  # type: ignore[operator]
         assert time.monotonic() < due, what
         time.sleep(0.01)
@@ -149,7 +149,9 @@
         process.wait()
 
 
-def test_run_is_one_process_that_starts_nothing_and_speaks_tcp_over_ipv4_alone(tmp_path: Path) -> None:
+def test_the_run_command_is_one_process_that_starts_nothing_and_speaks_tcp_over_ipv4_alone(
+    tmp_path: Path,
+) -> None:
     with run_line(tmp_path, DEPLOY["run"]) as started:
         pid = started.process.pid
         health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -165,7 +167,7 @@
         maps = Path(f"/proc/{pid}/maps").read_text()
         assert "libc.so" in maps or "libc-" in maps  # linked dynamically against the C library
         started.process.send_signal(signal.SIGTERM)
-        assert started.process.wait(PATIENCE) == 0
+        assert started.process.wait(TEST_TIMEOUT_S) == 0
         odd = [line for line in started.audit if not line.startswith("socket ")]
         assert [line for line in odd if str(tmp_path / "private") not in line] == []
         kinds = {tuple(map(int, line.split()[1:])) for line in started.audit if line.startswith("socket ")}
@@ -182,7 +184,7 @@
     assert "sudo" not in command and "/usr/" not in command
 
 
-def test_the_watch_sees_what_it_is_there_for(tmp_path: Path) -> None:
+def test_the_process_watch_detects_what_it_is_there_for(tmp_path: Path) -> None:
     """A program with each of the forbidden things, watched in the same way."""
     lines = [
         "import os, socket, subprocess, sys, time",
--- a/tests/test_freshness.py
+++ b/tests/net/test_discovery_polling.py
@@ -11,9 +11,19 @@
 from typing import Any
 
 import pytest
-from netkit import PATIENCE, Backend, Proxy, endpoint, listing, proxy, read_message, response, run
-from netkit import Discovery as SilentDiscovery
-from test_leaving import Unreachable
+from net_harness import (
+    TEST_TIMEOUT_S,
+    EndpointServer,
+    ProxyProcess,
+    Unreachable,
+    endpoint_entry,
+    endpoint_list,
+    read_message,
+    response,
+    run_async,
+    running_proxy,
+)
+from net_harness import DiscoveryServer as SilentDiscovery
 
 from service_proxy.net.discovery import DiscoveryClient
 from service_proxy.net.endpoint_list import EndpointList
@@ -28,7 +38,7 @@
 
 
 @pytest.mark.parametrize("grace", GRACES)
-def test_after_a_silent_watch_two_calls_fit_into_what_is_left_of_the_grace(grace: float) -> None:
+def test_after_a_silent_watch_two_polls_fit_into_what_is_left_of_the_drain_grace(grace: float) -> None:
     pace = poll_schedule(True, grace)
     told = SILENT_CALL_NOTIFIED_S + grace  # after its wait, when what it missed must be in force
     assert pace.silence_timeout + 2 * pace.call_timeout <= told + 1e-9
@@ -38,7 +48,7 @@
 
 
 @pytest.mark.parametrize("grace", [grace for grace in GRACES if grace])
-def test_a_pushed_list_that_one_silent_call_missed_comes_within_the_grace(grace: float) -> None:
+def test_a_pushed_list_that_one_silent_poll_missed_comes_within_the_drain_grace(grace: float) -> None:
     pace = poll_schedule(False, grace)
     assert pace.is_pushed
     assert (
@@ -47,7 +57,7 @@
     )
 
 
-def test_an_asked_list_is_asked_for_three_times_a_minute_and_calls_come_apart() -> None:
+def test_a_polled_list_is_polled_three_times_a_minute_and_polls_spread_out() -> None:
     pace = poll_schedule(True, 2.0)
     waits = [pace.draw_watch_wait(number / 100) for number in range(101)]
     assert sum(waits) / len(waits) == pytest.approx(20.0)
@@ -56,7 +66,7 @@
 
 
 @pytest.mark.parametrize("grace", GRACES)
-def test_while_a_list_is_owed_a_service_for_all_is_asked_few_times_and_the_last_time_near_its_end(
+def test_while_a_list_is_owed_a_shared_service_is_polled_few_times_and_the_last_time_near_the_end(
     grace: float,
 ) -> None:
     """Found on roll+mass: an address that answers 503 was asked thirty times in 6 s by each proxy."""
@@ -98,7 +108,7 @@
         writer.close()
 
     async def next(self) -> tuple[int, str]:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.asked.get()
 
 
@@ -120,7 +130,9 @@
 
 def tells(index: int, snapshot: bool = False, indent: int | None = None) -> Said:
     async def told(target: str, writer: asyncio.StreamWriter) -> None:
-        text = json.dumps(listing(index, endpoint("s-1", "127.0.0.1:9"), snapshot=snapshot), indent=indent)
+        text = json.dumps(
+            endpoint_list(index, endpoint_entry("s-1", "127.0.0.1:9"), snapshot=snapshot), indent=indent
+        )
         writer.write(response(200, text.encode()))
 
     return told
@@ -155,11 +167,11 @@
         return self.discovery
 
     async def list(self) -> EndpointList:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.lists.get()
 
     async def failure(self) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await self.failed.wait()
 
 
@@ -185,10 +197,10 @@
         assert not watched.failed.is_set()
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_an_answer_that_stands_still_in_its_middle_is_given_up_before_the_wait_is_over() -> None:
+def test_a_response_that_stalls_in_its_middle_is_given_up_before_the_wait_is_over() -> None:
     async def test() -> None:
         server = Scripted(half, tells(4))
         watched = Watched(replace(QUICK, watch_wait=60.0, call_timeout=0.2))
@@ -198,10 +210,10 @@
         assert (await watched.list()).version == 4
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_once_nothing_is_owed_any_more_the_module_decides_when_to_ask() -> None:
+def test_once_no_list_is_owed_the_policy_decides_when_to_poll() -> None:
     async def test() -> None:
         server = Scripted(silent, *[busy] * 1000)
         watched = Watched(replace(QUICK, retry_window=0.1))
@@ -211,10 +223,10 @@
         assert 1 <= server.asked.qsize() <= 20
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_tries_while_a_list_is_owed_lie_further_apart_each_time() -> None:
+def test_polls_while_a_list_is_owed_back_off() -> None:
     async def test() -> None:
         pace = replace(QUICK, retry_window=0.5, max_backoff=0.1)
         server = Scripted(silent, *[busy] * 1000)
@@ -225,11 +237,11 @@
         assert 4 <= server.asked.qsize() <= 16  # at one pace of 0.01 s it would be near 50
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("first", [busy, resets, half, silent])
-def test_a_failed_call_that_could_not_wait_is_the_modules_matter_where_lists_are_asked(first: Said) -> None:
+def test_a_failed_poll_that_could_not_wait_is_left_to_the_policy_where_lists_are_polled(first: Said) -> None:
     """Discovery is one service for all: only what a silent watch missed is asked for without a pause."""
 
     async def test() -> None:
@@ -241,10 +253,10 @@
         await watched.failure()
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_moved_discovery_that_is_silent_is_asked_again_within_the_time_of_a_move() -> None:
+def test_a_new_discovery_address_that_is_silent_is_polled_again_within_its_window() -> None:
     async def test() -> None:
         server = Scripted(silent, busy, tells(1, snapshot=True))
         watched = Watched(replace(QUICK, first_list_timeout=0.2, address_change_window=60.0))
@@ -256,10 +268,10 @@
         assert not watched.failed.is_set()
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_version_that_goes_back_is_followed_from_where_it_is() -> None:
+def test_a_list_version_that_goes_back_is_followed_from_where_it_is() -> None:
     async def test() -> None:
         server = Scripted(tells(2, snapshot=True), tells(1))
         watched = Watched(QUICK, version=900)
@@ -269,7 +281,7 @@
             assert (await server.next())[1].startswith(f"/v1/servers?from={version}&")
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
 class Agent(SilentDiscovery):
@@ -291,67 +303,69 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 target = (await read_message(reader))[0].split(" ")[1]
-                self.asked.put_nowait(target)
+                self.polls.put_nowait(target)
                 at = int(target.partition("from=")[2].partition("&")[0] or -1)  # without one: at once
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(int(target.partition("hold_ms=")[2] or 0) / 1000), self.news:
                         while self.version <= at:
                             await self.news.wait()
                 if not self.down:
-                    told = listing(self.version, *self.entries, snapshot=self.whole)
+                    told = endpoint_list(self.version, *self.entries, snapshot=self.whole)
                     writer.write(response(200, json.dumps(told).encode()))
         writer.close()
 
     async def call(self) -> str:
-        async with asyncio.timeout(PATIENCE):
-            return await self.asked.get()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            return await self.polls.get()
 
 
-async def goes_to_the_other(node: Proxy, agent: Agent, leaves: Backend, stays: Backend) -> None:
+async def goes_to_the_other(
+    node: ProxyProcess, agent: Agent, leaves: EndpointServer, stays: EndpointServer
+) -> None:
     """Once the proxy asks from the agent's second version, it has the first's change."""
     while "from=2&" not in await agent.call():
         pass
-    caller = await node.caller()
+    caller = await node.connect()
     for number in range(20):
-        assert (await caller.call("stock", f"{number:016x}")).code == 200
-    assert (leaves.count, stays.count) == (0, 20)
+        assert (await caller.request("stock", f"{number:016x}")).status_code == 200
+    assert (leaves.received_count, stays.received_count) == (0, 20)
 
 
-def test_where_lists_are_pushed_a_new_process_asks_at_once_and_is_told_of_a_drain() -> None:
+def test_where_lists_are_pushed_a_new_process_polls_at_once_and_is_notified_of_a_drain() -> None:
     """Nothing asked an agent before: the module waits to be told where lists are pushed."""
 
     async def test() -> None:
         agent = Agent()
-        leaves = Backend()
-        stays = Backend()
+        leaves = EndpointServer()
+        stays = EndpointServer()
         await agent.start()
-        async with proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
+        async with running_proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
             assert "from=1&" in await agent.call()
-            await agent.tell(endpoint("s-1", leaves.address, "Terminating"))
+            await agent.tell(endpoint_entry("s-1", leaves.address, "Terminating"))
             await goes_to_the_other(node, agent, leaves, stays)
 
-    run(test())
+    run_async(test())
 
 
-def test_an_agent_that_was_down_is_heard_at_its_return_though_a_call_of_before_stays_silent() -> None:
+def test_an_agent_that_was_down_is_followed_at_its_return_though_an_earlier_poll_stays_silent() -> None:
     async def test() -> None:
         agent = Agent()
-        leaves = Backend()
-        stays = Backend()
+        leaves = EndpointServer()
+        stays = EndpointServer()
         await agent.start()
-        async with proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
+        async with running_proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
             await agent.call()
             agent.down = True
-            await agent.tell(endpoint("s-1", leaves.address, "Gone"))
+            await agent.tell(endpoint_entry("s-1", leaves.address, "Gone"))
             for _ in range(5):
                 assert "from=1&" in await agent.call()
             agent.down = False
             await goes_to_the_other(node, agent, leaves, stays)
 
-    run(test())
+    run_async(test())
 
 
-def test_an_agent_that_was_silent_is_heard_within_the_grace_of_its_return() -> None:
+def test_an_agent_that_was_silent_is_followed_within_the_drain_grace_of_its_return() -> None:
     async def test() -> None:
         pace = poll_schedule(False, 2.0)
         server = Scripted()
@@ -367,10 +381,10 @@
         assert time.monotonic() - begun < 2.0
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_pushed_list_goes_on_after_failures_of_any_kind_and_the_module_is_not_needed() -> None:
+def test_a_pushed_list_goes_on_after_failures_of_any_kind_without_the_policy() -> None:
     async def test() -> None:
         pace = replace(
             poll_schedule(False, 2.0),
@@ -386,10 +400,10 @@
         assert (await watched.list()).version == 4
         discovery.stop()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_connection_to_discovery_that_never_comes_up_is_given_up_within_its_part_of_the_budget() -> None:
+def test_a_connection_to_discovery_that_never_comes_up_is_given_up_within_its_timeout() -> None:
     """Its backlog is full, so that the kernel answers no connect at all."""
 
     async def test() -> None:
@@ -410,28 +424,30 @@
         discovery.stop()
         full.close()
 
-    run(test())
+    run_async(test())
 
 
-def test_sighup_under_a_silent_watch_leaves_the_old_address_unheard() -> None:
+def test_after_sighup_under_a_silent_watch_the_old_address_is_ignored() -> None:
     async def test() -> None:
         old = await SilentDiscovery().start()
         new = Agent()
-        leaves = Backend()
-        stays = Backend()
+        leaves = EndpointServer()
+        stays = EndpointServer()
         await new.start()
-        async with proxy({"s-1": leaves, "s-2": stays}, old) as node:
-            async with asyncio.timeout(PATIENCE):
-                assert "from=1&" in await old.asked.get()  # and it says nothing
-            new.version, new.entries = 7, [endpoint("s-2", stays.address)]
+        async with running_proxy({"s-1": leaves, "s-2": stays}, old) as node:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                assert "from=1&" in await old.polls.get()  # and it says nothing
+            new.version, new.entries = 7, [endpoint_entry("s-2", stays.address)]
             new.whole = True
             node.reload(discovery=new.address)
             while "from=7&" not in await new.call():
                 pass
-            old.put(9, endpoint("s-1", leaves.address), snapshot=True)  # too late: it is heard no more
-            caller = await node.caller()
+            old.publish(
+                9, endpoint_entry("s-1", leaves.address), snapshot=True
+            )  # too late: it is heard no more
+            caller = await node.connect()
             for number in range(20):
-                assert (await caller.call("stock", f"{number:016x}")).code == 200
-            assert (leaves.count, stays.count) == (0, 20)
+                assert (await caller.request("stock", f"{number:016x}")).status_code == 200
+            assert (leaves.received_count, stays.received_count) == (0, 20)
 
-    run(test())
+    run_async(test())
--- a/tests/test_callers.py
+++ b/tests/net/test_downstream_clients.py
@@ -10,7 +10,17 @@
 from typing import Any
 
 import pytest
-from netkit import PATIENCE, Backend, Caller, Proxy, Seen, next_call, proxy, run, serve_ok
+from net_harness import (
+    TEST_TIMEOUT_S,
+    Client,
+    EndpointServer,
+    ProxyProcess,
+    ReceivedRequest,
+    next_request,
+    respond_ok,
+    run_async,
+    running_proxy,
+)
 
 from harness.clients import CLASS_SETTINGS
 from service_proxy.log_setup import MAX_LOG_RECORDS, LogRateLimit
@@ -22,18 +32,18 @@
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
-async def told(caller: Caller) -> int:
+async def told(caller: Client) -> int:
     """The code of the one answer, 0 for none; waits until the connection has ended behind it."""
     code = 0
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-        code = (await caller.answer()).code
-    async with asyncio.timeout(PATIENCE):
+        code = (await caller.response()).status_code
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         with contextlib.suppress(ConnectionError):
             assert await caller.reader.read() == b""
     return code
 
 
-async def write_for_ever(caller: Caller, data: bytes, pause: float = 0.0005) -> None:
+async def write_for_ever(caller: Client, data: bytes, pause: float = 0.0005) -> None:
     with contextlib.suppress(ConnectionError):
         while True:
             caller.writer.write(data)
@@ -41,8 +51,8 @@
             await asyncio.sleep(pause)
 
 
-async def fine(node: Proxy) -> bool:
-    return (await (await node.caller()).call("stock", "2" * 16)).code == 200
+async def fine(node: ProxyProcess) -> bool:
+    return (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
 
 
 ENDLESS = {
@@ -59,45 +69,45 @@
     """At full speed, so by the bytes and before the time is up."""
 
     async def test() -> None:
-        async with proxy({"s-1": Backend()}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": EndpointServer()}) as node:
+            caller = await node.connect()
             caller.writer.write(begin)
             writing = asyncio.create_task(write_for_ever(caller, more))
             begun = asyncio.get_running_loop().time()
-            assert (await caller.answer()).code == code
+            assert (await caller.response()).status_code == code
             assert asyncio.get_running_loop().time() - begun < 1.5
             writing.cancel()
             assert await fine(node)
 
-    run(test())
+    run_async(test())
 
 
-async def nothing(caller: Caller) -> None:
+async def nothing(caller: Client) -> None:
     return
 
 
-async def half(caller: Caller) -> None:
+async def half(caller: Client) -> None:
     caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: 10\r\n\r\nhalf")
 
 
-async def drip(caller: Caller) -> None:
+async def drip(caller: Client) -> None:
     caller.writer.write(b"GET /stock" + HEAD + b"X-Slow: ")
     await write_for_ever(caller, b"a", 0.1)
 
 
-async def served_then_half(caller: Caller) -> None:
-    assert (await caller.call("stock", "3" * 16)).code == 200
+async def served_then_half(caller: Client) -> None:
+    assert (await caller.request("stock", "3" * 16)).status_code == 200
     await half(caller)
 
 
 @pytest.mark.parametrize(("act", "code"), [(nothing, 0), (half, 408), (drip, 408), (served_then_half, 408)])
-def test_a_caller_that_sends_no_whole_request_is_told_within_3_s(
-    act: Callable[[Caller], Awaitable[None]], code: int
+def test_a_client_that_sends_no_complete_request_gets_a_408_within_3_s(
+    act: Callable[[Client], Awaitable[None]], code: int
 ) -> None:
     async def test() -> None:
-        async with proxy({"s-1": Backend()}) as node:
+        async with running_proxy({"s-1": EndpointServer()}) as node:
             begun = asyncio.get_running_loop().time()
-            caller = await node.caller()
+            caller = await node.connect()
             acting = asyncio.ensure_future(act(caller))
             if act is served_then_half:
                 await acting
@@ -105,73 +115,73 @@
             assert 1.8 < asyncio.get_running_loop().time() - begun < 3.0
             acting.cancel()
 
-    run(test())
+    run_async(test())
 
 
 def test_a_request_that_is_being_served_is_never_closed_for_its_age() -> None:
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
-            await serve_ok(seen, writer)
+            await respond_ok(seen, writer)
 
-        backend = Backend(behave)
+        backend = EndpointServer(behave)
         grades = [{**grade, "objective": grade["deadline"]} for grade in CLASS_SETTINGS]
-        async with proxy({"s-1": backend}, grades=grades) as node:
-            old = await node.caller()
-            silent = await node.caller()
+        async with running_proxy({"s-1": backend}, grades=grades) as node:
+            old = await node.connect()
+            silent = await node.connect()
             old.send("canje", "a" * 16, budget="6000m")
-            await next_call(backend)
-            assert await silent.ended()  # the bound has passed
+            await next_request(backend)
+            assert await silent.is_closed()  # the bound has passed
             free.set()
-            assert (await old.answer()).code == 200
-            assert (await old.call("canje", "b" * 16)).code == 200
+            assert (await old.response()).status_code == 200
+            assert (await old.request("canje", "b" * 16)).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
-def test_a_crowd_of_silent_callers_leaves_room_and_descriptors() -> None:
+def test_a_crowd_of_silent_clients_leaves_room_and_descriptors() -> None:
     """Upstreams and discovery keep their reserve of 256 descriptors, and a caller that asks is served."""
 
     async def test() -> None:
-        async with proxy({"s-1": Backend()}, sockets=256) as node:
+        async with running_proxy({"s-1": EndpointServer()}, sockets=256) as node:
             most = 0
             crowd = [asyncio.open_connection(*node.address) for _ in range(400)]
             opened = await asyncio.gather(*crowd)
             for number in range(20):
-                caller = await node.caller()
+                caller = await node.connect()
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                    if (await caller.call("stock", f"{number:016x}")).code == 200:
+                    if (await caller.request("stock", f"{number:016x}")).status_code == 200:
                         break
                 most = max(most, len(os.listdir(f"/proc/{node.process.pid}/fd")))
                 await asyncio.sleep(0.05)  # a second at most
             else:
                 raise AssertionError("nobody was served")
             assert most <= 256 * 0.6  # the upstreams' two fifths are free
-            ends = [Caller(*pair).ended() for pair in opened]
+            ends = [Client(*pair).is_closed() for pair in opened]
             async with asyncio.timeout(3.0):
                 assert all(await asyncio.gather(*ends))
             assert node.process.returncode is None
 
-    run(test())
+    run_async(test())
 
 
-def test_60_mb_get_their_answer() -> None:
+def test_60_mb_get_their_response() -> None:
     async def test() -> None:
-        async with proxy({"s-1": Backend()}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": EndpointServer()}) as node:
+            caller = await node.connect()
             length = 60 << 20
             caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: %d\r\n\r\n" % length)
             writing = asyncio.create_task(write_for_ever(caller, bytes(1 << 20), 0.0))
-            assert (await caller.answer()).code == 413
+            assert (await caller.response()).status_code == 413
             async with asyncio.timeout(6.0):
                 with contextlib.suppress(ConnectionError):
                     await caller.reader.read()
             writing.cancel()
             assert await fine(node)
 
-    run(test())
+    run_async(test())
 
 
 SMUGGLED = {
@@ -192,71 +202,73 @@
 
 
 @pytest.mark.parametrize("rest", SMUGGLED.values(), ids=SMUGGLED)
-def test_nothing_hides_in_a_body(rest: bytes) -> None:
+def test_no_request_is_smuggled_in_a_body(rest: bytes) -> None:
     async def test() -> None:
-        backend = Backend()
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
+        backend = EndpointServer()
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
             caller.writer.write(b"POST /canje" + HEAD + rest)
             assert await told(caller) == 400
             assert await fine(node)
-        assert backend.count == 1  # the last one
+        assert backend.received_count == 1  # the last one
 
-    run(test())
+    run_async(test())
 
 
-def test_a_huge_length_is_refused_at_the_head() -> None:
+def test_a_huge_content_length_is_rejected_at_the_head() -> None:
     async def test() -> None:
-        async with proxy({"s-1": Backend()}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": EndpointServer()}) as node:
+            caller = await node.connect()
             caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: " + b"9" * 30 + b"\r\n\r\n")
             assert await told(caller) in (400, 413)
 
-    run(test())
+    run_async(test())
 
 
 def test_a_trailer_is_no_header() -> None:
     async def test() -> None:
-        backend = Backend()
-        async with proxy({"s-1": backend}) as node:
+        backend = EndpointServer()
+        async with running_proxy({"s-1": backend}) as node:
             body = b"2\r\nhi\r\n0\r\nIdempotency-Key: k\r\nX-T: 1\r\n\r\n"
             data = b"POST /canje" + HEAD + CHUNKED + b"\r\n" + body
-            assert (await (await node.caller()).raw(data)).code == 200
-            seen = await next_call(backend)
+            assert (await (await node.connect()).send_raw(data)).status_code == 200
+            seen = await next_request(backend)
         assert seen.body == b"hi" and not {"x-t", "idempotency-key", "transfer-encoding"} & set(seen.headers)
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("spoil", [b"X-Note: a\x01b\r\n", b"X-Note: a\x7fb\r\n", b"X-Note: a\x00b\r\n"])
-def test_what_a_backend_might_not_read_is_not_passed_on(spoil: bytes) -> None:
+def test_what_an_endpoint_might_not_read_is_not_forwarded(spoil: bytes) -> None:
     """A backend that can't read a request closes: for the proxy that would look like the backend's fault."""
 
     async def test() -> None:
-        backend = Backend()
-        async with proxy({"s-1": backend}) as node:
-            assert (await (await node.caller()).raw(b"GET /stock" + HEAD + spoil + b"\r\n")).code == 400
-        assert backend.count == 0
+        backend = EndpointServer()
+        async with running_proxy({"s-1": backend}) as node:
+            assert (
+                await (await node.connect()).send_raw(b"GET /stock" + HEAD + spoil + b"\r\n")
+            ).status_code == 400
+        assert backend.received_count == 0
 
-    run(test())
+    run_async(test())
 
 
-def test_no_call_is_held_beyond_the_deadline_of_its_class() -> None:
+def test_no_request_stays_open_beyond_the_deadline_of_its_class() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             return
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}) as node:
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}) as node:
             begun = asyncio.get_running_loop().time()
-            reply = await (await node.caller()).call("stock", "a" * 16, budget="999999999999m")
-            assert reply.code == 503
+            reply = await (await node.connect()).request("stock", "a" * 16, budget="999999999999m")
+            assert reply.status_code == 503
             assert asyncio.get_running_loop().time() - begun < 2.0
 
-    run(test())
+    run_async(test())
 
 
-def test_a_closed_connection_leaves_no_cycle_and_no_entry_behind() -> None:
+def test_a_closed_downstream_connection_leaves_no_cycle_and_no_entry_behind() -> None:
     async def test() -> None:
         class Handler:
             def start_request(self, request: Any, writer: Any) -> object:
@@ -267,22 +279,22 @@
 
         server = HttpServer({"stock": Idempotency.IDEMPOTENT}, Handler(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
-        assert (await caller.call("stock", "a" * 16)).code == 200
+        caller = Client(*await asyncio.open_connection("127.0.0.1", port))
+        assert (await caller.request("stock", "a" * 16)).status_code == 200
         connection: DownstreamConnection = next(iter(server.connections))
         assert connection.parser is not None and connection in server.idle
         caller.writer.close()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while server.connections:
                 await asyncio.sleep(0)
         assert connection.parser is None
         assert not (server.awaiting_request or server.idle or server.closing)
         server.stop_listening()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_flood_of_faults_is_no_flood_of_lines() -> None:
+def test_a_flood_of_malformed_requests_is_no_flood_of_log_lines() -> None:
     sparse = LogRateLimit()
     record = logging.LogRecord("x", logging.WARNING, "", 0, "fault %d", (1,), None)
     other = logging.LogRecord("x", logging.WARNING, "", 0, "other", (), None)
--- a/tests/test_ending.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -14,20 +14,20 @@
 
 import pytest
 import uvloop
-from netkit import (
-    PATIENCE,
+from net_harness import (
     SETTINGS,
-    Backend,
-    Caller,
-    Discovery,
-    Seen,
+    TEST_TIMEOUT_S,
+    Client,
+    DiscoveryServer,
+    EndpointServer,
+    ReceivedRequest,
     config,
-    get,
-    listing,
-    next_call,
-    proxy,
-    run,
-    start_program,
+    endpoint_list,
+    get_request,
+    next_request,
+    run_async,
+    running_proxy,
+    start_proxy,
 )
 
 from harness.proxy_process import free_port
@@ -39,7 +39,7 @@
 KILL = 3.0 + 0.7  # s after SIGTERM at which SIGKILL may come, where the longest deadline is 3 s or more
 
 
-async def hangs(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def hangs(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
@@ -51,31 +51,31 @@
     return made
 
 
-def test_what_was_open_at_sigterm_is_answered_before_the_kill_though_all_backends_hang() -> None:
+def test_what_was_open_at_sigterm_is_answered_before_the_kill_though_all_endpoints_hang() -> None:
     """Sent, waiting in the queue, and begun to come: only time ends them."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        backend = Backend(hangs)
-        async with proxy({"s-1": backend}, grades=grades()) as node:
-            callers = [await node.caller() for _ in range(12)]
+        backend = EndpointServer(hangs)
+        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+            callers = [await node.connect() for _ in range(12)]
             for number, caller in enumerate(callers):
                 cls = ("stock", "reserva", "canje")[number % 3]
                 caller.send(cls, f"{number:016x}", budget="9000m")
-            begins = await node.caller()
+            begins = await node.connect()
             begins.writer.write(b"GET /stock HTTP/1.1\r\nHost: x\r\n")
-            await next_call(backend)
+            await next_request(backend)
             begun = loop.time()
             node.terminate()
             node.terminate()  # a second one changes nothing
             for caller in callers:
-                assert (await caller.answer()).code in (502, 503, 504)
-            assert await node.code() == 0
+                assert (await caller.response()).status_code in (502, 503, 504)
+            assert await node.exit_code() == 0
             assert loop.time() - begun < KILL
             assert node.process.stderr is not None
             assert b"Traceback" not in await node.process.stderr.read()
 
-    run(test())
+    run_async(test())
 
 
 class Answering:
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("first", [True, False], ids=["a new connection", "a kept one"])
 @pytest.mark.parametrize("end", [make_room, close_idle, close_all, sweep])
-def test_what_lies_unread_is_answered_and_who_asks_nothing_is_closed(
+def test_an_unread_request_is_answered_and_an_idle_connection_is_closed(
     end: Callable[[HttpServer], None], first: bool
 ) -> None:
     """The request crosses the decision to close: its bytes are in the socket, and the loop has not read them
@@ -123,10 +123,10 @@
         for number in range(2):
             raws.append(socket.create_connection(("127.0.0.1", port)))
             raws[-1].setblocking(False)
-            callers.append(Caller(*await asyncio.open_connection(sock=raws[-1])))
+            callers.append(Client(*await asyncio.open_connection(sock=raws[-1])))
             if not first:
-                assert (await callers[-1].raw(get(str(number)))).code == 200
-        async with asyncio.timeout(PATIENCE):
+                assert (await callers[-1].send_raw(get_request(str(number)))).status_code == 200
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(server.awaiting_request if first else server.idle) < 2:
                 await asyncio.sleep(0)
         for connection in server.connections:
@@ -139,10 +139,10 @@
         assert asks.transport is not None
         peer = asks.transport.get_extra_info("peername")
         asking = next(place for place, raw in enumerate(raws) if raw.getsockname() == peer)
-        raws[asking].send(get("9"))  # and no turn of the loop between this and the next line
+        raws[asking].send(get_request("9"))  # and no turn of the loop between this and the next line
         end(server)
-        assert (await callers[asking].answer()).body == b"9".rjust(16, b"0")
-        assert await callers[1 - asking].ended()
+        assert (await callers[asking].response()).body == b"9".rjust(16, b"0")
+        assert await callers[1 - asking].is_closed()
         server.stop_listening()
         for caller in callers:
             caller.writer.close()
@@ -150,29 +150,29 @@
     uvloop.run(test())
 
 
-def test_what_comes_after_the_last_moment_is_refused_unsent() -> None:
+def test_what_comes_after_the_shutdown_deadline_is_rejected_unsent() -> None:
     """On a kept connection clients go on sending up to the SIGKILL."""
 
     async def test() -> None:
-        backend = Backend(hangs)
-        async with proxy({"s-1": backend}, grades=grades()) as node:
-            stuck = await node.caller()
-            late = await node.caller()
+        backend = EndpointServer(hangs)
+        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+            stuck = await node.connect()
+            late = await node.connect()
             stuck.send("canje", "a" * 16, budget="9000m")
-            await next_call(backend)
+            await next_request(backend)
             node.terminate()
-            assert (await stuck.answer()).code in (502, 504)
+            assert (await stuck.response()).status_code in (502, 504)
             late.send("canje", "b" * 16, budget="9000m")
-            if not await late.ended():  # answered rather than closed unread
+            if not await late.is_closed():  # answered rather than closed unread
                 assert b" 503 " in await late.reader.readline()
-            assert await node.code() == 0
-            assert backend.count == 1
+            assert await node.exit_code() == 0
+            assert backend.received_count == 1
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("ends", [True, False], ids=["its backend goes on", "its backend stands still"])
-def test_an_answer_that_comes_on_at_sigterm_goes_on_until_the_kill_and_is_whole_or_seen_not_to_be(
+def test_a_response_that_is_streamed_at_sigterm_goes_on_until_the_kill_and_is_complete_or_visibly_cut(
     ends: bool,
 ) -> None:
     async def test() -> None:
@@ -180,98 +180,98 @@
         rest = asyncio.Event()
         half = b"a" * 100_000
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half)
             await rest.wait()
             writer.write(half)
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}, grades=grades()) as node:
-            caller = await node.caller()
-            other = await node.caller()
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+            caller = await node.connect()
+            other = await node.connect()
             caller.send("canje", "a" * 16, budget="9000m")
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await caller.reader.readexactly(100_000)).startswith(b"HTTP/1.1 200 ")
             node.terminate()
             begun = loop.time()
-            answer = await other.raw(get("404").replace(b"/stock", b"/nosuch"))
-            assert answer.code == 404  # it still serves after the signal
+            answer = await other.send_raw(get_request("404").replace(b"/stock", b"/nosuch"))
+            assert answer.status_code == 404  # it still serves after the signal
             if ends:
                 rest.set()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 read = b""
                 with contextlib.suppress(ConnectionError):
                     read = await caller.reader.read(-1)
             assert (read.endswith(half)) == ends and len(read) < len(half) + 100 * (1 + ends)
-            assert await node.code() == 0
+            assert await node.exit_code() == 0
             assert loop.time() - begun < KILL
             rest.set()
 
-    run(test())
+    run_async(test())
 
 
-def test_answers_that_nobody_takes_do_not_keep_the_process_beyond_the_kill() -> None:
+def test_responses_that_nobody_reads_do_not_keep_the_process_beyond_the_kill() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n")
             with contextlib.suppress(ConnectionError):
                 for _ in range(300):
                     writer.write(b"a" * 100_000)
                     await writer.drain()
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}, grades=grades()) as node:
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}, grades=grades()) as node:
             raw = socket.create_connection(node.address)
-            raw.send(get("1").replace(b"/stock", b"/stock?"))
-            await next_call(backend)
+            raw.send(get_request("1").replace(b"/stock", b"/stock?"))
+            await next_request(backend)
             while not select.select([raw], [], [], 0)[0]:  # it has begun to come, and is not read
                 await asyncio.sleep(0)
             node.terminate()
             begun = loop.time()
-            assert await node.code() == 0
+            assert await node.exit_code() == 0
             assert loop.time() - begun < KILL
             raw.close()
 
-    run(test())
+    run_async(test())
 
 
 def test_what_waits_in_the_listen_backlog_as_the_listener_closes_is_accepted_and_answered() -> None:
     """After a stall timers come before sockets: the listener must not close on who came meanwhile."""
 
     async def test() -> None:
-        backend = Backend()
-        async with proxy({"s-1": backend}) as node:
-            assert (await (await node.caller()).call("stock", "1" * 16)).code == 200
+        backend = EndpointServer()
+        async with running_proxy({"s-1": backend}) as node:
+            assert (await (await node.connect()).request("stock", "1" * 16)).status_code == 200
             node.terminate()
-            assert (await (await node.caller()).call("stock", "2" * 16)).code == 200
+            assert (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
             node.process.send_signal(signal.SIGSTOP)
-            late = await node.caller()  # the kernel takes it, and its request
+            late = await node.connect()  # the kernel takes it, and its request
             late.send("stock", "3" * 16)
             await asyncio.sleep(LISTENER_GRACE_S)  # the stall itself
             node.process.send_signal(signal.SIGCONT)
-            assert (await late.answer()).code == 200
-            assert await node.code() == 0
+            assert (await late.response()).status_code == 200
+            assert await node.exit_code() == 0
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("when", ["at once", "while it has no list"])
 def test_sigterm_before_it_is_ready_ends_it_without_a_traceback(when: str, tmp_path: Path) -> None:
     async def test() -> None:
-        discovery = await Discovery().start()
-        raw = config(discovery.address, listing(1), f"127.0.0.1:{free_port()}")
-        process = await start_program(raw, str(tmp_path))
+        discovery = await DiscoveryServer().start()
+        raw = config(discovery.address, endpoint_list(1), f"127.0.0.1:{free_port()}")
+        process = await start_proxy(raw, str(tmp_path))
         assert process.stderr is not None
         if when != "at once":
-            async with asyncio.timeout(PATIENCE):
-                assert (await discovery.asked.get()).startswith("/v1/servers")
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                assert (await discovery.polls.get()).startswith("/v1/servers")
         process.terminate()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             code = await process.wait()
             assert b"Traceback" not in await process.stderr.read()
         # Before the loop runs nothing was taken, and the signal ends it in its own way.
         assert code == 0 or (when == "at once" and code == -signal.SIGTERM)
 
-    run(test())
+    run_async(test())
--- a/tests/test_message_rules.py
+++ b/tests/net/test_http_message_rules.py
@@ -9,7 +9,7 @@
 import asyncio
 import contextlib
 
-from netkit import PATIENCE, Backend, Caller, next_call, proxy, run
+from net_harness import TEST_TIMEOUT_S, Client, EndpointServer, next_request, run_async, running_proxy
 
 CALL = b"X-Call-Id: 0011223344556677\r\nX-Budget: 900m\r\n"
 HOST = b"Host: x\r\n"
@@ -120,56 +120,56 @@
 }
 
 
-async def codes(caller: Caller) -> list[int]:
+async def codes(caller: Client) -> list[int]:
     """Of all answers that come before the connection ends."""
     found = []
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         while True:
-            found.append((await caller.answer()).code)
+            found.append((await caller.response()).status_code)
     return found
 
 
-def test_what_the_rfcs_refuse_is_refused_and_reaches_no_backend() -> None:
+def test_what_the_rfcs_reject_is_rejected_and_reaches_no_endpoint() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = EndpointServer()
         wrong = []
-        async with proxy({"s-1": backend}) as node:
+        async with running_proxy({"s-1": backend}) as node:
             for name, (section, code, data) in REFUSED.items():
-                caller = await node.caller()
+                caller = await node.connect()
                 caller.writer.write(data)
                 caller.writer.write_eof()
                 found = await codes(caller)
-                if found != [code] or backend.count:
-                    wrong.append((name, section, code, found, backend.count))
-                    backend.count = 0
+                if found != [code] or backend.received_count:
+                    wrong.append((name, section, code, found, backend.received_count))
+                    backend.received_count = 0
             assert not wrong, wrong
-            assert (await (await node.caller()).call("stock", "2" * 16)).code == 200
+            assert (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
 def test_what_the_rfcs_allow_is_served() -> None:
     async def test() -> None:
-        backend = Backend()
-        async with proxy({"s-1": backend}) as node:
+        backend = EndpointServer()
+        async with running_proxy({"s-1": backend}) as node:
             for name, (_, data) in TAKEN.items():
-                answer = await (await node.caller()).raw(data)
-                assert answer.code == 200, name
-        assert backend.count == len(TAKEN)
+                answer = await (await node.connect()).send_raw(data)
+                assert answer.status_code == 200, name
+        assert backend.received_count == len(TAKEN)
 
-    run(test())
+    run_async(test())
 
 
 def test_fields_that_connection_names_end_at_this_hop() -> None:
     """RFC 9110, 7.6.1: also where the name comes among others and in other letters."""
 
     async def test() -> None:
-        backend = Backend()
-        async with proxy({"s-1": backend}) as node:
+        backend = EndpointServer()
+        async with running_proxy({"s-1": backend}) as node:
             fields = b"Connection: keep-alive, X-HOP\r\nX-Hop: 1\r\nX-Stay: 2\r\n"
-            async with asyncio.timeout(PATIENCE):
-                assert (await (await node.caller()).raw(get(GET, HOST + fields))).code == 200
-            seen = await next_call(backend)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                assert (await (await node.connect()).send_raw(get(GET, HOST + fields))).status_code == 200
+            seen = await next_request(backend)
         assert "x-hop" not in seen.headers and seen.headers["x-stay"] == "2"
 
-    run(test())
+    run_async(test())
--- a/tests/test_long.py
+++ b/tests/net/test_streaming.py
@@ -10,7 +10,18 @@
 from pathlib import Path
 
 import pytest
-from netkit import PATIENCE, Backend, Caller, Proxy, Seen, proxy, read_message, resets_on_close, response, run
+from net_harness import (
+    TEST_TIMEOUT_S,
+    Client,
+    EndpointServer,
+    ProxyProcess,
+    ReceivedRequest,
+    read_message,
+    reset_on_close,
+    response,
+    run_async,
+    running_proxy,
+)
 
 from service_proxy.net.request_body import STREAM_WINDOW_BYTES, RequestBody
 from service_proxy.net.upstream.connection import BUFFERING_TIMEOUT_S
@@ -21,7 +32,7 @@
 MOST_GROWTH = 12.0  # MB of memory beside a message of 32; a quarter of what holding it would take
 
 
-def memory(node: Proxy) -> float:
+def memory(node: ProxyProcess) -> float:
     """MB (proc(5), VmRSS)."""
     status = Path(f"/proc/{node.process.pid}/status").read_text()
     return int(status.partition("VmRSS:")[2].split()[0]) / 1024
@@ -37,14 +48,14 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-async def head_of(caller: Caller) -> tuple[int, dict[str, str]]:
+async def head_of(caller: Client) -> tuple[int, dict[str, str]]:
     lines = (await caller.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
     return int(lines[0].split(" ")[1]), headers
 
 
 async def rest_of(
-    caller: Caller, headers: dict[str, str], each: Callable[[], Awaitable[None]]
+    caller: Client, headers: dict[str, str], each: Callable[[], Awaitable[None]]
 ) -> tuple[str, int]:
     """Digest and length of a body that is read to its end; raises IncompleteReadError where it is cut off."""
     digest = hashlib.sha256()
@@ -80,10 +91,10 @@
 ENDS = b"Connection: close\r\n\r\n"
 
 
-def answers(way: bytes, pieces: int = LONG // len(PIECE), ends: bool = True) -> Backend:
+def answers(way: bytes, pieces: int = LONG // len(PIECE), ends: bool = True) -> EndpointServer:
     """A backend that writes a long answer this way, and breaks it off or not."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
             writer.write(OK + way)
             for _ in range(pieces):
@@ -95,14 +106,14 @@
                 await writer.drain()
                 writer.close()
 
-    return Backend(behave)
+    return EndpointServer(behave)
 
 
 @pytest.mark.parametrize("way", [LENGTH, CODED, ENDS], ids=["length", "chunks", "until its end"])
-def test_a_long_answer_comes_whole_and_is_never_held(way: bytes) -> None:
+def test_a_long_response_arrives_complete_and_is_never_buffered(way: bytes) -> None:
     async def test() -> None:
-        async with proxy({"s-1": answers(way)}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": answers(way)}) as node:
+            caller = await node.connect()
             before = memory(node)
             most = 0.0
 
@@ -117,47 +128,47 @@
             assert await rest_of(caller, headers, look) == (EXPECTED, LONG)
             assert most - before < MOST_GROWTH
 
-    run(test())
+    run_async(test())
 
 
-def test_a_caller_that_knows_no_chunks_gets_a_long_answer_that_ends_with_its_connection() -> None:
+def test_an_http_1_0_client_gets_a_long_response_that_ends_with_its_connection() -> None:
     async def test() -> None:
-        async with proxy({"s-1": answers(CODED)}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": answers(CODED)}) as node:
+            caller = await node.connect()
             caller.writer.write(b"GET /stock HTTP/1.0\r\nX-Call-Id: a\r\nX-Budget: 1000m\r\n\r\n")
             code, headers = await head_of(caller)
             assert code == 200 and "transfer-encoding" not in headers and "content-length" not in headers
             assert await rest_of(caller, headers, at_once) == (EXPECTED, LONG)
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("way", [LENGTH, CODED], ids=["length", "chunks"])
-def test_a_long_answer_that_is_broken_off_ends_so_that_its_caller_can_tell(way: bytes) -> None:
+def test_a_long_response_that_is_cut_off_ends_so_that_its_client_can_tell(way: bytes) -> None:
     """And a second attempt is none of the proxy's business any more."""
 
     async def test() -> None:
         backend = answers(way, pieces=4, ends=False)
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
             caller.send("stock", "a" * 16)
             code, headers = await head_of(caller)
             assert code == 200
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await rest_of(caller, headers, at_once)
-            assert backend.count == 1
-            assert (await (await node.caller()).call("nosuch", "b" * 16)).code == 404
+            assert backend.received_count == 1
+            assert (await (await node.connect()).request("nosuch", "b" * 16)).status_code == 404
 
-    run(test())
+    run_async(test())
 
 
-def test_an_answer_that_grew_long_while_it_was_held_back_does_not_pass_on_the_next_one() -> None:
+def test_a_response_that_outgrew_the_buffer_does_not_stream_the_next_one() -> None:
     """Found on zone+brink: the timer of what is held back went on when the answer was passed on for its size,
     and then made a 200 of whatever the next call on that connection was answered with, or of nothing."""
 
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if backend.count > 1:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if backend.received_count > 1:
                 await asyncio.sleep(2 * BUFFERING_TIMEOUT_S)  # until the timer would have fired
                 writer.write(response(500, b"a fault"))
                 return
@@ -167,16 +178,16 @@
                 await asyncio.sleep(0)
             writer.write(chunk(PIECE) + chunk(PIECE) + chunk(b""))
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
             caller.send("canje", "a" * 16)
             code, headers = await head_of(caller)
             assert code == 200 and (await rest_of(caller, headers, at_once))[1] == 1000 + 2 * len(PIECE)
-            answer = await caller.call("canje", "b" * 16)
-            assert (answer.code, backend.count, backend.connections) == (502, 2, 1)
+            answer = await caller.request("canje", "b" * 16)
+            assert (answer.status_code, backend.received_count, backend.connections_accepted) == (502, 2, 1)
 
-    run(test())
+    run_async(test())
 
 
 def unread(here: int, there: int) -> int | None:
@@ -189,13 +200,13 @@
 
 
 @pytest.mark.parametrize("length", [1000, 30_000])
-def test_a_reset_that_came_while_the_process_stood_still_leaves_nothing_passed_on(length: int) -> None:
+def test_a_reset_that_came_while_the_process_was_stalled_leaves_nothing_streamed(length: int) -> None:
     """An answer of unknown length is held back for a while, so that one that is reset on the way is an
     attempt that failed. After a stall that while is over before the reset is read."""
 
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if backend.count > 1:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if backend.received_count > 1:
                 writer.write(response(200, b"whole"))
                 return
             raw = writer.get_extra_info("socket")
@@ -205,59 +216,59 @@
                 await asyncio.sleep(0)
             node.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(2 * BUFFERING_TIMEOUT_S)  # the stall itself
-            resets_on_close(raw)
+            reset_on_close(raw)
             writer.transport.abort()
             while unread(*ports) is not None:
                 await asyncio.sleep(0)
             node.process.send_signal(signal.SIGCONT)
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
-            answer = await caller.call("stock", "a" * 16)
-            assert (answer.code, answer.body) == (200, b"whole")
-            assert backend.count == 2
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
+            answer = await caller.request("stock", "a" * 16)
+            assert (answer.status_code, answer.body) == (200, b"whole")
+            assert backend.received_count == 2
 
-    run(test())
+    run_async(test())
 
 
-def test_a_caller_that_leaves_in_the_middle_ends_the_answer_at_its_backend() -> None:
+def test_a_client_that_disconnects_in_mid_response_ends_it_at_its_endpoint() -> None:
     async def test() -> None:
         backend = answers(LENGTH)
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
             caller.send("stock", "a" * 16)
             assert (await head_of(caller))[0] == 200
             caller.writer.transport.abort()
-            async with asyncio.timeout(PATIENCE):
-                await backend.closed.get()
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await backend.closed_connections.get()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_long_answer_that_is_no_200_settles_its_attempt_by_its_head() -> None:
+def test_a_long_response_that_is_no_200_ends_its_attempt_by_its_head() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if first.count == 1:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if first.received_count == 1:
                 writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: %d\r\n\r\n" % LONG)
             else:
                 writer.write(response(200, b"done"))
 
-        first = Backend(behave)
-        async with proxy({"s-1": first}) as node:
-            answer = await (await node.caller()).call("canje", "a" * 16, budget="3000m")
-            assert (answer.code, answer.body, first.count) == (200, b"done", 2)
+        first = EndpointServer(behave)
+        async with running_proxy({"s-1": first}) as node:
+            answer = await (await node.connect()).request("canje", "a" * 16, budget="3000m")
+            assert (answer.status_code, answer.body, first.received_count) == (200, b"done", 2)
 
-    run(test())
+    run_async(test())
 
 
-def test_callers_that_read_nothing_cost_what_they_are_accounted_with() -> None:
+def test_clients_that_read_nothing_cost_the_memory_they_are_accounted_with() -> None:
     """40 of them before answers of 32 MB: together a tenth of one, beyond what the kernel holds."""
 
     async def test() -> None:
-        async with proxy({"s-1": answers(LENGTH)}) as node:
+        async with running_proxy({"s-1": answers(LENGTH)}) as node:
             before = memory(node)
-            callers = [await node.caller() for _ in range(40)]
+            callers = [await node.connect() for _ in range(40)]
             heads = 0
             for n, caller in enumerate(callers):
                 caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -269,16 +280,16 @@
                 heads += (await head_of(caller))[0] == 200
             assert heads > 0  # the rest may have been refused: it is a crowd for one server
 
-    run(test())
+    run_async(test())
 
 
-def sink(seen: list[tuple[str, int]]) -> Backend:
+def sink(seen: list[tuple[str, int]]) -> EndpointServer:
     """A backend that reads bodies of any length and says what it got."""
 
-    async def behave(seen_: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen_: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, b"%d" % len(seen_.body)))
 
-    made = Backend(behave)
+    made = EndpointServer(behave)
 
     async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         made.writers.append(writer)
@@ -289,13 +300,13 @@
                 if lines[0].split(" ")[1] in ("/load", "/healthz"):
                     writer.write(response(200, b"inflight=0,queue=0"))
                     continue
-                taken = Caller(reader, writer)
-                made.count += 1
+                taken = Client(reader, writer)
+                made.received_count += 1
                 if "transfer-encoding" not in headers:
                     headers.setdefault("content-length", "0")
                 seen.append(await rest_of(taken, headers, at_once))
                 writer.write(response(200, b"%d" % seen[-1][1]))
-        made.closed.put_nowait(0)
+        made.closed_connections.put_nowait(0)
         writer.close()
 
     made._connection = connection  # type: ignore[method-assign]
@@ -303,11 +314,11 @@
 
 
 @pytest.mark.parametrize("coded", [False, True], ids=["length", "chunks"])
-def test_a_long_body_comes_whole_and_is_never_held(coded: bool) -> None:
+def test_a_long_request_body_arrives_complete_and_is_never_buffered(coded: bool) -> None:
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        async with proxy({"s-1": sink(got)}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": sink(got)}) as node:
+            caller = await node.connect()
             before = memory(node)
             most = 0.0
             caller.writer.write(post("a" * 16, None if coded else LONG))
@@ -317,37 +328,37 @@
                 most = max(most, memory(node))
             if coded:
                 caller.writer.write(b"0\r\nX-Trailer: y\r\n\r\n")
-            answer = await caller.answer()
-            assert (answer.code, answer.body) == (200, b"%d" % LONG)
+            answer = await caller.response()
+            assert (answer.status_code, answer.body) == (200, b"%d" % LONG)
             assert got == [(EXPECTED, LONG)]
             assert most - before < MOST_GROWTH
-            again = await caller.call("canje", "b" * 16, budget="6000m")
-            assert again.code == 200  # the connection is kept
+            again = await caller.request("canje", "b" * 16, budget="6000m")
+            assert again.status_code == 200  # the connection is kept
 
-    run(test())
+    run_async(test())
 
 
-def test_a_body_that_is_held_goes_to_a_second_backend_where_the_first_turned_it_away() -> None:
+def test_a_buffered_body_is_retried_on_a_second_endpoint_where_the_first_rejected_it() -> None:
     async def test() -> None:
         got: list[tuple[str, int]] = []
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response(503, b"", X_Rejected="1"))
 
-        full = Backend(behave)
+        full = EndpointServer(behave)
         taken = sink(got)
-        async with proxy({"s-1": full, "s-2": taken}) as node:
+        async with running_proxy({"s-1": full, "s-2": taken}) as node:
             data = PIECE * 32  # 2 MB
             for n in range(20):
-                answer = await (await node.caller()).call("canje", f"{n:016x}", budget="3000m", body=data)
-                assert answer.code == 200
-            assert full.count > 0 and len(got) == 20
+                answer = await (await node.connect()).request("canje", f"{n:016x}", budget="3000m", body=data)
+                assert answer.status_code == 200
+            assert full.received_count > 0 and len(got) == 20
             assert set(got) == {(hashlib.sha256(data).hexdigest(), len(data))}
 
-    run(test())
+    run_async(test())
 
 
-def test_a_body_that_was_passed_on_is_refused_where_its_backend_breaks_before_the_last_byte() -> None:
+def test_a_streamed_body_is_rejected_where_its_endpoint_breaks_before_the_last_byte() -> None:
     """It can't have run, and it is not there any more to be sent again."""
 
     async def test() -> None:
@@ -356,29 +367,29 @@
         async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while not (await reader.readuntil(b"\r\n\r\n")).startswith(b"POST"):
                 writer.write(response(200, b"inflight=0,queue=0"))
-            backend.count += 1
+            backend.received_count += 1
             await reader.readexactly(MB)
             begun.set()
             writer.transport.abort()
 
-        backend = Backend()
+        backend = EndpointServer()
         backend._connection = connection  # type: ignore[method-assign]
-        async with proxy({"s-1": backend, "s-2": backend}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": backend, "s-2": backend}) as node:
+            caller = await node.connect()
             caller.writer.write(post("a" * 16, LONG))
             with contextlib.suppress(ConnectionError):
                 for _ in range(8 * MB // len(PIECE)):
                     caller.writer.write(PIECE)
                     await caller.writer.drain()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await begun.wait()
-            assert (await caller.answer()).code == 503
-            assert backend.count == 1
+            assert (await caller.response()).status_code == 503
+            assert backend.received_count == 1
 
-    run(test())
+    run_async(test())
 
 
-def test_an_answer_before_the_body_has_come_whole_is_the_answer() -> None:
+def test_a_response_before_the_body_is_complete_is_the_response() -> None:
     async def test() -> None:
         async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while not (await reader.readuntil(b"\r\n\r\n")).startswith(b"POST"):
@@ -391,43 +402,47 @@
             closed.set()  # the proxy has ended it
 
         closed = asyncio.Event()
-        backend = Backend()
+        backend = EndpointServer()
         backend._connection = connection  # type: ignore[method-assign]
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
             caller.writer.write(post("a" * 16, LONG) + PIECE * (5 * MB // len(PIECE)))
-            answer = await caller.answer()
-            assert (answer.code, answer.body, answer.headers["connection"]) == (200, b"enough", "close")
-            async with asyncio.timeout(PATIENCE):
+            answer = await caller.response()
+            assert (answer.status_code, answer.body, answer.headers["connection"]) == (
+                200,
+                b"enough",
+                "close",
+            )
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await closed.wait()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_caller_that_leaves_in_the_middle_of_its_body_leaves_nothing_that_could_run() -> None:
+def test_a_client_that_disconnects_in_mid_body_leaves_nothing_that_could_be_executed() -> None:
     async def test() -> None:
         got: list[tuple[str, int]] = []
         backend = sink(got)
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
             caller.writer.write(post("a" * 16, LONG) + PIECE * (8 * MB // len(PIECE)))
-            async with asyncio.timeout(PATIENCE):
-                while not backend.count:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while not backend.received_count:
                     await asyncio.sleep(0.01)
                 caller.writer.transport.abort()
-                await backend.closed.get()
+                await backend.closed_connections.get()
             assert got == []
 
-    run(test())
+    run_async(test())
 
 
-def test_a_caller_that_sends_64_kb_a_second_after_a_slow_head_is_served() -> None:
+def test_a_client_that_sends_64_kb_a_second_after_a_slow_head_is_served() -> None:
     """Its head takes 1.5 s and its body 2: together more than either may."""
 
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        async with proxy({"s-1": sink(got)}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": sink(got)}) as node:
+            caller = await node.connect()
             head = post("a" * 16, 2 * len(PIECE))
             for place in range(0, len(head), 8):
                 caller.writer.write(head[place : place + 8])
@@ -435,33 +450,33 @@
             for _ in range(32):
                 caller.writer.write(PIECE[:4096])
                 await asyncio.sleep(2.0 / 32)
-            assert (await caller.answer()).code == 200
+            assert (await caller.response()).status_code == 200
             assert got[0][1] == 2 * len(PIECE)
 
-    run(test())
+    run_async(test())
 
 
-def test_white_space_behind_a_value_is_no_part_of_it() -> None:
+def test_white_space_behind_a_field_value_is_no_part_of_it() -> None:
     """RFC 9110, 5.5; on both sides."""
 
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(
                 OK + b"Transfer-Encoding: chunked  \r\n\r\n" + chunk(seen.headers["x-call-id"].encode())
             )
             writer.write(b"0\r\n\r\n")
 
-        async with proxy({"s-1": Backend(behave)}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": EndpointServer(behave)}) as node:
+            caller = await node.connect()
             head = b"POST /canje HTTP/1.1\r\nHost: x \r\nX-Call-Id: abc \t\r\nX-Budget: 900m \r\n"
             caller.writer.write(head + b"Transfer-Encoding: chunked \r\n\r\n0\r\n\r\n")
             line, _, body = await read_message(caller.reader)
             assert (line.split(" ")[1], body) == ("200", b"abc")
 
-    run(test())
+    run_async(test())
 
 
-def test_a_body_that_is_held_keeps_its_parts_and_one_that_is_passed_on_lets_them_go() -> None:
+def test_a_replayable_body_keeps_its_parts_and_a_streamed_one_lets_them_go() -> None:
     told: list[str] = []
 
     class Reader:
@@ -482,15 +497,15 @@
     assert body.length is None and RequestBody.of(b"abc").length == 3
 
 
-def test_the_time_of_a_body_that_was_passed_on_begins_with_its_last_byte() -> None:
+def test_the_deadline_of_a_streamed_body_begins_with_its_last_byte() -> None:
     """Its upload takes longer than its budget; a backend that then says nothing is given just that."""
 
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             """It has all of it, and says nothing."""
 
-        async with proxy({"s-1": Backend(behave)}) as node:
-            caller = await node.caller()
+        async with running_proxy({"s-1": EndpointServer(behave)}) as node:
+            caller = await node.connect()
             loop = asyncio.get_running_loop()
             length = 6 * MB
             caller.writer.write(post("a" * 16, length, budget="500m"))
@@ -499,7 +514,7 @@
                 await caller.writer.drain()
                 await asyncio.sleep(0.15)
             whole = loop.time()
-            assert (await caller.answer()).code in (502, 504)
+            assert (await caller.response()).status_code in (502, 504)
             assert 0.2 < loop.time() - whole < 1.0
 
-    run(test())
+    run_async(test())
--- a/tests/test_backends.py
+++ b/tests/net/test_upstream_responses.py
@@ -9,7 +9,7 @@
 
 import httptools
 import pytest
-from netkit import PATIENCE, Backend, Seen, proxy, response, run
+from net_harness import TEST_TIMEOUT_S, EndpointServer, ReceivedRequest, response, run_async, running_proxy
 
 from service_proxy.net import upstream as up
 from service_proxy.net.endpoint_list import Endpoint, EndpointList
@@ -42,30 +42,30 @@
 }
 
 
-async def failed_at_once(backend: Backend) -> None:
+async def failed_at_once(backend: EndpointServer) -> None:
     """The budget and the attempt's time are seconds: only the answer itself can end it this soon."""
-    async with proxy({"s-1": backend}) as node:
-        caller = await node.caller()
+    async with running_proxy({"s-1": backend}) as node:
+        caller = await node.connect()
         begun = asyncio.get_running_loop().time()
-        reply = await caller.call("canje", "a" * 16, budget="5000m")
-        assert reply.code == 502 and "retry-after" not in reply.headers
+        reply = await caller.request("canje", "a" * 16, budget="5000m")
+        assert reply.status_code == 502 and "retry-after" not in reply.headers
         assert asyncio.get_running_loop().time() - begun < 1.5
-        assert backend.count == 1
-        async with asyncio.timeout(PATIENCE):
-            await backend.closed.get()
+        assert backend.received_count == 1
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await backend.closed_connections.get()
 
 
 @pytest.mark.parametrize("spoilt", BAD.values(), ids=BAD)
-def test_a_spoilt_answer_ends_its_attempt_at_once(spoilt: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def test_an_invalid_response_ends_its_attempt_at_once(spoilt: bytes) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(spoilt)
 
-    run(failed_at_once(Backend(behave)))
+    run_async(failed_at_once(EndpointServer(behave)))
 
 
 @pytest.mark.parametrize(("begin", "more"), ENDLESS.values(), ids=ENDLESS)
-def test_an_answer_without_end_is_cut_off(begin: bytes, more: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+def test_a_response_without_end_is_cut_off(begin: bytes, more: bytes) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(begin)
         with contextlib.suppress(ConnectionError):
             while True:
@@ -73,7 +73,7 @@
                 await writer.drain()
                 await asyncio.sleep(0.001)
 
-    run(failed_at_once(Backend(behave)))
+    run_async(failed_at_once(EndpointServer(behave)))
 
 
 GOOD = {
@@ -92,37 +92,37 @@
 
 
 @pytest.mark.parametrize(("answer", "kept"), GOOD.values(), ids=GOOD)
-def test_a_good_answer_is_served_and_what_came_behind_it_is_not(answer: bytes, kept: bool) -> None:
+def test_a_valid_response_is_served_and_what_came_behind_it_is_not(answer: bytes, kept: bool) -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
 
-        backend = Backend(behave)
-        async with proxy({"s-1": backend}) as node:
-            caller = await node.caller()
-            reply = await caller.call("canje", "a" * 16)
-            assert (reply.code, reply.body) == (200, b"me")
+        backend = EndpointServer(behave)
+        async with running_proxy({"s-1": backend}) as node:
+            caller = await node.connect()
+            reply = await caller.request("canje", "a" * 16)
+            assert (reply.status_code, reply.body) == (200, b"me")
             assert not {"link", "x-t", "x-load-report"} & set(reply.headers)
             for number in range(3):
-                assert (await caller.call("canje", f"{number:016x}")).body == b"other"
-            numbers = [(await backend.calls.get()).connection for _ in range(4)]
+                assert (await caller.request("canje", f"{number:016x}")).body == b"other"
+            numbers = [(await backend.received.get()).connection for _ in range(4)]
             assert (numbers[0] == numbers[1]) == kept
 
-    run(test())
+    run_async(test())
 
 
-def test_an_answer_may_end_with_its_connection_if_it_says_so() -> None:
+def test_a_response_may_end_with_its_connection_if_it_says_so() -> None:
     async def test() -> None:
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Connection: close\r\n\r\nme")
             await writer.drain()
             writer.close()
 
-        async with proxy({"s-1": Backend(behave)}) as node:
-            reply = await (await node.caller()).call("canje", "a" * 16)
-            assert (reply.code, reply.body) == (200, b"me")
+        async with running_proxy({"s-1": EndpointServer(behave)}) as node:
+            reply = await (await node.connect()).request("canje", "a" * 16)
+            assert (reply.status_code, reply.body) == (200, b"me")
 
-    run(test())
+    run_async(test())
 
 
 def test_bytes_that_lie_unread_never_answer_the_next_request() -> None:
@@ -147,7 +147,7 @@
             request = b"GET /stock HTTP/1.1\r\n\r\n"
             owner.start_attempt(up.UpstreamAttempt(owner.pools[1], request, 5.0, lambda: True, done))
 
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             start()
             backend, _ = await loop.sock_accept(listener)
             await loop.sock_recv(backend, 1000)
@@ -160,10 +160,10 @@
         for each in (backend, second, listener):
             each.close()
 
-    run(test())
+    run_async(test())
 
 
-def test_a_closed_connection_leaves_no_cycle_behind() -> None:
+def test_a_closed_upstream_connection_leaves_no_cycle_behind() -> None:
     """A parser holds its connection: cut by hand, for the cycle collector seldom looks at what is old."""
 
     async def test() -> None:
@@ -182,59 +182,61 @@
         owner.start_attempt(
             up.UpstreamAttempt(owner.pools[1], b"GET / HTTP/1.1\r\n\r\n", 0.05, lambda: True, done)
         )
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             connection = await ended
             while connection.transport is not None:
                 await asyncio.sleep(0)
         assert connection.parser is None and not owner.pools[1].connections and owner.connection_count == 0
         listener.close()
 
-    run(test())
+    run_async(test())
 
 
-def test_one_reset_connection_does_not_take_a_live_backend_out() -> None:
+def test_one_reset_connection_does_not_eject_a_live_endpoint() -> None:
     """It has just answered others. Four calls at once go to both backends; were one left, to the other."""
 
     async def test() -> None:
         release = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"].startswith("dead"):
                 writer.transport.abort()
             if seen.headers["x-call-id"].startswith("hold"):
                 await release.wait()
             writer.write(response(200, b"done"))
 
-        backends = {"s-1": Backend(behave), "s-2": Backend(behave)}
-        async with proxy(backends) as node:
-            callers = [await node.caller() for _ in range(4)]
+        backends = {"s-1": EndpointServer(behave), "s-2": EndpointServer(behave)}
+        async with running_proxy(backends) as node:
+            callers = [await node.connect() for _ in range(4)]
             for number in range(6):
                 for place, caller in enumerate(callers):
                     caller.send("canje", f"{number:015x}{place}")
-                assert [(await caller.answer()).code for caller in callers] == [200] * 4
-            before = [backend.count for backend in backends.values()]
-            assert (await callers[0].call("canje", "dead" + "0" * 12)).code == 502
-            struck = next(b for b, count in zip(backends.values(), before, strict=True) if b.count > count)
-            count = struck.count
+                assert [(await caller.response()).status_code for caller in callers] == [200] * 4
+            before = [backend.received_count for backend in backends.values()]
+            assert (await callers[0].request("canje", "dead" + "0" * 12)).status_code == 502
+            struck = next(
+                b for b, count in zip(backends.values(), before, strict=True) if b.received_count > count
+            )
+            count = struck.received_count
             for number, caller in enumerate(callers):
                 caller.send("canje", f"hold{number:012x}", budget="5000m")
-            async with asyncio.timeout(PATIENCE):
-                while sum(backend.count for backend in backends.values()) < sum(before) + 5:
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while sum(backend.received_count for backend in backends.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
-            assert struck.count > count
+            assert struck.received_count > count
             release.set()
-            assert [(await caller.answer()).code for caller in callers] == [200] * 4
+            assert [(await caller.response()).status_code for caller in callers] == [200] * 4
 
-    run(test())
+    run_async(test())
 
 
-def test_a_class_that_one_backend_turns_away_goes_to_the_other() -> None:
+def test_a_class_that_one_endpoint_rejects_goes_to_the_other() -> None:
     """It serves the other classes and so looks idle; its refusals come at once here, or slowly elsewhere."""
 
     async def test() -> None:
         turned_away = 0
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             nonlocal turned_away
             if seen.target.startswith("/canje"):
                 turned_away += 1
@@ -242,15 +244,15 @@
             else:
                 writer.write(response(200, b"done"))
 
-        sound = Backend()
-        async with proxy({"s-1": Backend(behave), "s-2": sound}) as node:
-            caller = await node.caller()
+        sound = EndpointServer()
+        async with running_proxy({"s-1": EndpointServer(behave), "s-2": sound}) as node:
+            caller = await node.connect()
             for number in range(40):
-                assert (await caller.call("canje", f"c{number:015x}")).code == 200
-                assert (await caller.call("stock", f"s{number:015x}")).code == 200
+                assert (await caller.request("canje", f"c{number:015x}")).status_code == 200
+                assert (await caller.request("stock", f"s{number:015x}")).status_code == 200
         assert turned_away <= 6  # about half of 40 where each class is sent by load alone
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(
@@ -269,6 +271,6 @@
         "inflight=7;queue=1",
     ],
 )
-def test_a_load_report_that_cannot_be_is_none(text: str) -> None:
+def test_an_impossible_load_report_is_ignored(text: str) -> None:
     assert parse_load_report(text.encode()) is None
     assert parse_load_report(b"inflight=7,queue=2") == {"busy_reqs": 7.0, "pending": 2.0}
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from netkit import Backend, Caller, Seen, next_call, response, run, serve_ok
+from net_harness import Client, EndpointServer, ReceivedRequest, next_request, respond_ok, response, run_async
 from test_description import PLAIN
 
 from harness.event_loop import until
@@ -36,7 +36,7 @@
 
 
 class Side:
-    def __init__(self, inbound: Inbound, application: Backend) -> None:
+    def __init__(self, inbound: Inbound, application: EndpointServer) -> None:
         self.inbound = inbound
         self.application = application
 
@@ -44,13 +44,13 @@
     def state(self) -> State:
         return self.inbound.admission.state
 
-    async def caller(self) -> Caller:
+    async def caller(self) -> Client:
         host, _, port = self.inbound.sidecar.inbound.rpartition(":")
-        return Caller(*await asyncio.open_connection(host, int(port)))
+        return Client(*await asyncio.open_connection(host, int(port)))
 
     async def page(self, path: str) -> tuple[int, bytes]:
-        answer = await (await self.caller()).raw(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        return answer.code, answer.body
+        answer = await (await self.caller()).send_raw(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        return answer.status_code, answer.body
 
     async def becomes(self, state: State) -> None:
         await until(lambda: self.state is state, f"{state}, not {self.state}")
@@ -58,12 +58,12 @@
 
 @contextlib.asynccontextmanager
 async def side(
-    behave: Callable[[Seen, asyncio.StreamWriter], Awaitable[None]] = serve_ok,
-    application: Backend | None = None,
+    behave: Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]] = respond_ok,
+    application: EndpointServer | None = None,
     started: bool = True,
     **changes: Any,
 ) -> AsyncIterator[Side]:
-    application = application or Backend(behave)
+    application = application or EndpointServer(behave)
     if started:
         await application.start()
     else:
@@ -73,7 +73,7 @@
     await inbound.start()
     made = Side(inbound, application)
     try:
-        if started and application.healthy:
+        if started and application.health_answer:
             await made.becomes(State.UP)
         yield made
     finally:
@@ -86,19 +86,21 @@
     async def test() -> None:
         async with side() as made:
             caller = await made.caller()
-            answer = await caller.call("reserva", "1" * 16, "900m", b"pack", Cookie="sid=7", X_Caller="app")
-            assert answer.code == 200 and answer.body == b"done " + b"1" * 16
-            seen = await next_call(made.application)
+            answer = await caller.request(
+                "reserva", "1" * 16, "900m", b"pack", Cookie="sid=7", X_Caller="app"
+            )
+            assert answer.status_code == 200 and answer.body == b"done " + b"1" * 16
+            seen = await next_request(made.application)
             assert (seen.method, seen.target, seen.body) == ("POST", "/reserva?q=1", b"pack")
             assert seen.headers["idempotency-key"] == "k" + "1" * 16 and seen.headers["cookie"] == "sid=7"
             assert 500_000 < int(seen.headers["x-budget"].removesuffix("u")) < 900_000
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("code", [204, 304, 404, 409, 500, 503])
 def test_the_applications_own_answer_is_passed_on(code: int) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if code in (204, 304):
             writer.write(b"HTTP/1.1 %d X\r\nX-Own: 1\r\n\r\n" % code)
         else:
@@ -110,25 +112,25 @@
         async with side(behave) as made:
             caller = await made.caller()
             for number in range(2):  # the next answer on the connection is not spoilt by the first
-                answer = await caller.call("canje", f"{number:016x}")
-                assert (answer.code, answer.headers["x-own"]) == (code, "1")
+                answer = await caller.request("canje", f"{number:016x}")
+                assert (answer.status_code, answer.headers["x-own"]) == (code, "1")
                 assert answer.body == (b"" if code in (204, 304) else b"own")
                 assert "x-rejected" not in answer.headers and "x-load-report" not in answer.headers
                 assert ("content-length" in answer.headers) is (code not in (204, 304))
 
-    run(test())
+    run_async(test())
 
 
 def test_an_application_that_says_that_it_never_ran_a_call_is_believed() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(response(503, X_Rejected="1"))
 
     async def test() -> None:
         async with side(behave) as made:
-            answer = await (await made.caller()).call("canje", "1" * 16)
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1"
+            answer = await (await made.caller()).request("canje", "1" * 16)
+            assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
 
-    run(test())
+    run_async(test())
 
 
 def test_an_application_that_is_not_there_is_told_at_once_as_never_ran() -> None:
@@ -136,81 +138,85 @@
         async with side(started=False) as made:
             assert await made.page("/healthz") == (503, b"the application is starting\n")
             assert (await made.page("/load"))[0] == 503
-            answer = await (await made.caller()).call("canje", "1" * 16)
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1"
+            answer = await (await made.caller()).request("canje", "1" * 16)
+            assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
             assert float(answer.headers["retry-after"]) == 1.0
             await made.application.start()
             await made.becomes(State.UP)
             assert (await made.page("/healthz"))[0] == 200
-            assert (await (await made.caller()).call("canje", "2" * 16)).code == 200
+            assert (await (await made.caller()).request("canje", "2" * 16)).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
 def test_a_call_that_the_application_may_have_run_is_never_said_to_be_harmless() -> None:
     """The connection breaks after the request: 502, no X-Rejected; and it says so as soon as it is so."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def test() -> None:
         async with side(behave) as made:
-            answer = await (await made.caller()).call("canje", "1" * 16, "5000m")
+            answer = await (await made.caller()).request("canje", "1" * 16, "5000m")
             assert (
-                answer.code == 502
+                answer.status_code == 502
                 and "x-rejected" not in answer.headers
                 and "retry-after" not in answer.headers
             )
-            assert made.application.count == 1
+            assert made.application.received_count == 1
 
-    run(test())
+    run_async(test())
 
 
 def test_a_slow_application_costs_the_call_its_time_and_no_more() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
         async with side(behave) as made:
             begun = asyncio.get_running_loop().time()
-            answer = await (await made.caller()).call("canje", "1" * 16, "200m")
-            assert answer.code == 504 and "x-rejected" not in answer.headers
+            answer = await (await made.caller()).request("canje", "1" * 16, "200m")
+            assert answer.status_code == 504 and "x-rejected" not in answer.headers
             assert asyncio.get_running_loop().time() - begun < 1.0
             assert made.inbound.admission.out == 0 and not made.inbound.held
 
-    run(test())
+    run_async(test())
 
 
 def test_an_application_that_answers_no_probe_is_given_nothing_new() -> None:
     async def test() -> None:
         async with side() as made:
-            made.application.healthy = None
+            made.application.health_answer = None
             await made.becomes(State.SLOW)
             assert await made.page("/healthz") == (503, b"the application is slow\n")
-            answer = await (await made.caller()).call("canje", "1" * 16)
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1" and made.application.count == 0
-            made.application.healthy = True
+            answer = await (await made.caller()).request("canje", "1" * 16)
+            assert (
+                answer.status_code == 503
+                and answer.headers["x-rejected"] == "1"
+                and made.application.received_count == 0
+            )
+            made.application.health_answer = True
             await made.becomes(State.UP)
-            assert (await (await made.caller()).call("canje", "2" * 16)).code == 200
+            assert (await (await made.caller()).request("canje", "2" * 16)).status_code == 200
             assert (
                 made.inbound.admission.room(0.0) == made.inbound.sidecar.slots
             )  # the same process: not cold
 
-    run(test())
+    run_async(test())
 
 
 def test_an_application_that_says_it_is_not_ready_is_given_nothing_new() -> None:
     async def test() -> None:
         async with side() as made:
-            made.application.healthy = False
+            made.application.health_answer = False
             await made.becomes(State.UNREADY)
-            assert (await (await made.caller()).call("canje", "1" * 16)).code == 503
+            assert (await (await made.caller()).request("canje", "1" * 16)).status_code == 503
 
-    run(test())
+    run_async(test())
 
 
 def test_a_crash_fails_what_is_out_refuses_what_waits_and_warms_up_what_returns() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -219,35 +225,35 @@
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", "5000m")
                 await until(lambda n=number: len(made.inbound.held) == n + 1)  # type: ignore[misc]
-            await until(lambda: made.application.count == 2)
+            await until(lambda: made.application.received_count == 2)
             assert len(made.inbound.admission.queue) == 2
             begun = asyncio.get_running_loop().time()
             await made.application.stop()
             for writer in made.application.writers:
                 writer.transport.abort()
-            answers = [await caller.answer() for caller in callers]
+            answers = [await caller.response() for caller in callers]
             assert asyncio.get_running_loop().time() - begun < 2.5  # at once, not at the end of their 5 s
-            assert [answer.code for answer in answers[:2]] == [502, 502]  # they may have run
+            assert [answer.status_code for answer in answers[:2]] == [502, 502]  # they may have run
             assert all("x-rejected" not in answer.headers for answer in answers[:2])
             await made.becomes(State.DOWN)
             for answer in answers[2:]:
-                assert answer.code == 503 and answer.headers["x-rejected"] == "1"
-            made.application.behave = serve_ok
+                assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
+            made.application.respond = respond_ok
             await made.application.start()
             await made.becomes(State.UP)
             now = asyncio.get_running_loop().time()
             assert made.inbound.admission.room(now) == 1  # of 2, at 16%
-            assert (await (await made.caller()).call("canje", "f" * 16)).code == 200
+            assert (await (await made.caller()).request("canje", "f" * 16)).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
 def test_slots_bound_what_the_application_has_at_a_time_and_the_load_says_so() -> None:
     release = asyncio.Event()
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await serve_ok(seen, writer)
+        await respond_ok(seen, writer)
 
     async def test() -> None:
         async with side(behave, slots=2, waiting=1) as made:
@@ -255,43 +261,43 @@
             for number, caller in enumerate(callers[:3]):
                 caller.send("canje", f"{number:016x}", "5000m")
                 await until(lambda n=number: len(made.inbound.held) == n + 1)  # type: ignore[misc]
-            await until(lambda: made.application.count == 2)
+            await until(lambda: made.application.received_count == 2)
             assert await made.page("/load") == (200, b"inflight=3,queue=1\n")
-            refused = await callers[3].call("canje", "f" * 16, "5000m")
-            assert refused.code == 503 and refused.headers["x-rejected"] == "1"
+            refused = await callers[3].request("canje", "f" * 16, "5000m")
+            assert refused.status_code == 503 and refused.headers["x-rejected"] == "1"
             assert 0.05 <= float(refused.headers["retry-after"]) <= 1.0
             release.set()
-            assert [(await caller.answer()).code for caller in callers[:3]] == [200, 200, 200]
-            assert made.application.count == 3
+            assert [(await caller.response()).status_code for caller in callers[:3]] == [200, 200, 200]
+            assert made.application.received_count == 3
 
-    run(test())
+    run_async(test())
 
 
 def test_stock_takes_the_place_of_a_canje_that_waits() -> None:
     release = asyncio.Event()
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await serve_ok(seen, writer)
+        await respond_ok(seen, writer)
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=1) as made:
             out, waits, worthy = [await made.caller() for _ in range(3)]
             out.send("canje", "1" * 16, "5000m")
-            await until(lambda: made.application.count == 1)
+            await until(lambda: made.application.received_count == 1)
             waits.send("canje", "2" * 16, "5000m")
             await until(lambda: made.inbound.admission.queue)
             worthy.send("stock", "3" * 16, "5000m")
-            answer = await waits.answer()
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1"
+            answer = await waits.response()
+            assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
             release.set()
-            assert (await worthy.answer()).code == 200 and (await out.answer()).code == 200
+            assert (await worthy.response()).status_code == 200 and (await out.response()).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
 def test_what_waited_as_long_as_its_caller_would_was_never_begun() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -299,45 +305,45 @@
             out = await made.caller()
             waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
-            await until(lambda: made.application.count == 1)
-            answer = await waits.call("canje", "2" * 16, "150m")
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1"
-            assert made.application.count == 1 and list(made.inbound.held) == [b"1" * 16]
+            await until(lambda: made.application.received_count == 1)
+            answer = await waits.request("canje", "2" * 16, "150m")
+            assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
+            assert made.application.received_count == 1 and list(made.inbound.held) == [b"1" * 16]
 
-    run(test())
+    run_async(test())
 
 
 def test_what_was_passed_over_in_the_queue_is_still_answered_once() -> None:
     """Its time is up in the moment in which a slot gets free: it is not begun, and its timer refuses it."""
     release = asyncio.Event()
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await serve_ok(seen, writer)
+        await respond_ok(seen, writer)
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
             out = await made.caller()
             waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
-            await until(lambda: made.application.count == 1)
+            await until(lambda: made.application.received_count == 1)
             waits.send("canje", "2" * 16, "5000m")
             await until(lambda: made.inbound.admission.queue)
             made.inbound.admission.queue[0].due = 0.0
             release.set()
-            assert (await out.answer()).code == 200 and made.application.count == 1
+            assert (await out.response()).status_code == 200 and made.application.received_count == 1
             held = made.inbound.held[b"2" * 16]
             made.inbound._overdue(held)
-            answer = await waits.answer()
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1" and not made.inbound.held
+            answer = await waits.response()
+            assert answer.status_code == 503 and answer.headers["x-rejected"] == "1" and not made.inbound.held
 
-    run(test())
+    run_async(test())
 
 
 def test_a_caller_that_left_while_waiting_is_not_begun_and_one_that_left_later_ends_its_attempt() -> None:
     """Its slot stays taken for as long as such a call usually takes: an application need not look."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -346,7 +352,7 @@
             out = await made.caller()
             waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
-            await until(lambda: made.application.count == 1)
+            await until(lambda: made.application.received_count == 1)
             begun = time.monotonic()
             waits.send("canje", "2" * 16, "5000m")
             await until(lambda: made.inbound.admission.queue)
@@ -358,39 +364,43 @@
             upstream = made.inbound.application  # whose connections that are in use are gone
             await until(lambda: len(upstream.connections) <= len(upstream.idle))
             await until(lambda: made.inbound.admission.out == 0)
-            assert time.monotonic() - begun >= 0.5 and made.application.count == 1
+            assert time.monotonic() - begun >= 0.5 and made.application.received_count == 1
 
-    run(test())
+    run_async(test())
 
 
 def test_a_second_call_of_one_id_is_refused_as_never_ran_while_the_first_is_out() -> None:
     release = asyncio.Event()
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await serve_ok(seen, writer)
+        await respond_ok(seen, writer)
 
     async def test() -> None:
         async with side(behave) as made:
             first = await made.caller()
             second = await made.caller()
             first.send("canje", "1" * 16, "5000m")
-            await until(lambda: made.application.count == 1)
-            answer = await second.call("canje", "1" * 16, "5000m")
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1" and made.application.count == 1
+            await until(lambda: made.application.received_count == 1)
+            answer = await second.request("canje", "1" * 16, "5000m")
+            assert (
+                answer.status_code == 503
+                and answer.headers["x-rejected"] == "1"
+                and made.application.received_count == 1
+            )
             release.set()
-            assert (await first.answer()).code == 200
+            assert (await first.response()).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
 def test_a_class_that_the_tier_does_not_serve_is_refused() -> None:
     async def test() -> None:
         async with side() as made:
-            answer = await (await made.caller()).call("otro", "1" * 16)
-            assert answer.code == 404 and made.application.count == 0
+            answer = await (await made.caller()).request("otro", "1" * 16)
+            assert answer.status_code == 404 and made.application.received_count == 0
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(
@@ -403,59 +413,63 @@
     ],
 )
 def test_an_answer_that_is_cut_or_no_http_is_a_failure_that_may_have_run(answer: bytes) -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(answer)
         await writer.drain()
         writer.close()
 
     async def test() -> None:
         async with side(behave) as made:
-            told = await (await made.caller()).call("canje", "1" * 16)
-            assert told.code == 502 and "x-rejected" not in told.headers
+            told = await (await made.caller()).request("canje", "1" * 16)
+            assert told.status_code == 502 and "x-rejected" not in told.headers
 
-    run(test())
+    run_async(test())
 
 
 def test_a_drain_tells_by_its_health_serves_what_still_comes_and_then_nothing() -> None:
     async def test() -> None:
         async with side() as made:
             kept = await made.caller()
-            assert (await kept.call("canje", "1" * 16)).code == 200
+            assert (await kept.request("canje", "1" * 16)).status_code == 200
             made.inbound.drain(asyncio.get_running_loop().time() + 60.0)
             assert await made.page("/healthz") == (503, b"draining\n")
-            assert (await kept.call("canje", "2" * 16)).code == 200
+            assert (await kept.request("canje", "2" * 16)).status_code == 200
             made.inbound.close()
-            answer = await kept.call("canje", "3" * 16)
-            assert answer.code == 503 and answer.headers["x-rejected"] == "1" and made.application.count == 2
+            answer = await kept.request("canje", "3" * 16)
+            assert (
+                answer.status_code == 503
+                and answer.headers["x-rejected"] == "1"
+                and made.application.received_count == 2
+            )
             with pytest.raises(OSError):
                 await made.caller()
 
-    run(test())
+    run_async(test())
 
 
 def test_what_is_out_at_a_drain_is_answered_before_the_end() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
         async with side(behave) as made:
             caller = await made.caller()
             caller.send("canje", "1" * 16, "6000m")
-            await until(lambda: made.application.count == 1)
+            await until(lambda: made.application.received_count == 1)
             begun = asyncio.get_running_loop().time()
             made.inbound.drain(begun + 0.2)
-            assert (await caller.answer()).code == 504
+            assert (await caller.response()).status_code == 504
             assert asyncio.get_running_loop().time() - begun < 2.0
 
-    run(test())
+    run_async(test())
 
 
 def test_new_slots_are_in_force_at_once() -> None:
     release = asyncio.Event()
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await serve_ok(seen, writer)
+        await respond_ok(seen, writer)
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
@@ -464,11 +478,11 @@
                 caller.send("canje", f"{number:016x}", "5000m")
             await until(lambda: made.inbound.admission.queue)
             made.inbound.change(dataclasses.replace(made.inbound.sidecar, slots=2))
-            await until(lambda: made.application.count == 2)
+            await until(lambda: made.application.received_count == 2)
             release.set()
-            assert [(await caller.answer()).code for caller in callers] == [200, 200]
+            assert [(await caller.response()).status_code for caller in callers] == [200, 200]
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("another", [False, True])
@@ -476,7 +490,7 @@
     """The listener is there all the time, as with a supervisor that starts the next process at once. Where
     `another` connection stands, it was one connection's end."""
 
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if seen.target.startswith("/canje"):
             writer.transport.abort()
         else:
@@ -487,15 +501,15 @@
             if another:
                 other = await made.caller()
                 other.send("reserva", "2" * 16, "3900m")
-                await until(lambda: made.application.count == 1)
+                await until(lambda: made.application.received_count == 1)
             else:
                 made.inbound.application.close_idle()
-            assert (await (await made.caller()).call("canje", "1" * 16)).code == 502
+            assert (await (await made.caller()).request("canje", "1" * 16)).status_code == 502
             await until(lambda: made.state is State.UP and not made.inbound.probe_out)
             room = made.inbound.admission.room(asyncio.get_running_loop().time())
             assert room == (8 if another else 1)
 
-    run(test())
+    run_async(test())
 
 
 def test_an_application_that_closed_its_listener_stays_down_though_kept_connections_answer() -> None:
@@ -506,7 +520,7 @@
             callers = [await made.caller() for _ in range(2)]
             for caller in callers:  # two kept connections
                 caller.send("canje", f"{id(caller):016x}")
-            assert [(await caller.answer()).code for caller in callers] == [200, 200]
+            assert [(await caller.response()).status_code for caller in callers] == [200, 200]
             assert made.application.server is not None
             made.application.server.close()
             states = [made.inbound.admission.heard(Heard.REFUSED, time.monotonic())]
@@ -515,7 +529,7 @@
             states.append(made.state)
             assert states == [State.DOWN, State.DOWN]
 
-    run(test())
+    run_async(test())
 
 
 class Caught:
@@ -544,13 +558,13 @@
             assert held is not None and held.exchange is not None and not held.exchange.sent
             made.inbound.client_disconnected(held)
             await until(lambda: not made.inbound.held)
-            assert made.application.count == 0 and made.inbound.admission.out == 0
+            assert made.application.received_count == 0 and made.inbound.admission.out == 0
 
-    run(test())
+    run_async(test())
 
 
 def test_no_call_is_held_for_longer_than_its_class_or_the_end_of_the_process_allows() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -564,11 +578,11 @@
             await until(lambda: reply.codes == [504])
             assert time.monotonic() - begun < 2.0
 
-    run(test())
+    run_async(test())
 
 
 def test_who_waits_for_an_application_that_says_it_cant_is_refused_at_once() -> None:
-    async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
@@ -576,13 +590,13 @@
             out = await made.caller()
             waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
-            await until(lambda: made.application.count == 1)
+            await until(lambda: made.application.received_count == 1)
             begun = time.monotonic()
             waits.send("canje", "2" * 16, "5900m")
             await until(lambda: made.inbound.admission.queue)
-            made.application.healthy = False
-            answer = await waits.answer()
+            made.application.health_answer = False
+            answer = await waits.response()
             assert answer.body == b"the application is unready\n" and answer.headers["x-rejected"] == "1"
-            assert time.monotonic() - begun < 3.0 and made.application.count == 1
+            assert time.monotonic() - begun < 3.0 and made.application.received_count == 1
 
-    run(test())
+    run_async(test())
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -10,7 +10,17 @@
 from pathlib import Path
 
 import pytest
-from netkit import PATIENCE, Backend, Caller, Discovery, Seen, endpoint, next_call, run, serve_ok
+from net_harness import (
+    TEST_TIMEOUT_S,
+    Client,
+    DiscoveryServer,
+    EndpointServer,
+    ReceivedRequest,
+    endpoint_entry,
+    next_request,
+    respond_ok,
+    run_async,
+)
 from test_description import PLAIN, ROOT, put
 
 from harness.coordination import CoordinationService
@@ -41,20 +51,20 @@
         self.file = file
         self.log = log
 
-    async def caller(self, at: str) -> Caller:
+    async def caller(self, at: str) -> Client:
         host, _, port = at.rpartition(":")
-        return Caller(*await asyncio.open_connection(host, int(port)))
+        return Client(*await asyncio.open_connection(host, int(port)))
 
     async def health(self, at: str) -> int:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             caller = await self.caller(at)
-            answer = await caller.raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+            answer = await caller.send_raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             caller.writer.close()
-            return answer.code
+            return answer.status_code
         return 0
 
     async def healthy(self, at: str) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while await self.health(at) != 200:
                 await asyncio.sleep(0.02)
 
@@ -69,7 +79,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def code(self) -> int:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
 
@@ -94,14 +104,14 @@
 
 @contextlib.asynccontextmanager
 async def running(
-    folder: Path, application: Backend, nucleo: Backend, more: str = "", ready: bool = True
+    folder: Path, application: EndpointServer, nucleo: EndpointServer, more: str = "", ready: bool = True
 ) -> AsyncIterator[Running]:
     """The portal's sidecar of PLAIN beside this application, before one server of nucleo."""
     for backend in (application, nucleo):
         if not backend.address:
             await backend.start()
-    discovery = await Discovery().start()
-    discovery.put(1, endpoint("s-1", nucleo.address, zone="sala-a"), snapshot=True)
+    discovery = await DiscoveryServer().start()
+    discovery.publish(1, endpoint_entry("s-1", nucleo.address, zone="sala-a"), snapshot=True)
     ports = Ports(application.address, discovery.address)
     file = put(folder, text=ports.text().replace("[[sidecar]]", more + "[[sidecar]]", 1))
     process, log = await start(folder, file)
@@ -124,15 +134,19 @@
 
 def test_calls_come_in_to_the_application_and_go_out_to_the_next_tier(tmp_path: Path) -> None:
     async def test() -> None:
-        application = Backend()
-        nucleo = Backend()
+        application = EndpointServer()
+        nucleo = EndpointServer()
         async with running(tmp_path, application, nucleo) as made:
             inside = await made.caller(made.ports.inbound)
             outside = await made.caller(made.ports.outbound)
-            assert (await inside.call("stock", "1" * 16)).code == 200 and application.count == 1
-            assert (await outside.call("reserva", "2" * 16)).code == 200 and nucleo.count == 1
+            assert (
+                await inside.request("stock", "1" * 16)
+            ).status_code == 200 and application.received_count == 1
+            assert (
+                await outside.request("reserva", "2" * 16)
+            ).status_code == 200 and nucleo.received_count == 1
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(
@@ -153,7 +167,7 @@
         assert f"app.toml:{line}:" in log.read_text() and f"error[{code}]" in log.read_text()
         assert "running" not in log.read_text()
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(
@@ -169,12 +183,12 @@
         process, log = await start(tmp_path, put(tmp_path), *more)
         assert await process.wait() in (1, 2) and says in log.read_text()
 
-    run(test())
+    run_async(test())
 
 
 def test_a_port_that_is_taken_is_told_and_is_exit_1(tmp_path: Path) -> None:
     async def test() -> None:
-        taken = await Backend().start()
+        taken = await EndpointServer().start()
         ports = Ports("127.0.0.1:1", "127.0.0.1:2")
         ports.inbound = taken.address
         process, log = await start(tmp_path, put(tmp_path, text=ports.text()))
@@ -183,26 +197,26 @@
         assert "Traceback" not in log.read_text()
         await taken.stop()
 
-    run(test())
+    run_async(test())
 
 
 def test_its_health_is_that_of_the_application(tmp_path: Path) -> None:
     async def test() -> None:
-        application = Backend()
-        application.healthy = False
-        async with running(tmp_path, application, Backend(), ready=False) as made:
-            await application.probed.wait()
+        application = EndpointServer()
+        application.health_answer = False
+        async with running(tmp_path, application, EndpointServer(), ready=False) as made:
+            await application.health_checked.wait()
             assert await made.health(made.ports.inbound) == 503
-            application.healthy = True
+            application.health_answer = True
             await made.healthy(made.ports.inbound)
 
-    run(test())
+    run_async(test())
 
 
 def test_a_reload_that_check_refuses_changes_nothing_and_says_so_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
-        application = Backend()
-        async with running(tmp_path, application, Backend()) as made:
+        application = EndpointServer()
+        async with running(tmp_path, application, EndpointServer()) as made:
             good = made.file.read_text()
             for number, bad in enumerate(
                 (
@@ -216,47 +230,51 @@
                 assert line.startswith("ERROR service_proxy.sidecar: reload: ") and str(made.file) in line
             said = made.log.read_text()
             assert said.count("ERROR") == 3 and "R202" in said and "C002" in said
-            assert (await (await made.caller(made.ports.inbound)).call("canje", "1" * 16)).code == 200
-            assert (await (await made.caller(made.ports.outbound)).call("canje", "2" * 16)).code == 200
+            assert (
+                await (await made.caller(made.ports.inbound)).request("canje", "1" * 16)
+            ).status_code == 200
+            assert (
+                await (await made.caller(made.ports.outbound)).request("canje", "2" * 16)
+            ).status_code == 200
 
-    run(test())
+    run_async(test())
 
 
 def test_a_reload_takes_a_new_padron_and_slots_and_refuses_what_cant_change(tmp_path: Path) -> None:
     async def test() -> None:
         release = asyncio.Event()
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await release.wait()
-            await serve_ok(seen, writer)
+            await respond_ok(seen, writer)
 
-        application = Backend(behave)
-        two = await Backend().start()
-        padron = await Discovery().start()
-        padron.put(7, endpoint("s-2", two.address, zone="sala-a"), snapshot=True)
-        async with running(tmp_path, application, Backend()) as made:
+        application = EndpointServer(behave)
+        two = await EndpointServer().start()
+        padron = await DiscoveryServer().start()
+        padron.publish(7, endpoint_entry("s-2", two.address, zone="sala-a"), snapshot=True)
+        async with running(tmp_path, application, EndpointServer()) as made:
             good = made.file.read_text()
             made.hang_up(good.replace(made.ports.inbound, "127.0.0.1:1"))
             assert "sidecar.0.inbound can't change" in await made.said("S109")
             new = good.replace(f'padron = "{made.ports.padron}"', f'padron = "{padron.address}"')
             made.hang_up(new.replace('tier = "portal"\n', 'tier = "portal"\nslots = 1\nwaiting = 0\n'))
             await made.said("is in force")
-            async with asyncio.timeout(PATIENCE):
-                while "from=7" not in await padron.asked.get():
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while "from=7" not in await padron.polls.get():
                     pass
             outside = await made.caller(made.ports.outbound)
-            assert (await outside.call("canje", "1" * 16)).code == 200 and two.count == 1
+            assert (await outside.request("canje", "1" * 16)).status_code == 200 and two.received_count == 1
             first, second = [await made.caller(made.ports.inbound) for _ in range(2)]
             first.send("canje", "2" * 16, "5000m")
-            await next_call(application)
-            assert (await second.call("canje", "3" * 16)).headers["x-rejected"] == "1"
+            await next_request(application)
+            assert (await second.request("canje", "3" * 16)).headers["x-rejected"] == "1"
             release.set()
-            assert (await first.answer()).code == 200
+            assert (await first.response()).status_code == 200
         await two.stop()
         assert padron.server is not None
         padron.server.close()
 
-    run(test())
+    run_async(test())
 
 
 def test_at_sigterm_the_application_may_call_out_until_what_it_has_is_answered(tmp_path: Path) -> None:
@@ -266,40 +284,40 @@
         going = asyncio.Event()
         out: list[str] = []
 
-        async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await going.wait()
             host, _, port = out[0].rpartition(":")
-            caller = Caller(*await asyncio.open_connection(host, int(port)))
-            answer = await caller.call("canje", "f" * 16)
-            assert answer.code == 200
-            await serve_ok(seen, writer)
+            caller = Client(*await asyncio.open_connection(host, int(port)))
+            answer = await caller.request("canje", "f" * 16)
+            assert answer.status_code == 200
+            await respond_ok(seen, writer)
 
-        application = Backend(behave)
-        async with running(tmp_path, application, Backend()) as made:
+        application = EndpointServer(behave)
+        async with running(tmp_path, application, EndpointServer()) as made:
             out.append(made.ports.outbound)
             caller = await made.caller(made.ports.inbound)
             caller.send("canje", "1" * 16, "6000m")
-            await next_call(application)
+            await next_request(application)
             made.process.terminate()
-            async with asyncio.timeout(PATIENCE):  # until it takes nothing new: 2 s later
+            async with asyncio.timeout(TEST_TIMEOUT_S):  # until it takes nothing new: 2 s later
                 while await made.health(made.ports.inbound):
                     await asyncio.sleep(0.05)
             going.set()
-            assert (await caller.answer()).code == 200
-            assert await caller.ended() and await made.code() == 0
+            assert (await caller.response()).status_code == 200
+            assert await caller.is_closed() and await made.code() == 0
 
-    run(test())
+    run_async(test())
 
 
 def test_a_second_sigterm_and_a_hang_up_while_it_ends_change_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path, Backend(), Backend()) as made:
+        async with running(tmp_path, EndpointServer(), EndpointServer()) as made:
             made.process.terminate()
             made.process.send_signal(signal.SIGHUP)
             made.process.terminate()
             assert await made.code() == 0 and "Traceback" not in made.log.read_text()
 
-    run(test())
+    run_async(test())
 
 
 def test_its_node_is_registered_with_the_application_drains_with_it_and_begins_anew(tmp_path: Path) -> None:
@@ -308,10 +326,10 @@
     async def test() -> None:
         service = CoordinationService()
         ((host, port),) = await service.start()
-        application = Backend()
-        application.healthy = False
+        application = EndpointServer()
+        application.health_answer = False
         membership = f'[tier.portal.membership]\nservers = ["{host}:{port}"]\npath = "/salas/portal"\n\n'
-        async with running(tmp_path, application, Backend(), membership, ready=False) as made:
+        async with running(tmp_path, application, EndpointServer(), membership, ready=False) as made:
             made.process.kill()
             await made.process.wait()
             registration = (
@@ -328,14 +346,14 @@
                 node = service.tree.nodes.get(path)
                 return "" if node is None else "Terminating" if b"Terminating" in node.data else "Ready"
 
-            await application.probed.wait()
+            await application.health_checked.wait()
             assert status() == ""
-            application.healthy = True
+            application.health_answer = True
             await until(lambda: status() == "Ready", "registered")
             first = service.tree.nodes[path].data
-            application.healthy = False
+            application.health_answer = False
             await until(lambda: status() == "Terminating", "drains with its application")
-            application.healthy = True
+            application.health_answer = True
             await until(lambda: status() == "Ready", "registered again")
             assert service.tree.nodes[path].data != first  # a later start: its callers hold it for cold
             made.process.terminate()
@@ -344,4 +362,4 @@
             assert status() == ""
         await service.stop()
 
-    run(test())
+    run_async(test())
--- a/tests/websocket/test_upgrade.py
+++ b/tests/websocket/test_upgrade.py
@@ -6,7 +6,7 @@
 import contextlib
 
 import pytest
-from netkit import loads
+from net_harness import idle_proxy_loads
 from wskit import CONFIG, Raw, run, running
 
 from harness.event_loop import until
@@ -28,7 +28,7 @@
 
 
 def test_a_part_that_is_off_is_not_imported() -> None:
-    assert not loads("service_proxy.websocket", "wsproto", "h11")
+    assert not idle_proxy_loads("service_proxy.websocket", "wsproto", "h11")
 
 
 @pytest.mark.parametrize(
