--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -18,7 +18,7 @@
     TEST_TIMEOUT_S,
     DiscoveryServer,
     EndpointServer,
-    ProxyProcess,
+    ProxyUnderTest,
     Response,
     config,
     endpoint_entry,
@@ -37,7 +37,7 @@
 from service_proxy.admin.server import MAX_CONNECTIONS
 
 
-class ProxyWithAdmin(ProxyProcess):
+class ProxyWithAdmin(ProxyUnderTest):
     """A proxy with an admin server."""
 
     admin_address: tuple[str, int]
--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -198,7 +198,7 @@
             return True
 
 
-class ProxyProcess:
+class ProxyUnderTest:
     """The program itself, as a process."""
 
     def __init__(
@@ -287,9 +287,9 @@
 
 
 @contextlib.asynccontextmanager
-async def running_proxy(
+async def proxy_under_test(
     backends: dict[str, EndpointServer], discovery: DiscoveryServer | None = None, /, **changes: Any
-) -> AsyncIterator[ProxyProcess]:
+) -> AsyncIterator[ProxyUnderTest]:
     """A proxy before these backends, ready; ended by force if the test has not ended it."""
     own = discovery or await DiscoveryServer().start()
     for backend in backends.values():
@@ -303,7 +303,7 @@
         process = await start_proxy(raw, folder)
         try:
             await wait_until_ready((host, int(port)))
-            yield ProxyProcess(process, (host, int(port)), Path(folder) / "config.json", raw)
+            yield ProxyUnderTest(process, (host, int(port)), Path(folder) / "config.json", raw)
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -14,16 +14,16 @@
     SETTINGS,
     TEST_TIMEOUT_S,
     EndpointServer,
-    ProxyProcess,
+    ProxyUnderTest,
     ReceivedRequest,
     Unreachable,
     endpoint_entry,
     get_request,
     next_request,
+    proxy_under_test,
     reset_on_close,
     response,
     run_async,
-    running_proxy,
 )
 from net_harness import DiscoveryServer as Told
 
@@ -127,7 +127,7 @@
             writer.write(response(200, b"done"))
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             first = [await node.connect() for _ in range(12)]
             for number, caller in enumerate(first):
                 caller.send("canje", f"{number:016x}", budget="5000m")
@@ -157,11 +157,11 @@
 
 
 @contextlib.asynccontextmanager
-async def before(late: Unreachable) -> AsyncIterator[tuple[ProxyProcess, Told]]:
+async def before(late: Unreachable) -> AsyncIterator[tuple[ProxyUnderTest, Told]]:
     """A proxy whose list has nobody else, with time enough for a slow connect."""
     settings = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
     discovery = await Told().start()
-    async with running_proxy({"s-1": EndpointServer()}, discovery, policy_limits=settings) as node:
+    async with proxy_under_test({"s-1": EndpointServer()}, discovery, policy_limits=settings) as node:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await discovery.polls.get()
             discovery.publish(2, endpoint_entry("s-2", late.address), snapshot=True)
--- a/tests/net/test_configuration.py
+++ b/tests/net/test_configuration.py
@@ -22,10 +22,10 @@
     ReceivedRequest,
     config,
     endpoint_list,
+    proxy_under_test,
     read_message,
     response,
     run_async,
-    running_proxy,
 )
 
 from harness.clients import CLASS_SETTINGS
@@ -216,7 +216,7 @@
 
         backends = {f"s-{n}": EndpointServer(behave(f"s-{n}")) for n in range(4)}
         own = {key: settings[key] for key in ("discovery", "grades", "tenants", "policy_limits", "contract")}
-        async with running_proxy(backends, **own) as node:
+        async with proxy_under_test(backends, **own) as node:
             await asyncio.gather(*(lane(node, first) for first in range(6)))
         effects = {
             g["name"]: Idempotency(g["effect"], g["window"], everywhere(g)) for g in settings["grades"]
--- a/tests/net/test_discovery_polling.py
+++ b/tests/net/test_discovery_polling.py
@@ -14,14 +14,14 @@
 from net_harness import (
     TEST_TIMEOUT_S,
     EndpointServer,
-    ProxyProcess,
+    ProxyUnderTest,
     Unreachable,
     endpoint_entry,
     endpoint_list,
+    proxy_under_test,
     read_message,
     response,
     run_async,
-    running_proxy,
 )
 from net_harness import DiscoveryServer as SilentDiscovery
 
@@ -320,7 +320,7 @@
 
 
 async def goes_to_the_other(
-    node: ProxyProcess, agent: Agent, leaves: EndpointServer, stays: EndpointServer
+    node: ProxyUnderTest, agent: Agent, leaves: EndpointServer, stays: EndpointServer
 ) -> None:
     """Once the proxy asks from the agent's second version, it has the first's change."""
     while "from=2&" not in await agent.call():
@@ -339,7 +339,7 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await agent.start()
-        async with running_proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
             assert "from=1&" in await agent.call()
             await agent.tell(endpoint_entry("s-1", leaves.address, "Terminating"))
             await goes_to_the_other(node, agent, leaves, stays)
@@ -353,7 +353,7 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await agent.start()
-        async with running_proxy({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
             await agent.call()
             agent.down = True
             await agent.tell(endpoint_entry("s-1", leaves.address, "Gone"))
@@ -434,7 +434,7 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await new.start()
-        async with running_proxy({"s-1": leaves, "s-2": stays}, old) as node:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, old) as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=1&" in await old.polls.get()  # and it says nothing
             new.version, new.entries = 7, [endpoint_entry("s-2", stays.address)]
--- a/tests/net/test_downstream_clients.py
+++ b/tests/net/test_downstream_clients.py
@@ -14,12 +14,12 @@
     TEST_TIMEOUT_S,
     Client,
     EndpointServer,
-    ProxyProcess,
+    ProxyUnderTest,
     ReceivedRequest,
     next_request,
+    proxy_under_test,
     respond_ok,
     run_async,
-    running_proxy,
 )
 
 from harness.clients import CLASS_SETTINGS
@@ -51,7 +51,7 @@
             await asyncio.sleep(pause)
 
 
-async def fine(node: ProxyProcess) -> bool:
+async def fine(node: ProxyUnderTest) -> bool:
     return (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
 
 
@@ -69,7 +69,7 @@
     """At full speed, so by the bytes and before the time is up."""
 
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             caller = await node.connect()
             caller.writer.write(begin)
             writing = asyncio.create_task(write_for_ever(caller, more))
@@ -105,7 +105,7 @@
     act: Callable[[Client], Awaitable[None]], code: int
 ) -> None:
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             begun = asyncio.get_running_loop().time()
             caller = await node.connect()
             acting = asyncio.ensure_future(act(caller))
@@ -128,7 +128,7 @@
 
         backend = EndpointServer(behave)
         grades = [{**grade, "objective": grade["deadline"]} for grade in CLASS_SETTINGS]
-        async with running_proxy({"s-1": backend}, grades=grades) as node:
+        async with proxy_under_test({"s-1": backend}, grades=grades) as node:
             old = await node.connect()
             silent = await node.connect()
             old.send("canje", "a" * 16, budget="6000m")
@@ -145,7 +145,7 @@
     """Upstreams and discovery keep their reserve of 256 descriptors, and a caller that asks is served."""
 
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}, sockets=256) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}, sockets=256) as node:
             most = 0
             crowd = [asyncio.open_connection(*node.address) for _ in range(400)]
             opened = await asyncio.gather(*crowd)
@@ -169,7 +169,7 @@
 
 def test_60_mb_get_their_response() -> None:
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             caller = await node.connect()
             length = 60 << 20
             caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: %d\r\n\r\n" % length)
@@ -205,7 +205,7 @@
 def test_no_request_is_smuggled_in_a_body(rest: bytes) -> None:
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.writer.write(b"POST /canje" + HEAD + rest)
             assert await told(caller) == 400
@@ -217,7 +217,7 @@
 
 def test_a_huge_content_length_is_rejected_at_the_head() -> None:
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             caller = await node.connect()
             caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: " + b"9" * 30 + b"\r\n\r\n")
             assert await told(caller) in (400, 413)
@@ -228,7 +228,7 @@
 def test_a_trailer_is_no_header() -> None:
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             body = b"2\r\nhi\r\n0\r\nIdempotency-Key: k\r\nX-T: 1\r\n\r\n"
             data = b"POST /canje" + HEAD + CHUNKED + b"\r\n" + body
             assert (await (await node.connect()).send_raw(data)).status_code == 200
@@ -244,7 +244,7 @@
 
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             assert (
                 await (await node.connect()).send_raw(b"GET /stock" + HEAD + spoil + b"\r\n")
             ).status_code == 400
@@ -259,7 +259,7 @@
             return
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             begun = asyncio.get_running_loop().time()
             reply = await (await node.connect()).request("stock", "a" * 16, budget="999999999999m")
             assert reply.status_code == 503
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -25,8 +25,8 @@
     endpoint_list,
     get_request,
     next_request,
+    proxy_under_test,
     run_async,
-    running_proxy,
     start_proxy,
 )
 
@@ -57,7 +57,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         backend = EndpointServer(hangs)
-        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
             callers = [await node.connect() for _ in range(12)]
             for number, caller in enumerate(callers):
                 cls = ("stock", "reserva", "canje")[number % 3]
@@ -155,7 +155,7 @@
 
     async def test() -> None:
         backend = EndpointServer(hangs)
-        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
             stuck = await node.connect()
             late = await node.connect()
             stuck.send("canje", "a" * 16, budget="9000m")
@@ -186,7 +186,7 @@
             writer.write(half)
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
             caller = await node.connect()
             other = await node.connect()
             caller.send("canje", "a" * 16, budget="9000m")
@@ -222,7 +222,7 @@
                     await writer.drain()
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}, grades=grades()) as node:
+        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
             raw = socket.create_connection(node.address)
             raw.send(get_request("1").replace(b"/stock", b"/stock?"))
             await next_request(backend)
@@ -242,7 +242,7 @@
 
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             assert (await (await node.connect()).request("stock", "1" * 16)).status_code == 200
             node.terminate()
             assert (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
--- a/tests/net/test_http_message_rules.py
+++ b/tests/net/test_http_message_rules.py
@@ -9,7 +9,7 @@
 import asyncio
 import contextlib
 
-from net_harness import TEST_TIMEOUT_S, Client, EndpointServer, next_request, run_async, running_proxy
+from net_harness import TEST_TIMEOUT_S, Client, EndpointServer, next_request, proxy_under_test, run_async
 
 CALL = b"X-Call-Id: 0011223344556677\r\nX-Budget: 900m\r\n"
 HOST = b"Host: x\r\n"
@@ -133,7 +133,7 @@
     async def test() -> None:
         backend = EndpointServer()
         wrong = []
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             for name, (section, code, data) in REFUSED.items():
                 caller = await node.connect()
                 caller.writer.write(data)
@@ -151,7 +151,7 @@
 def test_what_the_rfcs_allow_is_served() -> None:
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             for name, (_, data) in TAKEN.items():
                 answer = await (await node.connect()).send_raw(data)
                 assert answer.status_code == 200, name
@@ -165,7 +165,7 @@
 
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             fields = b"Connection: keep-alive, X-HOP\r\nX-Hop: 1\r\nX-Stay: 2\r\n"
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await (await node.connect()).send_raw(get(GET, HOST + fields))).status_code == 200
--- a/tests/net/test_proxy_end_to_end.py
+++ b/tests/net/test_proxy_end_to_end.py
@@ -20,10 +20,10 @@
     endpoint_entry,
     endpoint_list,
     next_request,
+    proxy_under_test,
     respond_ok,
     response,
     run_async,
-    running_proxy,
     start_proxy,
 )
 
@@ -36,7 +36,7 @@
             writer.write(response(200, seen.body[::-1], X_Load_Report="inflight=1", X_Note="yes"))
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             more = {"Cookie": "sid=7f", "X_Caller": "acme"}
             reply = await caller.request("reserva", "9b1f03aa5c7e2d41", body=body, **more)
@@ -55,7 +55,7 @@
 def test_upstream_connections_are_pooled_and_the_last_used_is_reused_first() -> None:
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             for number in range(5):
                 assert (await caller.request("canje", f"{number:016x}")).status_code == 200
@@ -101,7 +101,7 @@
 
     async def test() -> None:
         backends = {"s-1": EndpointServer(behave), "s-2": EndpointServer(behave)}
-        async with running_proxy(backends) as node:
+        async with proxy_under_test(backends) as node:
             reply = await (await node.connect()).request("canje", "a" * 16, budget="700m")
         assert reply.status_code in (502, 504)
         assert "retry-after" not in reply.headers
@@ -113,7 +113,7 @@
 def test_a_rejection_marked_as_never_executed_is_retried_on_another_endpoint() -> None:
     async def test() -> None:
         backends = {"s-1": EndpointServer(rejected), "s-2": EndpointServer()}
-        async with running_proxy(backends) as node:
+        async with proxy_under_test(backends) as node:
             caller = await node.connect()
             replies = [(await caller.request("canje", f"{n:016x}")).status_code for n in range(4)]
         assert replies == [200] * 4
@@ -143,7 +143,7 @@
             *(endpoint_entry(f"s-{n}", backend.address) for n, backend in enumerate(near)),
             *(endpoint_entry(f"s-{n}", backend.address, zone="b") for n, backend in enumerate(far, 2)),
         )
-        async with running_proxy({"s-0": near[0]}, discovery) as node:
+        async with proxy_under_test({"s-0": near[0]}, discovery) as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await discovery.polls.get()
                 await discovery.polls.get()  # the list is taken
@@ -161,7 +161,7 @@
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}, discovery) as node:
+        async with proxy_under_test({"s-1": backend}, discovery) as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await discovery.polls.get()
                 discovery.changes.put_nowait(response(503))
@@ -179,7 +179,7 @@
     async def test() -> None:
         gone = await EndpointServer().start()
         await gone.stop()
-        async with running_proxy({"s-1": gone}) as node:
+        async with proxy_under_test({"s-1": gone}) as node:
             begun = asyncio.get_running_loop().time()
             reply = await (await node.connect()).request("canje", "b" * 16, budget="5000m")
             took = asyncio.get_running_loop().time() - begun
@@ -198,7 +198,7 @@
         gone = EndpointServer()
         stays = EndpointServer()
         comes = await EndpointServer().start()
-        async with running_proxy({"s-1": gone, "s-2": stays}, discovery) as node:
+        async with proxy_under_test({"s-1": gone, "s-2": stays}, discovery) as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=1" in await discovery.polls.get()
             await gone.stop()
@@ -262,7 +262,7 @@
 
         backend = EndpointServer(behave)
         grade = {**SETTINGS["grades"][2], "deadline": 20.0}
-        async with running_proxy({"s-1": backend}, grades=[*SETTINGS["grades"][:2], grade]) as node:
+        async with proxy_under_test({"s-1": backend}, grades=[*SETTINGS["grades"][:2], grade]) as node:
             asking = [asyncio.create_task(calls(number)) for number in range(callers)]
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await answered.wait()
@@ -304,7 +304,7 @@
             {**grade, "value": value, "objective": 0.5, "deadline": 2.0}
             for grade, value in zip(SETTINGS["grades"], (12.0, 2.0, 3.0), strict=True)
         ]
-        async with running_proxy({"s-1": EndpointServer(behave)}, grades=grades) as node:
+        async with proxy_under_test({"s-1": EndpointServer(behave)}, grades=grades) as node:
             asking = [
                 asyncio.create_task(calls(cls, 100 * place + number))
                 for place, cls in enumerate(spans)
@@ -334,7 +334,7 @@
                 await respond_ok(seen, writer)
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             first = await caller.request("canje", "c" * 16, budget="400m")
             assert first.status_code in (502, 504)
@@ -351,7 +351,7 @@
         one = EndpointServer()
         two = await EndpointServer().start()
         moved = await EndpointServer().start()
-        async with running_proxy({"s-1": one}, discovery) as node:
+        async with proxy_under_test({"s-1": one}, discovery) as node:
             caller = await node.connect()
             assert (await caller.request("canje", "0" * 16)).status_code == 200
             discovery.publish(
@@ -376,7 +376,7 @@
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}, discovery) as node:
+        async with proxy_under_test({"s-1": backend}, discovery) as node:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await discovery.polls.get()).startswith("/v1/servers?from=1&hold_ms=")
                 discovery.publish(7)
@@ -412,7 +412,7 @@
 def test_a_malformed_request_reaches_no_endpoint_and_harms_no_other(code: int, data: bytes) -> None:
     async def test() -> None:
         backend = EndpointServer()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             bad = await node.connect()
             good = await node.connect()
             assert (await bad.send_raw(data)).status_code == code
@@ -424,7 +424,7 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             caller = await node.connect()
             for number in range(40):
                 caller.send("stock", f"{number:016x}")
@@ -444,7 +444,7 @@
 
     async def test() -> None:
         backend = EndpointServer(silent)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             first = await node.connect()
             second = await node.connect()
             first.send("canje", "e" * 16, budget="600m")
@@ -459,7 +459,7 @@
 def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def test() -> None:
         backend = EndpointServer(silent)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.send("canje", "f" * 16, budget="5000m")
             await next_request(backend)
@@ -480,7 +480,7 @@
             await respond_ok(seen, writer)
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             held = await node.connect()
             idle = await node.connect()
             assert (await idle.request("stock", "1" * 16)).status_code == 200
@@ -504,7 +504,7 @@
     """What the end of this process takes from a budget is nothing that the caller has waited."""
 
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             caller = await node.connect()
             for number in range(3):
                 assert (await caller.request("canje", f"{number:016x}", budget="6000m")).status_code == 200
@@ -535,7 +535,7 @@
 
         backend = EndpointServer(behave)
         limits = {**SETTINGS["policy_limits"], "probes": False, "send_cap": 1}
-        async with running_proxy({"s-1": backend}, policy_limits=limits) as node:
+        async with proxy_under_test({"s-1": backend}, policy_limits=limits) as node:
             callers = [await node.connect() for _ in range(3)]
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", budget="5000m")
@@ -555,7 +555,7 @@
     """Closing on unread bytes resets the connection, and a reset can overtake the answer."""
 
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             for _ in range(5):
                 caller = await node.connect()
                 length = 8 << 20
@@ -579,7 +579,7 @@
             await free.wait()
             await respond_ok(seen, writer)
 
-        async with running_proxy({"s-1": EndpointServer(behave)}, sockets=64) as node:
+        async with proxy_under_test({"s-1": EndpointServer(behave)}, sockets=64) as node:
             callers = [await node.connect() for _ in range(32)]
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", budget="9000m")
@@ -597,7 +597,7 @@
     """Kept connections that ask nothing must not shut others out."""
 
     async def test() -> None:
-        async with running_proxy({"s-1": EndpointServer()}, sockets=64) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}, sockets=64) as node:
             idle = [await node.connect() for _ in range(29)]
             for number, caller in enumerate(idle):
                 assert (await caller.request("stock", f"{number:016x}")).status_code == 200
@@ -616,7 +616,9 @@
 
     async def test() -> None:
         grade = {**SETTINGS["grades"][2], "deadline": 20.0}
-        async with running_proxy({"s-1": EndpointServer()}, grades=[*SETTINGS["grades"][:2], grade]) as node:
+        async with proxy_under_test(
+            {"s-1": EndpointServer()}, grades=[*SETTINGS["grades"][:2], grade]
+        ) as node:
             caller = await node.connect()
             for number in range(20):
                 assert (await caller.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
@@ -642,7 +644,7 @@
             answered.set()
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.send("stock", "5" * 16, budget="1200m")  # an attempt has 500 ms, the aim
             async with asyncio.timeout(TEST_TIMEOUT_S):
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -12,9 +12,9 @@
     ReceivedRequest,
     endpoint_entry,
     next_request,
+    proxy_under_test,
     respond_ok,
     run_async,
-    running_proxy,
 )
 
 
@@ -29,7 +29,7 @@
     async def test() -> None:
         one = EndpointServer()
         two = await EndpointServer().start()
-        async with running_proxy({"s-1": one}) as node:
+        async with proxy_under_test({"s-1": one}) as node:
             caller = await node.connect()
             assert (await caller.request("stock", "1" * 16)).status_code == 200
             for round, backend in enumerate([two, one, two]):
@@ -53,7 +53,7 @@
         new = DiscoveryServer()
         await new.start()
         two = await EndpointServer().start()
-        async with running_proxy({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as node:
             new.changes.put_nowait(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             new.publish(9, endpoint_entry("s-2", two.address), snapshot=True)
             begun = asyncio.get_running_loop().time()
@@ -76,7 +76,7 @@
     async def test() -> None:
         backend = EndpointServer()
         discovery = await DiscoveryServer().start()
-        async with running_proxy({"s-1": backend}, discovery) as node:
+        async with proxy_under_test({"s-1": backend}, discovery) as node:
             assert "from=1" in await first_asked(discovery)
             node.reload(text=text)
             async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -101,7 +101,7 @@
 
         backend = EndpointServer(behave)
         new = await DiscoveryServer().start()
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             idle = await node.connect()
             caller.send("canje", "a" * 16, budget="6000m")
@@ -126,7 +126,7 @@
                 await respond_ok(seen, writer)
 
         loop = asyncio.get_running_loop()
-        async with running_proxy({f"s-{number}": EndpointServer(behave) for number in range(3)}) as node:
+        async with proxy_under_test({f"s-{number}": EndpointServer(behave) for number in range(3)}) as node:
             caller = await node.connect()
             stuck = await node.connect()
             assert (await caller.request("stock", "1" * 16)).status_code == 200
--- a/tests/net/test_streaming.py
+++ b/tests/net/test_streaming.py
@@ -14,13 +14,13 @@
     TEST_TIMEOUT_S,
     Client,
     EndpointServer,
-    ProxyProcess,
+    ProxyUnderTest,
     ReceivedRequest,
+    proxy_under_test,
     read_message,
     reset_on_close,
     response,
     run_async,
-    running_proxy,
 )
 
 from service_proxy.net.request_body import STREAM_WINDOW_BYTES, RequestBody
@@ -32,7 +32,7 @@
 MOST_GROWTH = 12.0  # MB of memory beside a message of 32; a quarter of what holding it would take
 
 
-def memory(node: ProxyProcess) -> float:
+def memory(node: ProxyUnderTest) -> float:
     """MB (proc(5), VmRSS)."""
     status = Path(f"/proc/{node.process.pid}/status").read_text()
     return int(status.partition("VmRSS:")[2].split()[0]) / 1024
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("way", [LENGTH, CODED, ENDS], ids=["length", "chunks", "until its end"])
 def test_a_long_response_arrives_complete_and_is_never_buffered(way: bytes) -> None:
     async def test() -> None:
-        async with running_proxy({"s-1": answers(way)}) as node:
+        async with proxy_under_test({"s-1": answers(way)}) as node:
             caller = await node.connect()
             before = memory(node)
             most = 0.0
@@ -133,7 +133,7 @@
 
 def test_an_http_1_0_client_gets_a_long_response_that_ends_with_its_connection() -> None:
     async def test() -> None:
-        async with running_proxy({"s-1": answers(CODED)}) as node:
+        async with proxy_under_test({"s-1": answers(CODED)}) as node:
             caller = await node.connect()
             caller.writer.write(b"GET /stock HTTP/1.0\r\nX-Call-Id: a\r\nX-Budget: 1000m\r\n\r\n")
             code, headers = await head_of(caller)
@@ -149,7 +149,7 @@
 
     async def test() -> None:
         backend = answers(way, pieces=4, ends=False)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.send("stock", "a" * 16)
             code, headers = await head_of(caller)
@@ -179,7 +179,7 @@
             writer.write(chunk(PIECE) + chunk(PIECE) + chunk(b""))
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.send("canje", "a" * 16)
             code, headers = await head_of(caller)
@@ -223,7 +223,7 @@
             node.process.send_signal(signal.SIGCONT)
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             answer = await caller.request("stock", "a" * 16)
             assert (answer.status_code, answer.body) == (200, b"whole")
@@ -235,7 +235,7 @@
 def test_a_client_that_disconnects_in_mid_response_ends_it_at_its_endpoint() -> None:
     async def test() -> None:
         backend = answers(LENGTH)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.send("stock", "a" * 16)
             assert (await head_of(caller))[0] == 200
@@ -255,7 +255,7 @@
                 writer.write(response(200, b"done"))
 
         first = EndpointServer(behave)
-        async with running_proxy({"s-1": first}) as node:
+        async with proxy_under_test({"s-1": first}) as node:
             answer = await (await node.connect()).request("canje", "a" * 16, budget="3000m")
             assert (answer.status_code, answer.body, first.received_count) == (200, b"done", 2)
 
@@ -266,7 +266,7 @@
     """40 of them before answers of 32 MB: together a tenth of one, beyond what the kernel holds."""
 
     async def test() -> None:
-        async with running_proxy({"s-1": answers(LENGTH)}) as node:
+        async with proxy_under_test({"s-1": answers(LENGTH)}) as node:
             before = memory(node)
             callers = [await node.connect() for _ in range(40)]
             heads = 0
@@ -317,7 +317,7 @@
 def test_a_long_request_body_arrives_complete_and_is_never_buffered(coded: bool) -> None:
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        async with running_proxy({"s-1": sink(got)}) as node:
+        async with proxy_under_test({"s-1": sink(got)}) as node:
             caller = await node.connect()
             before = memory(node)
             most = 0.0
@@ -347,7 +347,7 @@
 
         full = EndpointServer(behave)
         taken = sink(got)
-        async with running_proxy({"s-1": full, "s-2": taken}) as node:
+        async with proxy_under_test({"s-1": full, "s-2": taken}) as node:
             data = PIECE * 32  # 2 MB
             for n in range(20):
                 answer = await (await node.connect()).request("canje", f"{n:016x}", budget="3000m", body=data)
@@ -374,7 +374,7 @@
 
         backend = EndpointServer()
         backend._connection = connection  # type: ignore[method-assign]
-        async with running_proxy({"s-1": backend, "s-2": backend}) as node:
+        async with proxy_under_test({"s-1": backend, "s-2": backend}) as node:
             caller = await node.connect()
             caller.writer.write(post("a" * 16, LONG))
             with contextlib.suppress(ConnectionError):
@@ -404,7 +404,7 @@
         closed = asyncio.Event()
         backend = EndpointServer()
         backend._connection = connection  # type: ignore[method-assign]
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.writer.write(post("a" * 16, LONG) + PIECE * (5 * MB // len(PIECE)))
             answer = await caller.response()
@@ -423,7 +423,7 @@
     async def test() -> None:
         got: list[tuple[str, int]] = []
         backend = sink(got)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             caller.writer.write(post("a" * 16, LONG) + PIECE * (8 * MB // len(PIECE)))
             async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -441,7 +441,7 @@
 
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        async with running_proxy({"s-1": sink(got)}) as node:
+        async with proxy_under_test({"s-1": sink(got)}) as node:
             caller = await node.connect()
             head = post("a" * 16, 2 * len(PIECE))
             for place in range(0, len(head), 8):
@@ -466,7 +466,7 @@
             )
             writer.write(b"0\r\n\r\n")
 
-        async with running_proxy({"s-1": EndpointServer(behave)}) as node:
+        async with proxy_under_test({"s-1": EndpointServer(behave)}) as node:
             caller = await node.connect()
             head = b"POST /canje HTTP/1.1\r\nHost: x \r\nX-Call-Id: abc \t\r\nX-Budget: 900m \r\n"
             caller.writer.write(head + b"Transfer-Encoding: chunked \r\n\r\n0\r\n\r\n")
@@ -504,7 +504,7 @@
         async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             """It has all of it, and says nothing."""
 
-        async with running_proxy({"s-1": EndpointServer(behave)}) as node:
+        async with proxy_under_test({"s-1": EndpointServer(behave)}) as node:
             caller = await node.connect()
             loop = asyncio.get_running_loop()
             length = 6 * MB
--- a/tests/net/test_upstream_responses.py
+++ b/tests/net/test_upstream_responses.py
@@ -9,7 +9,7 @@
 
 import httptools
 import pytest
-from net_harness import TEST_TIMEOUT_S, EndpointServer, ReceivedRequest, response, run_async, running_proxy
+from net_harness import TEST_TIMEOUT_S, EndpointServer, ReceivedRequest, proxy_under_test, response, run_async
 
 from service_proxy.net import upstream as up
 from service_proxy.net.endpoint_list import Endpoint, EndpointList
@@ -44,7 +44,7 @@
 
 async def failed_at_once(backend: EndpointServer) -> None:
     """The budget and the attempt's time are seconds: only the answer itself can end it this soon."""
-    async with running_proxy({"s-1": backend}) as node:
+    async with proxy_under_test({"s-1": backend}) as node:
         caller = await node.connect()
         begun = asyncio.get_running_loop().time()
         reply = await caller.request("canje", "a" * 16, budget="5000m")
@@ -98,7 +98,7 @@
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
 
         backend = EndpointServer(behave)
-        async with running_proxy({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": backend}) as node:
             caller = await node.connect()
             reply = await caller.request("canje", "a" * 16)
             assert (reply.status_code, reply.body) == (200, b"me")
@@ -118,7 +118,7 @@
             await writer.drain()
             writer.close()
 
-        async with running_proxy({"s-1": EndpointServer(behave)}) as node:
+        async with proxy_under_test({"s-1": EndpointServer(behave)}) as node:
             reply = await (await node.connect()).request("canje", "a" * 16)
             assert (reply.status_code, reply.body) == (200, b"me")
 
@@ -206,7 +206,7 @@
             writer.write(response(200, b"done"))
 
         backends = {"s-1": EndpointServer(behave), "s-2": EndpointServer(behave)}
-        async with running_proxy(backends) as node:
+        async with proxy_under_test(backends) as node:
             callers = [await node.connect() for _ in range(4)]
             for number in range(6):
                 for place, caller in enumerate(callers):
@@ -245,7 +245,7 @@
                 writer.write(response(200, b"done"))
 
         sound = EndpointServer()
-        async with running_proxy({"s-1": EndpointServer(behave), "s-2": sound}) as node:
+        async with proxy_under_test({"s-1": EndpointServer(behave), "s-2": sound}) as node:
             caller = await node.connect()
             for number in range(40):
                 assert (await caller.request("canje", f"c{number:015x}")).status_code == 200
