--- a/service_proxy/__init__.py
+++ b/service_proxy/__init__.py
@@ -1,4 +1,9 @@
-"""service_proxy: the decisions of a load balancer for services that call services."""
+"""The public interface of the decision module: events in, actions out.
+
+A `Balancer` decides for one proxy which endpoint gets a request, whether it is retried and what is rejected.
+Who drives it carries out its actions; `service_proxy.net` does so on sockets,
+`service_proxy.simulator_adapter` in a simulation.
+"""
 
 from service_proxy.policy.balancer import Balancer
 from service_proxy.policy.events import (
@@ -16,7 +21,10 @@
     FetchEndpoints,
     HealthCheckEnded,
     Idempotency,
+    IdempotencyScope,
+    InvalidSettingError,
     ListScope,
+    LoadReportSource,
     PeerMessage,
     ProxyCountUpdated,
     Reject,
@@ -32,6 +40,7 @@
     Tenant,
     TimerFired,
     WatchEndpoints,
+    WeightMeaning,
     WriteLog,
 )
 
@@ -51,7 +60,10 @@
     "FetchEndpoints",
     "HealthCheckEnded",
     "Idempotency",
+    "IdempotencyScope",
+    "InvalidSettingError",
     "ListScope",
+    "LoadReportSource",
     "PeerMessage",
     "ProxyCountUpdated",
     "Reject",
@@ -67,5 +79,6 @@
     "Tenant",
     "TimerFired",
     "WatchEndpoints",
+    "WeightMeaning",
     "WriteLog",
 ]
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -23,7 +23,16 @@
     WatchEndpoints,
     WriteLog,
 )
-from service_proxy.policy.settings_types import Idempotency, RequestClass, Settings, Tenant
+from service_proxy.policy.settings_types import (
+    Idempotency,
+    IdempotencyScope,
+    InvalidSettingError,
+    LoadReportSource,
+    RequestClass,
+    Settings,
+    Tenant,
+    WeightMeaning,
+)
 
 __all__ = [
     "NEVER_EXECUTED",
@@ -41,7 +50,10 @@
     "FetchEndpoints",
     "HealthCheckEnded",
     "Idempotency",
+    "IdempotencyScope",
+    "InvalidSettingError",
     "ListScope",
+    "LoadReportSource",
     "PeerMessage",
     "ProxyCountUpdated",
     "Reject",
@@ -57,6 +69,7 @@
     "Tenant",
     "TimerFired",
     "WatchEndpoints",
+    "WeightMeaning",
     "WriteLog",
 ]
 
--- a/service_proxy/policy/retry_guard.py
+++ b/service_proxy/policy/retry_guard.py
@@ -12,7 +12,7 @@
 from service_proxy.policy.events import NEVER_EXECUTED, EndpointState
 from service_proxy.policy.request import STATUS_IN_FLIGHT, AttemptState, RequestState
 from service_proxy.policy.request_class import RequestClassState
-from service_proxy.policy.settings_types import Idempotency, Settings
+from service_proxy.policy.settings_types import Idempotency, IdempotencyScope, Settings
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
@@ -70,9 +70,9 @@
     @staticmethod
     def _same_scope(request_class: RequestClassState, first: TrackedEndpoint, other: TrackedEndpoint) -> bool:
         """Tell whether `other` would recognise the idempotency key of a request that `first` executed."""
-        if request_class.idempotency_scope == "all":
+        if request_class.idempotency_scope is IdempotencyScope.ALL:
             return True
-        if request_class.idempotency_scope == "zone":
+        if request_class.idempotency_scope is IdempotencyScope.ZONE:
             return first.zone == other.zone
         return first.zone == other.zone and first.cell == other.cell
 
@@ -82,7 +82,7 @@
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        if has_key and request_class.idempotency_scope == "all":
+        if has_key and request_class.idempotency_scope is IdempotencyScope.ALL:
             return True
         return self.first_possible_execution(request) is None
 
--- a/service_proxy/policy/settings_types.py
+++ b/service_proxy/policy/settings_types.py
@@ -4,7 +4,7 @@
 
 import math
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 
 
 class Idempotency(Enum):
@@ -15,6 +15,31 @@
     NOT_IDEMPOTENT = "not idempotent"  # harmful
 
 
+class IdempotencyScope(StrEnum):
+    """Which endpoints recognise the idempotency key of a request that one of them executed."""
+
+    ALL = "all"
+    ZONE = "zone"  # those of its zone
+    CELL = "cell"  # those of its cell in its zone
+
+
+class LoadReportSource(StrEnum):
+    """Where load reports come from."""
+
+    ANSWER = "answer"  # answers to requests, and health checks, too
+    HEALTH_CHECK = "probe"
+    NONE = "none"
+
+
+class WeightMeaning(StrEnum):
+    """What the weight of an endpoint in the endpoint list means."""
+
+    NONE = "none"
+    NOMINAL = "nominal"
+    ROUGH = "rough"
+    LIVE = "live"
+
+
 class InvalidSettingError(ValueError):
     """A setting is out of range.
 
@@ -63,9 +88,10 @@
         for name in names:
             self.require(0 <= getattr(self._checked, name) <= 1, name, "a share from 0 to 1")
 
-    def one_of(self, name: str, *values: str) -> None:
-        choices = f"{', '.join(values[:-1])} or {values[-1]}"
-        self.require(getattr(self._checked, name) in values, name, choices)
+    def member(self, name: str, choices: type[StrEnum]) -> None:
+        *others, last = choices
+        remedy = f"{', '.join(others)} or {last}"
+        self.require(isinstance(getattr(self._checked, name), choices), name, remedy)
 
 
 @dataclass(slots=True)
@@ -78,8 +104,8 @@
     deadline: float  # how long a client waits over all its attempts
     late_weight_share: float = 0.0  # of the weight, that an answer between objective and deadline keeps
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    idempotency_scope: str = "all"  # with a key: which endpoints recognise it: "all", "zone" or "cell"
-    idempotency_window: float = 0.0  # with a key: for how long they do
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL  # with a key
+    idempotency_window: float = 0.0  # with a key: for how long endpoints recognise it
     stream: bool = False
     objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
     max_attempts: int = 0  # of a request of the class, if fewer than of any; 0: as many
@@ -91,7 +117,7 @@
             "priority_weight", "idempotency_window", "objective_stretch", "late_weight_share", "max_attempts"
         )
         check.share("late_weight_share")
-        check.one_of("idempotency_scope", "all", "zone", "cell")
+        check.member("idempotency_scope", IdempotencyScope)
 
 
 @dataclass(slots=True)
@@ -135,8 +161,8 @@
     weight_by_work: bool = False  # the priority weight is that of a second of work, not of a request
     propagates_deadline: bool = False
     load_report_fields: tuple[str, ...] = ()  # of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps
-    load_report_source: str = "probe"  # "answer" (health checks bring some, too), "probe" or "none"
-    weight_meaning: str = "nominal"  # what a listed weight means: "none", "nominal", "rough" or "live"
+    load_report_source: LoadReportSource = LoadReportSource.HEALTH_CHECK
+    weight_meaning: WeightMeaning = WeightMeaning.NOMINAL
     connection_idle_timeout: float = 15.0
     connect_timeout: float = 0.25
     requests_per_connection: int = 1  # at a time
@@ -165,8 +191,8 @@
         check = _Checker(self)
         self._check_counts(check)
         check.share("over_quota_weight_share")
-        check.one_of("load_report_source", "answer", "probe", "none")
-        check.one_of("weight_meaning", "none", "nominal", "rough", "live")
+        check.member("load_report_source", LoadReportSource)
+        check.member("weight_meaning", WeightMeaning)
         self._check_amounts(check)
 
     def _check_counts(self, check: _Checker) -> None:
--- a/service_proxy/settings.py
+++ b/service_proxy/settings.py
@@ -11,10 +11,13 @@
 
 from service_proxy.policy.settings_types import (
     Idempotency,
+    IdempotencyScope,
     InvalidSettingError,
+    LoadReportSource,
     RequestClass,
     Settings,
     Tenant,
+    WeightMeaning,
 )
 
 T = TypeVar("T")
@@ -26,9 +29,23 @@
     "once": Idempotency.NOT_IDEMPOTENT,
 }
 POLLS_BY_DISCOVERY = {"push": False, "ask": True}
-WEIGHT_MEANINGS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
+WEIGHT_MEANINGS = {
+    "off": WeightMeaning.NONE,
+    "nominal": WeightMeaning.NOMINAL,
+    "rough": WeightMeaning.ROUGH,
+    "live": WeightMeaning.LIVE,
+}
 WEIGHTS_BY_WORK = {"work": True, "request": False}
-LOAD_REPORT_SOURCES = {"inline": "answer", "on_probe": "probe", "off": "none"}
+LOAD_REPORT_SOURCES = {
+    "inline": LoadReportSource.ANSWER,
+    "on_probe": LoadReportSource.HEALTH_CHECK,
+    "off": LoadReportSource.NONE,
+}
+SCOPES_BY_GROUP = {
+    "all": IdempotencyScope.ALL,
+    "zone": IdempotencyScope.ZONE,
+    "cell": IdempotencyScope.CELL,
+}
 LOAD_REPORT_FIELDS = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")
 MICROSECONDS_PER_S = 1e6
 
@@ -228,6 +245,13 @@
     return name
 
 
+def _idempotency_scope(fields: Fields, key: str) -> IdempotencyScope:
+    text = fields.get(key, "all")
+    if text not in SCOPES_BY_GROUP:
+        raise _unreadable(key, "is out of range", text, "all, zone or cell")
+    return SCOPES_BY_GROUP[text]
+
+
 # Keys relative to grades.N. and tenants.N.
 CLASS_SETTINGS = (
     _Setting("name", "name", _class_name),
@@ -236,7 +260,7 @@
     _Setting("latency_objective", "objective", field_number),
     _Setting("deadline", "deadline", field_number),
     _Setting("late_weight_share", "late_worth", _number(0.0)),
-    _Setting("idempotency_scope", "group", _text("all")),
+    _Setting("idempotency_scope", "group", _idempotency_scope),
     _Setting("idempotency_window", "window", _number(0.0)),
     _Setting("stream", "stream", _truth(False)),
     _Setting("objective_stretch", "aim_stretch", _number(0.0)),
--- a/tests/deadlines/test_deadline_filters.py
+++ b/tests/deadlines/test_deadline_filters.py
@@ -23,7 +23,7 @@
 from service_proxy.net.upstream import UpstreamAttempt
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError
-from service_proxy.policy.events import AttemptStatus, Idempotency, RequestClass
+from service_proxy.policy.events import AttemptStatus, Idempotency, IdempotencyScope, RequestClass
 from service_proxy.policy.events import Settings as ProxySettings
 
 CLASSES = {
@@ -34,7 +34,7 @@
         1.5,
         4.0,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
-        idempotency_scope="zone",
+        idempotency_scope=IdempotencyScope.ZONE,
         idempotency_window=6.0,
     ),
     "canje": RequestClass("canje", 1.0, 2.5, 6.0, idempotency=Idempotency.NOT_IDEMPOTENT),
--- a/tests/policy/balancer_driver.py
+++ b/tests/policy/balancer_driver.py
@@ -14,6 +14,7 @@
     EndpointState,
     Event,
     Idempotency,
+    IdempotencyScope,
     ListScope,
     RequestArrived,
     RequestClass,
@@ -33,7 +34,7 @@
     latency_objective=1.0,
     deadline=2.0,
     idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
-    idempotency_scope="zone",
+    idempotency_scope=IdempotencyScope.ZONE,
     idempotency_window=0.5,
 )
 KEYED = RequestClass(
@@ -42,7 +43,7 @@
     latency_objective=1.0,
     deadline=2.0,
     idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
-    idempotency_scope="all",
+    idempotency_scope=IdempotencyScope.ALL,
     idempotency_window=0.5,
 )
 CLASSES = [SAFE, ONCE, ZONED, KEYED]
--- a/tests/policy/test_policy_properties.py
+++ b/tests/policy/test_policy_properties.py
@@ -22,6 +22,7 @@
     Fail,
     HealthCheckEnded,
     Idempotency,
+    IdempotencyScope,
     ListScope,
     Reject,
     RequestAbandoned,
@@ -93,7 +94,7 @@
                 if first is not None and client.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                     assert now - first[1] < client.request_class.idempotency_window
                     assert (
-                        client.request_class.idempotency_scope == "all"
+                        client.request_class.idempotency_scope is IdempotencyScope.ALL
                         or zones[first[0]] == zones[action.endpoint_id]
                     )
                 client.attempts.append((action.endpoint_id, now, None))
@@ -107,7 +108,7 @@
                 if isinstance(action, Reject) and client.first_possible_execution() is not None:
                     assert (
                         client.request_class.idempotency is Idempotency.IDEMPOTENT
-                        or client.request_class.idempotency_scope == "all"
+                        or client.request_class.idempotency_scope is IdempotencyScope.ALL
                     )
                     assert client.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
                 client.ended = True
--- a/tests/policy/test_retry_guard.py
+++ b/tests/policy/test_retry_guard.py
@@ -7,7 +7,7 @@
 import pytest
 from balancer_driver import CLASSES, BalancerDriver, attempts, entries, settings, state_change
 
-from service_proxy import AttemptStatus, EndpointState, Fail, Reject
+from service_proxy import AttemptStatus, EndpointState, Fail, IdempotencyScope, Reject
 from service_proxy.policy.endpoint import TrackedEndpoint
 from service_proxy.policy.request import RequestState
 from service_proxy.policy.request_class import RequestClassState
@@ -82,7 +82,7 @@
 
 def test_idempotency_scope_of_a_cell() -> None:
     guard, request = guard_with("zoned", AttemptStatus.ERROR)
-    request.request_class.idempotency_scope = "cell"
+    request.request_class.idempotency_scope = IdempotencyScope.CELL
     assert guard.can_send(request, endpoint(2, cell=0), 100.1)
     assert not guard.can_send(request, endpoint(2, cell=1), 100.1)
 
--- a/tests/recovery/test_keyed_requests.py
+++ b/tests/recovery/test_keyed_requests.py
@@ -5,7 +5,7 @@
 import time
 
 from service_proxy.clock import Clock
-from service_proxy.policy.events import AttemptStatus, Idempotency, RequestClass, Settings
+from service_proxy.policy.events import AttemptStatus, Idempotency, IdempotencyScope, RequestClass, Settings
 from service_proxy.recovery.keyed_requests import KeyedRequestLog, KeyedRequestTracker
 from service_proxy.recovery.persisted_records import KeyedRequestRecord, PersistedRecord, PersistedState
 
@@ -34,7 +34,13 @@
         [
             request_class("long", 100.0, idempotency=Idempotency.NOT_IDEMPOTENT),
             request_class("short", 3.0, idempotency=by_key, idempotency_window=1.0),
-            request_class("local", 3.0, idempotency=by_key, idempotency_scope="zone", idempotency_window=2.0),
+            request_class(
+                "local",
+                3.0,
+                idempotency=by_key,
+                idempotency_scope=IdempotencyScope.ZONE,
+                idempotency_window=2.0,
+            ),
         ],
         zone="a",
     )
