--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,12 +1,12 @@
-"""Proof of the budgets: a chain at 1.5 times what it can do, with and without; loops; the account model.
+"""Deadline propagation: a chain at 1.5 times its capacity, with and without; loops; the budget model.
 
     python -m benchmarks.budgets [--short] [--seed N] [--json FILE]
 
 Two tiers of real sidecars on loopback, called without a proxy before them, budgets on and off in turns: a
-calm half, then an overloaded one in which servers of the inner tier hang. Applications pass no time on by
-themselves, as those of the site, and copy the budget's field. Who worked on which request when is the
-applications' own record. Then loops by misroute over one, two and three tiers; seeded random histories of the
-accounts; CPU per call of a plain proxy, off and on, in turns; memory of the correlation.
+calm phase, then an overloaded one in which endpoints of the inner tier hang. Applications pass no deadline on
+by themselves, as those of the site, and copy the budget's header. Who worked on which request when is the
+applications' own record. Then loops by misroute over one, two and three tiers; seeded random histories of
+request budgets; CPU per request of a plain proxy, off and on, in turns; memory of the correlation table.
 """
 
 from __future__ import annotations
@@ -25,353 +25,336 @@
 
 from benchmarks.per_call import Drive, cpu
 from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.budget_history import play_history
 from harness.clients import GIVE_UP_MARGIN_S
 from harness.deployment import ApplicationProfile
 from harness.endpoint_registry import EndpointRegistry, entry
 from harness.event_loop import until
 from harness.proxy_process import running_proxy
-from harness.recorder import Recorder
+from harness.recorder import ReceivedAnswer, RecordedAttempt, Recorder, SentRequest
 from harness.stub_endpoint import StubEndpoint
 from harness.tier_chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
 from service_proxy.deadlines.correlation import BYTES_PER_REQUEST, CorrelationTable
-from service_proxy.deadlines.request_budget import AttemptGrant, RequestBudget, root_budget
+from service_proxy.deadlines.request_budget import root_budget
 
 HOSTS = 2
 CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
-PATIENCE = (0.5, 1.0)  # of its class's time for which a caller waits
-CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICES["nucleo"] / CALLS_EACH  # requests a second
-# of it
-CALM = 0.5
-OVER = 1.5
-# s of each half
-HALF = 15.0
-HALF_SHORT = 4.5
-WARM = 1.5  # s of calls before, which count for nothing
-# of each, on and off
-TURNS = 3
-TURNS_SHORT = 1
-# in an overloaded half
-HANGS = 6
-HANGS_SHORT = 2
-HANG = 1.0  # s for which a server takes calls and answers none
-ALLOWANCE = 0.02  # s after the caller's time in which work may be seen to begin: two processes' scheduling
-# calls in each kind of loop
-LOOPED = 60
-LOOPED_SHORT = 10
-MOST_HOPS = 3
+PATIENCE = (0.5, 1.0)  # of its class's deadline for which a client waits
+CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICES["nucleo"] / CALLS_EACH  # requests/s
+CALM_LOAD = 0.5  # of the capacity
+OVERLOAD = 1.5
+PHASE_S = 15.0
+SHORT_PHASE_S = 4.5
+WARM_UP_S = 1.5  # of requests before, which don't count
+TURNS = 3  # with budgets on, and as many off
+SHORT_TURNS = 1
+HANGS = 6  # in an overloaded phase
+SHORT_HANGS = 2
+HANG_S = 1.0  # for which an endpoint takes calls and answers none
+LATE_START_TOLERANCE_S = 0.02  # after the client's deadline: two processes' scheduling
+LOOP_REQUESTS = 60  # in each kind of loop
+SHORT_LOOP_REQUESTS = 10
+MAX_LOOP_HOPS = 3
+OK = 200
+SERVICE_UNAVAILABLE = 503
 HISTORIES = 100_000
-HISTORIES_SHORT = 2_000
-# of the measurement of CPU, each turn
-CALLS = 8000
-CALLS_SHORT = 400
-SAME = 0.02  # of worth: what two calm halves may differ by
+SHORT_HISTORIES = 2_000
+CPU_REQUESTS = 8000  # of the measurement of CPU, each turn
+SHORT_CPU_REQUESTS = 400
+MAX_CALM_LOSS = 0.02  # of the weight share: what two calm phases may differ by
+SETTLING_S = 0.5  # in which work that nobody waits for shows
 
 
 @dataclass(slots=True)
-class History:
-    """What a random history of the account model did, and what it broke."""
-
-    granted: int
-    sends: int = 0
-    faults: list[str] = field(default_factory=list)
-
-
-def play(seed: int) -> History:
-    """Random calls, attempts, answers, losses and ends over a tree of three processes. Each attempt's
-    receiver
-    has an account of its own, of what was lent to it, and says what it spent, if it says anything."""
-    random = Random(seed)
-    top = root_budget(random.randint(0, 20), 100.0, 50.0, 1.0, "stock", "0" * 16)
-    history = History(top.allowance)
-    accounts: list[RequestBudget] = [top]
-    out: list[tuple[AttemptGrant, RequestBudget]] = []  # attempts, and what their receivers have
-
-    def check() -> None:
-        for account in accounts:
-            if min(account.available, account.reserved, account.spent) < 0:
-                history.faults.append(f"negative: {account.available} {account.reserved} {account.spent}")
-            if account.available + account.reserved + account.spent != account.allowance:
-                history.faults.append("made from nothing")
-
-    for step in range(random.randint(1, 60)):
-        move = random.randrange(6)
-        account = random.choice(accounts)
-        if move == 0:
-            child = account.allocate_child(random.randint(1, 4), float(step))
-            if child is not None:
-                accounts.append(child)
-        elif move in (1, 2):
-            before = account.spent
-            lent = account.grant_attempt(random.randint(1, 4))
-            if lent is not None:
-                history.sends += 1
-                if account.spent != before + 1:
-                    history.faults.append("not debited once")
-                below = RequestBudget(lent.attempts, 100.0, 50.0, 1.0, "stock", (), "")
-                accounts.append(below)
-                out.append((lent, below))
-        elif move in (3, 4) and out:
-            lent, below = out.pop(random.randrange(len(out)))
-            kind = random.randrange(4)
-            if kind == 0:  # answered: it closes what is open below, and says what it spent
-                said = below.spent + below.reserved
-                below.close()
-                lent.settle(said, False)
-            elif kind == 1:  # lost after it may have run: it may go on spending
-                lent.settle(None, True)
-            elif kind == 2 and below.spent + below.reserved == 0:  # never ran
-                below.close()
-                lent.settle(None, False)
-            else:  # lost, and its own process hears of it
-                below.close()
-                lent.settle(None, True)
-            if random.random() < 0.2:
-                lent.settle(0, False)  # a second word
-        elif move == 5:
-            account.close()
-        check()
-    top.close()
-    check()
-    if history.sends > history.granted:
-        history.faults.append(f"{history.sends} attempts of {history.granted}")
-    return history
-
-
-@dataclass(slots=True)
-class Half:
-    """What came of half a turn."""
-
-    offered: float = 0.0  # worth
-    in_time: float = 0.0
-    calls: int = 0
+class PhaseResult:
+    """What came of one load phase. Times of work are in s.
+
+    Attributes:
+        offered_weight, timely_weight: priority weights of all requests, and of those answered within their
+            latency objective.
+        late_starts: by how much work was started after its client's deadline.
+        abandoned_work: after its request had ended.
+        inner_work, useful_inner_work: of the inner tier, and of it for requests that were answered in time.
+        work, wasted_work: of all applications, and of it for requests that were not served.
+    """
+
+    offered_weight: float = 0.0
+    timely_weight: float = 0.0
+    requests: int = 0
     served: int = 0
-    refused: int = 0
-    late: list[float] = field(default_factory=list)  # s by which work was begun for nobody
-    nobody: float = 0.0  # s of work after its request had its end
-    inner: float = 0.0  # s of work of the inner tier
-    used: float = 0.0  # of it, for requests that were answered in time
-    work: float = 0.0  # s of applications
-    wasted: float = 0.0  # of it, for requests that were not served
-    most_attempts: int = 0
-    broken: list[str] = field(default_factory=list)
+    rejected: int = 0
+    late_starts: list[float] = field(default_factory=list)
+    abandoned_work: float = 0.0
+    inner_work: float = 0.0
+    useful_inner_work: float = 0.0
+    work: float = 0.0
+    wasted_work: float = 0.0
+    max_attempts: int = 0
+    violations: list[str] = field(default_factory=list)
 
     @property
-    def worth(self) -> float:
-        return self.in_time / self.offered if self.offered else 0.0
-
-
-def judge(made: Chain, seconds: tuple[float, float], into: Half) -> None:
-    """The requests that came in this span, by the ledger."""
-    ledger, begun, ended = made.deployment.recorder, *seconds
-    mine = {
-        t.request_id: t
-        for t in ledger.requests
-        if t.request_id.startswith("edge-") and begun <= t.sent_at < ended
+    def timely_share(self) -> float:
+        """Share of the weight that was answered within its latency objective."""
+        return self.timely_weight / self.offered_weight if self.offered_weight else 0.0
+
+
+def judge_phase(chain: Chain, started_at: float, ended_at: float, result: PhaseResult) -> None:
+    """Add up the requests that came in this span, by the recorder."""
+    recorder = chain.deployment.recorder
+    requests = {
+        sent.request_id: sent
+        for sent in recorder.requests
+        if sent.request_id.startswith("edge-") and started_at <= sent.sent_at < ended_at
     }
-    answers = {answer.request_id: answer for answer in ledger.answers}
-    for call, taken in mine.items():
-        cls = CLASSES[taken.class_name]
-        answer = answers.get(call)
-        into.calls += 1
-        into.offered += cls.worth
-        if answer is not None and answer.status_code == 200 and not answer.client_gave_up:
-            into.served += 1
-            if answer.received_at <= taken.sent_at + cls.aim:
-                into.in_time += cls.worth
-        into.refused += answer is not None and answer.status_code == 503
-    for attempt in ledger.attempts:
-        first = mine.get(made.root(attempt.request_id))
-        if first is None or not attempt.executed:
-            continue
-        answer = answers.get(first.request_id)
-        into.work += attempt.work
-        end = answer.received_at if answer is not None else first.deadline
-        into.nobody += max(0.0, attempt.executed_at + attempt.work - max(attempt.executed_at, end))
-        if attempt.endpoint.startswith("nucleo"):
-            into.inner += attempt.work
-            if (
-                answer is not None
-                and answer.status_code == 200
-                and answer.received_at <= first.sent_at + CLASSES[first.class_name].aim
-            ):
-                into.used += attempt.work
-        if answer is None or answer.status_code != 200 or answer.client_gave_up:
-            into.wasted += attempt.work
-    into.late += [by for attempt, by in made.late(ALLOWANCE) if made.root(attempt.request_id) in mine]
-    counts = made.attempts()
-    into.most_attempts = max([into.most_attempts, *(counts[call] for call in mine)])
-
-
-async def turn(on: bool, half: float, hangs: int, seed: int, calm: Half, over: Half) -> None:
-    habits = ApplicationProfile(
-        CALLS_EACH, propagates_deadline=False, copies_budget_header=on, service_time_by_tier=SERVICES
+    answers = {answer.request_id: answer for answer in recorder.answers}
+    for request_id, request in requests.items():
+        judge_request(request, answers.get(request_id), result)
+    for attempt in recorder.attempts:
+        root = requests.get(chain.root(attempt.request_id))
+        if root is not None and attempt.executed:
+            judge_work(attempt, root, answers.get(root.request_id), result)
+    late = chain.late(LATE_START_TOLERANCE_S)
+    result.late_starts += [by for attempt, by in late if chain.root(attempt.request_id) in requests]
+    counts = chain.attempts()
+    result.max_attempts = max([result.max_attempts, *(counts[request_id] for request_id in requests)])
+
+
+def is_served(answer: ReceivedAnswer | None) -> bool:
+    """Return whether a client got its answer."""
+    return answer is not None and answer.status_code == OK and not answer.client_gave_up
+
+
+def judge_request(request: SentRequest, answer: ReceivedAnswer | None, result: PhaseResult) -> None:
+    """Add one client's request."""
+    request_class = CLASSES[request.class_name]
+    result.requests += 1
+    result.offered_weight += request_class.worth
+    if answer is None:
+        return
+    if is_served(answer):
+        result.served += 1
+        if answer.received_at <= request.sent_at + request_class.aim:
+            result.timely_weight += request_class.worth
+    result.rejected += answer.status_code == SERVICE_UNAVAILABLE
+
+
+def judge_work(
+    attempt: RecordedAttempt, request: SentRequest, answer: ReceivedAnswer | None, result: PhaseResult
+) -> None:
+    """Add the work of one application on a request."""
+    result.work += attempt.work
+    request_end = answer.received_at if answer is not None else request.deadline
+    result.abandoned_work += max(
+        0.0, attempt.executed_at + attempt.work - max(attempt.executed_at, request_end)
     )
-    async with running(2, HOSTS, on, profile=habits) as made:
-        callers = made.deployment.clients
-        assert callers is not None
-        made.deployment.bypass_edge_proxy()
-        callers.budget_shares = PATIENCE
-        callers.random = Random(seed)  # the same calls at the same moments, on and off
+    if attempt.endpoint.startswith("nucleo"):
+        result.inner_work += attempt.work
+        objective_at = request.sent_at + CLASSES[request.class_name].aim
+        if answer is not None and answer.status_code == OK and answer.received_at <= objective_at:
+            result.useful_inner_work += attempt.work
+    if not is_served(answer):
+        result.wasted_work += attempt.work
+
+
+async def run_phases(
+    has_budgets: bool, duration: float, hangs: int, seed: int, calm: PhaseResult, overload: PhaseResult
+) -> None:
+    """Run a chain through both phases, with the same requests at the same moments whether on or off."""
+    profile = ApplicationProfile(
+        CALLS_EACH, propagates_deadline=False, copies_budget_header=has_budgets, service_time_by_tier=SERVICES
+    )
+    async with running(2, HOSTS, has_budgets, profile=profile) as chain:
+        clients = chain.deployment.clients
+        assert clients is not None
+        chain.deployment.bypass_edge_proxy()
+        clients.budget_shares = PATIENCE
+        clients.random = Random(seed)
         loop = asyncio.get_running_loop()
         spans = []
-        await callers.run(WARM, CALM * CAPACITY, wait_and_close=False)  # until the windows know what is usual
-        for share in (CALM, OVER):
-            begun = loop.time()
-            calling = asyncio.create_task(callers.run(half, share * CAPACITY, wait_and_close=False))
-            if share == OVER:
-                inner = [host.application for host in made.deployment.hosts if host.sidecar.tier == "nucleo"]
-                for number in range(hangs):
-                    await asyncio.sleep(half / (hangs + 1) - (HANG if number else 0.0))
-                    hung = inner[number % len(inner)]
-                    hung.paused_until = time.monotonic() + HANG
-                    await asyncio.sleep(HANG)
-            await calling
-            spans.append((begun, loop.time()))
-            longest = max(cls.budget for cls in made.deployment.classes.values()) + GIVE_UP_MARGIN_S
-            await until(lambda: not callers.open_requests, "the last answers", longest + 1.0)
-            await asyncio.sleep(0.5)  # what still works for nobody shows
-        effects = {name: cls.idempotency for name, cls in made.deployment.classes.items()}
-        for into, span in zip((calm, over), spans, strict=True):
-            judge(made, span, into)
-            into.broken += [str(violation) for violation in made.deployment.recorder.audit(effects)]
-
-
-async def overload(proof: BenchmarkReport) -> None:
-    half, turns, hangs = (HALF_SHORT, TURNS_SHORT, HANGS_SHORT) if proof.short else (HALF, TURNS, HANGS)
-    found = {on: (Half(), Half()) for on in (True, False)}
-    for number in range(turns):
-        for on in (True, False) if number % 2 == 0 else (False, True):
-            await turn(on, half, hangs, proof.seed + number, *found[on])
-    proof.record(
-        "chain", HOSTS * 2, f"sidecars; {CAPACITY:.0f} calls a second at the most; {half:g} s a half"
-    )
-    for on, (calm, over) in found.items():
-        word = "on" if on else "off"
-        for name, part in (("calm", calm), ("over", over)):
-            proof.record(f"{word}_{name}_calls", part.calls, f"served {part.served}, refused {part.refused}")
-            proof.record(f"{word}_{name}_worth", part.worth, "of the worth asked for, in time")
-            proof.record(f"{word}_{name}_wasted", part.wasted, f"s of {part.work:.2f} s of work")
-            proof.record(f"{word}_{name}_for_nobody", part.nobody, "s of work after its request's end")
-            proof.record(
-                f"{word}_{name}_inner", part.inner, f"s of the inner tier, {part.used:.2f} of it in time"
-            )
-            proof.record(
-                f"{word}_{name}_begun_late",
-                len(part.late),
-                f"works for nobody, the latest {max(part.late, default=0.0):.3f} s",
-            )
-            proof.record(
-                f"{word}_{name}_attempts", part.most_attempts, "that reached an application, at the most"
+        await clients.run(
+            WARM_UP_S, CALM_LOAD * CAPACITY, wait_and_close=False
+        )  # until the estimates are there
+        for load in (CALM_LOAD, OVERLOAD):
+            started_at = loop.time()
+            sending = asyncio.create_task(clients.run(duration, load * CAPACITY, wait_and_close=False))
+            if load == OVERLOAD:
+                await hang_inner_tier(chain, duration, hangs)
+            await sending
+            spans.append((started_at, loop.time()))
+            longest = max(request_class.budget for request_class in chain.deployment.classes.values())
+            await until(
+                lambda: not clients.open_requests, "the last answers", longest + GIVE_UP_MARGIN_S + 1.0
             )
-            proof.check(not part.broken, f"{word}: rules broken: {part.broken[:2]}")
-    proof.record("allowance", ALLOWANCE, "s")
-    (calm_on, over_on), (calm_off, over_off) = found[True], found[False]
-    late = len(calm_on.late) + len(over_on.late)
-    proof.check(not late, f"{late} works were begun for nobody with budgets on")
-    proof.check(over_on.nobody < over_off.nobody, "no less work was done for nobody with budgets on")
-    proof.check(over_on.wasted < over_off.wasted, "no less work was wasted with budgets on")
-    proof.check(calm_on.worth >= calm_off.worth - SAME, "the calm half lost worth with budgets on")
-    proof.check(over_on.worth > over_off.worth, "the overloaded half gained no worth with budgets on")
-    most = max(calm_on.most_attempts, over_on.most_attempts)
-    proof.check(most <= ATTEMPTS, f"a request had {most} attempts, and its tree {ATTEMPTS}")
-
-
-async def loops(proof: BenchmarkReport) -> None:
-    calls = LOOPED_SHORT if proof.short else LOOPED
+            await asyncio.sleep(SETTLING_S)
+        classes = chain.deployment.classes.values()
+        effects = {request_class.name: request_class.idempotency for request_class in classes}
+        for result, (started_at, ended_at) in zip((calm, overload), spans, strict=True):
+            judge_phase(chain, started_at, ended_at, result)
+            result.violations += [str(violation) for violation in chain.deployment.recorder.audit(effects)]
+
+
+async def hang_inner_tier(chain: Chain, duration: float, hangs: int) -> None:
+    """Let the applications of the inner tier hang, one after another, spread over a phase."""
+    inner = [host.application for host in chain.deployment.hosts if host.sidecar.tier == "nucleo"]
+    for number in range(hangs):
+        await asyncio.sleep(duration / (hangs + 1) - (HANG_S if number else 0.0))
+        inner[number % len(inner)].paused_until = time.monotonic() + HANG_S
+        await asyncio.sleep(HANG_S)
+
+
+async def measure_overload(report: BenchmarkReport) -> None:
+    """Compare both phases with budgets on and off, in turns."""
+    duration, turns, hangs = (
+        (SHORT_PHASE_S, SHORT_TURNS, SHORT_HANGS) if report.short else (PHASE_S, TURNS, HANGS)
+    )
+    results = {has_budgets: (PhaseResult(), PhaseResult()) for has_budgets in (True, False)}
+    for number in range(turns):
+        for has_budgets in (True, False) if number % 2 == 0 else (False, True):
+            await run_phases(has_budgets, duration, hangs, report.seed + number, *results[has_budgets])
+    unit = f"sidecars; {CAPACITY:.0f} calls a second at the most; {duration:g} s a half"
+    report.record("chain", HOSTS * 2, unit)
+    for has_budgets, (calm, overload) in results.items():
+        prefix = "on" if has_budgets else "off"
+        report_phase(report, f"{prefix}_calm", calm)
+        report_phase(report, f"{prefix}_over", overload)
+    report.record("allowance", LATE_START_TOLERANCE_S, "s")
+    check_improvement(report, *results[True], *results[False])
+
+
+def report_phase(report: BenchmarkReport, prefix: str, result: PhaseResult) -> None:
+    """Print the figures of one phase."""
+    served = f"served {result.served}, refused {result.rejected}"
+    report.record(f"{prefix}_calls", result.requests, served)
+    report.record(f"{prefix}_worth", result.timely_share, "of the worth asked for, in time")
+    report.record(f"{prefix}_wasted", result.wasted_work, f"s of {result.work:.2f} s of work")
+    report.record(f"{prefix}_for_nobody", result.abandoned_work, "s of work after its request's end")
+    inner = f"s of the inner tier, {result.useful_inner_work:.2f} of it in time"
+    report.record(f"{prefix}_inner", result.inner_work, inner)
+    latest = max(result.late_starts, default=0.0)
+    late = f"works for nobody, the latest {latest:.3f} s"
+    report.record(f"{prefix}_begun_late", len(result.late_starts), late)
+    report.record(f"{prefix}_attempts", result.max_attempts, "that reached an application, at the most")
+    report.check(not result.violations, f"{prefix}: rules broken: {result.violations[:2]}")
+
+
+def check_improvement(
+    report: BenchmarkReport,
+    calm_on: PhaseResult,
+    over_on: PhaseResult,
+    calm_off: PhaseResult,
+    over_off: PhaseResult,
+) -> None:
+    """Check that budgets save work and cost nothing."""
+    late = len(calm_on.late_starts) + len(over_on.late_starts)
+    report.check(not late, f"{late} works were begun for nobody with budgets on")
+    is_less_abandoned = over_on.abandoned_work < over_off.abandoned_work
+    report.check(is_less_abandoned, "no less work was done for nobody with budgets on")
+    is_less_wasted = over_on.wasted_work < over_off.wasted_work
+    report.check(is_less_wasted, "no less work was wasted with budgets on")
+    is_calm_kept = calm_on.timely_share >= calm_off.timely_share - MAX_CALM_LOSS
+    report.check(is_calm_kept, "the calm half lost worth with budgets on")
+    is_more_timely = over_on.timely_share > over_off.timely_share
+    report.check(is_more_timely, "the overloaded half gained no worth with budgets on")
+    attempts = max(calm_on.max_attempts, over_on.max_attempts)
+    report.check(attempts <= ATTEMPTS, f"a request had {attempts} attempts, and its tree {ATTEMPTS}")
+
+
+async def measure_loops(report: BenchmarkReport) -> None:
+    """Misroute chains of one to three tiers back to their first."""
+    requests = SHORT_LOOP_REQUESTS if report.short else LOOP_REQUESTS
     for tiers in (1, 2, 3):
-        async with running(tiers, 1, misroute=True) as made:
-            callers = made.deployment.clients
-            assert callers is not None
-            await asyncio.gather(*(callers.request(made.deployment.classes["canje"]) for _ in range(calls)))
-            hops = [made.depth(attempt.request_id) for attempt in made.deployment.recorder.attempts]
-            again = Counter(
-                (made.root(a.request_id), a.endpoint) for a in made.deployment.recorder.attempts if a.executed
-            )
-            proof.record(
-                f"loop_{tiers}_hops", max(hops, default=0), f"of {calls} calls; told {made.reported_loops()}"
+        async with running(tiers, 1, misroute=True) as chain:
+            clients = chain.deployment.clients
+            assert clients is not None
+            request_class = chain.deployment.classes["canje"]
+            await asyncio.gather(*(clients.request(request_class) for _ in range(requests)))
+            attempts = chain.deployment.recorder.attempts
+            hops = [chain.depth(attempt.request_id) for attempt in attempts]
+            runs = Counter(
+                (chain.root(attempt.request_id), attempt.endpoint) for attempt in attempts if attempt.executed
             )
-            proof.check(
-                callers.status_codes[200] == 0 and max(hops, default=0) <= MOST_HOPS,
-                f"loop of {tiers} went on",
-            )
-            proof.check(hops and made.reported_loops(), f"no line names the loop of {tiers}")
-            proof.check(
-                max(again.values(), default=0) == 1, f"a server worked twice on a call in a loop of {tiers}"
-            )
-
-
-def histories(proof: BenchmarkReport) -> None:
-    count = HISTORIES_SHORT if proof.short else HISTORIES
-    faults: list[str] = []
-    sends = 0
+            logged = chain.reported_loops()
+            max_hops = max(hops, default=0)
+            report.record(f"loop_{tiers}_hops", max_hops, f"of {requests} calls; told {logged}")
+            is_stopped = clients.status_codes[OK] == 0 and max_hops <= MAX_LOOP_HOPS
+            report.check(is_stopped, f"loop of {tiers} went on")
+            report.check(hops and logged, f"no line names the loop of {tiers}")
+            is_single = max(runs.values(), default=0) == 1
+            report.check(is_single, f"a server worked twice on a call in a loop of {tiers}")
+
+
+def measure_histories(report: BenchmarkReport) -> None:
+    """Play random histories of request budgets."""
+    count = SHORT_HISTORIES if report.short else HISTORIES
+    violations: list[str] = []
+    sent_attempts = 0
     for number in range(count):
-        history = play(proof.seed * 1_000_003 + number)
-        sends += history.sends
-        faults += history.faults
-    proof.record("histories", count, f"of the accounts, with {sends} attempts")
-    proof.record("histories_broken", len(faults), "times negative, made from nothing, or debited twice")
-    proof.check(not faults, f"the accounts broke: {faults[:2]}")
-
-
-async def cost(proof: BenchmarkReport) -> None:
-    """CPU per call of a plain proxy at the edge, off and on, in turns."""
-    calls, turns = (CALLS_SHORT, 2) if proof.short else (CALLS, 7)
-    ledger = Recorder()
-    registry = EndpointRegistry(ledger)
-    await registry.start()
-    backends = [StubEndpoint(ledger, f"s-{number}", service_time=0.0) for number in range(3)]
-    for backend in backends:
-        await backend.start()
-    known = [entry(backend.name, backend.address) for backend in backends]
+        history = play_history(report.seed * 1_000_003 + number)
+        sent_attempts += history.sent_attempts
+        violations += history.violations
+    report.record("histories", count, f"of the accounts, with {sent_attempts} attempts")
+    unit = "times negative, made from nothing, or debited twice"
+    report.record("histories_broken", len(violations), unit)
+    report.check(not violations, f"the accounts broke: {violations[:2]}")
+
+
+async def measure_cpu(report: BenchmarkReport) -> None:
+    """Measure the CPU per request of a plain proxy at the edge, off and on, in turns."""
+    requests, turns = (SHORT_CPU_REQUESTS, 2) if report.short else (CPU_REQUESTS, 7)
+    recorder = Recorder()
+    discovery = EndpointRegistry(recorder)
+    await discovery.start()
+    endpoints = [StubEndpoint(recorder, f"s-{number}", service_time=0.0) for number in range(3)]
+    for endpoint in endpoints:
+        await endpoint.start()
+    known = [entry(endpoint.name, endpoint.address) for endpoint in endpoints]
     for item in known:
-        registry.put(item)
+        discovery.put(item)
+    costs: dict[str, list[float]] = {"off": [], "on": []}
     with tempfile.TemporaryDirectory() as folder:
-        keys = key_file(Path(folder))
-        table = f'[budgets]\nkeys_file = "{keys}"\nedge = true\n'
+        table = f'[budgets]\nkeys_file = "{key_file(Path(folder))}"\nedge = true\n'
         async with (
-            running_proxy("off", registry.address, known) as off,
-            running_proxy("on", registry.address, known, table) as on,
+            running_proxy("off", discovery.address, known) as off,
+            running_proxy("on", discovery.address, known, table) as on,
         ):
-            used: dict[str, list[float]] = {"off": [], "on": []}
             for number in range(turns):
                 for name, program in (("off", off), ("on", on)):
                     before = cpu(program.process.pid)
-                    await Drive(f"{name}{number}", calls).run(program.address)
+                    await Drive(f"{name}{number}", requests).run(program.address)
                     if number:
-                        used[name].append((cpu(program.process.pid) - before) / calls * 1e6)
-    registry.stop()
-    for backend in backends:
-        backend.stop()
-    for name, costs in used.items():
-        proof.record(f"cpu_{name}", median(costs), "us a call")
-    proof.record("cpu_on_to_off", median(used["on"]) / median(used["off"]), "times")
+                        costs[name].append((cpu(program.process.pid) - before) / requests * 1e6)
+    discovery.stop()
+    for endpoint in endpoints:
+        endpoint.stop()
+    for name, samples in costs.items():
+        report.record(f"cpu_{name}", median(samples), "us a call")
+    report.record("cpu_on_to_off", median(costs["on"]) / median(costs["off"]), "times")
 
 
-def memory(proof: BenchmarkReport) -> None:
-    """Of the correlation's table when it is full."""
+def measure_memory(report: BenchmarkReport) -> None:
+    """Measure the memory of the correlation table when it is full."""
     tracemalloc.start()
     table = CorrelationTable()
     for number in range(table.max_requests):
-        account = root_budget(12, 1.0, 1.0, 1.0, "reserva", f"{number:016x}")
-        table.add(f"{number:016x}", b"%016x" % number, b"key-%012x" % number, "reserva", account)
-    each = tracemalloc.get_traced_memory()[0] / table.max_requests
+        # Reference and tree id are different strings, as in the proxy.
+        budget = root_budget(12, 1.0, 1.0, 1.0, "reserva", f"{number:016x}")
+        table.add(f"{number:016x}", b"%016x" % number, b"key-%012x" % number, "reserva", budget)
+    size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    proof.record(
-        "correlation_full",
-        each * table.max_requests / 2**20,
-        f"MB of {table.max_requests} requests, {each:.0f} bytes each",
-    )
-    proof.check(
-        each <= BYTES_PER_REQUEST, f"a request takes {each:.0f} bytes, and {BYTES_PER_REQUEST} are documented"
-    )
-
-
-async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
-    histories(proof)
-    memory(proof)
-    await cost(proof)
-    await loops(proof)
-    await overload(proof)
+    each = size / table.max_requests
+    unit = f"MB of {table.max_requests} requests, {each:.0f} bytes each"
+    report.record("correlation_full", size / 2**20, unit)
+    is_documented = each <= BYTES_PER_REQUEST
+    report.check(is_documented, f"a request takes {each:.0f} bytes, and {BYTES_PER_REQUEST} are documented")
+
+
+async def measure(report: BenchmarkReport, _arguments: argparse.Namespace) -> None:
+    """Measure all parts."""
+    measure_histories(report)
+    measure_memory(report)
+    await measure_cpu(report)
+    await measure_loops(report)
+    await measure_overload(report)
 
 
 if __name__ == "__main__":
--- a/tests/deadlines/test_request_budget.py
+++ b/tests/deadlines/test_request_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.budgets import History, play
+from harness.budget_history import BudgetHistory, play_history
 from service_proxy.deadlines.request_budget import (
     AttemptGrant,
     RequestBudget,
@@ -140,6 +140,6 @@
 @settings(max_examples=400)
 @given(st.integers(0, 2**32))
 def test_no_history_creates_or_loses_an_attempt(seed: int) -> None:
-    history = play(seed)
-    assert isinstance(history, History) and history.faults == []
-    assert history.sends <= history.granted
+    history = play_history(seed)
+    assert isinstance(history, BudgetHistory) and history.violations == []
+    assert history.sent_attempts <= history.allowance
--- a/tests/harness/test_benchmarks.py
+++ b/tests/harness/test_benchmarks.py
@@ -78,21 +78,22 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """All but the overload, whose figures need a machine of its own."""
-    monkeypatch.setattr(budgets, "HISTORIES_SHORT", 300)
-    monkeypatch.setattr(budgets, "CALLS_SHORT", 60)
-    monkeypatch.setattr(budgets, "LOOPED_SHORT", 3)
+    monkeypatch.setattr(budgets, "SHORT_HISTORIES", 300)
+    monkeypatch.setattr(budgets, "SHORT_CPU_REQUESTS", 60)
+    monkeypatch.setattr(budgets, "SHORT_LOOP_REQUESTS", 3)
 
     async def measure(found: report.BenchmarkReport, wanted: object) -> None:
-        budgets.histories(found)
-        budgets.memory(found)
-        await budgets.cost(found)
-        await budgets.loops(found)
-        calm = budgets.Half()
-        over = budgets.Half()
-        await budgets.turn(True, 1.0, 1, 1, calm, over)
-        found.check(calm.calls and over.calls, "no calls")
-        found.check(not calm.late + over.late, "work was begun for nobody")
-        found.check(not calm.broken + over.broken, f"rules broken: {calm.broken + over.broken}")
+        budgets.measure_histories(found)
+        budgets.measure_memory(found)
+        await budgets.measure_cpu(found)
+        await budgets.measure_loops(found)
+        calm = budgets.PhaseResult()
+        overload = budgets.PhaseResult()
+        await budgets.run_phases(True, 1.0, 1, 1, calm, overload)
+        found.check(calm.requests and overload.requests, "no calls")
+        found.check(not calm.late_starts + overload.late_starts, "work was begun for nobody")
+        violations = calm.violations + overload.violations
+        found.check(not violations, f"rules broken: {violations}")
 
     code = report.run_benchmark("budgets", measure, ["--short"])
     said = capsys.readouterr().out
