--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -33,10 +33,12 @@
 from harness.recorder import Notification, Recorder
 from harness.stub_endpoint import StubEndpoint
 from service_proxy.ephemeral_nodes.children_cache import ChildrenCache
+from service_proxy.ephemeral_nodes.codes import EventType
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, to_endpoint
-from service_proxy.ephemeral_nodes.jute import OPEN_ACL, EventType
-from service_proxy.ephemeral_nodes.merger import MEMBERSHIP, EndpointListMerger, ReportedStatus
-from service_proxy.ephemeral_nodes.register import Registrar
+from service_proxy.ephemeral_nodes.merger import EndpointListMerger
+from service_proxy.ephemeral_nodes.records import OPEN_ACL
+from service_proxy.ephemeral_nodes.registrar import Registrar
+from service_proxy.ephemeral_nodes.source_reports import MEMBERSHIP, ReportedStatus
 from service_proxy.operator_file import Membership
 
 PARENT = "/salas/portal"
@@ -242,7 +244,7 @@
 
 def least_in_use(log: str, nodes: int) -> int:
     """The fewest servers that the proxy's list had in use, by its own lines."""
-    found = re.findall(r"in use: (\d+) servers, (\d+) before", log)
+    found = re.findall(r"endpoints_in_use_decreased count=(\d+) before=(\d+)", log)
     return min((int(now) for now, _ in found), default=nodes)
 
 
@@ -357,7 +359,7 @@
         proof.record(f"{name}_least_in_use", least, f"of {size.nodes} servers")
         fewest = size.nodes - int(SHARE * size.nodes)
         proof.check(least >= fewest, f"{name} had {least} servers in use, {fewest} is the share's bound")
-        held = logs[name].count("held to be its own fault")
+        held = logs[name].count("mass_loss_withheld")
         proof.record(f"{name}_held", held, "mass losses held")
         proof.check(held >= 1, f"{name} did not hold the empty ensemble's loss")
     for name, caller in callers.items():
@@ -408,7 +410,7 @@
 
 
 def says_fresh(program: ProxyProcess) -> bool:
-    return "membership is fresh" in program.log_file.read_text()
+    return "source=membership health=fresh" in program.log_file.read_text()
 
 
 def many(number: int) -> EndpointNode:
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -29,7 +29,7 @@
 from harness.recorder import Recorder
 from harness.stub_endpoint import StubEndpoint
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
-from service_proxy.ephemeral_nodes.jute import OPEN_ACL
+from service_proxy.ephemeral_nodes.records import OPEN_ACL
 
 CONNECTIONS = 8
 TURNS = 5
--- a/harness/coordination.py
+++ b/harness/coordination.py
@@ -35,16 +35,11 @@
 from pathlib import Path
 from typing import Any, cast
 
-from service_proxy.ephemeral_nodes import jute
-from service_proxy.ephemeral_nodes.jute import (
-    ErrorCode,
-    EventType,
-    OpCode,
-    RecordReader,
-    RecordWriter,
-    ServiceError,
-    Stat,
-)
+from service_proxy.ephemeral_nodes import errors, jute, paths, records
+from service_proxy.ephemeral_nodes.codes import ErrorCode, EventType, OpCode
+from service_proxy.ephemeral_nodes.errors import ServiceError
+from service_proxy.ephemeral_nodes.jute import RecordReader, RecordWriter
+from service_proxy.ephemeral_nodes.records import Stat
 
 EXPIRY_STEP = 0.05  # s between looks at sessions
 # ms that a session is granted
@@ -60,7 +55,7 @@
 @dataclass(slots=True)
 class Znode:
     data: bytes
-    acl: list[jute.Acl]
+    acl: list[records.Acl]
     czxid: int
     mzxid: int
     pzxid: int
@@ -113,7 +108,7 @@
 
     def reset(self) -> None:
         now = int(time.time() * 1000)
-        self.nodes = {"/": Znode(b"", list(jute.OPEN_ACL), 0, 0, 0, now, now)}
+        self.nodes = {"/": Znode(b"", list(records.OPEN_ACL), 0, 0, 0, now, now)}
 
     def node(self, path: str) -> Znode:
         found = self.nodes.get(path)
@@ -121,11 +116,11 @@
             raise ServiceError(ErrorCode.NO_NODE, path)
         return found
 
-    def create(self, path: str, data: bytes, acl: list[jute.Acl], flags: int, owner: int) -> str:
+    def create(self, path: str, data: bytes, acl: list[records.Acl], flags: int, owner: int) -> str:
         if flags & 2:
             holder = self.node(parent_of(path))
             path = f"{path}{holder.sequence:010d}"
-        if jute.find_path_problem(path) or path == "/":
+        if paths.find_path_problem(path) or path == "/":
             raise ServiceError(ErrorCode.BAD_ARGUMENTS, path)
         parent = self.node(parent_of(path))
         if path in self.nodes:
@@ -235,7 +230,7 @@
         if session.connection is not None:
             session.connection.drop()
 
-    def connect(self, wanted: jute.ConnectRequest, connection: ServiceConnection) -> SessionRecord | None:
+    def connect(self, wanted: records.ConnectRequest, connection: ServiceConnection) -> SessionRecord | None:
         """A new session, or the one asked for; None where it has expired. Moving it ends its old
         connection.
         """
@@ -433,7 +428,7 @@
                     self._connect(frame)
                 elif self.session is not None:
                     self._request(frame)
-        except jute.MalformedRecordError:
+        except errors.MalformedRecordError:
             self.drop()
 
     def _send(self, frame: bytes) -> None:
@@ -459,17 +454,17 @@
             self.service.loop.call_at(self.waiting[0][0], self._send_waiting)
 
     def _connect(self, frame: bytes) -> None:
-        wanted = jute.parse_connect_request(frame)
+        wanted = records.parse_connect_request(frame)
         if wanted.last_zxid > self.service.tree.zxid or (self.server.read_only and not wanted.read_only):
             self.drop()  # the client has seen what this server has not, or wants to write
             return
         session = self.service.connect(wanted, self)
         if session is None:
-            self._send(jute.ConnectResponse(0, 0, bytes(16)).frame())
+            self._send(records.ConnectResponse(0, 0, bytes(16)).frame())
             self.service.loop.call_later(0.05 + self.service.slow, self.drop)
             return
         self.session = session
-        granted = jute.ConnectResponse(
+        granted = records.ConnectResponse(
             int(session.timeout * 1000), session.id, session.password, self.server.read_only
         )
         self._send(granted.frame())
@@ -486,11 +481,11 @@
                 raise ServiceError(ErrorCode.NOT_READ_ONLY)
             body = self._do(op, source)
         except ServiceError as fault:
-            self._send(jute.encode_reply(xid, self.service.tree.zxid, fault.code))
+            self._send(records.encode_reply(xid, self.service.tree.zxid, fault.code))
             if op == OpCode.AUTH:
                 self.service.loop.call_later(0.05, self.drop)
             return
-        self._send(jute.encode_reply(xid, self.service.tree.zxid, ErrorCode.OK, body))
+        self._send(records.encode_reply(xid, self.service.tree.zxid, ErrorCode.OK, body))
         if op == OpCode.CLOSE:
             self.service.loop.call_later(0.01, self.drop)
 
@@ -559,7 +554,7 @@
     def _create(self, source: RecordReader) -> str:
         path = source.string()
         data = source.buffer() or b""
-        acl = source.vector(lambda: jute.read_acl(source))
+        acl = source.vector(lambda: records.read_acl(source))
         flags = source.int32()
         assert self.session is not None
         self._allowed(parent_of(path), 4)
@@ -568,7 +563,7 @@
             if entry.scheme == "auth":
                 if not self.users:
                     raise ServiceError(ErrorCode.INVALID_ACL, path)
-                real += [jute.Acl(entry.perms, "digest", user) for user in sorted(self.users)]
+                real += [records.Acl(entry.perms, "digest", user) for user in sorted(self.users)]
             else:
                 real.append(entry)
         if not real:
@@ -732,7 +727,7 @@
             path = parent_of(path)
 
     def _notify(self, event: int, path: str) -> None:
-        self._send(jute.WatcherEvent(event, SYNC_CONNECTED, path).frame())
+        self._send(records.WatcherEvent(event, SYNC_CONNECTED, path).frame())
         self._sent(event, [path.rpartition("/")[2]])
 
     def _sent(self, event: int, names: list[str]) -> None:
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from service_proxy.admin.service import AdminService
     from service_proxy.deadlines.propagation import BudgetPropagation
-    from service_proxy.ephemeral_nodes.register import Registrar
+    from service_proxy.ephemeral_nodes.registrar import Registrar
     from service_proxy.fleet.service import FleetService
     from service_proxy.net.endpoint_sources import Subsystem
     from service_proxy.net.request_filters import RequestFilter
@@ -236,7 +236,7 @@
 
 def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
     """Return what keeps this machine's endpoint registered; it is not started yet."""
-    from service_proxy.ephemeral_nodes.register import create_registrar
+    from service_proxy.ephemeral_nodes.registrar import create_registrar
 
     return create_registrar(membership, registration, since_ms)
 
--- a/service_proxy/ephemeral_nodes/session_states.py
+++ b/service_proxy/ephemeral_nodes/session_states.py
@@ -1,17 +1,21 @@
 """The states of a session with the service, as one table of transitions. Pure: no sockets, no clock.
 
-What may live here: states, events, the table, and what each state allows. What may not: timers and frames.
-SUSPENDED: the connection broke, and the session may live on at the service. LOST: for longer than the
-session's time-out nothing was heard, so by the service's own rule it must have ended, though none has said
-so. EXPIRED: the service has said so. What is known of the servers survives all of them.
+The states have the names of ZooKeeper's documents and of its clients. SUSPENDED: the connection broke, and
+the session may live on at the service. LOST: for longer than the session timeout nothing was received, so by
+the service's own rule it must have ended, though none has said so. EXPIRED: the service has said so. What is
+known of the endpoints survives all of them.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
+from service_proxy.ephemeral_nodes.errors import InvalidTransitionError
+
 
 class SessionState(Enum):
+    """Where a session stands."""
+
     CLOSED = "CLOSED"  # not begun, or ended by this side
     CONNECTING = "CONNECTING"  # no session yet
     CONNECTED = "CONNECTED"
@@ -23,60 +27,56 @@
 
 
 class SessionEvent(Enum):
-    """What can befall a session."""
+    """What changes a session's state."""
 
     OPEN = "open"  # this side begins
-    CONNECTED = "up"  # a server took the connection and the session
-    CONNECTED_READ_ONLY = "up_ro"
-    DISCONNECTED = "down"  # the connection broke, or nothing came for two thirds of the time-out
-    TIMED_OUT = "overdue"  # no connection for the whole time-out
-    SESSION_EXPIRED = "refused"  # a server said that the session has expired
-    AUTH_REJECTED = "auth_refused"
+    CONNECTED = "connected"  # a server took the connection and the session
+    CONNECTED_READ_ONLY = "connected_read_only"
+    DISCONNECTED = "disconnected"  # the connection broke, or the server was silent for too long
+    TIMED_OUT = "timed_out"  # no connection for the whole session timeout
+    SESSION_EXPIRED = "session_expired"  # a server said that the session has expired
+    AUTH_REJECTED = "auth_rejected"
     CLOSE = "close"  # this side ends
 
 
-class InvalidTransitionError(Exception):
-    """A happening that the state can't have: a fault of this program."""
-
-
 S = SessionState
-H = SessionEvent
+E = SessionEvent
 TRANSITIONS: dict[tuple[SessionState, SessionEvent], SessionState] = {
-    (S.CLOSED, H.OPEN): S.CONNECTING,
-    (S.CLOSED, H.CLOSE): S.CLOSED,
-    (S.CONNECTING, H.CONNECTED): S.CONNECTED,
-    (S.CONNECTING, H.CONNECTED_READ_ONLY): S.CONNECTED_RO,
-    (S.CONNECTING, H.DISCONNECTED): S.CONNECTING,
-    (S.CONNECTING, H.TIMED_OUT): S.CONNECTING,
-    (S.CONNECTING, H.SESSION_EXPIRED): S.CONNECTING,
-    (S.CONNECTING, H.AUTH_REJECTED): S.AUTH_FAILED,
-    (S.CONNECTING, H.CLOSE): S.CLOSED,
-    (S.CONNECTED, H.DISCONNECTED): S.SUSPENDED,
-    (S.CONNECTED, H.SESSION_EXPIRED): S.EXPIRED,
-    (S.CONNECTED, H.AUTH_REJECTED): S.AUTH_FAILED,
-    (S.CONNECTED, H.CLOSE): S.CLOSED,
-    (S.CONNECTED_RO, H.DISCONNECTED): S.SUSPENDED,
-    (S.CONNECTED_RO, H.SESSION_EXPIRED): S.EXPIRED,
-    (S.CONNECTED_RO, H.AUTH_REJECTED): S.AUTH_FAILED,
-    (S.CONNECTED_RO, H.CLOSE): S.CLOSED,
-    (S.SUSPENDED, H.CONNECTED): S.CONNECTED,
-    (S.SUSPENDED, H.CONNECTED_READ_ONLY): S.CONNECTED_RO,
-    (S.SUSPENDED, H.DISCONNECTED): S.SUSPENDED,
-    (S.SUSPENDED, H.TIMED_OUT): S.LOST,
-    (S.SUSPENDED, H.SESSION_EXPIRED): S.EXPIRED,
-    (S.SUSPENDED, H.AUTH_REJECTED): S.AUTH_FAILED,
-    (S.SUSPENDED, H.CLOSE): S.CLOSED,
-    (S.LOST, H.CONNECTED): S.CONNECTED,  # the service was slower to end it than this side to fear it
-    (S.LOST, H.CONNECTED_READ_ONLY): S.CONNECTED_RO,
-    (S.LOST, H.DISCONNECTED): S.LOST,
-    (S.LOST, H.TIMED_OUT): S.LOST,
-    (S.LOST, H.SESSION_EXPIRED): S.EXPIRED,
-    (S.LOST, H.AUTH_REJECTED): S.AUTH_FAILED,
-    (S.LOST, H.CLOSE): S.CLOSED,
-    (S.EXPIRED, H.OPEN): S.CONNECTING,  # with a new session
-    (S.EXPIRED, H.CLOSE): S.CLOSED,
-    (S.AUTH_FAILED, H.DISCONNECTED): S.AUTH_FAILED,
-    (S.AUTH_FAILED, H.CLOSE): S.CLOSED,
+    (S.CLOSED, E.OPEN): S.CONNECTING,
+    (S.CLOSED, E.CLOSE): S.CLOSED,
+    (S.CONNECTING, E.CONNECTED): S.CONNECTED,
+    (S.CONNECTING, E.CONNECTED_READ_ONLY): S.CONNECTED_RO,
+    (S.CONNECTING, E.DISCONNECTED): S.CONNECTING,
+    (S.CONNECTING, E.TIMED_OUT): S.CONNECTING,
+    (S.CONNECTING, E.SESSION_EXPIRED): S.CONNECTING,
+    (S.CONNECTING, E.AUTH_REJECTED): S.AUTH_FAILED,
+    (S.CONNECTING, E.CLOSE): S.CLOSED,
+    (S.CONNECTED, E.DISCONNECTED): S.SUSPENDED,
+    (S.CONNECTED, E.SESSION_EXPIRED): S.EXPIRED,
+    (S.CONNECTED, E.AUTH_REJECTED): S.AUTH_FAILED,
+    (S.CONNECTED, E.CLOSE): S.CLOSED,
+    (S.CONNECTED_RO, E.DISCONNECTED): S.SUSPENDED,
+    (S.CONNECTED_RO, E.SESSION_EXPIRED): S.EXPIRED,
+    (S.CONNECTED_RO, E.AUTH_REJECTED): S.AUTH_FAILED,
+    (S.CONNECTED_RO, E.CLOSE): S.CLOSED,
+    (S.SUSPENDED, E.CONNECTED): S.CONNECTED,
+    (S.SUSPENDED, E.CONNECTED_READ_ONLY): S.CONNECTED_RO,
+    (S.SUSPENDED, E.DISCONNECTED): S.SUSPENDED,
+    (S.SUSPENDED, E.TIMED_OUT): S.LOST,
+    (S.SUSPENDED, E.SESSION_EXPIRED): S.EXPIRED,
+    (S.SUSPENDED, E.AUTH_REJECTED): S.AUTH_FAILED,
+    (S.SUSPENDED, E.CLOSE): S.CLOSED,
+    (S.LOST, E.CONNECTED): S.CONNECTED,  # the service ended it later than it might have
+    (S.LOST, E.CONNECTED_READ_ONLY): S.CONNECTED_RO,
+    (S.LOST, E.DISCONNECTED): S.LOST,
+    (S.LOST, E.TIMED_OUT): S.LOST,
+    (S.LOST, E.SESSION_EXPIRED): S.EXPIRED,
+    (S.LOST, E.AUTH_REJECTED): S.AUTH_FAILED,
+    (S.LOST, E.CLOSE): S.CLOSED,
+    (S.EXPIRED, E.OPEN): S.CONNECTING,  # with a new session
+    (S.EXPIRED, E.CLOSE): S.CLOSED,
+    (S.AUTH_FAILED, E.DISCONNECTED): S.AUTH_FAILED,
+    (S.AUTH_FAILED, E.CLOSE): S.CLOSED,
 }
 
 USABLE_STATES = frozenset((S.CONNECTED, S.CONNECTED_RO))  # requests may be sent
@@ -84,9 +84,13 @@
 RECOVERABLE_STATES = frozenset((S.SUSPENDED, S.LOST))  # a reconnect offers the old session
 
 
-def next_state(state: SessionState, happening: SessionEvent) -> SessionState:
-    """The next state; raises Impossible where the table has none."""
+def next_state(state: SessionState, event: SessionEvent) -> SessionState:
+    """Return the state after an event.
+
+    Raises:
+        InvalidTransitionError: the table has none.
+    """
     try:
-        return TRANSITIONS[state, happening]
+        return TRANSITIONS[state, event]
     except KeyError:
-        raise InvalidTransitionError(f"{happening.name} in {state.name}") from None
+        raise InvalidTransitionError(f"{event.name} in {state.name}") from None
--- a/service_proxy/ephemeral_nodes/snapshot.py
+++ b/service_proxy/ephemeral_nodes/snapshot.py
@@ -1,4 +1,4 @@
-"""The list as last known, in a file: written whole or not at all, and refused where it is torn.
+"""The endpoints as last known, in a file: written atomically, and refused where it is torn.
 
     willowwing-nodes 1 <sha256 of the rest, in hex> <count>
     one node's JSON a line
@@ -18,17 +18,17 @@
 from pathlib import Path
 
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, parse_node
+from service_proxy.ephemeral_nodes.errors import InvalidSnapshotError
 
 MAGIC = b"willowwing-nodes"
 VERSION = b"1"
-MAX_FILE_BYTES = 64 << 20  # bytes; 20,000 nodes have 5 MB
-
-
-class InvalidSnapshotError(ValueError):
-    """The file can't be used; the message says why."""
+HEAD_FIELDS = 4  # magic, version, digest, count
+FIRST_BODY_LINE = 2
+MAX_FILE_BYTES = 64 << 20  # 20,000 nodes have 5 MB
 
 
 def encode(nodes: Iterable[EndpointNode]) -> bytes:
+    """Return the file's content."""
     lines = [node.encode() for node in nodes]
     body = b"".join(line + b"\n" for line in lines)
     digest = hashlib.sha256(body).hexdigest().encode()
@@ -36,39 +36,54 @@
 
 
 def decode(data: bytes) -> list[EndpointNode]:
-    head, newline, body = data.partition(b"\n")
-    parts = head.split(b" ")
-    if not newline or len(parts) != 4 or parts[0] != MAGIC:
-        raise InvalidSnapshotError("it does not begin as a snapshot does")
-    if parts[1] != VERSION:
-        raise InvalidSnapshotError(
-            f"it has version {parts[1].decode('latin-1'):.20}, and {VERSION.decode()} is read"
-        )
-    if hashlib.sha256(body).hexdigest().encode() != parts[2]:
-        raise InvalidSnapshotError("it is torn: its checksum is not that of its lines")
-    lines = body.splitlines()
-    if parts[3] != b"%d" % len(lines):
-        raise InvalidSnapshotError(f"it has {len(lines)} lines and says {parts[3].decode('latin-1'):.20}")
+    """Return the nodes of a file's content.
+
+    Raises:
+        InvalidSnapshotError: it can't be used as a whole.
+    """
+    body = _check_head(data)
     nodes = []
-    for number, line in enumerate(lines, 2):
+    for number, line in enumerate(body.splitlines(), FIRST_BODY_LINE):
         try:
-            name = _name(line)
-            nodes.append(parse_node(name, line))
-        except ValueError as fault:
-            raise InvalidSnapshotError(f"line {number}: {fault}") from None
+            nodes.append(parse_node(_read_name(line), line))
+        except ValueError as error:
+            raise InvalidSnapshotError(f"line {number}: {error}") from None
     return nodes
 
 
-def _name(line: bytes) -> str:
+def _check_head(data: bytes) -> bytes:
+    """Return what follows the head, once that agrees with it."""
+    head, newline, body = data.partition(b"\n")
+    fields = head.split(b" ")
+    if not newline or len(fields) != HEAD_FIELDS or fields[0] != MAGIC:
+        raise InvalidSnapshotError("it does not begin as a snapshot does")
+    _, version, digest, count = fields
+    if version != VERSION:
+        found = version.decode("latin-1")
+        raise InvalidSnapshotError(f"it has version {found:.20}, and {VERSION.decode()} is read")
+    if hashlib.sha256(body).hexdigest().encode() != digest:
+        raise InvalidSnapshotError("it is torn: its checksum is not that of its lines")
+    lines = len(body.splitlines())
+    if count != b"%d" % lines:
+        raise InvalidSnapshotError(f"it has {lines} lines and says {count.decode('latin-1'):.20}")
+    return body
+
+
+def _read_name(line: bytes) -> str:
     raw = json.loads(line)
     name = raw.get("name") if isinstance(raw, dict) else None
     if not isinstance(name, str):
-        raise ValueError("no node with a name")
+        raise InvalidSnapshotError("no node with a name")
     return name
 
 
 def read(path: Path) -> list[EndpointNode]:
-    """Raises BadSnapshot; OSError where it can't be read, FileNotFoundError where there is none."""
+    """Read a snapshot.
+
+    Raises:
+        InvalidSnapshotError: it can't be used.
+        OSError: it can't be read; FileNotFoundError where there is none.
+    """
     with path.open("rb") as source:
         data = source.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
@@ -77,7 +92,11 @@
 
 
 def write(path: Path, nodes: Iterable[EndpointNode]) -> None:
-    """The new file is whole on disk before it takes the old one's place. Raises OSError."""
+    """Replace a snapshot, once the new file is complete on the disk.
+
+    Raises:
+        OSError: it could not be written; the old one is what it was.
+    """
     data = encode(nodes)
     handle, name = tempfile.mkstemp(prefix=path.name + ".", dir=path.parent)
     try:
--- a/tests/ephemeral_nodes/test_children_cache.py
+++ b/tests/ephemeral_nodes/test_children_cache.py
@@ -11,8 +11,9 @@
 
 from service_proxy.ephemeral_nodes import children_cache as children_cache_module
 from service_proxy.ephemeral_nodes.children_cache import ChildrenCache
+from service_proxy.ephemeral_nodes.codes import EventType
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, find_name_problem, parse_node
-from service_proxy.ephemeral_nodes.jute import EventType, Stat
+from service_proxy.ephemeral_nodes.records import Stat
 
 
 def node(name: str, **more: object) -> EndpointNode:
--- a/tests/ephemeral_nodes/test_jute.py
+++ b/tests/ephemeral_nodes/test_jute.py
@@ -6,17 +6,10 @@
 import pytest
 from kazoo.security import ACL, Id
 
-from service_proxy.ephemeral_nodes import jute
-from service_proxy.ephemeral_nodes.jute import (
-    AddWatchMode,
-    CreateMode,
-    MultiOperation,
-    OpCode,
-    RecordReader,
-    RecordWriter,
-    ReservedXid,
-    Stat,
-)
+from service_proxy.ephemeral_nodes import codes, errors, jute, paths, records
+from service_proxy.ephemeral_nodes.codes import AddWatchMode, CreateMode, OpCode, ReservedXid
+from service_proxy.ephemeral_nodes.jute import RecordReader, RecordWriter
+from service_proxy.ephemeral_nodes.records import MultiOperation, Stat
 
 OPEN = [ACL(31, Id("world", "anyone"))]
 STAT = Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
@@ -33,16 +26,16 @@
     "create": (
         kazoo.Create("/a/b", b"x", OPEN, 1),
         OpCode.CREATE,
-        jute.encode_create("/a/b", b"x", jute.OPEN_ACL, CreateMode.EPHEMERAL),
+        records.encode_create("/a/b", b"x", records.OPEN_ACL, CreateMode.EPHEMERAL),
     ),
-    "delete": (kazoo.Delete("/a", 3), OpCode.DELETE, jute.encode_delete("/a", 3)),
-    "exists": (kazoo.Exists("/a", True), OpCode.EXISTS, jute.encode_read("/a", True)),
-    "getData": (kazoo.GetData("/ñ", None), OpCode.GET_DATA, jute.encode_read("/ñ", False)),
-    "setData": (kazoo.SetData("/a", b"", -1), OpCode.SET_DATA, jute.encode_set_data("/a", b"")),
-    "getChildren2": (kazoo.GetChildren2("/a", True), OpCode.GET_CHILDREN2, jute.encode_read("/a", True)),
-    "sync": (kazoo.Sync("/a"), OpCode.SYNC, jute.encode_path("/a")),
-    "check": (kazoo.CheckVersion("/a", 4), OpCode.CHECK, jute.encode_check("/a", 4)),
-    "auth": (kazoo.Auth(0, "digest", "u:p"), OpCode.AUTH, jute.encode_auth("digest", b"u:p")),
+    "delete": (kazoo.Delete("/a", 3), OpCode.DELETE, records.encode_delete("/a", 3)),
+    "exists": (kazoo.Exists("/a", True), OpCode.EXISTS, records.encode_read("/a", True)),
+    "getData": (kazoo.GetData("/ñ", None), OpCode.GET_DATA, records.encode_read("/ñ", False)),
+    "setData": (kazoo.SetData("/a", b"", -1), OpCode.SET_DATA, records.encode_set_data("/a", b"")),
+    "getChildren2": (kazoo.GetChildren2("/a", True), OpCode.GET_CHILDREN2, records.encode_read("/a", True)),
+    "sync": (kazoo.Sync("/a"), OpCode.SYNC, records.encode_path("/a")),
+    "check": (kazoo.CheckVersion("/a", 4), OpCode.CHECK, records.encode_check("/a", 4)),
+    "auth": (kazoo.Auth(0, "digest", "u:p"), OpCode.AUTH, records.encode_auth("digest", b"u:p")),
     "multi": (
         kazoo.Transaction(
             [
@@ -53,14 +46,14 @@
             ]
         ),
         OpCode.MULTI,
-        jute.encode_multi(
+        records.encode_multi(
             [
                 MultiOperation(
-                    OpCode.CREATE, jute.encode_create("/a", b"x", jute.OPEN_ACL, CreateMode.PERSISTENT)
+                    OpCode.CREATE, records.encode_create("/a", b"x", records.OPEN_ACL, CreateMode.PERSISTENT)
                 ),
-                MultiOperation(OpCode.DELETE, jute.encode_delete("/b")),
-                MultiOperation(OpCode.SET_DATA, jute.encode_set_data("/c", b"y", 2)),
-                MultiOperation(OpCode.CHECK, jute.encode_check("/d", 1)),
+                MultiOperation(OpCode.DELETE, records.encode_delete("/b")),
+                MultiOperation(OpCode.SET_DATA, records.encode_set_data("/c", b"y", 2)),
+                MultiOperation(OpCode.CHECK, records.encode_check("/d", 1)),
             ]
         ),
     ),
@@ -70,21 +63,21 @@
 @pytest.mark.parametrize(("stock", "op", "ours"), REQUESTS.values(), ids=REQUESTS)
 def test_requests_have_the_bytes_of_a_stock_client(stock: object, op: OpCode, ours: bytes) -> None:
     assert stock.type == op  # type: ignore[attr-defined]
-    assert jute.encode_request(7, op, ours) == framed(7, op, bytes(stock.serialize()))  # type: ignore[attr-defined]
+    assert records.encode_request(7, op, ours) == framed(7, op, bytes(stock.serialize()))  # type: ignore[attr-defined]
 
 
 def test_the_first_frame_has_the_bytes_of_a_stock_client() -> None:
     stock = bytes(kazoo.Connect(0, 5, 6000, 77, b"p" * 16, True).serialize())
-    ours = jute.ConnectRequest(5, 6000, 77, b"p" * 16, True)
+    ours = records.ConnectRequest(5, 6000, 77, b"p" * 16, True)
     assert ours.frame() == kazoo.int_struct.pack(len(stock)) + stock
-    assert jute.parse_connect_request(ours.frame()[4:]) == ours
+    assert records.parse_connect_request(ours.frame()[4:]) == ours
 
 
 def test_the_first_frame_has_the_published_bytes() -> None:
     """A new session of 10 s, as the programmer's guide has clients begin: 44 bytes, with the read-only flag
     45.
     """
-    frame = jute.ConnectRequest(0, 10_000, 0, bytes(16)).frame()
+    frame = records.ConnectRequest(0, 10_000, 0, bytes(16)).frame()
     published = (
         "0000002d" "00000000" "0000000000000000" "00002710" "0000000000000000" "00000010" + "00" * 16 + "00"
     )
@@ -92,12 +85,12 @@
 
 
 def test_the_service_side_has_the_bytes_that_a_stock_client_reads() -> None:
-    granted = jute.ConnectResponse(6000, 0x1234, b"q" * 16, True)
+    granted = records.ConnectResponse(6000, 0x1234, b"q" * 16, True)
     stock, _ = kazoo.Connect.deserialize(granted.frame(), 4)
     assert (stock.time_out, stock.session_id, stock.passwd, stock.read_only) == (6000, 0x1234, b"q" * 16, 1)
-    header, at = kazoo.ReplyHeader.deserialize(jute.encode_reply(3, 99, -101), 4)
+    header, at = kazoo.ReplyHeader.deserialize(records.encode_reply(3, 99, -101), 4)
     assert (header.xid, header.zxid, header.err, at) == (3, 99, -101, 20)
-    notified = jute.WatcherEvent(jute.EventType.DELETED, 3, "/a/b").frame()
+    notified = records.WatcherEvent(codes.EventType.DELETED, 3, "/a/b").frame()
     header, at = kazoo.ReplyHeader.deserialize(notified, 4)
     assert header.xid == ReservedXid.NOTIFICATION
     watch, _ = kazoo.Watch.deserialize(notified, at)
@@ -112,7 +105,7 @@
     body = RecordWriter().int32(OpCode.CREATE).boolean(False).int32(0).string("/a")
     STAT.write(body.int32(OpCode.SET_DATA).boolean(False).int32(0))
     body.int32(OpCode.DELETE).boolean(False).int32(0).int32(-1).boolean(True).int32(-1)
-    results = jute.read_multi(RecordReader(body.to_bytes()))
+    results = records.read_multi(RecordReader(body.to_bytes()))
     assert [(result.op, result.path, result.stat) for result in results] == [
         (OpCode.CREATE, "/a", None),
         (OpCode.SET_DATA, "", STAT),
@@ -122,36 +115,38 @@
 
 def test_add_watch_has_the_published_bytes() -> None:
     """AddWatchRequest: the path, then the mode; 1 is persistent and recursive."""
-    frame = jute.encode_request(
-        2, OpCode.ADD_WATCH, jute.encode_add_watch("/a", AddWatchMode.PERSISTENT_RECURSIVE)
+    frame = records.encode_request(
+        2, OpCode.ADD_WATCH, records.encode_add_watch("/a", AddWatchMode.PERSISTENT_RECURSIVE)
     )
     assert frame.hex() == "00000012" "00000002" "0000006a" "00000002" "2f61" "00000001"
 
 
 def test_set_watches_are_of_the_published_form() -> None:
-    body = jute.encode_set_watches2(9, ["/d"], [], ["/c"], [], ["/r"])
+    body = records.encode_set_watches2(9, ["/d"], [], ["/c"], [], ["/r"])
     source = RecordReader(body)
     assert source.int64() == 9
     assert [source.vector(source.string) for _ in range(5)] == [["/d"], [], ["/c"], [], ["/r"]]
     assert not source.remaining
-    assert body.startswith(jute.encode_set_watches(9, ["/d"], [], ["/c"]))
+    assert body.startswith(records.encode_set_watches(9, ["/d"], [], ["/c"]))
 
 
 @pytest.mark.parametrize("cut", range(1, 40))
 def test_a_record_that_ends_early_is_malformed(cut: int) -> None:
-    whole = jute.ConnectResponse(6000, 1, b"q" * 16).frame()[4:-1]
-    with pytest.raises(jute.MalformedRecordError):
-        jute.parse_connect_response(whole[: len(whole) - min(cut, len(whole))])
+    whole = records.ConnectResponse(6000, 1, b"q" * 16).frame()[4:-1]
+    with pytest.raises(errors.MalformedRecordError):
+        records.parse_connect_response(whole[: len(whole) - min(cut, len(whole))])
 
 
 @pytest.mark.parametrize("length", [b"\xff\xff\xff\xff", b"\x7f\xff\xff\xff", b"GET "])
 def test_a_frame_of_an_impossible_length_is_malformed(length: bytes) -> None:
-    with pytest.raises(jute.MalformedRecordError):
+    with pytest.raises(errors.MalformedRecordError):
         jute.split_frames(bytearray(length + b"rest"))
 
 
 def test_frames_are_taken_whole_however_they_come() -> None:
-    data = jute.encode_request(1, OpCode.PING) + jute.encode_request(2, OpCode.SYNC, jute.encode_path("/a"))
+    data = records.encode_request(1, OpCode.PING) + records.encode_request(
+        2, OpCode.SYNC, records.encode_path("/a")
+    )
     buffer = bytearray()
     found = []
     for byte in data:
@@ -161,24 +156,24 @@
 
 
 def test_strings_that_are_no_utf8_and_vectors_without_end_are_malformed() -> None:
-    with pytest.raises(jute.MalformedRecordError):
+    with pytest.raises(errors.MalformedRecordError):
         RecordReader(RecordWriter().buffer(b"\xff").to_bytes()).string()
     source = RecordReader(RecordWriter().int32(1 << 30).to_bytes())
-    with pytest.raises(jute.MalformedRecordError):
+    with pytest.raises(errors.MalformedRecordError):
         source.vector(source.int32)
 
 
 def test_errors_are_named_by_their_numbers() -> None:
-    assert str(jute.ServiceError(-101, "/a")) == "NO_NODE (-101) at /a"
-    assert "no known number" in str(jute.ServiceError(-999))
+    assert str(errors.ServiceError(-101, "/a")) == "NO_NODE (-101) at /a"
+    assert "no known number" in str(errors.ServiceError(-999))
 
 
 @pytest.mark.parametrize(
     "path", ["a", "/a/", "//a", "/a/../b", "/a/.", "/a\x00", "/a\x1f", "/\x85", "/\uf000"]
 )
 def test_paths_that_the_service_refuses(path: str) -> None:
-    assert jute.find_path_problem(path)
+    assert paths.find_path_problem(path)
 
 
 def test_paths_that_it_takes() -> None:
-    assert not any(map(jute.find_path_problem, ["/", "/a", "/a/b-c_d.e", "/sala ñ/日本", "/a..b"]))
+    assert not any(map(paths.find_path_problem, ["/", "/a", "/a/b-c_d.e", "/sala ñ/日本", "/a..b"]))
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -9,13 +9,12 @@
 from hypothesis import strategies as st
 
 from service_proxy.ephemeral_nodes import merger as module
-from service_proxy.ephemeral_nodes.merger import (
+from service_proxy.ephemeral_nodes.merge_rules import LOSS_WINDOW_S
+from service_proxy.ephemeral_nodes.merger import END_MEMORY_S, WITHHOLD_S, EndpointListMerger
+from service_proxy.ephemeral_nodes.source_reports import (
     DISCOVERY,
-    END_MEMORY_S,
-    LOSS_WINDOW_S,
     MEMBERSHIP,
-    WITHHOLD_S,
-    EndpointListMerger,
+    START_TOLERANCE_S,
     ReportedStatus,
 )
 from service_proxy.net.endpoint_list import Endpoint, endpoint_id_of
@@ -95,7 +94,7 @@
         pair.give(10.0)
         assert pair.states()["s-1"] is DRAINING
     notes = [note for note in pair.merger.take_notes() if "s-1" in note]
-    assert len(notes) == 1 and "decided by membership: lost, which beats ready" in notes[0]
+    assert len(notes) == 1 and "source=membership reason=lost, which beats ready" in notes[0]
 
 
 def test_a_lost_session_that_nobody_contradicts_is_gone_after_the_window() -> None:
@@ -126,7 +125,7 @@
     pair.give(END_MEMORY_S)
     pair.give(0.1)
     assert "s-1" not in pair.merger.sources[MEMBERSHIP].reports and not pair.merger.tombstones
-    assert not any("s-1" in names for names in pair.merger.names_by_address.values())
+    assert not any("s-1" in names for names in pair.merger.index.names_by_address.values())
 
 
 def test_back_within_the_window_under_the_same_name() -> None:
@@ -239,7 +238,7 @@
     pair.give()
     pair.give(WITHHOLD_S * 3)
     assert pair.serving() == set(names)
-    assert sum("held to be its own fault" in note for note in pair.merger.take_notes()) == 1
+    assert sum("mass_loss_withheld" in note for note in pair.merger.take_notes()) == 1
 
 
 def test_a_trickle_takes_no_more_than_the_share_within_the_time() -> None:
@@ -372,9 +371,12 @@
     pair.told(DISCOVERY, entry("s-2", zone="b"))
     pair.told(DISCOVERY, entry("s-3", port=9))
     assert pair.merger.take_notes() == [
-        "server s-1: draining, decided by discovery: draining, which beats ready (rule 2)",
-        "server s-2: serving, decided by membership: the sources give other zones or groups (rule 6)",
-        "server s-3: serving, decided by membership: the sources give other addresses (rule 5)",
+        "endpoint_decided endpoint=s-1 state=draining source=discovery "
+        "reason=draining, which beats ready (rule 2)",
+        "endpoint_decided endpoint=s-2 state=serving source=membership "
+        "reason=the sources give other zones or groups (rule 6)",
+        "endpoint_decided endpoint=s-3 state=serving source=membership "
+        "reason=the sources give other addresses (rule 5)",
     ]
 
 
@@ -448,5 +450,5 @@
             newest = max(opinion.endpoint.entry.started_at for opinion in opinions)
             for opinion in opinions:
                 start = opinion.endpoint.entry.started_at
-                if start == 0.0 or start >= newest - module.START_TOLERANCE_S:
+                if start == 0.0 or start >= newest - START_TOLERANCE_S:
                     assert opinion.status is ReportedStatus.READY
--- a/tests/ephemeral_nodes/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -52,15 +52,15 @@
                 put(old, name, EndpointNode(name, nodo.address, "a", "m", 1))
             async with running_proxy("n0", registry.address, [], operator(old), ready=False) as program:
                 await until(program.is_ready, "ready")
-                await until(lambda: says(program, "membership is fresh"), "fresh")
+                await until(lambda: says(program, "source=membership health=fresh"), "fresh")
                 callers = ClientPool(ledger, program.address, "n0", 1)
                 assert set(await ask(callers, 30)) == set(nodos)
                 old.run_step({"do": "expire", "path": f"{PATH}/s-1"})
-                await until(lambda: says(program, "in use: 2 servers, 3 before"), "the drain")
+                await until(lambda: says(program, "endpoints_in_use_decreased count=2 before=3"), "the drain")
                 assert set(await ask(callers, 30)) == {"s-2", "s-3"}
 
                 old.run_step({"do": "partition", "mode": "reset"})
-                await until(lambda: says(program, "CONNECTED -> SUSPENDED"), "SUSPENDED")
+                await until(lambda: says(program, "state=SUSPENDED before=CONNECTED"), "SUSPENDED")
                 file = program.log_file.with_name("operator.toml")
                 file.write_text(operator(new) + "reed = 1\n")
                 program.process.send_signal(signal.SIGHUP)
@@ -70,8 +70,10 @@
                     put(new, name, EndpointNode(name, nodos[name].address, "a", "m", 1))
                 file.write_text(operator(new))
                 program.process.send_signal(signal.SIGHUP)
-                await until(lambda: says(program, "another ensemble"), "the move")
-                await until(lambda: says(program, "server s-3: draining, decided by"), "s-3's end")
+                await until(lambda: says(program, "ensemble_changed"), "the move")
+                await until(
+                    lambda: says(program, "endpoint_decided endpoint=s-3 state=draining source="), "s-3's end"
+                )
                 assert set(await ask(callers, 30)) == {"s-1", "s-2"}
                 assert callers.status_codes == {200: 120}
                 program.process.send_signal(signal.SIGTERM)
--- a/tests/ephemeral_nodes/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -16,7 +16,7 @@
 from harness.coordination import CoordinationService
 from harness.event_loop import until
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, parse_node
-from service_proxy.ephemeral_nodes.register import Registrar
+from service_proxy.ephemeral_nodes.registrar import Registrar
 from service_proxy.operator_file import Membership
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -15,19 +15,16 @@
 from harness.coordination import CoordinationService
 from harness.event_loop import DEFAULT_TIMEOUT_S, until
 from service_proxy.ephemeral_nodes import session as module
-from service_proxy.ephemeral_nodes.jute import (
+from service_proxy.ephemeral_nodes.codes import CreateMode, ErrorCode, EventType, OpCode
+from service_proxy.ephemeral_nodes.errors import ConnectionLostError, ServiceError, TooManyRequestsError
+from service_proxy.ephemeral_nodes.records import (
     CREATOR_ACL,
     OPEN_ACL,
-    CreateMode,
-    ErrorCode,
-    EventType,
     MultiOperation,
-    OpCode,
-    ServiceError,
     encode_create,
     encode_delete,
 )
-from service_proxy.ephemeral_nodes.session import ConnectionLostError, Session, TooManyRequestsError
+from service_proxy.ephemeral_nodes.session import Session
 from service_proxy.ephemeral_nodes.session_states import SessionState
 
 
@@ -245,7 +242,7 @@
                 (EventType.CHILDREN_CHANGED, "/p"),
             ]
             await client.reaches(SessionState.CONNECTED)
-            assert not client.session.data_watches and not client.session.child_watches
+            assert not client.session.watches.data and not client.session.watches.child
 
     run(test)
 
@@ -376,7 +373,7 @@
             await client.reaches(SessionState.SUSPENDED)
             assert client.session.set_servers([server.address for server in new.servers])
             await client.reaches(SessionState.CONNECTED)
-            assert client.session.session_id in new.sessions and not client.session.child_watches
+            assert client.session.session_id in new.sessions and not client.session.watches.child
             assert not client.session.set_servers(
                 [*(server.address for server in new.servers), ("127.0.0.1", 1)]
             )
--- a/tests/ephemeral_nodes/test_session_states.py
+++ b/tests/ephemeral_nodes/test_session_states.py
@@ -6,12 +6,12 @@
 
 import pytest
 
+from service_proxy.ephemeral_nodes.errors import InvalidTransitionError
 from service_proxy.ephemeral_nodes.session_states import (
     ENDED_STATES,
     RECOVERABLE_STATES,
     TRANSITIONS,
     USABLE_STATES,
-    InvalidTransitionError,
     SessionEvent,
     SessionState,
     next_state,
--- a/tests/ephemeral_nodes/test_snapshot.py
+++ b/tests/ephemeral_nodes/test_snapshot.py
@@ -9,6 +9,7 @@
 
 from service_proxy.ephemeral_nodes import snapshot
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
+from service_proxy.ephemeral_nodes.errors import InvalidSnapshotError
 
 NODES = [EndpointNode(f"s-{n}", f"127.0.0.1:{8000 + n}", "a", "m", n, 1.0, 5, "Ready") for n in range(5)]
 
@@ -24,7 +25,7 @@
 def test_cut_at_any_byte_it_is_refused() -> None:
     data = snapshot.encode(NODES)
     for size in range(len(data)):
-        with pytest.raises(snapshot.InvalidSnapshotError):
+        with pytest.raises(InvalidSnapshotError):
             snapshot.decode(data[:size])
 
 
@@ -33,7 +34,7 @@
     for place in range(len(data)):
         torn = bytearray(data)
         torn[place] ^= 0x01
-        with pytest.raises(snapshot.InvalidSnapshotError):
+        with pytest.raises(InvalidSnapshotError):
             snapshot.decode(bytes(torn))
 
 
@@ -41,7 +42,7 @@
     for line in (b"{}", b"[]", b"{", b'{"name":"s-1"}'):
         body = line + b"\n"
         data = b"willowwing-nodes 1 %s 1\n" % hashlib.sha256(body).hexdigest().encode() + body
-        with pytest.raises(snapshot.InvalidSnapshotError, match="line 2"):
+        with pytest.raises(InvalidSnapshotError, match="line 2"):
             snapshot.decode(data)
 
 
@@ -59,7 +60,7 @@
 
 
 def test_a_file_of_another_version_or_kind_is_refused_with_the_reason() -> None:
-    with pytest.raises(snapshot.InvalidSnapshotError, match="version 2"):
+    with pytest.raises(InvalidSnapshotError, match="version 2"):
         snapshot.decode(snapshot.encode([]).replace(b" 1 ", b" 2 ", 1))
-    with pytest.raises(snapshot.InvalidSnapshotError, match="does not begin"):
+    with pytest.raises(InvalidSnapshotError, match="does not begin"):
         snapshot.decode(b"\x7fELF")
--- a/tests/ephemeral_nodes/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -17,10 +17,11 @@
 
 from harness.coordination import CoordinationService, SessionRecord
 from harness.event_loop import until
-from service_proxy.ephemeral_nodes import snapshot, source
+from service_proxy.ephemeral_nodes import children_reader, snapshot, source
 from service_proxy.ephemeral_nodes.children_cache import ChildChanges
+from service_proxy.ephemeral_nodes.codes import OpCode
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode, to_endpoint
-from service_proxy.ephemeral_nodes.jute import OPEN_ACL, OpCode
+from service_proxy.ephemeral_nodes.records import OPEN_ACL
 from service_proxy.ephemeral_nodes.session_states import SessionState
 from service_proxy.ephemeral_nodes.source import EphemeralNodeSource
 from service_proxy.net.config import ProxyConfig
@@ -149,7 +150,7 @@
             await proxy.serves(set(NAMES) - {"s-3"})
             assert proxy.seat.ended_at["s-3"] - begun < 2.0
             await until(lambda: "s-3" not in proxy.seat.state, "its removal")
-            assert proxy.membership.children_read <= 2
+            assert proxy.membership.reader.children_read <= 2
 
     run(test)
 
@@ -336,10 +337,10 @@
         async with watched() as (service, proxy):
             lost = ChildChanges(present=[], lost=["s-0"], hidden=[])
             put(service, "s-new")
-            proxy.membership._soon(0.0)
-            proxy.membership._take(lost)
+            proxy.membership._schedule_flush(0.0)
+            proxy.membership._apply_changes(lost)
             await proxy.serves({*NAMES, "s-new"})
-            proxy.membership._take(ChildChanges(present=[], lost=NAMES[1:], hidden=[]))
+            proxy.membership._apply_changes(ChildChanges(present=[], lost=NAMES[1:], hidden=[]))
             await until(
                 lambda: proxy.membership.merger.sources["membership"].withheld_count == len(NAMES), "held"
             )
@@ -452,7 +453,7 @@
             await until(
                 lambda: proxy.membership.merger.sources["membership"].withheld_count == len(NAMES), "held"
             )
-            kept = proxy.membership._to_keep()
+            kept = proxy.membership._snapshot_nodes()
             assert [entry.name for entry in kept] == NAMES and kept[0].address == at("s-0")
 
     run(test)
@@ -466,7 +467,7 @@
 
     async def test() -> None:
         async with watched(watch, reads_per_s=100.0) as (service, proxy):
-            before = proxy.membership.reads_done
+            before = proxy.membership.reader.reads_done
             begun = time.monotonic()
             for number in range(1000):
                 name = NAMES[number % 9]
@@ -476,9 +477,9 @@
             service.tree.set_data(f"{PATH}/s-8", node("s-8", "127.0.0.1:8").draining().encode(), -1)
             await proxy.serves(NAMES[:8])
             await proxy.is_fresh()
-            reads = proxy.membership.reads_done - before
+            reads = proxy.membership.reader.reads_done - before
             span = time.monotonic() - begun
-            assert reads <= 100.0 * (span + source.READ_BURST_S) + 2
+            assert reads <= 100.0 * (span + children_reader.READ_BURST_S) + 2
 
     run(test)
 
@@ -531,7 +532,9 @@
             service.run_step({"do": "drop"})
             await until(lambda: proxy.health() is SourceHealth.STALE, "the break")
             await proxy.is_fresh()
-            hidden = [record.getMessage() for record in caplog.records if "is hidden" in record.getMessage()]
+            hidden = [
+                record.getMessage() for record in caplog.records if "node_hidden" in record.getMessage()
+            ]
             assert len(hidden) == 5, hidden  # each once, though read three times
 
     run(test)
