--- a/service_proxy/recovery/keyed_requests.py
+++ b/service_proxy/recovery/keyed_requests.py
@@ -11,13 +11,19 @@
 from service_proxy.clock import Clock
 from service_proxy.net.request_filters import HeaderFields
 from service_proxy.net.upstream import UpstreamAttempt
-from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, Idempotency, RequestClass, Settings
+from service_proxy.policy.events import (
+    NEVER_EXECUTED,
+    AttemptStatus,
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    Settings,
+)
 from service_proxy.recovery.persisted_records import KeyedRequestRecord, PersistedRecord, PersistedState
 from service_proxy.recovery.validity_rules import ALL_ENDPOINTS
 
 DIGEST_BYTES = 16
 NO_SCOPE = ""  # no endpoint drops a duplicate
-ZONE_SCOPE = "zone"  # of the settings: the endpoints of one zone share what keys they have seen
 
 
 class RecordWriter(Protocol):
@@ -66,7 +72,7 @@
         now = self.clock.wall_time()
         scope = NO_SCOPE
         if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            scope = self.zone if request_class.idempotency_scope == ZONE_SCOPE else ALL_ENDPOINTS
+            scope = self.zone if request_class.idempotency_scope is IdempotencyScope.ZONE else ALL_ENDPOINTS
         lifetime = request_class.deadline + request_class.idempotency_window
         self.writer.put(key, KeyedRequestRecord(class_name, scope, now, now + lifetime))
         self.expiries.append((time.monotonic() + lifetime, key))
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -1,4 +1,4 @@
-"""The hard cases over real sidecars: a chain on loopback, with what its applications did as the judge."""
+"""The hard cases over real sidecars: a chain on loopback, judged by what its applications recorded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from harness.tier_chain import ATTEMPTS, CLASSES, Chain, running
 from service_proxy.net.endpoint_list import parse_address
 
-HABITS = ApplicationProfile(
+PROFILE = ApplicationProfile(
     propagates_deadline=False,
     copies_budget_header=True,
     service_time_by_tier={"portal": 0.004, "nucleo": 0.02},
@@ -35,63 +35,63 @@
     asyncio.run(bounded())
 
 
-def host(made: Chain, tier: str, number: int = 0) -> SidecarHost:
-    return [host for host in made.deployment.hosts if host.sidecar.tier == tier][number]
+def host(chain: Chain, tier: str, number: int = 0) -> SidecarHost:
+    return [host for host in chain.deployment.hosts if host.sidecar.tier == tier][number]
 
 
-async def call(made: Chain, cls: str = "canje", budget: float = 0.0) -> int:
-    callers = made.deployment.clients
-    assert callers is not None
-    usual = made.deployment.classes[cls]
-    return await callers.request(replace(usual, budget=budget or usual.budget))
+async def call(chain: Chain, cls: str = "canje", budget: float = 0.0) -> int:
+    clients = chain.deployment.clients
+    assert clients is not None
+    client_class = chain.deployment.classes[cls]
+    return await clients.request(replace(client_class, budget=budget or client_class.budget))
 
 
-def audited(made: Chain) -> list[str]:
-    effects = {name: cls.idempotency for name, cls in made.deployment.classes.items()}
-    return [str(violation) for violation in made.deployment.recorder.audit(effects)]
+def violations(chain: Chain) -> list[str]:
+    effects = {name: cls.idempotency for name, cls in chain.deployment.classes.items()}
+    return [str(violation) for violation in chain.deployment.recorder.audit(effects)]
 
 
-def ran(made: Chain) -> Counter[tuple[str, str]]:
-    """How often each tier worked on each outermost request."""
+def executions(chain: Chain) -> Counter[tuple[str, str]]:
+    """Return how often each tier executed each outermost request."""
     return Counter(
-        (made.root(a.request_id), a.endpoint.partition("-")[0])
-        for a in made.deployment.recorder.attempts
+        (chain.root(a.request_id), a.endpoint.partition("-")[0])
+        for a in chain.deployment.recorder.attempts
         if a.executed
     )
 
 
 @pytest.mark.parametrize("extends_ids", [False, True])
 def test_budget_reaches_the_inner_tier_by_the_header_or_by_the_ids(extends_ids: bool) -> None:
-    """The application says nothing of the time, so its call would have its class's 1.5 s."""
+    """The application passes no deadline on, so its call would have its class's 1.5 s."""
 
     async def test() -> None:
-        habits = replace(HABITS, copies_budget_header=not extends_ids, extends_ids=extends_ids)
-        async with running(2, 1, profile=habits) as made:
-            dues: list[float] = []
-            inner = host(made, "nucleo").application
+        profile = replace(PROFILE, copies_budget_header=not extends_ids, extends_ids=extends_ids)
+        async with running(2, 1, profile=profile) as chain:
+            deadlines: list[float] = []
+            inner = host(chain, "nucleo").application
 
             async def look(incoming: IncomingRequest) -> bool:
-                dues.append(incoming.deadline - time.monotonic())
+                deadlines.append(incoming.deadline - time.monotonic())
                 return True
 
             inner.handler = look
-            assert await call(made, budget=0.5) == 200 and 0.0 < dues[0] < 0.5
-            assert audited(made) == []
+            assert await call(chain, budget=0.5) == 200 and 0.0 < deadlines[0] < 0.5
+            assert violations(chain) == []
 
     run(test())
 
 
 def test_call_without_header_and_with_ids_of_its_own_is_as_without_budgets() -> None:
     async def test() -> None:
-        async with running(2, 1, profile=replace(HABITS, copies_budget_header=False)) as made:
-            dues: list[float] = []
+        async with running(2, 1, profile=replace(PROFILE, copies_budget_header=False)) as chain:
+            deadlines: list[float] = []
 
             async def look(incoming: IncomingRequest) -> bool:
-                dues.append(incoming.deadline - time.monotonic())
+                deadlines.append(incoming.deadline - time.monotonic())
                 return True
 
-            host(made, "nucleo").application.handler = look
-            assert await call(made, budget=0.5) == 200 and 0.5 < dues[0] < CLASSES["canje"].deadline
+            host(chain, "nucleo").application.handler = look
+            assert await call(chain, budget=0.5) == 200 and 0.5 < deadlines[0] < CLASSES["canje"].deadline
 
     run(test())
 
@@ -99,9 +99,9 @@
 @pytest.mark.parametrize("older", ["nucleo", "portal"])
 def test_tier_of_a_version_without_budgets_works(older: str) -> None:
     async def test() -> None:
-        async with running(2, 1, profile=HABITS, tiers_without_budgets=frozenset((older,))) as made:
-            assert [await call(made, cls) for cls in CLASSES for _ in range(4)] == [200] * 12
-            assert audited(made) == []
+        async with running(2, 1, profile=PROFILE, tiers_without_budgets=frozenset((older,))) as chain:
+            assert [await call(chain, cls) for cls in CLASSES for _ in range(4)] == [200] * 12
+            assert violations(chain) == []
 
     run(test())
 
@@ -111,43 +111,44 @@
     leaves."""
 
     async def test() -> None:
-        async with running(2, 1, profile=HABITS) as made:
-            inner = host(made, "nucleo").application
+        async with running(2, 1, profile=PROFILE) as chain:
+            inner = host(chain, "nucleo").application
             inner.paused_until = time.monotonic() + 1.0
-            codes = await asyncio.gather(*(call(made, budget=0.4) for _ in range(5)))
+            codes = await asyncio.gather(*(call(chain, budget=0.4) for _ in range(5)))
             assert set(codes) <= {502, 503, 504}
             await asyncio.sleep(1.0)  # until the pause is over: work for nobody would begin now
-            assert made.late(0.02) == [] and ran(made).total() == len(
+            assert chain.late(0.02) == [] and executions(chain).total() == len(
                 [
                     a
-                    for a in made.deployment.recorder.attempts
+                    for a in chain.deployment.recorder.attempts
                     if a.executed and a.endpoint.startswith("portal")
                 ]
             )
-            assert audited(made) == []
+            assert violations(chain) == []
 
     run(test())
 
 
 def test_client_that_leaves_ends_the_attempts_below_it() -> None:
     async def test() -> None:
-        async with running(2, 1, profile=HABITS) as made:
-            callers = made.deployment.clients
-            assert callers is not None
-            inner = host(made, "nucleo").application
+        async with running(2, 1, profile=PROFILE) as chain:
+            clients = chain.deployment.clients
+            assert clients is not None
+            inner = host(chain, "nucleo").application
             inner.paused_until = time.monotonic() + 1.0
-            callers.send(replace(made.deployment.classes["canje"], budget=1.4))
+            clients.send(replace(chain.deployment.classes["canje"], budget=1.4))
             await until(lambda: inner.request_count, "the inner tier has it")
-            (connection,) = callers.live_connections
+            (connection,) = clients.live_connections
             connection.close()
-            begun = time.monotonic()
+            started_at = time.monotonic()
             await until(
-                lambda: all(a.ended_at < float("inf") for a in made.deployment.recorder.attempts), "all ended"
+                lambda: all(a.ended_at < float("inf") for a in chain.deployment.recorder.attempts),
+                "all ended",
             )
-            assert time.monotonic() - begun < 0.8  # not the end of the pause, nor of its time
+            assert time.monotonic() - started_at < 0.8  # not the end of the pause, nor of its time
             await asyncio.sleep(max(0.0, inner.paused_until - time.monotonic()) + 0.1)
             assert not any(
-                a.executed for a in made.deployment.recorder.attempts if a.endpoint.startswith("nucleo")
+                a.executed for a in chain.deployment.recorder.attempts if a.endpoint.startswith("nucleo")
             )
 
     run(test())
@@ -155,8 +156,8 @@
 
 def test_unsafe_call_whose_inner_attempt_broke_runs_once_and_is_answered_once() -> None:
     async def test() -> None:
-        async with running(2, 2, profile=HABITS) as made:
-            inner = [host(made, "nucleo", number).application for number in range(2)]
+        async with running(2, 2, profile=PROFILE) as chain:
+            inner = [host(chain, "nucleo", number).application for number in range(2)]
 
             async def breaks(incoming: IncomingRequest) -> bool:
                 for application in inner:
@@ -167,8 +168,8 @@
 
             for application in inner:
                 application.handler = breaks
-            assert await call(made) in (502, 504)
-            assert ran(made)["edge-00000001", "nucleo"] == 1 and audited(made) == []
+            assert await call(chain) in (502, 504)
+            assert executions(chain)["edge-00000001", "nucleo"] == 1 and violations(chain) == []
 
     run(test())
 
@@ -178,35 +179,37 @@
     last."""
 
     async def test() -> None:
-        async with running(2, 2, profile=HABITS) as made:
-            inner = [host(made, "nucleo", number).application for number in range(2)]
+        async with running(2, 2, profile=PROFILE) as chain:
+            inner = [host(chain, "nucleo", number).application for number in range(2)]
             for application in inner:
                 application.paused_until = time.monotonic() + 2.0
-            begun = time.monotonic()
-            assert await call(made, "stock", budget=0.6) in (502, 503, 504)
-            assert time.monotonic() - begun < 0.7
+            started_at = time.monotonic()
+            assert await call(chain, "stock", budget=0.6) in (502, 503, 504)
+            assert time.monotonic() - started_at < 0.7
             await asyncio.sleep(0.3)
-            attempts = len(made.deployment.recorder.attempts)
+            attempts = len(chain.deployment.recorder.attempts)
             await asyncio.sleep(0.3)
-            assert len(made.deployment.recorder.attempts) == attempts and made.late(0.02) == []
-            assert made.attempts()["edge-00000001"] <= ATTEMPTS
+            assert len(chain.deployment.recorder.attempts) == attempts and chain.late(0.02) == []
+            assert chain.attempts()["edge-00000001"] <= ATTEMPTS
 
     run(test())
 
 
 def test_second_of_two_sequential_calls_has_what_the_first_left() -> None:
     async def test() -> None:
-        habits = replace(HABITS, requests_per_tier=2, service_time_by_tier={"portal": 0.004, "nucleo": 0.25})
-        async with running(2, 1, profile=habits) as made:
-            dues: list[float] = []
+        profile = replace(
+            PROFILE, requests_per_tier=2, service_time_by_tier={"portal": 0.004, "nucleo": 0.25}
+        )
+        async with running(2, 1, profile=profile) as chain:
+            deadlines: list[float] = []
 
             async def look(incoming: IncomingRequest) -> bool:
-                dues.append(incoming.deadline - time.monotonic())
+                deadlines.append(incoming.deadline - time.monotonic())
                 return True
 
-            host(made, "nucleo").application.handler = look
-            assert await call(made, budget=1.0) == 200
-            assert dues[0] - dues[1] >= 0.25 and dues[0] < 0.76
+            host(chain, "nucleo").application.handler = look
+            assert await call(chain, budget=1.0) == 200
+            assert deadlines[0] - deadlines[1] >= 0.25 and deadlines[0] < 0.76
 
     run(test())
 
@@ -214,26 +217,26 @@
 @pytest.mark.parametrize("tiers", [1, 2, 3])
 def test_loop_by_misroute_is_rejected_within_three_hops_and_logged(tiers: int) -> None:
     async def test() -> None:
-        async with running(tiers, 1, misroute=True) as made:
-            assert await call(made) != 200
-            assert max(made.depth(a.request_id) for a in made.deployment.recorder.attempts) <= 3
-            assert max(ran(made).values()) == 1  # nobody worked on it twice
-            await until(made.reported_loops, "the path is told")
-            logs = [host.log_file.read_text() for host in made.deployment.hosts]
+        async with running(tiers, 1, misroute=True) as chain:
+            assert await call(chain) != 200
+            assert max(chain.depth(a.request_id) for a in chain.deployment.recorder.attempts) <= 3
+            assert max(executions(chain).values()) == 1  # no tier executed it twice
+            await until(chain.reported_loops, "the path is logged")
+            logs = [host.log_file.read_text() for host in chain.deployment.hosts]
             log = next(text for text in logs if ": loop_rejected path=" in text)
-            assert "portal > " in log and ' > portal" remedy=' in log and audited(made) == []
+            assert "portal > " in log and ' > portal" remedy=' in log and violations(chain) == []
 
     run(test())
 
 
 def test_clocks_that_are_hours_off_and_step_change_nothing() -> None:
     async def test() -> None:
-        async with running(2, 2, skew=True, profile=HABITS) as made:
-            begun = time.monotonic()
+        async with running(2, 2, skew=True, profile=PROFILE) as chain:
+            started_at = time.monotonic()
             codes: list[int] = []
-            while time.monotonic() < begun + 2.5:  # the step comes after 2 s
-                codes += await asyncio.gather(*(call(made, cls) for cls in CLASSES))
-            assert set(codes) == {200} and audited(made) == []
+            while time.monotonic() < started_at + 2.5:  # the step comes after 2 s
+                codes += await asyncio.gather(*(call(chain, cls) for cls in CLASSES))
+            assert set(codes) == {200} and violations(chain) == []
 
     run(test())
 
@@ -242,43 +245,43 @@
     """What the module refuses on a busy machine is its own matter; no call may lose its budget to a key."""
 
     async def test() -> None:
-        async with running(2, 1, profile=HABITS) as made:
-            callers = made.deployment.clients
-            edge = made.deployment.edge_proxy
-            assert callers is not None and edge is not None
+        async with running(2, 1, profile=PROFILE) as chain:
+            clients = chain.deployment.clients
+            edge = chain.deployment.edge_proxy
+            assert clients is not None and edge is not None
             programs = [edge]
-            for host in made.deployment.hosts:
+            for host in chain.deployment.hosts:
                 assert host.process is not None
                 programs.append(
                     ProxyProcess(host.process, parse_address(host.sidecar.inbound), host.log_file)
                 )
 
             async def served(more: int) -> None:
-                wanted = callers.status_codes[200] + more
-                await until(lambda: callers.status_codes[200] >= wanted, "calls with these keys")
+                wanted = clients.status_codes[200] + more
+                await until(lambda: clients.status_codes[200] >= wanted, "calls with these keys")
 
             async def rotate(text: str) -> None:
-                made.keys.write_text(text)
+                chain.keys.write_text(text)
                 for program in programs:
                     program.process.send_signal(signal.SIGHUP)
                     for _ in range(2):  # what is asked after the signal may share one turn with it, not two
                         await until(program.is_ready, "an answer after the signal")
                     await served(3)  # while some have these keys and others don't
 
-            old = made.keys.read_text()
+            old = chain.keys.read_text()
             new = "k2 " + "cd" * 16 + "\n"
-            calling = asyncio.create_task(callers.run(30.0, 60.0, wait_and_close=False))
+            calling = asyncio.create_task(clients.run(30.0, 60.0, wait_and_close=False))
             for text in (old + new, new + old, new):
                 await rotate(text)
             await served(20)
             calling.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await calling
-            await until(lambda: not callers.open_requests, "the last answers")
-            assert set(callers.status_codes) <= {200, 503}, callers.status_codes
+            await until(lambda: not clients.open_requests, "the last answers")
+            assert set(clients.status_codes) <= {200, 503}, clients.status_codes
             logs = "".join(program.log_file.read_text() for program in programs)
             assert "left out of account" not in logs and "all stays as it was" not in logs
             assert "reload_rejected" not in logs
-            assert audited(made) == []
+            assert violations(chain) == []
 
     run(test())
--- a/tests/deadlines/test_deadline_filters.py
+++ b/tests/deadlines/test_deadline_filters.py
@@ -1,5 +1,4 @@
-"""The filters: what a request brings, whose call is whose, what goes on the wire and what comes back of
-it."""
+"""The inbound and outbound filters: received budgets, correlation, what is sent and what answers report."""
 
 from __future__ import annotations
 
@@ -39,41 +38,43 @@
     ),
     "canje": RequestClass("canje", 1.0, 2.5, 6.0, idempotency=Idempotency.NOT_IDEMPOTENT),
 }
-EFFECTS = {name: cls.idempotency for name, cls in CLASSES.items()}
+IDEMPOTENCY = {name: cls.idempotency for name, cls in CLASSES.items()}
 KEY = "k1 " + "ab" * 16 + "\n"
 KEYS = {b"k1": bytes.fromhex("ab" * 16)}
 
 
-def nothing() -> None:
-    """A call that needs no end."""
+def do_nothing() -> None:
+    """Give up a call without effect."""
 
 
-class Process:
+class SidecarFilters:
     """The budgets of one sidecar: `inner` before its application, `outer` towards the tier that it calls."""
 
-    def __init__(self, folder: Path, mark: str = "portal", called: str = "nucleo", **changes: Any) -> None:
-        self.file = folder / f"keys-{mark}"
+    def __init__(
+        self, folder: Path, hop_id: str = "portal", upstream_hop_id: str = "nucleo", **changes: Any
+    ) -> None:
+        self.file = folder / f"keys-{hop_id}"
         self.file.touch(0o600)
         self.file.write_text(KEY)
-        self.budgets = BudgetPropagation(Settings(str(self.file), **changes), mark)
-        self.inner = InboundFilter(self.budgets, CLASSES)
-        self.outer = OutboundFilter(self.budgets, called, CLASSES, 3)
+        self.propagation = BudgetPropagation(Settings(str(self.file), **changes), hop_id)
+        self.inbound = InboundFilter(self.propagation, CLASSES)
+        self.outbound = OutboundFilter(self.propagation, upstream_hop_id, CLASSES, 3)
 
     def request(self, value: bytes | None, **more: Any) -> InboundRequestState:
-        """A request that brings this, handed to the application."""
-        ticket = self.inner.on_request(request(value=value, **more), nothing)
-        assert isinstance(ticket, InboundRequestState), ticket
-        return ticket
+        """Return the state of a request with this value that is handed to the application."""
+        state = self.inbound.on_request(request(value=value, **more), do_nothing)
+        assert isinstance(state, InboundRequestState), state
+        return state
 
-    def reference(self, ticket: InboundRequestState) -> bytes:
-        return ticket.on_attempt_start(1.0).removeprefix(b"tier-budget: ").removesuffix(b"\r\n")
+    def reference(self, state: InboundRequestState) -> bytes:
+        return state.on_attempt_start(1.0).removeprefix(b"tier-budget: ").removesuffix(b"\r\n")
 
     def call(
-        self, value: bytes | None, give_up: Callable[[], None] = nothing, **more: Any
+        self, value: bytes | None, abandon: Callable[[], None] = do_nothing, **more: Any
     ) -> OutboundCallState:
-        ticket = self.outer.on_request(request(value=value, **more), give_up)
-        assert isinstance(ticket, OutboundCallState), ticket
-        return ticket
+        state = self.outbound.on_request(request(value=value, **more), abandon)
+        assert isinstance(state, OutboundCallState), state
+        return state
 
 
 def request(
@@ -84,7 +85,7 @@
     value: bytes | None = None,
     values: tuple[bytes, ...] = (),
 ) -> Request:
-    """As the listener reads it, with these fields Tier-Budget."""
+    """A request as the listener reads it, with these values of Tier-Budget."""
     headers = [(b"host", b"x"), (b"x-call-id", id), (b"x-budget", b"%dm" % (budget * 1000))]
     if cls == "reserva":
         headers.append((b"idempotency-key", key or id))
@@ -96,35 +97,39 @@
         headers,
         RequestBody.of(b""),
         time.monotonic(),
-        EFFECTS,
+        IDEMPOTENCY,
         InboundFilter.consumed_headers,
     )
     assert header.FIELD_NAME not in made.head
     return made
 
 
-def brought(
+def received_value(
     id: bytes = b"9b1f03aa5c7e2d41",
     time_left: float = 2.0,
-    aim: float = 1.0,
+    remaining_objective: float = 1.0,
     attempts: int = 6,
-    worth: float = 1.0,
+    priority_weight: float = 1.0,
     path: tuple[str, ...] = ("edge",),
 ) -> bytes:
     return header.encode_budget(
-        BudgetHeader(time_left, aim, attempts, worth, "canje", path, "f" * 16), id, KEYS
+        BudgetHeader(time_left, remaining_objective, attempts, priority_weight, "canje", path, "f" * 16),
+        id,
+        KEYS,
     )
 
 
-def sent(ticket: OutboundCallState, timeout: float = 5.0, id: bytes = b"9b1f03aa5c7e2d41") -> BudgetHeader:
-    """What the next attempt has on the wire."""
-    lines = ticket.on_attempt_start(timeout)
+def start_attempt(
+    state: OutboundCallState, timeout: float = 5.0, id: bytes = b"9b1f03aa5c7e2d41"
+) -> BudgetHeader:
+    """Start the next attempt; return the budget that it carries."""
+    lines = state.on_attempt_start(timeout)
     assert lines is not None
     return header.decode_budget(lines.removeprefix(b"tier-budget: ").removesuffix(b"\r\n"), id, KEYS)
 
 
-class Ended:
-    """An exchange that came to this."""
+class EndedAttempt:
+    """An upstream attempt that ended so."""
 
     def __init__(self, code: int = 200, value: bytes | None = None, elapsed: float = 0.1) -> None:
         self.status_code = code
@@ -132,25 +137,25 @@
         self.response_headers = [] if value is None else [(header.FIELD_NAME, value)]
 
 
-def returned(ticket: OutboundCallState, ended: Ended, status: AttemptStatus = AttemptStatus.OK) -> None:
-    ticket.on_attempt_end(cast(UpstreamAttempt, ended), status)
+def end_attempt(
+    state: OutboundCallState, ended: EndedAttempt, status: AttemptStatus = AttemptStatus.OK
+) -> None:
+    state.on_attempt_end(cast(UpstreamAttempt, ended), status)
 
 
-# what a request brings
+# Received budgets.
 def test_received_budget_sets_deadline_weight_and_path(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    ticket = process.request(brought(time_left=2.0, worth=3.0))
-    assert 1.9 < ticket.deadline - time.monotonic() <= 2.0
+    sidecar = SidecarFilters(tmp_path)
+    state = sidecar.request(received_value(time_left=2.0, priority_weight=3.0))
+    assert 1.9 < state.deadline - time.monotonic() <= 2.0
     assert (
-        ticket.weight_share == 3.0
-        and ticket.budget.path == ("edge", "portal")
-        and ticket.budget.allowance == 6
+        state.weight_share == 3.0 and state.budget.path == ("edge", "portal") and state.budget.allowance == 6
     )
 
 
 def test_requests_own_deadline_may_be_shorter_than_its_budgets(tmp_path: Path) -> None:
-    ticket = Process(tmp_path).request(brought(time_left=60.0), budget=0.5)
-    assert ticket.deadline - time.monotonic() <= 0.5
+    state = SidecarFilters(tmp_path).request(received_value(time_left=60.0), budget=0.5)
+    assert state.deadline - time.monotonic() <= 0.5
 
 
 @pytest.mark.parametrize(
@@ -159,7 +164,7 @@
 def test_invalid_budget_header_is_ignored_and_grants_nothing(
     tmp_path: Path, kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    good = brought(worth=1e6, time_left=3600.0, attempts=9999)
+    good = received_value(priority_weight=1e6, time_left=3600.0, attempts=9999)
     unsigned = good.rpartition(b";m=")[0]
     bad: dict[str, tuple[bytes, ...]] = {
         "none": (),
@@ -170,18 +175,18 @@
                 {b"k1": b"guess" * 4},
             ),
         ),
-        "another call's": (brought(id=b"another", worth=1e6),),
+        "another call's": (received_value(id=b"another", priority_weight=1e6),),
         "negative": (good.replace(b"t=3600000000", b"t=-1"),),
         "huge": (unsigned.replace(b"a=9999", b"a=" + b"9" * 400) + b";m=" + b"0" * 32,),
         "doubled": (good, good),
         "garbage": (b"\xff;;==",),
     }
-    process = Process(tmp_path, attempts=5)
+    sidecar = SidecarFilters(tmp_path, attempts=5)
     with caplog.at_level(logging.WARNING):
-        ticket = process.inner.on_request(request(values=bad[kind]), nothing)
-    assert isinstance(ticket, InboundRequestState)
-    assert ticket.weight_share == 1.0 and ticket.budget.allowance == 5 and ticket.budget.path == ("portal",)
-    assert ticket.deadline - time.monotonic() <= 5.0 and ticket.response_headers() == ()
+        state = sidecar.inbound.on_request(request(values=bad[kind]), do_nothing)
+    assert isinstance(state, InboundRequestState)
+    assert state.weight_share == 1.0 and state.budget.allowance == 5 and state.budget.path == ("portal",)
+    assert state.deadline - time.monotonic() <= 5.0 and state.response_headers() == ()
     assert ("budget_header_ignored" in caplog.text) is (kind != "none")
 
 
@@ -196,224 +201,226 @@
 def test_loop_is_rejected_before_execution_with_its_path(
     tmp_path: Path, path: tuple[str, ...], loop: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    process = Process(tmp_path)
+    sidecar = SidecarFilters(tmp_path)
     with caplog.at_level(logging.WARNING):
-        turned = process.inner.on_request(request(value=brought(path=path)), nothing)
-    assert isinstance(turned, Rejection) and loop.encode() in turned.body
-    assert f'loop_rejected path="{loop}"' in caplog.text and process.budgets.rejected_loops == 1
+        rejection = sidecar.inbound.on_request(request(value=received_value(path=path)), do_nothing)
+    assert isinstance(rejection, Rejection) and loop.encode() in rejection.body
+    assert f'loop_rejected path="{loop}"' in caplog.text and sidecar.propagation.rejected_loops == 1
 
 
 def test_tier_called_by_two_branches_is_no_loop(tmp_path: Path) -> None:
-    common = Process(tmp_path, "common")
+    common = SidecarFilters(tmp_path, "common")
     for way in (("edge", "portal"), ("edge", "portal", "nucleo")):
-        common.request(brought(path=way))
+        common.request(received_value(path=way))
 
 
 def test_loop_that_the_call_would_close_is_rejected_before_it_is_sent(tmp_path: Path) -> None:
-    process = Process(tmp_path, "nucleo", called="portal")
-    reference = process.reference(process.request(brought(path=("edge", "portal"))))
-    turned = process.outer.on_request(request(b"child", value=reference), nothing)
-    assert isinstance(turned, Rejection) and b"edge > portal > nucleo > portal" in turned.body
+    sidecar = SidecarFilters(tmp_path, "nucleo", upstream_hop_id="portal")
+    reference = sidecar.reference(sidecar.request(received_value(path=("edge", "portal"))))
+    rejection = sidecar.outbound.on_request(request(b"child", value=reference), do_nothing)
+    assert isinstance(rejection, Rejection) and b"edge > portal > nucleo > portal" in rejection.body
 
 
 def test_insufficient_budget_is_rejected_before_any_work(tmp_path: Path) -> None:
-    process = Process(tmp_path)
+    sidecar = SidecarFilters(tmp_path)
     for _ in range(MIN_SAMPLES):
-        process.inner.latencies["canje"].record(0.4)
-    turned = process.inner.on_request(request(value=brought(time_left=0.3)), nothing)
-    assert isinstance(turned, Rejection) and b"can't cover" in turned.body
-    process.request(brought(time_left=0.5))
-    off = Process(tmp_path, "other", refuse_below_usual=False)
+        sidecar.inbound.latencies["canje"].record(0.4)
+    rejection = sidecar.inbound.on_request(request(value=received_value(time_left=0.3)), do_nothing)
+    assert isinstance(rejection, Rejection) and b"can't cover" in rejection.body
+    sidecar.request(received_value(time_left=0.5))
+    off = SidecarFilters(tmp_path, "other", refuse_below_usual=False)
     for _ in range(MIN_SAMPLES):
-        off.inner.latencies["canje"].record(0.4)
-    off.request(brought(time_left=0.3))
+        off.inbound.latencies["canje"].record(0.4)
+    off.request(received_value(time_left=0.3))
 
 
-# whose call is whose
+# Correlation.
 def test_edge_ignores_received_headers_and_starts_a_tree(tmp_path: Path) -> None:
-    edge = Process(tmp_path, "edge", called="portal", edge=True, attempts=7)
-    for value in (brought(worth=1e6, attempts=9999), b"ref;" + b"0" * 16, None):
-        ticket = edge.call(value)
-        assert ticket.max_attempts == 7 and ticket.weight_share == 1.0
-        budget = sent(ticket)
+    edge = SidecarFilters(tmp_path, "edge", upstream_hop_id="portal", edge=True, attempts=7)
+    for value in (received_value(priority_weight=1e6, attempts=9999), b"ref;" + b"0" * 16, None):
+        state = edge.call(value)
+        assert state.max_attempts == 7 and state.weight_share == 1.0
+        budget = start_attempt(state)
         assert (budget.priority_weight, budget.path, budget.request_class) == (1.0, ("edge",), "canje")
         assert 4.9 < budget.remaining_time < 5.0 and 2.3 < budget.remaining_objective < 2.5
 
 
 @pytest.mark.parametrize("how", ["field", "id", "key"])
 def test_call_gets_an_allowance_of_its_requests_budget(tmp_path: Path, how: str) -> None:
-    process = Process(tmp_path)
-    inner = process.request(brought(b"abc", time_left=1.0, worth=5.0), id=b"abc", cls="reserva", key=b"K")
-    reference = process.reference(inner)
+    sidecar = SidecarFilters(tmp_path)
+    inner = sidecar.request(
+        received_value(b"abc", time_left=1.0, priority_weight=5.0), id=b"abc", cls="reserva", key=b"K"
+    )
+    reference = sidecar.reference(inner)
     if how == "field":
-        ticket = process.call(reference, id=b"x", cls="stock")
+        state = sidecar.call(reference, id=b"x", cls="stock")
     elif how == "id":
-        ticket = process.call(None, id=b"abc.1", cls="stock")
+        state = sidecar.call(None, id=b"abc.1", cls="stock")
     else:
-        ticket = process.call(None, id=b"x", cls="reserva", key=b"K")
-    assert ticket.budget.parent is inner.budget and ticket.max_attempts == 3  # of 6, for the first of 2 calls
-    assert ticket.deadline == inner.deadline and ticket.weight_share == pytest.approx(
-        5.0 / CLASSES[ticket.request_class.name].priority_weight
+        state = sidecar.call(None, id=b"x", cls="reserva", key=b"K")
+    assert state.budget.parent is inner.budget and state.max_attempts == 3  # of 6, for the first of 2 calls
+    assert state.deadline == inner.deadline and state.weight_share == pytest.approx(
+        5.0 / CLASSES[state.request_class.name].priority_weight
     )
 
 
-@pytest.mark.parametrize("value", [None, b"ref;" + b"0" * 16, brought(b"child"), b"nonsense"])
+@pytest.mark.parametrize("value", [None, b"ref;" + b"0" * 16, received_value(b"child"), b"nonsense"])
 def test_call_of_an_unknown_request_has_its_classs_deadline(tmp_path: Path, value: bytes | None) -> None:
-    process = Process(tmp_path)
-    process.reference(process.request(brought(time_left=0.5)))
-    ticket = process.call(value, id=b"child", cls="stock", budget=9.0)
-    assert ticket.budget.parent is None and 1.1 < ticket.deadline - time.monotonic() <= 1.2
-    assert ticket.max_attempts == 12 and ticket.weight_share == 1.0
+    sidecar = SidecarFilters(tmp_path)
+    sidecar.reference(sidecar.request(received_value(time_left=0.5)))
+    state = sidecar.call(value, id=b"child", cls="stock", budget=9.0)
+    assert state.budget.parent is None and 1.1 < state.deadline - time.monotonic() <= 1.2
+    assert state.max_attempts == 12 and state.weight_share == 1.0
 
 
 def test_call_for_an_abandoned_request_is_rejected_and_for_an_answered_one_is_independent(
     tmp_path: Path,
 ) -> None:
-    process = Process(tmp_path)
-    gone = process.request(brought(b"a"), id=b"a")
-    answered = process.request(brought(b"b"), id=b"b")
-    references = process.reference(gone), process.reference(answered)
-    gone.on_request_end(False)
+    sidecar = SidecarFilters(tmp_path)
+    left = sidecar.request(received_value(b"a"), id=b"a")
+    answered = sidecar.request(received_value(b"b"), id=b"b")
+    references = sidecar.reference(left), sidecar.reference(answered)
+    left.on_request_end(False)
     answered.on_request_end(True)
-    turned = process.outer.on_request(request(b"x", value=references[0]), nothing)
-    assert isinstance(turned, Rejection) and b"nobody waits" in turned.body
-    assert process.call(references[1], id=b"y").budget.parent is None
+    rejection = sidecar.outbound.on_request(request(b"x", value=references[0]), do_nothing)
+    assert isinstance(rejection, Rejection) and b"nobody waits" in rejection.body
+    assert sidecar.call(references[1], id=b"y").budget.parent is None
 
 
 def test_first_call_that_uses_its_allowance_leaves_the_second_its_own(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    inner = process.request(brought(attempts=4))
-    reference = process.reference(inner)
-    first = process.call(reference, id=b"1")
-    sent(first, id=b"1")
-    returned(first, Ended(0), AttemptStatus.RESET)  # with what it had been lent
+    sidecar = SidecarFilters(tmp_path)
+    inner = sidecar.request(received_value(attempts=4))
+    reference = sidecar.reference(inner)
+    first = sidecar.call(reference, id=b"1")
+    start_attempt(first, id=b"1")
+    end_attempt(first, EndedAttempt(0), AttemptStatus.RESET)  # with what it was granted
     assert first.max_attempts == 2 and first.on_attempt_start(1.0) is None
     first.on_request_end(True)
-    second = process.call(reference, id=b"2")
+    second = sidecar.call(reference, id=b"2")
     assert second.max_attempts == 2
-    assert isinstance(process.outer.on_request(request(b"3", value=reference), nothing), Rejection)
+    assert isinstance(sidecar.outbound.on_request(request(b"3", value=reference), do_nothing), Rejection)
 
 
 def test_client_retry_is_a_new_request_with_the_same_key_and_its_own_budget(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    one = process.request(brought(b"one"), id=b"one", cls="reserva", key=b"K")
-    two = process.request(brought(b"two", time_left=0.7), id=b"two", cls="reserva", key=b"K")
-    references = process.reference(one), process.reference(two)
-    assert process.call(None, id=b"x", cls="reserva", key=b"K").budget.parent is None  # of which? unknown
-    assert process.call(references[1], id=b"y", cls="reserva", key=b"K").budget.parent is two.budget
+    sidecar = SidecarFilters(tmp_path)
+    one = sidecar.request(received_value(b"one"), id=b"one", cls="reserva", key=b"K")
+    two = sidecar.request(received_value(b"two", time_left=0.7), id=b"two", cls="reserva", key=b"K")
+    references = sidecar.reference(one), sidecar.reference(two)
+    assert sidecar.call(None, id=b"x", cls="reserva", key=b"K").budget.parent is None  # of which? unknown
+    assert sidecar.call(references[1], id=b"y", cls="reserva", key=b"K").budget.parent is two.budget
     one.on_request_end(False)
-    assert process.call(None, id=b"z", cls="reserva", key=b"K").budget.parent is two.budget
+    assert sidecar.call(None, id=b"z", cls="reserva", key=b"K").budget.parent is two.budget
 
 
-# what goes down and comes back
+# What is sent, and what answers report.
 def test_remaining_time_on_the_wire_is_reduced_by_the_transit_time(tmp_path: Path) -> None:
-    edge = Process(tmp_path, "edge", edge=True)
+    edge = SidecarFilters(tmp_path, "edge", edge=True)
     for _ in range(200):
-        ticket = edge.call(None)
-        sent(ticket)
-        returned(ticket, Ended(200, header.encode_usage(1, 0.060), 0.100))  # 20 ms each way
-    budget = sent(edge.call(None), 1.0)
+        state = edge.call(None)
+        start_attempt(state)
+        end_attempt(state, EndedAttempt(200, header.encode_usage(1, 0.060), 0.100))  # 20 ms each way
+    budget = start_attempt(edge.call(None), 1.0)
     assert 0.96 < budget.remaining_time < 0.98
 
 
 @pytest.mark.parametrize(
     ("ended", "status", "free"),
     [
-        (Ended(200, header.encode_usage(1, 0.05)), AttemptStatus.OK, 10),
-        (Ended(503, header.encode_usage(0, 0.0)), AttemptStatus.REJECTED, 11),
-        (Ended(500, header.encode_usage(6, 0.05)), AttemptStatus.ERROR, 5),
-        (Ended(200), AttemptStatus.OK, 11),  # an older receiver, which knows of no budgets
-        (Ended(200, b"1;s=7;q=1"), AttemptStatus.OK, 11),  # more than it was lent: no word at all
-        (Ended(0), AttemptStatus.RESET, 5),
-        (Ended(0), AttemptStatus.TIMEOUT, 5),
-        (Ended(0), AttemptStatus.CANCELLED, 5),
-        (Ended(0), AttemptStatus.CONNECT_FAILED, 11),
-        (Ended(0), AttemptStatus.NOT_SENT, 11),
+        (EndedAttempt(200, header.encode_usage(1, 0.05)), AttemptStatus.OK, 10),
+        (EndedAttempt(503, header.encode_usage(0, 0.0)), AttemptStatus.REJECTED, 11),
+        (EndedAttempt(500, header.encode_usage(6, 0.05)), AttemptStatus.ERROR, 5),
+        (EndedAttempt(200), AttemptStatus.OK, 11),  # a receiver of a version without budgets
+        (EndedAttempt(200, b"1;s=7;q=1"), AttemptStatus.OK, 11),  # more than it was granted: not believed
+        (EndedAttempt(0), AttemptStatus.RESET, 5),
+        (EndedAttempt(0), AttemptStatus.TIMEOUT, 5),
+        (EndedAttempt(0), AttemptStatus.CANCELLED, 5),
+        (EndedAttempt(0), AttemptStatus.CONNECT_FAILED, 11),
+        (EndedAttempt(0), AttemptStatus.NOT_SENT, 11),
     ],
 )
 def test_available_attempts_after_an_attempt(
-    tmp_path: Path, ended: Ended, status: AttemptStatus, free: int
+    tmp_path: Path, ended: EndedAttempt, status: AttemptStatus, free: int
 ) -> None:
-    edge = Process(tmp_path, "edge", edge=True)
-    ticket = edge.call(None)
-    assert sent(ticket).attempts == 6
-    returned(ticket, ended, status)
-    assert ticket.budget.available == free
+    edge = SidecarFilters(tmp_path, "edge", edge=True)
+    state = edge.call(None)
+    assert start_attempt(state).attempts == 6
+    end_attempt(state, ended, status)
+    assert state.budget.available == free
 
 
 def test_answer_reports_the_attempts_used(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    inner = process.request(brought(attempts=6))
-    ticket = process.call(process.reference(inner), id=b"x")
-    sent(ticket, id=b"x")
-    returned(ticket, Ended(200, header.encode_usage(1, 0.01)))
-    ticket.on_request_end(True)
+    sidecar = SidecarFilters(tmp_path)
+    inner = sidecar.request(received_value(attempts=6))
+    state = sidecar.call(sidecar.reference(inner), id=b"x")
+    start_attempt(state, id=b"x")
+    end_attempt(state, EndedAttempt(200, header.encode_usage(1, 0.01)))
+    state.on_request_end(True)
     ((name, value),) = inner.response_headers()
     found = header.decode_usage(value, 6)
     assert name == header.FIELD_NAME and found is not None and found[0] == 2 and found[1] < 1.0
 
 
 def test_calls_in_flight_end_when_the_client_leaves(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    inner = process.request(brought())
-    reference = process.reference(inner)
-    given_up: list[str] = []
-    out = process.call(reference, lambda: given_up.append("out"), id=b"1")
-    done = process.call(reference, lambda: given_up.append("done"), id=b"2")
+    sidecar = SidecarFilters(tmp_path)
+    inner = sidecar.request(received_value())
+    reference = sidecar.reference(inner)
+    abandoned: list[str] = []
+    out = sidecar.call(reference, lambda: abandoned.append("out"), id=b"1")
+    done = sidecar.call(reference, lambda: abandoned.append("done"), id=b"2")
     done.on_request_end(True)
     inner.on_request_end(False)
-    assert given_up == ["out"] and out.on_attempt_start(1.0) is None and not process.budgets.open_calls
+    assert abandoned == ["out"] and out.on_attempt_start(1.0) is None and not sidecar.propagation.open_calls
 
 
 def test_calls_in_flight_may_go_on_when_the_request_is_answered(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    inner = process.request(brought())
-    given_up: list[str] = []
-    out = process.call(process.reference(inner), lambda: given_up.append("out"), id=b"1")
+    sidecar = SidecarFilters(tmp_path)
+    inner = sidecar.request(received_value())
+    abandoned: list[str] = []
+    out = sidecar.call(sidecar.reference(inner), lambda: abandoned.append("out"), id=b"1")
     inner.on_request_end(True)
-    assert given_up == [] and out.on_attempt_start(1.0) is None  # but begins nothing more
+    assert abandoned == [] and out.on_attempt_start(1.0) is None  # but it starts no attempt
 
 
 def test_weight_falls_after_the_outermost_latency_objective(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    inner = process.request(brought(aim=0.0, worth=4.0))
+    sidecar = SidecarFilters(tmp_path)
+    inner = sidecar.request(received_value(remaining_objective=0.0, priority_weight=4.0))
     assert inner.weight_share == pytest.approx(0.2)  # a twentieth of 4
-    assert process.call(process.reference(inner), id=b"x").weight_share == pytest.approx(0.2)
+    assert sidecar.call(sidecar.reference(inner), id=b"x").weight_share == pytest.approx(0.2)
 
 
 def test_second_of_two_calls_has_twice_the_weight_of_the_first(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    reference = process.reference(process.request(brought(attempts=12)))
+    sidecar = SidecarFilters(tmp_path)
+    reference = sidecar.reference(sidecar.request(received_value(attempts=12)))
     shares = []
     for number in range(3):
-        ticket = process.call(reference, id=b"%d" % number)
-        shares.append(ticket.weight_share)
-        ticket.on_request_end(True)
+        state = sidecar.call(reference, id=b"%d" % number)
+        shares.append(state.weight_share)
+        state.on_request_end(True)
     assert shares == [1.0, 2.0, 2.0]
 
 
 def test_weight_counts_at_the_earliest_usual_end(tmp_path: Path) -> None:
-    process = Process(tmp_path)
+    sidecar = SidecarFilters(tmp_path)
     for _ in range(MIN_SAMPLES):
-        process.inner.latencies["canje"].record(0.4)
-        process.outer.latencies["canje"].record(0.2)
-    soon = process.request(brought(aim=0.3))
-    later = process.request(brought(b"b", aim=0.6), id=b"b")
+        sidecar.inbound.latencies["canje"].record(0.4)
+        sidecar.outbound.latencies["canje"].record(0.2)
+    soon = sidecar.request(received_value(remaining_objective=0.3))
+    later = sidecar.request(received_value(b"b", remaining_objective=0.6), id=b"b")
     assert soon.weight_share == pytest.approx(0.05) and later.weight_share == 1.0
-    assert process.call(process.reference(soon), id=b"x").weight_share == 1.0
-    late = process.request(brought(b"c", aim=0.1), id=b"c")
-    assert process.call(process.reference(late), id=b"y").weight_share == pytest.approx(0.05)
+    assert sidecar.call(sidecar.reference(soon), id=b"x").weight_share == 1.0
+    late = sidecar.request(received_value(b"c", remaining_objective=0.1), id=b"c")
+    assert sidecar.call(sidecar.reference(late), id=b"y").weight_share == pytest.approx(0.05)
 
 
-# keys
+# Key files.
 def test_keys_are_rotated_under_traffic_without_a_rejection(tmp_path: Path) -> None:
-    one = Process(tmp_path, "edge", edge=True)
-    two = Process(tmp_path, "portal")
+    one = SidecarFilters(tmp_path, "edge", edge=True)
+    two = SidecarFilters(tmp_path, "portal")
     new = "k2 " + "cd" * 16 + "\n"
     steps = [(one, KEY + new), (two, KEY + new), (one, new + KEY), (two, new + KEY), (one, new), (two, new)]
-    for place, (process, text) in enumerate([(one, KEY), *steps]):
-        process.file.write_text(text)
-        process.budgets.reread_keys()
+    for place, (sidecar, text) in enumerate([(one, KEY), *steps]):
+        sidecar.file.write_text(text)
+        sidecar.propagation.reread_keys()
         id = b"call-%d" % place
         lines = one.call(None, id=id).on_attempt_start(1.0)
         assert lines is not None
@@ -437,40 +444,40 @@
 def test_invalid_key_file_changes_nothing_and_shows_no_key(
     tmp_path: Path, text: str, line: int, says: str
 ) -> None:
-    process = Process(tmp_path)
-    before = process.budgets.keys
-    process.file.write_text(text)
-    with pytest.raises(OperatorError) as fault:
-        process.budgets.reread_keys()
-    (problem,) = fault.value.problems
+    sidecar = SidecarFilters(tmp_path)
+    before = sidecar.propagation.keys
+    sidecar.file.write_text(text)
+    with pytest.raises(OperatorError) as error:
+        sidecar.propagation.reread_keys()
+    (problem,) = error.value.problems
     assert problem.line == line and says in problem.text and "ab" * 16 not in str(problem)
-    assert process.budgets.keys is before
+    assert sidecar.propagation.keys is before
 
 
 def test_world_readable_key_file_is_rejected(tmp_path: Path) -> None:
-    process = Process(tmp_path)
-    process.file.chmod(0o644)
+    sidecar = SidecarFilters(tmp_path)
+    sidecar.file.chmod(0o644)
     with pytest.raises(OperatorError, match="may be read by everybody"):
-        process.budgets.reread_keys()
+        sidecar.propagation.reread_keys()
 
 
 def test_tables_are_empty_when_all_requests_have_ended(tmp_path: Path) -> None:
-    process = Process(tmp_path)
+    sidecar = SidecarFilters(tmp_path)
     for number in range(50):
         id = b"call-%d" % number
-        inner = process.request(brought(id), id=id)
-        ticket = process.call(process.reference(inner), id=id + b".1")
-        sent(ticket, id=id + b".1")
-        returned(ticket, Ended())
-        ticket.on_request_end(True)
+        inner = sidecar.request(received_value(id), id=id)
+        state = sidecar.call(sidecar.reference(inner), id=id + b".1")
+        start_attempt(state, id=id + b".1")
+        end_attempt(state, EndedAttempt())
+        state.on_request_end(True)
         inner.on_request_end(number % 2 == 0)
-    assert not process.budgets.open_calls and not process.budgets.correlation.open
-    process.budgets.correlation.expire(time.monotonic() + 3600)
-    assert len(process.budgets.correlation) == 0
+    assert not sidecar.propagation.open_calls and not sidecar.propagation.correlation.open
+    sidecar.propagation.correlation.expire(time.monotonic() + 3600)
+    assert len(sidecar.propagation.correlation) == 0
 
 
 def test_package_never_reads_the_wall_clock() -> None:
-    """A clock step of an hour can't matter to what is never looked at."""
+    """A clock that steps by an hour can't matter."""
     files = list((Path(__file__).parent.parent.parent / "service_proxy" / "deadlines").glob("*.py"))
     assert {"propagation.py", "inbound.py", "outbound.py"} <= {file.name for file in files}
     for file in files:
@@ -481,11 +488,11 @@
 def test_settings_update_adds_classes_and_calls_in_flight_of_removed_ones_end(
     tmp_path: Path,
 ) -> None:
-    made = Process(tmp_path)
-    ticket = made.call(None)
+    sidecar = SidecarFilters(tmp_path)
+    state = sidecar.call(None)
     express = RequestClass("express", 1.0, 0.5, 1.0)
-    made.outer.on_settings_update(ProxySettings([CLASSES["stock"], express], max_attempts=2))
-    returned(ticket, Ended())
-    ticket.on_request_end(True)
-    assert made.outer.max_attempts == 2 and set(made.outer.classes) == {"stock", "express"}
-    assert made.outer.latencies.keys() >= {"stock", "express", "canje"}
+    sidecar.outbound.on_settings_update(ProxySettings([CLASSES["stock"], express], max_attempts=2))
+    end_attempt(state, EndedAttempt())
+    state.on_request_end(True)
+    assert sidecar.outbound.max_attempts == 2 and set(sidecar.outbound.classes) == {"stock", "express"}
+    assert sidecar.outbound.latencies.keys() >= {"stock", "express", "canje"}
--- a/tests/deadlines/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -1,5 +1,8 @@
-"""Where a budget ends, at a plain proxy with [budgets] on: while connecting, before the answer, beyond the
-window in which a keyed call may be sent again, and when its caller leaves."""
+"""Deadlines at a plain proxy with [budgets] on.
+
+While connecting, before the answer, beyond the window in which a keyed request may be retried, and when its
+client leaves.
+"""
 
 from __future__ import annotations
 
@@ -62,9 +65,9 @@
             limits = {**SETTINGS["policy_limits"], "connect_timeout": 5.0, "probes": False}
             async with edge([at], policy_limits=limits) as program:
                 caller = await caller_of(program)
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 assert (await caller.request("canje", "a" * 16, budget="300m")).status_code == 503
-                assert time.monotonic() - begun < 0.5
+                assert time.monotonic() - started_at < 0.5
             for one in fill:
                 one.close()
 
