--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -26,7 +26,8 @@
 
 from benchmarks.report import BenchmarkReport, run_benchmark
 from harness.clients import IDEMPOTENCY_BY_CLASS, ClientPool
-from harness.coordination import CoordinationService, ServiceConnection, SessionRecord
+from harness.coordination import CoordinationService
+from harness.coordination_connection import ServiceConnection, SessionRecord
 from harness.endpoint_registry import EndpointRegistry, entry
 from harness.event_loop import until
 from harness.proxy_process import ProxyProcess, running_proxy
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -23,7 +23,8 @@
 
 from benchmarks.report import BenchmarkReport, run_benchmark
 from harness.clients import DEFAULT_CLASSES, format_request
-from harness.coordination import CoordinationService, SessionRecord
+from harness.coordination import CoordinationService
+from harness.coordination_connection import SessionRecord
 from harness.endpoint_registry import EndpointRegistry, entry
 from harness.proxy_process import ROOT, running_proxy
 from harness.recorder import Recorder
--- a/tests/ephemeral_nodes/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -39,7 +39,7 @@
 
 
 def has_come_back(service: CoordinationService, taken: int) -> bool:
-    return sum(server.taken for server in service.servers) > taken
+    return sum(server.accepted for server in service.servers) > taken
 
 
 def registered(by: Registrar, times: int) -> bool:
@@ -86,7 +86,7 @@
             mine = registrar(service)
             await asyncio.wait_for(mine.registered.wait(), 10)
             for _ in range(3):
-                taken = sum(server.taken for server in service.servers)
+                taken = sum(server.accepted for server in service.servers)
                 service.run_step({"do": "drop"})
                 await until(functools.partial(has_come_back, service, taken), "the reconnect")
                 await asyncio.wait_for(mine.registered.wait(), 10)
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -292,8 +292,8 @@
             seen = client.session.last_zxid
             service.run_step({"do": "restore"})  # the server refuses a client that has seen more
             await client.reaches(SessionState.SUSPENDED)
-            taken = service.servers[0].taken
-            await until(lambda: service.servers[0].taken >= taken + 3, "tries")
+            taken = service.servers[0].accepted
+            await until(lambda: service.servers[0].accepted >= taken + 3, "tries")
             assert client.session.last_zxid == seen and client.states[-1] is not SessionState.CONNECTED
             client.session.forget_zxid()
             await client.reaches(SessionState.CONNECTED)
@@ -334,9 +334,9 @@
             assert refused.value.code == ErrorCode.INVALID_ACL
             bad = Client(service, auth=b"u:wrong")
             await bad.reaches(SessionState.AUTH_FAILED)
-            taken = service.servers[0].taken
+            taken = service.servers[0].accepted
             await asyncio.sleep(0.3)
-            assert service.servers[0].taken == taken
+            assert service.servers[0].accepted == taken
 
     run(test)
 
--- a/tests/ephemeral_nodes/test_source.py
+++ b/tests/ephemeral_nodes/test_source.py
@@ -15,7 +15,8 @@
 from test_register import PATH, node, settings
 from test_session import ensemble, run
 
-from harness.coordination import CoordinationService, SessionRecord
+from harness.coordination import CoordinationService
+from harness.coordination_connection import SessionRecord
 from harness.event_loop import until
 from service_proxy.ephemeral_nodes import children_reader, snapshot, source
 from service_proxy.ephemeral_nodes.children_cache import ChildChanges
@@ -210,7 +211,7 @@
             service.run_step({"do": "partition", "mode": "reset"})
             proxy = Proxy(service, Seat(EndpointList(1, True, known)), settings(service, reread_jitter=0.0))
             await proxy.serves(NAMES)
-            await until(lambda: service.servers[0].taken >= 2, "tries")
+            await until(lambda: service.servers[0].accepted >= 2, "tries")
             proxy.discover(node("s-new"), whole=False)
             await proxy.serves({*NAMES, "s-new"})
             assert proxy.health() is SourceHealth.NEVER_RECEIVED
@@ -372,8 +373,8 @@
             # A notification carries no zxid; the next ping's answer does.
             await until(lambda: proxy.membership.session.last_zxid == service.tree.zxid, "the zxid")
             service.run_step({"do": "restore"})  # s-1 is back in the service's eyes
-            taken = sum(server.taken for server in service.servers)
-            await until(lambda: sum(server.taken for server in service.servers) > taken + 3, "tries")
+            taken = sum(server.accepted for server in service.servers)
+            await until(lambda: sum(server.accepted for server in service.servers) > taken + 3, "tries")
             assert proxy.seat.serving() == set(NAMES) - {"s-1"} and proxy.health() is not SourceHealth.FRESH
             file = operator_file(tmp_path, proxy.membership.settings)
             proxy.membership.reload(str(file))
