--- a/tests/policy/test_policy_properties.py
+++ b/tests/policy/test_policy_properties.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from random import Random
 
 import hypothesis.strategies as st
@@ -11,6 +12,7 @@
 from hypothesis import settings as checks
 
 from service_proxy import (
+    Action,
     AttemptEnded,
     AttemptStatus,
     Balancer,
@@ -27,7 +29,9 @@
     Reject,
     RequestAbandoned,
     RequestArrived,
+    RequestClass,
     SetTimer,
+    Settings,
     StartAttempt,
     TimerFired,
 )
@@ -36,162 +40,217 @@
 BY_NAME = {request_class.name: request_class for request_class in CLASSES}
 
 
-class Client:
+ZONES = {1: "a", 2: "a", 3: "b", 4: "b"}  # of the endpoints
+EVENT_TYPES = ["arrive", "arrive", "end attempt", "end attempt", "abandon", "list", "end health check"]
+TIMER_SLACK_S = 0.3  # the longest step of the clock here, by which an answer may be late
+
+
+@dataclass
+class SentAttempt:
+    """An attempt as its endpoint sees it."""
+
+    endpoint_id: int
+    sent_at: float
+    status: AttemptStatus | None = None  # None: in flight
+
+
+@dataclass
+class ClientRequest:
     """What the other side knows of one request."""
 
-    def __init__(self, class_name: str, deadline: float) -> None:
-        self.request_class = BY_NAME[class_name]
-        self.deadline = deadline
-        self.attempts: list[tuple[int, float, AttemptStatus | None]] = []
-        self.ended = False
+    request_class: RequestClass
+    deadline: float
+    attempts: list[SentAttempt] = field(default_factory=list)
+    has_ended: bool = False
+
+    def first_possible_execution(self) -> SentAttempt | None:
+        return next((a for a in self.attempts if a.status not in NEVER_EXECUTED), None)
+
+
+class RandomWorld:
+    """Clients, endpoints and a clock whose events are drawn; each action is checked against the rules."""
+
+    def __init__(self, data: st.DataObject, setup: Settings, seed: int) -> None:
+        self.data = data
+        self.setup = setup
+        self.balancer = Balancer(setup, seed)
+        self.now = 50.0
+        self.requests: dict[int, ClientRequest] = {}
+        self.states = dict.fromkeys(ZONES, EndpointState.SERVING)
+        self.timers: list[tuple[float, int]] = []
+        self.health_checks: list[int] = []
+        listed = [entry for endpoint_id, zone in ZONES.items() for entry in entries(endpoint_id, zone=zone)]
+        self.events: list[Event] = [EndpointListUpdate(ListScope.CACHED, listed)]
+
+    def run_step(self) -> None:
+        actions = self.balancer.handle(self.now, self.events)
+        ended_now = {
+            event.request_id
+            for event in self.events
+            if isinstance(event, RequestAbandoned) or (isinstance(event, AttemptEnded) and event.is_final)
+        }
+        for action in actions:
+            self._check_action(action, ended_now)
+        self._advance_clock()
+        self._end_overdue_attempts()
+        for _ in range(self.data.draw(st.integers(0, 4))):
+            self._draw_event()
+        if not self.events:
+            self.events = [TimerFired(99)]
+        # A queued request is answered in time: none without an attempt outlives its deadline.
+        late = [
+            request_id
+            for request_id, request in self.requests.items()
+            if not request.has_ended and not request.attempts and self.now > request.deadline + TIMER_SLACK_S
+        ]
+        assert not late, late
+
+    def _check_action(self, action: Action, ended_now: set[int]) -> None:
+        if isinstance(action, StartAttempt):
+            self._check_attempt(action)
+        elif isinstance(action, Reject | Fail):
+            self._check_answer(action, ended_now)
+        elif isinstance(action, CancelAttempt):
+            assert self.setup.can_cancel
+            assert self.requests[action.request_id].attempts[action.attempt_number]
+        elif isinstance(action, CheckHealth):
+            assert self.setup.can_check_health
+            self.health_checks.append(action.endpoint_id)
+        elif isinstance(action, SetTimer):
+            self.timers.append((self.now + action.delay, action.token))
+
+    def _check_attempt(self, action: StartAttempt) -> None:
+        request = self.requests[action.request_id]
+        assert not request.has_ended and self.now < request.deadline
+        assert self.states[action.endpoint_id] is EndpointState.SERVING
+        assert len(request.attempts) < self.setup.max_attempts
+        assert 0 < action.timeout <= request.deadline - self.now + 0.006
+        if not self.setup.can_hedge:
+            assert all(attempt.status is not None for attempt in request.attempts)
+        first = request.first_possible_execution()
+        if first is not None:
+            request_class = request.request_class
+            assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, "may be executed twice"
+            if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                assert self.now - first.sent_at < request_class.idempotency_window
+                assert (
+                    request_class.idempotency_scope is IdempotencyScope.ALL
+                    or ZONES[first.endpoint_id] == ZONES[action.endpoint_id]
+                )
+        request.attempts.append(SentAttempt(action.endpoint_id, self.now))
+
+    def _check_answer(self, action: Reject | Fail, ended_now: set[int]) -> None:
+        request = self.requests[action.request_id]
+        # In the batch that ends a request it may still be answered on an earlier event: that is ignored.
+        assert not request.has_ended or action.request_id in ended_now
+        assert self.now <= request.deadline + self.setup.deadline_slack
+        assert all(attempt.status is not None for attempt in request.attempts)
+        if isinstance(action, Reject) and request.first_possible_execution() is not None:
+            request_class = request.request_class
+            assert (
+                request_class.idempotency is Idempotency.IDEMPOTENT
+                or request_class.idempotency_scope is IdempotencyScope.ALL
+            )
+            assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+        request.has_ended = True
+
+    def _advance_clock(self) -> None:
+        """Advance by a drawn step, but not past a timer or the deadline of a client."""
+        due = [due for due, _ in self.timers]
+        due += [request.deadline for request in self.requests.values() if not request.has_ended]
+        step = self.data.draw(st.sampled_from([0.0, 0.005, 0.05, 0.3]))
+        self.now = max(self.now, min([self.now + step, *[at for at in due if at > self.now]]))
+        self.events = [TimerFired(token) for at, token in self.timers if at <= self.now]
+        self.timers = [timer for timer in self.timers if timer[0] > self.now]
+
+    def _end_overdue_attempts(self) -> None:
+        for request_id, request in self.requests.items():
+            if self.now < request.deadline:
+                continue
+            in_flight = [number for number, sent in enumerate(request.attempts) if sent.status is None]
+            for number in in_flight:
+                self._end_attempt(request_id, number, AttemptStatus.TIMEOUT)
+            if in_flight and not request.has_ended:
+                request.deadline = self.now
+
+    def _end_attempt(self, request_id: int, number: int, status: AttemptStatus) -> None:
+        request = self.requests[request_id]
+        sent = request.attempts[number]
+        sent.status = status
+        request.has_ended = request.has_ended or status is AttemptStatus.OK
+        elapsed = self.now - sent.sent_at
+        self.events.append(
+            AttemptEnded(request_id, number, sent.endpoint_id, status, elapsed, request.has_ended)
+        )
+
+    def _draw_event(self) -> None:
+        event_type = self.data.draw(st.sampled_from(EVENT_TYPES))
+        if event_type == "arrive":
+            self._draw_arrival()
+        elif event_type == "end attempt":
+            self._draw_attempt_end()
+        elif event_type == "abandon":
+            self._draw_abandonment()
+        elif event_type == "list":
+            self._draw_list_update()
+        elif self.health_checks:
+            status = self.data.draw(st.integers(0, 4))
+            self.events.append(HealthCheckEnded(self.health_checks.pop(), status, 0.01, {"busy_reqs": 1.0}))
+
+    def _draw_arrival(self) -> None:
+        request_id = len(self.requests) + 1
+        budget = self.data.draw(st.sampled_from([0.01, 0.3, 1.0, 2.0]))
+        class_name = self.data.draw(st.sampled_from(sorted(BY_NAME)))
+        self.requests[request_id] = ClientRequest(BY_NAME[class_name], self.now + budget)
+        self.events.append(RequestArrived(request_id, class_name, budget))
+
+    def _draw_attempt_end(self) -> None:
+        in_flight = [
+            (request_id, number)
+            for request_id, request in self.requests.items()
+            for number, sent in enumerate(request.attempts)
+            if sent.status is None
+        ]
+        if in_flight:
+            request_id, number = self.data.draw(st.sampled_from(in_flight))
+            self._end_attempt(request_id, number, AttemptStatus(self.data.draw(st.integers(0, 7))))
+
+    def _draw_abandonment(self) -> None:
+        unanswered = [request_id for request_id, request in self.requests.items() if not request.has_ended]
+        if unanswered:
+            request_id = self.data.draw(st.sampled_from(unanswered))
+            self.requests[request_id].has_ended = True
+            self.events.append(RequestAbandoned(request_id))
 
-    def first_possible_execution(self) -> tuple[int, float, AttemptStatus | None] | None:
-        return next((a for a in self.attempts if a[2] not in NEVER_EXECUTED), None)
+    def _draw_list_update(self) -> None:
+        endpoint_id = self.data.draw(st.sampled_from(sorted(ZONES)))
+        state = self.data.draw(st.sampled_from(list(EndpointState)))
+        started_at = self.data.draw(st.sampled_from([0.0, self.now]))
+        self.states[endpoint_id] = state
+        entry = entries(endpoint_id, zone=ZONES[endpoint_id], state=state, started_at=started_at)
+        self.events.append(EndpointListUpdate(ListScope.INCREMENTAL, entry))
 
 
 @checks(max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(
     data=st.data(),
-    duplicate=st.booleans(),
-    cancel=st.booleans(),
-    probes=st.booleans(),
+    can_hedge=st.booleans(),
+    can_cancel=st.booleans(),
+    can_check_health=st.booleans(),
     seed=st.integers(0, 99),
 )
 def test_the_guards_rules_hold_on_any_events(
-    data: st.DataObject, duplicate: bool, cancel: bool, probes: bool, seed: int
+    data: st.DataObject, can_hedge: bool, can_cancel: bool, can_check_health: bool, seed: int
 ) -> None:
     setup = settings(
-        can_hedge=duplicate, can_cancel=cancel, can_check_health=probes, polls_discovery=seed % 2 == 0
+        can_hedge=can_hedge,
+        can_cancel=can_cancel,
+        can_check_health=can_check_health,
+        polls_discovery=seed % 2 == 0,
     )
-    balancer = Balancer(setup, seed)
-    now = 50.0
-    clients: dict[int, Client] = {}
-    zones = {1: "a", 2: "a", 3: "b", 4: "b"}
-    state = dict.fromkeys(zones, EndpointState.SERVING)
-    timers: list[tuple[float, int]] = []
-    checking: list[int] = []
-    listed = [entry for endpoint, zone in zones.items() for entry in entries(endpoint, zone=zone)]
-    events: list[Event] = [EndpointListUpdate(ListScope.CACHED, listed)]
+    world = RandomWorld(data, setup, seed)
     for _ in range(data.draw(st.integers(5, 40))):
-        actions = balancer.handle(now, events)
-        ended_now = {
-            e.request_id
-            for e in events
-            if isinstance(e, RequestAbandoned) or (isinstance(e, AttemptEnded) and e.is_final)
-        }
-        for action in actions:
-            if isinstance(action, StartAttempt):
-                client = clients[action.request_id]
-                assert not client.ended and now < client.deadline
-                assert state[action.endpoint_id] is EndpointState.SERVING
-                assert len(client.attempts) < setup.max_attempts
-                assert 0 < action.timeout <= client.deadline - now + 0.006
-                if not duplicate:
-                    assert all(a[2] is not None for a in client.attempts)
-                first = client.first_possible_execution()
-                if first is not None and client.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
-                    raise AssertionError("a second send of what may have run")
-                if first is not None and client.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-                    assert now - first[1] < client.request_class.idempotency_window
-                    assert (
-                        client.request_class.idempotency_scope is IdempotencyScope.ALL
-                        or zones[first[0]] == zones[action.endpoint_id]
-                    )
-                client.attempts.append((action.endpoint_id, now, None))
-            elif isinstance(action, Reject | Fail):
-                client = clients[action.request_id]
-                # In the batch that ends a request it may still be answered on an earlier event: that is
-                # ignored.
-                assert not client.ended or action.request_id in ended_now
-                assert now <= client.deadline + setup.deadline_slack
-                assert all(a[2] is not None for a in client.attempts)
-                if isinstance(action, Reject) and client.first_possible_execution() is not None:
-                    assert (
-                        client.request_class.idempotency is Idempotency.IDEMPOTENT
-                        or client.request_class.idempotency_scope is IdempotencyScope.ALL
-                    )
-                    assert client.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
-                client.ended = True
-            elif isinstance(action, CancelAttempt):
-                assert cancel and clients[action.request_id].attempts[action.attempt_number]
-            elif isinstance(action, CheckHealth):
-                assert probes
-                checking.append(action.endpoint_id)
-            elif isinstance(action, SetTimer):
-                timers.append((now + action.delay, action.token))
-        # What is due comes in time: timers, and time-outs at the client's deadline.
-        dues = [due for due, _ in timers] + [c.deadline for c in clients.values() if not c.ended]
-        jump = data.draw(st.sampled_from([0.0, 0.005, 0.05, 0.3]))
-        now = max(now, min([now + jump, *[due for due in dues if due > now]]))
-        events = [TimerFired(token) for due, token in timers if due <= now]
-        timers = [t for t in timers if t[0] > now]
-        for request_id, client in clients.items():
-            out = [n for n, a in enumerate(client.attempts) if a[2] is None]
-            if now >= client.deadline:
-                for n in out:
-                    endpoint, sent, _ = client.attempts[n]
-                    client.attempts[n] = (endpoint, sent, AttemptStatus.TIMEOUT)
-                    events.append(
-                        AttemptEnded(request_id, n, endpoint, AttemptStatus.TIMEOUT, now - sent, client.ended)
-                    )
-                client.deadline = now if out and not client.ended else client.deadline
-        for _ in range(data.draw(st.integers(0, 4))):
-            event_kind = data.draw(
-                st.sampled_from(
-                    [
-                        "arrive",
-                        "arrive",
-                        "end attempt",
-                        "end attempt",
-                        "abandoned",
-                        "list",
-                        "health check ended",
-                    ]
-                )
-            )
-            open_attempts = [
-                (c, n) for c, k in clients.items() for n, a in enumerate(k.attempts) if a[2] is None
-            ]
-            if event_kind == "arrive":
-                request_id = len(clients) + 1
-                budget = data.draw(st.sampled_from([0.01, 0.3, 1.0, 2.0]))
-                class_name = data.draw(st.sampled_from(sorted(BY_NAME)))
-                clients[request_id] = Client(class_name, now + budget)
-                events.append(RequestArrived(request_id, class_name, budget))
-            elif event_kind == "end attempt" and open_attempts:
-                request_id, n = data.draw(st.sampled_from(open_attempts))
-                client = clients[request_id]
-                status = AttemptStatus(data.draw(st.integers(0, 7)))
-                endpoint, sent, _ = client.attempts[n]
-                client.attempts[n] = (endpoint, sent, status)
-                client.ended = client.ended or status is AttemptStatus.OK
-                events.append(AttemptEnded(request_id, n, endpoint, status, now - sent, client.ended))
-            elif event_kind == "abandoned":
-                remaining = [c for c, k in clients.items() if not k.ended]
-                if remaining:
-                    request_id = data.draw(st.sampled_from(remaining))
-                    clients[request_id].ended = True
-                    events.append(RequestAbandoned(request_id))
-            elif event_kind == "list":
-                endpoint = data.draw(st.sampled_from(sorted(zones)))
-                state[endpoint] = data.draw(st.sampled_from(list(EndpointState)))
-                started = data.draw(st.sampled_from([0.0, now]))
-                events.append(
-                    EndpointListUpdate(
-                        ListScope.INCREMENTAL,
-                        entries(endpoint, zone=zones[endpoint], state=state[endpoint], started_at=started),
-                    )
-                )
-            elif event_kind == "health check ended" and checking:
-                events.append(
-                    HealthCheckEnded(checking.pop(), data.draw(st.integers(0, 4)), 0.01, {"busy_reqs": 1.0})
-                )
-        # A queued request is answered before its time: no open request without an attempt outlives its
-        # deadline.
-        if not events:
-            events = [TimerFired(99)]
-        late = [c for c, k in clients.items() if not k.ended and not k.attempts and now > k.deadline + 0.3]
-        assert not late, late
+        world.run_step()
 
 
 @checks(max_examples=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -290,9 +349,9 @@
         now += chance.expovariate(rate)
         if not restarted and now > start_time + 6.0:
             restarted = now
-            for driver_of_fleet in fleet:
-                until(driver_of_fleet, now)
-                driver_of_fleet.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(1, started_at=now)))
+            for proxy in fleet:
+                until(proxy, now)
+                proxy.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(1, started_at=now)))
         while out and out[0][0] <= now:
             due, owner, attempt = out.pop(0)
             until(owner, due)
--- a/tests/policy/test_request_class.py
+++ b/tests/policy/test_request_class.py
@@ -10,9 +10,9 @@
 
 
 def test_shedding_order_follows_weight_unless_weight_by_time_disagrees() -> None:
-    def ranks(*figures: tuple[float, float]) -> list[float]:
+    def ranks(*weights_and_means: tuple[float, float]) -> list[float]:
         states = []
-        for weight, mean in figures:
+        for weight, mean in weights_and_means:
             state = RequestClassState(RequestClass("x", weight, 1.0, 2.0), 0, 3)
             state.mean_latency.value = mean
             states.append(state)
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -10,20 +10,20 @@
 
 def test_retries_keep_to_their_budget() -> None:
     driver = BalancerDriver(settings(max_attempts=3))
-    tries = 0
+    attempt_count = 0
     for request_id in range(200):
         driver.advance(0.02)
         todo = [(attempt, 0) for attempt in attempts(driver.arrive(request_id))]
         while todo:
             attempt, number = todo.pop()
-            tries += 1
+            attempt_count += 1
             todo += [
                 (retry, number + 1)
                 for retry in attempts(
                     driver.end_attempt(attempt, AttemptStatus.ERROR, number), attempt.request_id
                 )
             ]
-    assert tries <= 200 * 1.15 + 5
+    assert attempt_count <= 200 * 1.15 + 5
 
 
 def test_retry_of_what_was_never_executed_costs_less() -> None:
