--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,8 +27,10 @@
 from harness.event_loop import until
 from harness.fleet import state_model
 from harness.fleet.fault_script import ACTIONS, FaultPlayer, FaultScript, ScriptedFault, ScriptHeader
-from harness.fleet.harness import FleetHarness, FleetOptions, LoggedChange, running_fleet
+from harness.fleet.harness import FleetHarness, running_fleet
 from harness.fleet.network import LinkFaults
+from harness.fleet.observer import LoggedChange
+from harness.fleet.slots import FleetOptions
 from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet, VirtualMember, address_of
 from service_proxy.fleet.authentication import MessageAuthenticator
 from service_proxy.fleet.member_base import TimerKind
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -32,7 +32,8 @@
 
 from benchmarks.report import BenchmarkReport, run_benchmark
 from harness.event_loop import until
-from harness.fleet.harness import FleetHarness, FleetOptions, running_fleet
+from harness.fleet.harness import FleetHarness, running_fleet
+from harness.fleet.slots import FleetOptions
 from harness.recovery.crash_points import crash_faults, record_store_run
 from harness.recovery.planted_bugs import BUGS_SEEN_ON_FAULTY_DISK, ORDERING_BUGS
 from service_proxy.recovery.persisted_records import (
--- a/harness/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -22,8 +22,9 @@
 
 from harness.event_loop import until
 from harness.fleet.fault_script import FaultPlayer, FaultScript, ScriptedFault, ScriptHeader, parse_script
-from harness.fleet.harness import FleetOptions, running_fleet
+from harness.fleet.harness import running_fleet
 from harness.fleet.network import Network
+from harness.fleet.slots import FleetOptions
 from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet
 from service_proxy.fleet.timing import ProtocolTiming
 from service_proxy.operator_file.reader import OperatorError, read_text
@@ -34,13 +35,14 @@
 
 
 def schema() -> dict[str, object]:
-    """JSON Schema of a script."""
+    """Return the JSON Schema of a script."""
     whole = table_schema(ScriptHeader)
     whole["properties"]["fault"] = {"type": "array", "items": table_schema(ScriptedFault)}
     return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "script of faults", **whole}
 
 
 def virtual(script: FaultScript, network: Network) -> int:
+    """Play a script in virtual time; return the exit code."""
     bed = VirtualFleet(script.header.members, ProtocolTiming(period=1.0), script.header.seed, network)
     for number in range(script.header.members):
         bed.start(number)
@@ -66,6 +68,7 @@
 
 
 async def real(script: FaultScript, network: Network) -> int:
+    """Play a script on real processes; return the exit code."""
     top = script.header
     async with running_fleet(FleetOptions(members=top.members, seed=top.seed, period=PERIOD)) as w:
         w.network.recorded_plans = network.recorded_plans
@@ -92,6 +95,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command; return its exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.fleet",
         description=__doc__,
--- a/harness/fleet/fault_relay.py
+++ b/harness/fleet/fault_relay.py
@@ -18,11 +18,12 @@
 
 
 def loopback_address(net: int, number: int) -> str:
+    """Return a member's address in one of the relay's two networks."""
     return f"127.{net}.{number // HOSTS}.{number % HOSTS + 1}"
 
 
 class _MemberSocket(asyncio.DatagramProtocol):
-    """The address by which one member is known."""
+    """The socket at the address by which one member is known."""
 
     def __init__(self, relay: DatagramRelay, number: int) -> None:
         self.relay = relay
@@ -40,6 +41,13 @@
 
 
 class DatagramRelay:
+    """Takes all datagrams between members, and hands on what the network lets pass.
+
+    Attributes:
+        number_of: members by the address at which they listen.
+        relayed_count, bytes: of what came.
+    """
+
     def __init__(self, members: int, port: int, network: Network) -> None:
         self.loop = asyncio.get_running_loop()
         self.members = members
@@ -52,9 +60,11 @@
         self.started = self.loop.time()
 
     def addresses(self) -> list[str]:
+        """Return the addresses by which members know one another."""
         return [f"{loopback_address(78, number)}:{self.port}" for number in range(self.members)]
 
     async def start(self) -> None:
+        """Bind all sockets."""
         for number, known in enumerate(self.member_sockets):
             await self.loop.create_datagram_endpoint(
                 lambda known=known: known,  # type: ignore[misc]
@@ -62,11 +72,13 @@
             )
 
     def stop(self) -> None:
+        """Close all sockets."""
         for known in self.member_sockets:
             if known.transport is not None:
                 known.transport.close()
 
     def relay_datagram(self, source: tuple[str | Any, int], receiver: int, data: bytes) -> None:
+        """Take a datagram to a member."""
         sender = self.number_of.get(str(source[0]), NOBODY)
         if sender == NOBODY or source[1] != self.port:
             return
@@ -85,13 +97,15 @@
             transport.sendto(data, (loopback_address(77, receiver), self.port))
 
     def inject(self, receiver: int, data: bytes) -> None:
-        """Straight at a member's own socket, from the address of one that others know."""
+        """Send straight to a member's own socket, from the address of one that others know."""
         transport = self.member_sockets[(receiver + 1) % self.members].transport
         if transport is not None:
             transport.sendto(data, (loopback_address(77, receiver), self.port))
 
 
 class _RelayedConnection(asyncio.Protocol):
+    """One side of a connection that is passed on."""
+
     def __init__(self, pipe: TcpRelay, other: _RelayedConnection | None = None) -> None:
         self.pipe = pipe
         self.other = other
@@ -147,21 +161,24 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, at: str, port: int) -> str:
+        """Listen; return the address."""
         self.server = await self.loop.create_server(lambda: _RelayedConnection(self), at, port, backlog=256)
         return f"{at}:{port}"
 
     def stop(self) -> None:
+        """Stop listening, and reset all connections."""
         if self.server is not None:
             self.server.close()
         self.reset()
 
     def reset(self) -> None:
+        """Reset all connections."""
         for side in list(self.sides):
             if side.transport is not None:
                 side.transport.abort()
 
     def set_silent(self, on: bool) -> None:
-        """Connections stay up, and nothing passes; new ones come up to nobody."""
+        """Keep connections up and let nothing pass; new ones come up to nobody."""
         self.silent = on
         for side in list(self.sides):
             if side.transport is not None and not side.transport.is_closing():
--- a/harness/fleet/fault_script.py
+++ b/harness/fleet/fault_script.py
@@ -28,6 +28,7 @@
 from service_proxy.operator_file.reader import OperatorError, Problem, Reader, between, key
 
 MAX_FAULTS = 1000
+MIN_GROUPS = 2  # of a partition
 ACTIONS = {
     "kill": "SIGKILL; `lasts`: starts again after so long",
     "term": "SIGTERM; `lasts`: starts again after so long",
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptedFault:
-    """[[fault]]"""
+    """One [[fault]] of a script."""
 
     do: str = key(str, '"kill" (or another of: ' + ", ".join(ACTIONS) + ")", check=_deed)
     at: float = key(float, "5.0", -1.0, between(0, 3600))
@@ -90,12 +91,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultScript:
+    """A script that was read."""
+
     header: ScriptHeader
     faults: tuple[ScriptedFault, ...] = field(default=())
 
 
 def parse_script(text: str, file: str = "script.toml") -> FaultScript:
-    """Raises operator.OperatorError with all problems."""
+    """Return the script.
+
+    Raises:
+        OperatorError: with all problems, each with its line.
+    """
     try:
         raw = tomllib.loads(text)
     except ValueError as wrong:
@@ -122,7 +129,7 @@
     if (fault.at >= 0) == bool(fault.when):
         reader.wrong(path, "S107", "a fault has either `at` or `when`", "write at = 5.0")
     if fault.do == "partition":
-        if len(fault.groups) < 2:
+        if len(fault.groups) < MIN_GROUPS:
             reader.wrong(path, "S103", "a partition has two groups or more", 'write groups = ["p0-p5", "p6"]')
     elif not fault.who:
         reader.wrong(path, "S103", f"{fault.do} of whom?", 'write who = ["p3"]')
@@ -131,16 +138,24 @@
     if fault.do in LASTING_ACTIONS and not fault.lasts:
         reader.wrong(path, "S103", f"{fault.do} for how long?", "write lasts = 5.0")
     if fault.do != "drain":
-        for name in ("who", "to", "groups"):
-            for item in getattr(fault, name):
-                try:
-                    member_numbers(item.split(","), members)
-                except ValueError as wrong:
-                    reader.wrong((*path, name), "S105", f"{item!r}: {wrong}", 'write "p3" or "p5-p9"')
+        _check_members(reader, path, fault, members)
+
+
+def _check_members(reader: Reader, path: tuple[str, ...], fault: ScriptedFault, members: int) -> None:
+    for name in ("who", "to", "groups"):
+        for item in getattr(fault, name):
+            try:
+                member_numbers(item.split(","), members)
+            except ValueError as error:
+                reader.wrong((*path, name), "S105", f"{item!r}: {error}", 'write "p3" or "p5-p9"')
 
 
 def member_numbers(names: Iterable[str], members: int) -> list[int]:
-    """`p3`, `p5-p9` and `all` as numbers of members. Raises ValueError."""
+    """Return the numbers of the members that `p3`, `p5-p9` and `all` name.
+
+    Raises:
+        ValueError: there is no such member.
+    """
     found: list[int] = []
     for name in names:
         span = SPAN.fullmatch(name)
@@ -164,45 +179,57 @@
 
     @property
     def names(self) -> Sequence[str]:
-        """Of the members, now."""
+        """Names of the members, now."""
 
-    def schedule(self, wait: float, what: Callable[[], None]) -> None: ...
+    def schedule(self, wait: float, what: Callable[[], None]) -> None:
+        """Call something after so many seconds."""
 
-    def kill(self, number: int) -> None: ...
+    def kill(self, number: int) -> None:
+        """End a process at once."""
 
-    def terminate(self, number: int) -> None: ...
+    def terminate(self, number: int) -> None:
+        """End a process by its own will."""
 
-    def start(self, number: int, name: str = "") -> None: ...
+    def start(self, number: int, name: str = "") -> None:
+        """Start a process, by another name if one is given."""
 
-    def suspend(self, number: int) -> None: ...
+    def suspend(self, number: int) -> None:
+        """Let a process do nothing."""
 
-    def resume(self, number: int) -> None: ...
+    def resume(self, number: int) -> None:
+        """Let a suspended process go on."""
 
-    def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None: ...
+    def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
+        """Move a process's clocks by so many seconds."""
 
-    def flood(self, number: int, rate: float, lasts: float) -> None: ...
+    def flood(self, number: int, rate: float, lasts: float) -> None:
+        """Send so many useless datagrams a second to a member."""
 
-    def reset_connections(self, number: int) -> None: ...
+    def reset_connections(self, number: int) -> None:
+        """Reset a member's TCP connections."""
 
-    def set_silent(self, number: int, on: bool) -> None: ...
+    def set_silent(self, number: int, on: bool) -> None:
+        """Let nothing pass on a member's TCP connections, or let it pass again."""
 
-    def set_draining(self, server: str, on: bool) -> None: ...
+    def set_draining(self, server: str, on: bool) -> None:
+        """Have the endpoint lists say that an endpoint drains, or is ready."""
 
 
 class FaultPlayer:
-    """Plays a script's faults; who watches the views says what happens in them."""
+    """Plays a script's faults; who watches the views reports what happens in them."""
 
     def __init__(
         self, script: FaultScript, target: FaultTarget, on_line: Callable[[str], None] | None = None
     ) -> None:
         self.script = script
         self.target = target
-        self.on_line = on_line or (lambda line: None)
+        self.on_line = on_line or (lambda _line: None)
         self.waiting_faults: list[ScriptedFault] = []
         self.played = 0
         self.active_faults = 0  # faults that last
 
     def start(self) -> None:
+        """Schedule all faults that have a time."""
         for fault in self.script.faults:
             if fault.when:
                 self.waiting_faults.append(fault)
@@ -210,16 +237,18 @@
                 self.target.schedule(fault.at, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     def on_event(self, event: str) -> None:
-        """`p7 is dead`, in anybody's view, or `settled`."""
+        """Take an event: `p7 is dead`, in anybody's view, or `settled`."""
         for fault in [fault for fault in self.waiting_faults if fault.when == event]:
             self.waiting_faults.remove(fault)
             self.target.schedule(fault.after, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     @property
     def is_finished(self) -> bool:
+        """Whether all faults were played and are over."""
         return not self.active_faults and self.played >= len(self.script.faults)
 
     def apply(self, fault: ScriptedFault) -> None:
+        """Play a fault now, and schedule its end."""
         self.played += 1
         target = self.target
         members = self.script.header.members
@@ -285,30 +314,41 @@
         return [ended]
 
     def _apply_to_member(self, fault: ScriptedFault, number: int) -> list[Callable[[], None]]:
+        """Play a fault of single members on one of them; return what ends it."""
         target = self.target
-        if fault.do in ("kill", "term"):
-            (target.kill if fault.do == "kill" else target.terminate)(number)
-            return [lambda: target.start(number)]
-        if fault.do == "restart":
-            target.kill(number)
-            target.start(number)
-        elif fault.do == "start":
-            target.start(number)
-        elif fault.do == "rename":
-            old = target.names[number]
-            target.kill(number)
-            target.start(number, fault.name)
-            if fault.lasts:
-                return [lambda: target.kill(number), lambda: target.start(number, old)]
-        elif fault.do == "stop":
-            target.suspend(number)
-            return [lambda: target.resume(number)]
-        elif fault.do == "clock":
-            if fault.name == "monotonic":
-                target.adjust_clock(number, monotonic=fault.by)
-            else:
-                target.adjust_clock(number, wall=fault.by)
-        elif fault.do == "storm":
+        match fault.do:
+            case "kill" | "term":
+                (target.kill if fault.do == "kill" else target.terminate)(number)
+                return [lambda: target.start(number)]
+            case "restart":
+                target.kill(number)
+                target.start(number)
+            case "start":
+                target.start(number)
+            case "rename":
+                return self._rename(fault, number)
+            case "stop":
+                target.suspend(number)
+                return [lambda: target.resume(number)]
+            case "clock":
+                monotonic, wall = (fault.by, 0.0) if fault.name == "monotonic" else (0.0, fault.by)
+                target.adjust_clock(number, monotonic=monotonic, wall=wall)
+            case _:
+                return self._apply_to_connections(fault, number)
+        return []
+
+    def _rename(self, fault: ScriptedFault, number: int) -> list[Callable[[], None]]:
+        target = self.target
+        former_name = target.names[number]
+        target.kill(number)
+        target.start(number, fault.name)
+        if not fault.lasts:
+            return []
+        return [lambda: target.kill(number), lambda: target.start(number, former_name)]
+
+    def _apply_to_connections(self, fault: ScriptedFault, number: int) -> list[Callable[[], None]]:
+        target = self.target
+        if fault.do == "storm":
             target.flood(number, fault.share, fault.lasts)
         elif fault.do == "reset":
             target.reset_connections(number)
--- a/harness/fleet/network.py
+++ b/harness/fleet/network.py
@@ -1,7 +1,7 @@
 """What a network does to datagrams: one decision for each, by seed, link and the datagram's number there.
 
-Used by the bed in virtual time and by the relay between real processes alike. A decision hangs on nothing but
-these three and the faults in force, so that a transcript of a run says what another one will do.
+Used by the virtual fleet and by the relay between real processes alike. A decision hangs on nothing but these
+three and the faults in force, so that a recording of a run says what another one will do.
 """
 
 from __future__ import annotations
@@ -40,6 +40,20 @@
 
 @dataclass
 class Network:
+    """The links between members, by their numbers.
+
+    Attributes:
+        base_delay_range: of a datagram on a link without faults, s.
+        link_faults: of single links; default_faults: of all others.
+        cuts: links on which nothing passes, and how many faults cut each.
+        partitions: each a list of groups that can't reach one another.
+        counts: datagrams on each link.
+        lost: datagrams that never arrived.
+        on_datagram: is shown each datagram.
+        transcript: takes a line for each decision.
+        recorded_plans: decisions of a recording, by link and number.
+    """
+
     seed: int
     base_delay_range: tuple[float, float] = BASE_DELAY_RANGE_S
     link_faults: dict[Link, LinkFaults] = field(default_factory=dict)
@@ -57,7 +71,7 @@
     )  # by link and number
 
     def cut(self, senders: Iterable[int], receivers: Iterable[int], by: int = 1) -> None:
-        """-1 mends it."""
+        """Cut all links from these senders to these receivers; by -1: mend them."""
         receivers = list(receivers)
         for sender in senders:
             for receiver in receivers:
@@ -69,6 +83,7 @@
                         self.cuts.pop((sender, receiver), None)
 
     def is_open(self, sender: int, receiver: int) -> bool:
+        """Return whether anything passes from one to the other."""
         if (sender, receiver) in self.cuts:
             return False
         return all(
@@ -76,7 +91,7 @@
         )
 
     def carry(self, sender: int, receiver: int, data: bytes, now: float) -> list[tuple[float, bytes]]:
-        """The copies of it that arrive, each after so long; none: it is lost."""
+        """Return the copies of a datagram that arrive, each with its delay, s; none: it is lost."""
         if self.on_datagram is not None:
             self.on_datagram(data)
         link = sender, receiver
@@ -113,8 +128,11 @@
         return plan
 
     def load_recording(self, file: Path) -> None:
-        """Decides as a transcript says, datagram by datagram, and by itself beyond its end. Raises ValueError
-        with file and line."""
+        """Decide as a recording says, datagram by datagram, and by itself beyond its end.
+
+        Raises:
+            ValueError: with file and line, where it is no recording.
+        """
         for place, line in enumerate(file.read_text(encoding="utf-8").splitlines(), 1):
             try:
                 _, sender, receiver, number, _, plan = json.loads(line)
@@ -127,6 +145,6 @@
 
 
 def flip_bit(data: bytes, bit: int) -> bytes:
-    """With one bit turned."""
+    """Return the data with one bit turned."""
     at = bit // 8 % len(data)
     return data[:at] + bytes((data[at] ^ 1 << bit % 8,)) + data[at + 1 :]
--- a/harness/fleet/next_version.py
+++ b/harness/fleet/next_version.py
@@ -1,5 +1,6 @@
-"""Runs a module as the next version of the program would speak: version 2 at each datagram's head, two bytes
-more in its header, and a section that nobody knows yet.
+"""Run a module as the next version of the program would speak.
+
+Version 2 at each datagram's head, two bytes more in its header, and a section that is not known yet.
 
     python -m harness.fleet.next_version MODULE [ARGUMENT...]
 """
@@ -16,7 +17,7 @@
 
 
 def speak_next_version() -> None:
-    """From now on this process writes so."""
+    """From now on have this process write so."""
     write = wire.encode_datagram
 
     def newer(*arguments: Any) -> bytes:
@@ -32,6 +33,7 @@
 
 
 def main(argv: list[str]) -> None:
+    """Run the module that the command line names."""
     speak_next_version()
     sys.argv = argv
     runpy.run_module(argv[0], run_name="__main__", alter_sys=True)
--- a/harness/fleet/state_model.py
+++ b/harness/fleet/state_model.py
@@ -26,6 +26,9 @@
 
 MAX_MESSAGES = 2  # under way at a time, of which each may come again and again
 MAX_MODEL_VERSION = 1
+MAX_EXCHANGES = 8  # until all know all; fewer are needed
+PROGRESS_STATES = 100_000  # between two reports of progress
+MAX_NEW_STATES_A_STEP = 8
 MAX_MODEL_GENERATION = 3
 A = 0
 B = 1
@@ -36,21 +39,34 @@
 
 
 class Message(NamedTuple):
+    """A claim that is under way to one of the three."""
+
     to: int
     incarnation: Incarnation
     claim: Claim
 
 
 class KnownState(NamedTuple):
+    """What an observer holds of the subject."""
+
     state: MemberState
     incarnation: Incarnation | None
 
 
 class ModelState(NamedTuple):
+    """The state of the subject, of both observers, and of the messages between the three.
+
+    Attributes:
+        local: the subject's own incarnation.
+        greatest: that it ever claimed.
+        joined: a second process claims nothing before it has asked.
+        messages: that are under way, sorted.
+    """
+
     up: bool
     left: bool
-    mine: Incarnation  # the subject's own
-    most: Incarnation  # that it ever claimed
+    local: Incarnation  # the subject's own
+    greatest: Incarnation  # that it ever claimed
     joined: bool  # a second process claims nothing before it has asked
     restarts: int
     views: tuple[KnownState, KnownState]
@@ -64,7 +80,7 @@
     table: TableOf
     denies: bool = True  # a suspicion that it hears
     outranks: bool = True  # what is left of its predecessor
-    newest: bool = True  # older claims are told from newer ones
+    newest: bool = True  # older claims are told apart from newer ones
 
 
 CORRECT_RULES = Rules(TRANSITIONS)
@@ -91,117 +107,141 @@
 
 
 class InvariantViolationError(Exception):
-    """The message says what does not hold."""
+    """An invariant does not hold; the message says which."""
 
 
-def merge_claim(rules: Rules, held: KnownState, incarnation: Incarnation, claim: Claim) -> KnownState:
-    what = classify_claim(held.incarnation, (incarnation, claim))
-    if not rules.newest and what is ClaimEvent.OLDER:
-        what = {
+def merge_claim(rules: Rules, known: KnownState, incarnation: Incarnation, claim: Claim) -> KnownState:
+    """Return a view after a claim was merged into it by the rules."""
+    event = classify_claim(known.incarnation, (incarnation, claim))
+    if not rules.newest and event is ClaimEvent.OLDER:
+        event = {
             Claim.ALIVE: ClaimEvent.ALIVE_NEWER,
             Claim.SUSPECT: ClaimEvent.SUSPECT_NEWER,
             Claim.LEFT: ClaimEvent.LEFT_NEWER,
         }[claim]
-    after, step = rules.table[held.state, what]
-    if step in (MergeAction.NOTHING, MergeAction.SEND_CORRECTION, MergeAction.CONFIRM_SUSPICION):
-        return KnownState(after, held.incarnation)
+    after, action = rules.table[known.state, event]
+    if action in (MergeAction.NOTHING, MergeAction.SEND_CORRECTION, MergeAction.CONFIRM_SUSPICION):
+        return KnownState(after, known.incarnation)
     return KnownState(after, incarnation)
 
 
-def told(held: KnownState) -> Claim | None:
-    """As what it travels: the dead as a suspicion."""
-    if held.state is MemberState.UNKNOWN:
+def disseminated_claim(known: KnownState) -> Claim | None:
+    """Return the claim as which a view is told to others: the dead as a suspicion."""
+    if known.state is MemberState.UNKNOWN:
         return None
-    if held.state is MemberState.ALIVE:
+    if known.state is MemberState.ALIVE:
         return Claim.ALIVE
-    return Claim.LEFT if held.state is MemberState.LEFT else Claim.SUSPECT
+    return Claim.LEFT if known.state is MemberState.LEFT else Claim.SUSPECT
 
 
-def hears_of_itself(
-    rules: Rules, world: ModelState, incarnation: Incarnation, claim: Claim, bounded: bool = True
+def deliver_to_subject(
+    rules: Rules, model: ModelState, incarnation: Incarnation, claim: Claim, bounded: bool = True
 ) -> ModelState:
-    mine = world.mine
-    if incarnation.process == mine.process:
-        if claim is Claim.ALIVE or incarnation < mine or not rules.denies:
-            return world
-        if bounded and mine.version >= MAX_MODEL_VERSION:
-            return world  # beyond the bound of this check
-        mine = max(mine, incarnation).incremented()
-        return world._replace(mine=mine, most=max(world.most, mine))
+    """Return the model after the subject got a claim about itself."""
+    local = model.local
+    if incarnation.process == local.process:
+        if claim is Claim.ALIVE or incarnation < local or not rules.denies:
+            return model
+        if bounded and local.version >= MAX_MODEL_VERSION:
+            return model  # beyond the bound of this check
+        local = max(local, incarnation).incremented()
+        return model._replace(local=local, greatest=max(model.greatest, local))
     if (
-        incarnation > mine
+        incarnation > local
         and rules.outranks
         and not (bounded and incarnation.generation >= MAX_MODEL_GENERATION)
     ):
-        mine = Incarnation(incarnation.generation + 1, mine.nonce, 0)
-        return world._replace(mine=mine, most=max(world.most, mine))
-    return world
+        local = Incarnation(incarnation.generation + 1, local.nonce, 0)
+        return model._replace(local=local, greatest=max(model.greatest, local))
+    return model
 
 
-def deliver(rules: Rules, world: ModelState, message: Message, bounded: bool = True) -> ModelState:
+def deliver(rules: Rules, model: ModelState, message: Message, bounded: bool = True) -> ModelState:
+    """Return the model after a message arrived."""
     if message.to == SUBJECT:
-        if not world.up or world.left:
-            return world
-        return hears_of_itself(rules, world, message.incarnation, message.claim, bounded)
-    views = list(world.views)
+        if not model.up or model.left:
+            return model
+        return deliver_to_subject(rules, model, message.incarnation, message.claim, bounded)
+    views = list(model.views)
     views[message.to] = merge_claim(rules, views[message.to], message.incarnation, message.claim)
-    return world._replace(views=(views[0], views[1]))
+    return model._replace(views=(views[0], views[1]))
 
 
-def sent(world: ModelState, message: Message) -> ModelState:
-    return world._replace(messages=tuple(sorted((*world.messages, message))))
+def with_message(model: ModelState, message: Message) -> ModelState:
+    """Return the model with one more message under way."""
+    return model._replace(messages=tuple(sorted((*model.messages, message))))
 
 
-def steps(rules: Rules, world: ModelState) -> Iterator[tuple[str, ModelState]]:
-    """All that may happen next."""
-    room = len(world.messages) < MAX_MESSAGES
-    if world.up and world.joined and room:
-        claim = Claim.LEFT if world.left else Claim.ALIVE
+def steps(rules: Rules, model: ModelState) -> Iterator[tuple[str, ModelState]]:
+    """Yield all that may happen next, each with its name."""
+    has_room = len(model.messages) < MAX_MESSAGES
+    if model.up and model.joined and has_room:
+        claim = Claim.LEFT if model.left else Claim.ALIVE
         for to in (A, B):
-            yield "the subject tells", sent(world, Message(to, world.mine, claim))
-    if world.up and not world.left:
-        if not world.joined:
-            # It asks both, and goes on with what they say; or nobody answers, and it goes on alone.
-            asked = world
-            for held in world.views:
-                claim_of = told(held)
-                if claim_of is not None and held.incarnation is not None:
-                    asked = hears_of_itself(rules, asked, held.incarnation, claim_of)
-            most = max(asked.most, asked.mine)
-            yield "it joins", asked._replace(joined=True, most=most)
-            yield "it joins alone", world._replace(joined=True, most=max(world.most, world.mine))
-        elif world.mine.version < MAX_MODEL_VERSION:
-            renewed = world.mine.incremented()
-            yield "it says something new", world._replace(mine=renewed, most=max(world.most, renewed))
-        if world.joined:
-            yield "it leaves", world._replace(left=True)
-    if world.up:
-        yield "it crashes", world._replace(up=False)
-    elif not world.restarts:
-        yield "it starts again", world._replace(up=True, left=False, joined=False, mine=SECOND, restarts=1)
-    for who in (A, B):
-        held = world.views[who]
-        views = list(world.views)
-        if held.state is MemberState.ALIVE and held.incarnation is not None:
-            views[who] = merge_claim(rules, held, held.incarnation, Claim.SUSPECT)
-            yield "it is suspected", world._replace(views=(views[0], views[1]))
-        if held.state is MemberState.SUSPECT:
-            views[who] = KnownState(
-                rules.table[held.state, ClaimEvent.SUSPICION_EXPIRED][0], held.incarnation
-            )
-            yield "a suspicion runs out", world._replace(views=(views[0], views[1]))
-        claim_of = told(held)
-        if claim_of is not None and held.incarnation is not None and room:
-            for to in (B if who == A else A, SUBJECT):
-                yield "one tells another", sent(world, Message(to, held.incarnation, claim_of))
-    for place, message in enumerate(world.messages):
-        rest = world.messages[:place] + world.messages[place + 1 :]
-        yield "lost", world._replace(messages=rest)
-        yield "delivered", deliver(rules, world._replace(messages=rest), message)
-        yield "delivered, and comes again", deliver(rules, world, message)
+            yield "the subject tells", with_message(model, Message(to, model.local, claim))
+    if model.up and not model.left:
+        yield from subject_steps(rules, model)
+    if model.up:
+        yield "it crashes", model._replace(up=False)
+    elif not model.restarts:
+        yield "it starts again", model._replace(up=True, left=False, joined=False, local=SECOND, restarts=1)
+    for observer in (A, B):
+        yield from view_steps(rules, model, observer, has_room)
+    for place, message in enumerate(model.messages):
+        rest = model.messages[:place] + model.messages[place + 1 :]
+        yield "lost", model._replace(messages=rest)
+        yield "delivered", deliver(rules, model._replace(messages=rest), message)
+        yield "delivered, and comes again", deliver(rules, model, message)
+
+
+def subject_steps(rules: Rules, model: ModelState) -> Iterator[tuple[str, ModelState]]:
+    """Yield what the subject may do by itself while it is up and has not left."""
+    if not model.joined:
+        # It asks both, and goes on with what they say; or nobody answers, and it goes on alone.
+        asked = model
+        for known in model.views:
+            claim = disseminated_claim(known)
+            if claim is not None and known.incarnation is not None:
+                asked = deliver_to_subject(rules, asked, known.incarnation, claim)
+        yield "it joins", asked._replace(joined=True, greatest=max(asked.greatest, asked.local))
+        yield "it joins alone", model._replace(joined=True, greatest=max(model.greatest, model.local))
+    elif model.local.version < MAX_MODEL_VERSION:
+        renewed = model.local.incremented()
+        yield "it says something new", model._replace(local=renewed, greatest=max(model.greatest, renewed))
+    if model.joined:
+        yield "it leaves", model._replace(left=True)
+
+
+def view_steps(
+    rules: Rules, model: ModelState, observer: int, has_room: bool
+) -> Iterator[tuple[str, ModelState]]:
+    """Yield what an observer may do by itself."""
+    known = model.views[observer]
+    if known.state is MemberState.ALIVE and known.incarnation is not None:
+        suspected = merge_claim(rules, known, known.incarnation, Claim.SUSPECT)
+        yield "it is suspected", with_view(model, observer, suspected)
+    if known.state is MemberState.SUSPECT:
+        expired = KnownState(rules.table[known.state, ClaimEvent.SUSPICION_EXPIRED][0], known.incarnation)
+        yield "a suspicion runs out", with_view(model, observer, expired)
+    claim = disseminated_claim(known)
+    if claim is not None and known.incarnation is not None and has_room:
+        for to in (B if observer == A else A, SUBJECT):
+            yield "one tells another", with_message(model, Message(to, known.incarnation, claim))
+
+
+def with_view(model: ModelState, observer: int, known: KnownState) -> ModelState:
+    """Return the model with another view of one observer."""
+    views = list(model.views)
+    views[observer] = known
+    return model._replace(views=(views[0], views[1]))
 
 
 def check_step(before: ModelState, what: str, after: ModelState) -> None:
+    """Check that no view goes back.
+
+    Raises:
+        InvariantViolationError: what went back.
+    """
     for old, new in zip(before.views, after.views, strict=True):
         if old.incarnation is None or new.incarnation is None:
             continue
@@ -219,100 +259,121 @@
             and new.incarnation <= old.incarnation
         ):
             raise InvariantViolationError(f"{what}: {old.incarnation} had left, and is {new.state.value}")
-        doubt = old.state is MemberState.SUSPECT and new.state is MemberState.ALIVE
-        if doubt and new.incarnation <= old.incarnation:
+        ends_suspicion = old.state is MemberState.SUSPECT and new.state is MemberState.ALIVE
+        if ends_suspicion and new.incarnation <= old.incarnation:
             raise InvariantViolationError(f"{what}: a suspicion of {old.incarnation} ended without a denial")
 
 
-def check_state(world: ModelState) -> None:
-    for held in world.views:
-        if held.incarnation is not None and held.incarnation > world.most:
-            raise InvariantViolationError(f"a view holds {held.incarnation}, which nobody has claimed")
+def check_state(model: ModelState) -> None:
+    """Check that no view holds what nobody has claimed.
 
+    Raises:
+        InvariantViolationError: it does.
+    """
+    for known in model.views:
+        if known.incarnation is not None and known.incarnation > model.greatest:
+            raise InvariantViolationError(f"a view holds {known.incarnation}, which nobody has claimed")
 
-def settled(rules: Rules, world: ModelState) -> ModelState:
-    """What comes of it when nothing goes wrong any more and all talk to all, the subject while it is up.
-    Suspicions run out where it is down."""
-    world = world._replace(messages=())
-    if world.up and not world.joined:
-        world = next(after for what, after in steps(rules, world) if what == "it joins")
-    for _ in range(8):
-        before = world
-        if world.up:
-            claim = Claim.LEFT if world.left else Claim.ALIVE
+
+def settle(rules: Rules, model: ModelState) -> ModelState:
+    """Return what the model comes to when nothing goes wrong any more and all exchange all.
+
+    Suspicions run out where the subject is down.
+    """
+    model = model._replace(messages=())
+    if model.up and not model.joined:
+        model = next(after for what, after in steps(rules, model) if what == "it joins")
+    for _ in range(MAX_EXCHANGES):
+        before = model
+        if model.up:
+            claim = Claim.LEFT if model.left else Claim.ALIVE
             for to in (A, B):
-                world = deliver(rules, world, Message(to, world.mine, claim), False)
+                model = deliver(rules, model, Message(to, model.local, claim), False)
         for who in (A, B):
-            held = world.views[who]
-            claim_of = told(held)
-            if claim_of is None or held.incarnation is None:
+            known = model.views[who]
+            claim_of = disseminated_claim(known)
+            if claim_of is None or known.incarnation is None:
                 continue
             for to in (B if who == A else A, SUBJECT):
-                world = deliver(rules, world, Message(to, held.incarnation, claim_of), False)
-        if not world.up or world.left:  # it answers no probe
-            views = tuple(
-                KnownState(rules.table[held.state, ClaimEvent.SUSPICION_EXPIRED][0], held.incarnation)
-                if held.state is MemberState.SUSPECT
-                else KnownState(MemberState.SUSPECT, held.incarnation)
-                if held.state is MemberState.ALIVE
-                else held
-                for held in world.views
-            )
-            world = world._replace(views=(views[0], views[1]))
-        if world == before:
+                model = deliver(rules, model, Message(to, known.incarnation, claim_of), False)
+        if not model.up or model.left:  # it answers no probe
+            one, other = (without_answer(rules, known) for known in model.views)
+            model = model._replace(views=(one, other))
+        if model == before:
             break
-    return world
+    return model
+
 
+def without_answer(rules: Rules, known: KnownState) -> KnownState:
+    """Return a view of the subject after it has not answered a probe."""
+    if known.state is MemberState.SUSPECT:
+        after, _ = rules.table[known.state, ClaimEvent.SUSPICION_EXPIRED]
+        return KnownState(after, known.incarnation)
+    if known.state is MemberState.ALIVE:
+        return KnownState(MemberState.SUSPECT, known.incarnation)
+    return known
 
-def check_end(world: ModelState, end: ModelState) -> None:
+
+def check_end(end: ModelState) -> None:
+    """Check that both views agree with what is so in the end.
+
+    Raises:
+        InvariantViolationError: they don't.
+    """
     one, other = end.views
     if (one.state in LIVE_STATES) != (other.state in LIVE_STATES):
         raise InvariantViolationError(f"it lives in one view and not in the other, for good: {one}, {other}")
     if end.up and not end.left:
-        for held in end.views:
-            if held.state is not MemberState.ALIVE or held.incarnation != end.mine:
-                raise InvariantViolationError(f"it lives as {end.mine}, and a view has {held} for good")
+        for known in end.views:
+            if known.state is not MemberState.ALIVE or known.incarnation != end.local:
+                raise InvariantViolationError(f"it lives as {end.local}, and a view has {known} for good")
     if not end.up or end.left:
-        for held in end.views:
-            if held.state in LIVE_STATES:
-                raise InvariantViolationError(f"it is gone, and lives in a view for good: {held}")
+        for known in end.views:
+            if known.state in LIVE_STATES:
+                raise InvariantViolationError(f"it is gone, and lives in a view for good: {known}")
 
 
 def explore(
-    rules: Rules = CORRECT_RULES, most: int = 5_000_000, tell: Callable[[int], None] | None = None
+    rules: Rules = CORRECT_RULES,
+    max_states: int = 5_000_000,
+    on_progress: Callable[[int], None] | None = None,
 ) -> int:
-    """The number of states. Raises Broken with what does not hold and the events that led there."""
+    """Visit all states within the bounds; return their number.
+
+    Raises:
+        InvariantViolationError: with what does not hold, and the events that led there.
+    """
     known = KnownState(MemberState.ALIVE, FIRST)
     start = ModelState(True, False, FIRST, FIRST, True, 0, (known, known), ())
     unknown = start._replace(
         views=(KnownState(MemberState.UNKNOWN, None), KnownState(MemberState.UNKNOWN, None))
     )
-    came: dict[ModelState, tuple[ModelState, str] | None] = {start: None, unknown: None}
+    reached: dict[ModelState, tuple[ModelState, str] | None] = {start: None, unknown: None}
     queue = deque((start, unknown))
     while queue:
-        world = queue.popleft()
+        model = queue.popleft()
         try:
-            check_state(world)
-            check_end(world, settled(rules, world))
-            for what, after in steps(rules, world):
-                check_step(world, what, after)
-                if after not in came:
-                    came[after] = world, what
-                    if len(came) > most:
-                        raise RuntimeError(f"over {most} states")
+            check_state(model)
+            check_end(settle(rules, model))
+            for what, after in steps(rules, model):
+                check_step(model, what, after)
+                if after not in reached:
+                    reached[after] = model, what
+                    if len(reached) > max_states:
+                        raise RuntimeError(f"over {max_states} states")
                     queue.append(after)
-        except InvariantViolationError as fault:
-            raise InvariantViolationError(f"{fault}; after: {'; '.join(_way(came, world))}") from None
-        if tell is not None and len(came) % 100_000 < 8:
-            tell(len(came))
-    return len(came)
+        except InvariantViolationError as error:
+            raise InvariantViolationError(f"{error}; after: {'; '.join(_steps_to(reached, model))}") from None
+        if on_progress is not None and len(reached) % PROGRESS_STATES < MAX_NEW_STATES_A_STEP:
+            on_progress(len(reached))
+    return len(reached)
 
 
-def _way(came: Mapping[ModelState, tuple[ModelState, str] | None], world: ModelState) -> list[str]:
-    found: list[str] = []
-    step = came[world]
+def _steps_to(reached: Mapping[ModelState, tuple[ModelState, str] | None], model: ModelState) -> list[str]:
+    names: list[str] = []
+    step = reached[model]
     while step is not None:
-        world, what = step
-        found.append(what)
-        step = came[world]
-    return found[::-1] or ["the beginning"]
+        model, what = step
+        names.append(what)
+        step = reached[model]
+    return names[::-1] or ["the beginning"]
--- a/harness/fleet/virtual_fleet.py
+++ b/harness/fleet/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Cores in virtual time: a heap of events, seeded delays, and the network's faults. No sockets, no waiting.
+"""Members in virtual time: a heap of events, seeded delays, and the network's faults. No sockets, no waiting.
 
 The same seed gives the same run, in another process too. Thousands of members fit, for entries are shared.
 """
@@ -31,16 +31,26 @@
 
 EPOCH_S = 1_764_633_600.0  # s since 1970 at the start of a run
 BROADCAST_ADDRESS = "10.255.255.255", 7946  # reaches all
+MAX_INBOX = 512  # datagrams in the buffer of a suspended process's socket
 ProtocolFactory = Callable[..., MembershipProtocol]
 
 
 def address_of(number: int) -> Address:
+    """Return the address of a member by its number."""
     return f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}", 7946
 
 
 @dataclass(slots=True)
 class VirtualMember:
-    """One name's process, and those before it."""
+    """One name's process, and those before it.
+
+    Attributes:
+        inbox: datagrams that arrived while it was suspended.
+        starts: number of its processes.
+        clock_offset: s by which its reading of the monotonic clock is off.
+        wall_offset: s by which its wall clock is off.
+        timer_deadline: of the tick that is scheduled; negative: none.
+    """
 
     number: int
     name: str
@@ -54,6 +64,15 @@
 
 
 class VirtualFleet:
+    """A fleet in virtual time.
+
+    Attributes:
+        now: s since the beginning.
+        on_change: is called with each change of a member's view.
+        on_log_line: is called with each log line of a member.
+        datagrams, bytes: that were sent.
+    """
+
     def __init__(
         self,
         members: int,
@@ -87,9 +106,11 @@
 
     # running
     def schedule(self, at: float, what: Callable[..., None], *args: Any) -> None:
+        """Call something at this time."""
         heapq.heappush(self.events, (max(at, self.now), next(self.order), what, args))
 
     def run(self, until: float) -> None:
+        """Run all events until this time."""
         while self.events and self.events[0][0] <= until:
             self.now, _, what, args = heapq.heappop(self.events)
             what(*args)
@@ -99,17 +120,17 @@
         return self.now + member.clock_offset
 
     def _apply_effects(self, member: VirtualMember) -> None:
-        """Carries what the core has decided, and sets its next tick."""
+        """Carry out what a member has decided, and schedule its next tick."""
         core = member.protocol
         assert core is not None
-        taken = core.take_effects()
-        for address, data in taken.datagrams:
+        effects = core.take_effects()
+        for address, data in effects.datagrams:
             self._send(member.number, address, data)
         if self.on_change is not None:
-            for change in taken.changes:
+            for change in effects.changes:
                 self.on_change(member, change)
         if self.on_log_line is not None:
-            for line in taken.log_lines:
+            for line in effects.log_lines:
                 self.on_log_line(member, line.text)
         due = max(self.now, core.next_timer_at - member.clock_offset)
         if member.timer_deadline < 0 or due < member.timer_deadline - 1e-9:
@@ -138,7 +159,7 @@
         if member.protocol is None:
             return
         if member.suspended:
-            if len(member.inbox) < 512:  # a socket's buffer
+            if len(member.inbox) < MAX_INBOX:
                 member.inbox.append((source, data))
             return
         member.protocol.receive_datagram(self._local_time(member), source, data)
@@ -146,6 +167,7 @@
 
     # what happens to members
     def start(self, number: int, name: str = "") -> None:
+        """Start a new process of a member, by another name if one is given."""
         member = self.members[number]
         member.starts += 1
         if name:
@@ -172,7 +194,7 @@
         self._apply_effects(member)
 
     def adopt(self) -> None:
-        """All at once, as members that know one another."""
+        """Start all at once, as members that know one another."""
         entries = {}
         for member in self.members:
             zone = f"z{member.number % self.zones}"
@@ -201,9 +223,11 @@
             self._apply_effects(member)
 
     def kill(self, number: int) -> None:
+        """End a process at once."""
         self.members[number].protocol = None
 
     def leave(self, number: int) -> None:
+        """End a process that says so before."""
         member = self.members[number]
         if member.protocol is not None:
             member.protocol.leave(self._local_time(member))
@@ -211,9 +235,11 @@
             member.protocol = None
 
     def suspend(self, number: int) -> None:
+        """Let a process do nothing."""
         self.members[number].suspended = True
 
     def resume(self, number: int) -> None:
+        """Let a suspended process go on: first its timers, then its datagrams."""
         member = self.members[number]
         if member.protocol is None or not member.suspended:
             return
@@ -228,6 +254,7 @@
         self._apply_effects(member)
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
+        """Move a process's clocks by so many seconds."""
         member = self.members[number]
         member.clock_offset += monotonic
         member.wall_offset += wall
@@ -239,10 +266,11 @@
     # what is seen
     @property
     def living(self) -> list[VirtualMember]:
+        """Members that have a process."""
         return [member for member in self.members if member.protocol is not None]
 
     def is_converged(self) -> bool:
-        """Whether all the living have the same view, and it is the living."""
+        """Return whether all the living have the same view, and it is the living."""
         names = {member_key(member.name) for member in self.living}
         tables = [member.protocol.table for member in self.living if member.protocol is not None]
         return len({table.digest for table in tables}) <= 1 and all(
@@ -250,7 +278,7 @@
         )
 
     def states(self, of: int) -> dict[MemberState, int]:
-        """How many of the living have this member in which state."""
+        """Return how many of the other living members have this one in which state."""
         found: dict[MemberState, int] = {}
         for member in self.living:
             if member.protocol is not None and member.number != of:
@@ -260,7 +288,7 @@
 
 
 class VirtualFaultTarget:
-    """harness.fleet.fault_script.Ground on a bed; it also sees whom a view brings back from the dead."""
+    """The target of a fault script in virtual time; it also sees whom a view brings back from the dead."""
 
     def __init__(self, fleet: VirtualFleet) -> None:
         self.fleet = fleet
@@ -273,9 +301,11 @@
 
     @property
     def names(self) -> list[str]:
+        """Names of the members, now."""
         return [member.name for member in self.fleet.members]
 
     def record_change(self, member: VirtualMember, change: MembershipChange) -> None:
+        """Take in a change of a member's view."""
         view = f"{member.name}.{member.starts}"  # a new process begins with none
         dead = self.declared_dead.setdefault((view, change.entry.key), set())
         if change.after is MemberState.DEAD:
@@ -289,37 +319,48 @@
             self.on_event(event)
 
     def schedule(self, wait: float, what: Callable[[], None]) -> None:
+        """Call something after so many seconds."""
         self.fleet.schedule(self.fleet.now + wait, what)
 
     def kill(self, number: int) -> None:
+        """End a process at once."""
         self.fleet.kill(number)
 
     def terminate(self, number: int) -> None:
+        """End a process that says so before."""
         self.fleet.leave(number)
 
     def start(self, number: int, name: str = "") -> None:
+        """Start a process where there is none."""
         if self.fleet.members[number].protocol is None:
             self.fleet.start(number, name)
 
     def suspend(self, number: int) -> None:
+        """Let a process do nothing."""
         self.fleet.suspend(number)
 
     def resume(self, number: int) -> None:
+        """Let a suspended process go on."""
         self.fleet.resume(number)
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
+        """Move a process's clocks by so many seconds."""
         self.fleet.adjust_clock(number, monotonic, wall)
 
     # What is not there in virtual time: sockets' buffers, TCP, lists.
-    def flood(self, number: int, rate: float, lasts: float) -> None: ...
+    def flood(self, number: int, rate: float, lasts: float) -> None:
+        """Do nothing: there are no buffers of sockets."""
 
-    def reset_connections(self, number: int) -> None: ...
+    def reset_connections(self, number: int) -> None:
+        """Do nothing: there is no TCP."""
 
-    def set_silent(self, number: int, on: bool) -> None: ...
+    def set_silent(self, number: int, on: bool) -> None:
+        """Do nothing: there is no TCP."""
 
-    def set_draining(self, server: str, on: bool) -> None: ...
+    def set_draining(self, server: str, on: bool) -> None:
+        """Do nothing: there are no endpoint lists."""
 
 
 def derive_seed(*parts: int) -> int:
-    """A seed of these; the same in every process."""
+    """Return a seed made of these numbers; the same in every process."""
     return Random(",".join(map(str, parts))).getrandbits(62)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -16,7 +16,8 @@
 from harness.event_loop import until
 from harness.fleet.fault_relay import loopback_address
 from harness.fleet.fault_script import FaultPlayer, parse_script
-from harness.fleet.harness import FleetHarness, FleetOptions, running_fleet
+from harness.fleet.harness import FleetHarness, running_fleet
+from harness.fleet.slots import FleetOptions
 from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
 
 PATIENCE = 40.0  # s; what takes longer has failed
--- a/tests/recovery/test_power_loss.py
+++ b/tests/recovery/test_power_loss.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from harness.event_loop import until
-from harness.fleet.harness import FleetHarness, FleetOptions, Slot, running_fleet
+from harness.fleet.harness import FleetHarness, running_fleet
+from harness.fleet.slots import FleetOptions, Slot
 from service_proxy.recovery.persisted_records import MaintenanceRecord, put_operation
 from service_proxy.recovery.store import Store, StoreOwner, read_store
 from service_proxy.recovery.store_directory import StoreDirectory
