--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -25,10 +25,10 @@
 )
 
 NAMES = st.text(st.characters(whitelist_categories=["Lu", "Ll", "Nd"]), min_size=1, max_size=10)
-SAIDS = st.builds(
-    lambda name, run, life, beat, claim, phase, word, sure, zone: MemberUpdate(
+UPDATES = st.builds(
+    lambda name, run, life, version, claim, phase, word, sure, zone: MemberUpdate(
         member_key(name),
-        Incarnation(run, life, beat),
+        Incarnation(run, life, version),
         claim,
         phase,
         word,
@@ -63,19 +63,19 @@
     )
 
 
-@given(SAIDS)
-def test_what_is_said_is_read_as_it_was(said: MemberUpdate) -> None:
-    assert wire.unpack_record(wire.pack_record(said)) == said
-    short = wire.unpack_update(wire.pack_update(said))
+@given(UPDATES)
+def test_an_update_is_unpacked_as_it_was_packed(update: MemberUpdate) -> None:
+    assert wire.unpack_record(wire.pack_record(update)) == update
+    short = wire.unpack_update(wire.pack_update(update))
     assert (short.key, short.incarnation, short.claim, short.metadata) == (
-        said.key,
-        said.incarnation,
-        said.claim,
-        said.metadata,
+        update.key,
+        update.incarnation,
+        update.claim,
+        update.metadata,
     )
 
 
-def test_a_whole_datagram() -> None:
+def test_a_datagram_is_decoded_as_it_was_encoded() -> None:
     writer = DatagramWriter()
     assert writer.add_section(Section.PROBE_ID, (77).to_bytes(4, "big"))
     data = MessageAuthenticator([b"k" * 16]).seal(datagram(*writer.parts))
@@ -94,9 +94,9 @@
     assert len(MessageAuthenticator().seal(datagram(*writer.parts))) <= MAX_DATAGRAM_BYTES
 
 
-def test_a_newer_version_is_read_as_far_as_it_is_known() -> None:
+def test_a_datagram_of_a_newer_version_is_read_as_far_as_it_is_known() -> None:
     """Two bytes more in the header, a section and a kind of its own: skipped, and the rest is heard."""
-    said = MemberUpdate(
+    update = MemberUpdate(
         member_key("p9"),
         Incarnation(9, 9, 0),
         Claim.ALIVE,
@@ -105,25 +105,25 @@
     )
     writer = DatagramWriter()
     writer.parts += [bytes((199, 3)), b"new"]
-    writer.add_update(said)
+    writer.add_update(update)
     plain = datagram(*writer.parts, fleet=fleet_id("fleet"))
     newer = bytes((2,)) + plain[1:6] + bytes((plain[6] + 2,)) + plain[7:39] + b"\x01\x02" + plain[39:]
-    core = MembershipProtocol(
+    protocol = MembershipProtocol(
         "fleet", MemberRecord("p1", ("10.0.0.1", 7946)), [], ProtocolTiming(), 1, 0.0, 1e9
     )
-    core.tick(0.1)
-    core.receive_datagram(0.2, ("10.0.0.2", 7946), MessageAuthenticator().seal(newer))
-    assert member_key("p9") in core.table.entries and not core.counters.rejected
-    core.receive_datagram(
+    protocol.tick(0.1)
+    protocol.receive_datagram(0.2, ("10.0.0.2", 7946), MessageAuthenticator().seal(newer))
+    assert member_key("p9") in protocol.table.entries and not protocol.counters.rejected
+    protocol.receive_datagram(
         0.3,
         ("10.0.0.2", 7946),
         MessageAuthenticator().seal(datagram(kind=99, number=2, fleet=fleet_id("fleet"))),
     )
-    assert core.counters.rejected == {"a newer version's kind": 1}
+    assert protocol.counters.rejected == {"a newer version's kind": 1}
 
 
 @pytest.mark.parametrize("keys", [(), (b"k" * 16,)])
-def test_a_turned_bit_anywhere_is_found(keys: tuple[bytes, ...]) -> None:
+def test_a_flipped_bit_anywhere_fails_verification(keys: tuple[bytes, ...]) -> None:
     seals = MessageAuthenticator(keys)
     data = seals.seal(datagram())
     assert seals.verify(data)
@@ -133,7 +133,7 @@
         assert not seals.verify(bytes(spoilt))
 
 
-def test_keys_are_rotated_and_strangers_keys_are_none() -> None:
+def test_keys_can_be_rotated_and_foreign_keys_fail_verification() -> None:
     old = b"o" * 16
     new = b"n" * 16
     other = b"x" * 16
@@ -143,32 +143,32 @@
 
 
 @given(st.lists(st.integers(1, 3 * REPLAY_WINDOW), max_size=200))
-def test_a_number_is_taken_once_and_not_when_it_is_too_old(numbers: list[int]) -> None:
+def test_a_sequence_number_is_accepted_once_and_not_when_it_is_too_old(numbers: list[int]) -> None:
     window = ReplayWindow()
-    taken = set[int]()
+    accepted = set[int]()
     highest = 0
     for number in numbers:
-        wanted = number not in taken and number > highest - REPLAY_WINDOW
-        assert window.accept(b"abcdef", (1, 1), number) == wanted
-        if wanted:
-            taken.add(number)
+        expected = number not in accepted and number > highest - REPLAY_WINDOW
+        assert window.accept(b"abcdef", (1, 1), number) == expected
+        if expected:
+            accepted.add(number)
             highest = max(highest, number)
 
 
-def test_fuzzed_datagrams_raise_nothing_and_no_answer_is_longer_than_its_question() -> None:
+def test_fuzzed_datagrams_raise_nothing_and_no_answer_is_longer_than_its_request() -> None:
     """Garbage; then real ones of a fleet with bytes turned and the checksum made right again."""
     random = Random(1)
     seals = MessageAuthenticator()
-    bed = VirtualFleet(6, ProtocolTiming(), 1)
-    kept: list[bytes] = []
-    bed.network.on_datagram = kept.append
+    fleet = VirtualFleet(6, ProtocolTiming(), 1)
+    recorded: list[bytes] = []
+    fleet.network.on_datagram = recorded.append
     for number in range(6):
-        bed.start(number)
-    bed.run(4.0)
-    core = bed.members[0].protocol
-    assert core is not None and kept
+        fleet.start(number)
+    fleet.run(4.0)
+    protocol = fleet.members[0].protocol
+    assert protocol is not None and recorded
     for number in range(6000):
-        data = bytearray(random.choice(kept))
+        data = bytearray(random.choice(recorded))
         if number % 3 == 0:
             data = bytearray(random.randbytes(random.randint(0, 300)))
         for _ in range(random.randint(0, 6)):
@@ -176,7 +176,7 @@
                 data[random.randrange(len(data))] = random.randrange(256)
         sent = bytes(data[:-8]) if number % 3 else bytes(data)
         sent = seals.seal(sent) if number % 3 else sent
-        core.take_effects()
-        core.receive_datagram(bed.now, address_of(1 + number % 5), sent)
-        assert all(len(out) <= len(sent) for _, out in core.take_effects().datagrams)
-    assert len(core.table.entries) < 2000 and core.counters.rejected["malformed"] > 100
+        protocol.take_effects()
+        protocol.receive_datagram(fleet.now, address_of(1 + number % 5), sent)
+        assert all(len(out) <= len(sent) for _, out in protocol.take_effects().datagrams)
+    assert len(protocol.table.entries) < 2000 and protocol.counters.rejected["malformed"] > 100
--- a/tests/fleet/test_member_states.py
+++ b/tests/fleet/test_member_states.py
@@ -24,10 +24,10 @@
 INCARNATIONS = st.builds(
     Incarnation, st.integers(1, MAX_GENERATION), st.integers(0, 65535), st.integers(0, MAX_VERSION)
 )
-SAID = st.tuples(INCARNATIONS, st.sampled_from(Claim))
+CLAIMS = st.tuples(INCARNATIONS, st.sampled_from(Claim))
 
 
-@given(SAID, SAID, SAID)
+@given(CLAIMS, CLAIMS, CLAIMS)
 def test_merging_is_commutative_associative_and_idempotent(
     one: VersionedClaim, two: VersionedClaim, three: VersionedClaim
 ) -> None:
@@ -36,29 +36,29 @@
     assert merge(one, one) == one
 
 
-@given(st.lists(SAID, min_size=1, max_size=6), st.randoms())
-def test_views_end_alike_in_whatever_order_claims_come(said: list[VersionedClaim], random: Random) -> None:
+@given(st.lists(CLAIMS, min_size=1, max_size=6), st.randoms())
+def test_views_converge_in_whatever_order_claims_arrive(claims: list[VersionedClaim], random: Random) -> None:
     def after(order: list[VersionedClaim]) -> tuple[Incarnation | None, MemberState]:
         held: state_model.KnownState = state_model.KnownState(MemberState.UNKNOWN, None)
         for incarnation, claim in order:
             held = state_model.merge_claim(state_model.CORRECT_RULES, held, incarnation, claim)
         return held.incarnation, held.state
 
-    mixed = list(said)
+    mixed = list(claims)
     random.shuffle(mixed)
-    greatest = max(said)
+    greatest = max(claims)
     named = {Claim.ALIVE: MemberState.ALIVE, Claim.SUSPECT: MemberState.SUSPECT, Claim.LEFT: MemberState.LEFT}
-    assert after(said) == after(mixed) == (greatest[0], named[greatest[1]])
+    assert after(claims) == after(mixed) == (greatest[0], named[greatest[1]])
 
 
-def test_the_table_has_every_happening_that_a_state_can_meet() -> None:
-    claims = [
+def test_the_transitions_cover_every_event_that_a_state_can_meet() -> None:
+    claim_events = [
         what
         for what in ClaimEvent
         if what not in (ClaimEvent.SUSPICION_EXPIRED, ClaimEvent.TOMBSTONE_EXPIRED)
     ]
     for state in MemberState:
-        for what in claims:
+        for what in claim_events:
             if state is MemberState.UNKNOWN and "newer" not in what.value:
                 continue
             assert (state, what) in TRANSITIONS
@@ -69,15 +69,13 @@
     }
 
 
-@given(INCARNATIONS, SAID)
-def test_nothing_but_a_newer_incarnation_brings_the_dead_back(
-    held: Incarnation, said: VersionedClaim
-) -> None:
-    after, _ = TRANSITIONS[MemberState.DEAD, classify_claim(held, said)]
-    assert (after in LIVE_STATES) == (said[0] > held and said[1] is not Claim.LEFT)
+@given(INCARNATIONS, CLAIMS)
+def test_only_a_newer_incarnation_brings_the_dead_back(held: Incarnation, claimed: VersionedClaim) -> None:
+    after, _ = TRANSITIONS[MemberState.DEAD, classify_claim(held, claimed)]
+    assert (after in LIVE_STATES) == (claimed[0] > held and claimed[1] is not Claim.LEFT)
 
 
-def test_the_model_holds_and_every_planted_fault_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_exhaustive_model_holds_and_finds_every_planted_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     """One message at a time; the benchmark has the larger bounds."""
     monkeypatch.setattr(state_model, "MAX_MESSAGES", 1)
     assert state_model.explore() > 1000
@@ -88,7 +86,7 @@
 
 
 @given(st.integers(1, 300), st.data())
-def test_all_shares_together_stay_under_the_bound(by_settings: int, data: st.DataObject) -> None:
+def test_the_shares_of_all_proxies_stay_under_the_bound(by_settings: int, data: st.DataObject) -> None:
     """Parted into any groups that see only themselves; each by its rule."""
     left = by_settings
     total = 0.0
@@ -100,7 +98,7 @@
     assert total < MAX_TOTAL_SHARE + 1e-9
 
 
-def test_while_the_view_changes_the_count_does_not_fall() -> None:
+def test_the_proxy_count_does_not_fall_while_the_view_changes() -> None:
     assert effective_proxy_count(40, 30, False, False, 40) == 40
     assert effective_proxy_count(40, 30, True, False, 40) == 30
     assert effective_proxy_count(40, 50, False, False, 40) == 50
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -20,7 +20,7 @@
 from harness.fleet.slots import FleetOptions
 from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
 
-PATIENCE = 40.0  # s; what takes longer has failed
+TIMEOUT_S = 40.0  # s; what takes longer has failed
 T = TypeVar("T")
 Check = Callable[[FleetHarness], Awaitable[None]]
 
@@ -31,7 +31,7 @@
 
 def bounded(work: Coroutine[Any, Any, T]) -> T:
     async def test() -> T:
-        async with asyncio.timeout(4 * PATIENCE):
+        async with asyncio.timeout(4 * TIMEOUT_S):
             return await work
 
     return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(test())
@@ -43,14 +43,14 @@
     async def run() -> FleetHarness:
         async with running_fleet(setup) as w:
             if setup.start_all and not setup.foreign_members:
-                await w.observer.wait_until_settled(PATIENCE, True)
+                await w.observer.wait_until_settled(TIMEOUT_S, True)
             player = FaultPlayer(parse_script(f"members = {setup.members}\n{script}"), w)
             w.observer.on_event = player.on_event
             player.start()
             await check(w)
-            await until(lambda: player.is_finished, "the script's end", PATIENCE)
+            await until(lambda: player.is_finished, "the script's end", TIMEOUT_S)
             if not setup.foreign_members:
-                await w.observer.wait_until_settled(PATIENCE, True)
+                await w.observer.wait_until_settled(TIMEOUT_S, True)
             await end(w)
             await w.finish_requests()
             await asyncio.sleep(0.05)
@@ -69,33 +69,33 @@
     return bounded(run())
 
 
-def says(w: FleetHarness, name: str, text: str) -> bool:
+def has_logged(w: FleetHarness, name: str, text: str) -> bool:
     w.observer.read_logs()
     return any(text in line for line in w.observer.lines.get(name, ()))
 
 
-def told(w: FleetHarness, name: str, state: str) -> set[str]:
+def observers_of(w: FleetHarness, name: str, state: str) -> set[str]:
     return {change.observer for change in w.observer.changes if change.name == name and change.after == state}
 
 
-def test_forty_join_at_once() -> None:
+def test_forty_members_join_at_once() -> None:
     w = play(FleetOptions(members=40, rate=0.5))
     assert w.observer.deaths() == []
 
 
-def test_the_first_is_alone_for_a_while() -> None:
+def test_the_first_member_is_isolated_until_others_start() -> None:
     async def check(w: FleetHarness) -> None:
         w.start(0)
         await until(
-            lambda: says(
+            lambda: has_logged(
                 w, "p0", "join_unanswered attempts=3 reason=nobody answers; this member goes on alone"
             ),
             "alone",
-            PATIENCE,
+            TIMEOUT_S,
         )
         for number in range(1, 5):
             w.start(number)
-        await until(lambda: len(w.living) == 5 and not w.starting, "up", PATIENCE)
+        await until(lambda: len(w.living) == 5 and not w.starting, "up", TIMEOUT_S)
 
     play(FleetOptions(members=5, start_all=False), check=check)
 
@@ -105,13 +105,13 @@
 )
 
 
-def test_a_third_is_killed_within_a_second() -> None:
+def test_a_third_of_the_members_is_killed_within_a_second() -> None:
     w = play(FleetOptions(members=12), THIRD)
     for number in range(4):
-        assert told(w, f"p{number}", "dead") >= {f"p{other}" for other in range(4, 12)}
+        assert observers_of(w, f"p{number}", "dead") >= {f"p{other}" for other in range(4, 12)}
 
 
-def test_all_but_one_are_killed() -> None:
+def test_all_members_but_one_are_killed() -> None:
     async def end(w: FleetHarness) -> None:
         page, _ = await w.observer.fetch_view(w.slots[2])
         assert page.alive_count == 1 and page.dead_count == 5 and page.is_minority and page.isolated
@@ -121,7 +121,7 @@
 
     async def check(w: FleetHarness) -> None:
         await until(
-            lambda: len([d for d in w.observer.deaths() if d.observer == "p2"]) == 5, "deaths", PATIENCE
+            lambda: len([d for d in w.observer.deaths() if d.observer == "p2"]) == 5, "deaths", TIMEOUT_S
         )
 
     async def both(w: FleetHarness) -> None:
@@ -131,7 +131,7 @@
     # Alone it never counts as settled, so the views are not waited for.
     async def run() -> None:
         async with running_fleet(FleetOptions(members=6)) as w:
-            await w.observer.wait_until_settled(PATIENCE, True)
+            await w.observer.wait_until_settled(TIMEOUT_S, True)
             FaultPlayer(parse_script(f"members = 6\n{script}"), w).start()
             await both(w)
             await w.finish_requests()
@@ -140,35 +140,37 @@
     bounded(run())
 
 
-def test_a_restart_within_the_suspicion_is_no_death() -> None:
+def test_a_restart_within_the_suspicion_timeout_is_no_death() -> None:
     script = (
         '[[fault]]\nat = 0\ndo = "kill"\nwho = ["p3"]\n'
         '[[fault]]\nwhen = "p3 is suspect"\ndo = "start"\nwho = ["p3"]\n'
     )
     w = play(FleetOptions(members=6, period=1.0), script)
     lives = {change.incarnation.split(".")[1] for change in w.observer.changes if change.name == "p3"}
-    assert len(lives) == 2 and told(w, "p3", "dead") == set()
+    assert len(lives) == 2 and observers_of(w, "p3", "dead") == set()
 
 
-def test_a_member_stopped_for_three_seconds_under_load_is_not_dead_and_buries_nobody() -> None:
+def test_a_member_suspended_for_three_seconds_under_load_is_not_declared_dead_and_declares_nobody_dead() -> (
+    None
+):
     """The bound is the shortest suspicion: 3 periods of 1 s, from the first probe that it missed."""
     script = '[[fault]]\nat = 0\ndo = "stop"\nwho = ["p2"]\nlasts = 3.0\n'
     w = play(FleetOptions(members=8, period=1.0, rate=5.0), script)
-    assert w.observer.deaths() == [] and says(w, "p2", "process_stalled duration_s=")
+    assert w.observer.deaths() == [] and has_logged(w, "p2", "process_stalled duration_s=")
 
 
-def test_a_fifth_of_the_datagrams_is_lost_each_way_for_half_a_minute() -> None:
+def test_the_loss_of_a_fifth_of_the_datagrams_for_half_a_minute_kills_nobody() -> None:
     script = '[[fault]]\nat = 0\ndo = "loss"\nwho = ["all"]\nshare = 0.2\nlasts = 30.0\n'
     w = play(FleetOptions(members=10), script)
     assert w.observer.deaths() == [] and w.network.lost > 100
 
 
-def test_a_one_way_cut_between_two_is_named_and_kills_nobody() -> None:
+def test_a_one_way_cut_between_two_members_is_logged_and_kills_nobody() -> None:
     async def check(w: FleetHarness) -> None:
         await until(
-            lambda: says(w, "p2", "path_degraded member=p7 path=we hear it, and it does not hear us"),
+            lambda: has_logged(w, "p2", "path_degraded member=p7 path=we hear it, and it does not hear us"),
             "named",
-            PATIENCE,
+            TIMEOUT_S,
         )
         _, rows = await w.observer.fetch_view(w.slots[2])
         assert {row.name for row in rows if row.path} == {"p7"}
@@ -177,9 +179,9 @@
     assert play(FleetOptions(members=8, period=0.3), script, check).observer.deaths() == []
 
 
-def test_a_member_that_is_cut_from_half_of_the_others_lives() -> None:
+def test_a_member_that_is_cut_from_half_of_the_others_stays_alive() -> None:
     async def check(w: FleetHarness) -> None:
-        await until(lambda: says(w, "p0", " path=neither way directly"), "named", PATIENCE)
+        await until(lambda: has_logged(w, "p0", " path=neither way directly"), "named", TIMEOUT_S)
 
     script = (
         '[[fault]]\nat = 0\ndo = "cut"\nwho = ["p0"]\nto = ["p1-p4"]\nlasts = 12.0\n'
@@ -188,7 +190,7 @@
     assert play(FleetOptions(members=9), script, check).observer.deaths() == []
 
 
-def test_three_parts_for_twenty_seconds_with_deaths_a_join_and_a_restart_inside() -> None:
+def test_a_partition_in_three_with_crashes_a_join_and_a_restart_heals() -> None:
     async def check(w: FleetHarness) -> None:
         await asyncio.sleep(0)
         w.kill(11)
@@ -203,13 +205,13 @@
 
     async def run() -> None:
         async with running_fleet(FleetOptions(members=12)) as w:
-            await w.observer.wait_until_settled(PATIENCE, True)
+            await w.observer.wait_until_settled(TIMEOUT_S, True)
             player = FaultPlayer(parse_script(f"members = 12\n{script}"), w)
             player.start()
             await check(w)
-            await until(lambda: player.is_finished, "the script's end", PATIENCE)
+            await until(lambda: player.is_finished, "the script's end", TIMEOUT_S)
             parted = len(w.observer.changes)
-            await w.observer.wait_until_settled(PATIENCE, True)
+            await w.observer.wait_until_settled(TIMEOUT_S, True)
             assert [death for death in w.observer.changes[parted:] if death.after == "dead"] == []
             assert w.observer.resurrections() == []
             page, _ = await w.observer.fetch_view(w.slots[0])
@@ -228,24 +230,24 @@
     assert play(FleetOptions(members=9), script).observer.deaths() == []
 
 
-def test_another_fleet_at_these_addresses_is_told_of_and_never_heard() -> None:
+def test_another_fleet_at_these_addresses_is_logged_and_its_datagrams_are_rejected() -> None:
     async def end(w: FleetHarness) -> None:
         odd = "foreign_datagrams address="
-        wanted = (
+        expected = (
             ("p0", odd),
             ("p3", odd),
             ("p0", "view_settled living=3 "),
             ("p3", "view_settled living=2 "),
         )
-        for name, line in wanted:
-            await until(lambda name=name, line=line: says(w, name, line), line, PATIENCE)  # type: ignore[misc]
+        for name, line in expected:
+            await until(lambda name=name, line=line: has_logged(w, name, line), line, TIMEOUT_S)  # type: ignore[misc]
         names = {change.name for change in w.observer.changes if change.observer in ("p0", "p1", "p2")}
         assert names == {"p0", "p1", "p2"}
 
     play(FleetOptions(members=5, foreign_members=frozenset((3, 4))), end=end)
 
 
-def test_a_storm_of_datagrams_at_one_member_moves_no_view() -> None:
+def test_a_flood_of_datagrams_at_one_member_changes_no_view() -> None:
     """Half garbage, half of another fleet; from an address that is a member's."""
     script = '[[fault]]\nat = 0\ndo = "storm"\nwho = ["p1"]\nshare = 3000\nlasts = 5.0\n'
 
@@ -264,11 +266,11 @@
         FleetOptions(members=6, next_version_members=frozenset((4,))),
         '[[fault]]\nat = 1\ndo = "restart"\nwho = ["p4"]\n',
     )
-    assert told(w, "p4", "alive") == {f"p{number}" for number in range(6)}
+    assert observers_of(w, "p4", "alive") == {f"p{number}" for number in range(6)}
 
 
 @pytest.mark.parametrize("keys", [False, True])
-def test_a_clock_that_jumps_back_an_hour_moves_no_view(keys: bool) -> None:
+def test_a_clock_that_jumps_back_an_hour_changes_no_view(keys: bool) -> None:
     """And the process that starts by that clock outranks the one before it; with sealed datagrams as well."""
     script = (
         '[[fault]]\nat = 0\ndo = "clock"\nwho = ["p2"]\nby = -3600.0\n'
@@ -276,23 +278,23 @@
         '[[fault]]\nat = 4.0\ndo = "restart"\nwho = ["p2"]\n'
     )
     w = play(FleetOptions(members=6, keys=keys), script)
-    assert told(w, "p2", "dead") == set()
+    assert observers_of(w, "p2", "dead") == set()
     runs = [int(change.incarnation.split(".")[0]) for change in w.observer.changes if change.name == "p2"]
     assert runs[-1] > runs[0]
 
 
-def test_the_name_of_a_living_member_is_kept_and_both_are_told() -> None:
+def test_a_living_member_keeps_its_name_and_both_processes_log_the_conflict() -> None:
     """p5 comes back as p2; then as itself."""
 
     async def check(w: FleetHarness) -> None:
-        await until(lambda: says(w, "p2", "name_conflict name=p2 holder=peer 2 "), "told", PATIENCE)
-        await until(lambda: says(w, "p2", "name_requested name=p2 address="), "told both", PATIENCE)
+        await until(lambda: has_logged(w, "p2", "name_conflict name=p2 holder=peer 2 "), "told", TIMEOUT_S)
+        await until(lambda: has_logged(w, "p2", "name_requested name=p2 address="), "told both", TIMEOUT_S)
 
     script = '[[fault]]\nat = 0\ndo = "rename"\nwho = ["p5"]\nname = "p2"\nlasts = 12.0\n'
 
     async def run() -> None:
         async with running_fleet(FleetOptions(members=6, rate=0.0)) as w:
-            await w.observer.wait_until_settled(PATIENCE, True)
+            await w.observer.wait_until_settled(TIMEOUT_S, True)
             player = FaultPlayer(parse_script(f"members = 6\n{script}"), w)
             player.start()
             await check(w)
@@ -300,13 +302,13 @@
                 change for change in w.observer.changes if change.name == "p2" and change.before != "unknown"
             ]
             assert seen == []  # nothing flaps
-            await until(lambda: player.is_finished, "over", PATIENCE)
-            await w.observer.wait_until_settled(PATIENCE, True)
+            await until(lambda: player.is_finished, "over", TIMEOUT_S)
+            await w.observer.wait_until_settled(TIMEOUT_S, True)
 
     bounded(run())
 
 
-def test_staff_read_a_view_and_the_exit_code_says_whether_it_has_settled() -> None:
+def test_the_view_command_prints_a_view_and_its_exit_code_says_whether_it_has_settled() -> None:
     async def ask(*arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -331,11 +333,11 @@
         assert (await ask("--of", at))[0] == 1  # without the keys nobody answers
         assert (await ask("--of", "nowhere"))[0] == 2
         w.kill(3)  # undecided for the longest suspicion, which the tool's start is far below on any machine
-        await until(lambda: "p0" in told(w, "p3", "suspect"), "suspected by who is asked", PATIENCE)
+        await until(lambda: "p0" in observers_of(w, "p3", "suspect"), "suspected by who is asked", TIMEOUT_S)
         code, out = await ask("--of", at, "--operator", operator)
         assert code == 3 and "not settled" in out
         w.start(3)
-        await w.observer.wait_until_settled(PATIENCE, True)
+        await w.observer.wait_until_settled(TIMEOUT_S, True)
 
     w = play(FleetOptions(members=6, keys=True, suspicion=30.0), end=end)
     assert all(size <= MAX_DATAGRAM_BYTES for size in (w.relay.bytes // w.relay.relayed_count,))
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -45,26 +45,32 @@
 
 
 def config(allowed: bool, me: int = 0, name: str = "n0", **more: Any) -> ProxyConfig:
-    wanted = settings(balancers=3, me=me)
-    wanted["policy_limits"]["peers"] = allowed
-    raw = {"name": name, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": wanted, **more}
+    proxy_settings = settings(balancers=3, me=me)
+    proxy_settings["policy_limits"]["peers"] = allowed
+    raw = {
+        "name": name,
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:1",
+        "settings": proxy_settings,
+        **more,
+    }
     return parse_config(raw, {})
 
 
-def test_where_the_platform_allows_no_peers_it_is_off_and_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    said: list[str] = []
-    monkeypatch.setattr("service_proxy.composition.log.error", said.append)
+def test_without_permission_for_peers_the_fleet_is_off_and_logs_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    logged: list[str] = []
+    monkeypatch.setattr("service_proxy.composition.log.error", logged.append)
 
     async def test() -> None:
         driver: Any = Driver()
         assert create_fleet(Settings("portal"), config(False, **PEERS), driver, ()) is None
-        assert "the platform's settings (policy_limits.peers) allow no messages" in said[0]
+        assert "the platform's settings (policy_limits.peers) allow no messages" in logged[0]
         assert create_fleet(Settings("portal"), config(True, **PEERS), driver, ()) is not None
 
     asyncio.run(test())
 
 
-def test_members_call_one_another_by_number_and_each_sees_them_where_its_own_peers_are() -> None:
+def test_members_name_one_another_by_number_and_each_reaches_them_at_its_own_peers_addresses() -> None:
     """Two proxies whose lists name the same proxies at other addresses."""
 
     async def test() -> None:
@@ -81,14 +87,14 @@
             fleet.start()
             made.append(fleet)
         one, other = made
-        heard: list[tuple[bytes, bytes]] = []
-        other.receive(7, lambda sender, data: heard.append((sender, data)))
+        received: list[tuple[bytes, bytes]] = []
+        other.receive(7, lambda sender, data: received.append((sender, data)))
         await until(lambda: one.is_settled and other.is_settled and len(one.members()) == 2, "settled")
         assert {member.name for member in one.members()} == {"n0", "n1"}
         one.publish(9, b"word")
         await until(lambda: any(m.metadata == {9: b"word"} for m in other.members()), "the word")
         assert one.send(7, b"hello", other.own_key) and not one.send(7, bytes(250))
-        await until(lambda: heard == [(member_key("n0"), b"hello")], "the datagram")
+        await until(lambda: received == [(member_key("n0"), b"hello")], "the datagram")
         with pytest.raises(ValueError, match="24 bytes"):
             one.publish(8, bytes(24))
         changes: list[Any] = []
@@ -101,7 +107,9 @@
     asyncio.run(test())
 
 
-def test_floods_and_strangers_are_dropped_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_floods_and_datagrams_from_foreign_addresses_are_dropped_unread(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         monkeypatch.setattr(rate_limits, "MAX_DATAGRAMS_PER_SOURCE_PER_S", 10)
         fleet = FleetService(Settings("portal"), config(True, **PEERS), Driver(), Clock())
@@ -118,7 +126,7 @@
     asyncio.run(test())
 
 
-def test_times_may_change_while_it_runs_and_places_may_not(tmp_path: Path) -> None:
+def test_a_reload_may_change_times_and_no_addresses(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = FleetService(Settings("portal"), config(True, **PEERS), Driver(), Clock())
         file = tmp_path / "operator.toml"
@@ -134,7 +142,7 @@
     asyncio.run(test())
 
 
-def test_names_that_no_datagram_has_room_for_are_refused_before_any_socket() -> None:
+def test_names_too_long_for_a_datagram_are_rejected_before_any_socket_opens() -> None:
     async def test() -> None:
         with pytest.raises(ConfigError, match="names of up to 32 bytes"):
             FleetService(Settings("portal"), config(True, name="n" * 33, **PEERS), Driver(), Clock())
@@ -144,13 +152,13 @@
     asyncio.run(test())
 
 
-def test_words_of_several_parts_share_the_room() -> None:
+def test_the_metadata_of_several_subsystems_is_packed_together() -> None:
     words = {3: b"abc", 200: b""}
     assert unpack_metadata(pack_metadata(words)) == words
     assert unpack_metadata(pack_metadata(words) + b"\x05\x09cut") == words
 
 
-def test_check_tells_two_fleets_of_one_name_and_one_with_two_clocks(tmp_path: Path) -> None:
+def test_check_finds_two_fleets_of_one_name_and_one_with_two_periods(tmp_path: Path) -> None:
     texts = {
         "a": '[fleet]\nname = "portal"\nlisten = "10.0.0.1:1"\nmembers = ["10.0.0.1:1", "10.0.0.2:1"]\n',
         "b": '[fleet]\nname = "portal"\nlisten = "10.0.1.1:1"\nmembers = ["10.0.1.1:1", "10.0.1.2:1"]\n',
@@ -167,7 +175,7 @@
     assert (clocks.code, clocks.line, clocks.instead) == ("F312", 5, "write period = 1")
 
 
-def test_where_only_the_address_of_all_is_configured_it_is_asked() -> None:
+def test_where_only_the_broadcast_address_is_configured_the_join_goes_there() -> None:
     async def test() -> None:
         class Asked(asyncio.DatagramProtocol):
             def datagram_received(self, data: bytes, addr: Any) -> None:
--- a/tests/harness/test_fleet_harness.py
+++ b/tests/harness/test_fleet_harness.py
@@ -28,18 +28,18 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_script_is_told_with_its_line(name: str) -> None:
+def test_an_invalid_script_is_reported_with_its_line(name: str) -> None:
     text, line, what = BROKEN[name]
     with pytest.raises(OperatorError) as fault:
         parse_script(text)
     assert any(p.line == line and what in f"{p.text} {p.instead}" for p in fault.value.problems)
 
 
-def test_members_are_named_singly_in_spans_or_all() -> None:
+def test_members_are_named_one_by_one_in_ranges_or_all() -> None:
     assert member_numbers(["p1", "p3-p5"], 6) == [1, 3, 4, 5] and member_numbers(["all"], 3) == [0, 1, 2]
 
 
-def test_decisions_hang_on_seed_link_and_number_alone() -> None:
+def test_delivery_plans_depend_on_seed_link_and_number_alone() -> None:
     def fates(order: list[tuple[int, int]]) -> dict[tuple[int, int], list[object]]:
         network = Network(5, default_faults=LinkFaults(loss=0.3, jitter=0.1, duplicate=0.2, corrupt=0.2))
         found: dict[tuple[int, int], list[object]] = {}
@@ -63,19 +63,19 @@
     assert network.is_open(0, 1) and network.is_open(0, 2)
 
 
-def test_a_stopped_member_keeps_what_came_and_answers_when_it_goes_on() -> None:
-    bed = VirtualFleet(3, ProtocolTiming(), 1)
+def test_a_suspended_member_queues_datagrams_and_answers_when_it_resumes() -> None:
+    fleet = VirtualFleet(3, ProtocolTiming(), 1)
     for number in range(3):
-        bed.start(number)
-    bed.run(5.0)
-    bed.suspend(1)
-    bed.run(6.5)
-    assert bed.members[1].inbox
-    bed.resume(1)
-    assert not bed.members[1].inbox
+        fleet.start(number)
+    fleet.run(5.0)
+    fleet.suspend(1)
+    fleet.run(6.5)
+    assert fleet.members[1].inbox
+    fleet.resume(1)
+    assert not fleet.members[1].inbox
 
 
-def test_a_transcript_says_each_fate_and_is_replayed_to_the_datagram(tmp_path: Path) -> None:
+def test_a_transcript_records_each_delivery_and_replays_to_the_datagram(tmp_path: Path) -> None:
     """The replay has no faults in its script's weather, and loses the same datagrams."""
     script = tmp_path / "script.toml"
     script.write_text(
@@ -95,7 +95,7 @@
     assert main(["play", str(calm), "--replay", str(first)]) == 2
 
 
-def test_an_event_starts_a_fault_and_the_schema_names_all_keys(
+def test_an_event_triggers_a_fault_and_the_schema_names_all_keys(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     script = tmp_path / "script.toml"
