--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -28,7 +28,7 @@
 )
 
 
-def start(who: int) -> str:
+def start_lines(who: int) -> str:
     return (
         f"new_instance who={who} entropy=77{who} {PARAMS.format(me=who)}\n"
         "manifest slot=0 nodes_list=2\n"
@@ -38,7 +38,7 @@
     )
 
 
-def later(who: int) -> list[str]:
+def later_steps(who: int) -> list[str]:
     return [
         f"ingress who={who} call=5{who} cls=read time_budget=1.5\n"
         f"ingress who={who} call=6{who} cls=write time_budget=1\n",
@@ -49,21 +49,21 @@
     ]
 
 
-def transcript(*instances: int) -> str:
-    steps = ["", "".join(start(who) for who in instances)]
-    steps += ["".join(later(who)[n] for who in instances) for n in range(4)]
+def transcript(*proxies: int) -> str:
+    steps = ["", "".join(start_lines(who) for who in proxies)]
+    steps += ["".join(later_steps(who)[n] for who in proxies) for n in range(4)]
     return "".join(
         f"tick clock={100 + 0.1 * n:.6f} seq={n}\n{step}your_turn\n" for n, step in enumerate(steps)
     )
 
 
-def play(text: str) -> str:
+def run_in_process(text: str) -> str:
     sink = io.StringIO()
     SimulatorAdapter(io.StringIO(text), sink).run()
     return sink.getvalue()
 
 
-def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_process(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "service_proxy.simulator_adapter"],
         input=text,
@@ -75,8 +75,8 @@
     )
 
 
-def test_transcript() -> None:
-    reply = play(transcript(0)).splitlines()
+def test_adapter_answers_a_transcript() -> None:
+    reply = run_in_process(transcript(0)).splitlines()
     assert [line for line in reply if line.startswith("eor")] == [f"eor seq={n}" for n in range(6)]
     first = reply[reply.index("eor seq=1") + 1 : reply.index("eor seq=2")]
     assert {line for line in first if line.startswith("poll")} <= {
@@ -95,15 +95,15 @@
     assert not any(line.startswith("fatal") for line in reply)
 
 
-def test_same_bytes_under_other_hash_seeds_and_spreads() -> None:
-    together = run(transcript(0, 1), "1")
-    assert together.returncode == 0 and together.stderr == ""
-    assert together.stdout == run(transcript(0, 1), "2").stdout == play(transcript(0, 1))
-    lines = together.stdout.splitlines()
+def test_output_depends_neither_on_the_hash_seed_nor_on_other_proxies() -> None:
+    completed = run_process(transcript(0, 1), "1")
+    assert completed.returncode == 0 and completed.stderr == ""
+    assert completed.stdout == run_process(transcript(0, 1), "2").stdout == run_in_process(transcript(0, 1))
+    lines = completed.stdout.splitlines()
     for who in (0, 1):
-        mine = [line for line in lines if f" who={who}" in line]
-        alone = [line for line in play(transcript(who)).splitlines() if " who=" in line]
-        assert mine == alone and mine
+        lines_of_proxy = [line for line in lines if f" who={who}" in line]
+        lines_alone = [line for line in run_in_process(transcript(who)).splitlines() if " who=" in line]
+        assert lines_of_proxy == lines_alone and lines_of_proxy
 
 
 @pytest.mark.parametrize(
@@ -128,22 +128,22 @@
     ],
 )
 def test_malformed_line_ends_with_status_2(line: str, field: str) -> None:
-    done = run(f"tick clock=1 seq=0\n{start(0)}{line}\nyour_turn\n")
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1 and field in done.stderr and line in done.stderr
+    completed = run_process(f"tick clock=1 seq=0\n{start_lines(0)}{line}\nyour_turn\n")
+    assert completed.returncode == 2
+    assert len(completed.stderr.splitlines()) == 1 and field in completed.stderr and line in completed.stderr
 
 
-def test_cut_batches_and_end_of_input() -> None:
-    assert run("").returncode == 0
-    assert run(transcript(0)).returncode == 0
+def test_truncated_batches_end_with_status_2_and_end_of_input_with_0() -> None:
+    assert run_process("").returncode == 0
+    assert run_process(transcript(0)).returncode == 0
     for text in (
         "tick clock=1 seq=0\n",
         "tick clock=1 seq=0\nmanifest slot=0 nodes_list=2\nm backend=1 state=SERVING\n",
         "tick clock=1 seq=0\nyour_t",
         "wakeup who=0 key_back=1\n",
     ):
-        done = run(text)
-        assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+        completed = run_process(text)
+        assert completed.returncode == 2 and len(completed.stderr.splitlines()) == 1
 
 
 def pairs(text: str) -> dict[str, str]:
@@ -172,7 +172,7 @@
         ("stage", "1.5"),
     ],
 )
-def test_bad_settings_name_the_key(key: str, value: str | None) -> None:
+def test_invalid_settings_are_reported_by_their_key(key: str, value: str | None) -> None:
     params = pairs(PARAMS)
     if value is None:
         del params[key]
@@ -183,19 +183,19 @@
         read_settings(params)
 
 
-def test_fault_in_the_module_becomes_fatal(
+def test_exception_in_the_policy_is_reported_as_fatal(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
         raise RuntimeError("two\nlines")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    reply = play(transcript(0))
+    reply = run_in_process(transcript(0))
     assert "fatal who=0 words=RuntimeError: two lines" in reply.splitlines()
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_status_numbers_are_the_wire_s() -> None:
+def test_attempt_status_numbers_are_those_of_the_wire() -> None:
     from service_proxy import AttemptStatus
 
     assert [status.name for status in AttemptStatus] == [
@@ -210,8 +210,8 @@
     ]
 
 
-def test_settings_of_the_wire_page() -> None:
-    shown = read_settings(
+def test_settings_of_the_wire_are_translated() -> None:
+    settings = read_settings(
         pairs(
             PARAMS
             + " stages=front,back dcs=north,south kinds=std quantum=0.005 report.names=busy_reqs,odd,svc_ms"
@@ -222,32 +222,36 @@
             " policy_limits.cpu_us_per_s=2000000"
         )
     )
-    assert isinstance(shown, Settings)
-    assert (shown.tier_count, shown.zones, shown.endpoint_types, shown.quantum) == (
+    assert isinstance(settings, Settings)
+    assert (settings.tier_count, settings.zones, settings.endpoint_types, settings.quantum) == (
         2,
         ("north", "south"),
         ("std",),
         0.005,
     )
-    assert (shown.load_report_fields, shown.load_report_source, shown.weight_meaning) == (
+    assert (settings.load_report_fields, settings.load_report_source, settings.weight_meaning) == (
         ("busy_reqs", "svc_ms"),
         "answer",
         "rough",
     )
     assert (
-        shown.weight_by_work
-        and shown.can_message_peers
-        and shown.clients_flag_retries
-        and shown.max_open_requests == 9
+        settings.weight_by_work
+        and settings.can_message_peers
+        and settings.clients_flag_retries
+        and settings.max_open_requests == 9
     )
-    assert (shown.connect_timeout, shown.requests_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
-    assert (shown.price_waste, shown.price_late_fail, shown.goal_class) == (0.04, 0.05, 0.2)
-    plain = read_settings(pairs(PARAMS))
+    assert (settings.connect_timeout, settings.requests_per_connection, settings.cpu_per_s) == (
+        0.15,
+        100,
+        2.0,
+    )
+    assert (settings.price_waste, settings.price_late_fail, settings.goal_class) == (0.04, 0.05, 0.2)
+    defaults = read_settings(pairs(PARAMS))
     assert (
-        plain.load_report_source,
-        plain.weight_meaning,
-        plain.can_message_peers,
-        plain.connect_timeout,
+        defaults.load_report_source,
+        defaults.weight_meaning,
+        defaults.can_message_peers,
+        defaults.connect_timeout,
     ) == (
         "probe",
         "nominal",
@@ -256,17 +260,17 @@
     )
 
 
-def test_messages_to_peers() -> None:
+def test_messages_to_peers_are_written_as_hex() -> None:
     assert write_action("3", SendPeerMessage(b"hi", 2)) == "broadcast_to who=3 dst=2 data=6869"
     assert write_action("3", SendPeerMessage(b"")) == "broadcast_to who=3 dst=all data=-"
 
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "service_proxy.simulator_adapter"],
         input=b"tick clock=1 seq=0\n\xff\xfe=1\nm\n",
         capture_output=True,
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2 and done.stdout == b"" and len(done.stderr.splitlines()) == 1
+    assert completed.returncode == 2 and completed.stdout == b"" and len(completed.stderr.splitlines()) == 1
