--- a/harness/endpoint_registry.py
+++ b/harness/endpoint_registry.py
@@ -1,7 +1,7 @@
 """A stand-in for the endpoint registry ("padron" in the pages): its list and watches, answered late.
 
-Each change is put in force after a delay that is drawn from a range; what it then tells to whom, and when,
-goes to the ledger. Loopback, port 0.
+Each change is put in force after a delay that is drawn from a range; whom it then notifies of what, and when,
+goes to the recorder. Loopback, port 0.
 """
 
 from __future__ import annotations
@@ -19,39 +19,49 @@
 from harness.recorder import Notification, Recorder
 
 Entry = dict[str, Any]
-ENDS = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
+STATE_BY_STATUS = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 
 
 def entry(name: str, address: str, **more: Any) -> Entry:
-    """As the list has it; `more` overrides zone, type, group, status, weight, since_ms."""
+    """Return an endpoint as the list has it; `more` overrides zone, type, group, status, weight, since_ms."""
     usual = {"zone": "a", "type": "m", "group": 1, "status": "Ready", "weight": 1.0, "since_ms": 0}
     return {"name": name, "address": address, **usual, **more}
 
 
 class EndpointRegistry:
+    """The registry: its entries, and the connections of those that poll it.
+
+    `delay_range`: s by which changes are late; `proxy`: the one that polls it, where each has its own.
+    """
+
     def __init__(
-        self, ledger: Recorder, seed: int = 0, delay_range: tuple[float, float] = (0.0, 0.0), proxy: str = ""
+        self,
+        recorder: Recorder,
+        seed: int = 0,
+        delay_range: tuple[float, float] = (0.0, 0.0),
+        proxy: str = "",
     ) -> None:
-        """`proxy`: the one that asks it, where each has its own."""
         self.loop = asyncio.get_running_loop()
-        self.ledger = ledger
+        self.recorder = recorder
         self.delay_range = delay_range
         self.proxy = proxy
         self.random = Random(seed)
         self.index = 1
         self.entries: dict[str, Entry] = {}
-        self.changed: dict[str, int] = {}  # name: the index of its last change
-        self.waiting: set[RegistryConnection] = set()
+        self.changed_at_index: dict[str, int] = {}  # name: the index of its last change
+        self.watchers: set[RegistryConnection] = set()
         self.connections: set[RegistryConnection] = set()
         self.server: asyncio.Server | None = None
         self.address = ""
-        self.silent = False
+        self.is_silent = False
 
     async def start(self) -> str:
+        """Listen; return the address."""
         self.server, self.address = await listen(lambda: RegistryConnection(self))
         return self.address
 
     def stop(self) -> None:
+        """Close the listener and all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -59,7 +69,7 @@
                 connection.transport.abort()
 
     def put(self, item: Entry, delay_range: tuple[float, float] | None = None) -> None:
-        """In force after the delay."""
+        """Put an entry in force after the delay."""
         low, high = self.delay_range if delay_range is None else delay_range
         wait = self.random.uniform(low, high)
         if wait:
@@ -70,66 +80,76 @@
     def _put(self, item: Entry) -> None:
         self.index += 1
         self.entries[item["name"]] = item
-        self.changed[item["name"]] = self.index
-        for connection in list(self.waiting):
+        self.changed_at_index[item["name"]] = self.index
+        for connection in list(self.watchers):
             connection.respond()
 
-    def listing(self, since: int | None) -> bytes:
-        if since is None or since > self.index:
-            found = [item for item in self.entries.values() if item["status"] != "Gone"]
+    def encode_list(self, since: int | None) -> bytes:
+        """Return the changes since an index, or the whole list where there is none."""
+        is_snapshot = since is None or since > self.index
+        if since is None or is_snapshot:
+            changed = [item for item in self.entries.values() if item["status"] != "Gone"]
         else:
-            found = [item for name, item in self.entries.items() if self.changed[name] > since]
-        whole = since is None or since > self.index
-        return json.dumps({"index": self.index, "snapshot": whole, "endpoints": found}).encode()
+            changed = [item for name, item in self.entries.items() if self.changed_at_index[name] > since]
+        return json.dumps({"index": self.index, "snapshot": is_snapshot, "endpoints": changed}).encode()
 
 
 class RegistryConnection(asyncio.Protocol):
+    """One connection of a proxy that polls."""
+
     def __init__(self, registry: EndpointRegistry) -> None:
         self.registry = registry
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
-        self.since: int | None = None
-        self.sent: dict[str, str] = {}
-        self.timer: asyncio.TimerHandle | None = None
+        self.since_index: int | None = None
+        self.hold_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.registry.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
         self.transport = None
         self.registry.connections.discard(self)
-        self.registry.waiting.discard(self)
+        self.registry.watchers.discard(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse requests."""
         self.parser.feed_data(data)
 
     def on_url(self, url: bytes) -> None:
+        """Take the target."""
         self.target = url
 
     def on_message_complete(self) -> None:
-        asked = parse_qs(urlsplit(self.target.decode()).query)
-        self.since = int(asked["from"][0]) if "from" in asked else None
-        hold = float(asked.get("hold_ms", ["0"])[0]) / 1000
-        if self.since is None or self.since != self.registry.index or not hold:
+        """Answer now, or once something changes or the hold ends."""
+        query = parse_qs(urlsplit(self.target.decode()).query)
+        self.since_index = int(query["from"][0]) if "from" in query else None
+        hold = float(query.get("hold_ms", ["0"])[0]) / 1000
+        if self.since_index is None or self.since_index != self.registry.index or not hold:
             self.respond()
             return
-        self.registry.waiting.add(self)
-        self.timer = self.registry.loop.call_later(hold, self.respond)
+        self.registry.watchers.add(self)
+        self.hold_timer = self.registry.loop.call_later(hold, self.respond)
 
     def respond(self) -> None:
-        if self.registry.silent:
+        """Send what has changed, and record whom it notifies of what."""
+        if self.registry.is_silent:
             return
-        self.registry.waiting.discard(self)
-        if self.timer is not None:
-            self.timer.cancel()
+        self.registry.watchers.discard(self)
+        if self.hold_timer is not None:
+            self.hold_timer.cancel()
         if self.transport is None:
             return
-        body = self.registry.listing(self.since)
+        body = self.registry.encode_list(self.since_index)
         head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         self.transport.write(head.encode() + body)
         now = time.monotonic()
         for item in json.loads(body)["endpoints"]:
-            told = Notification(item["name"], now, ENDS[item["status"]], "padron", self.registry.proxy)
-            self.registry.ledger.notifications.append(told)
+            notification = Notification(
+                item["name"], now, STATE_BY_STATUS[item["status"]], "registry", self.registry.proxy
+            )
+            self.registry.recorder.notifications.append(notification)
