--- a/tests/ephemeral_nodes/test_children_cache.py
+++ b/tests/ephemeral_nodes/test_children_cache.py
@@ -24,7 +24,7 @@
     return Stat(czxid, mzxid, 0, 0, 0, 0, 0, owner, 0, 0, czxid)
 
 
-def filled(*names: str) -> ChildrenCache:
+def cache_with(*names: str) -> ChildrenCache:
     tree = ChildrenCache()
     tree.on_names(names)
     for name in names:
@@ -34,15 +34,15 @@
     return tree
 
 
-def test_new_names_are_wanted_once_and_absent_ones_lost() -> None:
-    tree = filled("s-1", "s-2")
+def test_new_names_are_read_once_and_absent_ones_lost() -> None:
+    tree = cache_with("s-1", "s-2")
     changes = tree.on_names(["s-2", "s-3"])
     assert changes.lost == ["s-1"] and list(tree.pending_reads) == ["s-3"]
     assert not tree.on_names(["s-2", "s-3"]) and list(tree.pending_reads) == ["s-3"]
 
 
-def test_a_thousand_changes_of_one_node_want_one_reading() -> None:
-    tree = filled("s-1")
+def test_a_thousand_changes_of_one_node_need_one_reading() -> None:
+    tree = cache_with("s-1")
     for _ in range(1000):
         tree.on_watch_event(EventType.DATA_CHANGED, "s-1")
     assert list(tree.pending_reads) == ["s-1"]
@@ -50,7 +50,7 @@
 
 def test_a_delete_and_create_between_two_readings_is_seen_by_its_data() -> None:
     """The names are the same, so only the reading tells: a new start, under the same name."""
-    tree = filled("s-1")
+    tree = cache_with("s-1")
     assert not tree.on_names(["s-1"])
     tree.invalidate_all()
     assert tree.next_read() == "s-1"
@@ -59,14 +59,14 @@
 
 
 def test_an_older_reading_changes_nothing() -> None:
-    tree = filled("s-1")
+    tree = cache_with("s-1")
     tree.on_data("s-1", node("s-1", status="Terminating").encode(), stat(5, 9))
     assert not tree.on_data("s-1", node("s-1").encode(), stat(5, 7))
     assert tree.nodes()[0].status == "Terminating"
 
 
 def test_deleted_then_created_then_changed_in_order() -> None:
-    tree = filled("s-1")
+    tree = cache_with("s-1")
     assert tree.on_watch_event(EventType.DELETED, "s-1").lost == ["s-1"]
     assert not tree.on_watch_event(EventType.CREATED, "s-1") and list(tree.pending_reads) == ["s-1"]
     assert not tree.on_watch_event(EventType.DELETED, "s-1").lost  # never read since: nobody knew it
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("data", BAD.values(), ids=BAD)
-def test_bad_data_hides_that_node_only_and_is_told_once(data: bytes) -> None:
+def test_bad_data_hides_that_node_only_and_is_reported_once(data: bytes) -> None:
     tree = ChildrenCache()
     tree.on_names(["s-1", "s-2"])
     first = tree.on_data("s-1", data, stat())
@@ -107,7 +107,7 @@
 
 
 def test_a_new_registration_with_bad_data_is_the_old_ones_end() -> None:
-    tree = filled("s-1")
+    tree = cache_with("s-1")
     changes = tree.on_data("s-1", b"{", stat(8, 8))
     assert changes.lost == ["s-1"] and changes.hidden
 
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("name", NAMES, ids=ascii)
-def test_names_that_cant_be_a_servers_are_hidden(name: str) -> None:
+def test_names_that_no_endpoint_can_have_are_hidden(name: str) -> None:
     assert find_name_problem(name)
     tree = ChildrenCache()
     changes = tree.on_names(["s-1", name])
@@ -132,16 +132,16 @@
     assert list(tree.pending_reads) == ["s-1"]
 
 
-def test_names_that_differ_in_case_or_are_unicode_are_servers() -> None:
+def test_names_that_differ_in_case_or_are_unicode_are_endpoints() -> None:
     for name in ("S-1", "s-1", "sala ñ", "日本"):
         assert find_name_problem(name) is None
         assert parse_node(name, node(name).encode()) == node(name)
-    assert len(filled("S-1", "s-1").nodes()) == 2
+    assert len(cache_with("S-1", "s-1").nodes()) == 2
 
 
 def test_beyond_the_bound_new_names_are_hidden(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(children_cache_module, "MAX_CHILDREN", 2)
-    tree = filled("s-1", "s-2")
+    tree = cache_with("s-1", "s-2")
     assert [name for name, _ in tree.on_watch_event(EventType.CREATED, "s-3").hidden] == ["s-3"]
     assert [name for name, _ in tree.on_names(["s-1", "s-2", "s-4"]).hidden] == ["s-4"]
     assert len(tree.children_by_name) == 2
@@ -169,7 +169,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(STEP, max_size=60))
-def test_whatever_happens_it_ends_with_what_the_service_has(steps: list[tuple[str, str]]) -> None:
+def test_after_any_changes_the_cache_ends_with_what_the_service_has(steps: list[tuple[str, str]]) -> None:
     """A model of the service beside the tree: watches in order, some of them lost, readings at any time.
     After a last reading of the names and of all that is wanted both agree, and each loss was of a name
     present."""
--- a/tests/ephemeral_nodes/test_jute.py
+++ b/tests/ephemeral_nodes/test_jute.py
@@ -101,7 +101,7 @@
     assert kazoo.GetChildren.deserialize(RecordWriter().strings(["a", "ñ"]).to_bytes(), 0) == ["a", "ñ"]
 
 
-def test_answers_of_a_multi_are_read_part_by_part() -> None:
+def test_results_of_a_multi_are_read_one_by_one() -> None:
     body = RecordWriter().int32(OpCode.CREATE).boolean(False).int32(0).string("/a")
     STAT.write(body.int32(OpCode.SET_DATA).boolean(False).int32(0))
     body.int32(OpCode.DELETE).boolean(False).int32(0).int32(-1).boolean(True).int32(-1)
@@ -143,7 +143,7 @@
         jute.split_frames(bytearray(length + b"rest"))
 
 
-def test_frames_are_taken_whole_however_they_come() -> None:
+def test_frames_are_complete_however_their_bytes_come() -> None:
     data = records.encode_request(1, OpCode.PING) + records.encode_request(
         2, OpCode.SYNC, records.encode_path("/a")
     )
@@ -175,5 +175,5 @@
     assert paths.find_path_problem(path)
 
 
-def test_paths_that_it_takes() -> None:
+def test_paths_that_the_service_accepts() -> None:
     assert not any(map(paths.find_path_problem, ["/", "/a", "/a/b-c_d.e", "/sala ñ/日本", "/a..b"]))
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -1,6 +1,4 @@
-"""The merger's rules, one by one, each pair of opinions, and what holds whatever is told in whatever
-order.
-"""
+"""The merger's rules, one by one, each pair of reports, and what holds for any reports in any order."""
 
 from __future__ import annotations
 
@@ -40,317 +38,319 @@
     )
 
 
-class Pair:
+class MergerWithConsumer:
     """A merger with both sources fresh, and what it has given out."""
 
     def __init__(self, *names: str, share: float = 0.34, both: bool = True) -> None:
         self.merger = EndpointListMerger(share, 10.0)
         self.now = 0.0
-        self.given: dict[str, Endpoint] = {}
+        self.in_force: dict[str, Endpoint] = {}
         for source in (MEMBERSHIP, DISCOVERY):
             self.merger.set_health(source, SourceHealth.FRESH)
         self.merger.update(MEMBERSHIP, [entry(name) for name in names], self.now)
         if both:
             self.merger.update(DISCOVERY, [entry(name) for name in names], self.now)
-        self.give()
+        self.take_changes()
 
-    def give(self, after: float = 0.0) -> None:
+    def take_changes(self, after: float = 0.0) -> None:
         self.now += after
         listing = self.merger.take_changes(self.now)
         for listed in listing.endpoints if listing else ():
             if listed.entry.state is GONE:
-                del self.given[listed.name]
+                del self.in_force[listed.name]
             else:
-                self.given[listed.name] = listed
+                self.in_force[listed.name] = listed
 
-    def told(self, source: str, *entries: Endpoint) -> None:
+    def update(self, source: str, *entries: Endpoint) -> None:
         self.merger.update(source, entries, self.now)
-        self.give()
+        self.take_changes()
 
-    def lost(self, *names: str, source: str = MEMBERSHIP, word: ReportedStatus = ReportedStatus.LOST) -> None:
-        self.merger.report_ended(source, names, self.now, word)
-        self.give()
+    def report_lost(
+        self, *names: str, source: str = MEMBERSHIP, status: ReportedStatus = ReportedStatus.LOST
+    ) -> None:
+        self.merger.report_ended(source, names, self.now, status)
+        self.take_changes()
 
     def states(self) -> dict[str, EndpointState]:
-        return {name: listed.entry.state for name, listed in self.given.items()}
+        return {name: listed.entry.state for name, listed in self.in_force.items()}
 
     def serving(self) -> set[str]:
         return {name for name, state in self.states().items() if state is READY}
 
 
-def test_listed_by_one_and_never_by_the_other_is_used() -> None:
-    pair = Pair()
-    pair.told(MEMBERSHIP, entry("s-1"))
-    pair.told(DISCOVERY, entry("s-2"))
+def test_an_endpoint_of_one_source_alone_is_used() -> None:
+    pair = MergerWithConsumer()
+    pair.update(MEMBERSHIP, entry("s-1"))
+    pair.update(DISCOVERY, entry("s-2"))
     assert pair.serving() == {"s-1", "s-2"}
 
 
 def test_a_lost_session_drains_at_once_though_discovery_says_ready_for_ever() -> None:
-    pair = Pair("s-1", "s-2", "s-3")
-    pair.lost("s-1")
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
+    pair.report_lost("s-1")
     assert pair.states()["s-1"] is DRAINING
     for _ in range(100):
         pair.merger.update(DISCOVERY, [entry("s-1"), entry("s-2"), entry("s-3")], pair.now)
-        pair.give(10.0)
+        pair.take_changes(10.0)
         assert pair.states()["s-1"] is DRAINING
     notes = [note for note in pair.merger.take_notes() if "s-1" in note]
     assert len(notes) == 1 and "source=membership reason=lost, which beats ready" in notes[0]
 
 
 def test_a_lost_session_that_nobody_contradicts_is_gone_after_the_window() -> None:
-    pair = Pair("s-1", "s-2", "s-3", both=False)
-    pair.lost("s-1")
+    pair = MergerWithConsumer("s-1", "s-2", "s-3", both=False)
+    pair.report_lost("s-1")
     assert pair.states()["s-1"] is DRAINING
-    pair.give(LOSS_WINDOW_S - 0.1)
+    pair.take_changes(LOSS_WINDOW_S - 0.1)
     assert pair.states()["s-1"] is DRAINING
-    pair.give(0.2)
+    pair.take_changes(0.2)
     assert "s-1" not in pair.states()
 
 
 def test_a_late_discovery_does_not_bring_back_what_was_lost() -> None:
     """It lists a server that it never listed before, seconds after its session's end was told."""
-    pair = Pair("s-1", "s-2", "s-3", both=False)
-    pair.lost("s-1")
-    pair.give(LOSS_WINDOW_S + 1)
-    pair.told(DISCOVERY, entry("s-1"))
+    pair = MergerWithConsumer("s-1", "s-2", "s-3", both=False)
+    pair.report_lost("s-1")
+    pair.take_changes(LOSS_WINDOW_S + 1)
+    pair.update(DISCOVERY, entry("s-1"))
     assert pair.states()["s-1"] is DRAINING
-    pair.give(END_MEMORY_S * 2)
+    pair.take_changes(END_MEMORY_S * 2)
     assert pair.states()["s-1"] is DRAINING
 
 
 def test_ends_are_forgotten_once_nobody_could_contradict_them() -> None:
-    pair = Pair(*(f"s-{n}" for n in range(9)), both=False)
-    pair.lost("s-1")
-    pair.give(LOSS_WINDOW_S)
-    pair.give(END_MEMORY_S)
-    pair.give(0.1)
+    pair = MergerWithConsumer(*(f"s-{n}" for n in range(9)), both=False)
+    pair.report_lost("s-1")
+    pair.take_changes(LOSS_WINDOW_S)
+    pair.take_changes(END_MEMORY_S)
+    pair.take_changes(0.1)
     assert "s-1" not in pair.merger.sources[MEMBERSHIP].reports and not pair.merger.tombstones
     assert not any("s-1" in names for names in pair.merger.index.names_by_address.values())
 
 
 def test_back_within_the_window_under_the_same_name() -> None:
-    pair = Pair("s-1", "s-2", "s-3")
-    start = pair.given["s-1"].entry.started_at
-    pair.lost("s-1")
-    pair.give(1.0)
-    pair.told(MEMBERSHIP, entry("s-1"))
-    assert pair.states()["s-1"] is READY and pair.given["s-1"].entry.started_at == start
-    pair.give(LOSS_WINDOW_S)
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
+    start = pair.in_force["s-1"].entry.started_at
+    pair.report_lost("s-1")
+    pair.take_changes(1.0)
+    pair.update(MEMBERSHIP, entry("s-1"))
+    assert pair.states()["s-1"] is READY and pair.in_force["s-1"].entry.started_at == start
+    pair.take_changes(LOSS_WINDOW_S)
     assert pair.states()["s-1"] is READY  # the window of the old session ends nothing
 
 
 def test_back_within_the_window_under_a_new_name() -> None:
-    pair = Pair("s-1", "s-2", "s-3", both=False)
-    pair.lost("s-1")
-    pair.told(MEMBERSHIP, entry("s-9", port=pair.given["s-1"].address[1]))
+    pair = MergerWithConsumer("s-1", "s-2", "s-3", both=False)
+    pair.report_lost("s-1")
+    pair.update(MEMBERSHIP, entry("s-9", port=pair.in_force["s-1"].address[1]))
     assert pair.states()["s-1"] is DRAINING and pair.states()["s-9"] is READY
 
 
-def test_a_restart_is_a_newer_incarnation_and_outdates_both_words() -> None:
-    pair = Pair("s-1", "s-2", "s-3")
-    pair.lost("s-1")
-    pair.told(DISCOVERY, entry("s-1", start=200.0))
-    assert pair.states()["s-1"] is READY and pair.given["s-1"].entry.started_at == 200.0
-    pair.told(DISCOVERY, entry("s-2", DRAINING))
-    pair.told(MEMBERSHIP, entry("s-2", start=300.0))
+def test_a_restart_is_a_newer_incarnation_and_outdates_both_reports() -> None:
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
+    pair.report_lost("s-1")
+    pair.update(DISCOVERY, entry("s-1", start=200.0))
+    assert pair.states()["s-1"] is READY and pair.in_force["s-1"].entry.started_at == 200.0
+    pair.update(DISCOVERY, entry("s-2", DRAINING))
+    pair.update(MEMBERSHIP, entry("s-2", start=300.0))
     assert pair.states()["s-2"] is READY  # discovery speaks of the process before
 
 
 def test_an_older_start_counts_for_nothing_not_even_its_end() -> None:
-    pair = Pair("s-1", "s-2", "s-3")
-    pair.told(MEMBERSHIP, entry("s-1", start=200.0))
-    pair.told(DISCOVERY, entry("s-1", DRAINING, start=100.0))
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
+    pair.update(MEMBERSHIP, entry("s-1", start=200.0))
+    pair.update(DISCOVERY, entry("s-1", DRAINING, start=100.0))
     assert pair.states()["s-1"] is READY
 
 
-def test_starts_that_differ_a_little_are_one_incarnation_and_give_one_figure() -> None:
-    pair = Pair("s-1")
-    pair.told(DISCOVERY, entry("s-1", start=101.5))
-    assert pair.given["s-1"].entry.started_at == 100.0
-    pair.told(MEMBERSHIP, entry("s-1", start=0.0))
-    assert pair.given["s-1"].entry.started_at == 100.0
-    pair.told(DISCOVERY, entry("s-1", DRAINING, start=0.0))
+def test_starts_that_differ_a_little_are_one_incarnation_and_give_one_start() -> None:
+    pair = MergerWithConsumer("s-1")
+    pair.update(DISCOVERY, entry("s-1", start=101.5))
+    assert pair.in_force["s-1"].entry.started_at == 100.0
+    pair.update(MEMBERSHIP, entry("s-1", start=0.0))
+    assert pair.in_force["s-1"].entry.started_at == 100.0
+    pair.update(DISCOVERY, entry("s-1", DRAINING, start=0.0))
     assert pair.states()["s-1"] is DRAINING  # an unknown start is as good as any
 
 
 @pytest.mark.parametrize("source", [MEMBERSHIP, DISCOVERY])
-def test_draining_beats_ready_whoever_says_it(source: str) -> None:
-    pair = Pair("s-1")
-    pair.told(source, entry("s-1", DRAINING))
+def test_draining_beats_ready_whichever_source_reports_it(source: str) -> None:
+    pair = MergerWithConsumer("s-1")
+    pair.update(source, entry("s-1", DRAINING))
     assert pair.states()["s-1"] is DRAINING
-    pair.told(MEMBERSHIP if source == DISCOVERY else DISCOVERY, entry("s-1"))
+    pair.update(MEMBERSHIP if source == DISCOVERY else DISCOVERY, entry("s-1"))
     assert pair.states()["s-1"] is DRAINING
-    pair.told(source, entry("s-1"))
+    pair.update(source, entry("s-1"))
     assert pair.states()["s-1"] is READY
 
 
 def test_gone_by_discovery_beats_a_session_that_lives() -> None:
-    pair = Pair("s-1", "s-2", "s-3")
-    pair.told(DISCOVERY, entry("s-1", GONE))
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
+    pair.update(DISCOVERY, entry("s-1", GONE))
     assert pair.states()["s-1"] is DRAINING
-    pair.lost("s-1")
-    pair.give(LOSS_WINDOW_S)
+    pair.report_lost("s-1")
+    pair.take_changes(LOSS_WINDOW_S)
     assert "s-1" not in pair.states()
 
 
 def test_the_addresses_differ_and_the_freshest_of_the_first_counts() -> None:
-    pair = Pair("s-1")
-    pair.told(DISCOVERY, entry("s-1", port=7))
-    assert pair.given["s-1"].address != ("127.0.0.1", 7)
+    pair = MergerWithConsumer("s-1")
+    pair.update(DISCOVERY, entry("s-1", port=7))
+    assert pair.in_force["s-1"].address != ("127.0.0.1", 7)
     pair.merger.set_health(MEMBERSHIP, SourceHealth.STALE)
-    pair.give()
-    assert pair.given["s-1"].address == ("127.0.0.1", 7)
+    pair.take_changes()
+    assert pair.in_force["s-1"].address == ("127.0.0.1", 7)
     pair.merger.set_health(DISCOVERY, SourceHealth.UNREACHABLE)
-    pair.give()
-    assert pair.given["s-1"].address != ("127.0.0.1", 7)
+    pair.take_changes()
+    assert pair.in_force["s-1"].address != ("127.0.0.1", 7)
 
 
-def test_another_zone_puts_the_server_in_a_group_of_its_own() -> None:
+def test_another_zone_puts_the_endpoint_in_a_group_of_its_own() -> None:
     """Which group drops its repeats is not known, so no keyed call may be resent from or to it."""
-    pair = Pair("s-1", "s-2", "s-3")
-    pair.told(DISCOVERY, entry("s-1", zone="b"), entry("s-2", zone="b"), entry("s-3", cell=7))
-    places = {(listed.entry.zone, listed.entry.cell) for listed in pair.given.values()}
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
+    pair.update(DISCOVERY, entry("s-1", zone="b"), entry("s-2", zone="b"), entry("s-3", cell=7))
+    places = {(listed.entry.zone, listed.entry.cell) for listed in pair.in_force.values()}
     assert len(places) == 3 and not places & {("a", 1), ("b", 1)}
     assert pair.serving() == {"s-1", "s-2", "s-3"}
-    pair.told(DISCOVERY, entry("s-1"))
-    assert pair.given["s-1"].entry.zone == "a"
+    pair.update(DISCOVERY, entry("s-1"))
+    assert pair.in_force["s-1"].entry.zone == "a"
 
 
 def test_a_source_without_zones_disputes_none() -> None:
-    pair = Pair("s-1")
-    pair.told(DISCOVERY, entry("s-1", zone=""))
-    assert pair.given["s-1"].entry.zone == "a"
+    pair = MergerWithConsumer("s-1")
+    pair.update(DISCOVERY, entry("s-1", zone=""))
+    assert pair.in_force["s-1"].entry.zone == "a"
 
 
 @pytest.mark.parametrize("health", list(SourceHealth))
 def test_a_sources_health_removes_nobody(health: SourceHealth) -> None:
-    pair = Pair("s-1", "s-2")
+    pair = MergerWithConsumer("s-1", "s-2")
     for source in (MEMBERSHIP, DISCOVERY):
         pair.merger.set_health(source, health)
-        pair.give(1000.0)
+        pair.take_changes(1000.0)
     assert pair.serving() == {"s-1", "s-2"}
 
 
 def test_all_gone_at_once_removes_nobody() -> None:
     names = [f"s-{n}" for n in range(87)]
-    pair = Pair(*names, both=False)
+    pair = MergerWithConsumer(*names, both=False)
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
-    pair.give()
-    pair.give(WITHHOLD_S * 3)
+    pair.take_changes()
+    pair.take_changes(WITHHOLD_S * 3)
     assert pair.serving() == set(names)
     assert sum("mass_loss_withheld" in note for note in pair.merger.take_notes()) == 1
 
 
 def test_a_trickle_takes_no_more_than_the_share_within_the_time() -> None:
     names = [f"s-{n}" for n in range(87)]
-    pair = Pair(*names, both=False)
+    pair = MergerWithConsumer(*names, both=False)
     for name in names:
-        pair.lost(name)
-        pair.give(0.05)
+        pair.report_lost(name)
+        pair.take_changes(0.05)
     assert len(pair.serving()) == 87 - int(0.34 * 87)
 
 
 def test_losses_spread_over_time_are_all_believed_but_the_last_one() -> None:
     names = [f"s-{n}" for n in range(12)]
-    pair = Pair(*names, both=False)
+    pair = MergerWithConsumer(*names, both=False)
     for name in names:
-        pair.lost(name)
-        pair.give(11.0)
+        pair.report_lost(name)
+        pair.take_changes(11.0)
     assert pair.serving() == {"s-11"}
 
 
-def test_a_third_of_the_servers_may_die_at_once() -> None:
+def test_a_third_of_the_endpoints_can_be_lost_at_once() -> None:
     names = [f"s-{n}" for n in range(87)]
-    pair = Pair(*names)
-    pair.lost(*names[:29])  # one sala of three
+    pair = MergerWithConsumer(*names)
+    pair.report_lost(*names[:29])  # one sala of three
     assert len(pair.serving()) == 58
 
 
-def test_a_held_loss_ends_when_the_source_lists_it_again_or_another_tells_its_end() -> None:
+def test_a_withheld_loss_ends_when_its_source_lists_it_again_or_another_reports_its_end() -> None:
     names = [f"s-{n}" for n in range(9)]
-    pair = Pair(*names)
+    pair = MergerWithConsumer(*names)
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
-    pair.give()
+    pair.take_changes()
     assert pair.merger.sources[MEMBERSHIP].withheld_count == 9
-    pair.told(DISCOVERY, entry("s-1", DRAINING))
+    pair.update(DISCOVERY, entry("s-1", DRAINING))
     assert pair.serving() == set(names) - {"s-1"}
-    pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
+    pair.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
     assert pair.merger.sources[MEMBERSHIP].withheld_count == 2
-    pair.lost("s-5")
+    pair.report_lost("s-5")
     assert pair.states()["s-5"] is DRAINING  # a single loss is believed again
 
 
-def test_a_long_hold_is_believed_once_the_others_are_back() -> None:
+def test_a_loss_withheld_for_long_is_accepted_once_the_others_are_back() -> None:
     names = [f"s-{n}" for n in range(9)]
-    pair = Pair(*names, both=False)
+    pair = MergerWithConsumer(*names, both=False)
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
-    pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    pair.give(WITHHOLD_S - 1)
+    pair.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
+    pair.take_changes(WITHHOLD_S - 1)
     assert pair.serving() == set(names)
-    pair.give(2)
+    pair.take_changes(2)
     assert pair.serving() == set(names[2:])
 
 
-def test_while_the_source_is_not_fresh_no_hold_ends() -> None:
+def test_while_the_source_is_not_fresh_no_withheld_loss_is_accepted() -> None:
     names = [f"s-{n}" for n in range(9)]
-    pair = Pair(*names, both=False)
+    pair = MergerWithConsumer(*names, both=False)
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
-    pair.told(MEMBERSHIP, *(entry(name) for name in names[2:]))
+    pair.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
     pair.merger.set_health(MEMBERSHIP, SourceHealth.UNREACHABLE)
-    pair.give(WITHHOLD_S * 10)
+    pair.take_changes(WITHHOLD_S * 10)
     assert pair.serving() == set(names)
 
 
 def test_an_empty_discovery_list_is_doubted_only_against_living_sessions() -> None:
     names = [f"s-{n}" for n in range(9)]
-    pair = Pair(*names)
+    pair = MergerWithConsumer(*names)
     pair.merger.replace_all(DISCOVERY, [], pair.now)
-    pair.give()
+    pair.take_changes()
     assert pair.serving() == set(names)
-    pair = Pair()
-    pair.told(DISCOVERY, *(entry(name) for name in names))
+    pair = MergerWithConsumer()
+    pair.update(DISCOVERY, *(entry(name) for name in names))
     pair.merger.replace_all(DISCOVERY, [], pair.now)
-    pair.give()
-    assert not pair.serving()  # the platform's word, and nobody against it
+    pair.take_changes()
+    assert not pair.serving()  # the platform's list, and no other source against it
 
 
 def test_an_announced_end_is_no_mass_loss() -> None:
     names = [f"s-{n}" for n in range(9)]
-    pair = Pair(*names, both=False)
-    pair.told(MEMBERSHIP, *(entry(name, DRAINING) for name in names[:8]))
-    pair.lost(*names[:8])
-    pair.give(LOSS_WINDOW_S)
+    pair = MergerWithConsumer(*names, both=False)
+    pair.update(MEMBERSHIP, *(entry(name, DRAINING) for name in names[:8]))
+    pair.report_lost(*names[:8])
+    pair.take_changes(LOSS_WINDOW_S)
     assert set(pair.states()) == {"s-8"}
 
 
 def test_names_that_differ_in_case_only_at_one_address_end_together() -> None:
-    pair = Pair()
-    pair.told(MEMBERSHIP, entry("S-1"), entry("s-2"), entry("s-3"))
-    pair.told(DISCOVERY, entry("s-1"))
+    pair = MergerWithConsumer()
+    pair.update(MEMBERSHIP, entry("S-1"), entry("s-2"), entry("s-3"))
+    pair.update(DISCOVERY, entry("s-1"))
     assert pair.serving() == {"S-1", "s-2", "s-3"}  # one address, one server
-    pair.lost("S-1")
+    pair.report_lost("S-1")
     assert pair.serving() == {"s-2", "s-3"}
 
 
-def test_two_names_at_one_address_are_one_server() -> None:
-    pair = Pair()
-    pair.told(DISCOVERY, entry("s-1", port=7))
-    pair.told(MEMBERSHIP, entry("s-2", port=7), entry("s-3"))
+def test_two_names_at_one_address_are_one_endpoint() -> None:
+    pair = MergerWithConsumer()
+    pair.update(DISCOVERY, entry("s-1", port=7))
+    pair.update(MEMBERSHIP, entry("s-2", port=7), entry("s-3"))
     assert pair.serving() == {"s-2", "s-3"}
-    pair.lost("s-2")
+    pair.report_lost("s-2")
     assert pair.serving() == {"s-1", "s-3"}
 
 
-def test_a_server_that_moves_frees_its_address() -> None:
-    pair = Pair()
-    pair.told(MEMBERSHIP, entry("s-1", port=7), entry("s-2", port=7))
+def test_an_endpoint_that_moves_frees_its_address() -> None:
+    pair = MergerWithConsumer()
+    pair.update(MEMBERSHIP, entry("s-1", port=7), entry("s-2", port=7))
     assert pair.serving() == {"s-1"}
-    pair.told(MEMBERSHIP, entry("s-1", port=8))
+    pair.update(MEMBERSHIP, entry("s-1", port=8))
     assert pair.serving() == {"s-1", "s-2"}
 
 
 def test_only_what_changed_is_given_out() -> None:
-    pair = Pair("s-1", "s-2")
+    pair = MergerWithConsumer("s-1", "s-2")
     assert pair.merger.take_changes(pair.now) is None
     pair.merger.update(MEMBERSHIP, [entry("s-1"), entry("s-2")], pair.now)
     pair.merger.update(DISCOVERY, [entry("s-1")], pair.now)
@@ -364,12 +364,12 @@
     ] and pair.merger.serving_count == 1
 
 
-def test_which_source_decided_is_said_where_they_disagree() -> None:
-    pair = Pair("s-1", "s-2", "s-3")
+def test_which_source_decided_is_noted_where_they_disagree() -> None:
+    pair = MergerWithConsumer("s-1", "s-2", "s-3")
     pair.merger.take_notes()
-    pair.told(DISCOVERY, entry("s-1", DRAINING))
-    pair.told(DISCOVERY, entry("s-2", zone="b"))
-    pair.told(DISCOVERY, entry("s-3", port=9))
+    pair.update(DISCOVERY, entry("s-1", DRAINING))
+    pair.update(DISCOVERY, entry("s-2", zone="b"))
+    pair.update(DISCOVERY, entry("s-3", port=9))
     assert pair.merger.take_notes() == [
         "endpoint_decided endpoint=s-1 state=draining source=discovery "
         "reason=draining, which beats ready (rule 2)",
@@ -382,12 +382,12 @@
 
 def test_what_is_remembered_of_ends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_REMEMBERED_ENDS", 5)
-    pair = Pair("s-x", "s-y", both=False)
+    pair = MergerWithConsumer("s-x", "s-y", both=False)
     for number in range(50):
-        pair.told(MEMBERSHIP, entry(f"s-{number}", DRAINING))
-        pair.lost(f"s-{number}")
-        pair.give(LOSS_WINDOW_S)
-    pair.give(LOSS_WINDOW_S)
+        pair.update(MEMBERSHIP, entry(f"s-{number}", DRAINING))
+        pair.report_lost(f"s-{number}")
+        pair.take_changes(LOSS_WINDOW_S)
+    pair.take_changes(LOSS_WINDOW_S)
     assert len(pair.merger.sources[MEMBERSHIP].reports) <= 2 + 6
 
 
@@ -410,12 +410,12 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.lists(st.one_of(TELL, LOSE, WHOLE, HEALTH, WAIT), max_size=40))
-def test_whatever_is_told_the_rules_hold(steps: list[tuple]) -> None:  # type: ignore[type-arg]
-    """Beside the merger stands a plain record of each source's last word on each incarnation:
+def test_the_rules_hold_for_any_reports(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+    """Beside the merger stands a plain record of each source's last report of each incarnation:
     - what both would serve, serves; what any says has ended, of the newest incarnation, does not;
     - no two servers in use share an address; a membership's losses alone never take more than the share;
     - what was given out piece by piece is what all of it is."""
-    pair = Pair()
+    pair = MergerWithConsumer()
     merger = pair.merger
     for step in steps:
         before = pair.serving()
@@ -425,19 +425,19 @@
         elif step[0] == "lose":
             merger.report_ended(MEMBERSHIP, sorted(step[1]), pair.now)
         elif step[0] == "whole":
-            word = ReportedStatus.LOST if step[1] == MEMBERSHIP else ReportedStatus.GONE
-            merger.replace_all(step[1], [entry(name) for name in sorted(step[2])], pair.now, word)
+            status = ReportedStatus.LOST if step[1] == MEMBERSHIP else ReportedStatus.GONE
+            merger.replace_all(step[1], [entry(name) for name in sorted(step[2])], pair.now, status)
         elif step[0] == "health":
             merger.set_health(step[1], step[2])
         else:
             pair.now += step[1]
-        pair.give()
+        pair.take_changes()
         if step[0] == "lose":
             base = merger.sources[MEMBERSHIP].ready_count + len(merger.sources[MEMBERSHIP].loss_times)
             assert len(before - pair.serving()) <= 2 * max(1, int(0.34 * base))  # twins in case end together
-        assert {listed.name: listed for listed in merger.endpoints_in_force()} == pair.given
+        assert {listed.name: listed for listed in merger.endpoints_in_force()} == pair.in_force
         assert merger.serving_count == len(pair.serving())
-        addresses = [pair.given[name].address for name in pair.serving()]
+        addresses = [pair.in_force[name].address for name in pair.serving()]
         assert len(addresses) == len(set(addresses))
         for source in merger.sources.values():
             assert source.ready_count == sum(
--- a/tests/ephemeral_nodes/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -7,7 +7,7 @@
 
 from test_register import PATH
 from test_session import ensemble, run
-from test_source import put
+from test_source import register_node
 
 from harness.clients import DEFAULT_CLASSES, IDEMPOTENCY_BY_CLASS, ClientPool
 from harness.coordination import CoordinationService
@@ -27,7 +27,7 @@
     )
 
 
-async def ask(callers: ClientPool, count: int) -> Counter[str]:
+async def count_requests_by_endpoint(callers: ClientPool, count: int) -> Counter[str]:
     """So many calls of canje, all served; which nodos had them."""
     before = len(callers.recorder.attempts)
     for _ in range(count):
@@ -36,11 +36,11 @@
     return Counter(attempt.endpoint for attempt in callers.recorder.attempts[before:])
 
 
-def says(program: ProxyProcess, text: str) -> bool:
+def has_logged(program: ProxyProcess, text: str) -> bool:
     return text in program.log_file.read_text()
 
 
-def test_calls_follow_the_service_and_sighup_moves_it_while_suspended() -> None:
+def test_requests_follow_the_service_and_sighup_changes_it_while_suspended() -> None:
     async def test() -> None:
         ledger = Recorder()
         registry = EndpointRegistry(ledger)
@@ -49,32 +49,35 @@
         async with ensemble(1) as old, ensemble(1) as new:
             for name, nodo in nodos.items():
                 await nodo.start()
-                put(old, name, EndpointNode(name, nodo.address, "a", "m", 1))
+                register_node(old, name, EndpointNode(name, nodo.address, "a", "m", 1))
             async with running_proxy("n0", registry.address, [], operator(old), ready=False) as program:
                 await until(program.is_ready, "ready")
-                await until(lambda: says(program, "source=membership health=fresh"), "fresh")
+                await until(lambda: has_logged(program, "source=membership health=fresh"), "fresh")
                 callers = ClientPool(ledger, program.address, "n0", 1)
-                assert set(await ask(callers, 30)) == set(nodos)
+                assert set(await count_requests_by_endpoint(callers, 30)) == set(nodos)
                 old.run_step({"do": "expire", "path": f"{PATH}/s-1"})
-                await until(lambda: says(program, "endpoints_in_use_decreased count=2 before=3"), "the drain")
-                assert set(await ask(callers, 30)) == {"s-2", "s-3"}
+                await until(
+                    lambda: has_logged(program, "endpoints_in_use_decreased count=2 before=3"), "the drain"
+                )
+                assert set(await count_requests_by_endpoint(callers, 30)) == {"s-2", "s-3"}
 
                 old.run_step({"do": "partition", "mode": "reset"})
-                await until(lambda: says(program, "state=SUSPENDED before=CONNECTED"), "SUSPENDED")
+                await until(lambda: has_logged(program, "state=SUSPENDED before=CONNECTED"), "SUSPENDED")
                 file = program.log_file.with_name("operator.toml")
                 file.write_text(operator(new) + "reed = 1\n")
                 program.process.send_signal(signal.SIGHUP)
-                await until(lambda: says(program, "unknown key reed"), "the refusal")
-                assert set(await ask(callers, 30)) == {"s-2", "s-3"}
+                await until(lambda: has_logged(program, "unknown key reed"), "the refusal")
+                assert set(await count_requests_by_endpoint(callers, 30)) == {"s-2", "s-3"}
                 for name in ("s-1", "s-2"):
-                    put(new, name, EndpointNode(name, nodos[name].address, "a", "m", 1))
+                    register_node(new, name, EndpointNode(name, nodos[name].address, "a", "m", 1))
                 file.write_text(operator(new))
                 program.process.send_signal(signal.SIGHUP)
-                await until(lambda: says(program, "ensemble_changed"), "the move")
+                await until(lambda: has_logged(program, "ensemble_changed"), "the move")
                 await until(
-                    lambda: says(program, "endpoint_decided endpoint=s-3 state=draining source="), "s-3's end"
+                    lambda: has_logged(program, "endpoint_decided endpoint=s-3 state=draining source="),
+                    "s-3's end",
                 )
-                assert set(await ask(callers, 30)) == {"s-1", "s-2"}
+                assert set(await count_requests_by_endpoint(callers, 30)) == {"s-1", "s-2"}
                 assert callers.status_codes == {200: 120}
                 program.process.send_signal(signal.SIGTERM)
                 assert await program.process.wait() == 0
--- a/tests/ephemeral_nodes/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -38,15 +38,15 @@
     return found
 
 
-def has_come_back(service: CoordinationService, taken: int) -> bool:
+def has_reconnected(service: CoordinationService, taken: int) -> bool:
     return sum(server.accepted for server in service.servers) > taken
 
 
-def registered(by: Registrar, times: int) -> bool:
+def has_registered(by: Registrar, times: int) -> bool:
     return by.registrations == times
 
 
-def held(service: CoordinationService, name: str = "s-1") -> EndpointNode | None:
+def registered_node(service: CoordinationService, name: str = "s-1") -> EndpointNode | None:
     found = service.tree.nodes.get(f"{PATH}/{name}")
     return parse_node(name, found.data) if found is not None else None
 
@@ -55,26 +55,26 @@
     async def test() -> None:
         async with ensemble() as service:
             mine = registrar(service)
-            await until(lambda: held(service) == node(), "the registration")
+            await until(lambda: registered_node(service) == node(), "the registration")
             assert service.tree.nodes[f"{PATH}/s-1"].owner == mine.session.session_id
             leaving = asyncio.ensure_future(mine.leave(0.2))
-            await until(lambda: held(service) == node().draining(), "the drain")
+            await until(lambda: registered_node(service) == node().draining(), "the drain")
             await leaving
-            assert held(service) is None and not service.sessions
+            assert registered_node(service) is None and not service.sessions
 
     run(test)
 
 
-def test_it_registers_again_after_an_expiry_though_the_server_never_stopped() -> None:
+def test_it_registers_again_after_an_expiry_though_the_endpoint_never_stopped() -> None:
     async def test() -> None:
         async with ensemble() as service:
             mine = registrar(service)
             await asyncio.wait_for(mine.registered.wait(), 10)
             for count in range(2, 5):
                 service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
-                assert held(service) is None
-                await until(functools.partial(registered, mine, count), "again")
-                assert held(service) == node()
+                assert registered_node(service) is None
+                await until(functools.partial(has_registered, mine, count), "again")
+                assert registered_node(service) == node()
             mine.crash()
 
     run(test)
@@ -88,21 +88,21 @@
             for _ in range(3):
                 taken = sum(server.accepted for server in service.servers)
                 service.run_step({"do": "drop"})
-                await until(functools.partial(has_come_back, service, taken), "the reconnect")
+                await until(functools.partial(has_reconnected, service, taken), "the reconnect")
                 await asyncio.wait_for(mine.registered.wait(), 10)
-            assert mine.registrations == 1 and held(service) == node()
+            assert mine.registrations == 1 and registered_node(service) == node()
             mine.crash()
 
     run(test)
 
 
-def test_what_somebody_deleted_or_wrote_over_is_put_right() -> None:
+def test_a_node_that_somebody_deleted_or_wrote_over_is_restored() -> None:
     async def test() -> None:
         async with ensemble() as service:
             mine = registrar(service)
             await asyncio.wait_for(mine.registered.wait(), 10)
             service.tree.delete(f"{PATH}/s-1", -1)
-            await until(lambda: held(service) == node(), "again")
+            await until(lambda: registered_node(service) == node(), "again")
             service.tree.set_data(f"{PATH}/s-1", b"{}", -1)
             await until(lambda: service.tree.nodes[f"{PATH}/s-1"].data == node().encode(), "again")
             mine.crash()
@@ -110,7 +110,7 @@
     run(test)
 
 
-def test_a_restarted_server_takes_its_node_over_in_one_step() -> None:
+def test_a_restarted_endpoint_takes_over_its_node_in_one_step() -> None:
     """The old session has not run out yet. Nobody who watches sees the name gone for longer than a change."""
 
     async def test() -> None:
@@ -120,17 +120,17 @@
             old.crash()
             before = service.tree.zxid
             new = registrar(service, node(since=9000))
-            await until(lambda: held(service) == node(since=9000), "the take-over")
+            await until(lambda: registered_node(service) == node(since=9000), "the take-over")
             assert service.tree.zxid == before + 2
             number = service.tree.nodes[f"{PATH}/s-1"].owner
             service.expire(next(n for n in service.sessions if n != number))
-            assert held(service) == node(since=9000)
+            assert registered_node(service) == node(since=9000)
             new.crash()
 
     run(test)
 
 
-def test_a_name_that_another_server_holds_is_waited_for() -> None:
+def test_a_name_that_another_endpoint_owns_is_waited_for() -> None:
     async def test() -> None:
         async with ensemble() as service:
             other = registrar(service, node(address="127.0.0.1:9"))
@@ -138,16 +138,16 @@
             mine = registrar(service)
             await until(lambda: len(service.sessions) == 2, "the session")
             await asyncio.sleep(0.2)
-            assert held(service) == node(address="127.0.0.1:9") and not mine.registered.is_set()
+            assert registered_node(service) == node(address="127.0.0.1:9") and not mine.registered.is_set()
             await other.leave(0.0)
             await asyncio.wait_for(mine.registered.wait(), 10)
-            assert held(service) == node()
+            assert registered_node(service) == node()
             mine.crash()
 
     run(test)
 
 
-def test_a_drain_is_kept_through_an_expiry() -> None:
+def test_draining_survives_an_expiry() -> None:
     async def test() -> None:
         async with ensemble() as service:
             mine = registrar(service)
@@ -155,7 +155,7 @@
             await mine.drain()
             service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
             await until(lambda: mine.registrations == 2, "again")
-            assert held(service) == node().draining()
+            assert registered_node(service) == node().draining()
             mine.crash()
 
     run(test)
@@ -194,17 +194,17 @@
                 cwd=ROOT,
                 stderr=asyncio.subprocess.DEVNULL,
             )
-            await until(lambda: held(service, "s-7") is not None, "the registration")
-            found = held(service, "s-7")
+            await until(lambda: registered_node(service, "s-7") is not None, "the registration")
+            found = registered_node(service, "s-7")
             assert found is not None and (found.zone, found.status) == ("b", "Ready") and found.since_ms > 0
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), 20) == 0
-            assert held(service, "s-7") is None and not service.sessions
+            assert registered_node(service, "s-7") is None and not service.sessions
 
     run(test)
 
 
-def test_the_program_wants_both_tables(tmp_path: Path) -> None:
+def test_the_program_needs_both_tables(tmp_path: Path) -> None:
     async def test() -> None:
         file = tmp_path / "operator.toml"
         file.write_text('[membership]\nservers = ["127.0.0.1:1"]\npath = "/a"\n')
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -28,7 +28,7 @@
 from service_proxy.ephemeral_nodes.session_states import SessionState
 
 
-class Client:
+class RecordingClient:
     """A session with its states and events kept."""
 
     def __init__(self, service: CoordinationService, timeout: float = 2.0, **more: object) -> None:
@@ -45,7 +45,7 @@
         )
         self.session.start()
 
-    async def reaches(self, state: SessionState) -> None:
+    async def wait_for_state(self, state: SessionState) -> None:
         await until(lambda: self.session.state is state, f"{state} after {self.states}")
 
 
@@ -59,7 +59,7 @@
         await service.stop()
 
 
-def moved(client: Client, left: tuple[str, int]) -> bool:
+def has_moved(client: RecordingClient, left: tuple[str, int]) -> bool:
     return client.session.server not in (None, left)
 
 
@@ -74,8 +74,8 @@
 def test_requests_of_every_type() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             session = client.session
             await session.ensure_path("/a/b")
             await session.ensure_path("/a/b")
@@ -114,10 +114,10 @@
 def test_paths_are_below_the_chroot() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            plain = Client(service)
-            rooted = Client(service, chroot="/prod")
-            await plain.reaches(SessionState.CONNECTED)
-            await rooted.reaches(SessionState.CONNECTED)
+            plain = RecordingClient(service)
+            rooted = RecordingClient(service, chroot="/prod")
+            await plain.wait_for_state(SessionState.CONNECTED)
+            await rooted.wait_for_state(SessionState.CONNECTED)
             await plain.session.ensure_path("/prod")
             await rooted.session.get_children2("/", watch=True)
             assert await rooted.session.create("/s-1", b"") == "/s-1"
@@ -131,15 +131,15 @@
 def test_a_session_moves_to_another_server_and_keeps_its_nodes() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             await client.session.create("/mine", b"", CreateMode.EPHEMERAL)
             number = client.session.session_id
             for mode in ("reset", "silent"):
                 used = next(s.number for s in service.servers if s.address == client.session.server)
                 service.run_step({"do": "partition", "servers": [used], "mode": mode})
-                await until(functools.partial(moved, client, service.servers[used].address), "the move")
-                await client.reaches(SessionState.CONNECTED)
+                await until(functools.partial(has_moved, client, service.servers[used].address), "the move")
+                await client.wait_for_state(SessionState.CONNECTED)
                 assert client.session.session_id == number and "/mine" in service.tree.nodes
                 service.run_step({"do": "heal"})
             assert SessionState.EXPIRED not in client.states and SessionState.SUSPENDED in client.states
@@ -150,15 +150,15 @@
 def test_no_server_for_longer_than_the_session_is_lost_and_the_service_says_expired() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            client = Client(service, timeout=0.4)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service, timeout=0.4)
+            await client.wait_for_state(SessionState.CONNECTED)
             number = client.session.session_id
             service.run_step({"do": "partition", "mode": "reset"})
-            await client.reaches(SessionState.LOST)
+            await client.wait_for_state(SessionState.LOST)
             with pytest.raises(ConnectionLostError):
                 await client.session.exists("/")
             service.run_step({"do": "heal"})
-            await client.reaches(SessionState.CONNECTED)
+            await client.wait_for_state(SessionState.CONNECTED)
             assert client.session.session_id != number
             kept = [s for s in client.states if s is not SessionState.CONNECTING]
             assert kept == [
@@ -175,26 +175,26 @@
 def test_a_lost_leader_ends_no_session() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            client = Client(service, timeout=0.4)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service, timeout=0.4)
+            await client.wait_for_state(SessionState.CONNECTED)
             number = client.session.session_id
             service.run_step({"do": "lose_leader", "seconds": 1.0})
-            await client.reaches(SessionState.LOST)
-            await client.reaches(SessionState.CONNECTED)
+            await client.wait_for_state(SessionState.LOST)
+            await client.wait_for_state(SessionState.CONNECTED)
             assert client.session.session_id == number and SessionState.EXPIRED not in client.states
 
     run(test)
 
 
-def test_a_silent_server_is_left_after_two_thirds_of_the_time_out() -> None:
+def test_a_silent_server_is_left_after_two_thirds_of_the_session_timeout() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
-            client = Client(service, timeout=0.6)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service, timeout=0.6)
+            await client.wait_for_state(SessionState.CONNECTED)
             loop = asyncio.get_running_loop()
             begun = loop.time()
             service.run_step({"do": "partition", "mode": "silent"})
-            await client.reaches(SessionState.SUSPENDED)
+            await client.wait_for_state(SessionState.SUSPENDED)
             assert 0.15 < loop.time() - begun < 5
 
     run(test)
@@ -203,23 +203,23 @@
 def test_pings_keep_a_session_that_asks_nothing() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
-            client = Client(service, timeout=0.3)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service, timeout=0.3)
+            await client.wait_for_state(SessionState.CONNECTED)
             await until(lambda: service.requests[OpCode.PING] >= 8, "pings")
             assert client.states == [SessionState.CONNECTING, SessionState.CONNECTED]
 
     run(test)
 
 
-def test_a_watch_that_fired_unseen_fires_on_the_reconnect() -> None:
+def test_a_watch_that_fired_while_disconnected_fires_on_the_reconnect() -> None:
     """One-shot watches are set again from the last zxid seen: what changed since is told at once."""
 
     async def test() -> None:
         async with ensemble() as service:
-            client = Client(service)
-            other = Client(service)
-            await client.reaches(SessionState.CONNECTED)
-            await other.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            other = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
+            await other.wait_for_state(SessionState.CONNECTED)
             await other.session.ensure_path("/p")
             await other.session.create("/p/s-1", b"")
             await other.session.create("/p/s-2", b"")
@@ -241,7 +241,7 @@
                 (EventType.DATA_CHANGED, "/p/s-2"),
                 (EventType.CHILDREN_CHANGED, "/p"),
             ]
-            await client.reaches(SessionState.CONNECTED)
+            await client.wait_for_state(SessionState.CONNECTED)
             assert not client.session.watches.data and not client.session.watches.child
 
     run(test)
@@ -250,10 +250,10 @@
 def test_a_persistent_recursive_watch_lives_through_reconnects_and_names_each_change() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            client = Client(service)
-            other = Client(service)
-            await client.reaches(SessionState.CONNECTED)
-            await other.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            other = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
+            await other.wait_for_state(SessionState.CONNECTED)
             await other.session.ensure_path("/p")
             assert await client.session.watch_recursive("/p")
             service.run_step({"do": "drop"})
@@ -275,8 +275,8 @@
 def test_a_service_without_persistent_watches_says_so() -> None:
     async def test() -> None:
         async with ensemble(1, persistent_watches=False) as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             assert not await client.session.watch_recursive("/")
 
     run(test)
@@ -285,30 +285,30 @@
 def test_a_zxid_that_goes_back_is_refused_until_the_operator_says_otherwise() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             service.run_step({"do": "save"})
             await client.session.create("/a", b"")
             seen = client.session.last_zxid
             service.run_step({"do": "restore"})  # the server refuses a client that has seen more
-            await client.reaches(SessionState.SUSPENDED)
+            await client.wait_for_state(SessionState.SUSPENDED)
             taken = service.servers[0].accepted
             await until(lambda: service.servers[0].accepted >= taken + 3, "tries")
             assert client.session.last_zxid == seen and client.states[-1] is not SessionState.CONNECTED
             client.session.forget_zxid()
-            await client.reaches(SessionState.CONNECTED)
+            await client.wait_for_state(SessionState.CONNECTED)
             assert client.session.last_zxid < seen
 
     run(test)
 
 
-def test_a_server_that_goes_back_without_a_word_is_left() -> None:
+def test_a_server_whose_zxid_goes_back_is_left() -> None:
     """It kept the connection, so that only the figure in its answers tells."""
 
     async def test() -> None:
         async with ensemble(1) as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             await client.session.create("/a", b"")
             service.tree.zxid -= 1
             with pytest.raises(ConnectionLostError):
@@ -322,18 +322,18 @@
     async def test() -> None:
         async with ensemble(1) as service:
             service.credentials = {"u": "p"}
-            good = Client(service, auth=b"u:p")
-            nobody = Client(service)
-            await good.reaches(SessionState.CONNECTED)
-            await nobody.reaches(SessionState.CONNECTED)
+            good = RecordingClient(service, auth=b"u:p")
+            nobody = RecordingClient(service)
+            await good.wait_for_state(SessionState.CONNECTED)
+            await nobody.wait_for_state(SessionState.CONNECTED)
             await good.session.create("/mine", b"x", acl=CREATOR_ACL)
             with pytest.raises(ServiceError, match="NO_AUTH"):
                 await nobody.session.get_data("/mine")
             with pytest.raises(ServiceError) as refused:
                 await nobody.session.create("/other", b"", acl=CREATOR_ACL)
             assert refused.value.code == ErrorCode.INVALID_ACL
-            bad = Client(service, auth=b"u:wrong")
-            await bad.reaches(SessionState.AUTH_FAILED)
+            bad = RecordingClient(service, auth=b"u:wrong")
+            await bad.wait_for_state(SessionState.AUTH_FAILED)
             taken = service.servers[0].accepted
             await asyncio.sleep(0.3)
             assert service.servers[0].accepted == taken
@@ -347,16 +347,16 @@
     async def test() -> None:
         async with ensemble(2) as service:
             service.run_step({"do": "read_only", "on": True})
-            client = Client(service, read_only=True)
-            plain = Client(service)
-            await client.reaches(SessionState.CONNECTED_RO)
+            client = RecordingClient(service, read_only=True)
+            plain = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED_RO)
             with pytest.raises(ServiceError, match="NOT_READ_ONLY"):
                 await client.session.create("/a", b"")
             assert await client.session.exists("/") is not None
             used = next(s.number for s in service.servers if s.address == client.session.server)
             service.servers[1 - used].read_only = False
-            await client.reaches(SessionState.CONNECTED)
-            await plain.reaches(SessionState.CONNECTED)
+            await client.wait_for_state(SessionState.CONNECTED)
+            await plain.wait_for_state(SessionState.CONNECTED)
             assert client.session.server == service.servers[1 - used].address
 
     run(test)
@@ -365,14 +365,14 @@
 def test_another_ensemble_while_suspended_is_a_new_session() -> None:
     async def test() -> None:
         async with ensemble(1) as old, ensemble(1) as new:
-            client = Client(old)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(old)
+            await client.wait_for_state(SessionState.CONNECTED)
             await client.session.create("/a", b"")
             await client.session.get_children2("/", watch=True)
             old.run_step({"do": "partition", "mode": "reset"})
-            await client.reaches(SessionState.SUSPENDED)
+            await client.wait_for_state(SessionState.SUSPENDED)
             assert client.session.set_servers([server.address for server in new.servers])
-            await client.reaches(SessionState.CONNECTED)
+            await client.wait_for_state(SessionState.CONNECTED)
             assert client.session.session_id in new.sessions and not client.session.watches.child
             assert not client.session.set_servers(
                 [*(server.address for server in new.servers), ("127.0.0.1", 1)]
@@ -389,8 +389,8 @@
 
     async def test() -> None:
         async with ensemble(1) as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             service.run_step({"do": "slow", "seconds": 5})
             out = [asyncio.ensure_future(client.session.exists("/")) for _ in range(5)]
             await asyncio.sleep(0)
@@ -423,12 +423,12 @@
 
         peer = await asyncio.start_server(answer, "127.0.0.1", 0)
         async with ensemble(1) as service:
-            client = Client(service)
-            await client.reaches(SessionState.CONNECTED)
+            client = RecordingClient(service)
+            await client.wait_for_state(SessionState.CONNECTED)
             client.session.stop()
-            again = Client(service)
+            again = RecordingClient(service)
             again.session.set_servers([peer.sockets[0].getsockname()[:2], service.servers[0].address])
-            await again.reaches(SessionState.CONNECTED)
+            await again.wait_for_state(SessionState.CONNECTED)
         peer.close()
 
     run(test)
--- a/tests/ephemeral_nodes/test_session_states.py
+++ b/tests/ephemeral_nodes/test_session_states.py
@@ -30,24 +30,24 @@
 }
 
 
-def impossible(state: SessionState, happening: SessionEvent) -> bool:
-    return happening not in ONLY.get(state, set(SessionEvent)) or state in NEVER.get(happening, set())
+def is_impossible(state: SessionState, event: SessionEvent) -> bool:
+    return event not in ONLY.get(state, set(SessionEvent)) or state in NEVER.get(event, set())
 
 
-@pytest.mark.parametrize(("state", "happening"), list(product(SessionState, SessionEvent)))
-def test_every_pair_is_in_the_table_or_is_impossible(state: SessionState, happening: SessionEvent) -> None:
-    if impossible(state, happening):
+@pytest.mark.parametrize(("state", "event"), list(product(SessionState, SessionEvent)))
+def test_every_pair_is_in_the_table_or_is_impossible(state: SessionState, event: SessionEvent) -> None:
+    if is_impossible(state, event):
         with pytest.raises(InvalidTransitionError):
-            next_state(state, happening)
+            next_state(state, event)
     else:
-        assert next_state(state, happening) is TRANSITIONS[state, happening]
+        assert next_state(state, event) is TRANSITIONS[state, event]
 
 
 def test_closing_ends_every_state() -> None:
     assert all(next_state(state, SessionEvent.CLOSE) is SessionState.CLOSED for state in SessionState)
 
 
-def test_a_lost_connection_is_suspended_then_lost_and_only_the_service_says_expired() -> None:
+def test_a_lost_connection_is_suspended_then_lost_and_expired_only_by_the_service() -> None:
     assert next_state(SessionState.CONNECTED, SessionEvent.DISCONNECTED) is SessionState.SUSPENDED
     assert next_state(SessionState.SUSPENDED, SessionEvent.TIMED_OUT) is SessionState.LOST
     assert {happening for (_, happening), to in TRANSITIONS.items() if to is SessionState.EXPIRED} == {
--- a/tests/ephemeral_nodes/test_snapshot.py
+++ b/tests/ephemeral_nodes/test_snapshot.py
@@ -14,7 +14,7 @@
 NODES = [EndpointNode(f"s-{n}", f"127.0.0.1:{8000 + n}", "a", "m", n, 1.0, 5, "Ready") for n in range(5)]
 
 
-def test_it_comes_back_as_written(tmp_path: Path) -> None:
+def test_a_snapshot_is_read_as_written(tmp_path: Path) -> None:
     file = tmp_path / "nodes"
     snapshot.write(file, NODES)
     assert snapshot.read(file) == NODES
@@ -29,7 +29,7 @@
             snapshot.decode(data[:size])
 
 
-def test_with_any_byte_turned_it_is_refused() -> None:
+def test_with_any_byte_changed_it_is_refused() -> None:
     data = snapshot.encode(NODES[:2])
     for place in range(len(data)):
         torn = bytearray(data)
