--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,6 +29,7 @@
 from harness.fleet.virtual_fleet import VirtualFleet, address_of
 from service_proxy.fleet.authentication import MessageAuthenticator
 from service_proxy.fleet.timing import ProtocolTiming
+from service_proxy.fleet.wire import AUTH_TAG_BYTES
 
 PARTS = ("real", "scale", "seeds", "against", "model", "fuzz", "cost")
 MAX_RECORDED = 5000  # datagrams of a fleet that are damaged
@@ -56,6 +57,19 @@
     report.check(not missed, f"planted faults that were not found: {missed}")
 
 
+def fuzzed_datagram(
+    random: Random, recorded: list[bytes], authenticator: MessageAuthenticator, is_garbage: bool
+) -> bytes:
+    """Return garbage, or a datagram with bytes changed and its tag made right again."""
+    data = bytearray(random.randbytes(random.randint(0, 300)) if is_garbage else random.choice(recorded))
+    for _ in range(random.randint(0, 8)):
+        if data:
+            data[random.randrange(len(data))] = random.randrange(256)
+    if random.random() < TRUNCATED_SHARE:
+        data = data[: random.randint(0, len(data))]
+    return bytes(data) if is_garbage else authenticator.seal(bytes(data[:-AUTH_TAG_BYTES]))
+
+
 def fuzz_datagrams(report: BenchmarkReport, seed: int) -> None:
     """Send garbage and damaged datagrams to a member."""
     count = 5_000 if report.short else 100_000
@@ -76,13 +90,7 @@
     answered = 0
     rss_at_half = 0
     for number in range(count):
-        data = bytearray(random.choice(recorded) if number % 4 else random.randbytes(random.randint(0, 300)))
-        for _ in range(random.randint(0, 8)):
-            if data:
-                data[random.randrange(len(data))] = random.randrange(256)
-        if random.random() < TRUNCATED_SHARE:
-            data = data[: random.randint(0, len(data))]
-        sent = authenticator.seal(bytes(data[:-8])) if number % 4 else bytes(data)
+        sent = fuzzed_datagram(random, recorded, authenticator, is_garbage=not number % 4)
         protocol.take_effects()
         try:
             protocol.receive_datagram(fleet.now + number * 1e-4, address_of(1 + number % 7), sent)
--- a/harness/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -3,7 +3,7 @@
     python -m harness.fleet play SCRIPT [--real] [--seed N] [--transcript FILE] [--replay FILE]
     python -m harness.fleet schema
 
-Without --real: the pure cores, in virtual time. --transcript writes one line for each datagram's fate,
+Without --real: the pure protocol, in virtual time. --transcript writes one line for each datagram's delivery,
 [s, from, to, number on that link, bytes, [[delay s, bit turned or -1], ...]]; --replay decides by such a
 file.
 Exit code 0 where all views of the living were equal and right at the end, and nobody dead came back; else 1;
@@ -36,58 +36,63 @@
 
 def schema() -> dict[str, object]:
     """Return the JSON Schema of a script."""
-    whole = table_schema(ScriptHeader)
-    whole["properties"]["fault"] = {"type": "array", "items": table_schema(ScriptedFault)}
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "script of faults", **whole}
+    script_schema = table_schema(ScriptHeader)
+    script_schema["properties"]["fault"] = {"type": "array", "items": table_schema(ScriptedFault)}
+    return {
+        "$schema": "https://json-schema.org/draft/2020-12/schema",
+        "title": "script of faults",
+        **script_schema,
+    }
 
 
 def virtual(script: FaultScript, network: Network) -> int:
     """Play a script in virtual time; return the exit code."""
-    bed = VirtualFleet(script.header.members, ProtocolTiming(period=1.0), script.header.seed, network)
+    fleet = VirtualFleet(script.header.members, ProtocolTiming(period=1.0), script.header.seed, network)
     for number in range(script.header.members):
-        bed.start(number)
-    bed.run(8.0)
-    stage = VirtualFaultTarget(bed)
-    player = FaultPlayer(script, stage, lambda line: print(f"{bed.now:8.2f} s {line}"))
-    stage.on_event = player.on_event
+        fleet.start(number)
+    fleet.run(8.0)
+    target = VirtualFaultTarget(fleet)
+    player = FaultPlayer(script, target, lambda line: print(f"{fleet.now:8.2f} s {line}"))
+    target.on_event = player.on_event
     player.start()
-    while not player.is_finished and bed.now < 8.0 + script.header.seconds:
-        bed.run(bed.now + 0.25)
-    last = bed.now
-    while not bed.is_converged() and bed.now < last + SETTLING:
-        bed.run(bed.now + 0.25)
+    while not player.is_finished and fleet.now < 8.0 + script.header.seconds:
+        fleet.run(fleet.now + 0.25)
+    last = fleet.now
+    while not fleet.is_converged() and fleet.now < last + SETTLING:
+        fleet.run(fleet.now + 0.25)
     print(
-        f"{bed.datagrams} datagrams, {bed.network.lost} lost; "
-        f"settled {bed.now - last:.2f} periods after the end"
+        f"{fleet.datagrams} datagrams, {fleet.network.lost} lost; "
+        f"settled {fleet.now - last:.2f} periods after the end"
     )
     print(
-        "equal and right" if bed.is_converged() else "NOT equal",
-        *(f"; {line}" for line in stage.resurrections),
+        "equal and right" if fleet.is_converged() else "NOT equal",
+        *(f"; {line}" for line in target.resurrections),
     )
-    return 0 if bed.is_converged() and not stage.resurrections else 1
+    return 0 if fleet.is_converged() and not target.resurrections else 1
 
 
 async def real(script: FaultScript, network: Network) -> int:
     """Play a script on real processes; return the exit code."""
     top = script.header
-    async with running_fleet(FleetOptions(members=top.members, seed=top.seed, period=PERIOD)) as w:
-        w.network.recorded_plans = network.recorded_plans
-        w.network.transcript = network.transcript
-        await w.observer.wait_until_settled(SETTLING, True)
-        player = FaultPlayer(script, w, lambda line: print(line, flush=True))
-        w.observer.on_event = player.on_event
+    async with running_fleet(FleetOptions(members=top.members, seed=top.seed, period=PERIOD)) as harness:
+        harness.network.recorded_plans = network.recorded_plans
+        harness.network.transcript = network.transcript
+        await harness.observer.wait_until_settled(SETTLING, True)
+        player = FaultPlayer(script, harness, lambda line: print(line, flush=True))
+        harness.observer.on_event = player.on_event
         player.start()
         await until(lambda: player.is_finished, "the script's end", top.seconds)
         try:
-            took = await w.observer.wait_until_settled(SETTLING * PERIOD)
+            settling = await harness.observer.wait_until_settled(SETTLING * PERIOD)
         except TimeoutError:
             print("NOT equal")
             return 1
-        await w.finish_requests()
-        w.observer.read_logs()
-        revived = w.observer.resurrections()
-        broken = w.audit()
-        print(f"settled {took / PERIOD:.2f} periods after the end; deaths told: {len(w.observer.deaths())}")
+        await harness.finish_requests()
+        harness.observer.read_logs()
+        revived = harness.observer.resurrections()
+        broken = harness.audit()
+        deaths = len(harness.observer.deaths())
+        print(f"settled {settling / PERIOD:.2f} periods after the end; deaths told: {deaths}")
         print(f"dead that came back: {len(revived)}; rules broken: {len(broken)}")
         for violation in broken[:3]:
             print(violation)
@@ -109,26 +114,26 @@
     play.add_argument("--transcript", type=Path, metavar="FILE")
     play.add_argument("--replay", type=Path, metavar="FILE")
     commands.add_parser("schema", help="JSON Schema of a script")
-    wanted = parser.parse_args(argv)
-    if wanted.command == "schema":
+    options = parser.parse_args(argv)
+    if options.command == "schema":
         print(json.dumps(schema(), indent=1))
         return 0
     try:
-        script = parse_script(read_text(wanted.script)[0], wanted.script)
-        if wanted.seed is not None:
+        script = parse_script(read_text(options.script)[0], options.script)
+        if options.seed is not None:
             script = FaultScript(
-                ScriptHeader(script.header.members, script.header.seconds, wanted.seed), script.faults
+                ScriptHeader(script.header.members, script.header.seconds, options.seed), script.faults
             )
         network = Network(script.header.seed)
-        if wanted.replay is not None:
-            network.load_recording(wanted.replay)
-        if wanted.transcript is not None:
-            network.transcript = wanted.transcript.open("w", encoding="utf-8")
-    except (OperatorError, ValueError, OSError) as fault:
-        print(fault, file=sys.stderr)
+        if options.replay is not None:
+            network.load_recording(options.replay)
+        if options.transcript is not None:
+            network.transcript = options.transcript.open("w", encoding="utf-8")
+    except (OperatorError, ValueError, OSError) as error:
+        print(error, file=sys.stderr)
         return 2
     try:
-        if wanted.real:
+        if options.real:
             return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(real(script, network))
         return virtual(script, network)
     finally:
--- a/harness/fleet/fault_relay.py
+++ b/harness/fleet/fault_relay.py
@@ -65,17 +65,17 @@
 
     async def start(self) -> None:
         """Bind all sockets."""
-        for number, known in enumerate(self.member_sockets):
+        for number, member_socket in enumerate(self.member_sockets):
             await self.loop.create_datagram_endpoint(
-                lambda known=known: known,  # type: ignore[misc]
+                lambda member_socket=member_socket: member_socket,  # type: ignore[misc]
                 local_addr=(loopback_address(78, number), self.port),
             )
 
     def stop(self) -> None:
         """Close all sockets."""
-        for known in self.member_sockets:
-            if known.transport is not None:
-                known.transport.close()
+        for member_socket in self.member_sockets:
+            if member_socket.transport is not None:
+                member_socket.transport.close()
 
     def relay_datagram(self, source: tuple[str | Any, int], receiver: int, data: bytes) -> None:
         """Take a datagram to a member."""
@@ -106,43 +106,43 @@
 class _RelayedConnection(asyncio.Protocol):
     """One side of a connection that is passed on."""
 
-    def __init__(self, pipe: TcpRelay, other: _RelayedConnection | None = None) -> None:
-        self.pipe = pipe
+    def __init__(self, relay: TcpRelay, other: _RelayedConnection | None = None) -> None:
+        self.relay = relay
         self.other = other
         self.transport: asyncio.Transport | None = None
-        self.early = b""
+        self.unsent = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.pipe.sides.add(self)
-        if self.pipe.silent:
+        self.relay.connections.add(self)
+        if self.relay.silent:
             self.transport.pause_reading()
         if self.other is None:  # it came in; its other side is made now
-            self.task = self.pipe.loop.create_task(self._reach())
+            self.task = self.relay.loop.create_task(self._reach())
 
     async def _reach(self) -> None:
-        other = _RelayedConnection(self.pipe, self)
+        other = _RelayedConnection(self.relay, self)
         self.other = other
         try:
-            await self.pipe.loop.create_connection(lambda: other, *self.pipe.to())
+            await self.relay.loop.create_connection(lambda: other, *self.relay.to())
         except OSError:
             if self.transport is not None:
                 self.transport.abort()
             return
-        if self.early and other.transport is not None:
-            other.transport.write(self.early)
+        if self.unsent and other.transport is not None:
+            other.transport.write(self.unsent)
         if self.transport is None and other.transport is not None:
             other.transport.abort()
 
     def data_received(self, data: bytes) -> None:
         if self.other is None or self.other.transport is None:
-            self.early += data
+            self.unsent += data
         else:
             self.other.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.pipe.sides.discard(self)
+        self.relay.connections.discard(self)
         if self.other is not None and self.other.transport is not None:
             if exc is None:
                 self.other.transport.close()
@@ -156,7 +156,7 @@
     def __init__(self, to: Callable[[], tuple[str, int]]) -> None:
         self.loop = asyncio.get_running_loop()
         self.to = to
-        self.sides: set[_RelayedConnection] = set()
+        self.connections: set[_RelayedConnection] = set()
         self.silent = False
         self.server: asyncio.Server | None = None
 
@@ -173,16 +173,16 @@
 
     def reset(self) -> None:
         """Reset all connections."""
-        for side in list(self.sides):
-            if side.transport is not None:
-                side.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
 
     def set_silent(self, on: bool) -> None:
         """Keep connections up and let nothing pass; new ones come up to nobody."""
         self.silent = on
-        for side in list(self.sides):
-            if side.transport is not None and not side.transport.is_closing():
+        for connection in list(self.connections):
+            if connection.transport is not None and not connection.transport.is_closing():
                 if on:
-                    side.transport.pause_reading()
+                    connection.transport.pause_reading()
                 else:
-                    side.transport.resume_reading()
+                    connection.transport.resume_reading()
--- a/harness/fleet/fault_script.py
+++ b/harness/fleet/fault_script.py
@@ -105,16 +105,16 @@
     """
     try:
         raw = tomllib.loads(text)
-    except ValueError as wrong:
-        raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {wrong}", "mend this line")]) from None
+    except ValueError as error:
+        raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {error}", "mend this line")]) from None
     reader = Reader(file, text)
-    found = raw.pop("fault", [])
+    tables = raw.pop("fault", [])
     top = reader.table(ScriptHeader, raw, ())
     faults = []
-    if not isinstance(found, list) or len(found) > MAX_FAULTS:
+    if not isinstance(tables, list) or len(tables) > MAX_FAULTS:
         reader.wrong(("fault",), "S104", "fault is no list of tables", "write [[fault]] before each")
-        found = []
-    for number, item in enumerate(found):
+        tables = []
+    for number, item in enumerate(tables):
         path = ("fault", str(number))
         fault = reader.table(ScriptedFault, item, path)
         if fault is not None and top is not None:
@@ -156,20 +156,20 @@
     Raises:
         ValueError: there is no such member.
     """
-    found: list[int] = []
+    numbers: list[int] = []
     for name in names:
         span = SPAN.fullmatch(name)
         if name == "all":
-            found += range(members)
+            numbers += range(members)
         elif span:
-            found += range(int(span[2]), int(span[3]) + 1)
+            numbers += range(int(span[2]), int(span[3]) + 1)
         elif re.fullmatch(r"[A-Za-z_]+\d+", name):
-            found.append(int(name.lstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_")))
+            numbers.append(int(name.lstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_")))
         else:
             raise ValueError("is no member")
-    if any(number >= members for number in found):
+    if any(number >= members for number in numbers):
         raise ValueError(f"there are members 0 to {members - 1}")
-    return found
+    return numbers
 
 
 class FaultTarget(Protocol):
--- a/service_proxy/fleet/join.py
+++ b/service_proxy/fleet/join.py
@@ -225,16 +225,7 @@
                 self.reconnects_since_broadcast = 0
                 self._send_join(self.broadcast_address, broadcast=True)
         if not self.reconnect_candidates and (self.table.dead_count or self.seeds):
-            used = {entry.record.address for entry in self.table.entries.values()}
-            dead = [
-                g.entry.record.address for g in self.table.tombstones.values() if g.state is MemberState.DEAD
-            ]
-            left = {
-                g.entry.record.address for g in self.table.tombstones.values() if g.state is MemberState.LEFT
-            }
-            unheard = [address for address in self.seeds if address not in left]
-            self.reconnect_candidates = [a for a in dict.fromkeys([*dead, *unheard]) if a not in used]
-            self.random.shuffle(self.reconnect_candidates)
+            self._refill_reconnect_candidates()
         if self.reconnect_candidates and self.status is MembershipStatus.MEMBER:
             address = self.reconnect_candidates.pop()
             dead_there = [
@@ -244,6 +235,22 @@
             ]
             self._introduce_to(address, dead_there[0] if dead_there else b"")
 
+    def _refill_reconnect_candidates(self) -> None:
+        """Collect the addresses of the dead, and seeds nobody was heard at, in a random order."""
+        in_use = {entry.record.address for entry in self.table.entries.values()}
+        dead: list[Address] = []
+        left: set[Address] = set()
+        for tombstone in self.table.tombstones.values():
+            address = tombstone.entry.record.address
+            if tombstone.state is MemberState.DEAD:
+                dead.append(address)
+            else:
+                left.add(address)
+        unheard = [address for address in self.seeds if address not in left]
+        candidates = dict.fromkeys([*dead, *unheard])
+        self.reconnect_candidates = [address for address in candidates if address not in in_use]
+        self.random.shuffle(self.reconnect_candidates)
+
     # namesakes
     def _on_namesake_datagram(self, message_type: MessageType, message: Datagram, source: Address) -> None:
         """Handle a datagram of another process with this name: the holder says so to it, and both log it."""
