--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -90,24 +90,12 @@
     idempotency_by_class: Mapping[str, Idempotency],
     consumed_headers: frozenset[bytes] = NO_HEADER_NAMES,
 ) -> Request:
-    """Read what the platform's protocol says in a request's head.
+    """Read what the platform's protocol says in a request's head; header names are in lower case.
 
-    Args:
-        method: of the request line.
-        target: of the same.
-        headers: with names in lower case.
-        body: complete or not.
-        received_at: when its last byte came, or the last one so far (monotonic, s).
-        idempotency_by_class: what requests of each class look like.
-        consumed_headers: that end at this proxy's filters.
-
-    Raises:
-        BadRequestError: with the status code and what is wrong.
+    `body` may still be coming; `received_at` (monotonic, s) is when its last byte came, or the last so far.
+    `consumed_headers` end at this proxy's filters. Raises BadRequestError.
     """
-    if not TARGET_PATTERN.fullmatch(target):
-        raise BadRequestError(400, "the target is not a path")
-    if any(CONTROL_BYTES.search(value) for _, value in headers):
-        raise BadRequestError(400, "a header holds what a backend might not read")
+    _validate_bytes(target, headers)
     class_name = target[1:].split(b"?", 1)[0].split(b"/", 1)[0].decode("latin-1")
     idempotency = idempotency_by_class.get(class_name)
     if idempotency is None:
@@ -116,16 +104,14 @@
     idempotency_key = _single_value(headers, b"idempotency-key")
     if not request_id:
         raise BadRequestError(400, "X-Call-Id is missing")
-    time_budget = TIME_BUDGET_PATTERN.fullmatch(_single_value(headers, b"x-budget"))
-    if time_budget is None:
-        raise BadRequestError(400, "X-Budget is missing or malformed")
+    time_budget = _time_budget(headers)
     _validate_form(method, idempotency, idempotency_key, body)
     expected_work = _expected_work(headers)
     head = _forwarded_head(method, target, headers, body, consumed_headers)
     return Request(
         id=request_id,
         class_name=class_name,
-        time_budget=float(time_budget[1]) / (1e3 if time_budget[2] == b"m" else 1e6),
+        time_budget=time_budget,
         affinity_key=_affinity_key(headers),
         tenant=_single_value(headers, b"x-caller").decode("latin-1"),
         expected_work=expected_work,
@@ -138,6 +124,22 @@
     )
 
 
+def _validate_bytes(target: bytes, headers: Headers) -> None:
+    """Refuse what an endpoint might read in another way."""
+    if not TARGET_PATTERN.fullmatch(target):
+        raise BadRequestError(400, "the target is not a path")
+    if any(CONTROL_BYTES.search(value) for _, value in headers):
+        raise BadRequestError(400, "a header holds what a backend might not read")
+
+
+def _time_budget(headers: Headers) -> float:
+    """Read X-Budget (`480m` or `480000u`) as s."""
+    time_budget = TIME_BUDGET_PATTERN.fullmatch(_single_value(headers, b"x-budget"))
+    if time_budget is None:
+        raise BadRequestError(400, "X-Budget is missing or malformed")
+    return float(time_budget[1]) / (1e3 if time_budget[2] == b"m" else 1e6)
+
+
 def _validate_form(
     method: bytes, idempotency: Idempotency, idempotency_key: bytes, body: RequestBody
 ) -> None:
