--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -35,6 +35,7 @@
 from service_proxy.net.upstream.connection import STALL_TIMEOUT_S
 from service_proxy.policy import events as api
 from service_proxy.policy.balancer import Balancer
+from service_proxy.policy.settings_types import LoadReportSource
 
 log = logging.getLogger(__name__)
 
@@ -409,7 +410,7 @@
         elif status is api.AttemptStatus.OK:
             self._forward_response(open_request, attempt)
         report = None
-        if self.settings.load_report_source == "answer":
+        if self.settings.load_report_source is LoadReportSource.ANSWER:
             reports = [value for name, value in attempt.response_headers if name == b"x-load-report"]
             report = parse_load_report(reports[0]) if len(reports) == 1 else None
         self.enqueue_event(
--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -107,16 +107,15 @@
     time_budget = _time_budget(headers)
     _validate_form(method, idempotency, idempotency_key, body)
     expected_work = _expected_work(headers)
-    head = _forwarded_head(method, target, headers, body, consumed_headers)
     return Request(
         id=request_id,
         class_name=class_name,
         time_budget=time_budget,
+        head=_forwarded_head(method, target, headers, body, consumed_headers),
         affinity_key=_affinity_key(headers),
         tenant=_single_value(headers, b"x-caller").decode("latin-1"),
         expected_work=expected_work,
         is_retry=_single_value(headers, b"x-again") == b"1",
-        head=head,
         body=body,
         received_at=received_at,
         idempotency_key=idempotency_key,
--- a/service_proxy/net/health_checker.py
+++ b/service_proxy/net/health_checker.py
@@ -7,6 +7,7 @@
 from service_proxy.net.load_report import parse_load_report
 from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
 from service_proxy.policy import events as api
+from service_proxy.policy.settings_types import LoadReportSource
 
 MAX_HEALTH_CHECKS = 32  # at once
 HEALTH_CHECK_TIMEOUT_S = 0.2  # a load report that comes later is of no use
@@ -17,7 +18,7 @@
 
     Args:
         cluster: the endpoints.
-        load_report_source: as the settings have it; "none": there are no load reports to ask for.
+        load_report_source: as the settings have it; NONE: there are no load reports to ask for.
         enqueue_event: takes the result for the policy.
         report_outcome: called with the endpoint id and the status of each check.
     """
@@ -25,7 +26,7 @@
     def __init__(
         self,
         cluster: UpstreamCluster,
-        load_report_source: str,
+        load_report_source: LoadReportSource,
         enqueue_event: Callable[[api.Event], None],
         report_outcome: Callable[[int, api.AttemptStatus], None],
     ) -> None:
@@ -44,7 +45,7 @@
             self.enqueue_event(api.HealthCheckEnded(endpoint_id, api.AttemptStatus.REJECTED, 0.0))
             return
         self.checks_in_flight += 1
-        target = "/healthz" if self.load_report_source == "none" else "/load"
+        target = "/healthz" if self.load_report_source is LoadReportSource.NONE else "/load"
         host, port = pool.address
         request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
 
