--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -1,4 +1,4 @@
-"""Loopback pieces for the tests of the real proxy: a backend, a discovery and a caller, on port 0."""
+"""Loopback parts for the tests of the real proxy: an endpoint, a discovery service, a client, on port 0."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ReceivedRequest:
-    """A request as a backend got it."""
+    """A request as an endpoint got it."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, connection: int) -> None:
         self.method, self.target, _ = line.split(" ")
@@ -60,10 +60,10 @@
 
 
 class EndpointServer:
-    """Answers calls by `behave`; keeps what it saw, apart from probes."""
+    """Answers requests by `respond`; keeps what it saw, apart from probes."""
 
-    def __init__(self, behave: Responder = respond_ok) -> None:
-        self.respond = behave
+    def __init__(self, respond: Responder = respond_ok) -> None:
+        self.respond = respond
         self.health_answer: bool | None = True  # what a probe is told; None: nothing
         self.health_checked = asyncio.Event()
         self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
@@ -161,7 +161,7 @@
 
 
 class Client:
-    """One caller's connection."""
+    """One client's connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -278,9 +278,9 @@
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                caller = Client(*await asyncio.open_connection(*address))
-                reply = await caller.send_raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-                caller.writer.close()
+                client = Client(*await asyncio.open_connection(*address))
+                reply = await client.send_raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                client.writer.close()
                 if reply.status_code == 200:
                     return
             await asyncio.sleep(0.02)
@@ -288,14 +288,16 @@
 
 @contextlib.asynccontextmanager
 async def proxy_under_test(
-    backends: dict[str, EndpointServer], discovery: DiscoveryServer | None = None, /, **changes: Any
+    endpoints: dict[str, EndpointServer], discovery: DiscoveryServer | None = None, /, **changes: Any
 ) -> AsyncIterator[ProxyUnderTest]:
-    """A proxy before these backends, ready; ended by force if the test has not ended it."""
+    """A proxy before these endpoints, ready; ended by force if the test has not ended it."""
     own = discovery or await DiscoveryServer().start()
-    for backend in backends.values():
-        if not backend.address:
-            await backend.start()
-    known = endpoint_list(1, *(endpoint_entry(name, backend.address) for name, backend in backends.items()))
+    for endpoint in endpoints.values():
+        if not endpoint.address:
+            await endpoint.start()
+    known = endpoint_list(
+        1, *(endpoint_entry(name, endpoint.address) for name, endpoint in endpoints.items())
+    )
     listen = f"127.0.0.1:{free_port()}"
     host, _, port = listen.rpartition(":")
     with tempfile.TemporaryDirectory() as folder:
@@ -308,8 +310,8 @@
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-            for backend in backends.values():
-                await backend.stop()
+            for endpoint in endpoints.values():
+                await endpoint.stop()
             if own.server is not None:
                 own.server.close()
 
@@ -332,9 +334,9 @@
     asyncio.run(bounded())
 
 
-async def next_request(backend: EndpointServer) -> ReceivedRequest:
+async def next_request(endpoint: EndpointServer) -> ReceivedRequest:
     async with asyncio.timeout(TEST_TIMEOUT_S):
-        return await backend.received.get()
+        return await endpoint.received.get()
 
 
 SYN_SENT = "02"  # in /proc/net/tcp
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -25,7 +25,7 @@
     response,
     run_async,
 )
-from net_harness import DiscoveryServer as Told
+from net_harness import DiscoveryServer as DiscoveryServer
 
 from service_proxy.net.downstream import HttpServer
 from service_proxy.net.limits import MAX_MESSAGE_BYTES
@@ -121,35 +121,35 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if not free.is_set():
                 await free.wait()
             writer.write(response(200, b"done"))
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            first = [await node.connect() for _ in range(12)]
-            for number, caller in enumerate(first):
-                caller.send("canje", f"{number:016x}", budget="5000m")
-            await next_request(backend)
-            leaving = [await node.connect() for _ in range(200)]
-            for number, caller in enumerate(leaving):
-                caller.send("stock", f"aa{number:014x}", budget="5000m")
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            first = [await proxy.connect() for _ in range(12)]
+            for number, client in enumerate(first):
+                client.send("canje", f"{number:016x}", budget="5000m")
+            await next_request(endpoint)
+            leaving = [await proxy.connect() for _ in range(200)]
+            for number, client in enumerate(leaving):
+                client.send("stock", f"aa{number:014x}", budget="5000m")
                 if number % 2:
-                    caller.send("stock", f"bb{number:014x}", budget="5000m")
+                    client.send("stock", f"bb{number:014x}", budget="5000m")
             # An answer on the listener's loop, so all of these have been read.
-            assert (await (await node.connect()).send_raw(HEALTH)).status_code == 200
-            for caller in leaving:
-                half_close(caller.writer.get_extra_info("socket"))
-            for caller in leaving:  # refused and ended, or ended
+            assert (await (await proxy.connect()).send_raw(HEALTH)).status_code == 200
+            for client in leaving:
+                half_close(client.writer.get_extra_info("socket"))
+            for client in leaving:  # refused and ended, or ended
                 async with asyncio.timeout(TEST_TIMEOUT_S):
-                    await caller.reader.read()
-            seen = backend.received_count
+                    await client.reader.read()
+            seen = endpoint.received_count
             free.set()
             for number in range(5):
-                assert (await (await node.connect()).request("stock", f"cc{number:014x}")).status_code == 200
+                assert (await (await proxy.connect()).request("stock", f"cc{number:014x}")).status_code == 200
             ids = [
-                backend.received.get_nowait().headers["x-call-id"] for _ in range(backend.received.qsize())
+                endpoint.received.get_nowait().headers["x-call-id"] for _ in range(endpoint.received.qsize())
             ]
             assert not [id for id in ids[max(0, seen - 1) :] if id[:2] in ("aa", "bb")]
 
@@ -157,16 +157,16 @@
 
 
 @contextlib.asynccontextmanager
-async def before(late: Unreachable) -> AsyncIterator[tuple[ProxyUnderTest, Told]]:
+async def before(late: Unreachable) -> AsyncIterator[tuple[ProxyUnderTest, DiscoveryServer]]:
     """A proxy whose list has nobody else, with time enough for a slow connect."""
     settings = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
-    discovery = await Told().start()
-    async with proxy_under_test({"s-1": EndpointServer()}, discovery, policy_limits=settings) as node:
+    discovery = await DiscoveryServer().start()
+    async with proxy_under_test({"s-1": EndpointServer()}, discovery, policy_limits=settings) as proxy:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await discovery.polls.get()
             discovery.publish(2, endpoint_entry("s-2", late.address), snapshot=True)
             await discovery.polls.get()
-        yield node, discovery
+        yield proxy, discovery
 
 
 @pytest.mark.parametrize("end", ENDS)
@@ -175,20 +175,20 @@
 ) -> None:
     async def test() -> None:
         late = Unreachable()
-        async with before(late) as (node, _):
-            caller = await node.connect()
-            stays = await node.connect()
-            caller.send("canje", "a" * 16, budget="8000m")
+        async with before(late) as (proxy, _):
+            client = await proxy.connect()
+            stays = await proxy.connect()
+            client.send("canje", "a" * 16, budget="8000m")
             await late.tried(1)
             stays.send("canje", "b" * 16, budget="8000m")
             await late.tried(2)
-            raw = caller.writer.get_extra_info("socket")
+            raw = client.writer.get_extra_info("socket")
             if end is half_close:
                 half_close(raw)
             else:
                 if end is reset:
                     reset_on_close(raw)
-                caller.writer.transport.abort()
+                client.writer.transport.abort()
             heard, idle = await late.calls()
             assert len(heard) == 1 and b"b" * 16 in heard[0] and b"a" * 16 not in heard[0]
             assert (await stays.response()).status_code == 200
@@ -206,9 +206,9 @@
     async def test() -> None:
         late = Unreachable()
         stays = await EndpointServer().start()
-        async with before(late) as (node, discovery):
-            caller = await node.connect()
-            caller.send("canje", "a" * 16, budget="8000m")
+        async with before(late) as (proxy, discovery):
+            client = await proxy.connect()
+            client.send("canje", "a" * 16, budget="8000m")
             await late.tried(1)
             discovery.publish(
                 3, endpoint_entry("s-2", late.address, status), endpoint_entry("s-3", stays.address)
@@ -216,7 +216,7 @@
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=3&" in await discovery.polls.get()
             assert await late.first() == b""  # it came up, and was closed unused
-            answer = await caller.response()  # sent to the other, where its time allowed: it never ran
+            answer = await client.response()  # sent to the other, where its time allowed: it never ran
             assert (answer.status_code, stays.received_count) in ((200, 1), (503, 0))
         await stays.stop()
 
--- a/tests/net/test_configuration.py
+++ b/tests/net/test_configuration.py
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_real_program_keeps_the_rules_under_any_deployment(seed: int) -> None:
-    """Backends serve, fail, turn away, reset and hang; callers come at once, and some leave."""
+    """Endpoints serve, fail, turn away, reset and hang; clients come at once, and some leave."""
 
     async def test() -> None:
         settings = drawn(seed)
@@ -167,10 +167,10 @@
         loop = asyncio.get_running_loop()
         chance = Random(seed)
 
-        def behave(name: str) -> Any:
-            async def behaves(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-                key = seen.headers.get("idempotency-key", "")
-                entry = ledger.attempt(seen.headers["x-call-id"], name, "a", loop.time(), key=key)
+        def respond(name: str) -> Any:
+            async def behaves(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+                key = received.headers.get("idempotency-key", "")
+                entry = ledger.attempt(received.headers["x-call-id"], name, "a", loop.time(), key=key)
                 entry.last_byte_at = loop.time()
                 kind = chance.choice(["ok", "ok", "ok", "error", "full", "reset", "hang"])
                 if kind == "full":
@@ -186,9 +186,9 @@
 
             return behaves
 
-        async def calls(node: Any, number: int) -> None:
+        async def calls(proxy: Any, number: int) -> None:
             grade = settings["grades"][number % len(settings["grades"])]
-            caller: Client = await node.connect()
+            client: Client = await proxy.connect()
             id = f"{number:016x}"
             leaves = number % 7 == 6
             get = grade["effect"] == "repeatable"
@@ -196,28 +196,28 @@
             budget = grade["deadline"]
             head = f"{'GET' if get else 'POST'} /{grade['name']} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id}\r\n"
             length = "" if get else "Content-Length: 0\r\n"
-            caller.writer.write(f"{head}X-Budget: {budget * 1000:.0f}m\r\n{key}{length}\r\n".encode())
+            client.writer.write(f"{head}X-Budget: {budget * 1000:.0f}m\r\n{key}{length}\r\n".encode())
             begun = loop.time()
             ledger.requests.append(
                 SentRequest(id, grade["name"], begun, begun + budget, key=key and f"k{id}")
             )
             if leaves:
-                caller.writer.close()
+                client.writer.close()
                 ledger.excused_requests.add(id)  # nobody is there to be answered
                 return
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                line, _, _ = await read_message(caller.reader)
+                line, _, _ = await read_message(client.reader)
             ledger.answers.append(ReceivedAnswer(id, loop.time(), int(line.split(" ")[1])))
-            caller.writer.close()
+            client.writer.close()
 
-        async def lane(node: Any, first: int) -> None:
+        async def lane(proxy: Any, first: int) -> None:
             for number in range(first, 120, 6):
-                await calls(node, number)
+                await calls(proxy, number)
 
-        backends = {f"s-{n}": EndpointServer(behave(f"s-{n}")) for n in range(4)}
+        endpoints = {f"s-{n}": EndpointServer(respond(f"s-{n}")) for n in range(4)}
         own = {key: settings[key] for key in ("discovery", "grades", "tenants", "policy_limits", "contract")}
-        async with proxy_under_test(backends, **own) as node:
-            await asyncio.gather(*(lane(node, first) for first in range(6)))
+        async with proxy_under_test(endpoints, **own) as proxy:
+            await asyncio.gather(*(lane(proxy, first) for first in range(6)))
         effects = {
             g["name"]: Idempotency(g["effect"], g["window"], everywhere(g)) for g in settings["grades"]
         }
--- a/tests/net/test_deployment_commands.py
+++ b/tests/net/test_deployment_commands.py
@@ -60,9 +60,9 @@
         return (self.folder / "audit").read_text().splitlines()
 
     def ask(self, request: bytes) -> bytes:
-        with suppress(OSError), socket.create_connection(self.listen, 1.0) as caller:
-            caller.sendall(request)
-            return caller.recv(4096)
+        with suppress(OSError), socket.create_connection(self.listen, 1.0) as client:
+            client.sendall(request)
+            return client.recv(4096)
         return b""
 
     def sockets(self) -> list[str]:
--- a/tests/net/test_discovery_polling.py
+++ b/tests/net/test_discovery_polling.py
@@ -320,14 +320,14 @@
 
 
 async def goes_to_the_other(
-    node: ProxyUnderTest, agent: Agent, leaves: EndpointServer, stays: EndpointServer
+    proxy: ProxyUnderTest, agent: Agent, leaves: EndpointServer, stays: EndpointServer
 ) -> None:
     """Once the proxy asks from the agent's second version, it has the first's change."""
     while "from=2&" not in await agent.call():
         pass
-    caller = await node.connect()
+    client = await proxy.connect()
     for number in range(20):
-        assert (await caller.request("stock", f"{number:016x}")).status_code == 200
+        assert (await client.request("stock", f"{number:016x}")).status_code == 200
     assert (leaves.received_count, stays.received_count) == (0, 20)
 
 
@@ -339,10 +339,10 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await agent.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as proxy:
             assert "from=1&" in await agent.call()
             await agent.tell(endpoint_entry("s-1", leaves.address, "Terminating"))
-            await goes_to_the_other(node, agent, leaves, stays)
+            await goes_to_the_other(proxy, agent, leaves, stays)
 
     run_async(test())
 
@@ -353,14 +353,14 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await agent.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as node:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as proxy:
             await agent.call()
             agent.down = True
             await agent.tell(endpoint_entry("s-1", leaves.address, "Gone"))
             for _ in range(5):
                 assert "from=1&" in await agent.call()
             agent.down = False
-            await goes_to_the_other(node, agent, leaves, stays)
+            await goes_to_the_other(proxy, agent, leaves, stays)
 
     run_async(test())
 
@@ -434,20 +434,20 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await new.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, old) as node:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, old) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=1&" in await old.polls.get()  # and it says nothing
             new.version, new.entries = 7, [endpoint_entry("s-2", stays.address)]
             new.whole = True
-            node.reload(discovery=new.address)
+            proxy.reload(discovery=new.address)
             while "from=7&" not in await new.call():
                 pass
             old.publish(
                 9, endpoint_entry("s-1", leaves.address), snapshot=True
             )  # too late: it is heard no more
-            caller = await node.connect()
+            client = await proxy.connect()
             for number in range(20):
-                assert (await caller.request("stock", f"{number:016x}")).status_code == 200
+                assert (await client.request("stock", f"{number:016x}")).status_code == 200
             assert (leaves.received_count, stays.received_count) == (0, 20)
 
     run_async(test())
--- a/tests/net/test_downstream_clients.py
+++ b/tests/net/test_downstream_clients.py
@@ -1,4 +1,4 @@
-"""Callers that send badly, slowly, too much or nothing: owed an error or a close, and no harm to others."""
+"""Clients that send badly, slowly, too much or nothing: owed an error or a close, and no harm to others."""
 
 from __future__ import annotations
 
@@ -32,27 +32,27 @@
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
-async def told(caller: Client) -> int:
+async def told(client: Client) -> int:
     """The code of the one answer, 0 for none; waits until the connection has ended behind it."""
     code = 0
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-        code = (await caller.response()).status_code
+        code = (await client.response()).status_code
     async with asyncio.timeout(TEST_TIMEOUT_S):
         with contextlib.suppress(ConnectionError):
-            assert await caller.reader.read() == b""
+            assert await client.reader.read() == b""
     return code
 
 
-async def write_for_ever(caller: Client, data: bytes, pause: float = 0.0005) -> None:
+async def write_for_ever(client: Client, data: bytes, pause: float = 0.0005) -> None:
     with contextlib.suppress(ConnectionError):
         while True:
-            caller.writer.write(data)
-            await caller.writer.drain()
+            client.writer.write(data)
+            await client.writer.drain()
             await asyncio.sleep(pause)
 
 
-async def fine(node: ProxyUnderTest) -> bool:
-    return (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
+async def fine(proxy: ProxyUnderTest) -> bool:
+    return (await (await proxy.connect()).request("stock", "2" * 16)).status_code == 200
 
 
 ENDLESS = {
@@ -69,35 +69,35 @@
     """At full speed, so by the bytes and before the time is up."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
-            caller = await node.connect()
-            caller.writer.write(begin)
-            writing = asyncio.create_task(write_for_ever(caller, more))
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(begin)
+            writing = asyncio.create_task(write_for_ever(client, more))
             begun = asyncio.get_running_loop().time()
-            assert (await caller.response()).status_code == code
+            assert (await client.response()).status_code == code
             assert asyncio.get_running_loop().time() - begun < 1.5
             writing.cancel()
-            assert await fine(node)
+            assert await fine(proxy)
 
     run_async(test())
 
 
-async def nothing(caller: Client) -> None:
+async def nothing(client: Client) -> None:
     return
 
 
-async def half(caller: Client) -> None:
-    caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: 10\r\n\r\nhalf")
+async def half(client: Client) -> None:
+    client.writer.write(b"POST /canje" + HEAD + b"Content-Length: 10\r\n\r\nhalf")
 
 
-async def drip(caller: Client) -> None:
-    caller.writer.write(b"GET /stock" + HEAD + b"X-Slow: ")
-    await write_for_ever(caller, b"a", 0.1)
+async def drip(client: Client) -> None:
+    client.writer.write(b"GET /stock" + HEAD + b"X-Slow: ")
+    await write_for_ever(client, b"a", 0.1)
 
 
-async def served_then_half(caller: Client) -> None:
-    assert (await caller.request("stock", "3" * 16)).status_code == 200
-    await half(caller)
+async def served_then_half(client: Client) -> None:
+    assert (await client.request("stock", "3" * 16)).status_code == 200
+    await half(client)
 
 
 @pytest.mark.parametrize(("act", "code"), [(nothing, 0), (half, 408), (drip, 408), (served_then_half, 408)])
@@ -105,13 +105,13 @@
     act: Callable[[Client], Awaitable[None]], code: int
 ) -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
             begun = asyncio.get_running_loop().time()
-            caller = await node.connect()
-            acting = asyncio.ensure_future(act(caller))
+            client = await proxy.connect()
+            acting = asyncio.ensure_future(act(client))
             if act is served_then_half:
                 await acting
-            assert await told(caller) == code
+            assert await told(client) == code
             assert 1.8 < asyncio.get_running_loop().time() - begun < 3.0
             acting.cancel()
 
@@ -122,17 +122,17 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def behave(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
-            await respond_ok(seen, writer)
+            await respond_ok(received, writer)
 
-        backend = EndpointServer(behave)
+        endpoint = EndpointServer(behave)
         grades = [{**grade, "objective": grade["deadline"]} for grade in CLASS_SETTINGS]
-        async with proxy_under_test({"s-1": backend}, grades=grades) as node:
-            old = await node.connect()
-            silent = await node.connect()
+        async with proxy_under_test({"s-1": endpoint}, grades=grades) as proxy:
+            old = await proxy.connect()
+            silent = await proxy.connect()
             old.send("canje", "a" * 16, budget="6000m")
-            await next_request(backend)
+            await next_request(endpoint)
             assert await silent.is_closed()  # the bound has passed
             free.set()
             assert (await old.response()).status_code == 200
@@ -142,19 +142,19 @@
 
 
 def test_a_crowd_of_silent_clients_leaves_room_and_descriptors() -> None:
-    """Upstreams and discovery keep their reserve of 256 descriptors, and a caller that asks is served."""
+    """Upstreams and discovery keep their reserve of 256 descriptors, and a client that asks is served."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, sockets=256) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}, sockets=256) as proxy:
             most = 0
-            crowd = [asyncio.open_connection(*node.address) for _ in range(400)]
+            crowd = [asyncio.open_connection(*proxy.address) for _ in range(400)]
             opened = await asyncio.gather(*crowd)
             for number in range(20):
-                caller = await node.connect()
+                client = await proxy.connect()
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                    if (await caller.request("stock", f"{number:016x}")).status_code == 200:
+                    if (await client.request("stock", f"{number:016x}")).status_code == 200:
                         break
-                most = max(most, len(os.listdir(f"/proc/{node.process.pid}/fd")))
+                most = max(most, len(os.listdir(f"/proc/{proxy.process.pid}/fd")))
                 await asyncio.sleep(0.05)  # a second at most
             else:
                 raise AssertionError("nobody was served")
@@ -162,24 +162,24 @@
             ends = [Client(*pair).is_closed() for pair in opened]
             async with asyncio.timeout(3.0):
                 assert all(await asyncio.gather(*ends))
-            assert node.process.returncode is None
+            assert proxy.process.returncode is None
 
     run_async(test())
 
 
 def test_60_mb_get_their_response() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
+            client = await proxy.connect()
             length = 60 << 20
-            caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: %d\r\n\r\n" % length)
-            writing = asyncio.create_task(write_for_ever(caller, bytes(1 << 20), 0.0))
-            assert (await caller.response()).status_code == 413
+            client.writer.write(b"POST /canje" + HEAD + b"Content-Length: %d\r\n\r\n" % length)
+            writing = asyncio.create_task(write_for_ever(client, bytes(1 << 20), 0.0))
+            assert (await client.response()).status_code == 413
             async with asyncio.timeout(6.0):
                 with contextlib.suppress(ConnectionError):
-                    await caller.reader.read()
+                    await client.reader.read()
             writing.cancel()
-            assert await fine(node)
+            assert await fine(proxy)
 
     run_async(test())
 
@@ -204,64 +204,66 @@
 @pytest.mark.parametrize("rest", SMUGGLED.values(), ids=SMUGGLED)
 def test_no_request_is_smuggled_in_a_body(rest: bytes) -> None:
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.writer.write(b"POST /canje" + HEAD + rest)
-            assert await told(caller) == 400
-            assert await fine(node)
-        assert backend.received_count == 1  # the last one
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(b"POST /canje" + HEAD + rest)
+            assert await told(client) == 400
+            assert await fine(proxy)
+        assert endpoint.received_count == 1  # the last one
 
     run_async(test())
 
 
 def test_a_huge_content_length_is_rejected_at_the_head() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
-            caller = await node.connect()
-            caller.writer.write(b"POST /canje" + HEAD + b"Content-Length: " + b"9" * 30 + b"\r\n\r\n")
-            assert await told(caller) in (400, 413)
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(b"POST /canje" + HEAD + b"Content-Length: " + b"9" * 30 + b"\r\n\r\n")
+            assert await told(client) in (400, 413)
 
     run_async(test())
 
 
 def test_a_trailer_is_no_header() -> None:
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
             body = b"2\r\nhi\r\n0\r\nIdempotency-Key: k\r\nX-T: 1\r\n\r\n"
             data = b"POST /canje" + HEAD + CHUNKED + b"\r\n" + body
-            assert (await (await node.connect()).send_raw(data)).status_code == 200
-            seen = await next_request(backend)
-        assert seen.body == b"hi" and not {"x-t", "idempotency-key", "transfer-encoding"} & set(seen.headers)
+            assert (await (await proxy.connect()).send_raw(data)).status_code == 200
+            received = await next_request(endpoint)
+        assert received.body == b"hi" and not {"x-t", "idempotency-key", "transfer-encoding"} & set(
+            received.headers
+        )
 
     run_async(test())
 
 
 @pytest.mark.parametrize("spoil", [b"X-Note: a\x01b\r\n", b"X-Note: a\x7fb\r\n", b"X-Note: a\x00b\r\n"])
 def test_what_an_endpoint_might_not_read_is_not_forwarded(spoil: bytes) -> None:
-    """A backend that can't read a request closes: for the proxy that would look like the backend's fault."""
+    """An endpoint that can't read a request closes: to the proxy that would look like its fault."""
 
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
             assert (
-                await (await node.connect()).send_raw(b"GET /stock" + HEAD + spoil + b"\r\n")
+                await (await proxy.connect()).send_raw(b"GET /stock" + HEAD + spoil + b"\r\n")
             ).status_code == 400
-        assert backend.received_count == 0
+        assert endpoint.received_count == 0
 
     run_async(test())
 
 
 def test_no_request_stays_open_beyond_the_deadline_of_its_class() -> None:
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def behave(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             return
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
+        endpoint = EndpointServer(behave)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
             begun = asyncio.get_running_loop().time()
-            reply = await (await node.connect()).request("stock", "a" * 16, budget="999999999999m")
+            reply = await (await proxy.connect()).request("stock", "a" * 16, budget="999999999999m")
             assert reply.status_code == 503
             assert asyncio.get_running_loop().time() - begun < 2.0
 
@@ -279,11 +281,11 @@
 
         server = HttpServer({"stock": Idempotency.IDEMPOTENT}, Handler(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
-        caller = Client(*await asyncio.open_connection("127.0.0.1", port))
-        assert (await caller.request("stock", "a" * 16)).status_code == 200
+        client = Client(*await asyncio.open_connection("127.0.0.1", port))
+        assert (await client.request("stock", "a" * 16)).status_code == 200
         connection: DownstreamConnection = next(iter(server.connections))
         assert connection.parser is not None and connection in server.idle
-        caller.writer.close()
+        client.writer.close()
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while server.connections:
                 await asyncio.sleep(0)
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -39,7 +39,7 @@
 KILL = 3.0 + 0.7  # s after SIGTERM at which SIGKILL may come, where the longest deadline is 3 s or more
 
 
-async def hangs(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def hangs(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
@@ -56,24 +56,24 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        backend = EndpointServer(hangs)
-        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
-            callers = [await node.connect() for _ in range(12)]
-            for number, caller in enumerate(callers):
+        endpoint = EndpointServer(hangs)
+        async with proxy_under_test({"s-1": endpoint}, grades=grades()) as proxy:
+            clients = [await proxy.connect() for _ in range(12)]
+            for number, client in enumerate(clients):
                 cls = ("stock", "reserva", "canje")[number % 3]
-                caller.send(cls, f"{number:016x}", budget="9000m")
-            begins = await node.connect()
+                client.send(cls, f"{number:016x}", budget="9000m")
+            begins = await proxy.connect()
             begins.writer.write(b"GET /stock HTTP/1.1\r\nHost: x\r\n")
-            await next_request(backend)
+            await next_request(endpoint)
             begun = loop.time()
-            node.terminate()
-            node.terminate()  # a second one changes nothing
-            for caller in callers:
-                assert (await caller.response()).status_code in (502, 503, 504)
-            assert await node.exit_code() == 0
+            proxy.terminate()
+            proxy.terminate()  # a second one changes nothing
+            for client in clients:
+                assert (await client.response()).status_code in (502, 503, 504)
+            assert await proxy.exit_code() == 0
             assert loop.time() - begun < KILL
-            assert node.process.stderr is not None
-            assert b"Traceback" not in await node.process.stderr.read()
+            assert proxy.process.stderr is not None
+            assert b"Traceback" not in await proxy.process.stderr.read()
 
     run_async(test())
 
@@ -119,13 +119,13 @@
         server = HttpServer({"stock": Idempotency.IDEMPOTENT}, Answering(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
         raws = []
-        callers = []
+        clients = []
         for number in range(2):
             raws.append(socket.create_connection(("127.0.0.1", port)))
             raws[-1].setblocking(False)
-            callers.append(Client(*await asyncio.open_connection(sock=raws[-1])))
+            clients.append(Client(*await asyncio.open_connection(sock=raws[-1])))
             if not first:
-                assert (await callers[-1].send_raw(get_request(str(number)))).status_code == 200
+                assert (await clients[-1].send_raw(get_request(str(number)))).status_code == 200
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(server.awaiting_request if first else server.idle) < 2:
                 await asyncio.sleep(0)
@@ -141,11 +141,11 @@
         asking = next(place for place, raw in enumerate(raws) if raw.getsockname() == peer)
         raws[asking].send(get_request("9"))  # and no turn of the loop between this and the next line
         end(server)
-        assert (await callers[asking].response()).body == b"9".rjust(16, b"0")
-        assert await callers[1 - asking].is_closed()
+        assert (await clients[asking].response()).body == b"9".rjust(16, b"0")
+        assert await clients[1 - asking].is_closed()
         server.stop_listening()
-        for caller in callers:
-            caller.writer.close()
+        for client in clients:
+            client.writer.close()
 
     uvloop.run(test())
 
@@ -154,19 +154,19 @@
     """On a kept connection clients go on sending up to the SIGKILL."""
 
     async def test() -> None:
-        backend = EndpointServer(hangs)
-        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
-            stuck = await node.connect()
-            late = await node.connect()
+        endpoint = EndpointServer(hangs)
+        async with proxy_under_test({"s-1": endpoint}, grades=grades()) as proxy:
+            stuck = await proxy.connect()
+            late = await proxy.connect()
             stuck.send("canje", "a" * 16, budget="9000m")
-            await next_request(backend)
-            node.terminate()
+            await next_request(endpoint)
+            proxy.terminate()
             assert (await stuck.response()).status_code in (502, 504)
             late.send("canje", "b" * 16, budget="9000m")
             if not await late.is_closed():  # answered rather than closed unread
                 assert b" 503 " in await late.reader.readline()
-            assert await node.exit_code() == 0
-            assert backend.received_count == 1
+            assert await proxy.exit_code() == 0
+            assert endpoint.received_count == 1
 
     run_async(test())
 
@@ -180,19 +180,19 @@
         rest = asyncio.Event()
         half = b"a" * 100_000
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def behave(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half)
             await rest.wait()
             writer.write(half)
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
-            caller = await node.connect()
-            other = await node.connect()
-            caller.send("canje", "a" * 16, budget="9000m")
+        endpoint = EndpointServer(behave)
+        async with proxy_under_test({"s-1": endpoint}, grades=grades()) as proxy:
+            client = await proxy.connect()
+            other = await proxy.connect()
+            client.send("canje", "a" * 16, budget="9000m")
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                assert (await caller.reader.readexactly(100_000)).startswith(b"HTTP/1.1 200 ")
-            node.terminate()
+                assert (await client.reader.readexactly(100_000)).startswith(b"HTTP/1.1 200 ")
+            proxy.terminate()
             begun = loop.time()
             answer = await other.send_raw(get_request("404").replace(b"/stock", b"/nosuch"))
             assert answer.status_code == 404  # it still serves after the signal
@@ -201,9 +201,9 @@
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 read = b""
                 with contextlib.suppress(ConnectionError):
-                    read = await caller.reader.read(-1)
+                    read = await client.reader.read(-1)
             assert (read.endswith(half)) == ends and len(read) < len(half) + 100 * (1 + ends)
-            assert await node.exit_code() == 0
+            assert await proxy.exit_code() == 0
             assert loop.time() - begun < KILL
             rest.set()
 
@@ -214,23 +214,23 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def behave(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n")
             with contextlib.suppress(ConnectionError):
                 for _ in range(300):
                     writer.write(b"a" * 100_000)
                     await writer.drain()
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}, grades=grades()) as node:
-            raw = socket.create_connection(node.address)
+        endpoint = EndpointServer(behave)
+        async with proxy_under_test({"s-1": endpoint}, grades=grades()) as proxy:
+            raw = socket.create_connection(proxy.address)
             raw.send(get_request("1").replace(b"/stock", b"/stock?"))
-            await next_request(backend)
+            await next_request(endpoint)
             while not select.select([raw], [], [], 0)[0]:  # it has begun to come, and is not read
                 await asyncio.sleep(0)
-            node.terminate()
+            proxy.terminate()
             begun = loop.time()
-            assert await node.exit_code() == 0
+            assert await proxy.exit_code() == 0
             assert loop.time() - begun < KILL
             raw.close()
 
@@ -241,18 +241,18 @@
     """After a stall timers come before sockets: the listener must not close on who came meanwhile."""
 
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
-            assert (await (await node.connect()).request("stock", "1" * 16)).status_code == 200
-            node.terminate()
-            assert (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
-            node.process.send_signal(signal.SIGSTOP)
-            late = await node.connect()  # the kernel takes it, and its request
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            assert (await (await proxy.connect()).request("stock", "1" * 16)).status_code == 200
+            proxy.terminate()
+            assert (await (await proxy.connect()).request("stock", "2" * 16)).status_code == 200
+            proxy.process.send_signal(signal.SIGSTOP)
+            late = await proxy.connect()  # the kernel takes it, and its request
             late.send("stock", "3" * 16)
             await asyncio.sleep(LISTENER_GRACE_S)  # the stall itself
-            node.process.send_signal(signal.SIGCONT)
+            proxy.process.send_signal(signal.SIGCONT)
             assert (await late.response()).status_code == 200
-            assert await node.exit_code() == 0
+            assert await proxy.exit_code() == 0
 
     run_async(test())
 
--- a/tests/net/test_http_message_rules.py
+++ b/tests/net/test_http_message_rules.py
@@ -1,7 +1,7 @@
 """What RFC 9110 and RFC 9112 have a proxy refuse, row by row, on the sockets of the program itself.
 
 One proxy serves all rows: each row is answered with its code, its connection ends, nothing of it reaches the
-backend, and the next caller is served. A request hidden behind the fault must not be found.
+endpoint, and the next client is served. A request hidden behind the fault must not be found.
 """
 
 from __future__ import annotations
@@ -120,42 +120,42 @@
 }
 
 
-async def codes(caller: Client) -> list[int]:
+async def codes(client: Client) -> list[int]:
     """Of all answers that come before the connection ends."""
     found = []
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         while True:
-            found.append((await caller.response()).status_code)
+            found.append((await client.response()).status_code)
     return found
 
 
 def test_what_the_rfcs_reject_is_rejected_and_reaches_no_endpoint() -> None:
     async def test() -> None:
-        backend = EndpointServer()
+        endpoint = EndpointServer()
         wrong = []
-        async with proxy_under_test({"s-1": backend}) as node:
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
             for name, (section, code, data) in REFUSED.items():
-                caller = await node.connect()
-                caller.writer.write(data)
-                caller.writer.write_eof()
-                found = await codes(caller)
-                if found != [code] or backend.received_count:
-                    wrong.append((name, section, code, found, backend.received_count))
-                    backend.received_count = 0
+                client = await proxy.connect()
+                client.writer.write(data)
+                client.writer.write_eof()
+                found = await codes(client)
+                if found != [code] or endpoint.received_count:
+                    wrong.append((name, section, code, found, endpoint.received_count))
+                    endpoint.received_count = 0
             assert not wrong, wrong
-            assert (await (await node.connect()).request("stock", "2" * 16)).status_code == 200
+            assert (await (await proxy.connect()).request("stock", "2" * 16)).status_code == 200
 
     run_async(test())
 
 
 def test_what_the_rfcs_allow_is_served() -> None:
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
             for name, (_, data) in TAKEN.items():
-                answer = await (await node.connect()).send_raw(data)
+                answer = await (await proxy.connect()).send_raw(data)
                 assert answer.status_code == 200, name
-        assert backend.received_count == len(TAKEN)
+        assert endpoint.received_count == len(TAKEN)
 
     run_async(test())
 
@@ -164,12 +164,12 @@
     """RFC 9110, 7.6.1: also where the name comes among others and in other letters."""
 
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
             fields = b"Connection: keep-alive, X-HOP\r\nX-Hop: 1\r\nX-Stay: 2\r\n"
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                assert (await (await node.connect()).send_raw(get(GET, HOST + fields))).status_code == 200
-            seen = await next_request(backend)
-        assert "x-hop" not in seen.headers and seen.headers["x-stay"] == "2"
+                assert (await (await proxy.connect()).send_raw(get(GET, HOST + fields))).status_code == 200
+            received = await next_request(endpoint)
+        assert "x-hop" not in received.headers and received.headers["x-stay"] == "2"
 
     run_async(test())
--- a/tests/net/test_proxy_end_to_end.py
+++ b/tests/net/test_proxy_end_to_end.py
@@ -32,127 +32,129 @@
     async def test() -> None:
         body = bytes(range(256)) * 256  # 64 KiB
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            writer.write(response(200, seen.body[::-1], X_Load_Report="inflight=1", X_Note="yes"))
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(response(200, received.body[::-1], X_Load_Report="inflight=1", X_Note="yes"))
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
             more = {"Cookie": "sid=7f", "X_Caller": "acme"}
-            reply = await caller.request("reserva", "9b1f03aa5c7e2d41", body=body, **more)
-            seen = await next_request(backend)
+            reply = await client.request("reserva", "9b1f03aa5c7e2d41", body=body, **more)
+            received = await next_request(endpoint)
         assert (reply.status_code, reply.body) == (200, body[::-1])
         assert reply.headers["x-note"] == "yes" and "x-load-report" not in reply.headers
-        assert (seen.method, seen.target, seen.body) == ("POST", "/reserva?q=1", body)
-        assert seen.headers["x-call-id"] == "9b1f03aa5c7e2d41"
-        assert seen.headers["idempotency-key"] == "k9b1f03aa5c7e2d41"
-        assert seen.headers["cookie"] == "sid=7f" and seen.headers["x-caller"] == "acme"
-        assert seen.headers["x-budget"].endswith("u") and int(seen.headers["x-budget"][:-1]) < 1_000_000
+        assert (received.method, received.target, received.body) == ("POST", "/reserva?q=1", body)
+        assert received.headers["x-call-id"] == "9b1f03aa5c7e2d41"
+        assert received.headers["idempotency-key"] == "k9b1f03aa5c7e2d41"
+        assert received.headers["cookie"] == "sid=7f" and received.headers["x-caller"] == "acme"
+        assert (
+            received.headers["x-budget"].endswith("u") and int(received.headers["x-budget"][:-1]) < 1_000_000
+        )
 
     run_async(test())
 
 
 def test_upstream_connections_are_pooled_and_the_last_used_is_reused_first() -> None:
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
             for number in range(5):
-                assert (await caller.request("canje", f"{number:016x}")).status_code == 200
-            numbers = {(await next_request(backend)).connection for _ in range(5)}
+                assert (await client.request("canje", f"{number:016x}")).status_code == 200
+            numbers = {(await next_request(endpoint)).connection for _ in range(5)}
         assert len(numbers) == 1
 
     run_async(test())
 
 
-async def rejected(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def rejected(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, X_Rejected="1"))
 
 
-async def error(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def error(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, b"no mark, so it may have run"))
 
 
-async def reset(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def reset(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-async def cut_short(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def cut_short(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
     await writer.drain()
     writer.close()
 
 
-async def garbage(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def garbage(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"\x00\x01 this is not HTTP\r\n\r\n")
 
 
-async def twice(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def twice(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n" * 2)
 
 
-async def silent(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def silent(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     return
 
 
-@pytest.mark.parametrize("behave", [error, reset, cut_short, garbage, twice, silent])
-def test_a_request_that_is_not_idempotent_and_may_be_executed_fails_after_one_attempt(behave: Any) -> None:
+@pytest.mark.parametrize("respond", [error, reset, cut_short, garbage, twice, silent])
+def test_a_request_that_is_not_idempotent_and_may_be_executed_fails_after_one_attempt(respond: Any) -> None:
     """Guards rule 2: any end but a marked rejection may have run, so neither a resend nor a refusal."""
 
     async def test() -> None:
-        backends = {"s-1": EndpointServer(behave), "s-2": EndpointServer(behave)}
-        async with proxy_under_test(backends) as node:
-            reply = await (await node.connect()).request("canje", "a" * 16, budget="700m")
+        endpoints = {"s-1": EndpointServer(respond), "s-2": EndpointServer(respond)}
+        async with proxy_under_test(endpoints) as proxy:
+            reply = await (await proxy.connect()).request("canje", "a" * 16, budget="700m")
         assert reply.status_code in (502, 504)
         assert "retry-after" not in reply.headers
-        assert sum(backend.received_count for backend in backends.values()) == 1
+        assert sum(endpoint.received_count for endpoint in endpoints.values()) == 1
 
     run_async(test())
 
 
 def test_a_rejection_marked_as_never_executed_is_retried_on_another_endpoint() -> None:
     async def test() -> None:
-        backends = {"s-1": EndpointServer(rejected), "s-2": EndpointServer()}
-        async with proxy_under_test(backends) as node:
-            caller = await node.connect()
-            replies = [(await caller.request("canje", f"{n:016x}")).status_code for n in range(4)]
+        endpoints = {"s-1": EndpointServer(rejected), "s-2": EndpointServer()}
+        async with proxy_under_test(endpoints) as proxy:
+            client = await proxy.connect()
+            replies = [(await client.request("canje", f"{n:016x}")).status_code for n in range(4)]
         assert replies == [200] * 4
 
     run_async(test())
 
 
 def test_a_keyed_request_that_may_be_executed_is_retried_only_within_its_zone() -> None:
-    """Guards rule 2 for keyed calls: only the backends of one zone drop each other's repeats."""
+    """Guards rule 2 for keyed calls: only the endpoints of one zone drop each other's repeats."""
 
     async def test() -> None:
-        async def once(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def once(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if broken:
-                await respond_ok(seen, writer)
+                await respond_ok(received, writer)
             else:
-                broken.append(seen)
+                broken.append(received)
                 writer.transport.abort()
 
         broken: list[ReceivedRequest] = []
         near = [EndpointServer(once), EndpointServer(once)]
         far = [EndpointServer(once), EndpointServer(once)]
         discovery = await DiscoveryServer().start()
-        for backend in (*near, *far):
-            await backend.start()
+        for endpoint in (*near, *far):
+            await endpoint.start()
         discovery.publish(
             2,
-            *(endpoint_entry(f"s-{n}", backend.address) for n, backend in enumerate(near)),
-            *(endpoint_entry(f"s-{n}", backend.address, zone="b") for n, backend in enumerate(far, 2)),
+            *(endpoint_entry(f"s-{n}", endpoint.address) for n, endpoint in enumerate(near)),
+            *(endpoint_entry(f"s-{n}", endpoint.address, zone="b") for n, endpoint in enumerate(far, 2)),
         )
-        async with proxy_under_test({"s-0": near[0]}, discovery) as node:
+        async with proxy_under_test({"s-0": near[0]}, discovery) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await discovery.polls.get()
                 await discovery.polls.get()  # the list is taken
-            reply = await (await node.connect()).request("reserva", "7" * 16, budget="3500m")
+            reply = await (await proxy.connect()).request("reserva", "7" * 16, budget="3500m")
             assert reply.status_code == 200
-        counts = [sum(backend.received_count for backend in zone) for zone in (near, far)]
+        counts = [sum(endpoint.received_count for endpoint in zone) for zone in (near, far)]
         assert sorted(counts) == [0, 2]
-        for backend in (*near, *far):
-            await backend.stop()
+        for endpoint in (*near, *far):
+            await endpoint.stop()
 
     run_async(test())
 
@@ -160,15 +162,15 @@
 def test_discovery_that_is_down_is_polled_again_and_the_cached_list_stays() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}, discovery) as node:
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}, discovery) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await discovery.polls.get()
                 discovery.changes.put_nowait(response(503))
                 await discovery.polls.get()
                 discovery.changes.put_nowait(b"no HTTP at all")
                 await discovery.polls.get()
-            assert (await (await node.connect()).request("stock", "1" * 16)).status_code == 200
+            assert (await (await proxy.connect()).request("stock", "1" * 16)).status_code == 200
 
     run_async(test())
 
@@ -179,9 +181,9 @@
     async def test() -> None:
         gone = await EndpointServer().start()
         await gone.stop()
-        async with proxy_under_test({"s-1": gone}) as node:
+        async with proxy_under_test({"s-1": gone}) as proxy:
             begun = asyncio.get_running_loop().time()
-            reply = await (await node.connect()).request("canje", "b" * 16, budget="5000m")
+            reply = await (await proxy.connect()).request("canje", "b" * 16, budget="5000m")
             took = asyncio.get_running_loop().time() - begun
         assert reply.status_code == 503
         assert 0 < float(reply.headers["retry-after"]) <= 2.0
@@ -191,23 +193,23 @@
 
 
 def test_an_endpoint_that_contradicts_a_silent_watch_makes_the_proxy_poll_again() -> None:
-    """The first watch is taken and never answered, while a backend goes and another comes."""
+    """The first watch is taken and never answered, while an endpoint goes and another comes."""
 
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         gone = EndpointServer()
         stays = EndpointServer()
         comes = await EndpointServer().start()
-        async with proxy_under_test({"s-1": gone, "s-2": stays}, discovery) as node:
+        async with proxy_under_test({"s-1": gone, "s-2": stays}, discovery) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=1" in await discovery.polls.get()
             await gone.stop()
-            caller = await node.connect()
+            client = await proxy.connect()
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 number = 0
                 while discovery.polls.empty():
                     number += 1
-                    await caller.request("stock", f"{number:016x}")
+                    await client.request("stock", f"{number:016x}")
                     await asyncio.sleep(0.02)
                 assert "from=1" in await discovery.polls.get()
             for _ in range(2):  # the first is taken by the silent connection
@@ -218,7 +220,7 @@
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not comes.received_count:
                     number += 1
-                    await caller.request("stock", f"{number:016x}")
+                    await client.request("stock", f"{number:016x}")
                     await asyncio.sleep(0.02)
         await comes.stop()
 
@@ -230,7 +232,7 @@
     its server bears, and does not refuse them for minutes."""
     # s, that the server takes for each call; at once
     service = 0.25
-    callers = 60
+    clients = 60
     wanted = 40
 
     async def test() -> None:
@@ -238,9 +240,9 @@
         most = 0
         answered = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             nonlocal out, most
-            if backend.received_count == 1:
+            if endpoint.received_count == 1:
                 writer.write(response(500))
                 return
             out += 1
@@ -249,21 +251,21 @@
             out -= 1
             writer.write(response(200, b"done"))
             if (
-                most >= wanted or backend.received_count > 400
+                most >= wanted or endpoint.received_count > 400
             ):  # from 4, by a quarter call a round, it would be at 29
                 answered.set()
 
         async def calls(number: int) -> None:
-            caller = await node.connect()
+            client = await proxy.connect()
             for count in range(1000):
-                answer = await caller.request("canje", f"{number:08x}{count:08x}", budget="20000m")
+                answer = await client.request("canje", f"{number:08x}{count:08x}", budget="20000m")
                 if answer.status_code == 503:
                     await asyncio.sleep(float(answer.headers["retry-after"]))
 
-        backend = EndpointServer(behave)
+        endpoint = EndpointServer(respond)
         grade = {**SETTINGS["grades"][2], "deadline": 20.0}
-        async with proxy_under_test({"s-1": backend}, grades=[*SETTINGS["grades"][:2], grade]) as node:
-            asking = [asyncio.create_task(calls(number)) for number in range(callers)]
+        async with proxy_under_test({"s-1": endpoint}, grades=[*SETTINGS["grades"][:2], grade]) as proxy:
+            asking = [asyncio.create_task(calls(number)) for number in range(clients)]
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await answered.wait()
             for task in asking:
@@ -285,15 +287,15 @@
         room = asyncio.Semaphore(slots)
         enough = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             async with room:
-                await asyncio.sleep(spans[seen.target[1:].partition("?")[0]])
+                await asyncio.sleep(spans[received.target[1:].partition("?")[0]])
             writer.write(response(200, b"done"))
 
         async def calls(cls: str, number: int) -> None:
-            caller = await node.connect()
+            client = await proxy.connect()
             for count in range(1000):
-                answer = await caller.request(cls, f"{number:08x}{count:08x}", budget="2000m")
+                answer = await client.request(cls, f"{number:08x}{count:08x}", budget="2000m")
                 codes[cls][answer.status_code] += 1
                 if codes["canje"].total() >= 600 and codes["reserva"].total() >= 600:
                     enough.set()
@@ -304,7 +306,7 @@
             {**grade, "value": value, "objective": 0.5, "deadline": 2.0}
             for grade, value in zip(SETTINGS["grades"], (12.0, 2.0, 3.0), strict=True)
         ]
-        async with proxy_under_test({"s-1": EndpointServer(behave)}, grades=grades) as node:
+        async with proxy_under_test({"s-1": EndpointServer(respond)}, grades=grades) as proxy:
             asking = [
                 asyncio.create_task(calls(cls, 100 * place + number))
                 for place, cls in enumerate(spans)
@@ -327,19 +329,19 @@
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if seen.headers["x-call-id"] == "c" * 16:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.headers["x-call-id"] == "c" * 16:
                 held.append(writer)
             else:
-                await respond_ok(seen, writer)
+                await respond_ok(received, writer)
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            first = await caller.request("canje", "c" * 16, budget="400m")
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            first = await client.request("canje", "c" * 16, budget="400m")
             assert first.status_code in (502, 504)
             held[0].write(response(200, b"late"))
-            second = await caller.request("canje", "d" * 16)
+            second = await client.request("canje", "d" * 16)
             assert (second.status_code, second.body) == (200, b"done " + b"d" * 16)
 
     run_async(test())
@@ -351,21 +353,21 @@
         one = EndpointServer()
         two = await EndpointServer().start()
         moved = await EndpointServer().start()
-        async with proxy_under_test({"s-1": one}, discovery) as node:
-            caller = await node.connect()
-            assert (await caller.request("canje", "0" * 16)).status_code == 200
+        async with proxy_under_test({"s-1": one}, discovery) as proxy:
+            client = await proxy.connect()
+            assert (await client.request("canje", "0" * 16)).status_code == 200
             discovery.publish(
                 2, endpoint_entry("s-1", one.address, "Terminating"), endpoint_entry("s-2", two.address)
             )
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await one.closed_connections.get()  # told: its idle connections close
             for number in range(1, 5):
-                assert (await caller.request("canje", f"{number:016x}")).status_code == 200
+                assert (await client.request("canje", f"{number:016x}")).status_code == 200
             assert (one.received_count, two.received_count) == (1, 4)
             discovery.publish(3, endpoint_entry("s-2", moved.address))
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await two.closed_connections.get()
-            assert (await caller.request("canje", f"{9:016x}")).status_code == 200
+            assert (await client.request("canje", f"{9:016x}")).status_code == 200
             assert (two.received_count, moved.received_count) == (4, 1)
         await moved.stop()
 
@@ -375,15 +377,15 @@
 def test_watches_follow_one_another_and_a_malformed_list_keeps_the_last_one() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}, discovery) as node:
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}, discovery) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await discovery.polls.get()).startswith("/v1/servers?from=1&hold_ms=")
                 discovery.publish(7)
                 assert (await discovery.polls.get()).startswith("/v1/servers?from=7&hold_ms=")
                 discovery.changes.put_nowait(response(200, b'{"index": 9, "endpoints": [{"name": 3}]}'))
                 assert (await discovery.polls.get()).startswith("/v1/servers?from=7&hold_ms=")
-            assert (await (await node.connect()).request("stock", "1" * 16)).status_code == 200
+            assert (await (await proxy.connect()).request("stock", "1" * 16)).status_code == 200
 
     run_async(test())
 
@@ -411,12 +413,12 @@
 )
 def test_a_malformed_request_reaches_no_endpoint_and_harms_no_other(code: int, data: bytes) -> None:
     async def test() -> None:
-        backend = EndpointServer()
-        async with proxy_under_test({"s-1": backend}) as node:
-            bad = await node.connect()
-            good = await node.connect()
+        endpoint = EndpointServer()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            bad = await proxy.connect()
+            good = await proxy.connect()
             assert (await bad.send_raw(data)).status_code == code
-            assert backend.received_count == 0
+            assert endpoint.received_count == 0
             assert (await good.request("stock", "2" * 16)).status_code == 200
 
     run_async(test())
@@ -424,11 +426,11 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
+            client = await proxy.connect()
             for number in range(40):
-                caller.send("stock", f"{number:016x}")
-            bodies = [(await caller.response()).body for _ in range(40)]
+                client.send("stock", f"{number:016x}")
+            bodies = [(await client.response()).body for _ in range(40)]
         # On a busy machine the module may refuse some; the others are in their places all the same.
         expected = [b"done " + f"{n:016x}".encode() for n in range(40)]
         assert [
@@ -440,32 +442,32 @@
 
 
 def test_a_call_id_that_is_in_flight_gets_no_second_copy() -> None:
-    """Guards one attempt out at a time against a caller that sends the same request on two connections."""
+    """Guards one attempt out at a time against a client that sends the same request on two connections."""
 
     async def test() -> None:
-        backend = EndpointServer(silent)
-        async with proxy_under_test({"s-1": backend}) as node:
-            first = await node.connect()
-            second = await node.connect()
+        endpoint = EndpointServer(silent)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            first = await proxy.connect()
+            second = await proxy.connect()
             first.send("canje", "e" * 16, budget="600m")
-            await next_request(backend)
+            await next_request(endpoint)
             assert (await second.request("canje", "e" * 16)).status_code == 409
             assert (await first.response()).status_code in (502, 504)
-        assert backend.received_count == 1
+        assert endpoint.received_count == 1
 
     run_async(test())
 
 
 def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def test() -> None:
-        backend = EndpointServer(silent)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.send("canje", "f" * 16, budget="5000m")
-            await next_request(backend)
-            caller.writer.close()
+        endpoint = EndpointServer(silent)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.send("canje", "f" * 16, budget="5000m")
+            await next_request(endpoint)
+            client.writer.close()
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                await backend.closed_connections.get()
+                await endpoint.closed_connections.get()
 
     run_async(test())
 
@@ -474,48 +476,48 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if seen.headers["x-call-id"] == "a" * 16:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.headers["x-call-id"] == "a" * 16:
                 await free.wait()
-            await respond_ok(seen, writer)
+            await respond_ok(received, writer)
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            held = await node.connect()
-            idle = await node.connect()
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            held = await proxy.connect()
+            idle = await proxy.connect()
             assert (await idle.request("stock", "1" * 16)).status_code == 200
             held.send("canje", "a" * 16, budget="6000m")
-            await next_request(backend)
-            await next_request(backend)
-            node.terminate()
-            late = await node.connect()  # connections still come
+            await next_request(endpoint)
+            await next_request(endpoint)
+            proxy.terminate()
+            late = await proxy.connect()  # connections still come
             assert (await late.request("stock", "2" * 16)).status_code == 200
             assert await idle.is_closed()  # the kept ones end, unhurried
-            assert node.process.returncode is None
+            assert proxy.process.returncode is None
             free.set()
             reply = await held.response()
             assert (reply.status_code, reply.headers["connection"]) == (200, "close")
-            assert await node.exit_code() == 0
+            assert await proxy.exit_code() == 0
 
     run_async(test())
 
 
 def test_a_first_attempt_is_served_after_sigterm_though_less_time_is_left_than_its_class_has() -> None:
-    """What the end of this process takes from a budget is nothing that the caller has waited."""
+    """What the end of this process takes from a budget is nothing that the client has waited."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
+            client = await proxy.connect()
             for number in range(3):
-                assert (await caller.request("canje", f"{number:016x}", budget="6000m")).status_code == 200
-            node.terminate()
+                assert (await client.request("canje", f"{number:016x}", budget="6000m")).status_code == 200
+            proxy.terminate()
             with contextlib.suppress(ConnectionRefusedError):
                 async with asyncio.timeout(TEST_TIMEOUT_S):
                     while True:  # until it has begun to end
-                        (await node.connect()).writer.close()
+                        (await proxy.connect()).writer.close()
                         await asyncio.sleep(0.02)
-            assert (await caller.request("canje", "2" * 16, budget="6000m")).status_code == 200
-            assert await node.exit_code() == 0
+            assert (await client.request("canje", "2" * 16, budget="6000m")).status_code == 200
+            assert await proxy.exit_code() == 0
 
     run_async(test())
 
@@ -527,25 +529,25 @@
         together = asyncio.Event()
         mute = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if mute.is_set():
                 return
             await together.wait()
-            await respond_ok(seen, writer)
+            await respond_ok(received, writer)
 
-        backend = EndpointServer(behave)
+        endpoint = EndpointServer(respond)
         limits = {**SETTINGS["policy_limits"], "probes": False, "send_cap": 1}
-        async with proxy_under_test({"s-1": backend}, policy_limits=limits) as node:
-            callers = [await node.connect() for _ in range(3)]
-            for number, caller in enumerate(callers):
-                caller.send("canje", f"{number:016x}", budget="5000m")
-            used = {(await next_request(backend)).connection for _ in callers}
+        async with proxy_under_test({"s-1": endpoint}, policy_limits=limits) as proxy:
+            clients = [await proxy.connect() for _ in range(3)]
+            for number, client in enumerate(clients):
+                client.send("canje", f"{number:016x}", budget="5000m")
+            used = {(await next_request(endpoint)).connection for _ in clients}
             together.set()
-            assert [(await caller.response()).status_code for caller in callers] == [200] * 3
+            assert [(await client.response()).status_code for client in clients] == [200] * 3
             mute.set()
-            assert (await callers[0].request("stock", "8" * 16, budget="900m")).status_code == 503
+            assert (await clients[0].request("stock", "8" * 16, budget="900m")).status_code == 503
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                closed = {await backend.closed_connections.get() for _ in used}
+                closed = {await endpoint.closed_connections.get() for _ in used}
         assert len(used) == 3 and closed == used
 
     run_async(test())
@@ -555,40 +557,40 @@
     """Closing on unread bytes resets the connection, and a reset can overtake the answer."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
             for _ in range(5):
-                caller = await node.connect()
+                client = await proxy.connect()
                 length = 8 << 20
                 head = b"POST /canje" + HEAD + b"X-Budget: 500m\r\nContent-Length: %d\r\n\r\n"
-                caller.writer.write(head % (60 << 20))
-                caller.writer.write(bytes(length))
-                await caller.writer.drain()
-                assert (await caller.response()).status_code == 413
-                caller.writer.close()
+                client.writer.write(head % (60 << 20))
+                client.writer.write(bytes(length))
+                await client.writer.drain()
+                assert (await client.response()).status_code == 413
+                client.writer.close()
 
     run_async(test())
 
 
 def test_at_the_descriptor_limit_it_sheds_load_and_goes_on() -> None:
-    """Guards against EMFILE: beyond the bound a caller gets a refusal, and upstreams keep their share."""
+    """Guards against EMFILE: beyond the bound a client gets a refusal, and upstreams keep their share."""
 
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await free.wait()
-            await respond_ok(seen, writer)
+            await respond_ok(received, writer)
 
-        async with proxy_under_test({"s-1": EndpointServer(behave)}, sockets=64) as node:
-            callers = [await node.connect() for _ in range(32)]
-            for number, caller in enumerate(callers):
-                caller.send("canje", f"{number:016x}", budget="9000m")
+        async with proxy_under_test({"s-1": EndpointServer(respond)}, sockets=64) as proxy:
+            clients = [await proxy.connect() for _ in range(32)]
+            for number, client in enumerate(clients):
+                client.send("canje", f"{number:016x}", budget="9000m")
             for number in range(100, 150):
-                reply = await (await node.connect()).request("stock", f"{number:016x}")
+                reply = await (await proxy.connect()).request("stock", f"{number:016x}")
                 assert reply.status_code == 503 and float(reply.headers["retry-after"]) > 0
             free.set()
-            assert all([(await caller.response()).status_code in (200, 503) for caller in callers])
-            assert (await callers[0].request("stock", "9" * 16)).status_code == 200
+            assert all([(await client.response()).status_code in (200, 503) for client in clients])
+            assert (await clients[0].request("stock", "9" * 16)).status_code == 200
 
     run_async(test())
 
@@ -597,13 +599,13 @@
     """Kept connections that ask nothing must not shut others out."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, sockets=64) as node:
-            idle = [await node.connect() for _ in range(29)]
-            for number, caller in enumerate(idle):
-                assert (await caller.request("stock", f"{number:016x}")).status_code == 200
+        async with proxy_under_test({"s-1": EndpointServer()}, sockets=64) as proxy:
+            idle = [await proxy.connect() for _ in range(29)]
+            for number, client in enumerate(idle):
+                assert (await client.request("stock", f"{number:016x}")).status_code == 200
             for number in range(100, 10_000):
-                caller = await node.connect()
-                if (await caller.request("stock", f"{number:016x}")).status_code == 200:
+                client = await proxy.connect()
+                if (await client.request("stock", f"{number:016x}")).status_code == 200:
                     break
             assert await idle[0].is_closed()
 
@@ -611,22 +613,22 @@
 
 
 def test_a_first_attempt_with_a_short_budget_is_not_late_because_the_loop_was() -> None:
-    """Callers of a class may all give it far less time than its deadline. What a late loop keeps back of that
-    must not look like time that a caller has waited over earlier tries."""
+    """Clients of a class may all give it far less time than its deadline. What a late loop keeps back of that
+    must not look like time that a client has waited over earlier tries."""
 
     async def test() -> None:
         grade = {**SETTINGS["grades"][2], "deadline": 20.0}
         async with proxy_under_test(
             {"s-1": EndpointServer()}, grades=[*SETTINGS["grades"][:2], grade]
-        ) as node:
-            caller = await node.connect()
+        ) as proxy:
+            client = await proxy.connect()
             for number in range(20):
-                assert (await caller.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
-            node.process.send_signal(signal.SIGSTOP)
+                assert (await client.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
+            proxy.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.3)  # the stall itself: a step's timer is late by it
-            node.process.send_signal(signal.SIGCONT)
+            proxy.process.send_signal(signal.SIGCONT)
             for number in range(20, 30):
-                assert (await caller.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
+                assert (await client.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
 
     run_async(test())
 
@@ -637,21 +639,21 @@
     async def test() -> None:
         answered = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            node.process.send_signal(signal.SIGSTOP)
-            await respond_ok(seen, writer)
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            proxy.process.send_signal(signal.SIGSTOP)
+            await respond_ok(received, writer)
             await writer.drain()
             answered.set()
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.send("stock", "5" * 16, budget="1200m")  # an attempt has 500 ms, the aim
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.send("stock", "5" * 16, budget="1200m")  # an attempt has 500 ms, the aim
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await answered.wait()
             await asyncio.sleep(0.7)  # the stall itself
-            node.process.send_signal(signal.SIGCONT)
-            assert (await caller.response()).status_code == 200
+            proxy.process.send_signal(signal.SIGCONT)
+            assert (await client.response()).status_code == 200
 
     run_async(test())
 
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -29,18 +29,18 @@
     async def test() -> None:
         one = EndpointServer()
         two = await EndpointServer().start()
-        async with proxy_under_test({"s-1": one}) as node:
-            caller = await node.connect()
-            assert (await caller.request("stock", "1" * 16)).status_code == 200
-            for round, backend in enumerate([two, one, two]):
+        async with proxy_under_test({"s-1": one}) as proxy:
+            client = await proxy.connect()
+            assert (await client.request("stock", "1" * 16)).status_code == 200
+            for round, endpoint in enumerate([two, one, two]):
                 server = await DiscoveryServer().start()
-                server.publish(round, endpoint_entry(f"s-{round}", backend.address), snapshot=True)
-                node.reload(discovery=server.address)
+                server.publish(round, endpoint_entry(f"s-{round}", endpoint.address), snapshot=True)
+                proxy.reload(discovery=server.address)
                 assert await first_asked(server) == "/v1/servers"
                 assert (await first_asked(server)).startswith(f"/v1/servers?from={round}&hold_ms=")
-                before = backend.received_count
-                assert (await caller.request("canje", f"{round:016x}")).status_code == 200
-                assert backend.received_count == before + 1
+                before = endpoint.received_count
+                assert (await client.request("canje", f"{round:016x}")).status_code == 200
+                assert endpoint.received_count == before + 1
         await two.stop()
 
     run_async(test())
@@ -53,15 +53,15 @@
         new = DiscoveryServer()
         await new.start()
         two = await EndpointServer().start()
-        async with proxy_under_test({"s-1": EndpointServer()}) as node:
+        async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
             new.changes.put_nowait(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             new.publish(9, endpoint_entry("s-2", two.address), snapshot=True)
             begun = asyncio.get_running_loop().time()
-            node.reload(discovery=new.address)
+            proxy.reload(discovery=new.address)
             assert await first_asked(new) == await first_asked(new) == "/v1/servers"
             assert "from=9" in await first_asked(new)
             assert asyncio.get_running_loop().time() - begun < 2.0
-            assert (await (await node.connect()).request("canje", "1" * 16)).status_code == 200
+            assert (await (await proxy.connect()).request("canje", "1" * 16)).status_code == 200
             assert two.received_count == 1
         await two.stop()
 
@@ -74,19 +74,19 @@
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"settings": {}, "discovery": 3}', DEEP])
 def test_a_file_that_cannot_be_used_changes_nothing(text: str) -> None:
     async def test() -> None:
-        backend = EndpointServer()
+        endpoint = EndpointServer()
         discovery = await DiscoveryServer().start()
-        async with proxy_under_test({"s-1": backend}, discovery) as node:
+        async with proxy_under_test({"s-1": endpoint}, discovery) as proxy:
             assert "from=1" in await first_asked(discovery)
-            node.reload(text=text)
+            proxy.reload(text=text)
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                assert node.process.stderr is not None
-                while b"reload_rejected" not in await node.process.stderr.readline():
+                assert proxy.process.stderr is not None
+                while b"reload_rejected" not in await proxy.process.stderr.readline():
                     pass
             discovery.publish(2)
             assert "from=2" in await first_asked(discovery)  # the watch goes on
-            assert (await (await node.connect()).request("stock", "1" * 16)).status_code == 200
-            assert node.process.returncode is None
+            assert (await (await proxy.connect()).request("stock", "1" * 16)).status_code == 200
+            assert proxy.process.returncode is None
 
     run_async(test())
 
@@ -95,24 +95,24 @@
     async def test() -> None:
         free = asyncio.Event()
 
-        async def behave(seen: object, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: object, writer: asyncio.StreamWriter) -> None:
             await free.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        backend = EndpointServer(behave)
+        endpoint = EndpointServer(respond)
         new = await DiscoveryServer().start()
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            idle = await node.connect()
-            caller.send("canje", "a" * 16, budget="6000m")
-            await next_request(backend)
-            node.terminate()
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            idle = await proxy.connect()
+            client.send("canje", "a" * 16, budget="6000m")
+            await next_request(endpoint)
+            proxy.terminate()
             assert await idle.is_closed()
-            node.reload(discovery=new.address)
+            proxy.reload(discovery=new.address)
             assert await first_asked(new) == "/v1/servers"
             free.set()
-            assert (await caller.response()).status_code == 200
-            assert await node.exit_code() == 0
+            assert (await client.response()).status_code == 200
+            assert await proxy.exit_code() == 0
 
     run_async(test())
 
@@ -121,27 +121,27 @@
     """The other proxies of a zone may be few, or restarting too. SIGKILL may come after 3.7 s."""
 
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if seen.headers["x-call-id"] != "a" * 16:
-                await respond_ok(seen, writer)
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.headers["x-call-id"] != "a" * 16:
+                await respond_ok(received, writer)
 
         loop = asyncio.get_running_loop()
-        async with proxy_under_test({f"s-{number}": EndpointServer(behave) for number in range(3)}) as node:
-            caller = await node.connect()
-            stuck = await node.connect()
-            assert (await caller.request("stock", "1" * 16)).status_code == 200
+        async with proxy_under_test({f"s-{number}": EndpointServer(respond) for number in range(3)}) as proxy:
+            client = await proxy.connect()
+            stuck = await proxy.connect()
+            assert (await client.request("stock", "1" * 16)).status_code == 200
             begun = loop.time()
-            node.terminate()
+            proxy.terminate()
             number = 2
             while loop.time() < begun + 1.5:
-                reply = await caller.request("stock", f"{number:016x}")
+                reply = await client.request("stock", f"{number:016x}")
                 assert reply.status_code == 200 and "connection" not in reply.headers
                 number += 1
                 if number == 3:
                     stuck.send("canje", "a" * 16, budget="6000m")
                 await asyncio.sleep(0.1)
             assert (await stuck.response()).status_code in (502, 504)
-            assert await node.exit_code() == 0
+            assert await proxy.exit_code() == 0
             assert loop.time() - begun < 3.6
 
     run_async(test())
--- a/tests/net/test_streaming.py
+++ b/tests/net/test_streaming.py
@@ -32,9 +32,9 @@
 MOST_GROWTH = 12.0  # MB of memory beside a message of 32; a quarter of what holding it would take
 
 
-def memory(node: ProxyUnderTest) -> float:
+def memory(proxy: ProxyUnderTest) -> float:
     """MB (proc(5), VmRSS)."""
-    status = Path(f"/proc/{node.process.pid}/status").read_text()
+    status = Path(f"/proc/{proxy.process.pid}/status").read_text()
     return int(status.partition("VmRSS:")[2].split()[0]) / 1024
 
 
@@ -48,19 +48,19 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-async def head_of(caller: Client) -> tuple[int, dict[str, str]]:
-    lines = (await caller.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
+async def head_of(client: Client) -> tuple[int, dict[str, str]]:
+    lines = (await client.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
     return int(lines[0].split(" ")[1]), headers
 
 
 async def rest_of(
-    caller: Client, headers: dict[str, str], each: Callable[[], Awaitable[None]]
+    client: Client, headers: dict[str, str], each: Callable[[], Awaitable[None]]
 ) -> tuple[str, int]:
     """Digest and length of a body that is read to its end; raises IncompleteReadError where it is cut off."""
     digest = hashlib.sha256()
     size = 0
-    reader = caller.reader
+    reader = client.reader
     left = int(headers.get("content-length", -1))
     while left:
         if "chunked" in headers.get("transfer-encoding", ""):
@@ -91,10 +91,10 @@
 ENDS = b"Connection: close\r\n\r\n"
 
 
-def answers(way: bytes, pieces: int = LONG // len(PIECE), ends: bool = True) -> EndpointServer:
-    """A backend that writes a long answer this way, and breaks it off or not."""
+def responses(way: bytes, pieces: int = LONG // len(PIECE), ends: bool = True) -> EndpointServer:
+    """An endpoint that writes a long answer this way, and breaks it off or not."""
 
-    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
             writer.write(OK + way)
             for _ in range(pieces):
@@ -106,26 +106,26 @@
                 await writer.drain()
                 writer.close()
 
-    return EndpointServer(behave)
+    return EndpointServer(respond)
 
 
 @pytest.mark.parametrize("way", [LENGTH, CODED, ENDS], ids=["length", "chunks", "until its end"])
 def test_a_long_response_arrives_complete_and_is_never_buffered(way: bytes) -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": answers(way)}) as node:
-            caller = await node.connect()
-            before = memory(node)
+        async with proxy_under_test({"s-1": responses(way)}) as proxy:
+            client = await proxy.connect()
+            before = memory(proxy)
             most = 0.0
 
             async def look() -> None:
                 nonlocal most
-                most = max(most, memory(node))
+                most = max(most, memory(proxy))
 
-            caller.send("canje", "a" * 16, budget="1000m")
-            code, headers = await head_of(caller)
+            client.send("canje", "a" * 16, budget="1000m")
+            code, headers = await head_of(client)
             assert code == 200
             await asyncio.sleep(0.3)  # a reader that takes nothing for a while
-            assert await rest_of(caller, headers, look) == (EXPECTED, LONG)
+            assert await rest_of(client, headers, look) == (EXPECTED, LONG)
             assert most - before < MOST_GROWTH
 
     run_async(test())
@@ -133,12 +133,12 @@
 
 def test_an_http_1_0_client_gets_a_long_response_that_ends_with_its_connection() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": answers(CODED)}) as node:
-            caller = await node.connect()
-            caller.writer.write(b"GET /stock HTTP/1.0\r\nX-Call-Id: a\r\nX-Budget: 1000m\r\n\r\n")
-            code, headers = await head_of(caller)
+        async with proxy_under_test({"s-1": responses(CODED)}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(b"GET /stock HTTP/1.0\r\nX-Call-Id: a\r\nX-Budget: 1000m\r\n\r\n")
+            code, headers = await head_of(client)
             assert code == 200 and "transfer-encoding" not in headers and "content-length" not in headers
-            assert await rest_of(caller, headers, at_once) == (EXPECTED, LONG)
+            assert await rest_of(client, headers, at_once) == (EXPECTED, LONG)
 
     run_async(test())
 
@@ -148,16 +148,16 @@
     """And a second attempt is none of the proxy's business any more."""
 
     async def test() -> None:
-        backend = answers(way, pieces=4, ends=False)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.send("stock", "a" * 16)
-            code, headers = await head_of(caller)
+        endpoint = responses(way, pieces=4, ends=False)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.send("stock", "a" * 16)
+            code, headers = await head_of(client)
             assert code == 200
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await rest_of(caller, headers, at_once)
-            assert backend.received_count == 1
-            assert (await (await node.connect()).request("nosuch", "b" * 16)).status_code == 404
+                await rest_of(client, headers, at_once)
+            assert endpoint.received_count == 1
+            assert (await (await proxy.connect()).request("nosuch", "b" * 16)).status_code == 404
 
     run_async(test())
 
@@ -167,8 +167,8 @@
     and then made a 200 of whatever the next call on that connection was answered with, or of nothing."""
 
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if backend.received_count > 1:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if endpoint.received_count > 1:
                 await asyncio.sleep(2 * BUFFERING_TIMEOUT_S)  # until the timer would have fired
                 writer.write(response(500, b"a fault"))
                 return
@@ -178,14 +178,14 @@
                 await asyncio.sleep(0)
             writer.write(chunk(PIECE) + chunk(PIECE) + chunk(b""))
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.send("canje", "a" * 16)
-            code, headers = await head_of(caller)
-            assert code == 200 and (await rest_of(caller, headers, at_once))[1] == 1000 + 2 * len(PIECE)
-            answer = await caller.request("canje", "b" * 16)
-            assert (answer.status_code, backend.received_count, backend.connections_accepted) == (502, 2, 1)
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.send("canje", "a" * 16)
+            code, headers = await head_of(client)
+            assert code == 200 and (await rest_of(client, headers, at_once))[1] == 1000 + 2 * len(PIECE)
+            answer = await client.request("canje", "b" * 16)
+            assert (answer.status_code, endpoint.received_count, endpoint.connections_accepted) == (502, 2, 1)
 
     run_async(test())
 
@@ -205,8 +205,8 @@
     attempt that failed. After a stall that while is over before the reset is read."""
 
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if backend.received_count > 1:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if endpoint.received_count > 1:
                 writer.write(response(200, b"whole"))
                 return
             raw = writer.get_extra_info("socket")
@@ -214,49 +214,49 @@
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"a" * length)
             while unread(*ports):
                 await asyncio.sleep(0)
-            node.process.send_signal(signal.SIGSTOP)
+            proxy.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(2 * BUFFERING_TIMEOUT_S)  # the stall itself
             reset_on_close(raw)
             writer.transport.abort()
             while unread(*ports) is not None:
                 await asyncio.sleep(0)
-            node.process.send_signal(signal.SIGCONT)
+            proxy.process.send_signal(signal.SIGCONT)
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            answer = await caller.request("stock", "a" * 16)
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            answer = await client.request("stock", "a" * 16)
             assert (answer.status_code, answer.body) == (200, b"whole")
-            assert backend.received_count == 2
+            assert endpoint.received_count == 2
 
     run_async(test())
 
 
 def test_a_client_that_disconnects_in_mid_response_ends_it_at_its_endpoint() -> None:
     async def test() -> None:
-        backend = answers(LENGTH)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.send("stock", "a" * 16)
-            assert (await head_of(caller))[0] == 200
-            caller.writer.transport.abort()
+        endpoint = responses(LENGTH)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.send("stock", "a" * 16)
+            assert (await head_of(client))[0] == 200
+            client.writer.transport.abort()
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                await backend.closed_connections.get()
+                await endpoint.closed_connections.get()
 
     run_async(test())
 
 
 def test_a_long_response_that_is_no_200_ends_its_attempt_by_its_head() -> None:
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if first.received_count == 1:
                 writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: %d\r\n\r\n" % LONG)
             else:
                 writer.write(response(200, b"done"))
 
-        first = EndpointServer(behave)
-        async with proxy_under_test({"s-1": first}) as node:
-            answer = await (await node.connect()).request("canje", "a" * 16, budget="3000m")
+        first = EndpointServer(respond)
+        async with proxy_under_test({"s-1": first}) as proxy:
+            answer = await (await proxy.connect()).request("canje", "a" * 16, budget="3000m")
             assert (answer.status_code, answer.body, first.received_count) == (200, b"done", 2)
 
     run_async(test())
@@ -266,30 +266,30 @@
     """40 of them before answers of 32 MB: together a tenth of one, beyond what the kernel holds."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": answers(LENGTH)}) as node:
-            before = memory(node)
-            callers = [await node.connect() for _ in range(40)]
+        async with proxy_under_test({"s-1": responses(LENGTH)}) as proxy:
+            before = memory(proxy)
+            clients = [await proxy.connect() for _ in range(40)]
             heads = 0
-            for n, caller in enumerate(callers):
-                caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
-                caller.send("stock", f"{n:016x}", budget="1200m")
+            for n, client in enumerate(clients):
+                client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+                client.send("stock", f"{n:016x}", budget="1200m")
             await asyncio.sleep(1.0)
-            assert memory(node) - before < 40 * 0.3
-            for caller in callers:
-                caller.writer.transport.resume_reading()  # type: ignore[attr-defined]
-                heads += (await head_of(caller))[0] == 200
+            assert memory(proxy) - before < 40 * 0.3
+            for client in clients:
+                client.writer.transport.resume_reading()  # type: ignore[attr-defined]
+                heads += (await head_of(client))[0] == 200
             assert heads > 0  # the rest may have been refused: it is a crowd for one server
 
     run_async(test())
 
 
-def sink(seen: list[tuple[str, int]]) -> EndpointServer:
-    """A backend that reads bodies of any length and says what it got."""
+def sink(received: list[tuple[str, int]]) -> EndpointServer:
+    """An endpoint that reads bodies of any length and says what it got."""
 
-    async def behave(seen_: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(seen_: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, b"%d" % len(seen_.body)))
 
-    made = EndpointServer(behave)
+    made = EndpointServer(respond)
 
     async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         made.writers.append(writer)
@@ -304,8 +304,8 @@
                 made.received_count += 1
                 if "transfer-encoding" not in headers:
                     headers.setdefault("content-length", "0")
-                seen.append(await rest_of(taken, headers, at_once))
-                writer.write(response(200, b"%d" % seen[-1][1]))
+                received.append(await rest_of(taken, headers, at_once))
+                writer.write(response(200, b"%d" % received[-1][1]))
         made.closed_connections.put_nowait(0)
         writer.close()
 
@@ -317,22 +317,22 @@
 def test_a_long_request_body_arrives_complete_and_is_never_buffered(coded: bool) -> None:
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        async with proxy_under_test({"s-1": sink(got)}) as node:
-            caller = await node.connect()
-            before = memory(node)
+        async with proxy_under_test({"s-1": sink(got)}) as proxy:
+            client = await proxy.connect()
+            before = memory(proxy)
             most = 0.0
-            caller.writer.write(post("a" * 16, None if coded else LONG))
+            client.writer.write(post("a" * 16, None if coded else LONG))
             for _ in range(LONG // len(PIECE)):
-                caller.writer.write(chunk(PIECE) if coded else PIECE)
-                await caller.writer.drain()
-                most = max(most, memory(node))
+                client.writer.write(chunk(PIECE) if coded else PIECE)
+                await client.writer.drain()
+                most = max(most, memory(proxy))
             if coded:
-                caller.writer.write(b"0\r\nX-Trailer: y\r\n\r\n")
-            answer = await caller.response()
+                client.writer.write(b"0\r\nX-Trailer: y\r\n\r\n")
+            answer = await client.response()
             assert (answer.status_code, answer.body) == (200, b"%d" % LONG)
             assert got == [(EXPECTED, LONG)]
             assert most - before < MOST_GROWTH
-            again = await caller.request("canje", "b" * 16, budget="6000m")
+            again = await client.request("canje", "b" * 16, budget="6000m")
             assert again.status_code == 200  # the connection is kept
 
     run_async(test())
@@ -342,15 +342,17 @@
     async def test() -> None:
         got: list[tuple[str, int]] = []
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(response(503, b"", X_Rejected="1"))
 
-        full = EndpointServer(behave)
+        full = EndpointServer(respond)
         taken = sink(got)
-        async with proxy_under_test({"s-1": full, "s-2": taken}) as node:
+        async with proxy_under_test({"s-1": full, "s-2": taken}) as proxy:
             data = PIECE * 32  # 2 MB
             for n in range(20):
-                answer = await (await node.connect()).request("canje", f"{n:016x}", budget="3000m", body=data)
+                answer = await (await proxy.connect()).request(
+                    "canje", f"{n:016x}", budget="3000m", body=data
+                )
                 assert answer.status_code == 200
             assert full.received_count > 0 and len(got) == 20
             assert set(got) == {(hashlib.sha256(data).hexdigest(), len(data))}
@@ -367,24 +369,24 @@
         async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while not (await reader.readuntil(b"\r\n\r\n")).startswith(b"POST"):
                 writer.write(response(200, b"inflight=0,queue=0"))
-            backend.received_count += 1
+            endpoint.received_count += 1
             await reader.readexactly(MB)
             begun.set()
             writer.transport.abort()
 
-        backend = EndpointServer()
-        backend._connection = connection  # type: ignore[method-assign]
-        async with proxy_under_test({"s-1": backend, "s-2": backend}) as node:
-            caller = await node.connect()
-            caller.writer.write(post("a" * 16, LONG))
+        endpoint = EndpointServer()
+        endpoint._connection = connection  # type: ignore[method-assign]
+        async with proxy_under_test({"s-1": endpoint, "s-2": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(post("a" * 16, LONG))
             with contextlib.suppress(ConnectionError):
                 for _ in range(8 * MB // len(PIECE)):
-                    caller.writer.write(PIECE)
-                    await caller.writer.drain()
+                    client.writer.write(PIECE)
+                    await client.writer.drain()
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await begun.wait()
-            assert (await caller.response()).status_code == 503
-            assert backend.received_count == 1
+            assert (await client.response()).status_code == 503
+            assert endpoint.received_count == 1
 
     run_async(test())
 
@@ -402,12 +404,12 @@
             closed.set()  # the proxy has ended it
 
         closed = asyncio.Event()
-        backend = EndpointServer()
-        backend._connection = connection  # type: ignore[method-assign]
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.writer.write(post("a" * 16, LONG) + PIECE * (5 * MB // len(PIECE)))
-            answer = await caller.response()
+        endpoint = EndpointServer()
+        endpoint._connection = connection  # type: ignore[method-assign]
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(post("a" * 16, LONG) + PIECE * (5 * MB // len(PIECE)))
+            answer = await client.response()
             assert (answer.status_code, answer.body, answer.headers["connection"]) == (
                 200,
                 b"enough",
@@ -422,15 +424,15 @@
 def test_a_client_that_disconnects_in_mid_body_leaves_nothing_that_could_be_executed() -> None:
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        backend = sink(got)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            caller.writer.write(post("a" * 16, LONG) + PIECE * (8 * MB // len(PIECE)))
+        endpoint = sink(got)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            client.writer.write(post("a" * 16, LONG) + PIECE * (8 * MB // len(PIECE)))
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                while not backend.received_count:
+                while not endpoint.received_count:
                     await asyncio.sleep(0.01)
-                caller.writer.transport.abort()
-                await backend.closed_connections.get()
+                client.writer.transport.abort()
+                await endpoint.closed_connections.get()
             assert got == []
 
     run_async(test())
@@ -441,16 +443,16 @@
 
     async def test() -> None:
         got: list[tuple[str, int]] = []
-        async with proxy_under_test({"s-1": sink(got)}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": sink(got)}) as proxy:
+            client = await proxy.connect()
             head = post("a" * 16, 2 * len(PIECE))
             for place in range(0, len(head), 8):
-                caller.writer.write(head[place : place + 8])
+                client.writer.write(head[place : place + 8])
                 await asyncio.sleep(12 / len(head))
             for _ in range(32):
-                caller.writer.write(PIECE[:4096])
+                client.writer.write(PIECE[:4096])
                 await asyncio.sleep(2.0 / 32)
-            assert (await caller.response()).status_code == 200
+            assert (await client.response()).status_code == 200
             assert got[0][1] == 2 * len(PIECE)
 
     run_async(test())
@@ -460,17 +462,17 @@
     """RFC 9110, 5.5; on both sides."""
 
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(
-                OK + b"Transfer-Encoding: chunked  \r\n\r\n" + chunk(seen.headers["x-call-id"].encode())
+                OK + b"Transfer-Encoding: chunked  \r\n\r\n" + chunk(received.headers["x-call-id"].encode())
             )
             writer.write(b"0\r\n\r\n")
 
-        async with proxy_under_test({"s-1": EndpointServer(behave)}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": EndpointServer(respond)}) as proxy:
+            client = await proxy.connect()
             head = b"POST /canje HTTP/1.1\r\nHost: x \r\nX-Call-Id: abc \t\r\nX-Budget: 900m \r\n"
-            caller.writer.write(head + b"Transfer-Encoding: chunked \r\n\r\n0\r\n\r\n")
-            line, _, body = await read_message(caller.reader)
+            client.writer.write(head + b"Transfer-Encoding: chunked \r\n\r\n0\r\n\r\n")
+            line, _, body = await read_message(client.reader)
             assert (line.split(" ")[1], body) == ("200", b"abc")
 
     run_async(test())
@@ -498,23 +500,23 @@
 
 
 def test_the_deadline_of_a_streamed_body_begins_with_its_last_byte() -> None:
-    """Its upload takes longer than its budget; a backend that then says nothing is given just that."""
+    """Its upload takes longer than its budget; an endpoint that then says nothing is given just that."""
 
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             """It has all of it, and says nothing."""
 
-        async with proxy_under_test({"s-1": EndpointServer(behave)}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": EndpointServer(respond)}) as proxy:
+            client = await proxy.connect()
             loop = asyncio.get_running_loop()
             length = 6 * MB
-            caller.writer.write(post("a" * 16, length, budget="500m"))
+            client.writer.write(post("a" * 16, length, budget="500m"))
             for _ in range(length // MB):
-                caller.writer.write(bytes(MB))
-                await caller.writer.drain()
+                client.writer.write(bytes(MB))
+                await client.writer.drain()
                 await asyncio.sleep(0.15)
             whole = loop.time()
-            assert (await caller.response()).status_code in (502, 504)
+            assert (await client.response()).status_code in (502, 504)
             assert 0.2 < loop.time() - whole < 1.0
 
     run_async(test())
--- a/tests/net/test_upstream_responses.py
+++ b/tests/net/test_upstream_responses.py
@@ -1,4 +1,4 @@
-"""Backends that answer badly: each answer is served whole, or its attempt ends at once as one that may have
+"""Endpoints that answer badly: each answer is served whole, or its attempt ends at once as one that may have
 run; nothing is served that belongs to another request."""
 
 from __future__ import annotations
@@ -42,30 +42,30 @@
 }
 
 
-async def failed_at_once(backend: EndpointServer) -> None:
+async def failed_at_once(endpoint: EndpointServer) -> None:
     """The budget and the attempt's time are seconds: only the answer itself can end it this soon."""
-    async with proxy_under_test({"s-1": backend}) as node:
-        caller = await node.connect()
+    async with proxy_under_test({"s-1": endpoint}) as proxy:
+        client = await proxy.connect()
         begun = asyncio.get_running_loop().time()
-        reply = await caller.request("canje", "a" * 16, budget="5000m")
+        reply = await client.request("canje", "a" * 16, budget="5000m")
         assert reply.status_code == 502 and "retry-after" not in reply.headers
         assert asyncio.get_running_loop().time() - begun < 1.5
-        assert backend.received_count == 1
+        assert endpoint.received_count == 1
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            await backend.closed_connections.get()
+            await endpoint.closed_connections.get()
 
 
 @pytest.mark.parametrize("spoilt", BAD.values(), ids=BAD)
 def test_an_invalid_response_ends_its_attempt_at_once(spoilt: bytes) -> None:
-    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(spoilt)
 
-    run_async(failed_at_once(EndpointServer(behave)))
+    run_async(failed_at_once(EndpointServer(respond)))
 
 
 @pytest.mark.parametrize(("begin", "more"), ENDLESS.values(), ids=ENDLESS)
 def test_a_response_without_end_is_cut_off(begin: bytes, more: bytes) -> None:
-    async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(begin)
         with contextlib.suppress(ConnectionError):
             while True:
@@ -73,7 +73,7 @@
                 await writer.drain()
                 await asyncio.sleep(0.001)
 
-    run_async(failed_at_once(EndpointServer(behave)))
+    run_async(failed_at_once(EndpointServer(respond)))
 
 
 GOOD = {
@@ -94,18 +94,18 @@
 @pytest.mark.parametrize(("answer", "kept"), GOOD.values(), ids=GOOD)
 def test_a_valid_response_is_served_and_what_came_behind_it_is_not(answer: bytes, kept: bool) -> None:
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
 
-        backend = EndpointServer(behave)
-        async with proxy_under_test({"s-1": backend}) as node:
-            caller = await node.connect()
-            reply = await caller.request("canje", "a" * 16)
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            client = await proxy.connect()
+            reply = await client.request("canje", "a" * 16)
             assert (reply.status_code, reply.body) == (200, b"me")
             assert not {"link", "x-t", "x-load-report"} & set(reply.headers)
             for number in range(3):
-                assert (await caller.request("canje", f"{number:016x}")).body == b"other"
-            numbers = [(await backend.received.get()).connection for _ in range(4)]
+                assert (await client.request("canje", f"{number:016x}")).body == b"other"
+            numbers = [(await endpoint.received.get()).connection for _ in range(4)]
             assert (numbers[0] == numbers[1]) == kept
 
     run_async(test())
@@ -113,13 +113,13 @@
 
 def test_a_response_may_end_with_its_connection_if_it_says_so() -> None:
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Connection: close\r\n\r\nme")
             await writer.drain()
             writer.close()
 
-        async with proxy_under_test({"s-1": EndpointServer(behave)}) as node:
-            reply = await (await node.connect()).request("canje", "a" * 16)
+        async with proxy_under_test({"s-1": EndpointServer(respond)}) as proxy:
+            reply = await (await proxy.connect()).request("canje", "a" * 16)
             assert (reply.status_code, reply.body) == (200, b"me")
 
     run_async(test())
@@ -140,7 +140,7 @@
         def start() -> None:
             def done(exchange: up.UpstreamAttempt) -> None:
                 if ended.empty() and exchange.response_body == b"old":
-                    backend.sendall(response(200, b"old"))
+                    endpoint.sendall(response(200, b"old"))
                     start()
                 ended.put_nowait(exchange)
 
@@ -149,15 +149,15 @@
 
         async with asyncio.timeout(TEST_TIMEOUT_S):
             start()
-            backend, _ = await loop.sock_accept(listener)
-            await loop.sock_recv(backend, 1000)
-            backend.sendall(response(200, b"old"))
+            endpoint, _ = await loop.sock_accept(listener)
+            await loop.sock_recv(endpoint, 1000)
+            endpoint.sendall(response(200, b"old"))
             assert (await ended.get()).response_body == b"old"
             second, _ = await loop.sock_accept(listener)
             await loop.sock_recv(second, 1000)
             second.sendall(response(200, b"new"))
             assert (await ended.get()).response_body == b"new"
-        for each in (backend, second, listener):
+        for each in (endpoint, second, listener):
             each.close()
 
     run_async(test())
@@ -193,39 +193,39 @@
 
 
 def test_one_reset_connection_does_not_eject_a_live_endpoint() -> None:
-    """It has just answered others. Four calls at once go to both backends; were one left, to the other."""
+    """It has just answered others. Four calls at once go to both endpoints; were one left, to the other."""
 
     async def test() -> None:
         release = asyncio.Event()
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"].startswith("dead"):
                 writer.transport.abort()
             if seen.headers["x-call-id"].startswith("hold"):
                 await release.wait()
             writer.write(response(200, b"done"))
 
-        backends = {"s-1": EndpointServer(behave), "s-2": EndpointServer(behave)}
-        async with proxy_under_test(backends) as node:
-            callers = [await node.connect() for _ in range(4)]
+        endpoints = {"s-1": EndpointServer(respond), "s-2": EndpointServer(respond)}
+        async with proxy_under_test(endpoints) as proxy:
+            clients = [await proxy.connect() for _ in range(4)]
             for number in range(6):
-                for place, caller in enumerate(callers):
-                    caller.send("canje", f"{number:015x}{place}")
-                assert [(await caller.response()).status_code for caller in callers] == [200] * 4
-            before = [backend.received_count for backend in backends.values()]
-            assert (await callers[0].request("canje", "dead" + "0" * 12)).status_code == 502
+                for place, client in enumerate(clients):
+                    client.send("canje", f"{number:015x}{place}")
+                assert [(await client.response()).status_code for client in clients] == [200] * 4
+            before = [endpoint.received_count for endpoint in endpoints.values()]
+            assert (await clients[0].request("canje", "dead" + "0" * 12)).status_code == 502
             struck = next(
-                b for b, count in zip(backends.values(), before, strict=True) if b.received_count > count
+                b for b, count in zip(endpoints.values(), before, strict=True) if b.received_count > count
             )
             count = struck.received_count
-            for number, caller in enumerate(callers):
-                caller.send("canje", f"hold{number:012x}", budget="5000m")
+            for number, client in enumerate(clients):
+                client.send("canje", f"hold{number:012x}", budget="5000m")
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                while sum(backend.received_count for backend in backends.values()) < sum(before) + 5:
+                while sum(endpoint.received_count for endpoint in endpoints.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
             assert struck.received_count > count
             release.set()
-            assert [(await caller.response()).status_code for caller in callers] == [200] * 4
+            assert [(await client.response()).status_code for client in clients] == [200] * 4
 
     run_async(test())
 
@@ -236,7 +236,7 @@
     async def test() -> None:
         turned_away = 0
 
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             nonlocal turned_away
             if seen.target.startswith("/canje"):
                 turned_away += 1
@@ -245,11 +245,11 @@
                 writer.write(response(200, b"done"))
 
         sound = EndpointServer()
-        async with proxy_under_test({"s-1": EndpointServer(behave), "s-2": sound}) as node:
-            caller = await node.connect()
+        async with proxy_under_test({"s-1": EndpointServer(respond), "s-2": sound}) as proxy:
+            client = await proxy.connect()
             for number in range(40):
-                assert (await caller.request("canje", f"c{number:015x}")).status_code == 200
-                assert (await caller.request("stock", f"s{number:015x}")).status_code == 200
+                assert (await client.request("canje", f"c{number:015x}")).status_code == 200
+                assert (await client.request("stock", f"s{number:015x}")).status_code == 200
         assert turned_away <= 6  # about half of 40 where each class is sent by load alone
 
     run_async(test())
