--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -27,10 +27,14 @@
 
 
 def _single_value(headers: Headers, name: bytes) -> bytes:
-    values = [value for key, value in headers if key == name]
-    if len(values) > 1:
-        raise BadRequestError(400, f"more than one {name.decode()}")
-    return values[0] if values else b""
+    """Return the value of a field that may stand once; b"": it does not stand there."""
+    found: bytes | None = None
+    for key, value in headers:
+        if key == name:
+            if found is not None:
+                raise BadRequestError(400, f"more than one {name.decode()}")
+            found = value
+    return found or b""
 
 
 def validate_head(version: str, headers: Headers, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
