--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,7 +23,7 @@
 from random import Random
 from statistics import median
 
-from benchmarks.per_call import Drive, cpu
+from benchmarks.per_call import Load, cpu_seconds
 from benchmarks.report import BenchmarkReport, run_benchmark
 from harness.budget_history import play_history
 from harness.clients import GIVE_UP_MARGIN_S
@@ -33,14 +33,22 @@
 from harness.proxy_process import running_proxy
 from harness.recorder import ReceivedAnswer, RecordedAttempt, Recorder, SentRequest
 from harness.stub_endpoint import StubEndpoint
-from harness.tier_chain import ATTEMPTS, CLASSES, SERVICES, SLOTS, Chain, key_file, running
+from harness.tier_chain import (
+    ATTEMPTS_PER_TREE,
+    CLASSES,
+    SERVICE_TIMES,
+    SLOTS,
+    Chain,
+    running_chain,
+    write_key_file,
+)
 from service_proxy.deadlines.correlation import BYTES_PER_REQUEST, CorrelationTable
 from service_proxy.deadlines.request_budget import root_budget
 
 HOSTS = 2
 CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
 PATIENCE = (0.5, 1.0)  # of its class's deadline for which a client waits
-CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICES["nucleo"] / CALLS_EACH  # requests/s
+CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICE_TIMES["nucleo"] / CALLS_EACH  # requests/s
 CALM_LOAD = 0.5  # of the capacity
 OVERLOAD = 1.5
 PHASE_S = 15.0
@@ -110,12 +118,12 @@
     for request_id, request in requests.items():
         judge_request(request, answers.get(request_id), result)
     for attempt in recorder.attempts:
-        root = requests.get(chain.root(attempt.request_id))
+        root = requests.get(chain.root_request(attempt.request_id))
         if root is not None and attempt.executed:
             judge_work(attempt, root, answers.get(root.request_id), result)
-    late = chain.late(LATE_START_TOLERANCE_S)
-    result.late_starts += [by for attempt, by in late if chain.root(attempt.request_id) in requests]
-    counts = chain.attempts()
+    late = chain.late_attempts(LATE_START_TOLERANCE_S)
+    result.late_starts += [by for attempt, by in late if chain.root_request(attempt.request_id) in requests]
+    counts = chain.attempts_by_root()
     result.max_attempts = max([result.max_attempts, *(counts[request_id] for request_id in requests)])
 
 
@@ -161,9 +169,12 @@
 ) -> None:
     """Run a chain through both phases, with the same requests at the same moments whether on or off."""
     profile = ApplicationProfile(
-        CALLS_EACH, propagates_deadline=False, copies_budget_header=has_budgets, service_time_by_tier=SERVICES
+        CALLS_EACH,
+        propagates_deadline=False,
+        copies_budget_header=has_budgets,
+        service_time_by_tier=SERVICE_TIMES,
     )
-    async with running(2, HOSTS, has_budgets, profile=profile) as chain:
+    async with running_chain(2, HOSTS, has_budgets, profile=profile) as chain:
         clients = chain.deployment.clients
         assert clients is not None
         chain.deployment.bypass_edge_proxy()
@@ -256,14 +267,16 @@
     is_more_timely = over_on.timely_share > over_off.timely_share
     report.check(is_more_timely, "the overloaded half gained no worth with budgets on")
     attempts = max(calm_on.max_attempts, over_on.max_attempts)
-    report.check(attempts <= ATTEMPTS, f"a request had {attempts} attempts, and its tree {ATTEMPTS}")
+    report.check(
+        attempts <= ATTEMPTS_PER_TREE, f"a request had {attempts} attempts, and its tree {ATTEMPTS_PER_TREE}"
+    )
 
 
 async def measure_loops(report: BenchmarkReport) -> None:
     """Misroute chains of one to three tiers back to their first."""
     requests = SHORT_LOOP_REQUESTS if report.short else LOOP_REQUESTS
     for tiers in (1, 2, 3):
-        async with running(tiers, 1, misroute=True) as chain:
+        async with running_chain(tiers, 1, misroute=True) as chain:
             clients = chain.deployment.clients
             assert clients is not None
             request_class = chain.deployment.classes["canje"]
@@ -271,7 +284,9 @@
             attempts = chain.deployment.recorder.attempts
             hops = [chain.depth(attempt.request_id) for attempt in attempts]
             runs = Counter(
-                (chain.root(attempt.request_id), attempt.endpoint) for attempt in attempts if attempt.executed
+                (chain.root_request(attempt.request_id), attempt.endpoint)
+                for attempt in attempts
+                if attempt.executed
             )
             logged = chain.reported_loops()
             max_hops = max(hops, default=0)
@@ -312,17 +327,17 @@
         discovery.put(item)
     costs: dict[str, list[float]] = {"off": [], "on": []}
     with tempfile.TemporaryDirectory() as folder:
-        table = f'[budgets]\nkeys_file = "{key_file(Path(folder))}"\nedge = true\n'
+        table = f'[budgets]\nkeys_file = "{write_key_file(Path(folder))}"\nedge = true\n'
         async with (
             running_proxy("off", discovery.address, known) as off,
             running_proxy("on", discovery.address, known, table) as on,
         ):
             for number in range(turns):
                 for name, program in (("off", off), ("on", on)):
-                    before = cpu(program.process.pid)
-                    await Drive(f"{name}{number}", requests).run(program.address)
+                    before = cpu_seconds(program.process.pid)
+                    await Load(f"{name}{number}", requests).run(program.address)
                     if number:
-                        costs[name].append((cpu(program.process.pid) - before) / requests * 1e6)
+                        costs[name].append((cpu_seconds(program.process.pid) - before) / requests * 1e6)
     discovery.stop()
     for endpoint in endpoints:
         endpoint.stop()
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -10,7 +10,7 @@
 from random import Random
 from statistics import median
 
-from benchmarks.per_call import Drive, cpu
+from benchmarks.per_call import Load, cpu_seconds
 from benchmarks.report import BenchmarkReport
 from harness.event_loop import until
 from harness.fleet.fault_script import FaultPlayer, FaultScript, ScriptedFault, ScriptHeader
@@ -285,14 +285,14 @@
         for turn in range(turns):
             for view in (True, False) if turn % 2 else (False, True):
                 program = proxy_process(harnesses[view])
-                before = cpu(program.process.pid)
-                await Drive(f"{seed}-{turn}-{view}-", requests).run(program.address)
-                spent[view].append((cpu(program.process.pid) - before) / requests * 1e6)
+                before = cpu_seconds(program.process.pid)
+                await Load(f"{seed}-{turn}-{view}-", requests).run(program.address)
+                spent[view].append((cpu_seconds(program.process.pid) - before) / requests * 1e6)
         for view in (True, False):
             program = proxy_process(harnesses[view])
-            before = cpu(program.process.pid)
+            before = cpu_seconds(program.process.pid)
             await asyncio.sleep(IDLE_S)
-            idle[view] = (cpu(program.process.pid) - before) / IDLE_S * 1e6
+            idle[view] = (cpu_seconds(program.process.pid) - before) / IDLE_S * 1e6
     ratio = median(spent[True]) / median(spent[False])
     report.record("cost_on", median(spent[True]), "us a call")
     report.record("cost_off", median(spent[False]), "us a call")
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -1,10 +1,11 @@
-"""CPU per call of the proxy, against a bare relay on the same kind of loop, in turns.
+"""CPU per request of the proxy, against a bare relay on the same kind of loop, in turns.
 
     python -m benchmarks.per_call [--short] [--against CHECKOUT]
 
-Each turn drives the same calls through the relay, the proxy with all off, the proxy with [membership] on (its
-service has 87 nodes and changes nothing) and, with --against, the proxy of another checkout. What is
-compared is the ratio to the relay's cost in the same turn, so that a slow machine is no slow proxy.
+Each turn drives the same requests through the relay, the proxy with all parts off, the proxy with
+[membership] on (its service has 87 nodes and changes nothing) and, with --against, the proxy of another
+checkout. What is compared is the ratio to the relay's cost in the same turn, so that a slow machine is no
+slow proxy.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 import sys
 import time
 from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from pathlib import Path
 from statistics import median
 from typing import Any, cast
@@ -31,78 +33,94 @@
 from harness.stub_endpoint import StubEndpoint
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
 from service_proxy.ephemeral_nodes.records import OPEN_ACL
+from service_proxy.net.http_status import OK
 
 CONNECTIONS = 8
 TURNS = 5
-# of one turn of each
-CALLS = 6000
-CALLS_SHORT = 2500
-BACKENDS = 4
-MOST_REFUSED = 0.001  # share of the calls
-NODES = 87
+TURNS_SHORT = 3
+REQUESTS_PER_TURN = 6000
+REQUESTS_PER_TURN_SHORT = 2500
+TURN_TIMEOUT_S = 120
+ENDPOINTS = 4
+MAX_UNSERVED_SHARE = 0.001  # a machine that stands still for a moment has a few rejected, as it should
+COORDINATION_SERVERS = 3
+NODES = 87  # in the coordination service
+NS_PER_S = 1e9
+US_PER_S = 1e6
 
 
-def cpu(pid: int) -> float:
-    """s on a CPU of the process's threads (proc/PID/task/*/schedstat, in ns)."""
-    return sum(int(p.read_text().split()[0]) for p in Path(f"/proc/{pid}/task").glob("*/schedstat")) / 1e9
+def cpu_seconds(pid: int) -> float:
+    """Return the time on a CPU of the process's threads (proc/PID/task/*/schedstat)."""
+    files = Path(f"/proc/{pid}/task").glob("*/schedstat")
+    return sum(int(file.read_text().split()[0]) for file in files) / NS_PER_S
 
 
-class _Caller(asyncio.Protocol):
-    """Asks the next call once the last is answered."""
+@dataclass(frozen=True, slots=True)
+class Target:
+    """A process that is measured."""
 
-    def __init__(self, drive: Drive) -> None:
-        self.drive = drive
+    pid: int
+    address: tuple[str, int]
+
+
+class _Client(asyncio.Protocol):
+    """Sends the next request once the last is answered."""
+
+    def __init__(self, load: Load) -> None:
+        self.load = load
         self.parser: Any = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.ask()
+        self.send()
 
-    def ask(self) -> None:
+    def send(self) -> None:
         assert self.transport is not None
-        if self.drive.left == 0:
+        if self.load.unsent == 0:
             self.transport.close()
             return
-        self.drive.left -= 1
-        self.drive.count += 1
+        self.load.unsent -= 1
+        self.load.sent += 1
         self.parser = httptools.HttpResponseParser(self)
-        self.transport.write(format_request(DEFAULT_CLASSES[0], f"{self.drive.name}{self.drive.count:08x}"))
+        self.transport.write(format_request(DEFAULT_CLASSES[0], f"{self.load.name}{self.load.sent:08x}"))
 
     def data_received(self, data: bytes) -> None:
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self.drive.served += self.parser.get_status_code() == 200
-        self.ask()
+        self.load.served += self.parser.get_status_code() == OK
+        self.send()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.drive.open -= 1
-        if not self.drive.open:
-            self.drive.done.set()
+        self.load.open_connections -= 1
+        if not self.load.open_connections:
+            self.load.done.set()
 
 
-class Drive:
-    """So many calls over a few connections, each with one call at a time."""
+class Load:
+    """So many requests over a few connections, each with one request at a time."""
 
-    def __init__(self, name: str, calls: int) -> None:
+    def __init__(self, name: str, requests: int) -> None:
         self.name = name
-        self.left = calls
-        self.count = 0
+        self.unsent = requests
+        self.sent = 0
         self.served = 0
-        self.open = CONNECTIONS
+        self.open_connections = CONNECTIONS
         self.done = asyncio.Event()
 
     async def run(self, address: tuple[str, int]) -> None:
+        """Send all of them; raises TimeoutError."""
         loop = asyncio.get_running_loop()
         for _ in range(CONNECTIONS):
-            await loop.create_connection(lambda: _Caller(self), *address)
-        async with asyncio.timeout(120):
+            await loop.create_connection(lambda: _Client(self), *address)
+        async with asyncio.timeout(TURN_TIMEOUT_S):
             await self.done.wait()
 
 
 @contextlib.asynccontextmanager
-async def relay(to: str) -> AsyncIterator[tuple[int, tuple[str, int]]]:
+async def running_relay(to: str) -> AsyncIterator[Target]:
+    """Start the bare relay towards an endpoint."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "harness.tcp_relay", "--to", to, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
@@ -110,95 +128,117 @@
     try:
         line = (await process.stdout.readline()).decode().split()[1]
         host, _, port = line.rpartition(":")
-        yield process.pid, (host, int(port))
+        yield Target(process.pid, (host, int(port)))
     finally:
         process.kill()
         await process.wait()
 
 
-def fill(service: CoordinationService, backends: list[StubEndpoint]) -> None:
-    """The backends and others that are draining, so that the calls go where they go without it."""
+def fill(service: CoordinationService, endpoints: list[StubEndpoint]) -> None:
+    """Register the endpoints and others that drain, so that requests go where they go without it."""
     service.tree.create("/portal", b"", list(OPEN_ACL), 0, 0)
-    record = SessionRecord(1, b"", 1e9, time.monotonic())
-    service.sessions[1] = record
+    service.sessions[1] = SessionRecord(1, b"", 1e9, time.monotonic())
     for number in range(NODES):
-        if number < len(backends):
-            node = EndpointNode(backends[number].name, backends[number].address, "a", "m", 1)
+        if number < len(endpoints):
+            node = EndpointNode(endpoints[number].name, endpoints[number].address, "a", "m", 1)
         else:
             node = EndpointNode(f"z-{number}", f"127.0.0.1:{number + 1}", "a", "m", 1, status="Terminating")
         service.tree.create(f"/portal/{node.name}", node.encode(), list(OPEN_ACL), 1, 1)
 
 
-async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
-    calls = CALLS_SHORT if proof.short else CALLS
-    turns = 3 if proof.short else TURNS
-    ledger = Recorder()
-    registry = EndpointRegistry(ledger)
+class Measurement:
+    """CPU per request of each target, turn by turn."""
+
+    def __init__(self, targets: dict[str, Target], requests: int) -> None:
+        self.targets = targets
+        self.requests = requests  # of one turn of each
+        self.costs: dict[str, list[float]] = {name: [] for name in targets}  # us a request
+        self.served = 0
+        self.sent = 0
+
+    async def run_turn(self, turn: int) -> None:
+        """Drive all targets, in an order that changes each turn; the first one warms them up."""
+        names = list(self.targets) if turn % 2 else list(reversed(self.targets))
+        for name in names:
+            target = self.targets[name]
+            load = Load(f"{name[0]}{turn}", self.requests)
+            before = cpu_seconds(target.pid)
+            await load.run(target.address)
+            used = cpu_seconds(target.pid) - before
+            if turn:
+                self.costs[name].append(used / self.requests * US_PER_S)
+                self.served += load.served
+                self.sent += self.requests
+
+    def report(self, report: BenchmarkReport) -> None:
+        """Record the figures and check them."""
+        report.record("calls", self.sent, "calls in all")
+        for name, costs in self.costs.items():
+            report.record(f"{name}_cpu", median(costs), "us a call")
+        relay = self.costs["relay"]
+        ratios = {
+            name: [cost / bare for cost, bare in zip(costs, relay, strict=True)]
+            for name, costs in self.costs.items()
+            if name != "relay"
+        }
+        for name, values in ratios.items():
+            spread = f"times, {min(values):.2f} to {max(values):.2f}"
+            report.record(f"{name}_to_relay", median(values), spread)
+        unserved = self.sent - self.served
+        report.record("not_served", unserved, "calls")
+        few = unserved <= MAX_UNSERVED_SHARE * self.sent
+        report.check(few, f"{unserved} of {self.sent} calls were not served")
+        if "against" in ratios:
+            compare(report, ratios["off"], ratios["against"])
+
+
+def compare(report: BenchmarkReport, current: list[float], other: list[float]) -> None:
+    """Check that this checkout costs no more than the other, within the noise of the turns."""
+    noise = max(max(values) - min(values) for values in (current, other))
+    difference = median(current) - median(other)
+    report.record("off_over_against", difference, "times the relay")
+    report.record("noise", noise, "times the relay, the widest spread of the turns")
+    report.check(difference <= noise, f"off costs {difference:.2f} relays more than the other checkout")
+
+
+async def measure(report: BenchmarkReport, options: argparse.Namespace) -> None:
+    """Start all targets, drive them in turns and report."""
+    recorder = Recorder()
+    registry = EndpointRegistry(recorder)
     await registry.start()
-    backends = [StubEndpoint(ledger, f"s-{n}", service_time=0.0) for n in range(BACKENDS)]
-    for backend in backends:
-        await backend.start()
-    service = CoordinationService(3)
-    servers = ", ".join('"{}:{}"'.format(*at) for at in await service.start())
-    fill(service, backends)
-    known = [entry(backend.name, backend.address) for backend in backends]
+    endpoints = [StubEndpoint(recorder, f"s-{n}", service_time=0.0) for n in range(ENDPOINTS)]
+    for endpoint in endpoints:
+        await endpoint.start()
+    service = CoordinationService(COORDINATION_SERVERS)
+    servers = ", ".join('"{}:{}"'.format(*address) for address in await service.start())
+    fill(service, endpoints)
+    known = [entry(endpoint.name, endpoint.address) for endpoint in endpoints]
     for item in known:
         registry.put(item)
-    operator = f'[membership]\nservers = [{servers}]\npath = "/portal"\n'
+    membership = f'[membership]\nservers = [{servers}]\npath = "/portal"\n'
+    variants: dict[str, dict[str, Any]] = {"off": {}, "membership": {"operator": membership}}
+    if options.against is not None:
+        variants["against"] = {"root": options.against.resolve()}
     async with contextlib.AsyncExitStack() as stack:
-        at: dict[str, tuple[int, tuple[str, int]]] = {}
-        at["relay"] = await stack.enter_async_context(relay(backends[0].address))
-        variants: dict[str, dict[str, Any]] = {"off": {}, "membership": {"operator": operator}}
-        if wanted.against is not None:
-            variants["against"] = {"root": wanted.against.resolve()}
-        for name, how in variants.items():
-            started = await stack.enter_async_context(
-                running_proxy(name, registry.address, known, quantum=0.001, **how)
-            )
-            at[name] = started.process.pid, started.address
-        found: dict[str, list[float]] = {name: [] for name in at}
-        served = 0
-        asked = 0
-        for turn in range(turns + 1):
-            names = list(at) if turn % 2 else list(reversed(at))
-            for name in names:
-                pid, address = at[name]
-                drive = Drive(f"{name[0]}{turn}", calls)
-                before = cpu(pid)
-                await drive.run(address)
-                used = (cpu(pid) - before) / calls * 1e6
-                if turn:  # the first warms up
-                    found[name].append(used)
-                    served = served + drive.served
-                    asked = asked + calls
+        targets = {"relay": await stack.enter_async_context(running_relay(endpoints[0].address))}
+        for name, arguments in variants.items():
+            proxy = running_proxy(name, registry.address, known, quantum=0.001, **arguments)
+            started = await stack.enter_async_context(proxy)
+            targets[name] = Target(started.process.pid, started.address)
+        measurement = Measurement(targets, REQUESTS_PER_TURN_SHORT if report.short else REQUESTS_PER_TURN)
+        for turn in range((TURNS_SHORT if report.short else TURNS) + 1):
+            await measurement.run_turn(turn)
     await service.stop()
     registry.stop()
-    for backend in backends:
-        backend.stop()
-    proof.record("calls", asked, "calls in all")
-    for name, costs in found.items():
-        proof.record(f"{name}_cpu", median(costs), "us a call")
-    ratios = {
-        name: [cost / bare for cost, bare in zip(costs, found["relay"], strict=True)]
-        for name, costs in found.items()
-        if name != "relay"
-    }
-    for name, values in ratios.items():
-        proof.record(f"{name}_to_relay", median(values), f"times, {min(values):.2f} to {max(values):.2f}")
-    proof.record("not_served", asked - served, "calls")
-    # A machine that stands still for a moment has a few refused, as it should: not a matter of cost.
-    proof.check(asked - served <= MOST_REFUSED * asked, f"{asked - served} of {asked} calls were not served")
-    if "against" in ratios:
-        spread = max(max(values) - min(values) for values in (ratios["off"], ratios["against"]))
-        more = median(ratios["off"]) - median(ratios["against"])
-        proof.record("off_over_against", more, "times the relay")
-        proof.record("noise", spread, "times the relay, the widest spread of the turns")
-        proof.check(more <= spread, f"off costs {more:.2f} relays more than the other checkout")
-
-
-def more(parser: argparse.ArgumentParser) -> None:
+    for endpoint in endpoints:
+        endpoint.stop()
+    measurement.report(report)
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Add this benchmark's own arguments."""
     parser.add_argument("--against", type=Path, metavar="CHECKOUT", help="another checkout of the program")
 
 
 if __name__ == "__main__":
-    sys.exit(run_benchmark("per_call", measure, add_arguments=more))
+    sys.exit(run_benchmark("per_call", measure, add_arguments=add_arguments))
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,11 +1,10 @@
-"""What all proofs share: their arguments, the lines they print, and the verdict. No measuring here."""
+"""What all benchmarks share: their arguments, the lines they print, and the verdict."""
 
 from __future__ import annotations
 
 import argparse
 import asyncio
 import json
-import sys
 from collections.abc import Callable, Coroutine
 from pathlib import Path
 from typing import Any
@@ -14,7 +13,7 @@
 
 
 class BenchmarkReport:
-    """Figures and claims of one run."""
+    """Figures and failed assertions of one run."""
 
     def __init__(self, name: str, short: bool, seed: int) -> None:
         self.name = name
@@ -24,15 +23,21 @@
         self.failed: list[str] = []
 
     def record(self, name: str, value: float | str, unit: str = "") -> None:
+        """Print a figure and keep it for --json."""
         self.figures[name] = value, unit
         shown = f"{value:.4g}" if isinstance(value, float) else str(value)
         print(f"{name} {shown} {unit}".rstrip(), flush=True)
 
     def check(self, passed: object, message: str) -> None:
-        """`what` says the claim as it fell short."""
+        """Assert something; `message` says what is wrong where it failed."""
         if not passed:
             self.failed.append(message)
-            print(f"fell short: {message}", flush=True)
+            print(f"failed: {message}", flush=True)
+
+    def as_json(self) -> str:
+        """Write the figures and failed assertions as JSON."""
+        figures = {name: {"value": value, "unit": unit} for name, (value, unit) in self.figures.items()}
+        return json.dumps({"figures": figures, "failed": self.failed}, indent=1) + "\n"
 
 
 def run_benchmark(
@@ -41,9 +46,9 @@
     argv: list[str] | None = None,
     add_arguments: Callable[[argparse.ArgumentParser], None] | None = None,
 ) -> int:
-    """Exit code 0 where all claims held, else 1."""
+    """Run a benchmark by its command line; return exit code 0 where all assertions passed, else 1."""
     parser = argparse.ArgumentParser(prog=f"python -m benchmarks.{name}")
-    parser.add_argument("--short", action="store_true", help="ends within 45 s, with the same claims")
+    parser.add_argument("--short", action="store_true", help="ends within 45 s, with the same assertions")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", type=Path, metavar="FILE", help="the figures, too")
     if add_arguments is not None:
@@ -52,8 +57,6 @@
     report = BenchmarkReport(name, options.short, options.seed)
     asyncio.Runner(loop_factory=uvloop.new_event_loop).run(measure(report, options))
     if options.json is not None:
-        found = {key: {"value": value, "unit": unit} for key, (value, unit) in report.figures.items()}
-        options.json.write_text(json.dumps({"figures": found, "fell_short": report.failed}, indent=1) + "\n")
-    print("PROOF fell short: " + "; ".join(report.failed) if report.failed else "PROOF held")
-    sys.stdout.flush()
+        options.json.write_text(report.as_json())
+    print("FAILED: " + "; ".join(report.failed) if report.failed else "PASSED", flush=True)
     return 1 if report.failed else 0
--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -20,14 +20,14 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.per_call import cpu, relay
+from benchmarks.per_call import cpu_seconds, running_relay
 from benchmarks.report import BenchmarkReport, run_benchmark
 from harness.clients import CLASS_SETTINGS, DEFAULT_CLASSES, IDEMPOTENCY_BY_CLASS
 from harness.endpoint_registry import EndpointRegistry, entry
 from harness.event_loop import until
-from harness.proxy_process import ProxyProcess, running_proxy, settings
+from harness.proxy_process import ProxyProcess, platform_settings, running_proxy
 from harness.recorder import Idempotency, Recorder
-from harness.websocket_clients import Kiosk, WebSocketClientPool
+from harness.websocket_clients import WebSocketClient, WebSocketClientPool
 from harness.websocket_endpoint import WebSocketEndpoint
 from harness.websocket_frames import stream
 from service_proxy.websocket.codec import Codec, Fault
@@ -86,7 +86,7 @@
         f"reconnect_spread = {size.spread}\nping_every = 5.0\n{more}"
     )
     limits = {"cores": 1.0, "memory_mb": 1024, "sockets": 3 * size.sessions + 1500}
-    raw = {"settings": settings(grades=[*CLASS_SETTINGS, TUNNEL]), "limits": limits}
+    raw = {"settings": platform_settings(grades=[*CLASS_SETTINGS, TUNNEL]), "limits": limits}
     try:
         async with running_proxy("edge", await registry.start(), known, operator, overrides=raw) as program:
             kiosks = WebSocketClientPool(ledger, [program.address])
@@ -100,13 +100,13 @@
         registry.stop()
 
 
-async def connected(kiosks: WebSocketClientPool, count: int, path: str) -> list[Kiosk]:
-    made: list[Kiosk] = []
+async def connected(kiosks: WebSocketClientPool, count: int, path: str) -> list[WebSocketClient]:
+    made: list[WebSocketClient] = []
     for first in range(0, count, STEP):
         some = [kiosks.add(f"{path[1]}{first + n}", path) for n in range(min(STEP, count - first))]
         made += some
         await asyncio.gather(*(kiosk.connect() for kiosk in some))
-        await until(lambda: kiosks.up == len(kiosks.kiosks), "the sessions are up")
+        await until(lambda: kiosks.connected_count == len(kiosks.clients), "the sessions are up")
     return made
 
 
@@ -114,21 +114,21 @@
     """Each session says something every PAUSE s, spread evenly."""
     while True:
         begun = time.monotonic()
-        waiting = list(kiosks.kiosks)
+        waiting = list(kiosks.clients)
         draw.shuffle(waiting)
         for place, kiosk in enumerate(waiting):
             if place % 20 == 0:
                 due = begun + PAUSE * place / len(waiting)
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
-            if kiosk.up and kiosk.talks:
+            if kiosk.is_connected and kiosk.is_message_mode:
                 kiosk.send(draw.choices(DEFAULT_CLASSES, [cls.share for cls in DEFAULT_CLASSES])[0])
-            elif kiosk.up:
-                kiosk.say("x")
+            elif kiosk.is_connected:
+                kiosk.send_text("x")
         await asyncio.sleep(max(0.0, begun + PAUSE - time.monotonic()))
 
 
-def served(kiosk: Kiosk) -> int:
-    return kiosk.served if kiosk.talks else len(kiosk.texts)
+def served(kiosk: WebSocketClient) -> int:
+    return kiosk.served_count if kiosk.is_message_mode else len(kiosk.texts)
 
 
 async def faults(proof: BenchmarkReport, size: Size) -> None:
@@ -147,7 +147,7 @@
         killed = nodes[quarter : 2 * quarter]
         left_at: dict[str, float] = {}
         hit = sum(len(node.open_sessions) for node in draining + killed)
-        before = len(kiosks.connects)
+        before = len(kiosks.connect_times)
         told = len(ledger.notifications)
         for node in draining:
             registry.put(entry(node.name, node.address, zone=node.zone, status="Terminating"))
@@ -159,25 +159,25 @@
         for node in killed:
             node.stop()
         hit_at = time.monotonic()
-        since = {id(kiosk): served(kiosk) for kiosk in kiosks.kiosks}
+        since = {id(kiosk): served(kiosk) for kiosk in kiosks.clients}
         due = hit_at + 6 * size.spread + 20
         again_at = 0.0
         while time.monotonic() < due and not again_at:
             for node in draining:
                 if not node.open_sessions:
                     left_at.setdefault(node.name, time.monotonic())
-            if all(served(kiosk) > since[id(kiosk)] for kiosk in kiosks.kiosks):
+            if all(served(kiosk) > since[id(kiosk)] for kiosk in kiosks.clients):
                 again_at = time.monotonic()
             await asyncio.sleep(0.01)
         await asyncio.sleep(size.calm)
         speaking.cancel()
         await asyncio.gather(speaking, return_exceptions=True)
-        await until(lambda: not kiosks.open, "the last outcomes")
+        await until(lambda: not kiosks.open_message_count, "the last outcomes")
         worst = max(left_at.get(node.name, due) - told_at()[node.name] for node in draining)
-        back = sorted(at for at in kiosks.connects[before:])
+        back = sorted(at for at in kiosks.connect_times[before:])
         most = max((sum(1 for b in back if a <= b < a + 0.1) for a in back), default=0)
         even = hit * 0.1 / size.spread
-        unserved = sum(1 for kiosk in kiosks.kiosks if served(kiosk) <= since[id(kiosk)])
+        unserved = sum(1 for kiosk in kiosks.clients if served(kiosk) <= since[id(kiosk)])
         broken = ledger.audit({**IDEMPOTENCY_BY_CLASS, "vigia": Idempotency("repeatable")})
         proof.record(
             "hit_sessions", hit, f"tunnels on {len(draining)} nodes that drain, {len(killed)} killed"
@@ -187,12 +187,12 @@
         proof.record(
             "reconnects", len(back), f"after the faults, at most {most} in 100 ms (even: {even:.1f})"
         )
-        closes = ", ".join(f"{code}: {n}" for code, n in sorted(kiosks.closes.items()))
-        proof.record("closes", sum(kiosks.closes.values()), closes)
+        closes = ", ".join(f"{code}: {n}" for code, n in sorted(kiosks.close_codes.items()))
+        proof.record("closes", sum(kiosks.close_codes.values()), closes)
         proof.record("messages", len([t for t in ledger.requests]), "taken in message mode")
         counted = ", ".join(f"{kind} {n}" for kind, n in sorted(kiosks.outcomes.items()))
         proof.record("outcomes", sum(kiosks.outcomes.values()), counted)
-        proof.record("echoes", kiosks.echoed, "of tunnels")
+        proof.record("echoes", kiosks.echo_count, "of tunnels")
         proof.record("rules_broken", len(broken), "by the ledger's audit")
         for violation in broken[:3]:
             print(violation)
@@ -207,7 +207,7 @@
             "messages and outcomes don't pair",
         )
         proof.check(not broken, f"{len(broken)} rules broken")
-        proof.check(set(kiosks.closes) <= {1012}, f"sessions closed otherwise: {closes}")
+        proof.check(set(kiosks.close_codes) <= {1012}, f"sessions closed otherwise: {closes}")
 
 
 @dataclass(slots=True)
@@ -316,10 +316,10 @@
     more = "messages_per_s = 10000.0\nburst = 10000.0\nopen_messages = 1000\n"
     async with AsyncExitStack() as stack:
         program, kiosks, nodes, _, _ = await stack.enter_async_context(fleet(size, 1, more))
-        bare, at = await stack.enter_async_context(relay(nodes[0].address))
-        direct = WebSocketClientPool(Recorder(), [at])
-        through: dict[str, tuple[int, WebSocketClientPool, list[Kiosk]]] = {
-            "relay": (bare, direct, await connected(direct, 8, "/vigia")),
+        relay = await stack.enter_async_context(running_relay(nodes[0].address))
+        direct = WebSocketClientPool(Recorder(), [relay.address])
+        through: dict[str, tuple[int, WebSocketClientPool, list[WebSocketClient]]] = {
+            "relay": (relay.pid, direct, await connected(direct, 8, "/vigia")),
             "tunnel": (program.process.pid, kiosks, await connected(kiosks, 8, "/vigia")),
         }
         found: dict[str, list[tuple[float, float]]] = {"relay": [], "tunnel": [], "talk": []}
@@ -338,38 +338,38 @@
         )
 
 
-async def echoes(pid: int, some: list[Kiosk], count: int) -> tuple[float, float]:
+async def echoes(pid: int, some: list[WebSocketClient], count: int) -> tuple[float, float]:
     """CPU s a message, and messages a second."""
 
-    async def one(kiosk: Kiosk) -> None:
+    async def one(kiosk: WebSocketClient) -> None:
         for _ in range(count // len(some)):
             before = len(kiosk.texts)
-            kiosk.said.clear()
-            kiosk.say("x" * 32)
+            kiosk.received.clear()
+            kiosk.send_text("x" * 32)
             while len(kiosk.texts) == before:
-                await kiosk.said.wait()
-                kiosk.said.clear()
+                await kiosk.received.wait()
+                kiosk.received.clear()
 
     return await measured(pid, [one(kiosk) for kiosk in some], count)
 
 
-async def calls(pid: int, some: list[Kiosk], count: int) -> tuple[float, float]:
-    async def one(kiosk: Kiosk) -> None:
+async def calls(pid: int, some: list[WebSocketClient], count: int) -> tuple[float, float]:
+    async def one(kiosk: WebSocketClient) -> None:
         for _ in range(count // len(some)):
-            kiosk.said.clear()
+            kiosk.received.clear()
             kiosk.send(DEFAULT_CLASSES[1])
-            while kiosk.open:
-                await kiosk.said.wait()
-                kiosk.said.clear()
+            while kiosk.open_messages:
+                await kiosk.received.wait()
+                kiosk.received.clear()
 
     return await measured(pid, [one(kiosk) for kiosk in some], count)
 
 
 async def measured(pid: int, work: list[Any], count: int) -> tuple[float, float]:
-    used = cpu(pid)
+    used = cpu_seconds(pid)
     begun = time.monotonic()
     await asyncio.gather(*work)
-    return (cpu(pid) - used) / count, count / (time.monotonic() - begun)
+    return (cpu_seconds(pid) - used) / count, count / (time.monotonic() - begun)
 
 
 async def measure(proof: BenchmarkReport, wanted: argparse.Namespace) -> None:
--- a/harness/deployment.py
+++ b/harness/deployment.py
@@ -1,8 +1,8 @@
-"""A described installation on loopback: its sidecars for real, and stand-ins for all else.
+"""A described deployment on loopback: its sidecars for real, and stand-ins for all else.
 
-Each [[sidecar]] is a process of the program itself beside an application that calls the next tiers through
-it; each asker has a registry of its own, so that the ledger knows who was told what; a plain proxy stands
-before the first tier. Everything is recorded in one ledger.
+Each [[sidecar]] is a process of the program itself beside an application that sends requests to the next
+tiers through it; each proxy has a discovery stand-in of its own, so that the recorder knows who was notified
+of what; a plain proxy stands before the first tier. Everything is recorded in one recorder.
 """
 
 from __future__ import annotations
@@ -28,25 +28,26 @@
 from service_proxy.sidecar.toml import description_text
 from service_proxy.sidecar.write import platform
 
-MAX_SIDECARS = 16  # processes of one world; what the description has beyond it is left out
-PLAIN_ENDPOINTS_PER_TIER = 3  # servers of a tier that has no sidecars
+MAX_SIDECARS = 16  # processes; what the description has beyond it is left out
+PLAIN_ENDPOINTS_PER_TIER = 3  # of a tier that has no sidecars
 IDEMPOTENCY_KINDS = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
 EDGE_PROXY_NAME = "edge"
 
 
 def free_loopback_address() -> str:
+    """Return a loopback address with a free port."""
     return f"127.0.0.1:{free_port()}"
 
 
 @dataclass(frozen=True, slots=True)
 class ApplicationProfile:
-    """What applications do for a call of theirs."""
+    """What applications do for a request."""
 
     requests_per_tier: int = 1  # to each tier below, one after another
     propagates_deadline: bool = True  # X-Budget says what is left; else the class's whole deadline
-    copies_budget_header: bool = False  # Tier-Budget goes on to the calls that it makes
+    copies_budget_header: bool = False  # Tier-Budget goes on to the requests that it makes
     extends_ids: bool = False  # the ids of these begin with the request's
-    service_time: float = 0.01  # s that it works before it calls
+    service_time: float = 0.01  # s that it works before it sends requests of its own
     service_time_by_tier: dict[str, float] = field(default_factory=dict)  # the same for some tiers
 
 
@@ -60,7 +61,7 @@
         self.application = StubEndpoint(
             deployment.recorder,
             self.name,
-            deployment.group(sidecar.zone),
+            deployment.key_group(sidecar.zone),
             deployment.profile.service_time_by_tier.get(sidecar.tier, deployment.profile.service_time),
             handler=self.handle_request,
         )
@@ -72,49 +73,53 @@
         self.list_entry = entry(self.name, sidecar.inbound, zone=sidecar.zone)
 
     async def handle_request(self, incoming: IncomingRequest) -> bool:
-        """What the application does for a call: so many calls, one after another, to each tier that it calls
-        and that serves the class."""
-        habits = self.deployment.profile
+        """Do the application's work: requests, one after another, to each next tier that serves the class.
+
+        Returns whether all of them were served.
+        """
+        profile = self.deployment.profile
         cls = self.deployment.classes[incoming.class_name]
-        more = (
+        budget_header = (
             f"Tier-Budget: {incoming.budget.decode()}"
-            if habits.copies_budget_header and incoming.budget
+            if profile.copies_budget_header and incoming.budget
             else ""
         )
-        of = incoming.request_id if habits.extends_ids else ""
-        for called, callers in self.outbound.items():
+        parent_id = incoming.request_id if profile.extends_ids else ""
+        for called, clients in self.outbound.items():
             if incoming.class_name not in self.deployment.description.tiers[called].classes:
                 continue
-            for _ in range(habits.requests_per_tier):
-                left = incoming.deadline - time.monotonic() if habits.propagates_deadline else cls.budget
-                if left <= 0:
+            for _ in range(profile.requests_per_tier):
+                time_left = (
+                    incoming.deadline - time.monotonic() if profile.propagates_deadline else cls.budget
+                )
+                if time_left <= 0:
                     return False
-                own = replace(cls, budget=min(cls.budget, left))
-                call = callers.send(own, incoming.key, more, of)
-                self.deployment.parent_requests[call] = incoming.request_id
-                if await callers.wait_for(call) != 200:
+                request_class = replace(cls, budget=min(cls.budget, time_left))
+                request_id = clients.send(request_class, incoming.key, budget_header, parent_id)
+                self.deployment.parent_requests[request_id] = incoming.request_id
+                if await clients.wait_for(request_id) != 200:
                     return False
         return True
 
     async def start(self) -> None:
-        """The application, the registries that its sidecar asks, and the sidecar's own description."""
+        """Start the application, the discovery stand-ins of its sidecar, and the sidecar."""
         self.application.address = self.sidecar.application
         await self.application.start()
         tiers = dict(self.deployment.description.tiers)
-        for called, at in self.sidecar.outbound.items():
+        for called, address in self.sidecar.outbound.items():
             registry = await self.deployment.start_registry(f"{self.name}.{called}", called)
             tiers[called] = replace(tiers[called], padron=registry, membership=None)
             self.outbound[called] = ClientPool(
-                self.deployment.recorder, parse_address(at), f"{self.name}.{called}", 0
+                self.deployment.recorder, parse_address(address), f"{self.name}.{called}", 0
             )
-        mine = replace(self.deployment.description, tiers=tiers)
+        description = replace(self.deployment.description, tiers=tiers)
         if self.sidecar.tier in self.deployment.tiers_without_budgets:
-            mine = replace(mine, budgets=None)
-        self.file.write_text(description_text(mine))
+            description = replace(description, budgets=None)
+        self.file.write_text(description_text(description))
         await self.start_sidecar()
 
     async def start_sidecar(self) -> None:
-        """Returns once it listens and its application was seen to work."""
+        """Start the sidecar; return once it listens and has seen its application work."""
         sidecar = self.sidecar
         skew = self.deployment.skews.get(self.name)
         module = ["harness.clock_skew", *skew, "service_proxy.sidecar"] if skew else ["service_proxy.sidecar"]
@@ -132,31 +137,32 @@
             raise RuntimeError(
                 f"{self.name} ended with {process.returncode}: {self.log_file.read_text()[-2000:]}"
             )
-        for called, at in sidecar.outbound.items():
-            outbound = ProxyProcess(process, parse_address(at), self.log_file)
+        for called, address in sidecar.outbound.items():
+            outbound = ProxyProcess(process, parse_address(address), self.log_file)
             await until(outbound.is_ready, f"{self.name} towards {called} ready")
 
     async def stop_sidecar(self) -> None:
-        """The first half of a planned restart: the registry lists it as Terminating, then SIGTERM."""
+        """Stop the sidecar as a planned restart does: discovery lists it as Terminating, then SIGTERM."""
         assert self.process is not None
         self.deployment.update_lists(self.sidecar.tier, {**self.list_entry, "status": "Terminating"})
         self.process.terminate()
         self.exit_code = await self.process.wait()
 
     async def restart_application(self, downtime: float) -> None:
-        """As a process that dies and comes back cold, without a word to anybody."""
+        """End the application as a process that dies, and start it cold after the downtime (s)."""
         self.application.stop()
         await asyncio.sleep(downtime)
         await self.application.start(warming_up=True)
 
     def close(self) -> None:
-        for callers in self.outbound.values():
-            callers.close()
+        """Close the application and its connections."""
+        for clients in self.outbound.values():
+            clients.close()
         self.application.stop()
 
 
 class Deployment:
-    """Made by `world()`."""
+    """All processes and stand-ins of a description; made by `running_deployment`."""
 
     def __init__(
         self,
@@ -172,45 +178,43 @@
         self.routes = routes
         self.skews = skews
         self.tiers_without_budgets = tiers_without_budgets  # tiers whose sidecars know of no budgets
-        self.parent_requests: dict[
-            str, str
-        ] = {}  # a call that an application made, and the one that it made it for
+        # By request of an application, the request that it was made for.
+        self.parent_requests: dict[str, str] = {}
         self.recorder = Recorder()
-        self.registries: dict[tuple[str, str], EndpointRegistry] = {}  # by asker and tier
+        self.registries: dict[tuple[str, str], EndpointRegistry] = {}  # by proxy and tier
         self.classes = {
             name: ClientClass(name, 1.0, cls.deadline, Idempotency(IDEMPOTENCY_KINDS[cls.effect], cls.window))
             for name, cls in description.classes.items()
         }
         self.groups = {cls.group for cls in description.classes.values() if cls.effect == "by-key"}
-        called = {name for tier in description.tiers.values() for name in tier.calls}
-        self.entry = next((name for name in description.tiers if name not in called), "")
+        called_tiers = {name for tier in description.tiers.values() for name in tier.calls}
+        self.entry_tier = next((name for name in description.tiers if name not in called_tiers), "")
         self.description = self.on_loopback(description)
         self.hosts = [SidecarHost(self, sidecar) for sidecar in self.description.sidecars]
-        manned = {host.sidecar.tier for host in self.hosts}
+        tiers_with_sidecars = {host.sidecar.tier for host in self.hosts}
         self.plain_endpoints = [
             (
                 name,
                 StubEndpoint(
                     self.recorder,
                     f"{name}-{number}",
-                    self.group(tier.zones[number % len(tier.zones)]),
+                    self.key_group(tier.zones[number % len(tier.zones)]),
                     profile.service_time_by_tier.get(name, profile.service_time),
                 ),
             )
             for name, tier in self.description.tiers.items()
-            if name not in manned
+            if name not in tiers_with_sidecars
             for number in range(min(PLAIN_ENDPOINTS_PER_TIER, tier.nodes))
         ]
         self.edge_proxy: ProxyProcess | None = None
         self.clients: ClientPool | None = None
 
-    def group(self, zone: str) -> str:
-        """Whose repeats of a key the ledger takes for one another's."""
+    def key_group(self, zone: str) -> str:
+        """Name the group of endpoints that drop one another's repetitions of a key."""
         return "all" if self.groups == {"all"} else zone
 
     def on_loopback(self, description: Description) -> Description:
-        """The same, with free ports here, as many sidecars as a machine carries, and no coordination
-        service."""
+        """Return the same with free ports here, at most MAX_SIDECARS, and no coordination service."""
         sidecars = tuple(
             replace(
                 sidecar,
@@ -224,48 +228,57 @@
         return replace(description, sidecars=sidecars)
 
     def update_lists(self, tier: str, item: dict[str, object]) -> None:
+        """Change one entry in all lists of a tier."""
         for (_, of), registry in self.registries.items():
             if of == tier:
                 registry.put(item)
 
-    async def start_registry(self, asker: str, tier: str) -> str:
-        registry = self.registries[asker, tier] = EndpointRegistry(self.recorder, proxy=asker)
+    async def start_registry(self, proxy: str, tier: str) -> str:
+        """Start the discovery stand-in of a proxy towards a tier; return its address."""
+        registry = self.registries[proxy, tier] = EndpointRegistry(self.recorder, proxy=proxy)
         tier = self.routes.get(tier, tier)  # a misroute: the list of another tier
         for host in self.hosts:
             if host.sidecar.tier == tier:
                 registry.put(host.list_entry)
-        for name, backend in self.plain_endpoints:
+        for name, endpoint in self.plain_endpoints:
             if name == tier:
-                registry.put(entry(backend.name, backend.address, zone=backend.zone))
+                registry.put(entry(endpoint.name, endpoint.address, zone=endpoint.zone))
         return await registry.start()
 
     def bypass_edge_proxy(self) -> None:
-        """Callers go to the sidecars of the first tier, with no proxy before these."""
+        """Have clients go to the sidecars of the first tier, with no proxy before these."""
         assert self.clients is not None
-        first = [host.sidecar.inbound for host in self.hosts if host.sidecar.tier == self.entry]
-        self.clients.proxies = [parse_address(at) for at in first]
+        inbound_addresses = [
+            host.sidecar.inbound for host in self.hosts if host.sidecar.tier == self.entry_tier
+        ]
+        self.clients.proxies = [parse_address(address) for address in inbound_addresses]
 
     def edge_settings(self) -> dict[str, object]:
-        """Of the proxy before the first tier, as if it were a sidecar that calls it."""
-        tier = self.description.tiers[self.entry]
+        """Return the settings of the proxy before the first tier, as if it were a sidecar that calls it."""
+        tier = self.description.tiers[self.entry_tier]
         sidecar = Sidecar(
-            "edge", tier.zones[0], "edge", "127.0.0.1:1", "127.0.0.1:1", outbound={self.entry: "127.0.0.1:1"}
+            "edge",
+            tier.zones[0],
+            "edge",
+            "127.0.0.1:1",
+            "127.0.0.1:1",
+            outbound={self.entry_tier: "127.0.0.1:1"},
         )
-        alone = replace(self.description, sidecars=(sidecar,))
-        made = platform(alone, sidecar, self.entry)
-        # Callers here never try again by themselves: one that waits less than another has not waited before.
-        settings = {**made["settings"], "callers": {"marks_retry": True}}
-        return {"settings": settings, "forms": made["forms"]}
+        description = replace(self.description, sidecars=(sidecar,))
+        configuration = platform(description, sidecar, self.entry_tier)
+        # Clients here never retry by themselves: one that waits less than another has not waited before.
+        settings = {**configuration["settings"], "callers": {"marks_retry": True}}
+        return {"settings": settings, "forms": configuration["forms"]}
 
     async def close(self) -> None:
-        """Kills what still runs, by the processes that this world started."""
+        """End what still runs, by the processes that were started here."""
         for host in self.hosts:
             host.close()
             if host.process is not None and host.process.returncode is None:
                 host.process.kill()
                 await host.process.wait()
-        for _, backend in self.plain_endpoints:
-            backend.stop()
+        for _, endpoint in self.plain_endpoints:
+            endpoint.stop()
         for registry in self.registries.values():
             registry.stop()
 
@@ -279,9 +292,16 @@
     edge: str = "",
     tiers_without_budgets: frozenset[str] = frozenset(),
 ) -> AsyncIterator[Deployment]:
-    """All of it, ready. `routes`: a tier whose list of servers is another tier's; `skews`: arguments of
-    harness.clock_skew
-    for some sidecars; `edge`: the operator's file of the proxy before the first tier."""
+    """Start a deployment and yield it when it is ready.
+
+    Args:
+        description: What is deployed.
+        profile: What its applications do for a request.
+        routes: Misroutes: a tier whose endpoint list is another tier's.
+        skews: Arguments of harness.clock_skew for some sidecars.
+        edge: The operator's file of the proxy before the first tier.
+        tiers_without_budgets: Tiers whose sidecars know of no deadline propagation.
+    """
     with tempfile.TemporaryDirectory() as text:
         deployment = Deployment(
             description,
@@ -292,20 +312,22 @@
             tiers_without_budgets,
         )
         try:
-            for _, backend in deployment.plain_endpoints:
-                await backend.start()
+            for _, endpoint in deployment.plain_endpoints:
+                await endpoint.start()
             await asyncio.gather(*(host.start() for host in deployment.hosts))
-            registry = await deployment.start_registry(EDGE_PROXY_NAME, deployment.entry)
-            known = list(deployment.registries[EDGE_PROXY_NAME, deployment.entry].entries.values())
+            registry = await deployment.start_registry(EDGE_PROXY_NAME, deployment.entry_tier)
+            known = list(deployment.registries[EDGE_PROXY_NAME, deployment.entry_tier].entries.values())
             async with running_proxy(
                 EDGE_PROXY_NAME, registry, known, edge, overrides=deployment.edge_settings()
             ) as program:
-                mix = [
+                classes = [
                     deployment.classes[name]
-                    for name in deployment.description.tiers[deployment.entry].classes
+                    for name in deployment.description.tiers[deployment.entry_tier].classes
                 ]
                 deployment.edge_proxy = program
-                deployment.clients = ClientPool(deployment.recorder, program.address, EDGE_PROXY_NAME, 1, mix)
+                deployment.clients = ClientPool(
+                    deployment.recorder, program.address, EDGE_PROXY_NAME, 1, classes
+                )
                 yield deployment
         finally:
             await deployment.close()
--- a/harness/fleet/proxy_files.py
+++ b/harness/fleet/proxy_files.py
@@ -7,7 +7,7 @@
 
 from harness.fleet.fault_relay import loopback_address
 from harness.fleet.slots import FleetOptions, Slot, zone_of
-from harness.proxy_process import configuration, settings
+from harness.proxy_process import configuration, platform_settings
 
 POLICY_LIMITS: dict[str, Any] = {
     "send_cap": 5,
@@ -39,7 +39,7 @@
         "peer_listen": f"{loopback_address(77, number)}:{fleet_port}",
         "peers": peers,
     }
-    contract = {**settings()["contract"], "cold": options.warm_up_s}
+    contract = {**platform_settings()["contract"], "cold": options.warm_up_s}
     return configuration(
         slot.name,
         f"{loopback_address(77, number)}:{http_port}",
--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -1,6 +1,4 @@
-"""Starts the program itself, as a process on loopback: its JSON, its operator's file, and until it is
-ready.
-"""
+"""Start the program itself as a process on loopback, with its JSON and its operator's file."""
 
 from __future__ import annotations
 
@@ -22,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def settings(**changes: Any) -> dict[str, Any]:
+def platform_settings(**changes: Any) -> dict[str, Any]:
     """The platform's settings of a first tier that asks discovery and probes."""
     return {
         "balancers": 1,
@@ -61,8 +59,11 @@
 
 
 class PortAllocator:
-    """Ports for programs that are told theirs. Nobody else gets one between the choice and the listening:
-    they lie below those that the kernel deals out, and no other process of this machine has this block."""
+    """Ports for programs that are given theirs.
+
+    Nobody else gets one between the choice and the listening: they lie below those that the kernel deals out,
+    and no other process of this machine has this block.
+    """
 
     # ports 10,240 to 32,239
     FIRST = 10_240
@@ -82,6 +83,7 @@
         raise RuntimeError("all blocks of ports are in use: end some of the programs that hold them")
 
     def next(self) -> int:
+        """Return the next free port of the block. Raises RuntimeError where all are in use."""
         for _ in range(self.BLOCK):
             port = self.first + self.next_offset % self.BLOCK
             self.next_offset += 1
@@ -94,10 +96,12 @@
 
 @functools.cache
 def port_allocator() -> PortAllocator:
+    """Return the allocator of this process."""
     return PortAllocator()
 
 
 def free_port() -> int:
+    """Return a port that nobody else on this machine is given."""
     return port_allocator().next()
 
 
@@ -110,18 +114,19 @@
         self.log_file = log
 
     def cpu_seconds(self) -> float:
-        """s of CPU that it has used (proc(5), utime and stime)."""
+        """Return the CPU seconds that it has used (proc(5), utime and stime)."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_mb(self) -> float:
-        """MB that it holds (proc(5), VmRSS)."""
+        """Return the resident memory in MB (proc(5), VmRSS)."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
     def is_ready(self) -> bool:
+        """Tell whether its health check answers 200."""
         with contextlib.suppress(OSError), socket.create_connection(self.address, 0.2) as caller:
             caller.settimeout(0.5)
             caller.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -145,7 +150,7 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 1, "snapshot": True, "endpoints": known},
-        "settings": settings(**changes),
+        "settings": platform_settings(**changes),
         **(overrides or {}),
     }
 
@@ -179,9 +184,19 @@
     overrides: dict[str, Any] | None = None,
     **changes: Any,
 ) -> AsyncIterator[ProxyProcess]:
-    """A proxy that is `ready`, or just started. `operator`: text of its operator's file, in which
-    `{folder}` stands for a folder of its own; `files`: further files there; `root`: the checkout whose
-    program is started; `more`: what the JSON has beside the usual, or in its place."""
+    """Start a proxy and yield it when it is `ready`, or at once; end it afterwards.
+
+    Args:
+        name: Its name.
+        discovery: The address of its discovery.
+        known: The endpoint list that it starts with.
+        operator: Text of its operator's file, in which `{folder}` stands for a folder of its own.
+        files: Further files of that folder.
+        root: The checkout whose program is started.
+        ready: Whether to wait for it.
+        overrides: What its JSON has beside the usual, or in its place.
+        changes: Settings in place of the usual.
+    """
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
         listen = f"127.0.0.1:{free_port()}"
--- a/harness/tcp_relay.py
+++ b/harness/tcp_relay.py
@@ -56,6 +56,7 @@
 
 
 async def serve(listen: str, to: str) -> None:
+    """Relay between the two addresses until the process's lifetime is over."""
     host, _, port = listen.rpartition(":")
     to_host, _, to_port = to.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -65,11 +66,12 @@
 
 
 def main() -> None:
+    """Run the relay by the command line."""
     parser = argparse.ArgumentParser(prog="python -m harness.tcp_relay")
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--to", required=True, metavar="HOST:PORT")
-    wanted = parser.parse_args()
-    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(wanted.listen, wanted.to))
+    options = parser.parse_args()
+    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(options.listen, options.to))
 
 
 if __name__ == "__main__":
--- a/harness/tier_chain.py
+++ b/harness/tier_chain.py
@@ -1,4 +1,4 @@
-"""A chain of up to three tiers of real sidecars on loopback: budgets on or off, skewed clocks, misroutes.
+"""A chain of up to three tiers of real sidecars on loopback, with skewed clocks or misroutes.
 
     python -m harness.tier_chain [--tiers 2] [--hosts 2] [--budgets on|off] [--misroute] [--skew]
                          [--seconds 5] [--rate 20]
@@ -40,15 +40,17 @@
     "reserva": Route("by-key", "zone", 1.5),
     "canje": Route("never-ran"),
 }
-ATTEMPTS = 12  # of a tree
-SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # calls at a time of one application
-SERVICES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}  # s that it works on each
-PLACEHOLDER_ADDRESS = "127.0.0.1:1"  # an address that the world replaces
+ATTEMPTS_PER_TREE = 12  # of a tree
+SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # requests at a time of one application
+SERVICE_TIMES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}  # s that it works on each
+PLACEHOLDER_ADDRESS = "127.0.0.1:1"  # which the deployment replaces
 
 
-def chain(tiers: int, hosts: int, budgets: Budgets | None, misroute: bool = False) -> Description:
-    """Each tier calls the next; where `misroute`, the last one calls a tier of its own, which nobody
-    serves."""
+def describe_chain(tiers: int, hosts: int, budgets: Budgets | None, misroute: bool = False) -> Description:
+    """Describe tiers that call one another in turn.
+
+    Where `misroute`, the last one calls a tier of its own, which nobody serves.
+    """
     names = TIERS[:tiers]
     described = {}
     sidecars = []
@@ -82,46 +84,46 @@
 
 @dataclass(slots=True)
 class Chain:
-    """A running chain, and what its ledger says of the trees of calls."""
+    """A running chain, and what its recorder says of the trees of requests."""
 
     deployment: Deployment
-    keys: Path  # of all its processes
+    key_file: Path  # of all its processes
 
-    def root(self, call: str) -> str:
-        """The outermost request that a call was made for."""
-        while call in self.deployment.parent_requests:
-            call = self.deployment.parent_requests[call]
-        return call
+    def root_request(self, request_id: str) -> str:
+        """Return the outermost request that a request was made for."""
+        while request_id in self.deployment.parent_requests:
+            request_id = self.deployment.parent_requests[request_id]
+        return request_id
 
-    def depth(self, call: str) -> int:
-        """Hops from the edge to who has the call: 1 for the first tier's."""
+    def depth(self, request_id: str) -> int:
+        """Count the hops from the edge to who has the request: 1 for the first tier's."""
         hops = 1
-        while call in self.deployment.parent_requests:
-            call = self.deployment.parent_requests[call]
+        while request_id in self.deployment.parent_requests:
+            request_id = self.deployment.parent_requests[request_id]
             hops += 1
         return hops
 
-    def attempts(self) -> Counter[str]:
-        """Of each outermost request, those that reached an application."""
-        return Counter(self.root(attempt.request_id) for attempt in self.deployment.recorder.attempts)
+    def attempts_by_root(self) -> Counter[str]:
+        """Count the attempts that reached an application, for each outermost request."""
+        return Counter(self.root_request(attempt.request_id) for attempt in self.deployment.recorder.attempts)
 
-    def late(self, allowance: float) -> list[tuple[RecordedAttempt, float]]:
-        """Work that was begun when the outermost caller no longer waited, and how late, s."""
-        due = {taken.request_id: taken.deadline for taken in self.deployment.recorder.requests}
-        found = []
+    def late_attempts(self, allowance: float) -> list[tuple[RecordedAttempt, float]]:
+        """Find work that began when the outermost client no longer waited, and how late (s)."""
+        deadlines = {taken.request_id: taken.deadline for taken in self.deployment.recorder.requests}
+        late = []
         for attempt in self.deployment.recorder.attempts:
-            behind = attempt.executed_at - due.get(self.root(attempt.request_id), float("inf"))
-            if attempt.executed and behind > allowance:
-                found.append((attempt, behind))
-        return found
+            late_by = attempt.executed_at - deadlines.get(self.root_request(attempt.request_id), float("inf"))
+            if attempt.executed and late_by > allowance:
+                late.append((attempt, late_by))
+        return late
 
     def reported_loops(self) -> int:
-        """Lines of the sidecars' logs that name a loop's path."""
+        """Count the log lines of the sidecars that name the path of a loop."""
         return sum(host.log_file.read_text().count(": loop_rejected path=") for host in self.deployment.hosts)
 
 
-def key_file(folder: Path) -> Path:
-    """One key for the processes of a run."""
+def write_key_file(folder: Path) -> Path:
+    """Write one key for the processes of a run."""
     keys = folder / "keys"
     keys.touch(0o600)
     keys.write_text(f"k1 {os.urandom(16).hex()}\n")
@@ -129,7 +131,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def running_chain(
     tiers: int = 2,
     hosts: int = 2,
     budgets: bool = True,
@@ -138,17 +140,23 @@
     profile: ApplicationProfile | None = None,
     tiers_without_budgets: frozenset[str] = frozenset(),
 ) -> AsyncIterator[Chain]:
-    """`older`: tiers whose sidecars know of no budgets."""
+    """Start a chain and yield it; `tiers_without_budgets` know of no deadline propagation."""
     with tempfile.TemporaryDirectory() as folder:
-        keys = key_file(Path(folder))
+        keys = write_key_file(Path(folder))
         usual = profile or ApplicationProfile(
-            propagates_deadline=False, copies_budget_header=True, service_time_by_tier=SERVICES
+            propagates_deadline=False, copies_budget_header=True, service_time_by_tier=SERVICE_TIMES
         )
         settings = None
         if budgets:
-            settings = Budgets(str(keys), attempts=ATTEMPTS, calls_per_request=usual.requests_per_tier)
-        edge = f'[budgets]\nkeys_file = "{keys}"\nedge = true\nattempts = {ATTEMPTS}\n' if budgets else ""
-        description = chain(tiers, hosts, settings, misroute)
+            settings = Budgets(
+                str(keys), attempts=ATTEMPTS_PER_TREE, calls_per_request=usual.requests_per_tier
+            )
+        edge = (
+            f'[budgets]\nkeys_file = "{keys}"\nedge = true\nattempts = {ATTEMPTS_PER_TREE}\n'
+            if budgets
+            else ""
+        )
+        description = describe_chain(tiers, hosts, settings, misroute)
         skews = {}
         if skew:
             for number, sidecar in enumerate(description.sidecars):
@@ -167,34 +175,35 @@
             yield Chain(deployment, keys)
 
 
-async def run_and_print(wanted: argparse.Namespace) -> int:
-    on = wanted.budgets == "on"
-    async with running(wanted.tiers, wanted.hosts, on, wanted.misroute, wanted.skew) as made:
-        callers = made.deployment.clients
-        assert callers is not None
-        await callers.run(wanted.seconds, wanted.rate)
-        codes = callers.status_codes
-        broken = made.deployment.recorder.audit(
-            {name: cls.idempotency for name, cls in made.deployment.classes.items()}
+async def run_and_print(options: argparse.Namespace) -> int:
+    """Run a chain and print what came of its requests; return the exit code."""
+    on = options.budgets == "on"
+    async with running_chain(options.tiers, options.hosts, on, options.misroute, options.skew) as chain:
+        clients = chain.deployment.clients
+        assert clients is not None
+        await clients.run(options.seconds, options.rate)
+        codes = clients.status_codes
+        violations = chain.deployment.recorder.audit(
+            {name: cls.idempotency for name, cls in chain.deployment.classes.items()}
         )
-        late = made.late(0.0)
+        late = chain.late_attempts(0.0)
+        most_attempts = max(chain.attempts_by_root().values(), default=0)
         deepest = max(
-            (made.depth(attempt.request_id) for attempt in made.deployment.recorder.attempts), default=0
+            (chain.depth(attempt.request_id) for attempt in chain.deployment.recorder.attempts), default=0
         )
         print(f"calls {codes.total()}: served {codes[200]}, refused {codes[503]}")
         print(
             f"work begun for nobody: {len(late)}, the latest {max((by for _, by in late), default=0.0):.3f} s"
         )
-        print(
-            f"attempts of a request: {max(made.attempts().values(), default=0)} at the most; hops {deepest}"
-        )
-        print(f"loops told: {made.reported_loops()}; rules broken: {len(broken)}")
-        for violation in broken[:3]:
+        print(f"attempts of a request: {most_attempts} at the most; hops {deepest}")
+        print(f"loops told: {chain.reported_loops()}; rules broken: {len(violations)}")
+        for violation in violations[:3]:
             print(violation)
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run a chain by the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.tier_chain",
         description=__doc__,
@@ -207,8 +216,8 @@
     parser.add_argument("--skew", action="store_true")
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--rate", type=float, default=20.0, help="calls a second")
-    wanted = parser.parse_args(argv)
-    return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(run_and_print(wanted))
+    options = parser.parse_args(argv)
+    return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(run_and_print(options))
 
 
 if __name__ == "__main__":
--- a/harness/trial.py
+++ b/harness/trial.py
@@ -53,6 +53,7 @@
 
 
 async def print_progress(deployment: Deployment, seconds: float, live: bool) -> None:
+    """Print the table, or a line each second, until cancelled."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     while True:
@@ -70,6 +71,7 @@
 
 
 async def run_trial(description: Description, seconds: float, rate: float, live: bool) -> int:
+    """Run a deployment and its clients; return the exit code."""
     print(f"starting {len(description.sidecars)} sidecars and their stand-ins ...", flush=True)
     async with running_deployment(description) as deployment:
         assert deployment.clients is not None
@@ -96,6 +98,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Try a description by the command line; return the exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.trial",
         description=__doc__,
@@ -105,16 +108,16 @@
     parser.add_argument("--environment", default="")
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--rate", type=float, default=40.0, help="calls a second")
-    wanted = parser.parse_args(argv)
+    options = parser.parse_args(argv)
     try:
-        _, description = load(wanted.file, wanted.environment)
+        _, description = load(options.file, options.environment)
     except OperatorError as fault:
         print(fault, file=sys.stderr)
         return 2
     if description is None or not description.tiers:
-        print(f"{wanted.file}: see `check`, or add a tier", file=sys.stderr)
+        print(f"{options.file}: see `check`, or add a tier", file=sys.stderr)
         return 1
-    work = run_trial(description, wanted.seconds, wanted.rate, sys.stdout.isatty())
+    work = run_trial(description, options.seconds, options.rate, sys.stdout.isatty())
     return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(work)
 
 
--- a/harness/websocket_clients.py
+++ b/harness/websocket_clients.py
@@ -31,75 +31,84 @@
 
 
 class WebSocketClientPool:
-    """All of one process."""
+    """All WebSocket clients of one process."""
 
     def __init__(self, recorder: Recorder, proxies: list[tuple[str, int]], seed: int = 0) -> None:
         self.recorder, self.proxies, self.random = recorder, proxies, Random(seed)
         self.loop = asyncio.get_running_loop()
-        self.kiosks: list[Kiosk] = []
-        self.closes: Counter[int] = Counter()  # codes that came; 1006: the connection just ended
-        self.connects: list[float] = []  # when each connection was begun
-        self.refused: Counter[int] = Counter()  # handshakes that were answered with something else
+        self.clients: list[WebSocketClient] = []
+        self.close_codes: Counter[int] = Counter()  # codes that came; 1006: the connection just ended
+        self.connect_times: list[float] = []  # when each connection was begun
+        self.rejected_handshakes: Counter[int] = (
+            Counter()
+        )  # handshakes that were answered with something else
         self.outcomes: Counter[str] = Counter()
-        self.echoed = 0
+        self.echo_count = 0
 
-    def add(self, name: str, path: str = "/pantalla", comes_back: bool = True) -> Kiosk:
-        kiosk = Kiosk(self, name, path, comes_back)
-        self.kiosks.append(kiosk)
-        return kiosk
+    def add(self, name: str, path: str = "/pantalla", reconnects: bool = True) -> WebSocketClient:
+        """Add a client that is not connected yet."""
+        client = WebSocketClient(self, name, path, reconnects)
+        self.clients.append(client)
+        return client
 
     @property
-    def up(self) -> int:
-        return sum(kiosk.up for kiosk in self.kiosks)
+    def connected_count(self) -> int:
+        """Count the clients with a session."""
+        return sum(kiosk.is_connected for kiosk in self.clients)
 
     @property
-    def open(self) -> int:
-        """Messages without an outcome."""
-        return sum(len(kiosk.open) for kiosk in self.kiosks)
+    def open_message_count(self) -> int:
+        """Count the messages without an outcome."""
+        return sum(len(kiosk.open_messages) for kiosk in self.clients)
 
     def close(self) -> None:
-        for kiosk in self.kiosks:
+        """Close all clients."""
+        for kiosk in self.clients:
             kiosk.close()
 
 
-class Kiosk(asyncio.Protocol):
-    def __init__(self, owner: WebSocketClientPool, name: str, path: str, comes_back: bool) -> None:
-        self.owner = owner
+class WebSocketClient(asyncio.Protocol):
+    """One client: its session, over as many connections as it takes."""
+
+    def __init__(self, pool: WebSocketClientPool, name: str, path: str, reconnects: bool) -> None:
+        self.pool = pool
         self.name = name
         self.path = path
-        self.comes_back = comes_back
-        self.talks = path.startswith(MESSAGE_ROUTE)
+        self.reconnects = reconnects
+        self.is_message_mode = path.startswith(MESSAGE_ROUTE)
         self.transport: Any = None
         self.frames: FrameProtocol | None = None
         self.parser: Any = None
         self.session = ""
         self.seen = 0
-        self.count = 0
-        self.open: dict[str, asyncio.TimerHandle] = {}
+        self.message_count = 0
+        self.open_messages: dict[str, asyncio.TimerHandle] = {}
         # in frames; wanted no more
-        self.up = False
-        self.over = False
+        self.is_connected = False
+        self.is_closed = False
         self.parts: list[str] = []
         self.texts: list[str] = []  # what a tunnel brought
-        self.served = 0  # outcomes that were
-        self.said = asyncio.Event()  # something has come
-        self.told: float | None = None  # the wait of the last close frame
-        self.closed_with = 1006
+        self.served_count = 0  # outcomes that were
+        self.received = asyncio.Event()  # something has come
+        self.reconnect_wait: float | None = None  # the wait of the last close frame
+        self.close_code = 1006
         self.busy = False  # its next connection is on its way
 
     # connections
     async def connect(self) -> None:
-        owner = self.owner
-        self.told = None
-        self.closed_with = 1006
-        owner.connects.append(time.monotonic())
+        """Open a connection to one of the proxies."""
+        pool = self.pool
+        self.reconnect_wait = None
+        self.close_code = 1006
+        pool.connect_times.append(time.monotonic())
         try:
-            await owner.loop.create_connection(lambda: self, *owner.random.choice(owner.proxies))
+            await pool.loop.create_connection(lambda: self, *pool.random.choice(pool.proxies))
         except OSError:
-            owner.refused[0] += 1
-            self._later()
+            pool.rejected_handshakes[0] += 1
+            self._schedule_reconnect()
 
     def connection_made(self, transport: Any) -> None:
+        """Send the opening handshake."""
         self.transport = transport
         self.frames = None
         self.parser = httptools.HttpResponseParser(self)
@@ -114,23 +123,28 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.up:
-            self.owner.closes[self.closed_with] += 1
+        """Count the close, and come back after the wait."""
+        if self.is_connected:
+            self.pool.close_codes[self.close_code] += 1
         self.transport = None
-        self.up = False
+        self.is_connected = False
         self.parser = None
         self.parts = []
-        self._later()
+        self._schedule_reconnect()
 
-    def _later(self) -> None:
-        if self.over or not self.comes_back:
+    def _schedule_reconnect(self) -> None:
+        if self.is_closed or not self.reconnects:
             return
-        wait = self.told if self.told is not None else self.owner.random.uniform(0, MAX_DEFAULT_WAIT_S)
-        self.owner.loop.call_later(wait, self._again)
+        wait = (
+            self.reconnect_wait
+            if self.reconnect_wait is not None
+            else self.pool.random.uniform(0, MAX_DEFAULT_WAIT_S)
+        )
+        self.pool.loop.call_later(wait, self._reconnect)
 
-    def _again(self) -> None:
-        if not self.over:
-            self.owner.loop.create_task(self.connect())
+    def _reconnect(self) -> None:
+        if not self.is_closed:
+            self.pool.loop.create_task(self.connect())
 
     def data_received(self, data: bytes) -> None:
         if self.frames is None:
@@ -141,17 +155,17 @@
                 if self.parser.get_status_code() != 101:
                     return
                 self.frames = FrameProtocol(client=True, extensions=[])
-                if not self.talks:
-                    self.up = True
+                if not self.is_message_mode:
+                    self.is_connected = True
             else:
                 return
         self.frames.receive_bytes(data)
         for frame in self.frames.received_frames():
             if frame.opcode is Opcode.CLOSE:
                 assert isinstance(frame.payload, tuple)
-                self.closed_with = int(frame.payload[0])
+                self.close_code = int(frame.payload[0])
                 found = RECONNECT_WAIT.search(frame.payload[1])
-                self.told = float(found[1]) if found else None
+                self.reconnect_wait = float(found[1]) if found else None
                 self._write(bytes(self.frames.close(frame.payload[0] if frame.payload[0] != 1005 else None)))
                 if self.transport is not None:
                     self.transport.close()
@@ -162,12 +176,13 @@
                 if frame.message_finished and frame.frame_finished:
                     text = "".join(self.parts)
                     self.parts = []
-                    self._text(text)
+                    self._on_text(text)
 
     def on_message_complete(self) -> None:
+        """Count a handshake that was answered with something else."""
         code = self.parser.get_status_code()
         if code != 101:
-            self.owner.refused[code] += 1
+            self.pool.rejected_handshakes[code] += 1
             self.transport.close()
 
     def _write(self, data: bytes) -> None:
@@ -175,70 +190,74 @@
             self.transport.write(data)
 
     # messages
-    def _text(self, text: str) -> None:
-        self.said.set()
+    def _on_text(self, text: str) -> None:
+        self.received.set()
         if not text.startswith("{"):
             self.texts.append(text)
-            self.owner.echoed += 1
+            self.pool.echo_count += 1
             return
         said = json.loads(text)
         if "session" in said:
             self.session = said["session"]
-            self.up = True  # what it sends now belongs to this session
+            self.is_connected = True  # what it sends now belongs to this session
             if not said["resumed"]:  # what was open is open for nobody any more
-                for id in list(self.open):
-                    self._ended(id, 502)
+                for id in list(self.open_messages):
+                    self._finish(id, 502)
             return
         if "error" in said:
-            if said["id"] in self.open:
-                self._ended(said["id"], 502)
+            if said["id"] in self.open_messages:
+                self._finish(said["id"], 502)
             return
         self.seen = max(self.seen, said["n"])
-        self.owner.outcomes[said["outcome"]] += 1
-        self.served += said["outcome"] == "served"
-        if said["id"] in self.open:
-            self._ended(said["id"], STATUS_BY_OUTCOME[said["outcome"]])
+        self.pool.outcomes[said["outcome"]] += 1
+        self.served_count += said["outcome"] == "served"
+        if said["id"] in self.open_messages:
+            self._finish(said["id"], STATUS_BY_OUTCOME[said["outcome"]])
         else:  # the audit is to find it
-            self.owner.recorder.answers.append(
+            self.pool.recorder.answers.append(
                 ReceivedAnswer(said["id"], time.monotonic(), STATUS_BY_OUTCOME[said["outcome"]])
             )
 
-    def _ended(self, id: str, code: int) -> None:
-        self.open.pop(id).cancel()
-        self.owner.recorder.answers.append(ReceivedAnswer(id, time.monotonic(), code))
+    def _finish(self, id: str, code: int) -> None:
+        self.open_messages.pop(id).cancel()
+        self.pool.recorder.answers.append(ReceivedAnswer(id, time.monotonic(), code))
 
     def send(self, cls: ClientClass = DEFAULT_CLASSES[0], key: str = "", budget: float = 0.0) -> str:
-        """One message as a call; its id. Not sent where the kiosk has no connection: then ""."""
-        if not self.up or self.frames is None:
+        """Send one message that is a request; return its id, or "" where there is no connection."""
+        if not self.is_connected or self.frames is None:
             return ""
-        self.count += 1
-        id = f"{self.name}-{self.count:x}"
+        self.message_count += 1
+        id = f"{self.name}-{self.message_count:x}"
         budget = budget or cls.budget
         now = time.monotonic()
         fields: dict[str, Any] = {"id": id, "class": cls.name, "budget_ms": budget * 1e3, "seen": self.seen}
         if cls.idempotency.kind == "by_key":
             fields["key"] = key or id
-        self.owner.recorder.requests.append(SentRequest(id, cls.name, now, now + budget, key or id, "kiosks"))
-        self.open[id] = self.owner.loop.call_later(budget + GIVE_UP_MARGIN_S, self._give_up, id, now + budget)
-        self.say(json.dumps(fields))
+        self.pool.recorder.requests.append(SentRequest(id, cls.name, now, now + budget, key or id, "kiosks"))
+        self.open_messages[id] = self.pool.loop.call_later(
+            budget + GIVE_UP_MARGIN_S, self._give_up, id, now + budget
+        )
+        self.send_text(json.dumps(fields))
         return id
 
     def _give_up(self, id: str, due: float) -> None:
-        self.open.pop(id)
-        self.owner.recorder.answers.append(ReceivedAnswer(id, due, 0, client_gave_up=True))
+        self.open_messages.pop(id)
+        self.pool.recorder.answers.append(ReceivedAnswer(id, due, 0, client_gave_up=True))
 
-    def say(self, text: str) -> None:
+    def send_text(self, text: str) -> None:
+        """Send one text message."""
         assert self.frames is not None
         self._write(bytes(self.frames.send_data(text)))
 
-    def drop(self) -> None:
-        """Its connection ends without a word."""
+    def abort(self) -> None:
+        """End the connection without a close frame."""
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        self.over = True
-        if self.up and self.frames is not None:
+        """End the session by a close frame, for good."""
+        self.is_closed = True
+        if self.is_connected and self.frames is not None:
             self._write(bytes(self.frames.close(1000)))
         elif self.transport is not None:
             self.transport.abort()
--- a/harness/websocket_endpoint.py
+++ b/harness/websocket_endpoint.py
@@ -62,13 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptedFault:
+    """What the endpoint does in its nth session, after so many messages."""
+
     kind: str
     session: int = 0  # 0: each
     after: int = 0  # messages
 
 
 def line_of(text: str, number: int) -> int:
-    """Of the nth entry of the list in it, each of which begins with a brace."""
+    """Return the line of the nth entry of the list, each of which begins with a brace."""
     place = text.find("[")
     for _ in range(number + 1):
         place = max(place, text.find("{", place + 1))
@@ -76,7 +78,7 @@
 
 
 def read_script(text: str, file: str = "script") -> list[ScriptedFault]:
-    """Raises ValueError with file and line."""
+    """Read a script of faults. Raises ValueError with file and line."""
     try:
         raw = json.loads(text)
     except ValueError as fault:
@@ -98,6 +100,8 @@
 
 
 class WebSocketEndpoint:
+    """One endpoint that echoes messages."""
+
     def __init__(
         self,
         recorder: Recorder,
@@ -122,12 +126,12 @@
         self.messages: list[str | bytes] = []  # messages
 
     async def start(self) -> str:
-        """Listens where it did before, if it did."""
+        """Listen where it did before, if it did; return the address."""
         self.server, self.address = await listen(lambda: _EndpointConnection(self), self.address, 1024)
         return self.address
 
     def stop(self) -> None:
-        """As a process that dies."""
+        """End as a process that dies."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -335,6 +339,7 @@
 
 
 async def serve(listen: str, faults: list[ScriptedFault], seconds: float) -> None:
+    """Run one endpoint for so long, then print what it saw."""
     node = WebSocketEndpoint(Recorder(), "wsnode", tuple(faults))
     node.address = listen
     print(f"listening {await node.start()}", flush=True)
@@ -344,6 +349,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run one endpoint by the command line; return the exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.websocket_endpoint",
         description=__doc__,
@@ -352,15 +358,15 @@
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--script", type=Path)
     parser.add_argument("--seconds", type=float, default=60.0, help="then it ends")
-    wanted = parser.parse_args(argv)
+    options = parser.parse_args(argv)
     faults: list[ScriptedFault] = []
-    if wanted.script is not None:
+    if options.script is not None:
         try:
-            faults = read_script(wanted.script.read_text(), str(wanted.script))
+            faults = read_script(options.script.read_text(), str(options.script))
         except (OSError, ValueError) as fault:
             print(fault, file=sys.stderr)
             return 2
-    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(wanted.listen, faults, wanted.seconds))
+    asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(options.listen, faults, options.seconds))
     return 0
 
 
--- a/harness/websocket_frames.py
+++ b/harness/websocket_frames.py
@@ -11,7 +11,7 @@
 def frame(
     opcode: int, data: bytes = b"", fin: bool = True, rsv: int = 0, mask: bool = True, length: bytes = b""
 ) -> bytes:
-    """`length`: the bytes of the length, in place of the right ones."""
+    """Build one frame; `length`: the bytes of the length, in place of the right ones."""
     if not length:
         size = len(data)
         length = bytes([size]) if size < 126 else b"\x7e" + struct.pack("!H", size)
@@ -25,7 +25,7 @@
 
 
 def stream(draw: Random) -> bytes:
-    """Up to five frames, most of them good."""
+    """Draw up to five frames, most of them good."""
     return b"".join(
         frame(
             draw.choice((1, 2, 2, 9, 10)) if draw.random() < 0.9 else draw.randrange(16),
--- a/tests/admin/test_settings_update.py
+++ b/tests/admin/test_settings_update.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from harness.proxy_process import settings
+from harness.proxy_process import platform_settings
 from service_proxy.admin.errors import InvalidSettingsUpdateError
 from service_proxy.admin.settings_update import parse_update, transitional_settings
 from service_proxy.net.config import flatten_settings
@@ -24,7 +24,7 @@
     "console": "127.0.0.1:3",
     "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 384},
     "known": {"index": 1},
-    "settings": settings(),
+    "settings": platform_settings(),
 }
 
 
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -17,7 +17,7 @@
 from harness.event_loop import until
 from harness.proxy_process import ProxyProcess
 from harness.stub_endpoint import IncomingRequest
-from harness.tier_chain import ATTEMPTS, CLASSES, Chain, running
+from harness.tier_chain import ATTEMPTS_PER_TREE, CLASSES, Chain, running_chain
 from service_proxy.net.endpoint_list import parse_address
 
 PROFILE = ApplicationProfile(
@@ -54,7 +54,7 @@
 def executions(chain: Chain) -> Counter[tuple[str, str]]:
     """Return how often each tier executed each outermost request."""
     return Counter(
-        (chain.root(a.request_id), a.endpoint.partition("-")[0])
+        (chain.root_request(a.request_id), a.endpoint.partition("-")[0])
         for a in chain.deployment.recorder.attempts
         if a.executed
     )
@@ -66,7 +66,7 @@
 
     async def test() -> None:
         profile = replace(PROFILE, copies_budget_header=not extends_ids, extends_ids=extends_ids)
-        async with running(2, 1, profile=profile) as chain:
+        async with running_chain(2, 1, profile=profile) as chain:
             deadlines: list[float] = []
             inner = host(chain, "nucleo").application
 
@@ -83,7 +83,7 @@
 
 def test_call_without_header_and_with_ids_of_its_own_is_as_without_budgets() -> None:
     async def test() -> None:
-        async with running(2, 1, profile=replace(PROFILE, copies_budget_header=False)) as chain:
+        async with running_chain(2, 1, profile=replace(PROFILE, copies_budget_header=False)) as chain:
             deadlines: list[float] = []
 
             async def look(incoming: IncomingRequest) -> bool:
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("older", ["nucleo", "portal"])
 def test_tier_of_a_version_without_budgets_works(older: str) -> None:
     async def test() -> None:
-        async with running(2, 1, profile=PROFILE, tiers_without_budgets=frozenset((older,))) as chain:
+        async with running_chain(2, 1, profile=PROFILE, tiers_without_budgets=frozenset((older,))) as chain:
             assert [await call(chain, cls) for cls in CLASSES for _ in range(4)] == [200] * 12
             assert violations(chain) == []
 
@@ -111,13 +111,13 @@
     leaves."""
 
     async def test() -> None:
-        async with running(2, 1, profile=PROFILE) as chain:
+        async with running_chain(2, 1, profile=PROFILE) as chain:
             inner = host(chain, "nucleo").application
             inner.paused_until = time.monotonic() + 1.0
             codes = await asyncio.gather(*(call(chain, budget=0.4) for _ in range(5)))
             assert set(codes) <= {502, 503, 504}
             await asyncio.sleep(1.0)  # until the pause is over: work for nobody would begin now
-            assert chain.late(0.02) == [] and executions(chain).total() == len(
+            assert chain.late_attempts(0.02) == [] and executions(chain).total() == len(
                 [
                     a
                     for a in chain.deployment.recorder.attempts
@@ -131,7 +131,7 @@
 
 def test_client_that_leaves_ends_the_attempts_below_it() -> None:
     async def test() -> None:
-        async with running(2, 1, profile=PROFILE) as chain:
+        async with running_chain(2, 1, profile=PROFILE) as chain:
             clients = chain.deployment.clients
             assert clients is not None
             inner = host(chain, "nucleo").application
@@ -156,7 +156,7 @@
 
 def test_unsafe_call_whose_inner_attempt_broke_runs_once_and_is_answered_once() -> None:
     async def test() -> None:
-        async with running(2, 2, profile=PROFILE) as chain:
+        async with running_chain(2, 2, profile=PROFILE) as chain:
             inner = [host(chain, "nucleo", number).application for number in range(2)]
 
             async def breaks(incoming: IncomingRequest) -> bool:
@@ -179,7 +179,7 @@
     last."""
 
     async def test() -> None:
-        async with running(2, 2, profile=PROFILE) as chain:
+        async with running_chain(2, 2, profile=PROFILE) as chain:
             inner = [host(chain, "nucleo", number).application for number in range(2)]
             for application in inner:
                 application.paused_until = time.monotonic() + 2.0
@@ -189,8 +189,8 @@
             await asyncio.sleep(0.3)
             attempts = len(chain.deployment.recorder.attempts)
             await asyncio.sleep(0.3)
-            assert len(chain.deployment.recorder.attempts) == attempts and chain.late(0.02) == []
-            assert chain.attempts()["edge-00000001"] <= ATTEMPTS
+            assert len(chain.deployment.recorder.attempts) == attempts and chain.late_attempts(0.02) == []
+            assert chain.attempts_by_root()["edge-00000001"] <= ATTEMPTS_PER_TREE
 
     run(test())
 
@@ -200,7 +200,7 @@
         profile = replace(
             PROFILE, requests_per_tier=2, service_time_by_tier={"portal": 0.004, "nucleo": 0.25}
         )
-        async with running(2, 1, profile=profile) as chain:
+        async with running_chain(2, 1, profile=profile) as chain:
             deadlines: list[float] = []
 
             async def look(incoming: IncomingRequest) -> bool:
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("tiers", [1, 2, 3])
 def test_loop_by_misroute_is_rejected_within_three_hops_and_logged(tiers: int) -> None:
     async def test() -> None:
-        async with running(tiers, 1, misroute=True) as chain:
+        async with running_chain(tiers, 1, misroute=True) as chain:
             assert await call(chain) != 200
             assert max(chain.depth(a.request_id) for a in chain.deployment.recorder.attempts) <= 3
             assert max(executions(chain).values()) == 1  # no tier executed it twice
@@ -231,7 +231,7 @@
 
 def test_clocks_that_are_hours_off_and_step_change_nothing() -> None:
     async def test() -> None:
-        async with running(2, 2, skew=True, profile=PROFILE) as chain:
+        async with running_chain(2, 2, skew=True, profile=PROFILE) as chain:
             started_at = time.monotonic()
             codes: list[int] = []
             while time.monotonic() < started_at + 2.5:  # the step comes after 2 s
@@ -245,7 +245,7 @@
     """What the module refuses on a busy machine is its own matter; no call may lose its budget to a key."""
 
     async def test() -> None:
-        async with running(2, 1, profile=PROFILE) as chain:
+        async with running_chain(2, 1, profile=PROFILE) as chain:
             clients = chain.deployment.clients
             edge = chain.deployment.edge_proxy
             assert clients is not None and edge is not None
@@ -261,14 +261,14 @@
                 await until(lambda: clients.status_codes[200] >= wanted, "calls with these keys")
 
             async def rotate(text: str) -> None:
-                chain.keys.write_text(text)
+                chain.key_file.write_text(text)
                 for program in programs:
                     program.process.send_signal(signal.SIGHUP)
                     for _ in range(2):  # what is asked after the signal may share one turn with it, not two
                         await until(program.is_ready, "an answer after the signal")
                     await served(3)  # while some have these keys and others don't
 
-            old = chain.keys.read_text()
+            old = chain.key_file.read_text()
             new = "k2 " + "cd" * 16 + "\n"
             calling = asyncio.create_task(clients.run(30.0, 60.0, wait_and_close=False))
             for text in (old + new, new + old, new):
--- a/tests/deadlines/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -31,7 +31,7 @@
 )
 
 from harness.proxy_process import ProxyProcess, running_proxy
-from harness.tier_chain import key_file
+from harness.tier_chain import write_key_file
 
 
 @contextlib.asynccontextmanager
@@ -39,7 +39,7 @@
     discovery = await DiscoveryServer().start()
     known = [endpoint_entry(f"s-{number}", address) for number, address in enumerate(addresses)]
     with tempfile.TemporaryDirectory() as folder:
-        table = f'[budgets]\nkeys_file = "{key_file(Path(folder))}"\nedge = true\n'
+        table = f'[budgets]\nkeys_file = "{write_key_file(Path(folder))}"\nedge = true\n'
         async with running_proxy("n0", discovery.address, known, table, **changes) as program:
             yield program
     assert discovery.server is not None
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -9,7 +9,7 @@
 import pytest
 
 from harness.event_loop import until
-from harness.proxy_process import free_port, settings
+from harness.proxy_process import free_port, platform_settings
 from service_proxy.clock import Clock
 from service_proxy.composition import create_fleet
 from service_proxy.fleet import rate_limits
@@ -45,7 +45,7 @@
 
 
 def config(allowed: bool, me: int = 0, name: str = "n0", **more: Any) -> ProxyConfig:
-    proxy_settings = settings(balancers=3, me=me)
+    proxy_settings = platform_settings(balancers=3, me=me)
     proxy_settings["policy_limits"]["peers"] = allowed
     raw = {
         "name": name,
--- a/tests/harness/test_benchmarks.py
+++ b/tests/harness/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The README's first command and the proofs, in small."""
+"""The first command of the README, and the benchmarks in short."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     asyncio.run(test())
 
 
-def test_the_proof_of_the_sidecar_holds_in_small(
+def test_the_sidecar_benchmark_passes_in_short(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(sidecar, "MUTATIONS_SHORT", 20)
@@ -63,7 +63,7 @@
     assert "slipped 0 " in said and "restarts_sidecars 4 " in said and "lost 0 " in said
 
 
-def test_the_proof_of_ephemeral_nodes_holds_in_small(
+def test_the_ephemeral_nodes_benchmark_passes_in_short(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(ephemeral, "SHORT", ephemeral.Size(9, 90.0, 2, (1.0,), 3.0, 1.0))
@@ -71,10 +71,10 @@
     code = report.run_benchmark("ephemeral", ephemeral.measure, ["--short"])
     said = capsys.readouterr().out
     assert code == 0, said
-    assert "rules_broken 0 " in said and "empty_ensemble_m0" in said and said.endswith("PROOF held\n")
+    assert "rules_broken 0 " in said and "empty_ensemble_m0" in said and said.endswith("PASSED\n")
 
 
-def test_the_proof_of_the_budgets_holds_in_small(
+def test_the_deadline_propagation_benchmark_passes_in_short(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """All but the overload, whose figures need a machine of its own."""
@@ -101,7 +101,7 @@
     assert "histories_broken 0 " in said and "loop_3_hops 3 " in said
 
 
-def test_the_proof_of_websocket_holds_in_small(
+def test_the_websocket_benchmark_passes_in_short(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(websocket, "SHORT", websocket.Size(160, 4, 1.0, 300, 50, 80, 0.5))
@@ -114,18 +114,20 @@
 def test_the_cost_per_call_is_measured(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(per_call, "CALLS_SHORT", 100)
-    monkeypatch.setattr(per_call, "MOST_REFUSED", 1.0)  # a machine that stands still is no verdict here
-    code = report.run_benchmark("per_call", per_call.measure, ["--short"], add_arguments=per_call.more)
+    monkeypatch.setattr(per_call, "REQUESTS_PER_TURN_SHORT", 100)
+    monkeypatch.setattr(per_call, "MAX_UNSERVED_SHARE", 1.0)  # a machine that stands still is no verdict here
+    code = report.run_benchmark(
+        "per_call", per_call.measure, ["--short"], add_arguments=per_call.add_arguments
+    )
     said = capsys.readouterr().out
     assert code == 0, said
     assert "membership_to_relay" in said
 
 
-def test_a_claim_that_fails_is_said_and_is_exit_1(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_failed_assertion_is_printed_and_gives_exit_code_1(capsys: pytest.CaptureFixture[str]) -> None:
     async def measure(found: report.BenchmarkReport, wanted: object) -> None:
         found.check(True, "never")
         found.check(False, "the moon is no cheese")
 
     assert report.run_benchmark("moon", measure, []) == 1
-    assert capsys.readouterr().out.endswith("PROOF fell short: the moon is no cheese\n")
+    assert capsys.readouterr().out.endswith("FAILED: the moon is no cheese\n")
--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -17,12 +17,12 @@
 from pathlib import Path
 from typing import Any
 
-from harness.proxy_process import free_port, settings
+from harness.proxy_process import free_port, platform_settings
 
 ROOT = Path(__file__).parents[2]
 TEST_TIMEOUT_S = 20.0  # s; a test that waits longer has failed
 
-SETTINGS: dict[str, Any] = settings(dcs=["a", "b"])
+SETTINGS: dict[str, Any] = platform_settings(dcs=["a", "b"])
 
 
 class ReceivedRequest:
@@ -250,8 +250,8 @@
         "import asyncio, sys\n"
         "from service_proxy.composition import Proxy\n"
         "from service_proxy.net.config import parse_config\n"
-        "from harness.proxy_process import settings\n"
-        "raw = {'listen': '127.0.0.1:0', 'discovery': '127.0.0.1:1', 'settings': settings()}\n"
+        "from harness.proxy_process import platform_settings\n"
+        "raw = {'listen': '127.0.0.1:0', 'discovery': '127.0.0.1:1', 'settings': platform_settings()}\n"
         "async def test():\n"
         "    Proxy(parse_config(raw, {}), None).stop()\n"
         "asyncio.run(test())\n"
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -126,13 +126,13 @@
         async with running(nodes=2, config=FREE, service=0.02) as made:
             for n in range(20):
                 await made.kiosks.add(f"k{n}").connect()
-            await until(lambda: made.kiosks.up == 20, "all are up")
+            await until(lambda: made.kiosks.connected_count == 20, "all are up")
             sending = asyncio.create_task(keep_sending(made.kiosks, 2.5))
             await asyncio.sleep(0.3)
             at = await made.told(made.nodes[0], "Terminating")
             await sending
-            await until(lambda: not made.kiosks.open, "the last outcomes")
-            assert made.kiosks.outcomes["served"] > 100 and not made.kiosks.closes
+            await until(lambda: not made.kiosks.open_message_count, "the last outcomes")
+            assert made.kiosks.outcomes["served"] > 100 and not made.kiosks.close_codes
             assert set(made.kiosks.outcomes) <= {"served", "refused"}
             assert max(a.first_byte_at for a in made.ledger.attempts if a.endpoint == "n-0") < at + 2.0
             assert made.audited() == []
@@ -144,7 +144,7 @@
     """The usual mix, one message after another over all kiosks."""
     due = time.monotonic() + seconds
     while time.monotonic() < due:
-        for kiosk in kiosks.kiosks:
+        for kiosk in kiosks.clients:
             kiosk.send(kiosks.random.choice(DEFAULT_CLASSES))
         await asyncio.sleep(0.1)
 
@@ -336,15 +336,15 @@
         async with running(config=config, more={"limits": limits}) as made:
             for first in range(0, 2000, 100):
                 await asyncio.gather(
-                    *(made.kiosks.add(f"k{n}", comes_back=False).connect() for n in range(first, first + 100))
+                    *(made.kiosks.add(f"k{n}", reconnects=False).connect() for n in range(first, first + 100))
                 )
-                await until(lambda: made.kiosks.up == len(made.kiosks.kiosks), "they are up")
+                await until(lambda: made.kiosks.connected_count == len(made.kiosks.clients), "they are up")
             made.program.process.terminate()
             async with asyncio.timeout(PATIENCE):
                 assert await made.program.process.wait() == 0
-            await until(lambda: not made.kiosks.up, "all are closed")
-            assert made.kiosks.closes == {1001: 2000}
-            waits = sorted(kiosk.told or 0.0 for kiosk in made.kiosks.kiosks)
+            await until(lambda: not made.kiosks.connected_count, "all are closed")
+            assert made.kiosks.close_codes == {1001: 2000}
+            waits = sorted(kiosk.reconnect_wait or 0.0 for kiosk in made.kiosks.clients)
             most = max(sum(1 for w in waits[n : n + 200] if w < waits[n] + 0.1) for n in range(0, 2000, 10))
             assert most <= 2000 * 0.1 / 5.0 * 1.1 + 3
 
--- a/tests/websocket/test_stock.py
+++ b/tests/websocket/test_stock.py
@@ -14,7 +14,7 @@
 from wskit import ALL, CONFIG, Made, run, running
 
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.proxy_process import running_proxy, settings
+from harness.proxy_process import platform_settings, running_proxy
 from harness.recorder import Recorder
 
 
@@ -87,7 +87,7 @@
             known = [entry("stock", address)]
             registry = EndpointRegistry(Recorder())
             registry.put(known[0])
-            raw = settings(grades=ALL)
+            raw = platform_settings(grades=ALL)
             at = await registry.start()
             async with running_proxy("edge", at, known, CONFIG, overrides={"settings": raw}) as program:
                 uri = "ws://{}:{}/vigia".format(*program.address)
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -241,17 +241,18 @@
         async with running(nodes=2, config=config) as made:
             for n in range(40):
                 await made.kiosks.add(f"k{n}", "/vigia").connect()
-            await until(lambda: made.kiosks.up == 40, "all are up")
+            await until(lambda: made.kiosks.connected_count == 40, "all are up")
             leaving = len(made.nodes[0].open_sessions)
             assert 5 <= leaving <= 35
             at = await made.told(made.nodes[0], "Terminating")
             await until(lambda: not made.nodes[0].open_sessions, "the node is left")
             assert time.monotonic() < at + 2.0
             await until(
-                lambda: made.kiosks.up == 40 and len(made.nodes[1].open_sessions) == 40, "all are back"
+                lambda: made.kiosks.connected_count == 40 and len(made.nodes[1].open_sessions) == 40,
+                "all are back",
             )
-            assert made.kiosks.closes == {1012: leaving}
-            back = sorted(made.kiosks.connects)[40:]
+            assert made.kiosks.close_codes == {1012: leaving}
+            back = sorted(made.kiosks.connect_times)[40:]
             assert len(back) == leaving
             assert max(sum(1 for b in back if a <= b < a + 0.1) for a in back) <= 4 + leaving * 0.3
             assert made.audited() == []
--- a/tests/websocket/wskit.py
+++ b/tests/websocket/wskit.py
@@ -16,7 +16,7 @@
 from harness.clients import CLASS_SETTINGS, IDEMPOTENCY_BY_CLASS
 from harness.endpoint_registry import EndpointRegistry, entry
 from harness.event_loop import until
-from harness.proxy_process import ProxyProcess, running_proxy, settings
+from harness.proxy_process import ProxyProcess, platform_settings, running_proxy
 from harness.recorder import Idempotency, Recorder
 from harness.websocket_clients import WebSocketClientPool
 from harness.websocket_endpoint import ScriptedFault, WebSocketEndpoint
@@ -191,7 +191,7 @@
     for item in known:
         registry.put(item)
     at = await registry.start()
-    raw = settings(grades=ALL, **changes)
+    raw = platform_settings(grades=ALL, **changes)
     try:
         async with running_proxy(
             "edge", at, known, operator=config, overrides={"settings": raw, **(more or {})}
