--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,78 @@
+"""The pages name what is there: modules, classes, functions and links exist."""
+
+from __future__ import annotations
+
+import ast
+import re
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "service_proxy"
+PAGES = [
+    "README.md",
+    "CONTRIBUTING.md",
+    *(str(p.relative_to(ROOT)) for p in sorted((ROOT / "docs").rglob("*.md"))),
+]
+# As they were taken, in the words of their time.
+OLD_WORDS = "docs/measurements/"
+SPAN = re.compile(r"`([^`\n]+)`")
+LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
+PATH = re.compile(r"[\w./-]+\.(?:py|toml|md|sh|txt)|[\w./-]+/")
+NAME = re.compile(r"_?[A-Z]\w+(?:\.\w+)?|\w+\.[a-z_]\w+")
+
+
+@cache
+def defined_names() -> frozenset[str]:
+    """Return all classes and functions of the package, as NAME, CLASS.MEMBER and MODULE.NAME."""
+    names: set[str] = set()
+    for file in PACKAGE.rglob("*.py"):
+        for node in ast.parse(file.read_text(encoding="utf-8")).body:
+            if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
+                names |= {node.name, f"{file.stem}.{node.name}"}
+            if isinstance(node, ast.ClassDef):
+                names |= {f"{node.name}.{member}" for member in members(node)}
+    return frozenset(names)
+
+
+def members(node: ast.ClassDef) -> set[str]:
+    found = {part.name for part in node.body if isinstance(part, ast.FunctionDef | ast.AsyncFunctionDef)}
+    for part in ast.walk(node):
+        if isinstance(part, ast.AnnAssign) and isinstance(part.target, ast.Name):
+            found.add(part.target.id)
+        if isinstance(part, ast.Attribute) and isinstance(part.ctx, ast.Store):
+            found.add(part.attr)
+    return found
+
+
+def exists(path: str) -> bool:
+    if "*" in path or path.startswith(("/", "..")) or path == "KNOWN-RED.txt":  # that one, when it is needed
+        return True
+    if (ROOT / path).exists() or (PACKAGE / path).exists():
+        return True
+    # A module may be named by its last part, below a folder that the page has named before.
+    return "/" not in path.rstrip("/") and any(PACKAGE.rglob(path.rstrip("/")))
+
+
+@pytest.mark.parametrize("page", [page for page in PAGES if not page.startswith(OLD_WORDS)])
+def test_links_lead_somewhere(page: str) -> None:
+    text = (ROOT / page).read_text(encoding="utf-8")
+    targets = [target for target in LINK.findall(text) if "://" not in target]
+    assert [target for target in targets if not (ROOT / page).parent.joinpath(target).exists()] == []
+
+
+@pytest.mark.parametrize("page", ["docs/ARCHITECTURE.md", "CONTRIBUTING.md", "README.md"])
+def test_paths_exist(page: str) -> None:
+    spans = SPAN.findall((ROOT / page).read_text(encoding="utf-8"))
+    paths = [span for span in spans if PATH.fullmatch(span)]
+    assert [path for path in paths if not exists(path)] == []
+
+
+def test_the_architecture_page_names_what_is_defined() -> None:
+    text = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
+    names = {name for span in SPAN.findall(text) for name in [span.partition("(")[0]] if NAME.fullmatch(name)}
+    names = {name for name in names if not PATH.fullmatch(name) and not name.startswith("sys.")}
+    unknown = names - defined_names()
+    assert unknown == set()
