--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -269,7 +269,7 @@
                 continue
             kinds[mutation.__name__] += 1
             file.write_text(changed)
-            codes = {problem.code for problem in check([str(file)], "") if not problem.warning}
+            codes = {problem.code for problem in check([str(file)], "") if not problem.is_warning}
             if not codes:
                 slipped.append(f"{mutation.__name__} of {name}")
             elif BREAKS[mutation] not in codes:
--- a/harness/fleet/fault_script.py
+++ b/harness/fleet/fault_script.py
@@ -25,7 +25,7 @@
 from typing import Any, Protocol
 
 from harness.fleet.network import LinkFaults, Network
-from service_proxy.operator_file.reader import OperatorError, Problem, Reader, between, key
+from service_proxy.operator_file.reader import OperatorError, Problem, TableReader, between, key
 
 MAX_FAULTS = 1000
 MIN_GROUPS = 2  # of a partition
@@ -107,16 +107,16 @@
         raw = tomllib.loads(text)
     except ValueError as error:
         raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {error}", "mend this line")]) from None
-    reader = Reader(file, text)
+    reader = TableReader(file, text)
     tables = raw.pop("fault", [])
-    top = reader.table(ScriptHeader, raw, ())
+    top = reader.read_table(ScriptHeader, raw, ())
     faults = []
     if not isinstance(tables, list) or len(tables) > MAX_FAULTS:
-        reader.wrong(("fault",), "S104", "fault is no list of tables", "write [[fault]] before each")
+        reader.add_problem(("fault",), "S104", "fault is no list of tables", "write [[fault]] before each")
         tables = []
     for number, item in enumerate(tables):
         path = ("fault", str(number))
-        fault = reader.table(ScriptedFault, item, path)
+        fault = reader.read_table(ScriptedFault, item, path)
         if fault is not None and top is not None:
             faults.append(fault)
             _check(reader, path, fault, top.members)
@@ -125,29 +125,31 @@
     return FaultScript(top, tuple(faults))
 
 
-def _check(reader: Reader, path: tuple[str, ...], fault: ScriptedFault, members: int) -> None:
+def _check(reader: TableReader, path: tuple[str, ...], fault: ScriptedFault, members: int) -> None:
     if (fault.at >= 0) == bool(fault.when):
-        reader.wrong(path, "S107", "a fault has either `at` or `when`", "write at = 5.0")
+        reader.add_problem(path, "S107", "a fault has either `at` or `when`", "write at = 5.0")
     if fault.do == "partition":
         if len(fault.groups) < MIN_GROUPS:
-            reader.wrong(path, "S103", "a partition has two groups or more", 'write groups = ["p0-p5", "p6"]')
+            reader.add_problem(
+                path, "S103", "a partition has two groups or more", 'write groups = ["p0-p5", "p6"]'
+            )
     elif not fault.who:
-        reader.wrong(path, "S103", f"{fault.do} of whom?", 'write who = ["p3"]')
+        reader.add_problem(path, "S103", f"{fault.do} of whom?", 'write who = ["p3"]')
     if fault.do == "cut" and not fault.to:
-        reader.wrong(path, "S103", "a cut is from `who` to whom?", 'write to = ["p4"]')
+        reader.add_problem(path, "S103", "a cut is from `who` to whom?", 'write to = ["p4"]')
     if fault.do in LASTING_ACTIONS and not fault.lasts:
-        reader.wrong(path, "S103", f"{fault.do} for how long?", "write lasts = 5.0")
+        reader.add_problem(path, "S103", f"{fault.do} for how long?", "write lasts = 5.0")
     if fault.do != "drain":
         _check_members(reader, path, fault, members)
 
 
-def _check_members(reader: Reader, path: tuple[str, ...], fault: ScriptedFault, members: int) -> None:
+def _check_members(reader: TableReader, path: tuple[str, ...], fault: ScriptedFault, members: int) -> None:
     for name in ("who", "to", "groups"):
         for item in getattr(fault, name):
             try:
                 member_numbers(item.split(","), members)
             except ValueError as error:
-                reader.wrong((*path, name), "S105", f"{item!r}: {error}", 'write "p3" or "p5-p9"')
+                reader.add_problem((*path, name), "S105", f"{item!r}: {error}", 'write "p3" or "p5-p9"')
 
 
 def member_numbers(names: Iterable[str], members: int) -> list[int]:
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -29,7 +29,7 @@
 from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
 from service_proxy.operator_file import OperatorError, load
 from service_proxy.operator_file.key_file import read_fleet_keys
-from service_proxy.operator_file.schema import address_fault
+from service_proxy.operator_file.schema import find_address_problem
 
 ANSWER_TIMEOUT_S = 0.5
 MAX_ATTEMPTS = 4  # of one request
@@ -194,7 +194,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run the command; return its exit code."""
     options = create_parser().parse_args(argv)
-    problem = address_fault(options.of)
+    problem = find_address_problem(options.of)
     if problem is not None:
         print(f"--of {problem}; write the member's `listen`, such as 10.0.0.4:7946", file=sys.stderr)
         return EXIT_BAD_CALL
--- a/service_proxy/operator_file/codes.py
+++ b/service_proxy/operator_file/codes.py
@@ -95,14 +95,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Code:
+class FindingCode:
     title: str
     explanation: str
-    warning: bool
+    is_warning: bool
 
 
-def _read(table: str) -> dict[str, Code]:
-    found: dict[str, Code] = {}
+def _parse_table(table: str) -> dict[str, FindingCode]:
+    found: dict[str, FindingCode] = {}
     code = ""
     title = ""
     lines: list[str] = []
@@ -111,7 +111,7 @@
             lines.append(line.strip())
             continue
         if code:
-            found[code] = Code(
+            found[code] = FindingCode(
                 title.removesuffix(" (warning)"), " ".join(lines), title.endswith(" (warning)")
             )
         code, _, title = line.partition(" ")
@@ -119,4 +119,4 @@
     return found
 
 
-CODES = _read(TABLE)
+CODES = _parse_table(TABLE)
--- a/service_proxy/operator_file/positions.py
+++ b/service_proxy/operator_file/positions.py
@@ -30,7 +30,7 @@
     column: int
 
 
-def positions(text: str) -> dict[Path, Place]:
+def find_positions(text: str) -> dict[Path, Place]:
     """The places of tables and keys. An element of an array of tables has its place in the array as a part:
     `("sidecar", "0", "host")`."""
     found: dict[Path, Place] = {(): Place(1, 1)}
--- a/service_proxy/operator_file/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -15,10 +15,10 @@
 from typing import Any, TypeVar
 
 from service_proxy.operator_file.codes import CODES
-from service_proxy.operator_file.positions import Path, place_of, positions
+from service_proxy.operator_file.positions import Path, find_positions, place_of
 
-MOST_TEXT = 1 << 20  # bytes of an operator's file; a larger one is some other file
-AT = re.compile(r"^(.*) \(at (?:line (\d+), column (\d+)|end of document)\)$")
+MAX_FILE_BYTES = 1 << 20  # bytes of an operator's file; a larger one is some other file
+TOML_ERROR_PLACE = re.compile(r"^(.*) \(at (?:line (\d+), column (\d+)|end of document)\)$")
 
 T = TypeVar("T")
 Check = Callable[[Any], str | None]  # what is wrong, as "must ...", or None
@@ -30,18 +30,18 @@
     line: int
     code: str  # of codes.CODES
     text: str  # what is wrong
-    instead: str  # what to write instead
+    remedy: str  # what to write instead
     column: int = 1
 
     @property
-    def warning(self) -> bool:
-        return CODES[self.code].warning
+    def is_warning(self) -> bool:
+        return CODES[self.code].is_warning
 
     def __str__(self) -> str:
         """As compilers write it."""
-        severity = "warning" if self.warning else "error"
+        severity = "warning" if self.is_warning else "error"
         head = f"{self.file}:{self.line}:{self.column}: {severity}[{self.code}]: {self.text}"
-        return f"{head}\n  help: {self.instead}"
+        return f"{head}\n  help: {self.remedy}"
 
 
 class OperatorError(Exception):
@@ -56,8 +56,8 @@
     """The kind of a time with its unit, such as "500ms"; read as seconds."""
 
 
-UNITS = {"ms": 0.001, "s": 1.0, "min": 60.0}
-TIME = re.compile(r"(\d+(?:\.\d+)?)(ms|s|min)")
+UNIT_SECONDS = {"ms": 0.001, "s": 1.0, "min": 60.0}
+DURATION = re.compile(r"(\d+(?:\.\d+)?)(ms|s|min)")
 
 
 def key(kind: type, text: str, default: Any = dataclasses.MISSING, check: Check | None = None) -> Any:
@@ -69,46 +69,50 @@
     )
 
 
-def between(least: float, most: float) -> Check:
+def between(minimum: float, maximum: float) -> Check:
     def check(value: float) -> str | None:
-        return None if least <= value <= most else f"must lie between {least:g} and {most:g}"
+        return None if minimum <= value <= maximum else f"must lie between {minimum:g} and {maximum:g}"
 
     return check
 
 
-class Reader:
+class TableReader:
     """One reading of one file; gathers its problems."""
 
     def __init__(self, file: str, text: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        self.places = positions(text)
+        self.places = find_positions(text)
 
-    def wrong(self, path: Path, code: str, text: str, instead: str) -> None:
+    def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
         place = place_of(self.places, path)
-        self.problems.append(Problem(self.file, place.line, code, text, instead, place.column))
+        self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
-    def table(self, cls: type[T], raw: object, path: Path) -> T | None:
+    def read_table(self, cls: type[T], raw: object, path: Path) -> T | None:
         """`raw` as an object of `cls`; None where problems were found."""
         name = ".".join(path)
         if not isinstance(raw, Mapping):
-            self.wrong(path, "S104", f"{name} is no table", f"write a line [{name}] with its keys below it")
+            self.add_problem(
+                path, "S104", f"{name} is no table", f"write a line [{name}] with its keys below it"
+            )
             return None
         fields = {field.name: field for field in dataclasses.fields(cls)}  # type: ignore[arg-type]
         before = len(self.problems)
         for unknown in raw.keys() - fields.keys():
             text = f"unknown key {unknown} in [{name}]"
-            self.wrong((*path, unknown), "S101", text, nearest(unknown, fields))
+            self.add_problem((*path, unknown), "S101", text, suggest_name(unknown, fields))
         values = {}
         for field in fields.values():
             text = field.metadata["text"]
             if field.name not in raw:
                 if field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING:
-                    self.wrong(path, "S103", f"[{name}] lacks {field.name}", f"write {field.name} = {text}")
+                    self.add_problem(
+                        path, "S103", f"[{name}] lacks {field.name}", f"write {field.name} = {text}"
+                    )
                 continue
             kind = field.metadata["kind"]
             if isinstance(kind, type) and dataclasses.is_dataclass(kind):  # a table within this one
-                values[field.name] = self.table(kind, raw[field.name], (*path, field.name))
+                values[field.name] = self.read_table(kind, raw[field.name], (*path, field.name))
                 continue
             value, code, fault = _typed(kind, raw[field.name])
             check = field.metadata["check"]
@@ -117,12 +121,12 @@
                 fault = check(value)
             if fault is not None:
                 path_of = (*path, field.name)
-                self.wrong(path_of, code, f"{field.name} {fault}", f"write {field.name} = {text}")
+                self.add_problem(path_of, code, f"{field.name} {fault}", f"write {field.name} = {text}")
             values[field.name] = value
         return cls(**values) if len(self.problems) == before else None
 
 
-def nearest(unknown: str, known: Iterable[str]) -> str:
+def suggest_name(unknown: str, known: Iterable[str]) -> str:
     """What was probably meant, as the help to an unknown name."""
     names = sorted(known)
     near = difflib.get_close_matches(unknown, names, 1)
@@ -151,10 +155,10 @@
     if not isinstance(raw, str):
         code = "S106" if type(raw) in (int, float) else "S104"
         return raw, code, f'is a time and needs its unit, as in "{raw}ms" or "{raw}s"'
-    found = TIME.fullmatch(raw)
+    found = DURATION.fullmatch(raw)
     if not found:
         return raw, "S106", f"is no time: {raw!r:.40}; the units are ms, s and min, with no space before them"
-    return float(found[1]) * UNITS[found[2]], "", None
+    return float(found[1]) * UNIT_SECONDS[found[2]], "", None
 
 
 def read_text(file: str) -> tuple[str, dict[str, Any]]:
@@ -162,12 +166,12 @@
     instead = "name a TOML file as deploy/operator.toml is one"
     try:
         with open(file, "rb") as source:
-            data = source.read(MOST_TEXT + 1)
+            data = source.read(MAX_FILE_BYTES + 1)
     except (OSError, ValueError) as fault:
         reason = fault.strerror if isinstance(fault, OSError) else str(fault)
         raise OperatorError([Problem(file, 1, "C001", f"can't be read: {reason}", instead)]) from None
-    if len(data) > MOST_TEXT:
-        raise OperatorError([Problem(file, 1, "C003", f"larger than {MOST_TEXT} bytes", instead)])
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorError([Problem(file, 1, "C003", f"larger than {MAX_FILE_BYTES} bytes", instead)])
     if data.startswith(b"\xef\xbb\xbf"):
         raise OperatorError(
             [Problem(file, 1, "C004", "begins with a byte order mark", "save it without one")]
@@ -182,7 +186,7 @@
     except RecursionError:
         raise OperatorError([Problem(file, 1, "C003", "nested too deep", instead)]) from None
     except ValueError as fault:
-        said = AT.match(str(fault))
+        said = TOML_ERROR_PLACE.match(str(fault))
         line, column = (int(said[2]), int(said[3])) if said and said[2] else (text.count("\n") + 1, 1)
         reason = said[1] if said else str(fault)
         problem = Problem(file, line, "C002", f"is no TOML: {reason}", "mend this line", column)
--- a/service_proxy/operator_file/schema.py
+++ b/service_proxy/operator_file/schema.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from service_proxy.operator_file.positions import Path
-from service_proxy.operator_file.reader import OperatorError, Reader, between, key, read_text
+from service_proxy.operator_file.reader import OperatorError, TableReader, between, key, read_text
 
-MOST_SERVERS = 9  # of an ensemble
-LEAST_MASS = 0.05  # share; below it a single node's end would be held for a mass loss
+MAX_SERVERS = 9  # of an ensemble
+MIN_MASS_LOSS_SHARE = 0.05  # share; below it a single node's end would be held for a mass loss
 
 
 def _path(value: str) -> str | None:
@@ -30,7 +30,7 @@
     return None if value == "" else _path(value)
 
 
-def address_fault(value: str) -> str | None:
+def find_address_problem(value: str) -> str | None:
     host, colon, port = value.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdecimal() or not 0 < int(port) <= 65535:
         return f"must hold host:port, not {value!r:.60}"
@@ -38,11 +38,11 @@
 
 
 def _servers(value: tuple[str, ...]) -> str | None:
-    if not 1 <= len(value) <= MOST_SERVERS:
-        return f"must name 1 to {MOST_SERVERS} servers"
+    if not 1 <= len(value) <= MAX_SERVERS:
+        return f"must name 1 to {MAX_SERVERS} servers"
     if len(set(value)) != len(value):
         return "names a server twice"
-    return next((fault for fault in map(address_fault, value) if fault), None)
+    return next((fault for fault in map(find_address_problem, value) if fault), None)
 
 
 def _watch(value: str) -> str | None:
@@ -73,7 +73,7 @@
     watch: str = key(str, '"auto"', "auto", _watch)
     reread_jitter: float = key(float, "0.5", 0.5, between(0, 60))
     reads_per_s: float = key(float, "200.0", 200.0, between(1, 10_000))
-    mass_loss_share: float = key(float, "0.34", 0.34, between(LEAST_MASS, 1))
+    mass_loss_share: float = key(float, "0.34", 0.34, between(MIN_MASS_LOSS_SHARE, 1))
     mass_loss_within: float = key(float, "10.0", 10.0, between(0.5, 600))
     snapshot: str = key(str, '"/var/lib/willowwing/nodes"', "")
 
@@ -83,7 +83,7 @@
     """[registration]: the node that the sidecar of this machine registers and keeps registered."""
 
     name: str = key(str, '"s-5be2a07c"', check=_name)
-    address: str = key(str, '"10.1.0.18:8081"', check=address_fault)
+    address: str = key(str, '"10.1.0.18:8081"', check=find_address_problem)
     zone: str = key(str, '"a"', "")
     type: str = key(str, '"m2"', "")
     group: int = key(int, "3", 0, between(0, 1 << 31))
@@ -148,13 +148,13 @@
 
 
 def _address(value: str) -> str | None:
-    return address_fault(value) if value else None
+    return find_address_problem(value) if value else None
 
 
 def _members(value: tuple[str, ...]) -> str | None:
     if len(set(value)) != len(value):
         return "names an address twice"
-    return next((fault for fault in map(address_fault, value) if fault), None)
+    return next((fault for fault in map(find_address_problem, value) if fault), None)
 
 
 def _networks(value: tuple[str, ...]) -> str | None:
@@ -172,7 +172,7 @@
     return None
 
 
-PRIVATE = ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")  # RFC 1918, RFC 1122
+PRIVATE_NETWORKS = ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")  # RFC 1918, RFC 1122
 
 
 @dataclass(frozen=True, slots=True)
@@ -185,7 +185,9 @@
     listen: str = key(str, '"10.0.0.4:7946" (else `peer_listen` of the platform)', "", _address)
     address: str = key(str, '"10.0.0.4:7946" (where others reach it, if elsewhere)', "", _address)
     members: tuple[str, ...] = key(tuple, '["10.0.0.4:7946", "10.0.0.5:7946"]', (), _members)
-    networks: tuple[str, ...] = key(tuple, '["10.0.0.0/8"] (where members may be)', PRIVATE, _networks)
+    networks: tuple[str, ...] = key(
+        tuple, '["10.0.0.0/8"] (where members may be)', PRIVATE_NETWORKS, _networks
+    )
     own_network: bool = key(bool, "true (no platform here whose word on peers counts)", False)
     period: float = key(float, "1.0", 1.0, between(0.05, 60))
     suspicion: float = key(float, "3.0 (periods, of a fleet of up to 9)", 3.0, between(0.1, 60))
@@ -237,39 +239,41 @@
 def load(file: str) -> Operator:
     """Raises OperatorError, with all problems of the file."""
     text, raw = read_text(file)
-    reader = Reader(file, text)
+    reader = TableReader(file, text)
     tables: dict[str, Any] = {}
     for name, value in raw.items():
         cls = TABLES.get(name)
         if cls is None:
             known = ", ".join(f"[{table}]" for table in TABLES)
-            reader.wrong((name,), "S102", f"unknown table or key {name}", f"leave it out; known are {known}")
+            reader.add_problem(
+                (name,), "S102", f"unknown table or key {name}", f"leave it out; known are {known}"
+            )
         else:
-            tables[name] = reader.table(cls, value, (name,))
+            tables[name] = reader.read_table(cls, value, (name,))
     membership = tables.get("membership")
-    membership_contradictions(reader, membership, ("membership",))
+    check_membership(reader, membership, ("membership",))
     if tables.get("registration") is not None and (membership is not None or "membership" not in raw):
-        registration_contradictions(reader, membership, ("membership",), ("registration",))
-    websocket_contradictions(reader, tables.get("websocket"), ("websocket",))
-    fleet_contradictions(reader, tables.get("fleet"), ("fleet",))
+        check_registration(reader, membership, ("membership",), ("registration",))
+    check_websocket(reader, tables.get("websocket"), ("websocket",))
+    check_fleet(reader, tables.get("fleet"), ("fleet",))
     if reader.problems:
         raise OperatorError(reader.problems)
     return Operator(file, **tables)
 
 
-def membership_contradictions(reader: Reader, membership: object, path: Path) -> None:
+def check_membership(reader: TableReader, membership: object, path: Path) -> None:
     """What a table [membership] at this path holds that can't all be so."""
     if not isinstance(membership, Membership):
         return
     if membership.connect_timeout >= membership.session_timeout:
-        reader.wrong(
+        reader.add_problem(
             (*path, "connect_timeout"),
             "S107",
             "connect_timeout is not below session_timeout: sessions end before a second server is tried",
             f"write a connect_timeout of at most {membership.session_timeout / 3:g}",
         )
     if membership.reread_jitter > 1.5:
-        reader.wrong(
+        reader.add_problem(
             (*path, "reread_jitter"),
             "S107",
             "reread_jitter takes the 2 s in which a lost node must get its last call",
@@ -277,17 +281,17 @@
         )
 
 
-def registration_contradictions(reader: Reader, membership: object, of: Path, path: Path) -> None:
+def check_registration(reader: TableReader, membership: object, of: Path, path: Path) -> None:
     """What a table [registration] at this path and the [membership] at `of` can't both say."""
     if membership is None:
-        reader.wrong(
+        reader.add_problem(
             path,
             "S107",
             f"[{'.'.join(path)}] without [{'.'.join(of)}]: there is no service to register with",
             f"write a table [{'.'.join(of)}] with servers and path",
         )
     elif isinstance(membership, Membership) and membership.read_only:
-        reader.wrong(
+        reader.add_problem(
             (*of, "read_only"),
             "S107",
             f"read_only = true with [{'.'.join(path)}]: a read-only server takes no registration",
@@ -295,26 +299,26 @@
         )
 
 
-def websocket_contradictions(reader: Reader, table: object, path: Path) -> None:
+def check_websocket(reader: TableReader, table: object, path: Path) -> None:
     """What a table [websocket] at this path holds that can't all be so."""
     if not isinstance(table, WebSocket):
         return
     if not table.messages and not table.tunnels:
-        reader.wrong(
+        reader.add_problem(
             path,
             "S107",
             "[websocket] with neither messages nor tunnels serves nobody",
             'write messages = ["pantalla"], or leave the table out',
         )
     for name in sorted(set(table.messages) & set(table.tunnels)):
-        reader.wrong(
+        reader.add_problem(
             (*path, "tunnels"),
             "S107",
             f"{name} is a route of messages and of tunnels",
             "give each route one mode",
         )
     if table.burst < table.messages_per_s / 10:
-        reader.wrong(
+        reader.add_problem(
             (*path, "burst"),
             "S107",
             "burst holds less than 0.1 s of messages_per_s",
@@ -322,21 +326,21 @@
         )
     for name in ("sessions_per_client", "sessions_per_tenant"):
         if getattr(table, name) > table.sessions:
-            reader.wrong(
+            reader.add_problem(
                 (*path, name),
                 "S107",
                 f"{name} is over sessions = {table.sessions}",
                 f"write {name} = {table.sessions} or less",
             )
     if table.unread_bytes < table.message_bytes:
-        reader.wrong(
+        reader.add_problem(
             (*path, "unread_bytes"),
             "S107",
             "unread_bytes is under message_bytes: one long outcome would close its session",
             f"write unread_bytes = {table.message_bytes} or more",
         )
     if table.ping_timeout > table.ping_every:
-        reader.wrong(
+        reader.add_problem(
             (*path, "ping_every"),
             "S107",
             "ping_timeout is over ping_every: a silent peer would be awaited past its next ping",
@@ -344,22 +348,22 @@
         )
 
 
-LEAST_SUSPICION = 1.0  # periods: a probe with its helpers takes nearly one
+MIN_SUSPICION_PERIODS = 1.0  # periods: a probe with its helpers takes nearly one
 
 
-def fleet_contradictions(reader: Reader, table: object, path: Path) -> None:
+def check_fleet(reader: TableReader, table: object, path: Path) -> None:
     """What a table [fleet] at this path holds that can't all be so."""
     if not isinstance(table, Fleet):
         return
-    if table.suspicion < LEAST_SUSPICION:
-        reader.wrong(
+    if table.suspicion < MIN_SUSPICION_PERIODS:
+        reader.add_problem(
             (*path, "suspicion"),
             "S107",
             "suspicion is shorter than a probe round: who is slow once is dead before it is asked " "again",
             "write suspicion = 3.0, or at least 1.0",
         )
     if table.memory < 10 * table.suspicion * table.period:
-        reader.wrong(
+        reader.add_problem(
             (*path, "memory"),
             "S107",
             "memory is shorter than ten suspicions: the dead would be forgotten while some still "
@@ -368,7 +372,7 @@
         )
     own = table.address or table.listen
     if table.members and not [at for at in table.members if at != own]:
-        reader.wrong(
+        reader.add_problem(
             (*path, "members"),
             "S107",
             "a fleet with one member, itself, has nobody to see",
@@ -376,7 +380,7 @@
         )
     if table.own_network and not (table.listen and table.members):
         missing = "listen" if not table.listen else "members"
-        reader.wrong(
+        reader.add_problem(
             (*path, "own_network"),
             "S107",
             f"own_network = true without {missing}: the platform is not asked, and nobody else says " "it",
@@ -390,10 +394,10 @@
         try:
             number = ipaddress.IPv4Address(host)
         except ValueError:
-            reader.wrong(path, "S105", f"{host} is no IPv4 address", "write numbers; there is no DNS")
+            reader.add_problem(path, "S105", f"{host} is no IPv4 address", "write numbers; there is no DNS")
             continue
         if not number.is_unspecified and not any(number in network for network in networks):
-            reader.wrong(
+            reader.add_problem(
                 (*path, "networks"),
                 "S107",
                 f"{host} lies in none of the networks, so its datagrams would be dropped",
--- a/service_proxy/sidecar/__main__.py
+++ b/service_proxy/sidecar/__main__.py
@@ -88,9 +88,8 @@
         if code is None:
             print(f"no code {wanted.code}; known are {', '.join(CODES)}", file=sys.stderr)
             return 2
-        print(
-            f"{wanted.code.upper()}: {code.title}{' (warning)' if code.warning else ''}\n\n{code.explanation}"
-        )
+        suffix = " (warning)" if code.is_warning else ""
+        print(f"{wanted.code.upper()}: {code.title}{suffix}\n\n{code.explanation}")
         return 0
     if wanted.command == "schema":
         print(json.dumps(explain.schema(), indent=1))
@@ -161,7 +160,7 @@
 def _try(wanted: argparse.Namespace) -> int:
     """The stand-ins are no part of the program: they come with its checkout, and run as a program of their
     own."""
-    problems = [problem for problem in check([wanted.file], wanted.environment) if not problem.warning]
+    problems = [problem for problem in check([wanted.file], wanted.environment) if not problem.is_warning]
     if problems:
         sys.stdout.write(report.as_text(problems))
         return code_of(problems)
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from service_proxy.operator_file import Operator
-from service_proxy.operator_file.positions import place_of, positions
-from service_proxy.operator_file.reader import MOST_TEXT, OperatorError, Problem, read_text
+from service_proxy.operator_file.positions import find_positions, place_of
+from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, read_text
 from service_proxy.operator_file.schema import TABLES as OPERATORS
 from service_proxy.operator_file.schema import load as load_operator
 from service_proxy.sidecar import fleet
@@ -45,7 +45,7 @@
     for finding in fleet.check_fleet([description for _, description in read]):
         layers = by_file[finding.file]
         before = len(layers.problems)
-        layers.wrong(finding.path, finding.code, finding.text, finding.instead)
+        layers.add_problem(finding.path, finding.code, finding.text, finding.instead)
         problems += layers.problems[before:]
     problems += fleets_of(operators)
     for platform in platforms:
@@ -84,7 +84,7 @@
 
 
 def _at(file: str, key: str, code: str, text: str, instead: str) -> Problem:
-    place = place_of(positions(read_text(file)[0]), ("fleet", key))
+    place = place_of(find_positions(read_text(file)[0]), ("fleet", key))
     return Problem(file, place.line, code, text, instead, place.column)
 
 
@@ -92,7 +92,7 @@
     """Whether a file that this tool wrote was changed since. Raises OperatorError where it can't be read."""
     try:
         with open(file, "rb") as source:
-            content = source.read(MOST_TEXT)
+            content = source.read(MAX_FILE_BYTES)
     except OSError as fault:
         raise OperatorError(
             [
@@ -122,4 +122,4 @@
     """The exit code that says them."""
     if any(problem.code in UNREADABLE for problem in problems):
         return 2
-    return 1 if any(not problem.warning for problem in problems) else 0
+    return 1 if any(not problem.is_warning for problem in problems) else 0
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -14,13 +14,13 @@
 from pathlib import Path as FilePath
 from typing import Any
 
-from service_proxy.operator_file.positions import Path, Place, place_of, positions
-from service_proxy.operator_file.reader import OperatorError, Problem, Reader, nearest, read_text
+from service_proxy.operator_file.positions import Path, Place, find_positions, place_of
+from service_proxy.operator_file.reader import OperatorError, Problem, TableReader, read_text, suggest_name
 from service_proxy.operator_file.schema import (
     Budgets,
-    address_fault,
-    membership_contradictions,
-    registration_contradictions,
+    check_membership,
+    check_registration,
+    find_address_problem,
 )
 from service_proxy.sidecar import fleet
 from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
@@ -37,7 +37,7 @@
     place: Place
 
 
-class Layers(Reader):
+class Layers(TableReader):
     """A reader of several files laid over one another."""
 
     def __init__(self, file: str) -> None:
@@ -45,7 +45,7 @@
         self.raw: dict[str, Any] = {}
         self.origins: dict[Path, Origin] = {(): Origin(file, Place(1, 1))}
 
-    def wrong(self, path: Path, code: str, text: str, instead: str) -> None:
+    def add_problem(self, path: Path, code: str, text: str, instead: str) -> None:
         origin = self.origin(path)
         self.problems.append(
             Problem(origin.file, origin.place.line, code, text, instead, origin.place.column)
@@ -57,7 +57,7 @@
         return self.origins[path]
 
     def lay(self, file: str, text: str, raw: Mapping[str, Any]) -> None:
-        places = positions(text)
+        places = find_positions(text)
         self._merge(self.raw, raw, (), file, places)
 
     def _merge(
@@ -124,26 +124,28 @@
 
     def visit(name: str, way: tuple[str, ...]) -> None:
         text, raw = read_text(name)
-        layers.origins[("include",)] = Origin(name, place_of(positions(text), ("include",)))
+        layers.origins[("include",)] = Origin(name, place_of(find_positions(text), ("include",)))
         included = raw.get("include", [])
         for entry in included if isinstance(included, list) else []:
             if not isinstance(entry, str):
                 continue
             path = FilePath(name).parent / entry
             if not path.resolve().is_relative_to(root):
-                layers.wrong(
+                layers.add_problem(
                     ("include",),
                     "C006",
                     f"{entry} leads out of {root.name}",
                     "put the file into the description's folder",
                 )
             elif str(path) in (*way, name):
-                layers.wrong(("include",), "C006", f"{entry} includes itself", "take it out")
+                layers.add_problem(("include",), "C006", f"{entry} includes itself", "take it out")
             elif len(found) >= MOST_FILES:
-                layers.wrong(("include",), "C006", f"more than {MOST_FILES} files", "include fewer")
+                layers.add_problem(("include",), "C006", f"more than {MOST_FILES} files", "include fewer")
                 return
             elif not path.is_file():
-                layers.wrong(("include",), "C006", f"{entry} is not there", "write the name of a file here")
+                layers.add_problem(
+                    ("include",), "C006", f"{entry} is not there", "write the name of a file here"
+                )
             else:
                 visit(str(path), (*way, name))
         found.setdefault(name, (text, raw))
@@ -176,9 +178,9 @@
         def one(found: re.Match[str]) -> str:
             name = found[1]
             if name not in names:
-                layers.wrong(path, "C007", f"${{{name}}} is not declared", f'add "{name}" to variables')
+                layers.add_problem(path, "C007", f"${{{name}}} is not declared", f'add "{name}" to variables')
             elif name not in environ:
-                layers.wrong(path, "C007", f"${{{name}}} is not set", f"set {name} in the environment")
+                layers.add_problem(path, "C007", f"${{{name}}} is not set", f"set {name} in the environment")
             else:
                 return environ[name]
             return found[0]
@@ -205,32 +207,34 @@
     top_names = {entry.name for entry in fields(Top)}
     known = top_names | set(TABLES) | {"budgets", "defaults", "features", "sidecar"}
     for name in raw.keys() - known:
-        layers.wrong((name,), "S102", f"unknown table or key {name}", nearest(name, known))
-    top = layers.table(Top, {name: raw[name] for name in raw.keys() & top_names}, ())
+        layers.add_problem((name,), "S102", f"unknown table or key {name}", suggest_name(name, known))
+    top = layers.read_table(Top, {name: raw[name] for name in raw.keys() & top_names}, ())
     if top is not None and top.format != FORMAT:
         instead = "run migrate" if top.format < FORMAT else f"write format = {FORMAT}"
-        layers.wrong(("format",), "C005", f"format {top.format}, and this program reads {FORMAT}", instead)
+        layers.add_problem(
+            ("format",), "C005", f"format {top.format}, and this program reads {FORMAT}", instead
+        )
     found: dict[str, dict[str, Any]] = {}
-    features = layers.table(Features, raw.get("features", {}), ("features",))
-    budgets = layers.table(Budgets, raw["budgets"], ("budgets",)) if "budgets" in raw else None
+    features = layers.read_table(Features, raw.get("features", {}), ("features",))
+    budgets = layers.read_table(Budgets, raw["budgets"], ("budgets",)) if "budgets" in raw else None
     defaults = raw.get("defaults", {})
-    if layers.table(Route, defaults, ("defaults",)) is None:
+    if layers.read_table(Route, defaults, ("defaults",)) is None:
         defaults = {}
     for table, cls in TABLES.items():
         found[table] = {}
         entries = raw.get(table, {})
         if not isinstance(entries, dict):
-            layers.wrong((table,), "S104", f"{table} is no table", f"write a line [{table}.NAME]")
+            layers.add_problem((table,), "S104", f"{table} is no table", f"write a line [{table}.NAME]")
             continue
         for name, entry in entries.items():
             if table == "route" and isinstance(entry, dict):
                 entry = {**defaults, **entry}
-            value = layers.table(cls, entry, (table, name))
+            value = layers.read_table(cls, entry, (table, name))
             if value is not None:
                 found[table][name] = value
     for name in found["class"]:
         if name not in found["route"] and name not in raw.get("route", {}):
-            value = layers.table(Route, defaults, ("defaults",))
+            value = layers.read_table(Route, defaults, ("defaults",))
             if value is not None:
                 found["route"][name] = value
                 layers.origins.setdefault(("route", name), layers.origin(("class", name)))
@@ -238,14 +242,14 @@
                     layers.origins.setdefault(("route", name, key), layers.origin(("defaults", key)))
     sidecars = list(_sidecars(layers, raw.get("sidecar", [])))
     for name, tier in found["tier"].items():
-        membership_contradictions(layers, tier.membership, ("tier", name, "membership"))
+        check_membership(layers, tier.membership, ("tier", name, "membership"))
     for number, sidecar in enumerate(sidecars):
         if sidecar.registration is not None and sidecar.tier in found["tier"]:
             at = ("tier", sidecar.tier, "membership")
             membership = found["tier"][sidecar.tier].membership
             here = ("sidecar", str(number), "registration")
-            registration_contradictions(layers, membership, at, here)
-    if top is None or features is None or any(not problem.warning for problem in layers.problems):
+            check_registration(layers, membership, at, here)
+    if top is None or features is None or any(not problem.is_warning for problem in layers.problems):
         return None
     description = Description(
         layers.file,
@@ -259,29 +263,31 @@
         budgets,
     )
     for finding in fleet.check(description):
-        layers.wrong(finding.path, finding.code, finding.text, finding.instead)
+        layers.add_problem(finding.path, finding.code, finding.text, finding.instead)
     return description
 
 
 def _sidecars(layers: Layers, entries: Any) -> Iterator[Sidecar]:
     if not isinstance(entries, list):
-        layers.wrong(("sidecar",), "S104", "sidecar is no array of tables", "write a line [[sidecar]]")
+        layers.add_problem(("sidecar",), "S104", "sidecar is no array of tables", "write a line [[sidecar]]")
         return
     for number, entry in enumerate(entries):
         path = ("sidecar", str(number))
         outbound = entry.get("outbound", {}) if isinstance(entry, dict) else {}
         if not isinstance(outbound, dict):
-            layers.wrong(
+            layers.add_problem(
                 (*path, "outbound"), "S104", "outbound is no table", 'write outbound.TIER = "HOST:PORT"'
             )
             continue
         good = True
         for tier, at in outbound.items():
-            fault = address_fault(at) if isinstance(at, str) else "must be a string"
+            fault = find_address_problem(at) if isinstance(at, str) else "must be a string"
             if fault:
                 good = False
-                layers.wrong((*path, "outbound", tier), "S105", f"{tier} {fault}", 'write "127.0.0.1:7001"')
-        value = layers.table(Sidecar, entry, path)
+                layers.add_problem(
+                    (*path, "outbound", tier), "S105", f"{tier} {fault}", 'write "127.0.0.1:7001"'
+                )
+        value = layers.read_table(Sidecar, entry, path)
         if value is not None and good:
             yield value
 
--- a/service_proxy/sidecar/migrate.py
+++ b/service_proxy/sidecar/migrate.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any
 
-from service_proxy.operator_file.positions import Path, Place, positions
+from service_proxy.operator_file.positions import Path, Place, find_positions
 from service_proxy.operator_file.reader import Problem
 from service_proxy.sidecar.model import FORMAT
 
@@ -34,7 +34,7 @@
 
 def inbound(file: str, lines: Lines, raw: Mapping[str, Any]) -> Iterator[Problem]:
     """1 to 2: [[sidecar]] `listen` is `inbound`, beside `outbound`."""
-    places = positions("".join(lines))
+    places = find_positions("".join(lines))
     sidecars = raw.get("sidecar", [])
     for number, sidecar in enumerate(sidecars if isinstance(sidecars, list) else []):
         if isinstance(sidecar, Mapping) and "listen" in sidecar:
@@ -54,7 +54,7 @@
     raw = tomllib.loads(text)
     version = raw.get("format", min(STEPS))
     if type(version) is not int or not min(STEPS) <= version <= FORMAT:
-        place = positions(text).get(("format",), Place(1, 1))
+        place = find_positions(text).get(("format",), Place(1, 1))
         said = f"format {version!r} is none that this program knows"
         return text, [Problem(file, place.line, "C005", said, f"write format = {FORMAT}", place.column)]
     lines = text.splitlines(keepends=True)
@@ -62,6 +62,6 @@
     for step in range(version, FORMAT):
         problems += STEPS[step](file, lines, raw)
     if "format" in raw and version != FORMAT:
-        line = positions(text)["format",].line - 1
+        line = find_positions(text)["format",].line - 1
         lines[line] = re.sub(rf"=(\s*){version}\b", rf"=\g<1>{FORMAT}", lines[line], count=1)
     return (text, problems) if problems else ("".join(lines), [])
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from service_proxy.operator_file.reader import Duration, between, key
-from service_proxy.operator_file.schema import Budgets, Membership, Registration, address_fault
+from service_proxy.operator_file.schema import Budgets, Membership, Registration, find_address_problem
 
 FORMAT = 2
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,62}")
@@ -44,7 +44,7 @@
 
 
 def _address_or_none(value: str) -> str | None:
-    return address_fault(value) if value else None
+    return find_address_problem(value) if value else None
 
 
 def _path(value: str) -> str | None:
@@ -124,8 +124,8 @@
     host: str = key(str, '"h-1"', check=name_fault)
     zone: str = key(str, '"zone-a"', check=name_fault)
     tier: str = key(str, '"front"', check=name_fault)
-    inbound: str = key(str, '"10.0.0.4:8081"', check=address_fault)
-    application: str = key(str, '"127.0.0.1:9000"', check=address_fault)
+    inbound: str = key(str, '"10.0.0.4:8081"', check=find_address_problem)
+    application: str = key(str, '"127.0.0.1:9000"', check=find_address_problem)
     health: str = key(str, '"/healthz"', "/healthz", _path)
     slots: int = key(int, "64", 64, between(1, 10_000))
     waiting: int = key(int, "128", 128, between(0, 100_000))
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -14,7 +14,7 @@
 from service_proxy.net.config import flatten_settings
 from service_proxy.net.endpoint_list import parse_address
 from service_proxy.operator_file.positions import Path, Place, place_of
-from service_proxy.operator_file.reader import MOST_TEXT, OperatorError, Problem, nearest
+from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, suggest_name
 from service_proxy.settings import read_settings
 from service_proxy.sidecar import rulemodel
 from service_proxy.sidecar.model import Class, Description, Route
@@ -85,11 +85,11 @@
         instead = "name a file as `write` makes them"
         try:
             with open(file, "rb") as source:
-                data = source.read(MOST_TEXT + 1)
+                data = source.read(MAX_FILE_BYTES + 1)
         except OSError as fault:
             raise self._unusable("C001", f"can't be read: {fault.strerror}", instead) from None
-        if len(data) > MOST_TEXT:
-            raise self._unusable("C003", f"larger than {MOST_TEXT} bytes", instead)
+        if len(data) > MAX_FILE_BYTES:
+            raise self._unusable("C003", f"larger than {MAX_FILE_BYTES} bytes", instead)
         try:
             text = data.decode("utf-8")
             self.raw = json.loads(text, object_pairs_hook=_pairs)
@@ -122,7 +122,7 @@
             self.wrong((), "S103", "there is no object settings", 'write {"settings": {...}, ...}')
             return
         for key in self.raw.keys() - TOP:
-            self.wrong((key,), "S101", f"unknown key {key}", nearest(key, TOP))
+            self.wrong((key,), "S101", f"unknown key {key}", suggest_name(key, TOP))
         for key in ("listen", "discovery"):
             if key in self.raw:
                 try:
--- a/service_proxy/sidecar/report.py
+++ b/service_proxy/sidecar/report.py
@@ -22,10 +22,10 @@
             "file": problem.file,
             "line": problem.line,
             "column": problem.column,
-            "severity": "warning" if problem.warning else "error",
+            "severity": "warning" if problem.is_warning else "error",
             "code": problem.code,
             "message": problem.text,
-            "help": problem.instead,
+            "help": problem.remedy,
         }
         for problem in problems
     ]
@@ -45,8 +45,8 @@
     results: list[dict[str, Any]] = [
         {
             "ruleId": problem.code,
-            "level": "warning" if problem.warning else "error",
-            "message": {"text": f"{problem.text}. {problem.instead}"},
+            "level": "warning" if problem.is_warning else "error",
+            "message": {"text": f"{problem.text}. {problem.remedy}"},
             "locations": [
                 {
                     "physicalLocation": {
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -61,7 +61,7 @@
 
 def read(file: str, environment: str) -> Description:
     """Raises Refused where check does."""
-    problems = [problem for problem in check([file], environment) if not problem.warning]
+    problems = [problem for problem in check([file], environment) if not problem.is_warning]
     if not problems:
         try:
             layers, description = load(file, environment)
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -172,7 +172,7 @@
     [two] = check([files["a"], files["b"]], "")
     assert (two.code, two.line) == ("F311", 2)
     [clocks] = check([files["a"], files["c"]], "")
-    assert (clocks.code, clocks.line, clocks.instead) == ("F312", 5, "write period = 1")
+    assert (clocks.code, clocks.line, clocks.remedy) == ("F312", 5, "write period = 1")
 
 
 def test_where_only_the_broadcast_address_is_configured_the_join_goes_there() -> None:
--- a/tests/harness/test_fleet_harness.py
+++ b/tests/harness/test_fleet_harness.py
@@ -32,7 +32,7 @@
     text, line, what = BROKEN[name]
     with pytest.raises(OperatorError) as fault:
         parse_script(text)
-    assert any(p.line == line and what in f"{p.text} {p.instead}" for p in fault.value.problems)
+    assert any(p.line == line and what in f"{p.text} {p.remedy}" for p in fault.value.problems)
 
 
 def test_members_are_named_one_by_one_in_ranges_or_all() -> None:
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -9,7 +9,7 @@
 import pytest
 
 from service_proxy.operator_file import OperatorError, load
-from service_proxy.operator_file.positions import positions
+from service_proxy.operator_file.positions import find_positions
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = '[membership]\nservers = ["127.0.0.1:2181"]\npath = "/salas/portal"\n'
@@ -86,7 +86,7 @@
         load(str(file))
     problem = caught.value.problems[0]
     assert (problem.file, problem.line) == (str(file), line), str(problem)
-    assert says in str(problem) and problem.instead
+    assert says in str(problem) and problem.remedy
 
 
 def test_places_are_found_however_a_key_is_written() -> None:
@@ -94,7 +94,7 @@
         'a = 1\n[b]\n  c.d = """\n[no]\nno = 1\n"""\n"e f" = [\n  1, # ]\n  2,\n]\n\tg = { h = 1 }\n'
         "[[b.i]]\nj = 1\n[[b.i]]\nj = 2\n[b.i.k]\nl = 3\n[m]\n"
     )
-    found = {".".join(path): (place.line, place.column) for path, place in positions(text).items()}
+    found = {".".join(path): (place.line, place.column) for path, place in find_positions(text).items()}
     assert found == {
         "": (1, 1),
         "a": (1, 1),
--- a/tests/sidecar/test_corpus.py
+++ b/tests/sidecar/test_corpus.py
@@ -21,11 +21,11 @@
 
 @pytest.mark.parametrize(("file", "line", "code"), EXPECTED, ids=[file for file, _, _ in EXPECTED])
 def test_a_broken_description_is_refused_at_its_line(file: str, line: str, code: str) -> None:
-    problems = [problem for problem in check([str(CORPUS / "broken" / file)], "") if not problem.warning]
+    problems = [problem for problem in check([str(CORPUS / "broken" / file)], "") if not problem.is_warning]
     assert problems, "accepted"
     found = [(problem.line, problem.code) for problem in problems]
     assert found[0][0] == int(line) and (int(line), code) in found, "\n".join(map(str, problems))
-    assert problems[0].instead
+    assert problems[0].remedy
 
 
 @pytest.mark.parametrize("file", sorted((CORPUS / "good").glob("*.toml")), ids=lambda path: path.stem)
--- a/tests/sidecar/test_description.py
+++ b/tests/sidecar/test_description.py
@@ -10,7 +10,7 @@
 import pytest
 
 from service_proxy.operator_file.codes import CODES
-from service_proxy.operator_file.reader import MOST_TEXT
+from service_proxy.operator_file.reader import MAX_FILE_BYTES
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.checking import check
 from service_proxy.sidecar.description import load
@@ -110,7 +110,7 @@
 def test_files_that_are_none(tmp_path: Path) -> None:
     large = tmp_path / "large.toml"
     large.write_bytes(b"# " + b"a" * (10 << 20))
-    assert large.stat().st_size > MOST_TEXT and found(str(large)) == [("large.toml", 1, "C003")]
+    assert large.stat().st_size > MAX_FILE_BYTES and found(str(large)) == [("large.toml", 1, "C003")]
     assert found(str(tmp_path)) == [(tmp_path.name, 1, "C001")]
     assert main(["check", str(tmp_path / "nowhere.toml")]) == 2
 
--- a/tests/sidecar/test_earlier_version.py
+++ b/tests/sidecar/test_earlier_version.py
@@ -58,7 +58,7 @@
     assert edited != text
     path.write_text(edited)
     (problem,) = refusals(folder)
-    assert problem.file == str(path) and problem.code == "C008" and not problem.warning
+    assert problem.file == str(path) and problem.code == "C008" and not problem.is_warning
 
 
 def test_a_folder_of_the_earlier_version_is_written_anew_unless_it_was_edited(
--- a/tests/sidecar/test_migrate.py
+++ b/tests/sidecar/test_migrate.py
@@ -28,7 +28,7 @@
 
 def test_an_old_file_is_refused_with_what_to_do(tmp_path: Path) -> None:
     (problem,) = (p for p in check([str(OLD[0].with_name("plain.toml"))], "") if p.code == "C005")
-    assert problem.line == 1 and problem.instead == "run migrate"
+    assert problem.line == 1 and problem.remedy == "run migrate"
 
 
 def test_what_a_program_cant_rename_is_left_to_a_hand_and_nothing_is_changed(
--- a/tests/sidecar/test_platform.py
+++ b/tests/sidecar/test_platform.py
@@ -72,7 +72,7 @@
 ) -> None:
     file = platform(tmp_path)
     (problem,) = check([change(file, by)], "")
-    assert problem.code == code and problem.instead
+    assert problem.code == code and problem.remedy
     if (
         code != "S105" or where != '"objective": -1'
     ):  # the class's aim has another name there: its grade is told
