--- a/harness/fleet/fault_script.py
+++ b/harness/fleet/fault_script.py
@@ -296,10 +296,10 @@
         if len(who) == members:
             network.default_faults = replace(network.default_faults, **changes)
 
-            def over() -> None:
+            def restore() -> None:
                 network.default_faults = replace(network.default_faults, **clear)
 
-            return [over]
+            return [restore]
         links = [
             (one, other)
             for one in range(members)
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -272,8 +272,8 @@
     # a power loss
     def renew_boot_id(self, number: int) -> None:
         """Give a slot's machine another boot id, as after a power loss."""
-        mark = f"boot {self.random.getrandbits(64):016x}\n"
-        (self.slots[number].folder / "boot").write_text(mark)
+        boot_id = f"boot {self.random.getrandbits(64):016x}\n"
+        (self.slots[number].folder / "boot").write_text(boot_id)
 
     def power_off(self, zones: str = ZONES) -> None:
         """End proxies and endpoints of these zones in one moment; their machines will have booted anew."""
--- a/harness/fleet/state_model.py
+++ b/harness/fleet/state_model.py
@@ -174,8 +174,8 @@
 
 def steps(rules: Rules, model: ModelState) -> Iterator[tuple[str, ModelState]]:
     """Yield all that may happen next, each with its name."""
-    has_room = len(model.messages) < MAX_MESSAGES
-    if model.up and model.joined and has_room:
+    can_send = len(model.messages) < MAX_MESSAGES
+    if model.up and model.joined and can_send:
         claim = Claim.LEFT if model.left else Claim.ALIVE
         for to in (A, B):
             yield "the subject tells", with_message(model, Message(to, model.local, claim))
@@ -186,7 +186,7 @@
     elif not model.restarts:
         yield "it starts again", model._replace(up=True, left=False, joined=False, local=SECOND, restarts=1)
     for observer in (A, B):
-        yield from view_steps(rules, model, observer, has_room)
+        yield from view_steps(rules, model, observer, can_send)
     for place, message in enumerate(model.messages):
         rest = model.messages[:place] + model.messages[place + 1 :]
         yield "lost", model._replace(messages=rest)
@@ -213,7 +213,7 @@
 
 
 def view_steps(
-    rules: Rules, model: ModelState, observer: int, has_room: bool
+    rules: Rules, model: ModelState, observer: int, can_send: bool
 ) -> Iterator[tuple[str, ModelState]]:
     """Yield what an observer may do by itself."""
     known = model.views[observer]
@@ -224,7 +224,7 @@
         expired = KnownState(rules.table[known.state, ClaimEvent.SUSPICION_EXPIRED][0], known.incarnation)
         yield "a suspicion runs out", with_view(model, observer, expired)
     claim = disseminated_claim(known)
-    if claim is not None and known.incarnation is not None and has_room:
+    if claim is not None and known.incarnation is not None and can_send:
         for to in (B if observer == A else A, SUBJECT):
             yield "one tells another", with_message(model, Message(to, known.incarnation, claim))
 
--- a/harness/fleet/virtual_fleet.py
+++ b/harness/fleet/virtual_fleet.py
@@ -208,10 +208,10 @@
             digest ^= item.digest
         for member in self.members:
             member.starts += 1
-            own = entries[member_key(member.name)]
+            own_entry = entries[member_key(member.name)]
             member.protocol = self.make_protocol(
                 "fleet",
-                own.record,
+                own_entry.record,
                 [],
                 self.timing,
                 derive_seed(self.seed, member.number, 1),
@@ -279,12 +279,12 @@
 
     def states(self, of: int) -> dict[MemberState, int]:
         """Return how many of the other living members have this one in which state."""
-        found: dict[MemberState, int] = {}
+        counts: dict[MemberState, int] = {}
         for member in self.living:
             if member.protocol is not None and member.number != of:
                 state = member.protocol.table.state(member_key(self.members[of].name))
-                found[state] = found.get(state, 0) + 1
-        return found
+                counts[state] = counts.get(state, 0) + 1
+        return counts
 
 
 class VirtualFaultTarget:
--- a/service_proxy/fleet/addressing.py
+++ b/service_proxy/fleet/addressing.py
@@ -82,17 +82,22 @@
         peers = config.peers
     except ValueError as error:
         raise ConfigError(f"bad configuration: {error}") from None
-    own = settings.own_network
-    listen = parse_address(settings.listen) if settings.listen else None if own else peers.listen
+    is_own_network = settings.own_network
+    listen = parse_address(settings.listen) if settings.listen else None if is_own_network else peers.listen
     if listen is None:
         raise ConfigError("[fleet] has no `listen`, and the platform names no peer_listen")
     address = parse_address(settings.address) if settings.address else listen
-    named = () if own else peers.members
-    if config.settings.proxy_index < len(named) and not settings.address:
+    peer_addresses = () if is_own_network else peers.members
+    if config.settings.proxy_index < len(peer_addresses) and not settings.address:
         address = peer_address(config.settings.proxy_index)
     members = [parse_address(text) for text in settings.members]
     return NetworkAddresses(
-        listen, address, named, members, settings.networks, None if own else peers.broadcast
+        listen,
+        address,
+        peer_addresses,
+        members,
+        settings.networks,
+        None if is_own_network else peers.broadcast,
     )
 
 
--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -26,12 +26,12 @@
 
 NAMES = st.text(st.characters(whitelist_categories=["Lu", "Ll", "Nd"]), min_size=1, max_size=10)
 UPDATES = st.builds(
-    lambda name, run, life, version, claim, phase, word, sure, zone: MemberUpdate(
+    lambda name, generation, nonce, version, claim, phase, metadata, sure, zone: MemberUpdate(
         member_key(name),
-        Incarnation(run, life, version),
+        Incarnation(generation, nonce, version),
         claim,
         phase,
-        word,
+        metadata,
         member_key("a") if claim is Claim.SUSPECT else b"",
         sure,
         MemberRecord(name, ("10.0.0.9", 7946), "portal", zone),
--- a/tests/fleet/test_member_states.py
+++ b/tests/fleet/test_member_states.py
@@ -39,10 +39,10 @@
 @given(st.lists(CLAIMS, min_size=1, max_size=6), st.randoms())
 def test_views_converge_in_whatever_order_claims_arrive(claims: list[VersionedClaim], random: Random) -> None:
     def after(order: list[VersionedClaim]) -> tuple[Incarnation | None, MemberState]:
-        held: state_model.KnownState = state_model.KnownState(MemberState.UNKNOWN, None)
+        known: state_model.KnownState = state_model.KnownState(MemberState.UNKNOWN, None)
         for incarnation, claim in order:
-            held = state_model.merge_claim(state_model.CORRECT_RULES, held, incarnation, claim)
-        return held.incarnation, held.state
+            known = state_model.merge_claim(state_model.CORRECT_RULES, known, incarnation, claim)
+        return known.incarnation, known.state
 
     mixed = list(claims)
     random.shuffle(mixed)
@@ -70,9 +70,9 @@
 
 
 @given(INCARNATIONS, CLAIMS)
-def test_only_a_newer_incarnation_brings_the_dead_back(held: Incarnation, claimed: VersionedClaim) -> None:
-    after, _ = TRANSITIONS[MemberState.DEAD, classify_claim(held, claimed)]
-    assert (after in LIVE_STATES) == (claimed[0] > held and claimed[1] is not Claim.LEFT)
+def test_only_a_newer_incarnation_brings_the_dead_back(known: Incarnation, claimed: VersionedClaim) -> None:
+    after, _ = TRANSITIONS[MemberState.DEAD, classify_claim(known, claimed)]
+    assert (after in LIVE_STATES) == (claimed[0] > known and claimed[1] is not Claim.LEFT)
 
 
 def test_the_exhaustive_model_holds_and_finds_every_planted_fault(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -153,9 +153,9 @@
 
 
 def test_the_metadata_of_several_subsystems_is_packed_together() -> None:
-    words = {3: b"abc", 200: b""}
-    assert unpack_metadata(pack_metadata(words)) == words
-    assert unpack_metadata(pack_metadata(words) + b"\x05\x09cut") == words
+    values = {3: b"abc", 200: b""}
+    assert unpack_metadata(pack_metadata(values)) == values
+    assert unpack_metadata(pack_metadata(values) + b"\x05\x09cut") == values
 
 
 def test_check_finds_two_fleets_of_one_name_and_one_with_two_periods(tmp_path: Path) -> None:
--- a/tests/fleet/test_virtual_fleet.py
+++ b/tests/fleet/test_virtual_fleet.py
@@ -186,8 +186,11 @@
     one.sync_requests_left = 1000
     for number in range(45):
         record = MemberRecord(f"far{number}", (f"10.9.0.{number}", 1))
-        for side, mine, version in ((one, number < 25, 0), (other, number >= 20, 3 if number < 25 else 0)):
-            if mine:
+        for side, is_local, version in (
+            (one, number < 25, 0),
+            (other, number >= 20, 3 if number < 25 else 0),
+        ):
+            if is_local:
                 update = MemberUpdate(
                     member_key(record.name),
                     Incarnation(5, 1, version),
