--- a/service_proxy/simulator_adapter.py
+++ b/service_proxy/simulator_adapter.py
@@ -292,7 +292,10 @@
         return line
 
     def _read_batch(self) -> None:
+        """Read lines up to the end of the batch; events are read here, since most lines are events."""
         readline = self.source.readline
+        event_readers = EVENT_READERS
+        pending = self.pending
         while True:
             line = readline()
             if not line:
@@ -301,24 +304,26 @@
                 self.line = line
                 raise FieldError("the line is cut short")
             self.line = line = line[:-1]
-            if line.partition(" ")[0] == END_OF_BATCH:
+            parts = line.split(" ")
+            tag = parts[0]
+            event_reader = event_readers.get(tag)
+            if event_reader is not None:
+                fields = _split(parts[1:])
+                event = event_reader(fields)
+                who = field_text(fields, "who")
+                if who in pending:
+                    pending[who].append(event)
+                elif who in self.balancers:
+                    pending[who] = [event]
+            elif tag == END_OF_BATCH:
                 return
-            self._read_line(line)
-
-    def _read_line(self, line: str) -> None:
-        parts = line.split(" ")
-        tag = parts[0]
-        event_reader = EVENT_READERS.get(tag)
-        if event_reader is not None:
-            fields = _split(parts[1:])
-            event = event_reader(fields)
-            who = field_text(fields, "who")
-            if who in self.pending:
-                self.pending[who].append(event)
-            elif who in self.balancers:
-                self.pending[who] = [event]
-        elif tag in self._readers:
-            self._readers[tag](_split(parts[1:]))
+            else:
+                self._read_other_line(tag, parts)
+
+    def _read_other_line(self, tag: str, parts: list[str]) -> None:
+        reader = self._readers.get(tag)
+        if reader is not None:
+            reader(_split(parts[1:]))
         elif not tag or tag in MISPLACED_TAGS:
             raise FieldError("an event was due")
 
