--- a/service_proxy/policy/balancer.py
+++ b/service_proxy/policy/balancer.py
@@ -203,8 +203,9 @@
         for request in self._arrived:
             if not request.has_ended:  # the client may leave within the batch in which its request came
                 self.admission.admit(request, now)
-        self.scheduler.run(now)
-        self.scheduler.reject_hopeless(now)
+        if self.queue.requests:
+            self.scheduler.run(now)
+            self.scheduler.reject_hopeless(now)
         if not self._timer_is_set:
             self._timer_is_set = True
             self.actions.append(SetTimer(CONTROL_INTERVAL_S, CONTROL_TOKEN))
--- a/service_proxy/policy/request_queue.py
+++ b/service_proxy/policy/request_queue.py
@@ -44,16 +44,15 @@
         removed: list[RequestState] = []
         for request in self.requests:
             left = request.useful_until - now
-            mean_latency = request.request_class.mean_latency.value
+            latency = request.request_class.mean_latency.value
             wait = (len(remaining) + 1) * wait_per_position
-            fits = not remaining or wait + TAIL_LATENCIES * mean_latency <= left
-            # One that waits for its candidates' load reports goes out or comes back here before its deadline;
-            # if less than a mean latency were left, it would be wasted work, most of all on crowded
-            # endpoints.
-            can_wait = request.deadline - now > ANSWER_MARGIN_S or (
-                left > mean_latency and request.awaits_reports(now)
+            fits = not remaining or wait + TAIL_LATENCIES * latency <= left
+            # One that waits for its candidates' load reports goes out or comes back here before its deadline.
+            # With less than a mean latency left it would be wasted work, most of all on crowded endpoints.
+            has_time = request.deadline - now > ANSWER_MARGIN_S or (
+                left > latency and request.awaits_reports(now)
             )
-            if fits and left > 0 and can_wait:
+            if fits and has_time and left > 0:
                 remaining.append(request)
             else:
                 request.is_queued = False
--- a/service_proxy/policy/retry_guard.py
+++ b/service_proxy/policy/retry_guard.py
@@ -43,9 +43,8 @@
 
     def can_send(self, request: RequestState, endpoint: TrackedEndpoint, now: float) -> bool:
         """Tell whether an attempt of the request may go to the endpoint now."""
-        if request.has_ended or request.is_streaming or now >= request.deadline:
-            return False
-        if endpoint.state is not EndpointState.SERVING:
+        is_open = not request.has_ended and not request.is_streaming and now < request.deadline
+        if not is_open or endpoint.state is not EndpointState.SERVING:
             return False
         if not request.attempts:
             return True
@@ -53,12 +52,14 @@
             return False
         if request.in_flight and not self.settings.can_hedge:
             return False
+        if request.request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
         return self._can_repeat_at(request, endpoint, now)
 
     def _can_repeat_at(self, request: RequestState, endpoint: TrackedEndpoint, now: float) -> bool:
         request_class = request.request_class
         first = self.first_possible_execution(request)
-        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if first is None:
             return True
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
--- a/service_proxy/policy/scheduling.py
+++ b/service_proxy/policy/scheduling.py
@@ -95,8 +95,6 @@
 
     def reject_hopeless(self, now: float) -> None:
         """Reject the queued requests whose wait does not fit into what is left of their usefulness."""
-        if not self.queue.requests:
-            return
         wait_per_position = self.limiter.mean_latency / self.limiter.limit
         for request in self.queue.remove_hopeless(now, wait_per_position):
             if not request.in_flight:
