--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -60,6 +60,21 @@
     - `fleet`: this process's member of the fleet.
     - `websocket`: WebSocket sessions and tunnels.
     - `subsystems`: all parts that the operator's file turns on, in the order in which they start.
+
+    Args:
+        config: the platform's configuration of the process.
+        membership: where ephemeral nodes are a source of endpoints; None: off.
+        budgets: the deadline propagation that the listeners of a process share; None: off.
+        called: the name of the tier, where budgets are on and it is known.
+        websocket: the sessions' settings; None: off.
+        fleet: the membership's settings; None: off.
+        fleet_keys: that authenticate the fleet's datagrams.
+        recovery: the recovery's settings; None: off.
+
+    Raises:
+        ConfigError: the list that it is to begin with can't be used, or a part can't be had with these
+            settings.
+        OSError: the admin service can't write to $TMPDIR.
     """
 
     def __init__(
@@ -73,23 +88,7 @@
         fleet_keys: Sequence[bytes] = (),
         recovery: RecoverySettings | None = None,
     ) -> None:
-        """Create all parts; none of them runs yet.
-
-        Args:
-            config: the platform's configuration of the process.
-            membership: where ephemeral nodes are a source of endpoints; None: off.
-            budgets: the deadline propagation that the listeners of a process share; None: off.
-            called: the name of the tier, where budgets are on and it is known.
-            websocket: the sessions' settings; None: off.
-            fleet: the membership's settings; None: off.
-            fleet_keys: that authenticate the fleet's datagrams.
-            recovery: the recovery's settings; None: off.
-
-        Raises:
-            ConfigError: the list that it is to begin with can't be used, or a part can't be had with these
-                settings.
-            OSError: the admin service can't write to $TMPDIR.
-        """
+        """Create all parts; none of them runs yet."""
         self.config = config
         process_config = config
         if websocket is not None:
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -29,7 +29,7 @@
 from service_proxy.fleet.wire import MAX_DATAGRAM_BYTES
 from service_proxy.operator_file import OperatorError, load
 from service_proxy.operator_file.key_file import read_fleet_keys
-from service_proxy.operator_file.schema import find_address_problem
+from service_proxy.operator_file.value_checks import find_address_problem
 
 ANSWER_TIMEOUT_S = 0.5
 MAX_ATTEMPTS = 4  # of one request
--- a/service_proxy/operator_file/__init__.py
+++ b/service_proxy/operator_file/__init__.py
@@ -1,9 +1,11 @@
 """The operator's file: one typed, frozen object, or errors with file and line.
 
-What belongs here: schema, reader, checks. What doesn't: sockets, the platform's JSON (net/config.py), and
-any subsystem's work. Importing this package imports no subsystem.
+`loader` reads a file, by `reader` into the tables of `schema`; `value_checks` and `contradictions` say what
+is wrong with them, `positions` where it stands, `codes` what each finding means; `key_file` reads the keys
+that a table names. Importing this package imports no subsystem.
 """
 
+from service_proxy.operator_file.loader import load
 from service_proxy.operator_file.reader import OperatorError, Problem, read_text
 from service_proxy.operator_file.schema import (
     Budgets,
@@ -13,7 +15,6 @@
     Recovery,
     Registration,
     WebSocket,
-    load,
 )
 
 __all__ = [
--- a/service_proxy/operator_file/codes.py
+++ b/service_proxy/operator_file/codes.py
@@ -96,6 +96,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FindingCode:
+    """What a code of a finding means."""
+
     title: str
     explanation: str
     is_warning: bool
--- a/service_proxy/operator_file/positions.py
+++ b/service_proxy/operator_file/positions.py
@@ -15,6 +15,8 @@
 PART = re.compile(NAME)
 QUOTED = re.compile(r'"(?:[^"\\]|\\.)*"|\'[^\']*\'')
 
+LONG_QUOTES = ('"""', "'''")
+
 Path = tuple[str, ...]
 
 
@@ -31,56 +33,83 @@
 
 
 def find_positions(text: str) -> dict[Path, Place]:
-    """The places of tables and keys. An element of an array of tables has its place in the array as a part:
-    `("sidecar", "0", "host")`."""
-    found: dict[Path, Place] = {(): Place(1, 1)}
-    counts: dict[Path, int] = {}
-    table: Path = ()
-    depth = 0  # of brackets that are open behind a key
-    closing = ""  # of a string over several lines
+    """Return the places of tables and keys.
+
+    An element of an array of tables has its index in the array as a part: `("sidecar", "0", "host")`.
+    """
+    scanner = _Scanner()
     for number, line in enumerate(text.splitlines(), 1):
+        scanner.scan_line(number, line)
+    return scanner.places
+
+
+class _Scanner:
+    """Goes over the lines of a text that tomllib has accepted."""
+
+    def __init__(self) -> None:
+        self.places: dict[Path, Place] = {(): Place(1, 1)}
+        self.array_sizes: dict[Path, int] = {}
+        self.table: Path = ()
+        self.open_brackets = 0  # behind a key
+        self.closing_quotes = ""  # of a string over several lines
+
+    def scan_line(self, number: int, line: str) -> None:
+        """Note the places of what the line names."""
         rest = line
         place = Place(number, len(line) - len(line.lstrip()) + 1)
-        if closing:
-            _, end, rest = rest.partition(closing)
+        if self.closing_quotes:
+            _, end, rest = rest.partition(self.closing_quotes)
             if not end:
-                continue
-            closing = ""
-        elif depth == 0:
+                return
+            self.closing_quotes = ""
+        elif self.open_brackets == 0:
             header = HEADER.match(rest)
             if header:
-                table = ()
-                for part in _parts(header[2]):  # a table below an array's element belongs to its last one
-                    table += (part,)
-                    if table in counts and table != _parts(header[2]):
-                        table += (str(counts[table] - 1),)
-                    found.setdefault(table, place)
-                if header[1] == "[[":
-                    counts[table] = counts.get(table, 0) + 1
-                    found.setdefault(table, place)
-                    table += (str(counts[table] - 1),)
-                found.setdefault(table, place)
-                continue
+                self._enter_table(_parts(header[2]), header[1] == "[[", place)
+                return
             key = KEY.match(rest)
             if key:
-                path = table
-                for part in _parts(key[1]):
-                    path += (part,)
-                    found.setdefault(path, place)
+                self._add_key(_parts(key[1]), place)
                 rest = rest[key.end() :]
-        for quotes in ('"""', "'''"):
+        self._count_brackets(self._cut_long_string(rest))
+
+    def _enter_table(self, parts: Path, is_array: bool, place: Place) -> None:
+        table: Path = ()
+        for part in parts:  # a table below an array's element belongs to its last one
+            table += (part,)
+            if table in self.array_sizes and table != parts:
+                table += (str(self.array_sizes[table] - 1),)
+            self.places.setdefault(table, place)
+        if is_array:
+            self.array_sizes[table] = self.array_sizes.get(table, 0) + 1
+            table += (str(self.array_sizes[table] - 1),)
+        self.places.setdefault(table, place)
+        self.table = table
+
+    def _add_key(self, parts: Path, place: Place) -> None:
+        path = self.table
+        for part in parts:
+            path += (part,)
+            self.places.setdefault(path, place)
+
+    def _cut_long_string(self, rest: str) -> str:
+        """Return what stands before a string over several lines, and remember how that ends."""
+        for quotes in LONG_QUOTES:
             if quotes in rest:
-                before, _, after = rest.partition(quotes)
-                rest = before
+                rest, _, after = rest.partition(quotes)
                 if quotes not in after:
-                    closing = quotes
+                    self.closing_quotes = quotes
+        return rest
+
+    def _count_brackets(self, rest: str) -> None:
         rest = QUOTED.sub("", rest).split("#", 1)[0]
-        depth = max(0, depth + rest.count("[") + rest.count("{") - rest.count("]") - rest.count("}"))
-    return found
+        opened = rest.count("[") + rest.count("{")
+        closed = rest.count("]") + rest.count("}")
+        self.open_brackets = max(0, self.open_brackets + opened - closed)
 
 
 def place_of(found: dict[Path, Place], path: Path) -> Place:
-    """The place of the key, or of the nearest table round it."""
+    """Return the place of the key, or of the nearest table round it."""
     while path not in found:
         path = path[:-1]
     return found[path]
--- a/service_proxy/operator_file/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -26,6 +26,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
+    """One finding, with its place and what to do."""
+
     file: str
     line: int
     code: str  # of codes.CODES
@@ -35,6 +37,7 @@
 
     @property
     def is_warning(self) -> bool:
+        """Whether it is no reason to refuse the file."""
         return CODES[self.code].is_warning
 
     def __str__(self) -> str:
@@ -56,13 +59,20 @@
     """The kind of a time with its unit, such as "500ms"; read as seconds."""
 
 
+KIND_NAMES = {float: "a number", int: "a whole number", str: "a string", bool: "true or false"}
 UNIT_SECONDS = {"ms": 0.001, "s": 1.0, "min": 60.0}
 DURATION = re.compile(r"(\d+(?:\.\d+)?)(ms|s|min)")
 
 
 def key(kind: type, text: str, default: Any = dataclasses.MISSING, check: Check | None = None) -> Any:
-    """A field of a table. `kind`: str, int, float, bool, tuple (of strings), Duration or the dataclass of a
-    table within it. `text` says what to write."""
+    """Return a field of a table.
+
+    Args:
+        kind: str, int, float, bool, tuple (of strings), Duration or the dataclass of a table within it.
+        text: what to write, as an example.
+        default: the value where the key is left out; none: the key is required.
+        check: of the value, once it has its kind.
+    """
     return dataclasses.field(
         **({} if default is dataclasses.MISSING else {"default": default}),
         metadata={"kind": kind, "text": text, "check": check},
@@ -70,6 +80,8 @@
 
 
 def between(minimum: float, maximum: float) -> Check:
+    """Return a check of a number."""
+
     def check(value: float) -> str | None:
         return None if minimum <= value <= maximum else f"must lie between {minimum:g} and {maximum:g}"
 
@@ -85,11 +97,12 @@
         self.places = find_positions(text)
 
     def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
+        """Add a problem of the key at `path`."""
         place = place_of(self.places, path)
         self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
     def read_table(self, cls: type[T], raw: object, path: Path) -> T | None:
-        """`raw` as an object of `cls`; None where problems were found."""
+        """Return `raw` as an object of `cls`; None where problems were found."""
         name = ".".join(path)
         if not isinstance(raw, Mapping):
             self.add_problem(
@@ -127,7 +140,7 @@
 
 
 def suggest_name(unknown: str, known: Iterable[str]) -> str:
-    """What was probably meant, as the help to an unknown name."""
+    """Return what was probably meant, as the remedy for an unknown name."""
     names = sorted(known)
     near = difflib.get_close_matches(unknown, names, 1)
     return f"write {near[0]}" if near else "leave it out; known are " + ", ".join(names)
@@ -142,13 +155,10 @@
     if kind is dict:
         return raw, "S104", None if isinstance(raw, dict) else "must be a table"
     if kind is tuple:
-        if isinstance(raw, list) and all(isinstance(item, str) for item in raw):
-            return tuple(raw), "", None
-        return raw, "S104", "must be a list of strings"
-    if type(raw) is kind:
-        return raw, "", None
-    names = {float: "a number", int: "a whole number", str: "a string", bool: "true or false"}
-    return raw, "S104", f"must be {names[kind]}, not {raw!r:.40}"
+        is_list = isinstance(raw, list) and all(isinstance(item, str) for item in raw)
+        return (tuple(raw), "S104", None) if is_list else (raw, "S104", "must be a list of strings")
+    fault = None if type(raw) is kind else f"must be {KIND_NAMES[kind]}, not {raw!r:.40}"
+    return raw, "S104", fault
 
 
 def _duration(raw: Any) -> tuple[Any, str, str | None]:
@@ -162,16 +172,20 @@
 
 
 def read_text(file: str) -> tuple[str, dict[str, Any]]:
-    """The file's text and its TOML; raises OperatorError, also where it can't be read at all."""
-    instead = "name a TOML file as deploy/operator.toml is one"
+    """Return the file's text and its TOML.
+
+    Raises:
+        OperatorError: it can't be read, or is no TOML.
+    """
+    remedy = "name a TOML file as deploy/operator.toml is one"
     try:
         with open(file, "rb") as source:
             data = source.read(MAX_FILE_BYTES + 1)
-    except (OSError, ValueError) as fault:
-        reason = fault.strerror if isinstance(fault, OSError) else str(fault)
-        raise OperatorError([Problem(file, 1, "C001", f"can't be read: {reason}", instead)]) from None
+    except (OSError, ValueError) as error:
+        reason = error.strerror if isinstance(error, OSError) else str(error)
+        raise OperatorError([Problem(file, 1, "C001", f"can't be read: {reason}", remedy)]) from None
     if len(data) > MAX_FILE_BYTES:
-        raise OperatorError([Problem(file, 1, "C003", f"larger than {MAX_FILE_BYTES} bytes", instead)])
+        raise OperatorError([Problem(file, 1, "C003", f"larger than {MAX_FILE_BYTES} bytes", remedy)])
     if data.startswith(b"\xef\xbb\xbf"):
         raise OperatorError(
             [Problem(file, 1, "C004", "begins with a byte order mark", "save it without one")]
@@ -184,7 +198,7 @@
     try:
         return text, tomllib.loads(text)
     except RecursionError:
-        raise OperatorError([Problem(file, 1, "C003", "nested too deep", instead)]) from None
+        raise OperatorError([Problem(file, 1, "C003", "nested too deep", remedy)]) from None
     except ValueError as fault:
         said = TOML_ERROR_PLACE.match(str(fault))
         line, column = (int(said[2]), int(said[3])) if said and said[2] else (text.count("\n") + 1, 1)
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from service_proxy.operator_file import Operator
+from service_proxy.operator_file.loader import load as load_operator
 from service_proxy.operator_file.positions import find_positions, place_of
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, read_text
 from service_proxy.operator_file.schema import TABLES as OPERATORS
-from service_proxy.operator_file.schema import load as load_operator
 from service_proxy.sidecar import fleet
 from service_proxy.sidecar.description import Layers, load
 from service_proxy.sidecar.model import Description
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -14,14 +14,11 @@
 from pathlib import Path as FilePath
 from typing import Any
 
+from service_proxy.operator_file.contradictions import check_membership, check_registration
 from service_proxy.operator_file.positions import Path, Place, find_positions, place_of
 from service_proxy.operator_file.reader import OperatorError, Problem, TableReader, read_text, suggest_name
-from service_proxy.operator_file.schema import (
-    Budgets,
-    check_membership,
-    check_registration,
-    find_address_problem,
-)
+from service_proxy.operator_file.schema import Budgets
+from service_proxy.operator_file.value_checks import find_address_problem
 from service_proxy.sidecar import fleet
 from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
 
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass, field
 
 from service_proxy.operator_file.reader import Duration, between, key
-from service_proxy.operator_file.schema import Budgets, Membership, Registration, find_address_problem
+from service_proxy.operator_file.schema import Budgets, Membership, Registration
+from service_proxy.operator_file.value_checks import find_address_problem
 
 FORMAT = 2
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,62}")
