--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -158,8 +158,10 @@
 async def start_process(
     folder: Path, raw: dict[str, Any], operator: str = "", root: Path = ROOT, runner: tuple[str, ...] = ()
 ) -> asyncio.subprocess.Process:
-    """A process of the program, whose log is `folder`/log, behind what an earlier one wrote there. `through`:
-    a module and its arguments that run the program's."""
+    """Start a process of the program, whose log is appended to `folder`/log.
+
+    `runner`: a module and its arguments that run the program's.
+    """
     (folder / "config.json").write_text(json.dumps(raw))
     package = "service_proxy" if (root / "service_proxy").is_dir() else "granitepoint"  # its name until 0.2
     command = [sys.executable, "-m", *runner, package]
--- a/harness/stub_endpoint.py
+++ b/harness/stub_endpoint.py
@@ -51,9 +51,9 @@
             recorder: Where attempts and starts are recorded.
             name: Its name in discovery.
             zone: Its zone.
-            service: Seconds that a request takes.
+            service_time: Seconds that a request takes.
             capacity: Core seconds each second.
-            further: What else it does for a request (requests to the next tier), and whether that succeeded.
+            handler: What else it does for a request (requests to the next tier); whether that succeeded.
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
--- a/harness/tier_chain.py
+++ b/harness/tier_chain.py
@@ -43,9 +43,24 @@
 ATTEMPTS_PER_TREE = 12  # of a tree
 SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # requests at a time of one application
 SERVICE_TIMES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}  # s that it works on each
+MAX_WAITING = 64  # requests that wait for a slot
 PLACEHOLDER_ADDRESS = "127.0.0.1:1"  # which the deployment replaces
 
 
+def describe_sidecar(number: int, tier: str, calls: tuple[str, ...]) -> Sidecar:
+    """Describe one sidecar of a tier."""
+    return Sidecar(
+        f"h-{number}",
+        ZONES[number % len(ZONES)],
+        tier,
+        PLACEHOLDER_ADDRESS,
+        PLACEHOLDER_ADDRESS,
+        slots=SLOTS[tier],
+        waiting=MAX_WAITING,
+        outbound={called: PLACEHOLDER_ADDRESS for called in calls},
+    )
+
+
 def describe_chain(tiers: int, hosts: int, budgets: Budgets | None, misroute: bool = False) -> Description:
     """Describe tiers that call one another in turn.
 
@@ -59,19 +74,7 @@
         described[name] = Tier(
             ZONES, tuple(CLASSES), hosts, calls, padron=PLACEHOLDER_ADDRESS, stop_after=3.0
         )
-        for number in range(hosts):
-            sidecars.append(
-                Sidecar(
-                    f"h-{number}",
-                    ZONES[number % 2],
-                    name,
-                    PLACEHOLDER_ADDRESS,
-                    PLACEHOLDER_ADDRESS,
-                    slots=SLOTS[name],
-                    waiting=64,
-                    outbound={called: PLACEHOLDER_ADDRESS for called in calls},
-                )
-            )
+        sidecars += [describe_sidecar(number, name, calls) for number in range(hosts)]
     if misroute:
         described[TIERS[tiers]] = Tier(
             ZONES, tuple(CLASSES), hosts, padron=PLACEHOLDER_ADDRESS, stop_after=3.0
--- a/harness/websocket_clients.py
+++ b/harness/websocket_clients.py
@@ -13,12 +13,13 @@
 import re
 import time
 from collections import Counter
+from http import HTTPStatus
 from random import Random
 from typing import Any
 from urllib.parse import quote
 
 import httptools
-from wsproto.frame_protocol import FrameProtocol, Opcode
+from wsproto.frame_protocol import CloseReason, Frame, FrameProtocol, Opcode
 
 from harness.clients import DEFAULT_CLASSES, ClientClass
 from harness.recorder import ReceivedAnswer, Recorder, SentRequest
@@ -147,41 +148,56 @@
             self.pool.loop.create_task(self.connect())
 
     def data_received(self, data: bytes) -> None:
+        """Read the handshake's answer, then frames."""
         if self.frames is None:
-            try:
-                self.parser.feed_data(data)
-            except httptools.HttpParserUpgrade as end:
-                data = data[end.args[0] :]
-                if self.parser.get_status_code() != 101:
-                    return
-                self.frames = FrameProtocol(client=True, extensions=[])
-                if not self.is_message_mode:
-                    self.is_connected = True
-            else:
+            surplus = self._read_handshake(data)
+            if surplus is None:
                 return
+            data = surplus
+        assert self.frames is not None
         self.frames.receive_bytes(data)
         for frame in self.frames.received_frames():
-            if frame.opcode is Opcode.CLOSE:
-                assert isinstance(frame.payload, tuple)
-                self.close_code = int(frame.payload[0])
-                found = RECONNECT_WAIT.search(frame.payload[1])
-                self.reconnect_wait = float(found[1]) if found else None
-                self._write(bytes(self.frames.close(frame.payload[0] if frame.payload[0] != 1005 else None)))
-                if self.transport is not None:
-                    self.transport.close()
-            elif frame.opcode is Opcode.PING:
-                self._write(bytes(self.frames.pong(bytes(frame.payload))))  # type: ignore[arg-type]
-            elif frame.opcode is not Opcode.PONG:
-                self.parts.append(str(frame.payload))
-                if frame.message_finished and frame.frame_finished:
-                    text = "".join(self.parts)
-                    self.parts = []
-                    self._on_text(text)
+            self._on_frame(self.frames, frame)
+
+    def _read_handshake(self, data: bytes) -> bytes | None:
+        """Return what came behind a 101, or None where there was none yet."""
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserUpgrade as end:
+            if self.parser.get_status_code() != HTTPStatus.SWITCHING_PROTOCOLS:
+                return None
+            self.frames = FrameProtocol(client=True, extensions=[])
+            if not self.is_message_mode:
+                self.is_connected = True
+            return data[end.args[0] :]
+        return None
+
+    def _on_frame(self, frames: FrameProtocol, frame: Frame) -> None:
+        if frame.opcode is Opcode.CLOSE:
+            self._on_close(frames, frame)
+        elif frame.opcode is Opcode.PING:
+            self._write(bytes(frames.pong(bytes(frame.payload))))  # type: ignore[arg-type]
+        elif frame.opcode is not Opcode.PONG:
+            self.parts.append(str(frame.payload))
+            if frame.message_finished and frame.frame_finished:
+                text = "".join(self.parts)
+                self.parts = []
+                self._on_text(text)
+
+    def _on_close(self, frames: FrameProtocol, frame: Frame) -> None:
+        assert isinstance(frame.payload, tuple)
+        self.close_code = int(frame.payload[0])
+        found = RECONNECT_WAIT.search(frame.payload[1])
+        self.reconnect_wait = float(found[1]) if found else None
+        has_code = frame.payload[0] != CloseReason.NO_STATUS_RCVD
+        self._write(bytes(frames.close(frame.payload[0] if has_code else None)))
+        if self.transport is not None:
+            self.transport.close()
 
     def on_message_complete(self) -> None:
         """Count a handshake that was answered with something else."""
         code = self.parser.get_status_code()
-        if code != 101:
+        if code != HTTPStatus.SWITCHING_PROTOCOLS:
             self.pool.rejected_handshakes[code] += 1
             self.transport.close()
 
--- a/harness/websocket_endpoint.py
+++ b/harness/websocket_endpoint.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 import uvloop
-from wsproto.frame_protocol import CloseReason, FrameProtocol, Opcode, ParseFailed
+from wsproto.frame_protocol import CloseReason, Frame, FrameProtocol, Opcode, ParseFailed
 
 from harness.event_loop import listen
 from harness.recorder import RecordedAttempt, Recorder
@@ -57,7 +57,17 @@
 HANDSHAKE_FAULT_KINDS = frozenset(
     ("decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late")
 )
-SLOW_S = 0.5  # s
+SLOW_S = 0.5  # for which it reads nothing, or answers late
+SCRIPTED_CLOSE_CODE = 4321
+INVALID_FRAMES = {
+    "close-1": b"\x88\x01x",  # a close frame of one byte
+    "masked": b"\x81\x81abcdx",
+    "reserved": b"\xc1\x01x",
+    "opcode": b"\x83\x01x",
+    "utf8": b"\x81\x02\xc3\x28",
+    "long": b"\x82\x7f" + struct.pack("!Q", 1 << 40),  # a length of 1 TiB
+    "unasked": b"\x80\x01x",  # a continuation of nothing
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +96,7 @@
     found = []
     entries = raw.get("faults") if isinstance(raw, dict) else None
     if not isinstance(entries, list):
-        raise ValueError(f'{file}:1: write {{"faults": [...]}}')
+        raise ValueError(f'{file}:1: write {{"faults": [...]}}')  # noqa: TRY004 - a fault of the file
     for number, entry in enumerate(entries):
         at = f"{file}:{line_of(text, number)}: fault {number + 1}"
         try:
@@ -272,66 +282,57 @@
             for frame in self.frames.received_frames():
                 if self.transport is None or self.is_silent:
                     return
-                if frame.opcode is Opcode.CLOSE:
-                    assert isinstance(frame.payload, tuple)
-                    self.close_code = int(frame.payload[0])
-                    if not self.is_mute and self.endpoint.answers_closes:
-                        self.transport.write(bytes(self.frames.close(self.close_code)))
-                        self.transport.close()
-                elif frame.opcode is Opcode.PING:
-                    if not self.is_mute:
-                        self.transport.write(bytes(self.frames.pong(bytes(frame.payload))))  # type: ignore[arg-type]
-                elif frame.opcode is not Opcode.PONG:
-                    self.parts.append(frame.payload)
-                    if frame.message_finished and frame.frame_finished:
-                        parts = self.parts
-                        self.parts = []
-                        self._message(("" if isinstance(frame.payload, str) else b"").join(parts))
+                self._on_frame(self.frames, frame)
         except ParseFailed:
             if self.transport is not None:
                 self.transport.write(bytes(self.frames.close(CloseReason.PROTOCOL_ERROR)))
                 self.transport.close()
 
+    def _on_frame(self, frames: FrameProtocol, frame: Frame) -> None:
+        if frame.opcode is Opcode.CLOSE:
+            assert isinstance(frame.payload, tuple)
+            self.close_code = int(frame.payload[0])
+            if not self.is_mute and self.endpoint.answers_closes:
+                self.transport.write(bytes(frames.close(self.close_code)))
+                self.transport.close()
+        elif frame.opcode is Opcode.PING:
+            if not self.is_mute:
+                self.transport.write(bytes(frames.pong(bytes(frame.payload))))  # type: ignore[arg-type]
+        elif frame.opcode is not Opcode.PONG:
+            self.parts.append(frame.payload)
+            if frame.message_finished and frame.frame_finished:
+                parts = self.parts
+                self.parts = []
+                self._message(("" if isinstance(frame.payload, str) else b"").join(parts))
+
     def _message(self, message: str | bytes) -> None:
         assert self.frames is not None
         self.messages += 1
         self.endpoint.messages.append(message)
-        what = self._fault(False)
-        if what:
-            self._inject(what)
+        fault = self._fault(False)
+        if fault:
+            self._inject(fault)
             return
         if not self.is_mute:
             own = f"{self.endpoint.name} " if isinstance(message, str) else self.endpoint.name.encode() + b" "
             self.transport.write(bytes(self.frames.send_data(own + message)))  # type: ignore[operator]
 
-    def _inject(self, what: str) -> None:
-        write = self.transport.write
-        if what == "silent":
+    def _inject(self, fault: str) -> None:
+        """Do what a fault of FAULT_KINDS says; "" is none."""
+        if fault == "silent":
             self.is_silent = True
-        elif what == "mute":
+        elif fault == "mute":
             self.is_mute = True
-        elif what == "slow":
+        elif fault == "slow":
             self.transport.pause_reading()
             self.endpoint.loop.call_later(SLOW_S, self._resume)
-        elif what == "reset":
+        elif fault == "reset":
             self.transport.abort()
-        elif what == "close":
+        elif fault == "close":
             assert self.frames is not None
-            write(bytes(self.frames.close(4321, "scripted")))
-        elif what == "close-1":
-            write(b"\x88\x01x")
-        elif what == "masked":
-            write(b"\x81\x81abcdx")
-        elif what == "reserved":
-            write(b"\xc1\x01x")
-        elif what == "opcode":
-            write(b"\x83\x01x")
-        elif what == "utf8":
-            write(b"\x81\x02\xc3\x28")
-        elif what == "long":
-            write(b"\x82\x7f" + struct.pack("!Q", 1 << 40))
-        elif what == "unasked":
-            write(b"\x80\x01x")
+            self.transport.write(bytes(self.frames.close(SCRIPTED_CLOSE_CODE, "scripted")))
+        elif fault in INVALID_FRAMES:
+            self.transport.write(INVALID_FRAMES[fault])
 
     def _resume(self) -> None:
         if self.transport is not None:
