--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -58,7 +58,7 @@
     answered before the SIGKILL: their other proxies may be few, or restarting too. Then each response closes
     its connection and the idle ones are closed.
     """
-    longest = max(cls.deadline for cls in proxy.driver.settings.classes)
+    longest = max(cls.deadline for cls in proxy.dispatcher.settings.classes)
     drain_s = min(longest, MAX_DEADLINE_WAIT_S) + KILL_GRACE_S - KILL_MARGIN_S
     started_at = time.monotonic()
     proxy.end_all_by(started_at + drain_s)
@@ -100,7 +100,7 @@
         proxy.move_discovery(reload_discovery_address(os.environ))
         return
     discovery = proxy.admin.reload(os.environ)
-    if discovery != proxy.driver.discovery.address:
+    if discovery != proxy.dispatcher.discovery.address:
         proxy.move_discovery(discovery)
 
 
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -53,7 +53,7 @@
 
     Owns the dispatcher, the listener and the parts that are on:
 
-    - `driver`: the policy, the endpoint list in force, the upstream connection pools, discovery.
+    - `dispatcher`: the policy, the endpoint list in force, the upstream connection pools, discovery.
     - `server`: the listener and the downstream connections.
     - `admin`: the admin server, maintenance, metrics; None where the platform names no address for it.
     - `recovery`: the records that outlive the process, and the phase of a recovery.
@@ -96,21 +96,21 @@
         self.admin = create_admin_service(config)
         self.recovery = create_recovery(recovery, config) if recovery is not None else None
         filters = outer_filters(budgets, called, config, self.recovery)
-        self.driver = RequestDispatcher(config, filters, chain_overlays(self._list_overlays()))
+        self.dispatcher = RequestDispatcher(config, filters, chain_overlays(self._list_overlays()))
         self.subsystems: list[Subsystem] = []
         if membership is not None:
-            self.subsystems.append(create_endpoint_source(membership, self.driver, config))
+            self.subsystems.append(create_endpoint_source(membership, self.dispatcher, config))
         if budgets is not None:
             self.subsystems.append(budgets)
         self.server = self._create_listener(config)
-        self.fleet = create_fleet(fleet, config, self.driver, fleet_keys) if fleet is not None else None
+        self.fleet = create_fleet(fleet, config, self.dispatcher, fleet_keys) if fleet is not None else None
         if self.fleet is not None:
             self.subsystems.append(self.fleet)
         if self.recovery is not None:
             self._attach_recovery(self.recovery)
         self.websocket: Front | None = None
         if websocket is not None:
-            self.websocket = create_websocket_front(websocket, process_config, self.driver, self.server)
+            self.websocket = create_websocket_front(websocket, process_config, self.dispatcher, self.server)
             self.subsystems.append(self.websocket)
 
     def _list_overlays(self) -> list[ListOverlay]:
@@ -129,12 +129,12 @@
     def _create_listener(self, config: ProxyConfig) -> HttpServer:
         admin = self.admin
         return HttpServer(
-            self.driver.idempotency_by_class,
-            self.driver,
+            self.dispatcher.idempotency_by_class,
+            self.dispatcher,
             config.max_descriptors,
             config.memory_mb,
-            self.driver.local_responses(),
-            consumed_headers=self.driver.consumed_headers,
+            self.dispatcher.local_responses(),
+            consumed_headers=self.dispatcher.consumed_headers,
             request_counter=admin.metrics if admin is not None else None,
             reserved_descriptors=admin.file_descriptors if admin is not None else 0,
             max_body_bytes=MAX_MESSAGE_BYTES,
@@ -142,17 +142,19 @@
 
     def _attach_recovery(self, recovery: Recovery) -> None:
         admin = self.admin
-        driver = self.driver
+        dispatcher = self.dispatcher
         fleet = self.fleet  # the membership view, the datagram channel and the member's metadata
 
         def put_in_force(listing: EndpointList) -> None:
-            driver.apply_overridden_list(admin.maintenance.apply(listing) if admin is not None else listing)
+            dispatcher.apply_overridden_list(
+                admin.maintenance.apply(listing) if admin is not None else listing
+            )
 
-        recovery.attach(driver, put_in_force, fleet, fleet, fleet)
+        recovery.attach(dispatcher, put_in_force, fleet, fleet, fleet)
         if admin is not None:
             recovery.current_maintenance = lambda: admin.maintenance.in_maintenance
-        driver.on_attempt_outcome = recovery.on_attempt_end
-        driver.adjust_retry_after = recovery.retry_after
+        dispatcher.on_attempt_outcome = recovery.on_attempt_end
+        dispatcher.adjust_retry_after = recovery.retry_after
         self.subsystems.append(recovery)
 
     async def start(self) -> None:
@@ -161,17 +163,17 @@
         Raises:
             OSError: an address can't be listened at.
         """
-        self.driver.start()
+        self.dispatcher.start()
         for subsystem in self.subsystems:
             subsystem.start()
         if self.admin is not None:
-            await self.admin.start(self.driver, self.server)
+            await self.admin.start(self.dispatcher, self.server)
         await self.server.listen(*self.config.listen, reuse_port=self.admin is not None)
 
     def move_discovery(self, discovery: Address) -> None:
         """Ask discovery at another address from now on."""
         log.info("discovery_address_changed address=%s:%d", *discovery)
-        self.driver.discovery.change_address(discovery)
+        self.dispatcher.discovery.change_address(discovery)
 
     def reload_subsystems(self, operator_file: str) -> None:
         """Take over what may change of the operator's file.
@@ -186,7 +188,7 @@
 
     def end_all_by(self, end_by: float) -> None:
         """Begin to drain: all requests and sessions end by `end_by` (monotonic, s)."""
-        self.driver.set_shutdown_deadline(end_by)
+        self.dispatcher.set_shutdown_deadline(end_by)
         if self.websocket is not None:
             self.websocket.drain(end_by)
         if self.fleet is not None:
@@ -194,10 +196,10 @@
 
     async def wait_until_drained(self) -> None:
         """Close each connection with its next response; return when nothing is left to be answered."""
-        await drain_server(self.server, self._has_unanswered, self.driver.shutdown_deadline)
+        await drain_server(self.server, self._has_unanswered, self.dispatcher.shutdown_deadline)
 
     def _has_unanswered(self) -> bool:
-        if self.driver.open_requests or self.server.requests_in_flight > 0:
+        if self.dispatcher.open_requests or self.server.requests_in_flight > 0:
             return True
         return self.websocket is not None and self.websocket.owes
 
@@ -207,7 +209,7 @@
             self.admin.stop()
         for subsystem in self.subsystems:
             subsystem.stop()
-        self.driver.stop()
+        self.dispatcher.stop()
 
 
 def _log_at_info(package: str) -> None:
@@ -224,13 +226,15 @@
     return AdminService(config)
 
 
-def create_endpoint_source(settings: Membership, driver: RequestDispatcher, config: ProxyConfig) -> Subsystem:
+def create_endpoint_source(
+    settings: Membership, dispatcher: RequestDispatcher, config: ProxyConfig
+) -> Subsystem:
     """Return the source of endpoints that reads ephemeral nodes; it feeds the dispatcher."""
     from service_proxy.ephemeral_nodes.source import EphemeralNodeSource as EndpointSource
 
     # Its lines say which source decided: docs/operators/ephemeral.md.
     _log_at_info("service_proxy.ephemeral_nodes")
-    return EndpointSource(settings, driver, config)
+    return EndpointSource(settings, dispatcher, config)
 
 
 def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
@@ -253,7 +257,7 @@
 
 
 def create_fleet(
-    settings: FleetSettings, config: ProxyConfig, driver: RequestDispatcher, keys: Sequence[bytes]
+    settings: FleetSettings, config: ProxyConfig, dispatcher: RequestDispatcher, keys: Sequence[bytes]
 ) -> FleetService | None:
     """Return the fleet's member, or None where the platform allows no messages between proxies.
 
@@ -269,7 +273,7 @@
     from service_proxy.fleet.service import FleetService
 
     _log_at_info("service_proxy.fleet")
-    return FleetService(settings, config, driver, Clock(), keys)
+    return FleetService(settings, config, dispatcher, Clock(), keys)
 
 
 def create_recovery(settings: RecoverySettings, config: ProxyConfig) -> Recovery:
@@ -293,7 +297,7 @@
 
 
 def create_websocket_front(
-    settings: WebSocket, config: ProxyConfig, driver: RequestDispatcher, server: HttpServer
+    settings: WebSocket, config: ProxyConfig, dispatcher: RequestDispatcher, server: HttpServer
 ) -> Front:
     """Return the WebSocket listener, attached to the HTTP listener. `config`: of the whole process.
 
@@ -302,7 +306,7 @@
     """
     from service_proxy.websocket.front import Front
 
-    return Front(settings, config, driver, server)
+    return Front(settings, config, dispatcher, server)
 
 
 def chain_overlays(overlays: Sequence[ListOverlay]) -> ListOverlay | None:
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -78,15 +78,17 @@
 }
 
 
-@pytest.mark.parametrize(("text", "line", "says"), BROKEN.values(), ids=BROKEN)
-def test_a_broken_file_is_told_with_its_line(tmp_path: Path, text: str, line: int, says: str) -> None:
+@pytest.mark.parametrize(("text", "line", "expected_message"), BROKEN.values(), ids=BROKEN)
+def test_a_broken_file_is_reported_with_its_line(
+    tmp_path: Path, text: str, line: int, expected_message: str
+) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(text, encoding="utf-8")
     with pytest.raises(OperatorError) as caught:
         load(str(file))
     problem = caught.value.problems[0]
     assert (problem.file, problem.line) == (str(file), line), str(problem)
-    assert says in str(problem) and problem.remedy
+    assert expected_message in str(problem) and problem.remedy
 
 
 def test_places_are_found_however_a_key_is_written() -> None:
@@ -114,7 +116,7 @@
     }
 
 
-def test_all_problems_of_a_file_are_told_at_once(tmp_path: Path) -> None:
+def test_all_problems_of_a_file_are_reported_at_once(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(GOOD + "sesion = 3\nread_only = 7\nwatch = 1\n")
     with pytest.raises(OperatorError) as caught:
@@ -133,12 +135,12 @@
         operator.membership.path = "/x"  # type: ignore[misc]
 
 
-def test_a_file_that_is_not_there_is_told() -> None:
+def test_a_missing_file_is_reported() -> None:
     with pytest.raises(OperatorError, match=r"nowhere\.toml:1:1: error\[C001\]: can't be read"):
         load("nowhere.toml")
 
 
-def test_the_example_in_deploy_holds(tmp_path: Path) -> None:
+def test_the_example_in_deploy_is_valid(tmp_path: Path) -> None:
     """As it stands all is off; with the `#` before its keys taken away all of it is accepted."""
     example = ROOT / "deploy" / "operator.toml"
     assert load(str(example)).membership is None
@@ -167,7 +169,7 @@
     assert "EDGE_CONFIG" not in ended.stderr
 
 
-def test_help_says_what_it_needs_and_exits_0() -> None:
+def test_help_names_what_it_needs_and_exits_0() -> None:
     ended = program("--help")
     assert ended.returncode == 0 and "EDGE_CONFIG" in ended.stdout and "--operator FILE" in ended.stdout
 
