--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -30,8 +30,8 @@
 from harness.websocket_clients import WebSocketClient, WebSocketClientPool
 from harness.websocket_endpoint import WebSocketEndpoint
 from harness.websocket_frames import stream
-from service_proxy.websocket.codec import Codec, Fault
-from service_proxy.websocket.sessions import Book, Outcome, Taking
+from service_proxy.websocket.frame_codec import FrameCodec, ProtocolViolationError
+from service_proxy.websocket.session_registry import MessageStatus, Outcome, SessionRegistry
 
 TUNNEL = {
     "name": "vigia",
@@ -223,7 +223,7 @@
     found = Found()
     for _ in range(count):
         data = stream(draw)
-        codec = Codec(False, 4096)
+        codec = FrameCodec(False, 4096)
         place = 0
         try:
             while place < len(data):
@@ -231,9 +231,9 @@
                 codec.receive(data[place : place + step])
                 place += step
                 found.events += sum(1 for _ in codec.events())
-        except Fault as fault:
+        except ProtocolViolationError as fault:
             found.faults += 1
-            found.wrong += fault.code not in (1002, 1007, 1008, 1009)
+            found.wrong += fault.close_code not in (1002, 1007, 1008, 1009)
         except Exception as fault:
             found.wrong += 1
             print(f"wrong: {data.hex()}: {fault!r}")
@@ -245,40 +245,43 @@
     wrong = 0
     for number in range(count):
         draw = Random(f"{seed} {number}")
-        book = Book(20_000)
+        book = SessionRegistry(20_000)
         numbers: dict[tuple[int, str], int] = {}
         for now in range(draw.randrange(5, 60)):
             token = str(draw.randrange(3))
             id = str(draw.randrange(IDS))
             session = book.sessions.get(token)
             if session is None:
-                book.begin(token, "", "p")
+                book.create(token, "", "p")
                 continue
             what = draw.randrange(7)
             key = (hash((id, session)), id)
             if what < 2:
-                taking, known = session.take(id)
-                if taking is Taking.NEW:
-                    session.open[id] = now
+                taking, known = session.status_of(id)
+                if taking is MessageStatus.NEW:
+                    session.pending[id] = now
                     numbers.pop(key, None)
                 elif known is not None:
-                    wrong += numbers.get(key) != known.n
-            elif what < 4 and id in session.open:
+                    wrong += numbers.get(key) != known.number
+            elif what < 4 and id in session.pending:
                 n = session.settle(id)
                 wrong += key in numbers
                 numbers[key] = n
-                book.settled(session, Outcome(n, id, "x" * draw.randrange(1, 9000)))
+                book.store(session, Outcome(n, id, "x" * draw.randrange(1, 9000)))
             elif what == 4:
                 book.detach(session, now)
             elif what == 5:
-                book.seen(session, draw.randrange(1 + session.last))
+                book.acknowledge(session, draw.randrange(1 + session.last_number))
                 book.resume(token, "", "q")
             elif what == 6 and draw.random() < 0.2:
                 book.end(session)
-            wrong += book.bytes != sum(s.bytes for s in book.sessions.values()) or book.bytes > 20_000
+            wrong += (
+                book.stored_bytes != sum(s.stored_bytes for s in book.sessions.values())
+                or book.stored_bytes > 20_000
+            )
         for session in list(book.sessions.values()):
             book.end(session)
-        wrong += book.bytes != 0 or bool(book.detached)
+        wrong += book.stored_bytes != 0 or bool(book.detached)
     return wrong
 
 
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -34,7 +34,7 @@
     from service_proxy.operator_file import Recovery as RecoverySettings
     from service_proxy.policy.events import RequestClass
     from service_proxy.recovery.service import Recovery
-    from service_proxy.websocket.front import Front
+    from service_proxy.websocket.listener import WebSocketListener
 
 log = logging.getLogger("service_proxy")
 
@@ -108,7 +108,7 @@
             self.subsystems.append(self.fleet)
         if self.recovery is not None:
             self._attach_recovery(self.recovery)
-        self.websocket: Front | None = None
+        self.websocket: WebSocketListener | None = None
         if websocket is not None:
             self.websocket = create_websocket_front(websocket, process_config, self.dispatcher, self.server)
             self.subsystems.append(self.websocket)
@@ -201,7 +201,7 @@
     def _has_unanswered(self) -> bool:
         if self.dispatcher.open_requests or self.server.requests_in_flight > 0:
             return True
-        return self.websocket is not None and self.websocket.owes
+        return self.websocket is not None and self.websocket.has_pending_closes
 
     def stop(self) -> None:
         """Stop all parts and close their sockets."""
@@ -291,22 +291,22 @@
     Raises:
         ConfigError: they leave too little.
     """
-    from service_proxy.websocket.front import sized
+    from service_proxy.websocket.listener import reserve_resources
 
-    return sized(config, settings)
+    return reserve_resources(config, settings)
 
 
 def create_websocket_front(
     settings: WebSocket, config: ProxyConfig, dispatcher: RequestDispatcher, server: HttpServer
-) -> Front:
+) -> WebSocketListener:
     """Return the WebSocket listener, attached to the HTTP listener. `config`: of the whole process.
 
     Raises:
         ConfigError: a tunnel's request class can't be one.
     """
-    from service_proxy.websocket.front import Front
+    from service_proxy.websocket.listener import WebSocketListener
 
-    return Front(settings, config, dispatcher, server)
+    return WebSocketListener(settings, config, dispatcher, server)
 
 
 def chain_overlays(overlays: Sequence[ListOverlay]) -> ListOverlay | None:
--- a/service_proxy/websocket/codec.py
+++ b/service_proxy/websocket/frame_codec.py
@@ -21,48 +21,48 @@
     RsvBits,
 )
 
-MOST_FRAGMENTS = 1024  # frames of one message
-MOST_REASON = 123  # bytes of a close frame's reason (RFC 6455, 5.5)
+MAX_FRAGMENTS = 1024  # frames of one message
+MAX_REASON_BYTES = 123  # bytes of a close frame's reason (RFC 6455, 5.5)
 NO_STATUS = 1005  # a close frame without a code; never on the wire
 ABNORMAL = 1006  # no close frame at all; never on the wire
 
 
-class Fault(Exception):
+class ProtocolViolationError(Exception):
     """The peer has broken the protocol or a bound: the connection ends with this close code."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
-        self.code = code
+        self.close_code = code
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class MessageFragment:
     """What has come of a message. `data`: str of a text, bytes of a binary message; `last`: it is whole."""
 
     data: str | bytes
-    last: bool
+    is_last: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Ping:
+class PingFrame:
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Pong:
+class PongFrame:
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseFrame:
     code: int  # NO_STATUS: none was given
     reason: str
 
 
-Event = Piece | Ping | Pong | Close
+FrameEvent = MessageFragment | PingFrame | PongFrame | CloseFrame
 
 
-class OwnExtension(Extension):
+class NegotiatedExtension(Extension):
     """One that is in force from the start: the handshake is not wsproto's here."""
 
     def enabled(self) -> bool:
@@ -72,7 +72,7 @@
         return False
 
 
-class _Bounds(OwnExtension):
+class _Bounds(NegotiatedExtension):
     """Looks at each frame's head before any of its payload is taken."""
 
     name = "bounds"
@@ -82,7 +82,7 @@
         # of the message that comes now
         self.announced = 0
         self.frames = 0
-        self.fault: Fault | None = None
+        self.fault: ProtocolViolationError | None = None
 
     def frame_inbound_header(
         self, proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, payload_length: int
@@ -95,28 +95,28 @@
         self.announced += payload_length
         self.frames += 1
         if self.announced > self.most:
-            self.fault = Fault(1009, f"a message of over {self.most} bytes")
+            self.fault = ProtocolViolationError(1009, f"a message of over {self.most} bytes")
             return CloseReason.MESSAGE_TOO_BIG
-        if self.frames > MOST_FRAGMENTS:
-            self.fault = Fault(1008, f"a message in over {MOST_FRAGMENTS} frames")
+        if self.frames > MAX_FRAGMENTS:
+            self.fault = ProtocolViolationError(1008, f"a message in over {MAX_FRAGMENTS} frames")
             return CloseReason.POLICY_VIOLATION
         return RsvBits(False, False, False)
 
 
-class Codec:
+class FrameCodec:
     """`client`: this side is the connection's client, towards a node; it masks what it sends."""
 
     __slots__ = ("_bounds", "_frames")
 
-    def __init__(self, client: bool, most: int, extensions: Sequence[Extension] = ()) -> None:
+    def __init__(self, is_client: bool, max_message_bytes: int, extensions: Sequence[Extension] = ()) -> None:
         """`most`: bytes of a message, as they come on the wire."""
-        self._bounds = _Bounds(most)
-        self._frames = FrameProtocol(client, [self._bounds, *extensions])
+        self._bounds = _Bounds(max_message_bytes)
+        self._frames = FrameProtocol(is_client, [self._bounds, *extensions])
 
     def receive(self, data: bytes | memoryview) -> None:
         self._frames.receive_bytes(data)
 
-    def events(self) -> Iterator[Event]:
+    def events(self) -> Iterator[FrameEvent]:
         """What has come, one by one; who stops early finds the rest at the next call. Raises Fault."""
         try:
             for frame in self._frames.received_frames():
@@ -124,32 +124,32 @@
         except ParseFailed as fault:
             found = self._bounds.fault
             self._bounds.fault = None
-            raise (found or Fault(int(fault.code), str(fault))) from None
+            raise (found or ProtocolViolationError(int(fault.code), str(fault))) from None
 
     @staticmethod
-    def _event(frame: Frame) -> Event:
+    def _event(frame: Frame) -> FrameEvent:
         opcode = frame.opcode
         payload = frame.payload
         if opcode is Opcode.CLOSE:
             assert isinstance(payload, tuple)
-            return Close(int(payload[0]), payload[1])
+            return CloseFrame(int(payload[0]), payload[1])
         assert not isinstance(payload, tuple)
         if opcode is Opcode.PING or opcode is Opcode.PONG:
             assert isinstance(payload, bytes)
-            return Ping(payload) if opcode is Opcode.PING else Pong(payload)
-        return Piece(payload, frame.frame_finished and frame.message_finished)
+            return PingFrame(payload) if opcode is Opcode.PING else PongFrame(payload)
+        return MessageFragment(payload, frame.frame_finished and frame.message_finished)
 
-    def piece(self, data: str | bytes, last: bool = True) -> bytes:
+    def encode_fragment(self, data: str | bytes, is_last: bool = True) -> bytes:
         """A message, or the next part of one."""
-        return bytes(self._frames.send_data(data, last))
+        return bytes(self._frames.send_data(data, is_last))
 
-    def ping(self, data: bytes) -> bytes:
+    def encode_ping(self, data: bytes) -> bytes:
         return bytes(self._frames.ping(data))
 
-    def pong(self, data: bytes) -> bytes:
+    def encode_pong(self, data: bytes) -> bytes:
         return bytes(self._frames.pong(data))
 
-    def close(self, code: int, reason: str = "") -> bytes:
+    def encode_close(self, code: int, reason: str = "") -> bytes:
         """A code that is never on the wire leaves the frame empty."""
         if code in (NO_STATUS, ABNORMAL):
             return bytes(self._frames.close())
--- a/service_proxy/websocket/front.py
+++ b/service_proxy/websocket/listener.py
@@ -27,47 +27,49 @@
 from service_proxy.net.upstream import ConnectionPool
 from service_proxy.operator_file import OperatorError, Problem, WebSocket, load
 from service_proxy.policy.events import Idempotency
-from service_proxy.websocket.codec import Codec
-from service_proxy.websocket.deflate import Deflate, negotiate
-from service_proxy.websocket.handshake import (
-    OWN_FIELDS,
-    Declined,
-    Opening,
+from service_proxy.websocket.connection import ConnectionOwner, WebSocketConnection
+from service_proxy.websocket.frame_codec import FrameCodec
+from service_proxy.websocket.message_session import MessageConnection, MessageSessions
+from service_proxy.websocket.opening_handshake import (
+    HANDSHAKE_FIELDS,
+    HandshakeRejectedError,
+    OpeningRequest,
     check_origin,
-    choose,
-    read_opening,
-    response,
+    choose_subprotocol,
+    encode_response,
+    parse_opening,
 )
-from service_proxy.websocket.limits import Doors
-from service_proxy.websocket.messages import Talk, Talks
-from service_proxy.websocket.peer import Owner, Peer
-from service_proxy.websocket.sessions import Book
-from service_proxy.websocket.spread import Spread, reason
+from service_proxy.websocket.permessage_deflate import PerMessageDeflate, negotiate
+from service_proxy.websocket.reconnect_spread import ReconnectSpread, close_reason
+from service_proxy.websocket.session_limits import SessionLimits
+from service_proxy.websocket.session_registry import SessionRegistry
 from service_proxy.websocket.tunnel import Tunnel
 
 log = logging.getLogger(__name__)
 
-SCRATCH = 16 * 1024  # bytes that are read at once, and so the most that one side holds unread
-SWEEP = 0.25  # s between looks at all sessions
-STUCK = 5.0  # s in which who takes nothing of what waits for it is closed with 1008
-DRAIN_SPAN = 0.8  # s over which the sessions of a node that drains are closed; rule 3 has 2 s for all
-AT_ONCE = 64  # sessions that are closed in one turn
-STEP = 0.02  # s between such turns, at the most
-SESSION_MEMORY = 0.024  # MB that a session may cost at rest, both sides of a tunnel
-POOL_SHARE = 0.25  # of the memory beyond the program's own, for what clients have not taken yet
+READ_BUFFER_BYTES = 16 * 1024  # bytes that are read at once, and so the most that one side holds unread
+SWEEP_INTERVAL_S = 0.25  # s between looks at all sessions
+MAX_STALL_S = 5.0  # s in which who takes nothing of what waits for it is closed with 1008
+DRAIN_SPAN_S = 0.8  # s over which the sessions of a node that drains are closed; rule 3 has 2 s for all
+MAX_CLOSES_PER_TURN = 64  # sessions that are closed in one turn
+DRAIN_STEP_S = 0.02  # s between such turns, at the most
+SESSION_MEMORY_MB = 0.024  # MB that a session may cost at rest, both sides of a tunnel
+UNREAD_MEMORY_SHARE = 0.25  # of the memory beyond the program's own, for what clients have not taken yet
 OUTCOME_SHARE = 0.25  # of that pool, for outcomes that are kept
-LEAST_CALLERS = 8  # MB that callers over HTTP have left
+MIN_HTTP_MEMORY_MB = 8  # MB that callers over HTTP have left
 
 
-def sized(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
+def reserve_resources(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
     """What the sessions leave of the process's descriptors and memory. Raises ConfigError."""
     each = 2 if settings.tunnels else 1
     sockets = config.max_descriptors - each * settings.sessions
-    pool_mb = pool_of(config) / 1e6
-    memory_mb = config.memory_mb - settings.sessions * SESSION_MEMORY - pool_mb
-    if sockets < MIN_DESCRIPTORS or memory_mb < BASE_MEMORY_MB + LEAST_CALLERS:
+    pool_mb = unread_limit(config) / 1e6
+    memory_mb = config.memory_mb - settings.sessions * SESSION_MEMORY_MB - pool_mb
+    if sockets < MIN_DESCRIPTORS or memory_mb < BASE_MEMORY_MB + MIN_HTTP_MEMORY_MB:
         by_sockets = (config.max_descriptors - MIN_DESCRIPTORS) // each
-        by_memory = int((config.memory_mb - pool_mb - BASE_MEMORY_MB - LEAST_CALLERS) / SESSION_MEMORY)
+        by_memory = int(
+            (config.memory_mb - pool_mb - BASE_MEMORY_MB - MIN_HTTP_MEMORY_MB) / SESSION_MEMORY_MB
+        )
         raise ConfigError(
             f"[websocket] sessions = {settings.sessions} does not go into "
             f"{config.max_descriptors} descriptors and "
@@ -76,12 +78,12 @@
     return replace(config, max_descriptors=sockets, memory_mb=memory_mb)
 
 
-def pool_of(config: ProxyConfig) -> int:
+def unread_limit(config: ProxyConfig) -> int:
     """Bytes that clients may leave untaken, all together. `config`: of the whole process."""
-    return int((config.memory_mb - BASE_MEMORY_MB) * POOL_SHARE * 1e6)
+    return int((config.memory_mb - BASE_MEMORY_MB) * UNREAD_MEMORY_SHARE * 1e6)
 
 
-class Front:
+class WebSocketListener:
     """net.downstream.UpgradeHandler, and a Subsystem."""
 
     def __init__(
@@ -89,38 +91,40 @@
     ) -> None:
         """`config`: of the whole process. Raises ConfigError where a tunnel's class can't be one."""
         self.settings = settings
-        self.driver = driver
+        self.dispatcher = driver
         self.server = server
         for cls in settings.tunnels:
             if driver.idempotency_by_class.get(cls) is not Idempotency.IDEMPOTENT:
                 raise ConfigError(f"[websocket] tunnels: {cls} is no repeatable class of the settings")
         self.loop = asyncio.get_running_loop()
-        self.scratch = memoryview(bytearray(SCRATCH))
-        self.pool = pool_of(config)
-        self.book = Book(int(self.pool * OUTCOME_SHARE))
-        self.talks = Talks(self)
-        self.doors = Doors()
-        self.spread = Spread(config.seed, settings.reconnect_spread)
-        self.peers: dict[Peer, None] = {}  # the clients' sides, and the nodes' sides of tunnels
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self.max_unread_bytes = unread_limit(config)
+        self.registry = SessionRegistry(int(self.max_unread_bytes * OUTCOME_SHARE))
+        self.message_sessions = MessageSessions(self)
+        self.limits = SessionLimits()
+        self.spread = ReconnectSpread(config.seed, settings.reconnect_spread)
+        self.connections: dict[
+            WebSocketConnection, None
+        ] = {}  # the clients' sides, and the nodes' sides of tunnels
         self.tunnels: dict[ConnectionPool, dict[Tunnel, None]] = {}  # by node
-        self.loads: dict[Peer, int] = {}  # bytes that some have not taken
-        self.load = 0  # of them together
-        self.draining = False
-        self.end_by = 0.0
-        self.sweeping: asyncio.TimerHandle | None = None
+        self.unread_by_connection: dict[WebSocketConnection, int] = {}  # bytes that some have not taken
+        self.unread_bytes = 0  # of them together
+        self.is_draining = False
+        self.drain_deadline = 0.0
+        self.sweep_timer: asyncio.TimerHandle | None = None
         driver.upgraded_connection_allowance = settings.sessions if settings.tunnels else 0
         driver.set_resource_share(1.0)
         server.upgrade_handler = self
-        driver.cluster.on_endpoint_leaving = self.leaving
+        driver.cluster.on_endpoint_leaving = self.on_endpoint_leaving
 
     # Subsystem
     def start(self) -> None:
-        self.sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
-        if self.sweeping is not None:
-            self.sweeping.cancel()
-        for peer in list(self.peers):
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
+        for peer in list(self.connections):
             peer.abort()
 
     def reload(self, file: str) -> None:
@@ -135,57 +139,61 @@
         self.spread.span = new.reconnect_spread
 
     @staticmethod
-    def failed(what: str) -> None:
+    def log_failure(what: str) -> None:
         log.exception(what)
 
     # net.downstream.UpgradeHandler
     def start_upgrade(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
         """Answers, or takes the connection over, or returns the call that decides on it."""
         try:
-            return self._asked(connection, upgrade)
-        except Declined as no:
-            connection.respond(no.code, no.headers, f"{no}\n".encode())
+            return self._open_session(connection, upgrade)
+        except HandshakeRejectedError as no:
+            connection.respond(no.status_code, no.headers, f"{no}\n".encode())
         except BadRequestError as bad:
             connection.respond(bad.status_code, (), f"{bad}\n".encode())
         return None
 
-    def _asked(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
+    def _open_session(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
         settings = self.settings
         headers = upgrade.headers
-        opening = read_opening(upgrade.method, upgrade.version, headers, upgrade.has_body)
+        opening = parse_opening(upgrade.method, upgrade.version, headers, upgrade.has_body)
         check_origin(opening, settings.origins)
         path = urlsplit(upgrade.target.decode("latin-1"))
         route = path.path[1:].split("/", 1)[0]
         if route not in settings.messages and route not in settings.tunnels:
-            raise Declined(404, "no WebSocket here")
+            raise HandshakeRejectedError(404, "no WebSocket here")
         if upgrade.has_surplus:
-            raise Declined(400, "frames before the 101")
-        if self.draining:
-            raise Declined(503, "this proxy is stopping", self._advice())
+            raise HandshakeRejectedError(400, "frames before the 101")
+        if self.is_draining:
+            raise HandshakeRejectedError(503, "this proxy is stopping", self._retry_after())
         tenant = next((value.decode("latin-1") for name, value in headers if name == b"x-caller"), "")
         client = str((connection.peername or ("",))[0])
-        self._door(client, tenant)
+        self._check_limits(client, tenant)
         if route in settings.messages:
-            self._begin_talk(connection, opening, parse_qs(path.query), client, tenant)
+            self._open_message_session(connection, opening, parse_qs(path.query), client, tenant)
             return None
-        return self._begin_tunnel(connection, upgrade, opening, route, client, tenant)
+        return self._open_tunnel(connection, upgrade, opening, route, client, tenant)
 
-    def _advice(self) -> tuple[tuple[bytes, bytes], ...]:
-        return ((b"retry-after", b"%.3f" % max(0.1, self.spread.next())),)
+    def _retry_after(self) -> tuple[tuple[bytes, bytes], ...]:
+        return ((b"retry-after", b"%.3f" % max(0.1, self.spread.next_delay())),)
 
-    def _door(self, client: str, tenant: str) -> None:
+    def _check_limits(self, client: str, tenant: str) -> None:
         settings = self.settings
         most = settings.sessions
-        whose = self.doors.full(
+        whose = self.limits.exceeded_scope(
             client, tenant, most, settings.sessions_per_client or most, settings.sessions_per_tenant or most
         )
         if whose is not None:
             code = 503 if whose == "proxy" else 429
-            raise Declined(code, f"too many sessions of this {whose}", self._advice())
+            raise HandshakeRejectedError(code, f"too many sessions of this {whose}", self._retry_after())
 
-    def hand_over(
-        self, connection: DownstreamConnection, opening: Opening, protocol: bytes, owner: Owner
-    ) -> Peer:
+    def accept_connection(
+        self,
+        connection: DownstreamConnection,
+        opening: OpeningRequest,
+        protocol: bytes,
+        owner: ConnectionOwner,
+    ) -> WebSocketConnection:
         """The client's 101, and its connection as frames."""
         extension = b""
         extensions = []
@@ -193,18 +201,18 @@
         if settings.deflate:
             agreed = negotiate(opening.extensions, settings.deflate_window_bits)
             if agreed is not None:
-                extension = agreed.header()
-                extensions = [Deflate(agreed, settings.message_bytes, settings.deflate_ratio)]
-        transport = connection.detach(response(opening, protocol, extension))
-        codec = Codec(False, settings.message_bytes, extensions)
-        peer = Peer(transport, codec, owner, self.scratch, server=True)
-        self.peers[peer] = None
+                extension = agreed.response_value()
+                extensions = [PerMessageDeflate(agreed, settings.message_bytes, settings.deflate_ratio)]
+        transport = connection.detach(encode_response(opening, protocol, extension))
+        codec = FrameCodec(False, settings.message_bytes, extensions)
+        peer = WebSocketConnection(transport, codec, owner, self.read_buffer, is_server=True)
+        self.connections[peer] = None
         return peer
 
-    def _begin_talk(
+    def _open_message_session(
         self,
         connection: DownstreamConnection,
-        opening: Opening,
+        opening: OpeningRequest,
         query: dict[str, list[str]],
         client: str,
         tenant: str,
@@ -212,43 +220,43 @@
         token = query.get("session", [""])[0]
         seen = query.get("seen", ["0"])[0]
         if not seen.isascii() or not seen.isdecimal() or len(seen) > 15:
-            raise Declined(400, "seen must be the number of an outcome")
-        book = self.book
+            raise HandshakeRejectedError(400, "seen must be the number of an outcome")
+        book = self.registry
         now = time.monotonic()
-        protocol = choose(opening, self.settings.subprotocols)
+        protocol = choose_subprotocol(opening, self.settings.subprotocols)
         found = book.resume(token, tenant, None) if token else None
         if found is None:
-            while len(book.sessions) >= 2 * self.settings.sessions and self.talks.make_room():
+            while len(book.sessions) >= 2 * self.settings.sessions and self.message_sessions.evict_detached():
                 pass  # those that wait for their client are bounded, too
-            session = book.begin(secrets.token_urlsafe(16), tenant, None)
+            session = book.create(secrets.token_urlsafe(16), tenant, None)
             before = None
         else:
             session, before = found
-        self.doors.enter(client, tenant)
-        talk = Talk(self.talks, session, client, now)
-        session.peer = talk
-        if isinstance(before, Talk) and before.peer is not None:
-            before.peer.close(1008, "its session is on another connection")
-            before.peer.abort()
-        talk.peer = self.hand_over(connection, opening, protocol, talk)
-        self.talks.begin(talk, found is not None, int(seen))
-
-    def _begin_tunnel(
+        self.limits.add(client, tenant)
+        talk = MessageConnection(self.message_sessions, session, client, now)
+        session.connection = talk
+        if isinstance(before, MessageConnection) and before.connection is not None:
+            before.connection.close(1008, "its session is on another connection")
+            before.connection.abort()
+        talk.connection = self.accept_connection(connection, opening, protocol, talk)
+        self.message_sessions.start(talk, found is not None, int(seen))
+
+    def _open_tunnel(
         self,
         connection: DownstreamConnection,
         upgrade: UpgradeRequest,
-        opening: Opening,
+        opening: OpeningRequest,
         cls: str,
         client: str,
         tenant: str,
     ) -> object | None:
-        headers = [pair for pair in upgrade.headers if pair[0] not in OWN_FIELDS]
+        headers = [pair for pair in upgrade.headers if pair[0] not in HANDSHAKE_FIELDS]
         names = {name for name, _ in headers}
         if b"x-call-id" not in names:  # a browser sends none
             headers.append((b"x-call-id", b"ws-" + secrets.token_hex(8).encode()))
         if b"x-budget" not in names:
-            headers.append((b"x-budget", b"%dm" % int(self.driver.deadline_by_class[cls] * 1e3)))
-        driver = self.driver
+            headers.append((b"x-budget", b"%dm" % int(self.dispatcher.deadline_by_class[cls] * 1e3)))
+        driver = self.dispatcher
         request = parse_request(
             b"GET",
             upgrade.target,
@@ -258,113 +266,115 @@
             driver.idempotency_by_class,
             driver.consumed_headers,
         )
-        self.doors.enter(client, tenant)
+        self.limits.add(client, tenant)
         tunnel = Tunnel(self, connection, opening, client, tenant)
         request.upgrade = tunnel
         return driver.start_request(request, tunnel)
 
-    def open_tunnel(self, tunnel: Tunnel) -> None:
+    def add_tunnel(self, tunnel: Tunnel) -> None:
         upstream = tunnel.upstream
-        node = tunnel.node.peer
+        node = tunnel.endpoint_side.connection
         assert upstream is not None
         assert node is not None
-        self.peers[node] = None
+        self.connections[node] = None
         self.tunnels.setdefault(upstream, {})[tunnel] = None
         if not upstream.is_serving:  # it was told to drain while the handshake went on
-            self.leaving(upstream)
+            self.on_endpoint_leaving(upstream)
 
-    def closed_tunnel(self, tunnel: Tunnel, upstream: ConnectionPool) -> None:
+    def remove_tunnel(self, tunnel: Tunnel, upstream: ConnectionPool) -> None:
         here = self.tunnels.get(upstream)
         if here is not None:
             here.pop(tunnel, None)
             if not here:
                 del self.tunnels[upstream]
 
-    def left(self, client: str, tenant: str) -> None:
+    def remove_session(self, client: str, tenant: str) -> None:
         """A client's connection is gone, or was turned away after all."""
-        self.doors.leave(client, tenant)
+        self.limits.remove(client, tenant)
 
     # what clients have not taken
-    def wrote(self, peer: Peer) -> None:
+    def on_write(self, peer: WebSocketConnection) -> None:
         """After each write. Where all together hold too much, who holds the most is closed."""
-        self._count(peer)
-        while self.load > self.pool and self.loads:
-            heaviest = max(self.loads, key=self.loads.__getitem__)
+        self._update_unread(peer)
+        while self.unread_bytes > self.max_unread_bytes and self.unread_by_connection:
+            heaviest = max(self.unread_by_connection, key=self.unread_by_connection.__getitem__)
             heaviest.fail(1008, "what it was sent is not read, and there is no room for more")
             heaviest.abort()
-            self._forget(heaviest)
+            self._forget_unread(heaviest)
 
-    def _count(self, peer: Peer) -> None:
-        now = peer.load
-        self.load += now - self.loads.get(peer, 0)
+    def _update_unread(self, peer: WebSocketConnection) -> None:
+        now = peer.buffered_bytes
+        self.unread_bytes += now - self.unread_by_connection.get(peer, 0)
         if now:
-            self.loads[peer] = now
+            self.unread_by_connection[peer] = now
         else:
-            self.loads.pop(peer, None)
+            self.unread_by_connection.pop(peer, None)
 
-    def _forget(self, peer: Peer) -> None:
-        self.load -= self.loads.pop(peer, 0)
+    def _forget_unread(self, peer: WebSocketConnection) -> None:
+        self.unread_bytes -= self.unread_by_connection.pop(peer, 0)
 
     # time
     def _sweep(self) -> None:
-        self.sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         settings = self.settings
         now = time.monotonic()
-        for peer in list(self.peers):
+        for peer in list(self.connections):
             if peer.transport is None:
-                del self.peers[peer]
-                self._forget(peer)
+                del self.connections[peer]
+                self._forget_unread(peer)
                 continue
-            peer.look_after(now, settings.ping_every, settings.ping_timeout)
-            if peer.stuck(now) > STUCK and peer.server:
+            peer.check_liveness(now, settings.ping_every, settings.ping_timeout)
+            if peer.stalled_for(now) > MAX_STALL_S and peer.is_server:
                 peer.fail(1008, "what it was sent is not read")  # it has 2 s to read that, at least
-        for peer in list(self.loads):
-            self._count(peer)
-        self.talks.sweep(now)
+        for peer in list(self.unread_by_connection):
+            self._update_unread(peer)
+        self.message_sessions.sweep(now)
 
     # drains
-    def leaving(self, upstream: ConnectionPool) -> None:
+    def on_endpoint_leaving(self, upstream: ConnectionPool) -> None:
         """A node drains, is gone, or is another one by now: its tunnels leave it, one after another."""
         here = list(self.tunnels.get(upstream, ()))
         if not here:
             return
         log.info("%d tunnels leave %s:%d", len(here), *upstream.address)
         for number, tunnel in enumerate(here):
-            self.loop.call_later(DRAIN_SPAN * number / len(here), tunnel.leave_node, 1012)
+            self.loop.call_later(DRAIN_SPAN_S * number / len(here), tunnel.close_for_drain, 1012)
 
     def drain(self, end_by: float) -> None:
         """This proxy stops. Tunnels end over the time that there is; a session of messages once it is owed
         nothing."""
-        if self.draining:
+        if self.is_draining:
             return
-        self.draining = True
-        self.end_by = end_by
-        span = max(0.0, min(DRAIN_SPAN, end_by - time.monotonic() - 2 * STEP))
+        self.is_draining = True
+        self.drain_deadline = end_by
+        span = max(0.0, min(DRAIN_SPAN_S, end_by - time.monotonic() - 2 * DRAIN_STEP_S))
         tunnels = [tunnel for here in self.tunnels.values() for tunnel in here]
         for number, tunnel in enumerate(tunnels):
-            self.loop.call_later(span * number / len(tunnels), tunnel.leave_node, 1001)
-        self._close_idle_talks()
+            self.loop.call_later(span * number / len(tunnels), tunnel.close_for_drain, 1001)
+        self._close_idle_sessions()
 
-    def _close_idle_talks(self) -> None:
+    def _close_idle_sessions(self) -> None:
         """Again and again, some at a time, until all are closed."""
-        last = time.monotonic() > self.end_by - 2 * STEP
-        left = AT_ONCE
+        last = time.monotonic() > self.drain_deadline - 2 * DRAIN_STEP_S
+        left = MAX_CLOSES_PER_TURN
         waiting = False
-        for session in list(self.book.sessions.values()):
-            talk = session.peer
-            if talk is None or talk.peer is None:
+        for session in list(self.registry.sessions.values()):
+            talk = session.connection
+            if talk is None or talk.connection is None:
                 continue
-            if session.open and not last:
+            if session.pending and not last:
                 waiting = True
             elif left or last:
                 left -= 1
-                talk.peer.close(1001, reason(self.spread.next()))
+                talk.connection.close(1001, close_reason(self.spread.next_delay()))
             else:
                 waiting = True
         if waiting:
-            self.loop.call_later(STEP, self._close_idle_talks)
+            self.loop.call_later(DRAIN_STEP_S, self._close_idle_sessions)
 
     @property
-    def owes(self) -> bool:
+    def has_pending_closes(self) -> bool:
         """Whether some session is still owed an outcome or its close, and there is time for it."""
-        return time.monotonic() < self.end_by and any(peer.transport is not None for peer in self.peers)
+        return time.monotonic() < self.drain_deadline and any(
+            peer.transport is not None for peer in self.connections
+        )
--- a/service_proxy/websocket/handshake.py
+++ b/service_proxy/websocket/opening_handshake.py
@@ -15,9 +15,9 @@
 GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # RFC 6455, 1.3
 VERSION = b"13"
 KEY_BYTES = 16
-MOST_PROTOCOLS = 16  # subprotocols that one request may offer
+MAX_SUBPROTOCOLS = 16  # subprotocols that one request may offer
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]{1,64}")
-OWN_FIELDS = frozenset(  # of the handshake with one side; they say nothing to the other
+HANDSHAKE_FIELDS = frozenset(  # of the handshake with one side; they say nothing to the other
     b"sec-websocket-key sec-websocket-version sec-websocket-extensions sec-websocket-protocol "
     b"sec-websocket-accept".split()
 )
@@ -25,17 +25,17 @@
 Headers = Sequence[tuple[bytes, bytes]]
 
 
-class Declined(Exception):
+class HandshakeRejectedError(Exception):
     """The handshake is answered with this code, and the connection stays HTTP's."""
 
     def __init__(self, code: int, text: str, headers: Headers = ()) -> None:
         super().__init__(text)
-        self.code = code
+        self.status_code = code
         self.headers = headers
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class OpeningRequest:
     """A request that asks for a WebSocket and is well formed."""
 
     key: bytes
@@ -44,77 +44,81 @@
     extensions: bytes  # as they came, joined
 
 
-def accept_of(key: bytes) -> bytes:
+def accept_key(key: bytes) -> bytes:
     """RFC 6455, 4.2.2, step 5.4: what proves that the key was read as a WebSocket's."""
     return base64.b64encode(hashlib.sha1(key + GUID, usedforsecurity=False).digest())
 
 
-def values(headers: Headers, name: bytes) -> list[bytes]:
+def field_values(headers: Headers, name: bytes) -> list[bytes]:
     return [value for key, value in headers if key == name]
 
 
-def options(headers: Headers, name: bytes) -> list[bytes]:
+def field_elements(headers: Headers, name: bytes) -> list[bytes]:
     """The elements of a list field (RFC 9110, 5.6.1), without the empty ones."""
-    found = [part.strip(b" \t") for value in values(headers, name) for part in value.split(b",")]
+    found = [part.strip(b" \t") for value in field_values(headers, name) for part in value.split(b",")]
     return [part for part in found if part]
 
 
 def _one(headers: Headers, name: bytes) -> bytes:
-    found = values(headers, name)
+    found = field_values(headers, name)
     if len(found) > 1:
-        raise Declined(400, f"more than one {name.decode()}")
+        raise HandshakeRejectedError(400, f"more than one {name.decode()}")
     return found[0] if found else b""
 
 
-def read_opening(method: bytes, version: str, headers: Headers, body: bool) -> Opening:
+def parse_opening(method: bytes, version: str, headers: Headers, has_body: bool) -> OpeningRequest:
     """`headers` have lower names; `body`: the request has one. Raises Declined."""
     if method != b"GET" or version != "1.1":
-        raise Declined(400, "a WebSocket is asked for with GET and HTTP/1.1")
-    if body or values(headers, b"transfer-encoding"):
-        raise Declined(400, "a request for a WebSocket has no body")
-    if [option.lower() for option in options(headers, b"upgrade")] != [b"websocket"]:
-        raise Declined(400, "no upgrades but to websocket")
-    if b"upgrade" not in (option.lower() for option in options(headers, b"connection")):
-        raise Declined(400, "Connection does not name Upgrade")
+        raise HandshakeRejectedError(400, "a WebSocket is asked for with GET and HTTP/1.1")
+    if has_body or field_values(headers, b"transfer-encoding"):
+        raise HandshakeRejectedError(400, "a request for a WebSocket has no body")
+    if [option.lower() for option in field_elements(headers, b"upgrade")] != [b"websocket"]:
+        raise HandshakeRejectedError(400, "no upgrades but to websocket")
+    if b"upgrade" not in (option.lower() for option in field_elements(headers, b"connection")):
+        raise HandshakeRejectedError(400, "Connection does not name Upgrade")
     if _one(headers, b"sec-websocket-version") != VERSION:
-        raise Declined(426, "Sec-WebSocket-Version is not 13", ((b"sec-websocket-version", VERSION),))
+        raise HandshakeRejectedError(
+            426, "Sec-WebSocket-Version is not 13", ((b"sec-websocket-version", VERSION),)
+        )
     key = _one(headers, b"sec-websocket-key")
     try:
         nonce = base64.b64decode(key, validate=True)
     except binascii.Error:
         nonce = b""
     if len(nonce) != KEY_BYTES:
-        raise Declined(400, "Sec-WebSocket-Key is missing, or no base64 of 16 bytes")
-    protocols = options(headers, b"sec-websocket-protocol")
-    if len(protocols) > MOST_PROTOCOLS or len(set(protocols)) != len(protocols):
-        raise Declined(400, "Sec-WebSocket-Protocol offers too many, or one twice")
+        raise HandshakeRejectedError(400, "Sec-WebSocket-Key is missing, or no base64 of 16 bytes")
+    protocols = field_elements(headers, b"sec-websocket-protocol")
+    if len(protocols) > MAX_SUBPROTOCOLS or len(set(protocols)) != len(protocols):
+        raise HandshakeRejectedError(400, "Sec-WebSocket-Protocol offers too many, or one twice")
     if any(not TOKEN.fullmatch(protocol) for protocol in protocols):
-        raise Declined(400, "Sec-WebSocket-Protocol holds what is no token")
+        raise HandshakeRejectedError(400, "Sec-WebSocket-Protocol holds what is no token")
     origin = _one(headers, b"origin")
-    return Opening(key, origin, tuple(protocols), b", ".join(values(headers, b"sec-websocket-extensions")))
+    return OpeningRequest(
+        key, origin, tuple(protocols), b", ".join(field_values(headers, b"sec-websocket-extensions"))
+    )
 
 
-def check_origin(opening: Opening, allowed: Iterable[str]) -> None:
+def check_origin(opening: OpeningRequest, allowed: Iterable[str]) -> None:
     """Browsers name the page's origin, and can't lie (RFC 6455, 10.2). None allowed: all are. Raises
     Declined."""
     names = [name.encode() for name in allowed]
     if names and opening.origin and opening.origin.lower() not in names:
-        raise Declined(403, "this Origin may not")
+        raise HandshakeRejectedError(403, "this Origin may not")
 
 
-def choose(opening: Opening, served: Iterable[str]) -> bytes:
+def choose_subprotocol(opening: OpeningRequest, served: Iterable[str]) -> bytes:
     """The first that the client offers of those that are served; b"": none, which a client may turn down."""
     names = {name.encode() for name in served}
     return next((protocol for protocol in opening.protocols if protocol in names), b"")
 
 
-def response(opening: Opening, protocol: bytes, extension: bytes = b"") -> bytes:
+def encode_response(opening: OpeningRequest, protocol: bytes, extension: bytes = b"") -> bytes:
     """The 101, whole."""
     lines = [
         b"HTTP/1.1 101 Switching Protocols",
         b"upgrade: websocket",
         b"connection: Upgrade",
-        b"sec-websocket-accept: " + accept_of(opening.key),
+        b"sec-websocket-accept: " + accept_key(opening.key),
     ]
     if protocol:
         lines.append(b"sec-websocket-protocol: " + protocol)
@@ -123,7 +127,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-class Asking:
+class ClientHandshake:
     """A handshake with a node, for one attempt at a time."""
 
     __slots__ = ("key", "protocols")
@@ -132,7 +136,7 @@
         self.protocols = protocols  # that the node may choose from
         self.key = b""
 
-    def lines(self, nonce: bytes) -> bytes:
+    def request_headers(self, nonce: bytes) -> bytes:
         """Header lines of the next attempt. `nonce`: 16 random bytes, new for each."""
         self.key = base64.b64encode(nonce)
         more = b""
@@ -143,17 +147,17 @@
             b"sec-websocket-key: " + self.key + b"\r\n" + more
         )
 
-    def proven(self, headers: Headers) -> str | None:
+    def verify_response(self, headers: Headers) -> str | None:
         """What is wrong with a 101's headers (RFC 6455, 4.1, steps 2 to 6), or None."""
-        if [option.lower() for option in options(headers, b"upgrade")] != [b"websocket"]:
+        if [option.lower() for option in field_elements(headers, b"upgrade")] != [b"websocket"]:
             return "Upgrade is not websocket"
-        if b"upgrade" not in (option.lower() for option in options(headers, b"connection")):
+        if b"upgrade" not in (option.lower() for option in field_elements(headers, b"connection")):
             return "Connection does not name Upgrade"
-        if values(headers, b"sec-websocket-accept") != [accept_of(self.key)]:
+        if field_values(headers, b"sec-websocket-accept") != [accept_key(self.key)]:
             return "Sec-WebSocket-Accept does not prove the key"
-        if options(headers, b"sec-websocket-extensions"):
+        if field_elements(headers, b"sec-websocket-extensions"):
             return "an extension that nobody offered"
-        chosen = options(headers, b"sec-websocket-protocol")
+        chosen = field_elements(headers, b"sec-websocket-protocol")
         if len(chosen) > 1 or any(protocol not in self.protocols for protocol in chosen):
             return "a subprotocol that nobody offered"
         return None
--- a/service_proxy/websocket/deflate.py
+++ b/service_proxy/websocket/permessage_deflate.py
@@ -11,34 +11,34 @@
 
 from wsproto.frame_protocol import CloseReason, FrameDecoder, FrameProtocol, Opcode, RsvBits
 
-from service_proxy.websocket.codec import OwnExtension
+from service_proxy.websocket.frame_codec import NegotiatedExtension
 
-LEAST_PACKED = 256  # bytes of a message below which packing costs more than it saves
-FLOOR = 16 * 1024  # bytes that any message may unpack to, whatever its ratio
-TAIL = b"\x00\x00\xff\xff"  # what a sender leaves off (RFC 7692, 7.2.1)
-STEP = 16 * 1024  # bytes that are unpacked at once
+MIN_COMPRESSED_BYTES = 256  # bytes of a message below which packing costs more than it saves
+MIN_ALLOWED_BYTES = 16 * 1024  # bytes that any message may unpack to, whatever its ratio
+EMPTY_BLOCK_TAIL = b"\x00\x00\xff\xff"  # what a sender leaves off (RFC 7692, 7.2.1)
+CHUNK_BYTES = 16 * 1024  # bytes that are unpacked at once
 # zlib has no raw window of 8
-LEAST_BITS = 9
-MOST_BITS = 15
+MIN_WINDOW_BITS = 9
+MAX_WINDOW_BITS = 15
 
 
 @dataclass(frozen=True, slots=True)
-class Agreed:
+class DeflateParameters:
     """What both sides agreed on. Windows in bits."""
 
-    client_bits: int
-    server_bits: int
+    client_window_bits: int
+    server_window_bits: int
 
-    def header(self) -> bytes:
+    def response_value(self) -> bytes:
         text = "permessage-deflate; server_no_context_takeover; client_no_context_takeover"
-        if self.server_bits < MOST_BITS:
-            text += f"; server_max_window_bits={self.server_bits}"
-        if self.client_bits < MOST_BITS:
-            text += f"; client_max_window_bits={self.client_bits}"
+        if self.server_window_bits < MAX_WINDOW_BITS:
+            text += f"; server_max_window_bits={self.server_window_bits}"
+        if self.client_window_bits < MAX_WINDOW_BITS:
+            text += f"; client_max_window_bits={self.client_window_bits}"
         return text.encode()
 
 
-def negotiate(offers: bytes, bits: int) -> Agreed | None:
+def negotiate(offers: bytes, max_window_bits: int) -> DeflateParameters | None:
     """The first of the client's offers that can be taken with windows of at most `bits` (RFC 7692, 7.1);
     None: none."""
     for offer in offers.split(b","):
@@ -64,28 +64,30 @@
             continue
         server = _bits(given.get(b"server_max_window_bits", b"15"))
         client = _bits(given.get(b"client_max_window_bits", b"") or b"15")
-        if server is None or client is None or server < LEAST_BITS:
+        if server is None or client is None or server < MIN_WINDOW_BITS:
             continue
-        if b"client_max_window_bits" not in given and bits < MOST_BITS:
+        if b"client_max_window_bits" not in given and max_window_bits < MAX_WINDOW_BITS:
             continue  # it can't be told to use a smaller window, and one larger than agreed is not held
-        return Agreed(max(LEAST_BITS, min(client, bits)), min(server, bits))
+        return DeflateParameters(
+            max(MIN_WINDOW_BITS, min(client, max_window_bits)), min(server, max_window_bits)
+        )
     return None
 
 
 def _bits(text: bytes) -> int | None:
-    return int(text) if text.isdigit() and len(text) <= 2 and 8 <= int(text) <= MOST_BITS else None
+    return int(text) if text.isdigit() and len(text) <= 2 and 8 <= int(text) <= MAX_WINDOW_BITS else None
 
 
-class Deflate(OwnExtension):
+class PerMessageDeflate(NegotiatedExtension):
     """For one connection, on the server's side. wsproto calls it for each frame."""
 
     name = "permessage-deflate"
 
-    def __init__(self, agreed: Agreed, most: int, ratio: float) -> None:
+    def __init__(self, parameters: DeflateParameters, max_message_bytes: int, max_ratio: float) -> None:
         """`most`: bytes of a message, unpacked; `ratio`: unpacked bytes for each that came."""
-        self.agreed = agreed
-        self.most = most
-        self.ratio = ratio
+        self.agreed = parameters
+        self.most = max_message_bytes
+        self.ratio = max_ratio
         self.unpacker: zlib._Decompress | None = None  # while a packed message comes
         # bytes of it
         self.came = 0
@@ -99,7 +101,7 @@
         if rsv.rsv1 and (self.control or opcode is Opcode.CONTINUATION):
             return CloseReason.PROTOCOL_ERROR  # RFC 7692, 6.1: only on a message's first frame
         if rsv.rsv1:
-            self.unpacker = zlib.decompressobj(-self.agreed.client_bits)
+            self.unpacker = zlib.decompressobj(-self.agreed.client_window_bits)
             self.came = 0
             self.made = 0
         return RsvBits(rsv.rsv1, False, False)
@@ -115,10 +117,10 @@
     def _unpacked(self, data: bytes) -> bytes | CloseReason:
         assert self.unpacker is not None
         parts = []
-        allowed = min(self.most, max(FLOOR, int(self.came * self.ratio)))
+        allowed = min(self.most, max(MIN_ALLOWED_BYTES, int(self.came * self.ratio)))
         try:
             while data:
-                part = self.unpacker.decompress(data, STEP)
+                part = self.unpacker.decompress(data, CHUNK_BYTES)
                 self.made += len(part)
                 if self.made > allowed:
                     return CloseReason.MESSAGE_TOO_BIG
@@ -133,7 +135,7 @@
     ) -> bytes | CloseReason | None:
         if self.unpacker is None or self.control or not fin:
             return None
-        last = self._unpacked(TAIL)
+        last = self._unpacked(EMPTY_BLOCK_TAIL)
         self.unpacker = None
         return last
 
@@ -141,9 +143,9 @@
         self, proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, data: bytes, fin: bool
     ) -> tuple[RsvBits, bytes]:
         whole = fin and opcode in (Opcode.TEXT, Opcode.BINARY)
-        if not whole or len(data) < LEAST_PACKED:
+        if not whole or len(data) < MIN_COMPRESSED_BYTES:
             return rsv, data
-        bits = self.agreed.server_bits
+        bits = self.agreed.server_window_bits
         packer = zlib.compressobj(wbits=-bits, memLevel=min(8, bits - 6))
         packed = packer.compress(data) + packer.flush(zlib.Z_SYNC_FLUSH)
-        return RsvBits(True, rsv.rsv2, rsv.rsv3), packed.removesuffix(TAIL)
+        return RsvBits(True, rsv.rsv2, rsv.rsv3), packed.removesuffix(EMPTY_BLOCK_TAIL)
--- a/service_proxy/websocket/spread.py
+++ b/service_proxy/websocket/reconnect_spread.py
@@ -12,18 +12,18 @@
 GOLDEN = 0.6180339887498949
 
 
-class Spread:
+class ReconnectSpread:
     def __init__(self, seed: int, span: float) -> None:
         """`span`: s over which those who come back are spread."""
         self.span = span
-        self.place = Random(seed).random()
+        self.position = Random(seed).random()
 
-    def next(self) -> float:
+    def next_delay(self) -> float:
         """s, from 0 to `span`."""
-        self.place = (self.place + GOLDEN) % 1.0
-        return self.place * self.span
+        self.position = (self.position + GOLDEN) % 1.0
+        return self.position * self.span
 
 
-def reason(wait: float) -> str:
+def close_reason(wait: float) -> str:
     """Of a close frame: when to come back. docs/operators/websocket.md."""
     return f"reconnect in {wait:.2f} s"
--- a/service_proxy/websocket/limits.py
+++ b/service_proxy/websocket/session_limits.py
@@ -5,58 +5,58 @@
 from collections import Counter
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket."""
 
-    __slots__ = ("at", "tokens")
+    __slots__ = ("tokens", "updated_at")
 
     def __init__(self, burst: float, now: float) -> None:
         self.tokens = burst
-        self.at = now
+        self.updated_at = now
 
     def take(self, now: float, rate: float, burst: float) -> bool:
         """One token, of `rate` new ones a second and `burst` at the most. A clock that steps back gives
         none."""
-        self.tokens = min(burst, self.tokens + max(0.0, now - self.at) * rate)
-        self.at = now
+        self.tokens = min(burst, self.tokens + max(0.0, now - self.updated_at) * rate)
+        self.updated_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
         return True
 
-    def wait(self, rate: float) -> float:
+    def time_until_token(self, rate: float) -> float:
         """s until the next one."""
         return max(0.0, (1 - self.tokens) / rate)
 
 
-class Doors:
+class SessionLimits:
     """Sessions by proxy, client and tenant. Those that are still in their handshake count."""
 
     def __init__(self) -> None:
-        self.open = 0
-        self.clients: Counter[str] = Counter()
-        self.tenants: Counter[str] = Counter()
+        self.open_count = 0
+        self.count_by_client: Counter[str] = Counter()
+        self.count_by_tenant: Counter[str] = Counter()
 
-    def full(
-        self, client: str, tenant: str, most: int, most_of_client: int, most_of_tenant: int
+    def exceeded_scope(
+        self, client: str, tenant: str, max_sessions: int, max_per_client: int, max_per_tenant: int
     ) -> str | None:
         """Whose bound one more session would break; None: nobody's."""
-        if self.open >= most:
+        if self.open_count >= max_sessions:
             return "proxy"
-        if self.clients[client] >= most_of_client:
+        if self.count_by_client[client] >= max_per_client:
             return "client"
-        if self.tenants[tenant] >= most_of_tenant:
+        if self.count_by_tenant[tenant] >= max_per_tenant:
             return "tenant"
         return None
 
-    def enter(self, client: str, tenant: str) -> None:
-        self.open += 1
-        self.clients[client] += 1
-        self.tenants[tenant] += 1
+    def add(self, client: str, tenant: str) -> None:
+        self.open_count += 1
+        self.count_by_client[client] += 1
+        self.count_by_tenant[tenant] += 1
 
-    def leave(self, client: str, tenant: str) -> None:
-        self.open -= 1
-        for counter, name in ((self.clients, client), (self.tenants, tenant)):
+    def remove(self, client: str, tenant: str) -> None:
+        self.open_count -= 1
+        for counter, name in ((self.count_by_client, client), (self.count_by_tenant, tenant)):
             counter[name] -= 1
             if not counter[name]:
                 del counter[name]
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -14,101 +14,105 @@
 
 from service_proxy.net.upstream import ConnectionPool, UpstreamConnection
 from service_proxy.policy.events import AttemptStatus
-from service_proxy.websocket.closing import State
-from service_proxy.websocket.codec import ABNORMAL, Codec, Piece
-from service_proxy.websocket.handshake import Asking, Opening
-from service_proxy.websocket.limits import Bucket
-from service_proxy.websocket.peer import Peer
-from service_proxy.websocket.spread import reason
+from service_proxy.websocket.closing_handshake import ClosingState
+from service_proxy.websocket.connection import WebSocketConnection
+from service_proxy.websocket.frame_codec import ABNORMAL, FrameCodec, MessageFragment
+from service_proxy.websocket.opening_handshake import ClientHandshake, OpeningRequest
+from service_proxy.websocket.reconnect_spread import close_reason
+from service_proxy.websocket.session_limits import TokenBucket
 
 if TYPE_CHECKING:
-    from service_proxy.websocket.front import Front
+    from service_proxy.websocket.listener import WebSocketListener
 
-LET_GO = 0.4  # s for a node's close frame when it must be left: rule 3 has 2 s for all
+CLOSE_GRACE_S = 0.4  # s for a node's close frame when it must be left: rule 3 has 2 s for all
 
 
-class Side:
+class TunnelSide:
     """One end of a tunnel: peer.Owner."""
 
-    __slots__ = ("client", "peer", "tunnel")
+    __slots__ = ("connection", "is_client", "tunnel")
 
     def __init__(self, tunnel: Tunnel, client: bool) -> None:
         self.tunnel = tunnel
-        self.client = client
-        self.peer: Peer | None = None
+        self.is_client = client
+        self.connection: WebSocketConnection | None = None
 
-    def came(self, piece: Piece) -> None:
-        self.tunnel.pass_on(self, piece)
+    def on_fragment(self, piece: MessageFragment) -> None:
+        self.tunnel.forward(self, piece)
 
-    def ended(self, code: int, reason: str) -> None:
-        self.tunnel.ended(self, code, reason)
+    def on_closed(self, code: int, reason: str) -> None:
+        self.tunnel.on_side_closed(self, code, reason)
 
-    def gone(self) -> None:
-        self.peer = None
-        self.tunnel.gone(self)
+    def on_connection_lost(self) -> None:
+        self.connection = None
+        self.tunnel.on_side_lost(self)
 
-    def full(self, full: bool) -> None:
-        other = self.tunnel.other(self).peer
-        if other is not None and other.state is State.OPEN:
-            other.hold(full)
+    def on_backpressure(self, full: bool) -> None:
+        other = self.tunnel.other(self).connection
+        if other is not None and other.state is ClosingState.OPEN:
+            other.set_paused(full)
 
-    def silent(self) -> None:
-        self.tunnel.silent(self)
+    def on_ping_timeout(self) -> None:
+        self.tunnel.on_ping_timeout(self)
 
 
 class Tunnel:
     """net.downstream.ResponseWriter for the handshake, net.protocols.UpgradeNegotiation for its attempts."""
 
     __slots__ = (
-        "asking",
         "bucket",
-        "client",
-        "connection",
-        "from_client",
-        "front",
-        "node",
+        "client_address",
+        "client_side",
+        "downstream",
+        "endpoint_side",
+        "handshake",
+        "listener",
+        "notify_end",
         "opening",
-        "origin",
-        "over",
         "tenant",
+        "upstream_connection",
     )
 
-    def __init__(self, front: Front, connection: Any, opening: Opening, client: str, tenant: str) -> None:
-        self.front = front
-        self.connection: Any = connection  # these three until the 101
-        self.opening: Opening | None = opening
-        self.from_client = client
+    def __init__(
+        self, front: WebSocketListener, connection: Any, opening: OpeningRequest, client: str, tenant: str
+    ) -> None:
+        self.listener = front
+        self.downstream: Any = connection  # these three until the 101
+        self.opening: OpeningRequest | None = opening
+        self.client_address = client
         self.tenant = tenant
-        self.asking: Asking | None = Asking(opening.protocols)
-        self.client, self.node = Side(self, True), Side(self, False)
-        self.origin: UpstreamConnection | None = None  # the node's connection, as the pool counts it
-        self.over: Callable[[AttemptStatus], None] | None = None  # tells the module the end, once
-        self.bucket = Bucket(front.settings.burst, time.monotonic())
+        self.handshake: ClientHandshake | None = ClientHandshake(opening.protocols)
+        self.client_side, self.endpoint_side = TunnelSide(self, True), TunnelSide(self, False)
+        self.upstream_connection: UpstreamConnection | None = (
+            None  # the node's connection, as the pool counts it
+        )
+        self.notify_end: Callable[[AttemptStatus], None] | None = None  # tells the module the end, once
+        self.bucket = TokenBucket(front.settings.burst, time.monotonic())
 
     @property
     def upstream(self) -> ConnectionPool | None:
-        return self.origin.pool if self.origin is not None else None
+        return self.upstream_connection.pool if self.upstream_connection is not None else None
 
     # before the 101
     def respond(self, code: int, headers: Any, body: bytes) -> None:
         """No node took it: the connection stays HTTP's, and ends, for what comes behind may be frames."""
-        self.front.left(self.from_client, self.tenant)
-        self.connection.respond(502 if code == 200 else code, headers, body)
+        self.listener.remove_session(self.client_address, self.tenant)
+        self.downstream.respond(502 if code == 200 else code, headers, body)
 
     def stream(self, headers: Any, length: int | None, source: Any) -> None:
         source.discard()
         self.respond(502, (), b"the node answered with no WebSocket\n")
 
     def request_headers(self) -> bytes:
-        assert self.asking is not None
-        return self.asking.lines(os.urandom(16))
+        assert self.handshake is not None
+        return self.handshake.request_headers(os.urandom(16))
 
     def verify_response(self, headers: list[tuple[bytes, bytes]]) -> str | None:
-        assert self.asking is not None
-        return self.asking.proven(headers)
+        assert self.handshake is not None
+        return self.handshake.verify_response(headers)
 
     def client_disconnected(self) -> None:
-        self.front.left(self.from_client, self.tenant)
+        self.listener.remove_session(self.client_address, self.tenant)
 
     def upgraded(
         self,
@@ -118,90 +122,101 @@
         on_end: Callable[[AttemptStatus], None],
     ) -> None:
         """A node has taken it: both ends are frames from here on."""
-        front = self.front
+        front = self.listener
         transport = connection.transport
         opening = self.opening
         assert transport is not None
         assert opening is not None
-        self.origin = connection
-        self.over = on_end
+        self.upstream_connection = connection
+        self.notify_end = on_end
         most = front.settings.message_bytes
         chosen = next((value for name, value in headers if name == b"sec-websocket-protocol"), b"")
-        node = Peer(transport, Codec(True, most), self.node, front.scratch, server=False)
-        self.node.peer = node
-        self.client.peer = front.hand_over(self.connection, opening, chosen, self.client)
-        self.connection = None
+        node = WebSocketConnection(
+            transport, FrameCodec(True, most), self.endpoint_side, front.read_buffer, is_server=False
+        )
+        self.endpoint_side.connection = node
+        self.client_side.connection = front.accept_connection(
+            self.downstream, opening, chosen, self.client_side
+        )
+        self.downstream = None
         self.opening = None
-        self.asking = None
-        front.open_tunnel(self)
-        node.behind(surplus)
+        self.handshake = None
+        front.add_tunnel(self)
+        node.receive_surplus(surplus)
 
     # frames
-    def other(self, side: Side) -> Side:
-        return self.node if side is self.client else self.client
+    def other(self, side: TunnelSide) -> TunnelSide:
+        return self.endpoint_side if side is self.client_side else self.client_side
 
-    def pass_on(self, side: Side, piece: Piece) -> None:
-        settings = self.front.settings
-        whole = side.client and piece.last
+    def forward(self, side: TunnelSide, piece: MessageFragment) -> None:
+        settings = self.listener.settings
+        whole = side.is_client and piece.is_last
         if whole and not self.bucket.take(time.monotonic(), settings.messages_per_s, settings.burst):
-            assert side.peer is not None
-            side.peer.fail(1008, "too many messages")
+            assert side.connection is not None
+            side.connection.fail(1008, "too many messages")
             return
-        other = self.other(side).peer
-        if other is not None and (piece.data or piece.last):
-            other.send(piece.data, piece.last)
-            self.front.wrote(other)
+        other = self.other(side).connection
+        if other is not None and (piece.data or piece.is_last):
+            other.send(piece.data, piece.is_last)
+            self.listener.on_write(other)
 
     # ends
-    def ended(self, side: Side, code: int, text: str) -> None:
+    def on_side_closed(self, side: TunnelSide, code: int, text: str) -> None:
         """One end is over; the other is told why."""
-        if side.client:
-            if self.node.peer is not None:
-                self.node.peer.close(1001 if code == ABNORMAL else code, text if code != ABNORMAL else "")
-            self.tell(AttemptStatus.OK)
+        if side.is_client:
+            if self.endpoint_side.connection is not None:
+                self.endpoint_side.connection.close(
+                    1001 if code == ABNORMAL else code, text if code != ABNORMAL else ""
+                )
+            self.report_end(AttemptStatus.OK)
             return
-        if self.client.peer is not None:
+        if self.client_side.connection is not None:
             if code == ABNORMAL:  # the node is lost
-                self.client.peer.close(1012, reason(self.front.spread.next()))
-            elif self.node.peer is not None and self.node.peer.faulty:
-                self.client.peer.close(1011, "the node sent what can't be read")
+                self.client_side.connection.close(1012, close_reason(self.listener.spread.next_delay()))
+            elif (
+                self.endpoint_side.connection is not None
+                and self.endpoint_side.connection.has_violated_protocol
+            ):
+                self.client_side.connection.close(1011, "the node sent what can't be read")
             else:
-                self.client.peer.close(code, text)
-        self.tell(AttemptStatus.RESET if code == ABNORMAL else AttemptStatus.OK)
-
-    def gone(self, side: Side) -> None:
-        if side.client:
-            self.front.left(self.from_client, self.tenant)
-        elif self.origin is not None:
-            origin = self.origin
-            self.origin = None
-            self.front.closed_tunnel(self, origin.pool)
+                self.client_side.connection.close(code, text)
+        self.report_end(AttemptStatus.RESET if code == ABNORMAL else AttemptStatus.OK)
+
+    def on_side_lost(self, side: TunnelSide) -> None:
+        if side.is_client:
+            self.listener.remove_session(self.client_address, self.tenant)
+        elif self.upstream_connection is not None:
+            origin = self.upstream_connection
+            self.upstream_connection = None
+            self.listener.remove_tunnel(self, origin.pool)
             origin.connection_lost(None)
 
-    def tell(self, status: AttemptStatus) -> None:
-        over = self.over
-        self.over = None
+    def report_end(self, status: AttemptStatus) -> None:
+        over = self.notify_end
+        self.notify_end = None
         if over is not None:
             over(status)
 
-    def silent(self, side: Side) -> None:
+    def on_ping_timeout(self, side: TunnelSide) -> None:
         """A half-open connection: it is left, and the other end is told."""
-        peer = side.peer
+        peer = side.connection
         if peer is None:
             return
-        if side.client:
+        if side.is_client:
             peer.close(1001, "no pong")
         else:
-            self.tell(AttemptStatus.TIMEOUT)
-            if self.client.peer is not None:
-                self.client.peer.close(1012, reason(self.front.spread.next()))
+            self.report_end(AttemptStatus.TIMEOUT)
+            if self.client_side.connection is not None:
+                self.client_side.connection.close(1012, close_reason(self.listener.spread.next_delay()))
         peer.abort()
 
-    def leave_node(self, code: int) -> None:
+    def close_for_drain(self, code: int) -> None:
         """The node drains, or this proxy does: nothing more to it, and its client is told when to come
         back."""
-        if self.client.peer is not None:
-            self.client.peer.close(code, reason(self.front.spread.next()))  # and so the node's, in ended()
-        node = self.node.peer
+        if self.client_side.connection is not None:
+            self.client_side.connection.close(
+                code, close_reason(self.listener.spread.next_delay())
+            )  # and so the node's, in ended()
+        node = self.endpoint_side.connection
         if node is not None:
-            asyncio.get_running_loop().call_later(LET_GO, node.abort)
+            asyncio.get_running_loop().call_later(CLOSE_GRACE_S, node.abort)
--- a/tests/websocket/test_front.py
+++ b/tests/websocket/test_front.py
@@ -16,80 +16,80 @@
 from harness.websocket_endpoint import ScriptedFault, read_script
 from service_proxy.operator_file import WebSocket
 from service_proxy.policy.events import AttemptStatus
-from service_proxy.websocket.codec import ABNORMAL
-from service_proxy.websocket.front import Front
-from service_proxy.websocket.messages import Talk, Talks
-from service_proxy.websocket.sessions import Session
-from service_proxy.websocket.tunnel import Side, Tunnel
+from service_proxy.websocket.frame_codec import ABNORMAL
+from service_proxy.websocket.listener import WebSocketListener
+from service_proxy.websocket.message_session import MessageConnection, MessageSessions
+from service_proxy.websocket.session_registry import MessageSession
+from service_proxy.websocket.tunnel import Tunnel, TunnelSide
 
 
-class Loaded:
-    """A peer as far as Front.wrote knows it."""
+class BufferingConnection:
+    """A connection as far as WebSocketListener.on_write knows it."""
 
-    def __init__(self, load: int) -> None:
-        self.load = load
+    def __init__(self, buffered_bytes: int) -> None:
+        self.buffered_bytes = buffered_bytes
         self.failed = 0
 
     def fail(self, code: int, reason: str) -> None:
         self.failed = code
 
     def abort(self) -> None:
-        self.load = 0
+        self.buffered_bytes = 0
 
 
-class Unread(Loaded):
-    """A peer whose other side reads nothing."""
+class UnreadConnection(BufferingConnection):
+    """A connection whose other side reads nothing."""
 
     def __init__(self) -> None:
         super().__init__(0)
-        self.unsent = 0
+        self.unsent_bytes = 0
 
     def send(self, text: str) -> bool:
         if self.failed:
             return False
-        self.unsent += len(text)
+        self.unsent_bytes += len(text)
         return True
 
 
 def test_where_all_hold_too_much_the_one_that_holds_most_is_closed() -> None:
-    front: Any = object.__new__(Front)
-    front.pool = 1000
-    front.load = 0
-    front.loads = {}
-    peers = [Loaded(load) for load in (300, 400, 200)]
+    front: Any = object.__new__(WebSocketListener)
+    front.max_unread_bytes = 1000
+    front.unread_bytes = 0
+    front.unread_by_connection = {}
+    peers = [BufferingConnection(size) for size in (300, 400, 200)]
     for peer in peers:
-        front.wrote(peer)
-    assert front.load == 900 and not any(peer.failed for peer in peers)
-    peers[0].load = 350
-    front.wrote(peers[0])
-    assert front.load == 950
-    peers[2].load = 260  # 1,010 in all
-    front.wrote(peers[2])
-    assert [peer.failed for peer in peers] == [0, 1008, 0] and front.load == 610
-    peers[0].load = 0
-    front.wrote(peers[0])
-    assert front.load == 260 and set(front.loads) == {peers[2]}
+        front.on_write(peer)
+    assert front.unread_bytes == 900 and not any(peer.failed for peer in peers)
+    peers[0].buffered_bytes = 350
+    front.on_write(peers[0])
+    assert front.unread_bytes == 950
+    peers[2].buffered_bytes = 260  # 1,010 in all
+    front.on_write(peers[2])
+    assert [peer.failed for peer in peers] == [0, 1008, 0] and front.unread_bytes == 610
+    peers[0].buffered_bytes = 0
+    front.on_write(peers[0])
+    assert front.unread_bytes == 260 and set(front.unread_by_connection) == {peers[2]}
 
 
 def test_a_session_that_has_too_much_unread_is_closed_and_told_nothing_more() -> None:
-    peer = Unread()
-    talks = Talks.__new__(Talks)
-    talks.front = SimpleNamespace(  # type: ignore[assignment]
-        settings=WebSocket(messages=("pantalla",), unread_bytes=1024), wrote=lambda peer: None
+    peer = UnreadConnection()
+    talks = MessageSessions.__new__(MessageSessions)
+    talks.listener = SimpleNamespace(  # type: ignore[assignment]
+        settings=WebSocket(messages=("pantalla",), unread_bytes=1024), on_write=lambda peer: None
     )
-    talk = Talk(talks, Session("t", ""), "127.0.0.1", 0.0)
-    talk.peer = peer  # type: ignore[assignment]
-    told = [(talk.tell(text), peer.failed) for text in ("x" * 1024, "x", "y")]
-    assert told == [(True, 0), (True, 1008), (False, 1008)] and peer.unsent == 1025
+    talk = MessageConnection(talks, MessageSession("t", ""), "127.0.0.1", 0.0)
+    talk.connection = peer  # type: ignore[assignment]
+    told = [(talk.send(text), peer.failed) for text in ("x" * 1024, "x", "y")]
+    assert told == [(True, 0), (True, 1008), (False, 1008)] and peer.unsent_bytes == 1025
 
 
 def test_a_node_that_answers_no_close_frame_is_let_go_of() -> None:
     async def test() -> None:
         done = asyncio.Event()
         tunnel = Tunnel.__new__(Tunnel)
-        tunnel.client, tunnel.node = Side(tunnel, True), Side(tunnel, False)
-        tunnel.node.peer = SimpleNamespace(abort=done.set)  # type: ignore[assignment]
-        tunnel.leave_node(1012)
+        tunnel.client_side, tunnel.endpoint_side = TunnelSide(tunnel, True), TunnelSide(tunnel, False)
+        tunnel.endpoint_side.connection = SimpleNamespace(abort=done.set)  # type: ignore[assignment]
+        tunnel.close_for_drain(1012)
         assert not done.is_set()
         async with asyncio.timeout(PATIENCE):
             await done.wait()
@@ -100,11 +100,11 @@
 @pytest.mark.parametrize(
     ("end", "status"),
     [
-        (lambda t: t.ended(t.client, 1000, ""), AttemptStatus.OK),
-        (lambda t: t.ended(t.client, ABNORMAL, ""), AttemptStatus.OK),
-        (lambda t: t.ended(t.node, 1000, ""), AttemptStatus.OK),
-        (lambda t: t.ended(t.node, ABNORMAL, ""), AttemptStatus.RESET),
-        (lambda t: t.silent(t.node), AttemptStatus.TIMEOUT),
+        (lambda t: t.on_side_closed(t.client_side, 1000, ""), AttemptStatus.OK),
+        (lambda t: t.on_side_closed(t.client_side, ABNORMAL, ""), AttemptStatus.OK),
+        (lambda t: t.on_side_closed(t.endpoint_side, 1000, ""), AttemptStatus.OK),
+        (lambda t: t.on_side_closed(t.endpoint_side, ABNORMAL, ""), AttemptStatus.RESET),
+        (lambda t: t.on_ping_timeout(t.endpoint_side), AttemptStatus.TIMEOUT),
     ],
 )
 def test_the_module_is_told_the_end_of_a_tunnel_once(
@@ -113,11 +113,13 @@
     """It counts the sessions of a node until then."""
     tunnel = Tunnel.__new__(Tunnel)
     told = list[AttemptStatus]()
-    tunnel.client, tunnel.node = Side(tunnel, True), Side(tunnel, False)
-    tunnel.node.peer = SimpleNamespace(  # type: ignore[assignment]
-        abort=lambda: tunnel.ended(tunnel.node, ABNORMAL, ""), close=lambda *how: None, faulty=False
+    tunnel.client_side, tunnel.endpoint_side = TunnelSide(tunnel, True), TunnelSide(tunnel, False)
+    tunnel.endpoint_side.connection = SimpleNamespace(  # type: ignore[assignment]
+        abort=lambda: tunnel.on_side_closed(tunnel.endpoint_side, ABNORMAL, ""),
+        close=lambda *how: None,
+        has_violated_protocol=False,
     )
-    tunnel.over = told.append
+    tunnel.notify_end = told.append
     end(tunnel)
     end(tunnel)
     assert told == [status]
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from service_proxy.websocket.handshake import (
-    Asking,
-    Declined,
-    Opening,
-    accept_of,
+from service_proxy.websocket.opening_handshake import (
+    ClientHandshake,
+    HandshakeRejectedError,
+    OpeningRequest,
+    accept_key,
     check_origin,
-    choose,
-    read_opening,
-    response,
+    choose_subprotocol,
+    encode_response,
+    parse_opening,
 )
 
 KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # RFC 6455, 1.3
@@ -35,7 +35,7 @@
 
 
 def test_the_accept_key_is_that_of_the_rfc() -> None:
-    assert accept_of(KEY) == b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo="
+    assert accept_key(KEY) == b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo="
 
 
 def test_a_good_request_is_read() -> None:
@@ -45,8 +45,8 @@
         origin=b"https://k",
         sec_websocket_protocol=b"a, b",
     )
-    opening = read_opening(b"GET", "1.1", headers, False)
-    assert opening == Opening(KEY, b"https://k", (b"a", b"b"), b"")
+    opening = parse_opening(b"GET", "1.1", headers, False)
+    assert opening == OpeningRequest(KEY, b"https://k", (b"a", b"b"), b"")
 
 
 @pytest.mark.parametrize(
@@ -70,9 +70,9 @@
     ],
 )
 def test_what_the_rfc_has_refused_is_refused(fields: dict[str, bytes | None], code: int) -> None:
-    with pytest.raises(Declined) as no:
-        read_opening(b"GET", "1.1", changed(**fields), False)
-    assert no.value.code == code
+    with pytest.raises(HandshakeRejectedError) as no:
+        parse_opening(b"GET", "1.1", changed(**fields), False)
+    assert no.value.status_code == code
     if code == 426:
         assert no.value.headers == ((b"sec-websocket-version", b"13"),)
 
@@ -84,55 +84,57 @@
         [*GOOD, (b"upgrade", b"websocket")],
         [*GOOD, (b"origin", b"a"), (b"origin", b"b")],
     ):
-        with pytest.raises(Declined):
-            read_opening(b"GET", "1.1", headers, False)
+        with pytest.raises(HandshakeRejectedError):
+            parse_opening(b"GET", "1.1", headers, False)
     for method, version, body in ((b"POST", "1.1", False), (b"GET", "1.0", False), (b"GET", "1.1", True)):
-        with pytest.raises(Declined):
-            read_opening(method, version, GOOD, body)
+        with pytest.raises(HandshakeRejectedError):
+            parse_opening(method, version, GOOD, body)
 
 
 def test_origins_bind_browsers_alone() -> None:
-    opening = read_opening(b"GET", "1.1", changed(origin=b"https://Kiosk.example"), False)
+    opening = parse_opening(b"GET", "1.1", changed(origin=b"https://Kiosk.example"), False)
     check_origin(opening, ["https://kiosk.example"])
     check_origin(opening, [])
-    with pytest.raises(Declined) as no:
+    with pytest.raises(HandshakeRejectedError) as no:
         check_origin(opening, ["https://other.example"])
-    assert no.value.code == 403
-    check_origin(read_opening(b"GET", "1.1", GOOD, False), ["https://other.example"])
+    assert no.value.status_code == 403
+    check_origin(parse_opening(b"GET", "1.1", GOOD, False), ["https://other.example"])
 
 
 def test_a_subprotocol_is_the_clients_first_that_is_served() -> None:
-    opening = read_opening(b"GET", "1.1", changed(sec_websocket_protocol=b"a, b, c"), False)
-    assert choose(opening, ["c", "b"]) == b"b" and choose(opening, ["z"]) == b""
-    assert b"\r\nsec-websocket-protocol: b\r\n" in response(opening, b"b")
-    assert b"protocol" not in response(opening, b"") and b"extensions" not in response(opening, b"")
+    opening = parse_opening(b"GET", "1.1", changed(sec_websocket_protocol=b"a, b, c"), False)
+    assert choose_subprotocol(opening, ["c", "b"]) == b"b" and choose_subprotocol(opening, ["z"]) == b""
+    assert b"\r\nsec-websocket-protocol: b\r\n" in encode_response(opening, b"b")
+    assert b"protocol" not in encode_response(opening, b"") and b"extensions" not in encode_response(
+        opening, b""
+    )
 
 
-def proof(asking: Asking, **fields: bytes) -> list[tuple[bytes, bytes]]:
+def proof(asking: ClientHandshake, **fields: bytes) -> list[tuple[bytes, bytes]]:
     found = {
         b"upgrade": b"websocket",
         b"connection": b"upgrade",
-        b"sec-websocket-accept": accept_of(asking.key),
+        b"sec-websocket-accept": accept_key(asking.key),
     }
     return list((found | {name.replace("_", "-").encode(): value for name, value in fields.items()}).items())
 
 
 def test_a_nodes_101_must_prove_that_it_read_the_key() -> None:
-    asking = Asking((b"a",))
-    lines = asking.lines(b"n" * 16)
+    asking = ClientHandshake((b"a",))
+    lines = asking.request_headers(b"n" * 16)
     assert b"sec-websocket-key: " + base64.b64encode(b"n" * 16) + b"\r\n" in lines
     assert b"sec-websocket-protocol: a\r\n" in lines and b"extensions" not in lines
-    assert asking.proven(proof(asking)) is None
-    assert asking.proven(proof(asking, sec_websocket_protocol=b"a")) is None
+    assert asking.verify_response(proof(asking)) is None
+    assert asking.verify_response(proof(asking, sec_websocket_protocol=b"a")) is None
     for wrong in (
-        {"sec_websocket_accept": accept_of(KEY)},
+        {"sec_websocket_accept": accept_key(KEY)},
         {"upgrade": b"h2c"},
         {"connection": b"close"},
         {"sec_websocket_extensions": b"permessage-deflate"},
         {"sec_websocket_protocol": b"b"},
         {"sec_websocket_protocol": b"a, a"},
     ):
-        assert asking.proven(proof(asking, **wrong)), wrong
+        assert asking.verify_response(proof(asking, **wrong)), wrong
     before = proof(asking)
-    asking.lines(b"m" * 16)  # the next attempt has its own key
-    assert asking.proven(before)
+    asking.request_headers(b"m" * 16)  # the next attempt has its own key
+    assert asking.verify_response(before)
--- a/tests/websocket/test_sessions.py
+++ b/tests/websocket/test_sessions.py
@@ -9,19 +9,27 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from service_proxy.websocket import envelope
-from service_proxy.websocket.limits import Bucket, Doors
-from service_proxy.websocket.sessions import MOST_KEPT, MOST_KEPT_BYTES, Book, Outcome, Taking
-from service_proxy.websocket.spread import Spread, reason
+from service_proxy.websocket import message_framing
+from service_proxy.websocket.reconnect_spread import ReconnectSpread, close_reason
+from service_proxy.websocket.session_limits import SessionLimits, TokenBucket
+from service_proxy.websocket.session_registry import (
+    MAX_KEPT_BYTES,
+    MAX_KEPT_OUTCOMES,
+    MessageStatus,
+    Outcome,
+    SessionRegistry,
+)
 
 
 def test_an_envelope_is_read() -> None:
-    call = envelope.read(
+    call = message_framing.parse_message(
         '{"id":"9b.1-f","class":"reserva","budget_ms":480,"key":"k","subject":"s","again":true,'
         '"path":"/x?y=1","body":"ñ","seen":3}'
     )
-    assert call == envelope.Call("9b.1-f", "reserva", 0.48, "/x?y=1", "k", "s", True, "ñ".encode(), 3)
-    assert envelope.read('{"id":"a","class":"stock"}') == envelope.Call(
+    assert call == message_framing.ClientMessage(
+        "9b.1-f", "reserva", 0.48, "/x?y=1", "k", "s", True, "ñ".encode(), 3
+    )
+    assert message_framing.parse_message('{"id":"a","class":"stock"}') == message_framing.ClientMessage(
         "a", "stock", None, "", "", "", False, b"", -1
     )
 
@@ -56,20 +64,20 @@
     ],
 )
 def test_what_is_no_envelope_is_told_so_with_its_id_where_it_has_one(text: str, id: str) -> None:
-    with pytest.raises(envelope.Malformed) as fault:
-        envelope.read(text)
-    assert fault.value.id == id and json.loads(envelope.malformed(fault.value))["id"] == id
+    with pytest.raises(message_framing.MalformedMessageError) as fault:
+        message_framing.parse_message(text)
+    assert fault.value.message_id == id and json.loads(message_framing.encode_error(fault.value))["id"] == id
 
 
 @pytest.mark.parametrize(
     ("code", "kind"), [(200, "served"), (503, "refused"), (429, "refused"), (502, "failed"), (504, "failed")]
 )
 def test_an_outcome_says_what_became_of_its_message(code: int, kind: str) -> None:
-    said = json.loads(envelope.outcome(4, "a", code, b"body", 0.25))
+    said = json.loads(message_framing.encode_outcome(4, "a", code, b"body", 0.25))
     assert (said["n"], said["id"], said["outcome"], said["code"]) == (4, "a", kind, code)
     assert said["retry_ms"] == 250 and said["body"] == "body"
-    assert json.loads(envelope.outcome(4, "a", 200, b"\xff"))["body64"] == "/w=="
-    assert "body" not in json.loads(envelope.outcome(4, "a", 200, b"x", dropped=True))
+    assert json.loads(message_framing.encode_outcome(4, "a", 200, b"\xff"))["body64"] == "/w=="
+    assert "body" not in json.loads(message_framing.encode_outcome(4, "a", 200, b"x", is_body_dropped=True))
 
 
 def outcome(n: int, id: str, size: int = 100) -> Outcome:
@@ -77,60 +85,62 @@
 
 
 def test_a_message_is_taken_once() -> None:
-    book = Book(1 << 20)
-    session = book.begin("t", "acme", "one")
-    assert session.take("a") == (Taking.NEW, None)
-    session.open["a"] = "work"
-    assert session.take("a") == (Taking.OPEN, None)
+    book = SessionRegistry(1 << 20)
+    session = book.create("t", "acme", "one")
+    assert session.status_of("a") == (MessageStatus.NEW, None)
+    session.pending["a"] = "work"
+    assert session.status_of("a") == (MessageStatus.PENDING, None)
     assert session.settle("a") == 1
-    book.settled(session, outcome(1, "a"))
-    taking, known = session.take("a")
-    assert taking is Taking.KNOWN and known is not None and known.n == 1
+    book.store(session, outcome(1, "a"))
+    taking, known = session.status_of("a")
+    assert taking is MessageStatus.ANSWERED and known is not None and known.number == 1
     with pytest.raises(KeyError):
         session.settle("a")
 
 
 def test_a_session_is_taken_over_by_its_own_tenant_alone() -> None:
-    book = Book(1 << 20)
-    session = book.begin("t", "acme", "one")
+    book = SessionRegistry(1 << 20)
+    session = book.create("t", "acme", "one")
     assert book.resume("t", "other", "two") is None and book.resume("nope", "acme", "two") is None
-    assert session.peer == "one"
-    assert book.resume("t", "acme", "two") == (session, "one") and session.peer == "two"
+    assert session.connection == "one"
+    assert book.resume("t", "acme", "two") == (session, "one") and session.connection == "two"
     book.detach(session, 5.0)
-    assert list(book.overdue(14.9, 10.0)) == [] and list(book.overdue(15.0, 10.0)) == [session]
+    assert list(book.expired(14.9, 10.0)) == [] and list(book.expired(15.0, 10.0)) == [session]
     assert book.resume("t", "acme", "three") == (session, None)
-    assert list(book.overdue(99.0, 10.0)) == []
-    session.open["a"] = "work"
+    assert list(book.expired(99.0, 10.0)) == []
+    session.pending["a"] = "work"
     assert book.end(session) == ["work"] and book.resume("t", "acme", "four") is None
 
 
 def test_outcomes_that_were_not_seen_are_kept_and_told_and_the_rest_counted_as_lost() -> None:
-    book = Book(1 << 20)
-    session = book.begin("t", "", None)
-    for n in range(1, MOST_KEPT + 11):
-        session.open[str(n)] = None
-        book.settled(session, outcome(session.settle(str(n)), str(n), 10))
-    owed, lost = session.unseen(5)
-    assert [o.n for o in owed] == list(range(11, MOST_KEPT + 11)) and lost == 5
-    book.seen(session, 20)
-    owed, lost = session.unseen(20)
-    assert [o.n for o in owed] == list(range(21, MOST_KEPT + 11)) and lost == 0
-    assert book.bytes == session.bytes == 10 * len(owed)
+    book = SessionRegistry(1 << 20)
+    session = book.create("t", "", None)
+    for n in range(1, MAX_KEPT_OUTCOMES + 11):
+        session.pending[str(n)] = None
+        book.store(session, outcome(session.settle(str(n)), str(n), 10))
+    owed, lost = session.unacknowledged(5)
+    assert [o.number for o in owed] == list(range(11, MAX_KEPT_OUTCOMES + 11)) and lost == 5
+    book.acknowledge(session, 20)
+    owed, lost = session.unacknowledged(20)
+    assert [o.number for o in owed] == list(range(21, MAX_KEPT_OUTCOMES + 11)) and lost == 0
+    assert book.stored_bytes == session.stored_bytes == 10 * len(owed)
 
 
 def test_a_long_outcome_is_kept_alone_and_none_beyond_the_pool() -> None:
-    book = Book(MOST_KEPT_BYTES * 4)
-    session = book.begin("t", "", None)
-    for n, size in ((1, 100), (2, MOST_KEPT_BYTES * 3)):
-        session.open[str(n)] = None
-        book.settled(session, outcome(session.settle(str(n)), str(n), size))
-    assert list(session.kept) == [2] and session.lost == 1
-    other = book.begin("u", "", None)
-    other.open["a"] = None
-    book.settled(other, outcome(other.settle("a"), "a", MOST_KEPT_BYTES * 2))
-    assert not other.kept and other.unseen(0) == ([], 1) and book.bytes == MOST_KEPT_BYTES * 3
+    book = SessionRegistry(MAX_KEPT_BYTES * 4)
+    session = book.create("t", "", None)
+    for n, size in ((1, 100), (2, MAX_KEPT_BYTES * 3)):
+        session.pending[str(n)] = None
+        book.store(session, outcome(session.settle(str(n)), str(n), size))
+    assert list(session.outcomes) == [2] and session.last_lost == 1
+    other = book.create("u", "", None)
+    other.pending["a"] = None
+    book.store(other, outcome(other.settle("a"), "a", MAX_KEPT_BYTES * 2))
+    assert (
+        not other.outcomes and other.unacknowledged(0) == ([], 1) and book.stored_bytes == MAX_KEPT_BYTES * 3
+    )
     book.end(session)
-    assert book.bytes == 0
+    assert book.stored_bytes == 0
 
 
 STEPS = st.lists(
@@ -149,7 +159,7 @@
 def test_no_history_gives_a_message_two_outcomes_or_keeps_beyond_the_bounds(
     steps: list[tuple[str, int, int, int]],
 ) -> None:
-    book = Book(20_000)
+    book = SessionRegistry(20_000)
     now = 0.0
     told: dict[tuple[int, str], set[int]] = {}
     made = 0
@@ -160,77 +170,82 @@
         id = str(message)
         session = book.sessions.get(token)
         if what == "begin" and session is None:
-            book.begin(token, "", "p")
+            book.create(token, "", "p")
             made += 1
             alive[which] = made
         elif session is None:
             continue
         elif what == "resume":
-            before = session.peer
-            assert book.resume(token, "", "q") == (session, before) and session.peer == "q"
+            before = session.connection
+            assert book.resume(token, "", "q") == (session, before) and session.connection == "q"
         elif what == "say":
-            taking, known = session.take(id)
-            if taking is Taking.NEW:
-                session.open[id] = size
-            elif taking is Taking.KNOWN:
-                assert known is not None and known.n in told[alive[which], id]
-        elif what == "settle" and id in session.open:
+            taking, known = session.status_of(id)
+            if taking is MessageStatus.NEW:
+                session.pending[id] = size
+            elif taking is MessageStatus.ANSWERED:
+                assert known is not None and known.number in told[alive[which], id]
+        elif what == "settle" and id in session.pending:
             n = session.settle(id)
             seen = told.setdefault((alive[which], id), set())
             assert n not in seen
             seen.add(n)
-            book.settled(session, outcome(n, id, size))
+            book.store(session, outcome(n, id, size))
         elif what == "detach":
             book.detach(session, now)
         elif what == "seen":
-            book.seen(session, message)
-            assert all(n > message for n in session.kept)
+            book.acknowledge(session, message)
+            assert all(n > message for n in session.outcomes)
         elif what == "end":
             book.end(session)
         elif what == "sweep":
-            for over in book.overdue(now, 3.0):
-                assert over.gone_at + 3.0 <= now
+            for over in book.expired(now, 3.0):
+                assert over.detached_at + 3.0 <= now
                 book.end(over)
-        assert book.bytes == sum(s.bytes for s in book.sessions.values()) <= 20_000
+        assert book.stored_bytes == sum(s.stored_bytes for s in book.sessions.values()) <= 20_000
         for s in book.sessions.values():
-            assert s.bytes == sum(len(o.text) for o in s.kept.values())
-            assert len(s.kept) <= MOST_KEPT and (len(s.kept) <= 1 or s.bytes <= MOST_KEPT_BYTES)
-            assert set(s.open).isdisjoint(o.id for o in s.kept.values())
-            assert s.peer is None or s not in book.detached
+            assert s.stored_bytes == sum(len(o.text) for o in s.outcomes.values())
+            assert len(s.outcomes) <= MAX_KEPT_OUTCOMES and (
+                len(s.outcomes) <= 1 or s.stored_bytes <= MAX_KEPT_BYTES
+            )
+            assert set(s.pending).isdisjoint(o.message_id for o in s.outcomes.values())
+            assert s.connection is None or s not in book.detached
 
 
 def test_a_bucket_gives_its_rate_and_its_burst() -> None:
-    bucket = Bucket(5.0, 100.0)
+    bucket = TokenBucket(5.0, 100.0)
     assert [bucket.take(100.0, 2.0, 5.0) for _ in range(6)] == [True] * 5 + [False]
-    assert math.isclose(bucket.wait(2.0), 0.5)
+    assert math.isclose(bucket.time_until_token(2.0), 0.5)
     assert bucket.take(100.5, 2.0, 5.0) and not bucket.take(100.5, 2.0, 5.0)
     assert not bucket.take(50.0, 2.0, 5.0)  # a clock that steps back
     assert sum(bucket.take(1000.0, 2.0, 5.0) for _ in range(20)) == 5
 
 
 def test_doors_count_by_proxy_client_and_tenant() -> None:
-    doors = Doors()
+    doors = SessionLimits()
     for client, tenant in (("a", "x"), ("a", "y"), ("b", "x")):
-        assert doors.full(client, tenant, 10, 2, 2) is None
-        doors.enter(client, tenant)
-    assert doors.full("a", "z", 10, 2, 2) == "client" and doors.full("c", "x", 10, 2, 2) == "tenant"
-    assert doors.full("c", "z", 3, 2, 2) == "proxy"
+        assert doors.exceeded_scope(client, tenant, 10, 2, 2) is None
+        doors.add(client, tenant)
+    assert (
+        doors.exceeded_scope("a", "z", 10, 2, 2) == "client"
+        and doors.exceeded_scope("c", "x", 10, 2, 2) == "tenant"
+    )
+    assert doors.exceeded_scope("c", "z", 3, 2, 2) == "proxy"
     for client, tenant in (("a", "x"), ("a", "y"), ("b", "x")):
-        doors.leave(client, tenant)
-    assert doors.open == 0 and not doors.clients and not doors.tenants
+        doors.remove(client, tenant)
+    assert doors.open_count == 0 and not doors.count_by_client and not doors.count_by_tenant
 
 
 @pytest.mark.parametrize("count", [10, 250, 2000])
 @pytest.mark.parametrize("seed", range(5))
 def test_returns_fill_their_span_evenly_however_many_there_are(count: int, seed: int) -> None:
     span = 5.0
-    spread = Spread(seed, span)
-    waits = sorted(spread.next() for _ in range(count))
+    spread = ReconnectSpread(seed, span)
+    waits = sorted(spread.next_delay() for _ in range(count))
     most = max(sum(1 for w in waits if start <= w < start + 0.1) for start in waits)
     assert waits[0] >= 0 and waits[-1] < span
     assert most <= count * 0.1 / span * 1.1 + 3
 
 
 def test_two_proxies_do_not_agree_on_their_waits() -> None:
-    first = [Spread(1, 5.0).next(), Spread(2, 5.0).next()]
-    assert abs(first[0] - first[1]) > 0.01 and reason(1.234) == "reconnect in 1.23 s"
+    first = [ReconnectSpread(1, 5.0).next_delay(), ReconnectSpread(2, 5.0).next_delay()]
+    assert abs(first[0] - first[1]) > 0.01 and close_reason(1.234) == "reconnect in 1.23 s"
