--- a/service_proxy/websocket/__init__.py
+++ b/service_proxy/websocket/__init__.py
@@ -1,5 +1,6 @@
-"""WebSocket from callers and towards nodes (RFC 6455): messages that are calls, and tunnels.
+"""WebSocket from clients and towards endpoints (RFC 6455): messages that are requests, and tunnels.
 
-Files that decide (no I/O, no clock): handshake, codec, deflate, closing, envelope, sessions, limits, spread.
-Files that do: peer (one side on a transport), messages and tunnel (the two modes), front (all sessions).
+Modules that decide (no I/O, no clock): opening_handshake, frame_codec, permessage_deflate, closing_handshake,
+message_framing, session_registry, session_limits, reconnect_spread. Modules that do I/O: connection (one side
+on a transport), message_session and tunnel (the two modes), listener (all sessions).
 """
--- a/service_proxy/websocket/closing_handshake.py
+++ b/service_proxy/websocket/closing_handshake.py
@@ -1,4 +1,4 @@
-"""The closing handshake of one side as a table (RFC 6455, 7.1): state and event give state and step."""
+"""The closing handshake of one side as a table (RFC 6455, 7.1): state and event give state and action."""
 
 from __future__ import annotations
 
@@ -6,56 +6,52 @@
 
 
 class ClosingState(Enum):
+    """Where one side stands."""
+
     OPEN = "open"
-    CLOSING = "closing"  # our close frame is out, theirs has not come
-    CLOSED = "closed"  # nothing more is sent or heard; the connection ends
+    CLOSING = "closing"  # our close frame was sent, theirs was not received
+    CLOSED = "closed"  # nothing more is sent or processed; the connection ends
 
 
 class ClosingEvent(Enum):
-    CLOSE_REQUESTED = "wanted"  # this side begins the handshake
-    CLOSE_RECEIVED = "came"  # their close frame
-    PROTOCOL_VIOLATION = "fault"  # they broke the protocol
-    CONNECTION_LOST = "lost"  # the connection ended
-    TIMED_OUT = "overdue"  # their close frame is late
+    """What happens to one side."""
+
+    CLOSE_REQUESTED = "close requested"  # this side starts the handshake
+    CLOSE_RECEIVED = "close received"  # their close frame
+    PROTOCOL_VIOLATION = "protocol violation"  # theirs
+    CONNECTION_LOST = "connection lost"
+    TIMED_OUT = "timed out"  # their close frame is late
 
 
 class ClosingAction(Enum):
-    NONE = "nothing"
-    SEND_CLOSE = "send"  # our close frame, and wait for theirs
-    ECHO_CLOSE = "echo"  # our close frame with their code, then the connection ends
-    SEND_ERROR = "fail"  # our close frame with the fault's code, then the connection ends
-    END_CONNECTION = "end"  # the connection ends
+    """What is done then."""
+
+    NONE = "none"
+    SEND_CLOSE = "send close"  # our close frame, and wait for theirs
+    ECHO_CLOSE = "echo close"  # our close frame with their code, then the connection ends
+    SEND_ERROR = "send error"  # our close frame with the violation's code, then the connection ends
+    END_CONNECTION = "end connection"
 
 
+_S = ClosingState
+_E = ClosingEvent
+_A = ClosingAction
+# fmt: off - one transition a line
 TRANSITIONS: dict[tuple[ClosingState, ClosingEvent], tuple[ClosingState, ClosingAction]] = {
-    (ClosingState.OPEN, ClosingEvent.CLOSE_REQUESTED): (ClosingState.CLOSING, ClosingAction.SEND_CLOSE),
-    (ClosingState.OPEN, ClosingEvent.CLOSE_RECEIVED): (ClosingState.CLOSED, ClosingAction.ECHO_CLOSE),
-    (ClosingState.OPEN, ClosingEvent.PROTOCOL_VIOLATION): (ClosingState.CLOSED, ClosingAction.SEND_ERROR),
-    (ClosingState.OPEN, ClosingEvent.CONNECTION_LOST): (ClosingState.CLOSED, ClosingAction.NONE),
-    (ClosingState.OPEN, ClosingEvent.TIMED_OUT): (
-        ClosingState.OPEN,
-        ClosingAction.NONE,
-    ),  # nothing is awaited
-    (ClosingState.CLOSING, ClosingEvent.CLOSE_REQUESTED): (
-        ClosingState.CLOSING,
-        ClosingAction.NONE,
-    ),  # one close frame, ever
-    (ClosingState.CLOSING, ClosingEvent.CLOSE_RECEIVED): (
-        ClosingState.CLOSED,
-        ClosingAction.END_CONNECTION,
-    ),  # the answer, or one that crossed ours
-    (ClosingState.CLOSING, ClosingEvent.PROTOCOL_VIOLATION): (
-        ClosingState.CLOSED,
-        ClosingAction.END_CONNECTION,
-    ),
-    (ClosingState.CLOSING, ClosingEvent.CONNECTION_LOST): (ClosingState.CLOSED, ClosingAction.NONE),
-    (ClosingState.CLOSING, ClosingEvent.TIMED_OUT): (ClosingState.CLOSED, ClosingAction.END_CONNECTION),
-    (ClosingState.CLOSED, ClosingEvent.CLOSE_REQUESTED): (ClosingState.CLOSED, ClosingAction.NONE),
-    (ClosingState.CLOSED, ClosingEvent.CLOSE_RECEIVED): (ClosingState.CLOSED, ClosingAction.NONE),
-    (ClosingState.CLOSED, ClosingEvent.PROTOCOL_VIOLATION): (ClosingState.CLOSED, ClosingAction.NONE),
-    (ClosingState.CLOSED, ClosingEvent.CONNECTION_LOST): (ClosingState.CLOSED, ClosingAction.NONE),
-    (ClosingState.CLOSED, ClosingEvent.TIMED_OUT): (
-        ClosingState.CLOSED,
-        ClosingAction.END_CONNECTION,
-    ),  # they don't end it: this side does
+    (_S.OPEN, _E.CLOSE_REQUESTED): (_S.CLOSING, _A.SEND_CLOSE),
+    (_S.OPEN, _E.CLOSE_RECEIVED): (_S.CLOSED, _A.ECHO_CLOSE),
+    (_S.OPEN, _E.PROTOCOL_VIOLATION): (_S.CLOSED, _A.SEND_ERROR),
+    (_S.OPEN, _E.CONNECTION_LOST): (_S.CLOSED, _A.NONE),
+    (_S.OPEN, _E.TIMED_OUT): (_S.OPEN, _A.NONE),  # no close frame is awaited
+    (_S.CLOSING, _E.CLOSE_REQUESTED): (_S.CLOSING, _A.NONE),  # a close frame is sent only once
+    (_S.CLOSING, _E.CLOSE_RECEIVED): (_S.CLOSED, _A.END_CONNECTION),  # the answer, or one that crossed ours
+    (_S.CLOSING, _E.PROTOCOL_VIOLATION): (_S.CLOSED, _A.END_CONNECTION),
+    (_S.CLOSING, _E.CONNECTION_LOST): (_S.CLOSED, _A.NONE),
+    (_S.CLOSING, _E.TIMED_OUT): (_S.CLOSED, _A.END_CONNECTION),
+    (_S.CLOSED, _E.CLOSE_REQUESTED): (_S.CLOSED, _A.NONE),
+    (_S.CLOSED, _E.CLOSE_RECEIVED): (_S.CLOSED, _A.NONE),
+    (_S.CLOSED, _E.PROTOCOL_VIOLATION): (_S.CLOSED, _A.NONE),
+    (_S.CLOSED, _E.CONNECTION_LOST): (_S.CLOSED, _A.NONE),
+    (_S.CLOSED, _E.TIMED_OUT): (_S.CLOSED, _A.END_CONNECTION),  # they don't end it: this side does
 }
+# fmt: on
--- a/service_proxy/websocket/frame_codec.py
+++ b/service_proxy/websocket/frame_codec.py
@@ -1,8 +1,8 @@
-"""Frames of one connection, in and out: wsproto behind bounds of our own.
+"""Encode and decode the frames of one connection: wsproto with limits of our own. Pure.
 
-What RFC 6455 wants of each frame (masks, reserved bits, shortest lengths, UTF-8, fragments, close codes) is
-wsproto's; what a proxy can't do without is added here: how long a message may be, announced or so far, in how
-many pieces it may come. No sockets, no clock, and no more at a time than who reads asks for.
+What RFC 6455 requires of each frame (masks, reserved bits, shortest lengths, UTF-8, fragments, close codes)
+is wsproto's; what a proxy can't do without is added here: how long a message may be, announced or so far, and
+in how many fragments it may come. No more is decoded at a time than the caller takes.
 """
 
 from __future__ import annotations
@@ -21,14 +21,20 @@
     RsvBits,
 )
 
+from service_proxy.websocket.errors import WebSocketError
+
 MAX_FRAGMENTS = 1024  # frames of one message
 MAX_REASON_BYTES = 123  # bytes of a close frame's reason (RFC 6455, 5.5)
 NO_STATUS = 1005  # a close frame without a code; never on the wire
 ABNORMAL = 1006  # no close frame at all; never on the wire
 
 
-class ProtocolViolationError(Exception):
-    """The peer has broken the protocol or a bound: the connection ends with this close code."""
+class ProtocolViolationError(WebSocketError):
+    """The peer has broken the protocol or a limit.
+
+    Attributes:
+        close_code: with which the connection ends.
+    """
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
@@ -37,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageFragment:
-    """What has come of a message. `data`: str of a text, bytes of a binary message; `last`: it is whole."""
+    """A part of a message: str of a text, bytes of a binary message; `is_last`: the message ends with it."""
 
     data: str | bytes
     is_last: bool
@@ -45,17 +51,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PingFrame:
+    """A ping, to be answered with the same data."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class PongFrame:
+    """A pong."""
+
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseFrame:
-    code: int  # NO_STATUS: none was given
+    """A close frame; its code is NO_STATUS where it has none."""
+
+    code: int
     reason: str
 
 
@@ -63,17 +75,19 @@
 
 
 class NegotiatedExtension(Extension):
-    """One that is in force from the start: the handshake is not wsproto's here."""
+    """An extension that is in force from the start: the opening handshake is not wsproto's here."""
 
     def enabled(self) -> bool:
+        """Return whether it is in force."""
         return True
 
     def offer(self) -> bool | str:
+        """Return what a client offers: nothing."""
         return False
 
 
-class _Bounds(NegotiatedExtension):
-    """Looks at each frame's head before any of its payload is taken."""
+class _MessageLimits(NegotiatedExtension):
+    """Checks each frame's header before any of its payload is read."""
 
     name = "bounds"
 
@@ -104,26 +118,31 @@
 
 
 class FrameCodec:
-    """`client`: this side is the connection's client, towards a node; it masks what it sends."""
+    """Frames of one connection. A client (towards an endpoint) masks what it sends."""
 
-    __slots__ = ("_bounds", "_frames")
+    __slots__ = ("_frames", "_limits")
 
     def __init__(self, is_client: bool, max_message_bytes: int, extensions: Sequence[Extension] = ()) -> None:
-        """`most`: bytes of a message, as they come on the wire."""
-        self._bounds = _Bounds(max_message_bytes)
-        self._frames = FrameProtocol(is_client, [self._bounds, *extensions])
+        """`max_message_bytes`: of a message, as it is on the wire."""
+        self._limits = _MessageLimits(max_message_bytes)
+        self._frames = FrameProtocol(is_client, [self._limits, *extensions])
 
     def receive(self, data: bytes | memoryview) -> None:
+        """Take in what was read from the connection."""
         self._frames.receive_bytes(data)
 
     def events(self) -> Iterator[FrameEvent]:
-        """What has come, one by one; who stops early finds the rest at the next call. Raises Fault."""
+        """Yield what was received, one by one; a caller that stops early gets the rest at the next call.
+
+        Raises:
+            ProtocolViolationError: the peer has broken the protocol or a limit.
+        """
         try:
             for frame in self._frames.received_frames():
                 yield self._event(frame)
         except ParseFailed as fault:
-            found = self._bounds.fault
-            self._bounds.fault = None
+            found = self._limits.fault
+            self._limits.fault = None
             raise (found or ProtocolViolationError(int(fault.code), str(fault))) from None
 
     @staticmethod
@@ -140,17 +159,19 @@
         return MessageFragment(payload, frame.frame_finished and frame.message_finished)
 
     def encode_fragment(self, data: str | bytes, is_last: bool = True) -> bytes:
-        """A message, or the next part of one."""
+        """Return the frame of a message, or of its next part."""
         return bytes(self._frames.send_data(data, is_last))
 
     def encode_ping(self, data: bytes) -> bytes:
+        """Return a ping frame."""
         return bytes(self._frames.ping(data))
 
     def encode_pong(self, data: bytes) -> bytes:
+        """Return a pong frame."""
         return bytes(self._frames.pong(data))
 
     def encode_close(self, code: int, reason: str = "") -> bytes:
-        """A code that is never on the wire leaves the frame empty."""
+        """Return a close frame; it is empty for a code that is never on the wire."""
         if code in (NO_STATUS, ABNORMAL):
             return bytes(self._frames.close())
         return bytes(self._frames.close(code, reason))
--- a/service_proxy/websocket/message_framing.py
+++ b/service_proxy/websocket/message_framing.py
@@ -1,8 +1,8 @@
-"""The messages of message mode: JSON texts, one object each. docs/operators/websocket.md is their page.
+"""The messages of message mode: JSON texts, one object each. docs/operators/websocket.md is their page. Pure.
 
 From a client: `{"id": "9b1f", "class": "read", "budget_ms": 480, "path": "/place/7?x=1", "key": "...",
-"subject": "...", "again": true, "body": "...", "seen": 12}`; id and class are needed. To a client: a hello
-first, then one outcome for each message taken.
+"subject": "...", "again": true, "body": "...", "seen": 12}`; id and class are required. To a client: a hello
+first, then one outcome for each accepted message.
 """
 
 from __future__ import annotations
@@ -12,27 +12,40 @@
 import re
 from dataclasses import dataclass
 
-MAX_ID_CHARACTERS = 64  # characters
-MAX_BUDGET_MS = 3_600_000  # ms
+from service_proxy.websocket.errors import WebSocketError
+
+MAX_ID_CHARACTERS = 64
+MAX_BUDGET_MS = 3_600_000
+MILLISECONDS = 1e3  # in a second
 ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 FIELD = re.compile(r"[!-+\--:<-~]{1,256}")  # ASCII without space, comma, semicolon: for a header
 PATH = re.compile(r"[/?][A-Za-z0-9\-._~%!$&'()*+,;=:@/?\[\]|{}]{0,2047}|")
-KNOWN = frozenset(("id", "class", "budget_ms", "path", "key", "subject", "again", "body", "seen"))
+KNOWN_FIELDS = frozenset(("id", "class", "budget_ms", "path", "key", "subject", "again", "body", "seen"))
+OK = 200
+REJECTED_CODES = (429, 503)
+NOT_ACKNOWLEDGED = -1
 
-REFUSED = (429, 503)
 
+class MalformedMessageError(WebSocketError):
+    """A client's message can't be used; the text says why.
 
-class MalformedMessageError(Exception):
-    """The message is none. `id`: its id, where that could be read."""
+    Attributes:
+        message_id: "" where that could not be read.
+    """
 
-    def __init__(self, text: str, id: str = "") -> None:
+    def __init__(self, text: str, message_id: str = "") -> None:
         super().__init__(text)
-        self.message_id = id
+        self.message_id = message_id
 
 
 @dataclass(frozen=True, slots=True)
 class ClientMessage:
-    """A message as a call. `budget`: s, None: the class's own."""
+    """A client's message, which becomes a request.
+
+    Attributes:
+        time_budget: s; None: the class's deadline.
+        acknowledged: outcomes up to this number were read by the client; -1: it does not say.
+    """
 
     message_id: str
     class_name: str
@@ -42,63 +55,80 @@
     subject: str
     is_retry: bool
     body: bytes
-    acknowledged: int  # outcomes up to this number have been read by the client; -1: it does not say
+    acknowledged: int
 
 
 def parse_message(text: str) -> ClientMessage:
-    """Raises Malformed."""
+    """Parse a client's message.
+
+    Raises:
+        MalformedMessageError: it can't be used.
+    """
+    raw, message_id = _parse_object(text)
+    class_name = raw.get("class")
+    if not isinstance(class_name, str) or not class_name:
+        raise MalformedMessageError('"class" must be the name of a class', message_id)
+    time_budget = _time_budget(raw, message_id)
+    path = _text(raw, "path", message_id, PATH)
+    idempotency_key = _text(raw, "key", message_id, FIELD)
+    subject = _text(raw, "subject", message_id, FIELD)
+    body = raw.get("body", "")
+    is_retry = raw.get("again", False)
+    acknowledged = raw.get("seen", NOT_ACKNOWLEDGED)
+    if not isinstance(body, str):
+        raise MalformedMessageError('"body" must be a string', message_id)
+    if not isinstance(is_retry, bool):
+        raise MalformedMessageError('"again" must be true or false', message_id)
+    if isinstance(acknowledged, bool) or not isinstance(acknowledged, int):
+        raise MalformedMessageError('"seen" must be the number of an outcome', message_id)
+    try:
+        content = body.encode()
+    except UnicodeEncodeError:
+        raise MalformedMessageError('"body" holds half a character', message_id) from None
+    return ClientMessage(
+        message_id, class_name, time_budget, path, idempotency_key, subject, is_retry, content, acknowledged
+    )
+
+
+def _parse_object(text: str) -> tuple[dict[str, object], str]:
+    """Return a message's fields and its id."""
     try:
         raw = json.loads(text, object_pairs_hook=_object)
     except (ValueError, RecursionError):
         raise MalformedMessageError("no JSON, or a name twice") from None
     if not isinstance(raw, dict):
         raise MalformedMessageError("not an object")
-    id = raw.get("id")
-    if not isinstance(id, str) or not ID.fullmatch(id):
+    message_id = raw.get("id")
+    if not isinstance(message_id, str) or not ID.fullmatch(message_id):
         raise MalformedMessageError(f'"id" must be 1 to {MAX_ID_CHARACTERS} of A-Z a-z 0-9 . _ : -')
-    unknown = raw.keys() - KNOWN
+    unknown = raw.keys() - KNOWN_FIELDS
     if unknown:
-        raise MalformedMessageError(f'"{sorted(unknown)[0]:.32}" is not known', id)
-    cls = raw.get("class")
-    if not isinstance(cls, str) or not cls:
-        raise MalformedMessageError('"class" must be the name of a class', id)
-    budget = raw.get("budget_ms")
-    if budget is not None and (
-        isinstance(budget, bool) or not isinstance(budget, int | float) or not 0 < budget <= MAX_BUDGET_MS
-    ):
-        raise MalformedMessageError('"budget_ms" must be a number of milliseconds above 0', id)
-    path = _text(raw, "path", id, PATH)
-    key = _text(raw, "key", id, FIELD)
-    subject = _text(raw, "subject", id, FIELD)
-    body = raw.get("body", "")
-    again = raw.get("again", False)
-    seen = raw.get("seen", -1)
-    if not isinstance(body, str):
-        raise MalformedMessageError('"body" must be a string', id)
-    if not isinstance(again, bool):
-        raise MalformedMessageError('"again" must be true or false', id)
-    if isinstance(seen, bool) or not isinstance(seen, int):
-        raise MalformedMessageError('"seen" must be the number of an outcome', id)
-    try:
-        content = body.encode()
-    except UnicodeEncodeError:
-        raise MalformedMessageError('"body" holds half a character', id) from None
-    seconds = None if budget is None else budget / 1e3
-    return ClientMessage(id, cls, seconds, path, key, subject, again, content, seen)
+        raise MalformedMessageError(f'"{sorted(unknown)[0]:.32}" is not known', message_id)
+    return raw, message_id
 
 
 def _object(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """A name that stands twice has two readings."""
+    """Build an object; a name that stands twice would have two readings."""
     found = dict(pairs)
     if len(found) < len(pairs):
         raise ValueError("a name twice")
     return found
 
 
-def _text(raw: dict[str, object], name: str, id: str, form: re.Pattern[str]) -> str:
+def _time_budget(raw: dict[str, object], message_id: str) -> float | None:
+    budget = raw.get("budget_ms")
+    if budget is None:
+        return None
+    is_number = isinstance(budget, int | float) and not isinstance(budget, bool)
+    if not isinstance(budget, int | float) or not is_number or not 0 < budget <= MAX_BUDGET_MS:
+        raise MalformedMessageError('"budget_ms" must be a number of milliseconds above 0', message_id)
+    return budget / MILLISECONDS
+
+
+def _text(raw: dict[str, object], name: str, message_id: str, form: re.Pattern[str]) -> str:
     value = raw.get(name, "")
     if not isinstance(value, str) or (value and not form.fullmatch(value)):
-        raise MalformedMessageError(f'"{name}" is malformed or too long', id)
+        raise MalformedMessageError(f'"{name}" is malformed or too long', message_id)
     return value
 
 
@@ -107,13 +137,20 @@
 
 
 def encode_hello(token: str, resumed: bool, resume_within: float, open_ids: list[str], lost: int) -> str:
-    """The first message on each connection. `open_ids`: messages of the session that still have no outcome;
-    `lost`: outcomes that the client may not have read and that are not kept any more."""
+    """Return the first message on each connection.
+
+    Args:
+        token: of the session.
+        resumed: it was there before.
+        resume_within: time for which it waits for its client, s.
+        open_ids: messages of the session that still have no outcome.
+        lost: outcomes that the client may not have read and that are not stored any more.
+    """
     return _json(
         {
             "session": token,
             "resumed": resumed,
-            "resume_ms": int(resume_within * 1e3),
+            "resume_ms": int(resume_within * MILLISECONDS),
             "open": open_ids,
             "lost": lost,
         }
@@ -128,11 +165,24 @@
     retry_after: float = 0.0,
     is_body_dropped: bool = False,
 ) -> str:
-    """`wait`: s that a refused one should wait; `dropped`: its body was too long to be kept."""
-    kind = "served" if status_code == 200 else "refused" if status_code in REFUSED else "failed"
-    fields: dict[str, object] = {"n": number, "id": message_id, "outcome": kind, "code": status_code}
+    """Return the outcome of a message.
+
+    Args:
+        number: of the outcome in its session.
+        message_id: of the message.
+        status_code: of the answer.
+        body: of the answer.
+        retry_after: time that a rejected client should wait, s; 0: it is not said.
+        is_body_dropped: the body was too long to be stored.
+    """
+    fields: dict[str, object] = {
+        "n": number,
+        "id": message_id,
+        "outcome": _outcome_kind(status_code),
+        "code": status_code,
+    }
     if retry_after > 0:
-        fields["retry_ms"] = max(1, int(retry_after * 1e3))
+        fields["retry_ms"] = max(1, int(retry_after * MILLISECONDS))
     if is_body_dropped:
         fields["body_dropped"] = True
     else:
@@ -143,6 +193,12 @@
     return _json(fields)
 
 
-def encode_error(fault: MalformedMessageError) -> str:
-    """What a message that was not taken is told. It has no number: it is no outcome."""
-    return _json({"id": fault.message_id, "error": str(fault)})
+def _outcome_kind(status_code: int) -> str:
+    if status_code == OK:
+        return "served"
+    return "refused" if status_code in REJECTED_CODES else "failed"
+
+
+def encode_error(error: MalformedMessageError) -> str:
+    """Return the answer to a message that was not accepted. It has no number: it is no outcome."""
+    return _json({"id": error.message_id, "error": str(error)})
--- a/service_proxy/websocket/opening_handshake.py
+++ b/service_proxy/websocket/opening_handshake.py
@@ -1,7 +1,4 @@
-"""The opening handshake, both sides: what a request must say, what is answered, what a node's 101 must prove.
-
-RFC 6455, sections 4.1 and 4.2. Nothing of sockets, nothing of what follows the handshake.
-"""
+"""The opening handshake of both sides (RFC 6455, 4.1 and 4.2). Pure."""
 
 from __future__ import annotations
 
@@ -12,6 +9,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from service_proxy.websocket.errors import WebSocketError
+
 GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # RFC 6455, 1.3
 VERSION = b"13"
 KEY_BYTES = 16
@@ -25,8 +24,8 @@
 Headers = Sequence[tuple[bytes, bytes]]
 
 
-class HandshakeRejectedError(Exception):
-    """The handshake is answered with this code, and the connection stays HTTP's."""
+class HandshakeRejectedError(WebSocketError):
+    """The handshake is answered with this status code and these headers; the connection stays HTTP."""
 
     def __init__(self, code: int, text: str, headers: Headers = ()) -> None:
         super().__init__(text)
@@ -36,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpeningRequest:
-    """A request that asks for a WebSocket and is well formed."""
+    """A well-formed request for a WebSocket."""
 
     key: bytes
     origin: bytes  # b"": a program that is no browser
@@ -45,16 +44,17 @@
 
 
 def accept_key(key: bytes) -> bytes:
-    """RFC 6455, 4.2.2, step 5.4: what proves that the key was read as a WebSocket's."""
+    """Return what proves that the key was read as a WebSocket's (RFC 6455, 4.2.2, step 5.4)."""
     return base64.b64encode(hashlib.sha1(key + GUID, usedforsecurity=False).digest())
 
 
 def field_values(headers: Headers, name: bytes) -> list[bytes]:
+    """Return all values of a header field."""
     return [value for key, value in headers if key == name]
 
 
 def field_elements(headers: Headers, name: bytes) -> list[bytes]:
-    """The elements of a list field (RFC 9110, 5.6.1), without the empty ones."""
+    """Return the elements of a list field (RFC 9110, 5.6.1), without the empty ones."""
     found = [part.strip(b" \t") for value in field_values(headers, name) for part in value.split(b",")]
     return [part for part in found if part]
 
@@ -67,7 +67,11 @@
 
 
 def parse_opening(method: bytes, version: str, headers: Headers, has_body: bool) -> OpeningRequest:
-    """`headers` have lower names; `body`: the request has one. Raises Declined."""
+    """Check a request for a WebSocket; its header names are in lower case.
+
+    Raises:
+        HandshakeRejectedError: it is not well formed.
+    """
     if method != b"GET" or version != "1.1":
         raise HandshakeRejectedError(400, "a WebSocket is asked for with GET and HTTP/1.1")
     if has_body or field_values(headers, b"transfer-encoding"):
@@ -99,21 +103,24 @@
 
 
 def check_origin(opening: OpeningRequest, allowed: Iterable[str]) -> None:
-    """Browsers name the page's origin, and can't lie (RFC 6455, 10.2). None allowed: all are. Raises
-    Declined."""
+    """Check the origin of the page, which a browser can't forge (RFC 6455, 10.2); no names: all are allowed.
+
+    Raises:
+        HandshakeRejectedError: the origin is not allowed.
+    """
     names = [name.encode() for name in allowed]
     if names and opening.origin and opening.origin.lower() not in names:
         raise HandshakeRejectedError(403, "this Origin may not")
 
 
 def choose_subprotocol(opening: OpeningRequest, served: Iterable[str]) -> bytes:
-    """The first that the client offers of those that are served; b"": none, which a client may turn down."""
+    """Return the first offered subprotocol that is served; b"": none, which a client may reject."""
     names = {name.encode() for name in served}
     return next((protocol for protocol in opening.protocols if protocol in names), b"")
 
 
 def encode_response(opening: OpeningRequest, protocol: bytes, extension: bytes = b"") -> bytes:
-    """The 101, whole."""
+    """Return the head of the 101 response."""
     lines = [
         b"HTTP/1.1 101 Switching Protocols",
         b"upgrade: websocket",
@@ -128,7 +135,11 @@
 
 
 class ClientHandshake:
-    """A handshake with a node, for one attempt at a time."""
+    """The client's side of a handshake with an endpoint, for one attempt at a time.
+
+    Attributes:
+        protocols: from which the endpoint may choose.
+    """
 
     __slots__ = ("key", "protocols")
 
@@ -137,7 +148,7 @@
         self.key = b""
 
     def request_headers(self, nonce: bytes) -> bytes:
-        """Header lines of the next attempt. `nonce`: 16 random bytes, new for each."""
+        """Return the header lines of the next attempt. `nonce`: 16 random bytes, new for each."""
         self.key = base64.b64encode(nonce)
         more = b""
         if self.protocols:
@@ -148,7 +159,7 @@
         )
 
     def verify_response(self, headers: Headers) -> str | None:
-        """What is wrong with a 101's headers (RFC 6455, 4.1, steps 2 to 6), or None."""
+        """Return what is wrong with a 101's headers (RFC 6455, 4.1, steps 2 to 6), or None."""
         if [option.lower() for option in field_elements(headers, b"upgrade")] != [b"websocket"]:
             return "Upgrade is not websocket"
         if b"upgrade" not in (option.lower() for option in field_elements(headers, b"connection")):
--- a/service_proxy/websocket/session_limits.py
+++ b/service_proxy/websocket/session_limits.py
@@ -1,4 +1,4 @@
-"""Who may open a session, how fast one may speak, and how much all of them may hold. No clock of its own."""
+"""How many sessions there may be, and how fast a client may send. Pure: the caller brings the time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """A token bucket."""
+    """A token bucket. Times are monotonic, s."""
 
     __slots__ = ("tokens", "updated_at")
 
@@ -15,8 +15,13 @@
         self.updated_at = now
 
     def take(self, now: float, rate: float, burst: float) -> bool:
-        """One token, of `rate` new ones a second and `burst` at the most. A clock that steps back gives
-        none."""
+        """Take a token; return whether there was one.
+
+        Args:
+            now: a clock that steps back gives no tokens.
+            rate: new tokens per second.
+            burst: tokens at most.
+        """
         self.tokens = min(burst, self.tokens + max(0.0, now - self.updated_at) * rate)
         self.updated_at = now
         if self.tokens < 1:
@@ -25,12 +30,12 @@
         return True
 
     def time_until_token(self, rate: float) -> float:
-        """s until the next one."""
+        """Return the time until the next token, s."""
         return max(0.0, (1 - self.tokens) / rate)
 
 
 class SessionLimits:
-    """Sessions by proxy, client and tenant. Those that are still in their handshake count."""
+    """Counts sessions by proxy, client and tenant, those in their opening handshake among them."""
 
     def __init__(self) -> None:
         self.open_count = 0
@@ -40,7 +45,7 @@
     def exceeded_scope(
         self, client: str, tenant: str, max_sessions: int, max_per_client: int, max_per_tenant: int
     ) -> str | None:
-        """Whose bound one more session would break; None: nobody's."""
+        """Return whose limit one more session would exceed: proxy, client or tenant; None: nobody's."""
         if self.open_count >= max_sessions:
             return "proxy"
         if self.count_by_client[client] >= max_per_client:
@@ -50,11 +55,13 @@
         return None
 
     def add(self, client: str, tenant: str) -> None:
+        """Count a session."""
         self.open_count += 1
         self.count_by_client[client] += 1
         self.count_by_tenant[tenant] += 1
 
     def remove(self, client: str, tenant: str) -> None:
+        """Count a session no longer."""
         self.open_count -= 1
         for counter, name in ((self.count_by_client, client), (self.count_by_tenant, tenant)):
             counter[name] -= 1
--- a/service_proxy/websocket/session_registry.py
+++ b/service_proxy/websocket/session_registry.py
@@ -1,9 +1,9 @@
-"""Sessions of message mode: which messages are open, which outcomes are kept, who may take a session over.
+"""Sessions of message mode: pending messages, stored outcomes, and who may resume a session. Pure.
 
-A message is taken once: while it is open, a repeat of its id joins it; after, its kept outcome is told again
-under the same number. A session whose connection ends without a goodbye waits for its client for a stated
-time; outcomes of that time, and kept ones that the client says it has not seen, are told when it is back.
-No I/O and no clock: who calls brings the time (s, monotonic).
+A message is accepted once: while it is pending, a repeat of its id joins it; after, its stored outcome is
+sent again under the same number. A session whose connection ends without a goodbye waits for its client for a
+stated time; outcomes of that time, and stored ones that the client has not acknowledged, are sent when it is
+back. The caller brings the time (s, monotonic).
 """
 
 from __future__ import annotations
@@ -13,26 +13,40 @@
 from enum import Enum
 from typing import Any
 
-MAX_KEPT_OUTCOMES = 32  # outcomes of a session that are kept for one that comes back
-MAX_KEPT_BYTES = 8 * 1024  # of them together, but for the last one
-MAX_OUTCOME_BYTES = 64 * 1024  # bytes of one that is kept whole
+MAX_KEPT_OUTCOMES = 32  # of a session
+MAX_KEPT_BYTES = 8 * 1024  # of a session's outcomes together, but for the last one
+MAX_OUTCOME_BYTES = 64 * 1024  # of one that is stored with its body
 
 
 class MessageStatus(Enum):
+    """What is known of a message's id."""
+
     NEW = "new"
-    PENDING = "open"  # its outcome is still to come
-    ANSWERED = "known"  # its outcome is kept
+    PENDING = "pending"  # its outcome is still to come
+    ANSWERED = "answered"  # its outcome is stored
 
 
 @dataclass(slots=True)
 class Outcome:
+    """The outcome of a message, as text of the message that is sent."""
+
     number: int
     message_id: str
-    text: str  # as it is told
+    text: str
 
 
 class MessageSession:
-    """One client's, over however many connections."""
+    """One client's session, over however many connections.
+
+    Attributes:
+        pending: by message id, with who works on it.
+        outcomes: stored ones by number, oldest first.
+        stored_bytes: of these.
+        last_number: of the last outcome.
+        last_lost: the highest number that is not stored any more and was not acknowledged.
+        connection: that it is attached to, if any.
+        detached_at: when it lost the last one.
+    """
 
     __slots__ = (
         "connection",
@@ -49,98 +63,117 @@
     def __init__(self, token: str, tenant: str) -> None:
         self.token = token
         self.tenant = tenant
-        self.pending: dict[str, Any] = {}  # by id; the value is whose who works on it
-        self.outcomes: dict[int, Outcome] = {}  # by number, the oldest first
-        self.stored_bytes = 0  # of these
-        self.last_number = 0  # number of the last outcome
-        self.last_lost = 0  # the highest number that is not kept any more and was not seen
-        self.connection: Any = None  # the connection that it is attached to
-        self.detached_at = 0.0  # when it lost the last one
-
-    def status_of(self, id: str) -> tuple[MessageStatus, Outcome | None]:
-        if id in self.pending:
+        self.pending: dict[str, Any] = {}
+        self.outcomes: dict[int, Outcome] = {}
+        self.stored_bytes = 0
+        self.last_number = 0
+        self.last_lost = 0
+        self.connection: Any = None
+        self.detached_at = 0.0
+
+    def status_of(self, message_id: str) -> tuple[MessageStatus, Outcome | None]:
+        """Return whether a message is new, and its stored outcome if there is one."""
+        if message_id in self.pending:
             return MessageStatus.PENDING, None
-        known = next((outcome for outcome in self.outcomes.values() if outcome.message_id == id), None)
-        return (MessageStatus.NEW, None) if known is None else (MessageStatus.ANSWERED, known)
-
-    def settle(self, id: str) -> int:
-        """The number of the outcome that a message has now. It has no second one."""
-        del self.pending[id]
+        for outcome in self.outcomes.values():
+            if outcome.message_id == message_id:
+                return MessageStatus.ANSWERED, outcome
+        return MessageStatus.NEW, None
+
+    def settle(self, message_id: str) -> int:
+        """End a pending message; return the number of its only outcome."""
+        del self.pending[message_id]
         self.last_number += 1
         return self.last_number
 
-    def acknowledge(self, n: int) -> int:
-        """The client has read all up to this one. Returns the bytes that are let go."""
+    def acknowledge(self, number: int) -> int:
+        """Forget what the client has read, up to this number; return the bytes that are freed."""
         freed = 0
-        for number in [number for number in self.outcomes if number <= n]:
-            freed += self._forget(number)
+        for acknowledged in [stored for stored in self.outcomes if stored <= number]:
+            freed += self._forget(acknowledged)
         return freed
 
-    def store(self, outcome: Outcome, room: int) -> int:
-        """For a client that comes back. `room`: bytes that all sessions together may still keep. Returns by
-        how much the bytes of this one have grown."""
+    def store(self, outcome: Outcome, available_bytes: int) -> int:
+        """Store an outcome for a client that resumes; older ones give way.
+
+        Args:
+            outcome: of a settled message.
+            available_bytes: that all sessions together may still store.
+
+        Returns:
+            By how much the stored bytes of this session have grown.
+        """
         before = self.stored_bytes
         self.outcomes[outcome.number] = outcome
         self.stored_bytes += len(outcome.text)
-        while len(self.outcomes) > 1 and (
-            len(self.outcomes) > MAX_KEPT_OUTCOMES
-            or self.stored_bytes > MAX_KEPT_BYTES
-            or self.stored_bytes - before > room
-        ):
+        while len(self.outcomes) > 1 and self._exceeds_limits(before + available_bytes):
             oldest = next(iter(self.outcomes))
             self._forget(oldest)
             self.last_lost = max(self.last_lost, oldest)
-        if self.stored_bytes - before > max(0, room):  # not even this one
+        if self.stored_bytes - before > max(0, available_bytes):  # not even this one
             self._forget(outcome.number)
             self.last_lost = outcome.number
         return self.stored_bytes - before
 
-    def _forget(self, n: int) -> int:
-        size = len(self.outcomes.pop(n).text)
+    def _exceeds_limits(self, max_bytes: int) -> bool:
+        is_over_own = len(self.outcomes) > MAX_KEPT_OUTCOMES or self.stored_bytes > MAX_KEPT_BYTES
+        return is_over_own or self.stored_bytes > max_bytes
+
+    def _forget(self, number: int) -> int:
+        size = len(self.outcomes.pop(number).text)
         self.stored_bytes -= size
         return size
 
-    def unacknowledged(self, n: int) -> tuple[list[Outcome], int]:
-        """What a client that has seen all up to `n` is owed, and how many of these are lost."""
-        return [outcome for outcome in self.outcomes.values() if outcome.number > n], max(
-            0, self.last_lost - n
-        )
+    def unacknowledged(self, number: int) -> tuple[list[Outcome], int]:
+        """Return the outcomes after this number, and how many of these are lost."""
+        outcomes = [outcome for outcome in self.outcomes.values() if outcome.number > number]
+        return outcomes, max(0, self.last_lost - number)
 
 
 class SessionRegistry:
-    """All sessions of this proxy, by token."""
+    """All sessions of this proxy, by token.
+
+    Attributes:
+        max_bytes: of stored outcomes, of all sessions together.
+        detached: sessions without a connection, longest first.
+    """
 
     def __init__(self, max_bytes: int) -> None:
-        """`pool`: bytes of outcomes that are kept, of all sessions together."""
         self.max_bytes = max_bytes
         self.stored_bytes = 0
         self.sessions: dict[str, MessageSession] = {}
-        self.detached: dict[MessageSession, None] = {}  # the longest ago first
+        self.detached: dict[MessageSession, None] = {}
 
-    def create(self, token: str, tenant: str, peer: object) -> MessageSession:
-        session = self.sessions[token] = MessageSession(token, tenant)
-        session.connection = peer
+    def create(self, token: str, tenant: str, connection: object) -> MessageSession:
+        """Add a session."""
+        session = MessageSession(token, tenant)
+        session.connection = connection
+        self.sessions[token] = session
         return session
 
-    def resume(self, token: str, tenant: str, peer: object) -> tuple[MessageSession, object] | None:
-        """The session, and the connection that it is taken from, if it still had one. None: no such one, or
-        another tenant's."""
+    def resume(self, token: str, tenant: str, connection: object) -> tuple[MessageSession, object] | None:
+        """Attach a session to another connection.
+
+        Returns:
+            The session, and the connection that it is taken from, if it still had one. None: there is none
+            of this token, or it is another tenant's.
+        """
         session = self.sessions.get(token)
         if session is None or session.tenant != tenant:
             return None
-        before = session.connection
-        session.connection = peer
+        previous = session.connection
+        session.connection = connection
         self.detached.pop(session, None)
-        return session, before
+        return session, previous
 
     def detach(self, session: MessageSession, now: float) -> None:
-        """Its connection has ended without a goodbye."""
+        """Note that a session's connection has ended without a goodbye."""
         session.connection = None
         session.detached_at = now
         self.detached[session] = None
 
     def end(self, session: MessageSession) -> list[Any]:
-        """It is over. Returns what is still worked on for it."""
+        """Remove a session; return who still works on its messages."""
         self.sessions.pop(session.token, None)
         self.detached.pop(session, None)
         self.stored_bytes -= session.stored_bytes
@@ -151,18 +184,20 @@
         return work
 
     def store(self, session: MessageSession, outcome: Outcome) -> None:
+        """Store an outcome as far as there are bytes left."""
         self.stored_bytes += session.store(outcome, self.max_bytes - self.stored_bytes)
 
-    def acknowledge(self, session: MessageSession, n: int) -> None:
-        self.stored_bytes -= session.acknowledge(n)
+    def acknowledge(self, session: MessageSession, number: int) -> None:
+        """Forget what a session's client has read."""
+        self.stored_bytes -= session.acknowledge(number)
 
-    def expired(self, now: float, within: float) -> Iterator[MessageSession]:
-        """Those whose client has not come back in time."""
+    def expired(self, now: float, resume_within: float) -> Iterator[MessageSession]:
+        """Yield the sessions whose client has not come back in time (s)."""
         for session in list(self.detached):
-            if session.detached_at + within > now:
+            if session.detached_at + resume_within > now:
                 return
             yield session
 
     def oldest_detached(self) -> MessageSession | None:
-        """The one that makes room for another."""
+        """Return the session that gives way to another."""
         return next(iter(self.detached), None)
