--- a/service_proxy/websocket/frame_codec.py
+++ b/service_proxy/websocket/frame_codec.py
@@ -99,7 +99,7 @@
         self.fault: ProtocolViolationError | None = None
 
     def frame_inbound_header(
-        self, proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, payload_length: int
+        self, _proto: FrameDecoder | FrameProtocol, opcode: Opcode, _rsv: RsvBits, payload_length: int
     ) -> CloseReason | RsvBits:
         if opcode.iscontrol():
             return RsvBits(False, False, False)
--- a/service_proxy/websocket/listener.py
+++ b/service_proxy/websocket/listener.py
@@ -1,4 +1,4 @@
-"""What the proxy sees of WebSocket: who may upgrade, the sessions there are, time, drains, and the end.
+"""The WebSocket listener: who may upgrade, all sessions and tunnels, liveness, drains, and the end.
 
 Its settings are the operator's table [websocket]; routes are the first part of a path, as everywhere.
 """
@@ -48,6 +48,7 @@
 log = logging.getLogger(__name__)
 
 READ_BUFFER_BYTES = 16 * 1024  # bytes that are read at once, and so the most that one side holds unread
+MAX_NUMBER_DIGITS = 15  # of an outcome's number in the query
 SWEEP_INTERVAL_S = 0.25  # s between looks at all sessions
 MAX_STALL_S = 5.0  # s in which who takes nothing of what waits for it is closed with 1008
 DRAIN_SPAN_S = 0.8  # s over which the sessions of a node that drains are closed; rule 3 has 2 s for all
@@ -60,7 +61,11 @@
 
 
 def reserve_resources(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
-    """What the sessions leave of the process's descriptors and memory. Raises ConfigError."""
+    """Return the configuration with the descriptors and memory that the sessions leave.
+
+    Raises:
+        ConfigError: they leave too little.
+    """
     each = 2 if settings.tunnels else 1
     sockets = config.max_descriptors - each * settings.sessions
     pool_mb = unread_limit(config) / 1e6
@@ -79,17 +84,28 @@
 
 
 def unread_limit(config: ProxyConfig) -> int:
-    """Bytes that clients may leave untaken, all together. `config`: of the whole process."""
+    """Return the bytes that all clients together may leave unread. `config`: of the whole process."""
     return int((config.memory_mb - BASE_MEMORY_MB) * UNREAD_MEMORY_SHARE * 1e6)
 
 
 class WebSocketListener:
-    """net.downstream.UpgradeHandler, and a Subsystem."""
+    """net.downstream.UpgradeHandler, session_host.SessionHost and net.endpoint_sources.Subsystem.
+
+    Attributes:
+        connections: the clients' sides, and the endpoints' sides of tunnels.
+        tunnels: by the endpoint's connection pool.
+        unread_by_connection: bytes that peers have not read; unread_bytes: of all together.
+        drain_deadline: monotonic, s, while this proxy drains.
+    """
 
     def __init__(
         self, settings: WebSocket, config: ProxyConfig, driver: RequestDispatcher, server: HttpServer
     ) -> None:
-        """`config`: of the whole process. Raises ConfigError where a tunnel's class can't be one."""
+        """`config`: of the whole process.
+
+        Raises:
+            ConfigError: a tunnel's class is not idempotent or unknown.
+        """
         self.settings = settings
         self.dispatcher = driver
         self.server = server
@@ -103,12 +119,10 @@
         self.message_sessions = MessageSessions(self)
         self.limits = SessionLimits()
         self.spread = ReconnectSpread(config.seed, settings.reconnect_spread)
-        self.connections: dict[
-            WebSocketConnection, None
-        ] = {}  # the clients' sides, and the nodes' sides of tunnels
-        self.tunnels: dict[ConnectionPool, dict[Tunnel, None]] = {}  # by node
-        self.unread_by_connection: dict[WebSocketConnection, int] = {}  # bytes that some have not taken
-        self.unread_bytes = 0  # of them together
+        self.connections: dict[WebSocketConnection, None] = {}
+        self.tunnels: dict[ConnectionPool, dict[Tunnel, None]] = {}
+        self.unread_by_connection: dict[WebSocketConnection, int] = {}
+        self.unread_bytes = 0
         self.is_draining = False
         self.drain_deadline = 0.0
         self.sweep_timer: asyncio.TimerHandle | None = None
@@ -117,18 +131,25 @@
         server.upgrade_handler = self
         driver.cluster.on_endpoint_leaving = self.on_endpoint_leaving
 
-    # Subsystem
+    # net.endpoint_sources.Subsystem
+
     def start(self) -> None:
+        """Start the regular checks."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
+        """End all connections."""
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
         for peer in list(self.connections):
             peer.abort()
 
     def reload(self, file: str) -> None:
-        """On SIGHUP: limits and times. Raises OperatorError, and then nothing has changed."""
+        """Take in new limits and times, on SIGHUP.
+
+        Raises:
+            OperatorError: what can't change has changed; nothing is taken in then.
+        """
         new = load(file).websocket
         fixed = ("messages", "tunnels", "sessions")
         late = [name for name in fixed if new is None or getattr(new, name) != getattr(self.settings, name)]
@@ -139,18 +160,20 @@
         self.spread.span = new.reconnect_spread
 
     @staticmethod
-    def log_failure(what: str) -> None:
-        log.exception(what)
+    def log_failure(message: str) -> None:
+        """Log the exception that is being handled."""
+        log.exception('websocket_request_failed reason="%s"', message)
 
     # net.downstream.UpgradeHandler
+
     def start_upgrade(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
-        """Answers, or takes the connection over, or returns the call that decides on it."""
+        """Answer, or take the connection over, or return the request that decides on it."""
         try:
             return self._open_session(connection, upgrade)
-        except HandshakeRejectedError as no:
-            connection.respond(no.status_code, no.headers, f"{no}\n".encode())
-        except BadRequestError as bad:
-            connection.respond(bad.status_code, (), f"{bad}\n".encode())
+        except HandshakeRejectedError as rejection:
+            connection.respond(rejection.status_code, rejection.headers, f"{rejection}\n".encode())
+        except BadRequestError as error:
+            connection.respond(error.status_code, (), f"{error}\n".encode())
         return None
 
     def _open_session(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
@@ -194,7 +217,7 @@
         protocol: bytes,
         owner: ConnectionOwner,
     ) -> WebSocketConnection:
-        """The client's 101, and its connection as frames."""
+        """Send the client's 101; return its connection."""
         extension = b""
         extensions = []
         settings = self.settings
@@ -219,7 +242,7 @@
     ) -> None:
         token = query.get("session", [""])[0]
         seen = query.get("seen", ["0"])[0]
-        if not seen.isascii() or not seen.isdecimal() or len(seen) > 15:
+        if not seen.isascii() or not seen.isdecimal() or len(seen) > MAX_NUMBER_DIGITS:
             raise HandshakeRejectedError(400, "seen must be the number of an outcome")
         book = self.registry
         now = time.monotonic()
@@ -272,6 +295,7 @@
         return driver.start_request(request, tunnel)
 
     def add_tunnel(self, tunnel: Tunnel) -> None:
+        """Note a tunnel that is open from now on."""
         upstream = tunnel.upstream
         node = tunnel.endpoint_side.connection
         assert upstream is not None
@@ -282,6 +306,7 @@
             self.on_endpoint_leaving(upstream)
 
     def remove_tunnel(self, tunnel: Tunnel, upstream: ConnectionPool) -> None:
+        """Note that a tunnel's endpoint side is closed."""
         here = self.tunnels.get(upstream)
         if here is not None:
             here.pop(tunnel, None)
@@ -289,12 +314,13 @@
                 del self.tunnels[upstream]
 
     def remove_session(self, client: str, tenant: str) -> None:
-        """A client's connection is gone, or was turned away after all."""
+        """Note that a client's connection is closed, or was rejected after all."""
         self.limits.remove(client, tenant)
 
-    # what clients have not taken
+    # Unread bytes.
+
     def on_write(self, peer: WebSocketConnection) -> None:
-        """After each write. Where all together hold too much, who holds the most is closed."""
+        """Note a write; where all together leave too much unread, the one that leaves the most is closed."""
         self._update_unread(peer)
         while self.unread_bytes > self.max_unread_bytes and self.unread_by_connection:
             heaviest = max(self.unread_by_connection, key=self.unread_by_connection.__getitem__)
@@ -313,7 +339,8 @@
     def _forget_unread(self, peer: WebSocketConnection) -> None:
         self.unread_bytes -= self.unread_by_connection.pop(peer, 0)
 
-    # time
+    # Regular checks.
+
     def _sweep(self) -> None:
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         settings = self.settings
@@ -330,19 +357,19 @@
             self._update_unread(peer)
         self.message_sessions.sweep(now)
 
-    # drains
+    # Draining.
+
     def on_endpoint_leaving(self, upstream: ConnectionPool) -> None:
-        """A node drains, is gone, or is another one by now: its tunnels leave it, one after another."""
+        """Close the tunnels of an endpoint that drains, is gone or was replaced, spread over DRAIN_SPAN_S."""
         here = list(self.tunnels.get(upstream, ()))
         if not here:
             return
-        log.info("%d tunnels leave %s:%d", len(here), *upstream.address)
+        log.info("tunnels_closing tunnels=%d endpoint=%s:%d", len(here), *upstream.address)
         for number, tunnel in enumerate(here):
             self.loop.call_later(DRAIN_SPAN_S * number / len(here), tunnel.close_for_drain, 1012)
 
     def drain(self, end_by: float) -> None:
-        """This proxy stops. Tunnels end over the time that there is; a session of messages once it is owed
-        nothing."""
+        """Stop: close tunnels over the time that there is, and a message session once it has all outcomes."""
         if self.is_draining:
             return
         self.is_draining = True
@@ -354,7 +381,7 @@
         self._close_idle_sessions()
 
     def _close_idle_sessions(self) -> None:
-        """Again and again, some at a time, until all are closed."""
+        """Close sessions without pending messages, some at a time, until all are closed."""
         last = time.monotonic() > self.drain_deadline - 2 * DRAIN_STEP_S
         left = MAX_CLOSES_PER_TURN
         waiting = False
@@ -374,7 +401,7 @@
 
     @property
     def has_pending_closes(self) -> bool:
-        """Whether some session is still owed an outcome or its close, and there is time for it."""
+        """Whether some session still waits for an outcome or its close, and there is time for it."""
         return time.monotonic() < self.drain_deadline and any(
             peer.transport is not None for peer in self.connections
         )
--- a/service_proxy/websocket/message_session.py
+++ b/service_proxy/websocket/message_session.py
@@ -1,279 +1,346 @@
-"""Message mode: each message of a client is a call that goes through the module like any other.
+"""Message mode: each message of a client is a request that goes through the policy like any other.
 
-The session is not bound to a node: a drained or lost node is the module's matter, call by call. What a
-session's connection is worth is decided in sessions.py; what a message is, in message_framing.py.
+The session is not pinned to an endpoint: a drained or lost endpoint is the policy's matter, request by
+request. What a session keeps is decided in session_registry; what a message is, in message_framing.
 """
 
 from __future__ import annotations
 
 import time
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from service_proxy.net.downstream import BadRequestError, Request, parse_request
 from service_proxy.net.protocols import ResponseSource
 from service_proxy.net.request_body import RequestBody
 from service_proxy.policy.events import Idempotency
 from service_proxy.websocket import message_framing
-from service_proxy.websocket.connection import WebSocketConnection
+from service_proxy.websocket.connection import POLICY_VIOLATION, WebSocketConnection
 from service_proxy.websocket.frame_codec import NO_STATUS, MessageFragment
+from service_proxy.websocket.session_host import SessionHost
 from service_proxy.websocket.session_limits import TokenBucket
-from service_proxy.websocket.session_registry import MAX_OUTCOME_BYTES, MessageSession, MessageStatus, Outcome
-
-if TYPE_CHECKING:
-    from service_proxy.websocket.listener import WebSocketListener
-
-MAX_MALFORMED_MESSAGES = 8  # malformed messages of one connection before it is closed
-SESSION_END_CODES = (
-    1000,
-    NO_STATUS,
-)  # close codes with which a client ends its session, not only its connection
+from service_proxy.websocket.session_registry import (
+    MAX_OUTCOME_BYTES,
+    MessageSession,
+    MessageStatus,
+    Outcome,
+)
+
+MAX_MALFORMED_MESSAGES = 8  # of one connection before it is closed
+# Close codes.
+NORMAL = 1000
+GOING_AWAY = 1001
+UNSUPPORTED_DATA = 1003
+MESSAGE_TOO_BIG = 1009
+SESSION_END_CODES = (NORMAL, NO_STATUS)  # with which a client ends its session, not only its connection
+# Status codes of outcomes.
+OK = 200
+NOT_FOUND = 404
+TOO_MANY_REQUESTS = 429
+INTERNAL_SERVER_ERROR = 500
+BAD_GATEWAY = 502
+SERVICE_UNAVAILABLE = 503
+TOO_MANY_PENDING_RETRY_S = 1.0  # after which a client with too many pending messages may retry
 
 
 class MessageResponseWriter:
-    """net.downstream.ResponseWriter of one message: one outcome, to whichever connection it has then."""
+    """net.downstream.ResponseWriter of one message: one outcome, to the connection that the session has then.
+
+    Attributes:
+        request_handle: the dispatcher's, once it has the request.
+        source, parts, size: of an answer that is streamed.
+    """
 
     __slots__ = ("message_id", "parts", "request_handle", "session", "sessions", "size", "source")
 
-    def __init__(self, talks: MessageSessions, session: MessageSession, id: str) -> None:
-        self.sessions = talks
+    def __init__(self, sessions: MessageSessions, session: MessageSession, message_id: str) -> None:
+        self.sessions = sessions
         self.session = session
-        self.message_id = id
-        self.request_handle: Any = None  # the driver's, once it has it
+        self.message_id = message_id
+        self.request_handle: Any = None
         self.source: ResponseSource | None = None
-        self.parts: list[bytes] = []  # of an answer that comes on
+        self.parts: list[bytes] = []
         self.size = 0
 
     def respond(self, code: int, headers: Any, body: bytes) -> None:
-        wait = next((float(value) for name, value in headers if name == b"retry-after"), 0.0)
-        self.sessions.settle(self.session, self.message_id, code, body, wait)
+        """Settle the message with a whole answer."""
+        retry_after = next((float(value) for name, value in headers if name == b"retry-after"), 0.0)
+        self.sessions.settle(self.session, self.message_id, code, body, retry_after)
 
-    def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
-        """It ran; a message holds it whole or not at all."""
+    def stream(self, _headers: Any, length: int | None, source: ResponseSource) -> None:
+        """Collect an answer that is streamed: an outcome has it whole or not at all."""
         self.source = source
         source.stream_to(self)
         if length is not None and length > MAX_OUTCOME_BYTES:
-            self._too_long()
+            self._reject_length()
 
     def write(self, data: bytes) -> None:
+        """Collect a part of the answer."""
         if self.source is None:
             return
         self.size += len(data)
         if self.size > MAX_OUTCOME_BYTES:
-            self._too_long()
+            self._reject_length()
         else:
             self.parts.append(bytes(data))
 
     def finish(self) -> None:
+        """Settle the message: the answer is complete."""
         if self.source is not None:
             self.source = None
-            self.sessions.settle(self.session, self.message_id, 200, b"".join(self.parts))
+            self.sessions.settle(self.session, self.message_id, OK, b"".join(self.parts))
 
     def fail(self) -> None:
+        """Settle the message: the answer will never be complete."""
         if self.source is not None:
             self.source = None
-            self.sessions.settle(self.session, self.message_id, 502, b"the answer broke off\n")
+            self.sessions.settle(self.session, self.message_id, BAD_GATEWAY, b"the answer broke off\n")
 
-    def _too_long(self) -> None:
+    def _reject_length(self) -> None:
         source = self.source
         self.source = None
         self.parts.clear()
         if source is not None:
             source.discard()
-        self.sessions.settle(self.session, self.message_id, 502, b"the answer is too long for a message\n")
+        text = b"the answer is too long for a message\n"
+        self.sessions.settle(self.session, self.message_id, BAD_GATEWAY, text)
 
-    def cancel(self, handler: Any) -> None:
-        """Nobody waits for it any more."""
+    def cancel(self, dispatcher: Any) -> None:
+        """End the work: nobody waits for it any more."""
         source = self.source
         self.source = None
         if source is not None:
             source.discard()
         elif self.request_handle is not None:
-            handler.client_disconnected(self.request_handle)
+            dispatcher.client_disconnected(self.request_handle)
 
 
 class MessageConnection:
-    """One connection of a session: peer.Owner."""
+    """One connection of a session: connection.ConnectionOwner.
+
+    Attributes:
+        client: its address.
+        parts, size: of a message that comes in fragments.
+        malformed_count: messages that could not be used.
+    """
 
     __slots__ = ("bucket", "client", "connection", "malformed_count", "parts", "session", "sessions", "size")
 
-    def __init__(self, talks: MessageSessions, session: MessageSession, client: str, now: float) -> None:
-        self.sessions = talks
+    def __init__(self, sessions: MessageSessions, session: MessageSession, client: str, now: float) -> None:
+        self.sessions = sessions
         self.session = session
         self.client = client
         self.connection: WebSocketConnection | None = None
-        self.parts: list[str] | None = None  # of a message that comes in pieces
+        self.parts: list[str] | None = None
         self.size = 0
         self.malformed_count = 0
-        self.bucket = TokenBucket(talks.listener.settings.burst, now)
+        self.bucket = TokenBucket(sessions.listener.settings.burst, now)
 
-    def on_fragment(self, piece: MessageFragment) -> None:
+    def on_fragment(self, fragment: MessageFragment) -> None:
+        """Collect a message, and hand it on when it is whole."""
         assert self.connection is not None
-        if not isinstance(piece.data, str):
-            self.connection.fail(1003, "messages here are texts")
+        if not isinstance(fragment.data, str):
+            self.connection.fail(UNSUPPORTED_DATA, "messages here are texts")
             return
-        text = piece.data
-        if self.parts is not None or not piece.is_last:
+        text = fragment.data
+        if self.parts is not None or not fragment.is_last:
             self.parts = self.parts or []
             self.parts.append(text)
             self.size += len(text)
-            if (
-                self.size > self.sessions.listener.settings.message_bytes
-            ):  # unpacked, it may be more than came
-                self.connection.fail(1009, "the message is too long")
+            # Decompressed, it may be more than was received.
+            if self.size > self.sessions.listener.settings.message_bytes:
+                self.connection.fail(MESSAGE_TOO_BIG, "the message is too long")
                 return
-            if not piece.is_last:
+            if not fragment.is_last:
                 return
             text = "".join(self.parts)
             self.parts = None
             self.size = 0
         self.sessions.on_message(self, text)
 
-    def on_closed(self, code: int, reason: str) -> None:
+    def on_closed(self, code: int, _reason: str) -> None:
+        """Detach or end the session."""
         self.parts = None
         self.sessions.on_connection_closed(self, code)
 
     def on_connection_lost(self) -> None:
+        """Count the connection no longer."""
         self.sessions.listener.remove_session(self.client, self.session.tenant)
 
-    def on_backpressure(self, full: bool) -> None:
+    def on_backpressure(self, is_blocked: bool) -> None:
+        """Take no more messages from a client that reads no outcomes."""
         assert self.connection is not None
-        self.connection.set_paused(full)  # who reads no outcomes is not asked for more messages
+        self.connection.set_paused(is_blocked)
 
     def on_ping_timeout(self) -> None:
+        """Leave a half-open connection."""
         assert self.connection is not None
-        self.connection.close(1001, "no pong")
+        self.connection.close(GOING_AWAY, "no pong")
         self.connection.abort()
 
     def send(self, text: str) -> bool:
-        """False: it may not have arrived."""
-        front = self.sessions.listener
-        peer = self.connection
-        if peer is None or not peer.send(text):
+        """Send a message; return False if it may not arrive."""
+        listener = self.sessions.listener
+        connection = self.connection
+        if connection is None or not connection.send(text):
             return False
-        if peer.unsent_bytes > front.settings.unread_bytes:
-            peer.fail(1008, "outcomes are not read")
+        if connection.unsent_bytes > listener.settings.unread_bytes:
+            connection.fail(POLICY_VIOLATION, "outcomes are not read")
         else:
-            front.on_write(peer)
+            listener.on_write(connection)
         return True
 
 
 class MessageSessions:
     """All sessions of message mode."""
 
-    def __init__(self, front: WebSocketListener) -> None:
-        self.listener = front
-        self.registry = front.registry
-
-    def start(self, talk: MessageConnection, resumed: bool, seen: int) -> None:
-        """The hello, and what a session that was resumed is owed."""
-        session = talk.session
-        self.registry.acknowledge(session, seen)
-        owed, lost = session.unacknowledged(seen)
-        talk.send(
-            message_framing.encode_hello(
-                session.token, resumed, self.listener.settings.resume_within, sorted(session.pending), lost
-            )
+    def __init__(self, listener: SessionHost) -> None:
+        self.listener = listener
+        self.registry = listener.registry
+
+    def start(self, connection: MessageConnection, resumed: bool, acknowledged: int) -> None:
+        """Send the hello, and the outcomes that a resumed session's client has not read."""
+        session = connection.session
+        self.registry.acknowledge(session, acknowledged)
+        outcomes, lost = session.unacknowledged(acknowledged)
+        resume_within = self.listener.settings.resume_within
+        connection.send(
+            message_framing.encode_hello(session.token, resumed, resume_within, sorted(session.pending), lost)
         )
-        for outcome in owed:
-            talk.send(outcome.text)
+        for outcome in outcomes:
+            connection.send(outcome.text)
 
-    def on_message(self, talk: MessageConnection, text: str) -> None:
-        """A whole message."""
-        settings = self.listener.settings
+    def on_message(self, connection: MessageConnection, text: str) -> None:
+        """Accept a message, or answer one that is a repeat or malformed."""
         now = time.monotonic()
         try:
-            call = message_framing.parse_message(text)
-        except message_framing.MalformedMessageError as fault:
-            talk.malformed_count += 1
-            talk.send(message_framing.encode_error(fault))
-            if talk.malformed_count >= MAX_MALFORMED_MESSAGES and talk.connection is not None:
-                talk.connection.fail(1008, "too many malformed messages")
+            message = message_framing.parse_message(text)
+        except message_framing.MalformedMessageError as error:
+            self._reject_malformed(connection, error)
             return
-        session = talk.session
-        if call.acknowledged >= 0:
-            self.registry.acknowledge(session, call.acknowledged)
-        taking, known = session.status_of(call.message_id)
-        if taking is MessageStatus.PENDING:
-            return  # its one outcome is still to come
+        session = connection.session
+        if message.acknowledged >= 0:
+            self.registry.acknowledge(session, message.acknowledged)
+        status, known = session.status_of(message.message_id)
+        if status is MessageStatus.PENDING:
+            return  # its only outcome is still to come
         if known is not None:
-            talk.send(known.text)
+            connection.send(known.text)
             return
-        reply = MessageResponseWriter(self, session, call.message_id)
-        session.pending[call.message_id] = reply
-        if not talk.bucket.take(now, settings.messages_per_s, settings.burst):
-            wait = talk.bucket.time_until_token(settings.messages_per_s)
-            self.settle(session, call.message_id, 429, b"too many messages\n", wait)
+        writer = MessageResponseWriter(self, session, message.message_id)
+        session.pending[message.message_id] = writer
+        self._admit(connection, writer, message, now)
+
+    def _reject_malformed(
+        self, connection: MessageConnection, error: message_framing.MalformedMessageError
+    ) -> None:
+        connection.malformed_count += 1
+        connection.send(message_framing.encode_error(error))
+        if connection.malformed_count >= MAX_MALFORMED_MESSAGES and connection.connection is not None:
+            connection.connection.fail(POLICY_VIOLATION, "too many malformed messages")
+
+    def _admit(
+        self,
+        connection: MessageConnection,
+        writer: MessageResponseWriter,
+        message: message_framing.ClientMessage,
+        now: float,
+    ) -> None:
+        """Dispatch a new message, within the limits of its session."""
+        settings = self.listener.settings
+        session = connection.session
+        message_id = message.message_id
+        if not connection.bucket.take(now, settings.messages_per_s, settings.burst):
+            wait = connection.bucket.time_until_token(settings.messages_per_s)
+            self.settle(session, message_id, TOO_MANY_REQUESTS, b"too many messages\n", wait)
         elif len(session.pending) > settings.open_messages:
-            self.settle(session, call.message_id, 429, b"too many messages without an outcome\n", 1.0)
+            text = b"too many messages without an outcome\n"
+            self.settle(session, message_id, TOO_MANY_REQUESTS, text, TOO_MANY_PENDING_RETRY_S)
         elif self.listener.is_draining:
-            self.settle(session, call.message_id, 503, b"this proxy is stopping\n", 0.0)
+            self.settle(session, message_id, SERVICE_UNAVAILABLE, b"this proxy is stopping\n", 0.0)
         else:
-            self._dispatch(reply, call, now)
+            self._dispatch(writer, message, now)
 
     def _dispatch(
-        self, reply: MessageResponseWriter, call: message_framing.ClientMessage, now: float
+        self, writer: MessageResponseWriter, message: message_framing.ClientMessage, now: float
     ) -> None:
-        """Hands it to the driver."""
-        driver = self.listener.dispatcher
-        session = reply.session
-        effect = driver.idempotency_by_class.get(call.class_name)
-        if effect is None:
-            self.settle(session, call.message_id, 404, b"no such class\n")
+        """Hand a message to the dispatcher as a request."""
+        session = writer.session
+        idempotency = self.listener.dispatcher.idempotency_by_class.get(message.class_name)
+        if idempotency is None:
+            self.settle(session, message.message_id, NOT_FOUND, b"no such class\n")
+            return
+        method = b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"
+        try:
+            request = self._request(session, message, method, now)
+        except BadRequestError as error:
+            self.settle(session, message.message_id, error.status_code, f"{error}\n".encode())
             return
-        most = driver.deadline_by_class[call.class_name]
-        budget = most if call.time_budget is None else min(call.time_budget, most)
-        get = effect is Idempotency.IDEMPOTENT
+        try:
+            writer.request_handle = self.listener.dispatcher.start_request(request, writer)
+        except Exception:  # noqa: BLE001 - one message must not end its session
+            self.listener.log_failure("a message could not be taken")
+            if message.message_id in session.pending:
+                self.settle(session, message.message_id, INTERNAL_SERVER_ERROR, b"internal error\n")
+
+    def _request(
+        self, session: MessageSession, message: message_framing.ClientMessage, method: bytes, now: float
+    ) -> Request:
+        """Build the request of a message.
+
+        Raises:
+            BadRequestError: it is none.
+        """
+        dispatcher = self.listener.dispatcher
+        deadline = dispatcher.deadline_by_class[message.class_name]
+        time_budget = deadline if message.time_budget is None else min(message.time_budget, deadline)
         headers = [
             (b"host", b"websocket"),
-            (b"x-call-id", call.message_id.encode()),
-            (b"x-budget", b"%dm" % max(1, int(budget * 1e3))),
+            (b"x-call-id", message.message_id.encode()),
+            (b"x-budget", b"%dm" % max(1, int(time_budget * message_framing.MILLISECONDS))),
         ]
         if session.tenant:
             headers.append((b"x-caller", session.tenant.encode("latin-1")))
-        if call.subject:
-            headers.append((b"cookie", b"sid=" + call.subject.encode()))
-        if call.idempotency_key:
-            headers.append((b"idempotency-key", call.idempotency_key.encode()))
-        if call.is_retry:
+        if message.subject:
+            headers.append((b"cookie", b"sid=" + message.subject.encode()))
+        if message.idempotency_key:
+            headers.append((b"idempotency-key", message.idempotency_key.encode()))
+        if message.is_retry:
             headers.append((b"x-again", b"1"))
-        try:
-            request: Request = parse_request(
-                b"GET" if get else b"POST",
-                f"/{call.class_name}{call.path}".encode(),
-                headers,
-                RequestBody.of(call.body),
-                now,
-                driver.idempotency_by_class,
-                driver.consumed_headers,
-            )
-        except BadRequestError as bad:
-            self.settle(session, call.message_id, bad.status_code, f"{bad}\n".encode())
-            return
-        try:
-            reply.request_handle = driver.start_request(request, reply)
-        except Exception:
-            self.listener.log_failure("a message could not be taken")
-            if call.message_id in session.pending:
-                self.settle(session, call.message_id, 500, b"internal error\n")
-
-    def settle(self, session: MessageSession, id: str, code: int, body: bytes, wait: float = 0.0) -> None:
-        """The one outcome of a message: told now, or kept for a client that comes back."""
-        n = session.settle(id)
-        text = message_framing.encode_outcome(n, id, code, body, wait)
-        short = (
-            text
-            if len(text) <= MAX_OUTCOME_BYTES
-            else message_framing.encode_outcome(n, id, code, b"", wait, is_body_dropped=True)
+        return parse_request(
+            method,
+            f"/{message.class_name}{message.path}".encode(),
+            headers,
+            RequestBody.of(message.body),
+            now,
+            dispatcher.idempotency_by_class,
+            dispatcher.consumed_headers,
         )
-        self.registry.store(session, Outcome(n, id, short))
-        talk = session.connection
-        if talk is not None:
-            talk.send(text)
-
-    def on_connection_closed(self, talk: MessageConnection, code: int) -> None:
-        """A connection's end is the session's, where the client says so; else it may come back."""
-        session = talk.session
-        if session.connection is not talk:
+
+    def settle(
+        self,
+        session: MessageSession,
+        message_id: str,
+        status_code: int,
+        body: bytes,
+        retry_after: float = 0.0,
+    ) -> None:
+        """Send the only outcome of a message, and store it for a client that resumes."""
+        number = session.settle(message_id)
+        text = message_framing.encode_outcome(number, message_id, status_code, body, retry_after)
+        stored = text
+        if len(text) > MAX_OUTCOME_BYTES:
+            stored = message_framing.encode_outcome(
+                number, message_id, status_code, b"", retry_after, is_body_dropped=True
+            )
+        self.registry.store(session, Outcome(number, message_id, stored))
+        connection = session.connection
+        if connection is not None:
+            connection.send(text)
+
+    def on_connection_closed(self, connection: MessageConnection, code: int) -> None:
+        """End the session where its client says so; else let the client come back."""
+        session = connection.session
+        if session.connection is not connection:
             return  # another connection has it by now
         if code in SESSION_END_CODES or self.listener.is_draining:
             self.end(session)
@@ -281,15 +348,17 @@
             self.registry.detach(session, time.monotonic())
 
     def end(self, session: MessageSession) -> None:
-        for reply in self.registry.end(session):
-            reply.cancel(self.listener.dispatcher)
+        """Remove a session, and cancel its pending messages."""
+        for writer in self.registry.end(session):
+            writer.cancel(self.listener.dispatcher)
 
     def sweep(self, now: float) -> None:
+        """End the sessions whose client has not come back in time."""
         for session in self.registry.expired(now, self.listener.settings.resume_within):
             self.end(session)
 
     def evict_detached(self) -> bool:
-        """For a new session, where one waits for nobody."""
+        """End the session that waits longest for its client; return whether there was one."""
         oldest = self.registry.oldest_detached()
         if oldest is not None:
             self.end(oldest)
--- a/service_proxy/websocket/permessage_deflate.py
+++ b/service_proxy/websocket/permessage_deflate.py
@@ -1,7 +1,7 @@
-"""permessage-deflate (RFC 7692) with its memory and its growth bounded: no state outlives a message.
+"""permessage-deflate (RFC 7692) with bounded memory and growth: no state outlives a message.
 
-Both sides' context is given up after each message, so that an idle session holds no window; what is unpacked
-may be so many times as long as what came, and no more.
+Both sides' context is given up after each message, so that an idle session holds no window; a decompressed
+message may be so many times as long as what was received, and no more.
 """
 
 from __future__ import annotations
@@ -13,24 +13,36 @@
 
 from service_proxy.websocket.frame_codec import NegotiatedExtension
 
-MIN_COMPRESSED_BYTES = 256  # bytes of a message below which packing costs more than it saves
-MIN_ALLOWED_BYTES = 16 * 1024  # bytes that any message may unpack to, whatever its ratio
+EXTENSION = "permessage-deflate"
+MIN_COMPRESSED_BYTES = 256  # of a message; to compress a shorter one costs more than it saves
+MIN_ALLOWED_BYTES = 16 * 1024  # to which any message may be decompressed, whatever its ratio
 EMPTY_BLOCK_TAIL = b"\x00\x00\xff\xff"  # what a sender leaves off (RFC 7692, 7.2.1)
-CHUNK_BYTES = 16 * 1024  # bytes that are unpacked at once
-# zlib has no raw window of 8
-MIN_WINDOW_BITS = 9
+CHUNK_BYTES = 16 * 1024  # that are decompressed at once
+MIN_OFFERED_BITS = 8  # of a window (RFC 7692, 7.1.2)
+MIN_WINDOW_BITS = 9  # zlib has no raw window of 8
 MAX_WINDOW_BITS = 15
+MAX_MEMORY_LEVEL = 8  # of zlib's compressor; a smaller window takes a smaller one
+BITS_BEYOND_LEVEL = 6  # by which the window's bits are more than that level
+PARAMETERS = frozenset(
+    (
+        b"server_no_context_takeover",
+        b"client_no_context_takeover",
+        b"server_max_window_bits",
+        b"client_max_window_bits",
+    )
+)
 
 
 @dataclass(frozen=True, slots=True)
 class DeflateParameters:
-    """What both sides agreed on. Windows in bits."""
+    """What both sides have agreed on."""
 
     client_window_bits: int
     server_window_bits: int
 
     def response_value(self) -> bytes:
-        text = "permessage-deflate; server_no_context_takeover; client_no_context_takeover"
+        """Return the value of Sec-WebSocket-Extensions in the response."""
+        text = f"{EXTENSION}; server_no_context_takeover; client_no_context_takeover"
         if self.server_window_bits < MAX_WINDOW_BITS:
             text += f"; server_max_window_bits={self.server_window_bits}"
         if self.client_window_bits < MAX_WINDOW_BITS:
@@ -39,113 +51,130 @@
 
 
 def negotiate(offers: bytes, max_window_bits: int) -> DeflateParameters | None:
-    """The first of the client's offers that can be taken with windows of at most `bits` (RFC 7692, 7.1);
-    None: none."""
+    """Return what the first acceptable offer of a client leads to (RFC 7692, 7.1); None: no offer is."""
     for offer in offers.split(b","):
-        name, *params = [part.strip() for part in offer.split(b";")]
-        if name != b"permessage-deflate":
+        name, *parts = [part.strip() for part in offer.split(b";")]
+        if name != EXTENSION.encode():
             continue
-        given: dict[bytes, bytes] = {}
-        good = True
-        for param in params:
-            key, _, value = param.partition(b"=")
-            key = key.strip()
-            value = value.strip().strip(b'"')
-            if key in given:
-                good = False
-            given[key] = value
-        known = {
-            b"server_no_context_takeover",
-            b"client_no_context_takeover",
-            b"server_max_window_bits",
-            b"client_max_window_bits",
-        }
-        if not good or not given.keys() <= known:
-            continue
-        server = _bits(given.get(b"server_max_window_bits", b"15"))
-        client = _bits(given.get(b"client_max_window_bits", b"") or b"15")
-        if server is None or client is None or server < MIN_WINDOW_BITS:
-            continue
-        if b"client_max_window_bits" not in given and max_window_bits < MAX_WINDOW_BITS:
-            continue  # it can't be told to use a smaller window, and one larger than agreed is not held
-        return DeflateParameters(
-            max(MIN_WINDOW_BITS, min(client, max_window_bits)), min(server, max_window_bits)
-        )
+        parameters = _parse_parameters(parts)
+        agreed = _accept_offer(parameters, max_window_bits) if parameters is not None else None
+        if agreed is not None:
+            return agreed
     return None
 
 
-def _bits(text: bytes) -> int | None:
-    return int(text) if text.isdigit() and len(text) <= 2 and 8 <= int(text) <= MAX_WINDOW_BITS else None
+def _parse_parameters(parts: list[bytes]) -> dict[bytes, bytes] | None:
+    """Return an offer's parameters; None if one is unknown or stands twice."""
+    parameters: dict[bytes, bytes] = {}
+    for part in parts:
+        name, _, value = part.partition(b"=")
+        name = name.strip()
+        if name in parameters or name not in PARAMETERS:
+            return None
+        parameters[name] = value.strip().strip(b'"')
+    return parameters
+
+
+def _accept_offer(parameters: dict[bytes, bytes], max_window_bits: int) -> DeflateParameters | None:
+    server = _window_bits(parameters.get(b"server_max_window_bits", b"15"))
+    client = _window_bits(parameters.get(b"client_max_window_bits", b"") or b"15")
+    if server is None or client is None or server < MIN_WINDOW_BITS:
+        return None
+    if b"client_max_window_bits" not in parameters and max_window_bits < MAX_WINDOW_BITS:
+        return None  # the client can't be told to use a smaller window, and a larger one is not held
+    client = max(MIN_WINDOW_BITS, min(client, max_window_bits))
+    return DeflateParameters(client, min(server, max_window_bits))
+
+
+def _window_bits(text: bytes) -> int | None:
+    is_short_number = text.isdigit() and len(text) <= len(str(MAX_WINDOW_BITS))
+    if not is_short_number or not MIN_OFFERED_BITS <= int(text) <= MAX_WINDOW_BITS:
+        return None
+    return int(text)
 
 
 class PerMessageDeflate(NegotiatedExtension):
-    """For one connection, on the server's side. wsproto calls it for each frame."""
+    """The extension of one connection, on the server's side; wsproto calls it for each frame.
+
+    Attributes:
+        decompressor: while a compressed message is received.
+        received_bytes, decompressed_bytes: of that message.
+        is_control_frame: the current frame is one.
+    """
 
-    name = "permessage-deflate"
+    name = EXTENSION
 
     def __init__(self, parameters: DeflateParameters, max_message_bytes: int, max_ratio: float) -> None:
-        """`most`: bytes of a message, unpacked; `ratio`: unpacked bytes for each that came."""
-        self.agreed = parameters
-        self.most = max_message_bytes
-        self.ratio = max_ratio
-        self.unpacker: zlib._Decompress | None = None  # while a packed message comes
-        # bytes of it
-        self.came = 0
-        self.made = 0
-        self.control = False  # the frame that comes now is a control frame
+        """`max_message_bytes`: of a decompressed message; `max_ratio`: decompressed to received bytes."""
+        self.parameters = parameters
+        self.max_message_bytes = max_message_bytes
+        self.max_ratio = max_ratio
+        self.decompressor: zlib._Decompress | None = None
+        self.received_bytes = 0
+        self.decompressed_bytes = 0
+        self.is_control_frame = False
 
     def frame_inbound_header(
-        self, proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, payload_length: int
+        self,
+        _proto: FrameDecoder | FrameProtocol,
+        opcode: Opcode,
+        rsv: RsvBits,
+        _payload_length: int,
     ) -> CloseReason | RsvBits:
-        self.control = opcode.iscontrol()
-        if rsv.rsv1 and (self.control or opcode is Opcode.CONTINUATION):
+        """Take note of a frame that starts a compressed message."""
+        self.is_control_frame = opcode.iscontrol()
+        if rsv.rsv1 and (self.is_control_frame or opcode is Opcode.CONTINUATION):
             return CloseReason.PROTOCOL_ERROR  # RFC 7692, 6.1: only on a message's first frame
         if rsv.rsv1:
-            self.unpacker = zlib.decompressobj(-self.agreed.client_window_bits)
-            self.came = 0
-            self.made = 0
+            self.decompressor = zlib.decompressobj(-self.parameters.client_window_bits)
+            self.received_bytes = 0
+            self.decompressed_bytes = 0
         return RsvBits(rsv.rsv1, False, False)
 
     def frame_inbound_payload_data(
-        self, proto: FrameDecoder | FrameProtocol, data: bytes
+        self, _proto: FrameDecoder | FrameProtocol, data: bytes
     ) -> bytes | CloseReason:
-        if self.unpacker is None or self.control:
+        """Decompress a part of a frame."""
+        if self.decompressor is None or self.is_control_frame:
             return data
-        self.came += len(data)
-        return self._unpacked(data)
+        self.received_bytes += len(data)
+        return self._decompress(self.decompressor, data)
 
-    def _unpacked(self, data: bytes) -> bytes | CloseReason:
-        assert self.unpacker is not None
+    def _decompress(self, decompressor: zlib._Decompress, data: bytes) -> bytes | CloseReason:
         parts = []
-        allowed = min(self.most, max(MIN_ALLOWED_BYTES, int(self.came * self.ratio)))
+        allowed = max(MIN_ALLOWED_BYTES, int(self.received_bytes * self.max_ratio))
+        allowed = min(self.max_message_bytes, allowed)
         try:
             while data:
-                part = self.unpacker.decompress(data, CHUNK_BYTES)
-                self.made += len(part)
-                if self.made > allowed:
+                part = decompressor.decompress(data, CHUNK_BYTES)
+                self.decompressed_bytes += len(part)
+                if self.decompressed_bytes > allowed:
                     return CloseReason.MESSAGE_TOO_BIG
                 parts.append(part)
-                data = self.unpacker.unconsumed_tail
+                data = decompressor.unconsumed_tail
         except zlib.error:
             return CloseReason.INVALID_FRAME_PAYLOAD_DATA
         return b"".join(parts)
 
     def frame_inbound_complete(
-        self, proto: FrameDecoder | FrameProtocol, fin: bool
+        self, _proto: FrameDecoder | FrameProtocol, fin: bool
     ) -> bytes | CloseReason | None:
-        if self.unpacker is None or self.control or not fin:
+        """Decompress the end of a message."""
+        if self.decompressor is None or self.is_control_frame or not fin:
             return None
-        last = self._unpacked(EMPTY_BLOCK_TAIL)
-        self.unpacker = None
-        return last
+        rest = self._decompress(self.decompressor, EMPTY_BLOCK_TAIL)
+        self.decompressor = None
+        return rest
 
     def frame_outbound(
-        self, proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, data: bytes, fin: bool
+        self, _proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, data: bytes, fin: bool
     ) -> tuple[RsvBits, bytes]:
-        whole = fin and opcode in (Opcode.TEXT, Opcode.BINARY)
-        if not whole or len(data) < MIN_COMPRESSED_BYTES:
+        """Compress a message that is sent in one frame and long enough."""
+        is_whole_message = fin and opcode in (Opcode.TEXT, Opcode.BINARY)
+        if not is_whole_message or len(data) < MIN_COMPRESSED_BYTES:
             return rsv, data
-        bits = self.agreed.server_window_bits
-        packer = zlib.compressobj(wbits=-bits, memLevel=min(8, bits - 6))
-        packed = packer.compress(data) + packer.flush(zlib.Z_SYNC_FLUSH)
-        return RsvBits(True, rsv.rsv2, rsv.rsv3), packed.removesuffix(EMPTY_BLOCK_TAIL)
+        bits = self.parameters.server_window_bits
+        level = min(MAX_MEMORY_LEVEL, bits - BITS_BEYOND_LEVEL)
+        compressor = zlib.compressobj(wbits=-bits, memLevel=level)
+        compressed = compressor.compress(data) + compressor.flush(zlib.Z_SYNC_FLUSH)
+        return RsvBits(True, rsv.rsv2, rsv.rsv3), compressed.removesuffix(EMPTY_BLOCK_TAIL)
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -1,7 +1,8 @@
-"""Tunnel mode: a session pinned to the node that the module picked; frames pass both ways with backpressure.
+"""Tunnel mode: a session pinned to the endpoint that the policy picked, with backpressure both ways.
 
-To the driver it is a request of a stream class whose answer is a 101; from then on the module knows that the
-stream has started, and at its end what came of it. Each side's frames are read, checked and written anew.
+To the dispatcher it is a request of a stream class whose answer is a 101; from then on the policy knows that
+the stream has started, and at its end what came of it. Each side's frames are decoded, checked and encoded
+anew.
 """
 
 from __future__ import annotations
@@ -10,54 +11,69 @@
 import os
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from service_proxy.net.upstream import ConnectionPool, UpstreamConnection
 from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.closing_handshake import ClosingState
-from service_proxy.websocket.connection import WebSocketConnection
+from service_proxy.websocket.connection import POLICY_VIOLATION, WebSocketConnection
 from service_proxy.websocket.frame_codec import ABNORMAL, FrameCodec, MessageFragment
-from service_proxy.websocket.opening_handshake import ClientHandshake, OpeningRequest
+from service_proxy.websocket.opening_handshake import KEY_BYTES, ClientHandshake, OpeningRequest
 from service_proxy.websocket.reconnect_spread import close_reason
+from service_proxy.websocket.session_host import SessionHost
 from service_proxy.websocket.session_limits import TokenBucket
 
-if TYPE_CHECKING:
-    from service_proxy.websocket.listener import WebSocketListener
-
-CLOSE_GRACE_S = 0.4  # s for a node's close frame when it must be left: rule 3 has 2 s for all
+CLOSE_GRACE_S = 0.4  # for an endpoint's close frame when it must be left: rule 3 has 2 s for all
+OK = 200
+BAD_GATEWAY = 502
+# Close codes.
+GOING_AWAY = 1001
+INTERNAL_ERROR = 1011
+SERVICE_RESTART = 1012
 
 
 class TunnelSide:
-    """One end of a tunnel: peer.Owner."""
+    """One end of a tunnel: connection.ConnectionOwner."""
 
     __slots__ = ("connection", "is_client", "tunnel")
 
-    def __init__(self, tunnel: Tunnel, client: bool) -> None:
+    def __init__(self, tunnel: Tunnel, is_client: bool) -> None:
         self.tunnel = tunnel
-        self.is_client = client
+        self.is_client = is_client
         self.connection: WebSocketConnection | None = None
 
-    def on_fragment(self, piece: MessageFragment) -> None:
-        self.tunnel.forward(self, piece)
+    def on_fragment(self, fragment: MessageFragment) -> None:
+        """Forward a part of a message."""
+        self.tunnel.forward(self, fragment)
 
     def on_closed(self, code: int, reason: str) -> None:
+        """Close the other side."""
         self.tunnel.on_side_closed(self, code, reason)
 
     def on_connection_lost(self) -> None:
+        """Take note that this side's connection has ended."""
         self.connection = None
         self.tunnel.on_side_lost(self)
 
-    def on_backpressure(self, full: bool) -> None:
+    def on_backpressure(self, is_blocked: bool) -> None:
+        """Read no more from the other side while this one's peer does not read."""
         other = self.tunnel.other(self).connection
         if other is not None and other.state is ClosingState.OPEN:
-            other.set_paused(full)
+            other.set_paused(is_blocked)
 
     def on_ping_timeout(self) -> None:
+        """Leave a half-open connection."""
         self.tunnel.on_ping_timeout(self)
 
 
 class Tunnel:
-    """net.downstream.ResponseWriter for the handshake, net.protocols.UpgradeNegotiation for its attempts."""
+    """net.downstream.ResponseWriter for the handshake, net.protocols.UpgradeNegotiation for its attempts.
+
+    Attributes:
+        downstream, opening, handshake: of the client's request, until the 101.
+        upstream_connection: to the endpoint, as the connection pool counts it.
+        notify_end: tells the policy the end, once.
+    """
 
     __slots__ = (
         "bucket",
@@ -74,44 +90,54 @@
     )
 
     def __init__(
-        self, front: WebSocketListener, connection: Any, opening: OpeningRequest, client: str, tenant: str
+        self, listener: SessionHost, downstream: Any, opening: OpeningRequest, client: str, tenant: str
     ) -> None:
-        self.listener = front
-        self.downstream: Any = connection  # these three until the 101
+        self.listener = listener
+        self.downstream: Any = downstream
         self.opening: OpeningRequest | None = opening
         self.client_address = client
         self.tenant = tenant
         self.handshake: ClientHandshake | None = ClientHandshake(opening.protocols)
-        self.client_side, self.endpoint_side = TunnelSide(self, True), TunnelSide(self, False)
-        self.upstream_connection: UpstreamConnection | None = (
-            None  # the node's connection, as the pool counts it
-        )
-        self.notify_end: Callable[[AttemptStatus], None] | None = None  # tells the module the end, once
-        self.bucket = TokenBucket(front.settings.burst, time.monotonic())
+        self.client_side = TunnelSide(self, is_client=True)
+        self.endpoint_side = TunnelSide(self, is_client=False)
+        self.upstream_connection: UpstreamConnection | None = None
+        self.notify_end: Callable[[AttemptStatus], None] | None = None
+        self.bucket = TokenBucket(listener.settings.burst, time.monotonic())
 
     @property
     def upstream(self) -> ConnectionPool | None:
+        """The endpoint's connection pool, while there is a connection."""
         return self.upstream_connection.pool if self.upstream_connection is not None else None
 
-    # before the 101
+    # net.downstream.ResponseWriter
+
     def respond(self, code: int, headers: Any, body: bytes) -> None:
-        """No node took it: the connection stays HTTP's, and ends, for what comes behind may be frames."""
+        """Reject the client's handshake: no endpoint took it.
+
+        The connection stays HTTP, and ends, for what comes behind may be frames.
+        """
         self.listener.remove_session(self.client_address, self.tenant)
-        self.downstream.respond(502 if code == 200 else code, headers, body)
+        self.downstream.respond(BAD_GATEWAY if code == OK else code, headers, body)
 
-    def stream(self, headers: Any, length: int | None, source: Any) -> None:
+    def stream(self, _headers: Any, _length: int | None, source: Any) -> None:
+        """Reject the client's handshake: the endpoint answered something else."""
         source.discard()
-        self.respond(502, (), b"the node answered with no WebSocket\n")
+        self.respond(BAD_GATEWAY, (), b"the node answered with no WebSocket\n")
+
+    # net.protocols.UpgradeNegotiation
 
     def request_headers(self) -> bytes:
+        """Return the header lines of the next attempt."""
         assert self.handshake is not None
-        return self.handshake.request_headers(os.urandom(16))
+        return self.handshake.request_headers(os.urandom(KEY_BYTES))
 
     def verify_response(self, headers: list[tuple[bytes, bytes]]) -> str | None:
+        """Return what is wrong with a 101; None: nothing."""
         assert self.handshake is not None
         return self.handshake.verify_response(headers)
 
     def client_disconnected(self) -> None:
+        """Take note that the client has left before the 101."""
         self.listener.remove_session(self.client_address, self.tenant)
 
     def upgraded(
@@ -121,102 +147,117 @@
         surplus: bytes,
         on_end: Callable[[AttemptStatus], None],
     ) -> None:
-        """A node has taken it: both ends are frames from here on."""
-        front = self.listener
+        """Start to forward: an endpoint has accepted the handshake."""
+        listener = self.listener
         transport = connection.transport
         opening = self.opening
         assert transport is not None
         assert opening is not None
         self.upstream_connection = connection
         self.notify_end = on_end
-        most = front.settings.message_bytes
         chosen = next((value for name, value in headers if name == b"sec-websocket-protocol"), b"")
-        node = WebSocketConnection(
-            transport, FrameCodec(True, most), self.endpoint_side, front.read_buffer, is_server=False
-        )
-        self.endpoint_side.connection = node
-        self.client_side.connection = front.accept_connection(
-            self.downstream, opening, chosen, self.client_side
+        codec = FrameCodec(True, listener.settings.message_bytes)
+        endpoint = WebSocketConnection(
+            transport, codec, self.endpoint_side, listener.read_buffer, is_server=False
         )
+        self.endpoint_side.connection = endpoint
+        client = listener.accept_connection(self.downstream, opening, chosen, self.client_side)
+        self.client_side.connection = client
         self.downstream = None
         self.opening = None
         self.handshake = None
-        front.add_tunnel(self)
-        node.receive_surplus(surplus)
+        listener.add_tunnel(self)
+        endpoint.receive_surplus(surplus)
+
+    # Frames.
 
-    # frames
     def other(self, side: TunnelSide) -> TunnelSide:
+        """Return the opposite side."""
         return self.endpoint_side if side is self.client_side else self.client_side
 
-    def forward(self, side: TunnelSide, piece: MessageFragment) -> None:
+    def forward(self, side: TunnelSide, fragment: MessageFragment) -> None:
+        """Send a part of a message to the other side, within the client's rate limit."""
         settings = self.listener.settings
-        whole = side.is_client and piece.is_last
-        if whole and not self.bucket.take(time.monotonic(), settings.messages_per_s, settings.burst):
+        is_client_message = side.is_client and fragment.is_last
+        if is_client_message and not self.bucket.take(
+            time.monotonic(), settings.messages_per_s, settings.burst
+        ):
             assert side.connection is not None
-            side.connection.fail(1008, "too many messages")
+            side.connection.fail(POLICY_VIOLATION, "too many messages")
             return
         other = self.other(side).connection
-        if other is not None and (piece.data or piece.is_last):
-            other.send(piece.data, piece.is_last)
+        if other is not None and (fragment.data or fragment.is_last):
+            other.send(fragment.data, fragment.is_last)
             self.listener.on_write(other)
 
-    # ends
-    def on_side_closed(self, side: TunnelSide, code: int, text: str) -> None:
-        """One end is over; the other is told why."""
+    # Closing.
+
+    def on_side_closed(self, side: TunnelSide, code: int, reason: str) -> None:
+        """Close the other side, and tell the policy what came of the stream."""
         if side.is_client:
-            if self.endpoint_side.connection is not None:
-                self.endpoint_side.connection.close(
-                    1001 if code == ABNORMAL else code, text if code != ABNORMAL else ""
-                )
+            self._close_endpoint(code, reason)
             self.report_end(AttemptStatus.OK)
+        else:
+            self._close_client(code, reason)
+            self.report_end(AttemptStatus.RESET if code == ABNORMAL else AttemptStatus.OK)
+
+    def _close_endpoint(self, code: int, reason: str) -> None:
+        endpoint = self.endpoint_side.connection
+        if endpoint is None:
             return
-        if self.client_side.connection is not None:
-            if code == ABNORMAL:  # the node is lost
-                self.client_side.connection.close(1012, close_reason(self.listener.spread.next_delay()))
-            elif (
-                self.endpoint_side.connection is not None
-                and self.endpoint_side.connection.has_violated_protocol
-            ):
-                self.client_side.connection.close(1011, "the node sent what can't be read")
-            else:
-                self.client_side.connection.close(code, text)
-        self.report_end(AttemptStatus.RESET if code == ABNORMAL else AttemptStatus.OK)
+        if code == ABNORMAL:
+            endpoint.close(GOING_AWAY, "")
+        else:
+            endpoint.close(code, reason)
+
+    def _close_client(self, code: int, reason: str) -> None:
+        client = self.client_side.connection
+        endpoint = self.endpoint_side.connection
+        if client is None:
+            return
+        if code == ABNORMAL:  # the endpoint is lost
+            client.close(SERVICE_RESTART, close_reason(self.listener.spread.next_delay()))
+        elif endpoint is not None and endpoint.has_violated_protocol:
+            client.close(INTERNAL_ERROR, "the node sent what can't be read")
+        else:
+            client.close(code, reason)
 
     def on_side_lost(self, side: TunnelSide) -> None:
+        """Take note that a side's connection has ended."""
         if side.is_client:
             self.listener.remove_session(self.client_address, self.tenant)
         elif self.upstream_connection is not None:
-            origin = self.upstream_connection
+            upstream_connection = self.upstream_connection
             self.upstream_connection = None
-            self.listener.remove_tunnel(self, origin.pool)
-            origin.connection_lost(None)
+            self.listener.remove_tunnel(self, upstream_connection.pool)
+            upstream_connection.connection_lost(None)
 
     def report_end(self, status: AttemptStatus) -> None:
-        over = self.notify_end
+        """Tell the policy the end of the stream, the first time."""
+        notify_end = self.notify_end
         self.notify_end = None
-        if over is not None:
-            over(status)
+        if notify_end is not None:
+            notify_end(status)
 
     def on_ping_timeout(self, side: TunnelSide) -> None:
-        """A half-open connection: it is left, and the other end is told."""
-        peer = side.connection
-        if peer is None:
+        """Leave a half-open connection, and close the other side."""
+        connection = side.connection
+        if connection is None:
             return
         if side.is_client:
-            peer.close(1001, "no pong")
+            connection.close(GOING_AWAY, "no pong")
         else:
             self.report_end(AttemptStatus.TIMEOUT)
             if self.client_side.connection is not None:
-                self.client_side.connection.close(1012, close_reason(self.listener.spread.next_delay()))
-        peer.abort()
+                reason = close_reason(self.listener.spread.next_delay())
+                self.client_side.connection.close(SERVICE_RESTART, reason)
+        connection.abort()
 
     def close_for_drain(self, code: int) -> None:
-        """The node drains, or this proxy does: nothing more to it, and its client is told when to come
-        back."""
+        """Close the tunnel, since its endpoint or this proxy drains; the client learns when to reconnect."""
         if self.client_side.connection is not None:
-            self.client_side.connection.close(
-                code, close_reason(self.listener.spread.next_delay())
-            )  # and so the node's, in ended()
-        node = self.endpoint_side.connection
-        if node is not None:
-            asyncio.get_running_loop().call_later(CLOSE_GRACE_S, node.abort)
+            # And with it the endpoint's side, in on_side_closed.
+            self.client_side.connection.close(code, close_reason(self.listener.spread.next_delay()))
+        endpoint = self.endpoint_side.connection
+        if endpoint is not None:
+            asyncio.get_running_loop().call_later(CLOSE_GRACE_S, endpoint.abort)
--- a/tests/websocket/test_front.py
+++ b/tests/websocket/test_front.py
@@ -74,7 +74,7 @@
 def test_a_session_that_has_too_much_unread_is_closed_and_told_nothing_more() -> None:
     peer = UnreadConnection()
     talks = MessageSessions.__new__(MessageSessions)
-    talks.listener = SimpleNamespace(  # type: ignore[assignment]
+    talks.listener = SimpleNamespace(
         settings=WebSocket(messages=("pantalla",), unread_bytes=1024), on_write=lambda peer: None
     )
     talk = MessageConnection(talks, MessageSession("t", ""), "127.0.0.1", 0.0)
