--- a/service_proxy/operator_file/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -47,7 +47,7 @@
         return f"{head}\n  help: {self.remedy}"
 
 
-class OperatorError(Exception):
+class OperatorError(ValueError):
     """The operator's file can't be used. `problems` has one entry or more, in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -177,7 +177,10 @@
     def _told(self, before: State, state: State, now: float) -> None:
         if state is before:
             return
-        log.warning("the application at %s: %s -> %s", self.sidecar.application, before.value, state.value)
+        address = self.sidecar.application
+        log.warning(
+            "application_state_changed address=%s before=%s after=%s", address, before.value, state.value
+        )
         self.changed.set()
         for held in self.admission.dismissed():
             self._refuse(held, b"the application is %s\n" % state.value.encode())
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -238,24 +238,21 @@
         new = read(wanted.file, wanted.environment)
         sidecar = choose(new, running.sidecar.host, running.sidecar.tier)
     except Refused as fault:
-        log.error("reload: %s; all stays as it was", one_line(fault.problems))
+        log.error("reload_rejected error=%s", one_line(fault.problems))
         return
     try:
         late = running.reload(new, sidecar)
     except OperatorError as fault:
-        log.error("reload: %s; all stays as it was", one_line(fault.problems))
+        log.error("reload_rejected error=%s", one_line(fault.problems))
         return
     if late:
         names = ", ".join(late[:MOST_SAID]) + (
             f" and {len(late) - MOST_SAID} more" if late[MOST_SAID:] else ""
         )
-        log.error(
-            "reload: %s: S109: %s can't change while it runs: start it anew; all stays as it was",
-            wanted.file,
-            names,
-        )
+        reason = f"{wanted.file}: S109: {names} can't change while it runs: start it anew"
+        log.error("reload_rejected error=%s", reason)
         return
-    log.info("reload: %s is in force", wanted.file)
+    log.info("reload_accepted file=%s", wanted.file)
 
 
 def said(running: Running) -> Iterator[str]:
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -280,8 +280,7 @@
             await until(lambda: not clients.open_requests, "the last answers")
             assert set(clients.status_codes) <= {200, 503}, clients.status_codes
             logs = "".join(program.log_file.read_text() for program in programs)
-            assert "left out of account" not in logs and "all stays as it was" not in logs
-            assert "reload_rejected" not in logs
+            assert "budget_header_ignored" not in logs and "reload_rejected" not in logs
             assert violations(chain) == []
 
     run(test())
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import json
 import subprocess
 import sys
 from pathlib import Path
 
 import pytest
 
+from harness.proxy_process import configuration
 from service_proxy.operator_file import OperatorError, load
 from service_proxy.operator_file.positions import find_positions
 
@@ -156,9 +158,11 @@
     assert operator.membership is not None and operator.registration is not None
 
 
-def program(*arguments: str) -> subprocess.CompletedProcess[str]:
+def program(*arguments: str, environ: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "service_proxy", *arguments]
-    return subprocess.run(command, cwd=ROOT, env={}, capture_output=True, text=True, timeout=60, check=False)
+    return subprocess.run(
+        command, cwd=ROOT, env=environ or {}, capture_output=True, text=True, timeout=60, check=False
+    )
 
 
 def test_a_bad_file_is_exit_2_before_the_configuration_is_even_read(tmp_path: Path) -> None:
@@ -169,6 +173,21 @@
     assert "EDGE_CONFIG" not in ended.stderr
 
 
+def test_a_key_file_that_can_not_be_used_is_exit_2_with_file_and_remedy(tmp_path: Path) -> None:
+    """The file that the operator's file names, read once the rest is known to be good."""
+    keys = tmp_path / "keys"
+    keys.touch(0o600)
+    keys.write_text("no key at all\n")
+    file = tmp_path / "operator.toml"
+    file.write_text(f'[budgets]\nkeys_file = "{keys}"\n')
+    raw = configuration("n0", "127.0.0.1:0", "127.0.0.1:1", [])
+    (tmp_path / "config.json").write_text(json.dumps(raw))
+    environ = {"EDGE_CONFIG": str(tmp_path / "config.json")}
+    ended = program("--operator", str(file), environ=environ)
+    assert ended.returncode == 2, ended.stderr
+    assert ended.stderr.startswith(f"{keys}:1:") and "Traceback" not in ended.stderr
+
+
 def test_help_names_what_it_needs_and_exits_0() -> None:
     ended = program("--help")
     assert ended.returncode == 0 and "EDGE_CONFIG" in ended.stdout and "--operator FILE" in ended.stdout
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -226,8 +226,11 @@
                 )
             ):
                 made.hang_up(bad)
-                line = await made.said("all stays as it was", number + 1)
-                assert line.startswith("ERROR service_proxy.sidecar: reload: ") and str(made.file) in line
+                line = await made.said("reload_rejected error=", number + 1)
+                assert (
+                    line.startswith("ERROR service_proxy.sidecar: reload_rejected error=")
+                    and str(made.file) in line
+                )
             said = made.log.read_text()
             assert said.count("ERROR") == 3 and "R202" in said and "C002" in said
             assert (
@@ -258,7 +261,7 @@
             assert "sidecar.0.inbound can't change" in await made.said("S109")
             new = good.replace(f'padron = "{made.ports.padron}"', f'padron = "{padron.address}"')
             made.hang_up(new.replace('tier = "portal"\n', 'tier = "portal"\nslots = 1\nwaiting = 0\n'))
-            await made.said("is in force")
+            await made.said("reload_accepted file=")
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while "from=7" not in await padron.polls.get():
                     pass
