--- /dev/null
+++ b/service_proxy/sidecar/call_graph.py
@@ -0,0 +1,40 @@
+"""Which tier calls which, over one description or several. Pure."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable
+
+from service_proxy.sidecar.model import Description
+
+# By tier, the tiers that it calls, each with the description that says so.
+CallGraph = dict[str, list[tuple[str, Description]]]
+
+
+def build_call_graph(descriptions: Iterable[Description]) -> CallGraph:
+    """Gather the calls of all descriptions."""
+    graph: CallGraph = defaultdict(list)
+    for description in descriptions:
+        for name, tier in description.tiers.items():
+            graph[name] += [(called, description) for called in tier.calls]
+    return graph
+
+
+def tiers_below(graph: CallGraph, start: str) -> set[str]:
+    """Find all tiers that a request to this one may reach."""
+    found: set[str] = set()
+    unvisited = [start]
+    while unvisited:
+        for called, _ in graph.get(unvisited.pop(), ()):
+            if called not in found:
+                found.add(called)
+                unvisited.append(called)
+    return found
+
+
+def call_depth(graph: CallGraph, name: str, seen: frozenset[str] = frozenset()) -> int:
+    """Count the tiers on the longest way down from this one, itself included; a ring is not followed."""
+    if name in seen:
+        return 0
+    further = [call_depth(graph, called, seen | {name}) for called, _ in graph.get(name, ())]
+    return 1 + max(further, default=0)
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -7,8 +7,8 @@
 from service_proxy.operator_file.positions import find_positions, place_of
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, read_text
 from service_proxy.operator_file.schema import TABLES as OPERATORS
-from service_proxy.sidecar import fleet
 from service_proxy.sidecar.description import Layers, load
+from service_proxy.sidecar.fleet_checks import check_fleet
 from service_proxy.sidecar.model import Description
 from service_proxy.sidecar.platform import Platform
 from service_proxy.sidecar.write import edited, written_here
@@ -42,7 +42,7 @@
         if description is not None:
             read.append((layers, description))
     by_file = {description.file: layers for layers, description in read}
-    for finding in fleet.check_fleet([description for _, description in read]):
+    for finding in check_fleet([description for _, description in read]):
         layers = by_file[finding.file]
         before = len(layers.problems)
         layers.add_problem(finding.path, finding.code, finding.text, finding.instead)
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -19,7 +19,7 @@
 from service_proxy.operator_file.reader import OperatorError, Problem, TableReader, read_text, suggest_name
 from service_proxy.operator_file.schema import Budgets
 from service_proxy.operator_file.value_checks import find_address_problem
-from service_proxy.sidecar import fleet
+from service_proxy.sidecar.description_checks import check_description
 from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
 
 MOST_FILES = 32  # of one description with all it includes
@@ -196,11 +196,46 @@
     layers.raw = walk(layers.raw, ())
 
 
+Tables = dict[str, dict[str, Any]]  # of a description: the entries of each table by name
+
+
 def build(layers: Layers) -> Description | None:
-    """The typed description; None where a problem keeps it from being one. Findings of the whole are
-    added.
+    """Return the typed description, or None where a problem keeps it from being one.
+
+    Findings of the whole are added to the layers' problems.
     """
     raw = layers.raw
+    top = _read_top(layers)
+    features = layers.read_table(Features, raw.get("features", {}), ("features",))
+    budgets = layers.read_table(Budgets, raw["budgets"], ("budgets",)) if "budgets" in raw else None
+    defaults = raw.get("defaults", {})
+    if layers.read_table(Route, defaults, ("defaults",)) is None:
+        defaults = {}
+    tables = _read_tables(layers, defaults)
+    _add_default_routes(layers, tables, defaults)
+    sidecars = list(_sidecars(layers, raw.get("sidecar", [])))
+    _check_membership_tables(layers, tables, sidecars)
+    if top is None or features is None or any(not problem.is_warning for problem in layers.problems):
+        return None
+    description = Description(
+        layers.file,
+        top,
+        tables["class"],
+        tables["route"],
+        tables["tier"],
+        tables["tenant"],
+        tuple(sidecars),
+        features,
+        budgets,
+    )
+    for finding in check_description(description):
+        layers.add_problem(finding.path, finding.code, finding.text, finding.instead)
+    return description
+
+
+def _read_top(layers: Layers) -> Top | None:
+    """Read the keys before the first table, and the format among them."""
+    raw = layers.raw
     top_names = {entry.name for entry in fields(Top)}
     known = top_names | set(TABLES) | {"budgets", "defaults", "features", "sidecar"}
     for name in raw.keys() - known:
@@ -208,18 +243,17 @@
     top = layers.read_table(Top, {name: raw[name] for name in raw.keys() & top_names}, ())
     if top is not None and top.format != FORMAT:
         instead = "run migrate" if top.format < FORMAT else f"write format = {FORMAT}"
-        layers.add_problem(
-            ("format",), "C005", f"format {top.format}, and this program reads {FORMAT}", instead
-        )
-    found: dict[str, dict[str, Any]] = {}
-    features = layers.read_table(Features, raw.get("features", {}), ("features",))
-    budgets = layers.read_table(Budgets, raw["budgets"], ("budgets",)) if "budgets" in raw else None
-    defaults = raw.get("defaults", {})
-    if layers.read_table(Route, defaults, ("defaults",)) is None:
-        defaults = {}
+        text = f"format {top.format}, and this program reads {FORMAT}"
+        layers.add_problem(("format",), "C005", text, instead)
+    return top
+
+
+def _read_tables(layers: Layers, defaults: dict[str, Any]) -> Tables:
+    """Read the tables with named entries; a route has the defaults where it says nothing."""
+    found: Tables = {}
     for table, cls in TABLES.items():
         found[table] = {}
-        entries = raw.get(table, {})
+        entries = layers.raw.get(table, {})
         if not isinstance(entries, dict):
             layers.add_problem((table,), "S104", f"{table} is no table", f"write a line [{table}.NAME]")
             continue
@@ -229,39 +263,33 @@
             value = layers.read_table(cls, entry, (table, name))
             if value is not None:
                 found[table][name] = value
-    for name in found["class"]:
-        if name not in found["route"] and name not in raw.get("route", {}):
-            value = layers.read_table(Route, defaults, ("defaults",))
-            if value is not None:
-                found["route"][name] = value
-                layers.origins.setdefault(("route", name), layers.origin(("class", name)))
-                for key in defaults:
-                    layers.origins.setdefault(("route", name, key), layers.origin(("defaults", key)))
-    sidecars = list(_sidecars(layers, raw.get("sidecar", [])))
-    for name, tier in found["tier"].items():
+    return found
+
+
+def _add_default_routes(layers: Layers, tables: Tables, defaults: dict[str, Any]) -> None:
+    """Give each class without a route one by the defaults, with their places."""
+    for name in tables["class"]:
+        if name in tables["route"] or name in layers.raw.get("route", {}):
+            continue
+        value = layers.read_table(Route, defaults, ("defaults",))
+        if value is None:
+            continue
+        tables["route"][name] = value
+        layers.origins.setdefault(("route", name), layers.origin(("class", name)))
+        for key in defaults:
+            layers.origins.setdefault(("route", name, key), layers.origin(("defaults", key)))
+
+
+def _check_membership_tables(layers: Layers, tables: Tables, sidecars: list[Sidecar]) -> None:
+    """Check what the tables of ephemeral nodes say of one another."""
+    for name, tier in tables["tier"].items():
         check_membership(layers, tier.membership, ("tier", name, "membership"))
     for number, sidecar in enumerate(sidecars):
-        if sidecar.registration is not None and sidecar.tier in found["tier"]:
-            at = ("tier", sidecar.tier, "membership")
-            membership = found["tier"][sidecar.tier].membership
-            here = ("sidecar", str(number), "registration")
-            check_registration(layers, membership, at, here)
-    if top is None or features is None or any(not problem.is_warning for problem in layers.problems):
-        return None
-    description = Description(
-        layers.file,
-        top,
-        found["class"],
-        found["route"],
-        found["tier"],
-        found["tenant"],
-        tuple(sidecars),
-        features,
-        budgets,
-    )
-    for finding in fleet.check(description):
-        layers.add_problem(finding.path, finding.code, finding.text, finding.instead)
-    return description
+        if sidecar.registration is not None and sidecar.tier in tables["tier"]:
+            membership_path = ("tier", sidecar.tier, "membership")
+            membership = tables["tier"][sidecar.tier].membership
+            registration_path = ("sidecar", str(number), "registration")
+            check_registration(layers, membership, membership_path, registration_path)
 
 
 def _sidecars(layers: Layers, entries: Any) -> Iterator[Sidecar]:
--- /dev/null
+++ b/service_proxy/sidecar/description_checks.py
@@ -0,0 +1,335 @@
+"""What holds within one description: findings with the path they belong to. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from service_proxy.deadlines.header import MAX_HOPS
+from service_proxy.deadlines.request_budget import covers_call_tree
+from service_proxy.net.limits import MIN_DESCRIPTORS, UPSTREAM_DESCRIPTOR_SHARE
+from service_proxy.operator_file.positions import Path
+from service_proxy.operator_file.schema import Budgets
+from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar.call_graph import build_call_graph, call_depth
+from service_proxy.sidecar.findings import Finding
+from service_proxy.sidecar.model import Description, Sidecar, Tier, name_fault
+
+RULES = {1: "R201", 2: "R202", 3: "R203", 4: "R204"}
+
+
+def check_description(description: Description) -> Iterator[Finding]:
+    """Yield all findings of one description that its types and ranges don't tell."""
+    yield from _check_names(description)
+    yield from _check_tier_references(description)
+    yield from _check_class_references(description)
+    for number, sidecar in enumerate(description.sidecars):
+        yield from _check_sidecar(description, ("sidecar", str(number)), sidecar)
+    yield from _check_classes(description)
+    yield from _check_rule_two(description)
+    yield from _check_tier_rules(description)
+    yield from _check_key_scopes(description)
+    yield from _check_tenants(description)
+    yield from _check_budgets(description)
+
+
+def _check_names(d: Description) -> Iterator[Finding]:
+    """Check the names of classes, tiers and tenants."""
+    for table, names in (("class", d.classes), ("tier", d.tiers), ("tenant", d.tenants)):
+        for name in names:
+            fault = name_fault(name)
+            if fault:
+                yield Finding(
+                    d.file, (table, name), "S108", f"the name {name!r} {fault}", "write it in ASCII"
+                )
+
+
+def _check_tier_references(d: Description) -> Iterator[Finding]:
+    """Check that tiers name classes and tiers that are described."""
+    for name, tier in d.tiers.items():
+        for cls in tier.classes:
+            if cls not in d.classes:
+                yield Finding(
+                    d.file,
+                    ("tier", name, "classes"),
+                    "F306",
+                    f"no class {cls} is described",
+                    f"add a table [class.{cls}], or take it out here",
+                )
+        for called in tier.calls:
+            if called not in d.tiers:
+                yield Finding(
+                    d.file,
+                    ("tier", name, "calls"),
+                    "F306",
+                    f"no tier {called} is described",
+                    f"add a table [tier.{called}], or take it out here",
+                )
+
+
+def _check_class_references(d: Description) -> Iterator[Finding]:
+    """Check that each class is served, and that each route is of a class."""
+    served = {cls for tier in d.tiers.values() for cls in tier.classes}
+    for cls in d.classes:
+        if d.tiers and cls not in served:
+            yield Finding(
+                d.file,
+                ("class", cls),
+                "F306",
+                f"no tier serves the class {cls}",
+                "name it in the `classes` of a tier",
+            )
+    for route in d.routes:
+        if route not in d.classes:
+            yield Finding(
+                d.file,
+                ("route", route),
+                "F306",
+                f"a route for {route}, which is no class",
+                f"add a table [class.{route}], or take the route out",
+            )
+
+
+def _check_sidecar(d: Description, path: Path, sidecar: Sidecar) -> Iterator[Finding]:
+    tier = d.tiers.get(sidecar.tier)
+    if tier is None:
+        yield Finding(
+            d.file,
+            (*path, "tier"),
+            "F306",
+            f"no tier {sidecar.tier} is described",
+            f"add a table [tier.{sidecar.tier}]",
+        )
+        return
+    yield from _check_place(d, path, sidecar, tier)
+    yield from _check_descriptors(d, path, sidecar)
+    yield from _check_outbound(d, path, sidecar, tier)
+
+
+def _check_place(d: Description, path: Path, sidecar: Sidecar, tier: Tier) -> Iterator[Finding]:
+    """Check its zone, and that there is a listener for each tier that its own calls."""
+    if sidecar.zone not in tier.zones:
+        yield Finding(
+            d.file,
+            (*path, "zone"),
+            "S107",
+            f"{sidecar.tier} has no servers in {sidecar.zone}",
+            "write one of " + ", ".join(tier.zones),
+        )
+    for called in tier.calls:
+        if called not in sidecar.outbound:
+            yield Finding(
+                d.file,
+                path,
+                "S103",
+                f"{sidecar.tier} calls {called}, and no listener is for it",
+                f'write {called} = "127.0.0.1:PORT" in its outbound',
+            )
+
+
+def _check_descriptors(d: Description, path: Path, sidecar: Sidecar) -> Iterator[Finding]:
+    """Check that its descriptors suffice for its listeners and slots."""
+    share = sidecar.sockets // (len(sidecar.outbound) + 1)
+    if share < MIN_DESCRIPTORS:
+        least = MIN_DESCRIPTORS * (len(sidecar.outbound) + 1)
+        yield Finding(
+            d.file,
+            (*path, "sockets"),
+            "S107",
+            f"{sidecar.sockets} descriptors leave {share} for each listener, which needs "
+            f"{MIN_DESCRIPTORS}",
+            f"write sockets = {least} or more",
+        )
+    most = int(share * UPSTREAM_DESCRIPTOR_SHARE)
+    if sidecar.slots > most:
+        yield Finding(
+            d.file,
+            (*path, "slots"),
+            "S107",
+            f"{sidecar.slots} calls at a time need as many connections to the application, and "
+            f"{sidecar.sockets} descriptors leave {most}",
+            f"write slots = {most}, or more sockets",
+        )
+
+
+def _check_outbound(d: Description, path: Path, sidecar: Sidecar, tier: Tier) -> Iterator[Finding]:
+    """Check that each outbound listener is for a tier that is called and can be found."""
+    for called in sidecar.outbound:
+        if called in d.tiers and not d.padron(called):
+            instead = f'write padron = "HOST:PORT" in [tier.{called}], or before the first table'
+            yield Finding(
+                d.file,
+                (*path, "outbound", called),
+                "S103",
+                f"nobody tells the nodes of {called}: there is no padron",
+                instead,
+            )
+        if called not in tier.calls:
+            yield Finding(
+                d.file,
+                (*path, "outbound", called),
+                "S107",
+                f"{sidecar.tier} never calls {called}",
+                f"take it out, or name {called} in the tier's `calls`",
+            )
+
+
+def _check_classes(d: Description) -> Iterator[Finding]:
+    """Check each class's own values against one another."""
+    for name, cls in d.classes.items():
+        if cls.aim > cls.deadline:
+            yield Finding(
+                d.file,
+                ("class", name, "aim"),
+                "S107",
+                "its aim lies behind its deadline",
+                f"write an aim of at most {cls.deadline:g} s",
+            )
+        if cls.effect == "by-key" and not cls.window:
+            yield Finding(
+                d.file,
+                ("class", name),
+                "S103",
+                "repeats are dropped by key, and not for how long",
+                'write window = "6s"',
+            )
+        if cls.effect != "by-key" and cls.window:
+            yield Finding(
+                d.file, ("class", name, "window"), "S107", f"{cls.effect} has no window", "take it out"
+            )
+
+
+def _check_rule_two(d: Description) -> Iterator[Finding]:
+    """Check that no route may have the effect of its class twice."""
+    for name, cls in d.classes.items():
+        route = d.routes.get(name)
+        if route is None:
+            continue
+        example = rulemodel.rule_two(name, cls, route)
+        if example is not None:
+            safe = {"repeatable": "always", "once": "never-ran", "by-key": "by-key"}[cls.effect]
+            key = "hedge" if "while one is out" in example.events[-1] else "retry"
+            instead = "write hedge = false" if key == "hedge" else f'write retry = "{safe}"'
+            if cls.effect == "by-key" and key == "retry":
+                instead += f', retry_within = "{cls.group}" and retry_for = "{cls.window:g}s" at most'
+            text = f"{name} may have its effect twice: {example}"
+            if key == "hedge":
+                text = f"{name} may have two attempts out: {example}"
+            yield Finding(d.file, ("route", name, key), RULES[2], text, instead)
+
+
+def _check_tier_rules(d: Description) -> Iterator[Finding]:
+    """Check rules 1, 3 and 4 by each tier's values."""
+    for tier_name, tier in d.tiers.items():
+        path = ("tier", tier_name)
+        slowest = max(
+            (name for name in tier.classes if name in d.classes),
+            key=lambda name: d.classes[name].deadline,
+            default=None,
+        )
+        if slowest is not None:
+            example = rulemodel.rule_one(slowest, d.classes[slowest], tier)
+            if example is not None:
+                yield Finding(
+                    d.file,
+                    (*path, "stop_after"),
+                    RULES[1],
+                    str(example),
+                    f'write stop_after = "{d.classes[slowest].deadline:g}s" or more',
+                )
+        example = rulemodel.rule_three(tier_name, tier)
+        if example is not None:
+            yield Finding(d.file, (*path, "drain"), RULES[3], str(example), 'write drain = "2s" or less')
+        example = rulemodel.rule_four(tier_name, tier)
+        if example is not None:
+            yield Finding(
+                d.file, (*path, "push"), RULES[4], str(example), f"write a push below {tier.survives:g}"
+            )
+
+
+def _check_key_scopes(d: Description) -> Iterator[Finding]:
+    """Check that a scope of keys means something in a tier."""
+    for name, tier in d.tiers.items():
+        for cls_name in tier.classes:
+            cls = d.classes.get(cls_name)
+            if cls and cls.effect == "by-key" and cls.group == "zone" and len(tier.zones) == 1:
+                yield Finding(
+                    d.file,
+                    ("class", cls_name, "group"),
+                    "F308",
+                    f"{name} has one zone, and {cls_name} is dropped by zone",
+                    'write group = "all", or add the other zones',
+                )
+
+
+def _check_tenants(d: Description) -> Iterator[Finding]:
+    """Check that the tenants' shares add up to 1 at most."""
+    total = sum(tenant.share for tenant in d.tenants.values())
+    if total > 1.0 + 1e-9:
+        last = list(d.tenants)[-1]
+        yield Finding(
+            d.file,
+            ("tenant", last, "share"),
+            "F305",
+            f"the shares add up to {total:.0%}",
+            f"write at most {max(0.0, 1 - total + d.tenants[last].share):.2g} here",
+        )
+
+
+def _check_budgets(d: Description) -> Iterator[Finding]:
+    budgets = d.budgets
+    if budgets is None:
+        return
+    if budgets.attempts > d.top.attempts_over_tiers:
+        yield Finding(
+            d.file,
+            ("budgets", "attempts"),
+            "S107",
+            f"a tree of calls may have {budgets.attempts} attempts, and attempts_over_tiers says "
+            f"{d.top.attempts_over_tiers}",
+            f"write {d.top.attempts_over_tiers} or fewer",
+        )
+    yield from _check_attempts_of_tree(d, budgets)
+    yield from _check_edge(d, budgets)
+
+
+def _check_attempts_of_tree(d: Description, budgets: Budgets) -> Iterator[Finding]:
+    """Check that the attempts of a tree reach each of its calls, and its hops the deepest tier."""
+    longest = max((call_depth(build_call_graph([d]), name) for name in d.tiers), default=1)
+    each = max((route.attempts for route in d.routes.values()), default=1)
+    if longest <= MAX_HOPS and not covers_call_tree(
+        budgets.attempts, longest, budgets.calls_per_request, each
+    ):
+        enough = budgets.attempts
+        while not covers_call_tree(enough, longest, budgets.calls_per_request, each):
+            enough *= 2
+        yield Finding(
+            d.file,
+            ("budgets", "attempts"),
+            "S107",
+            f"{budgets.attempts} attempts don't reach every call of {longest} tiers that make "
+            f"{budgets.calls_per_request} calls each",
+            f"write up to {enough}, or fewer calls_per_request",
+        )
+    if longest > MAX_HOPS:
+        yield Finding(
+            d.file,
+            ("budgets",),
+            "S107",
+            f"{longest} tiers, and a budget passes {MAX_HOPS}",
+            "call fewer tiers one below another",
+        )
+
+
+def _check_edge(d: Description, budgets: Budgets) -> Iterator[Finding]:
+    """Check that nothing behind an application calls itself the edge."""
+    for sidecar in d.sidecars:
+        if budgets.edge and sidecar.outbound:
+            yield Finding(
+                d.file,
+                ("budgets", "edge"),
+                "S107",
+                f"{sidecar.tier} on {sidecar.host} stands behind an application: with edge = true "
+                "its calls would begin anew",
+                "leave it out; it is for the proxy before the first tier",
+            )
+            return
--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from service_proxy.operator_file.reader import Problem
-from service_proxy.sidecar.model import Description, Route, Sidecar
+from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier
 from service_proxy.sidecar.toml import table
 
 MARK = "written"
@@ -75,29 +75,10 @@
 
 
 def platform(description: Description, sidecar: Sidecar, called: str) -> dict[str, Any]:
-    """The platform's configuration (DEPLOY) of the sidecar's proxy towards one tier."""
+    """Return the platform's configuration (DEPLOY) of the sidecar's proxy towards one tier."""
     tier = description.tiers[called]
     names = [name for name in tier.classes if name in description.classes]
     routes = {name: description.routes.get(name, Route()) for name in names}
-    order = list(description.tiers)
-    grades = []
-    for name in names:
-        cls = description.classes[name]
-        route = routes[name]
-        effect = TREATMENTS[route.retry]
-        grade: dict[str, Any] = {
-            "name": name,
-            "value": cls.worth,
-            "objective": cls.aim,
-            "deadline": cls.deadline,
-            "effect": effect,
-        }
-        grade["attempts"] = 1 if route.retry == "never" else route.attempts
-        if effect == "by_key":
-            grade |= {"group": route.retry_within, "window": min(route.retry_for, cls.window)}
-        grades.append(grade)
-    number, sidecars = number_of(description, sidecar, called)
-    features = description.features
     return {
         "name": f"{sidecar.host}-{sidecar.tier}-{called}",
         "listen": sidecar.outbound[called],
@@ -105,42 +86,78 @@
         "seed": hashlib.sha256(f"{sidecar.host} {sidecar.tier} {called}".encode()).hexdigest()[:16],
         "forms": {name: FORMS[description.classes[name].effect] for name in names},
         "limits": {"memory_mb": sidecar.memory_mb, "sockets": sidecar.sockets},
-        "settings": {
-            "balancers": sidecars,
-            "me": number,
-            "stage": order.index(called),
-            "stages": order,
-            "zone": sidecar.zone,
-            "dcs": list(tier.zones),
-            "discovery": "ask",
-            "quantum": QUANTUM,
-            "grades": grades,
-            "tenants": [
-                {"name": name, "quota_rps": tenant.quota_per_s, "portion": tenant.share}
-                for name, tenant in description.tenants.items()
-            ],
-            "report": {"names": ["busy_reqs", "pending"], "via": REPORTS[features.load_reports]},
-            "policy_limits": {
-                "send_cap": max((route.attempts for route in routes.values()), default=1),
-                "may_duplicate": False,
-                "may_cancel": features.cancel,
-                "probes": features.probes,
-                "most_held": MOST_HELD,
-                "conn_idle": CONN_IDLE,
-                "connect_timeout": CONNECT_TIMEOUT,
-                "retry_after": features.retry_after,
-                "max_retry_after": 2.0,
-            },
-            "contract": {
-                "must_ask_in": 10.0,
-                "grace_to_answer": 0.02,
-                "drain_grace": tier.drain,
-                "cold_from": tier.cold_from,
-                "cold": tier.cold_for,
-                "fall_multiple": tier.push,
-                "overload_for": 3.0,
-            },
-        },
+        "settings": _platform_settings(description, sidecar, called, routes),
+    }
+
+
+def _platform_settings(
+    description: Description, sidecar: Sidecar, called: str, routes: dict[str, Route]
+) -> dict[str, Any]:
+    """Return the `settings` of the platform's configuration."""
+    tier = description.tiers[called]
+    order = list(description.tiers)
+    number, sidecars = number_of(description, sidecar, called)
+    features = description.features
+    max_attempts = max((route.attempts for route in routes.values()), default=1)
+    return {
+        "balancers": sidecars,
+        "me": number,
+        "stage": order.index(called),
+        "stages": order,
+        "zone": sidecar.zone,
+        "dcs": list(tier.zones),
+        "discovery": "ask",
+        "quantum": QUANTUM,
+        "grades": [_grade(name, description.classes[name], route) for name, route in routes.items()],
+        "tenants": [
+            {"name": name, "quota_rps": tenant.quota_per_s, "portion": tenant.share}
+            for name, tenant in description.tenants.items()
+        ],
+        "report": {"names": ["busy_reqs", "pending"], "via": REPORTS[features.load_reports]},
+        "policy_limits": _policy_limits(features, max_attempts),
+        "contract": _contract(tier),
+    }
+
+
+def _grade(name: str, cls: Class, route: Route) -> dict[str, Any]:
+    """Return one entry of the settings' `grades`: a class as its route treats it."""
+    effect = TREATMENTS[route.retry]
+    grade: dict[str, Any] = {
+        "name": name,
+        "value": cls.worth,
+        "objective": cls.aim,
+        "deadline": cls.deadline,
+        "effect": effect,
+    }
+    grade["attempts"] = 1 if route.retry == "never" else route.attempts
+    if effect == "by_key":
+        grade |= {"group": route.retry_within, "window": min(route.retry_for, cls.window)}
+    return grade
+
+
+def _policy_limits(features: Features, max_attempts: int) -> dict[str, Any]:
+    return {
+        "send_cap": max_attempts,
+        "may_duplicate": False,
+        "may_cancel": features.cancel,
+        "probes": features.probes,
+        "most_held": MOST_HELD,
+        "conn_idle": CONN_IDLE,
+        "connect_timeout": CONNECT_TIMEOUT,
+        "retry_after": features.retry_after,
+        "max_retry_after": 2.0,
+    }
+
+
+def _contract(tier: Tier) -> dict[str, Any]:
+    return {
+        "must_ask_in": 10.0,
+        "grace_to_answer": 0.02,
+        "drain_grace": tier.drain,
+        "cold_from": tier.cold_from,
+        "cold": tier.cold_for,
+        "fall_multiple": tier.push,
+        "overload_for": 3.0,
     }
 
 
--- /dev/null
+++ b/tests/test_shape.py
@@ -0,0 +1,49 @@
+"""Modules are read in one sitting: under 500 lines, functions under 40."""
+
+from __future__ import annotations
+
+import ast
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+FOLDERS = ("service_proxy", "granitepoint", "harness", "benchmarks")
+MAX_MODULE_LINES = 500
+MAX_FUNCTION_LINES = 40
+# What is longer, each with its reason; an entry that is no longer needed fails the test.
+LONG_MODULES: dict[str, str] = {}
+LONG_FUNCTIONS: dict[str, str] = {}
+
+
+def modules() -> list[Path]:
+    return [file for folder in FOLDERS for file in sorted((ROOT / folder).rglob("*.py"))]
+
+
+def name_of(file: Path) -> str:
+    return str(file.relative_to(ROOT))
+
+
+def long_functions(file: Path) -> list[str]:
+    found = []
+
+    def look(node: ast.AST, prefix: str) -> None:
+        for child in ast.iter_child_nodes(node):
+            if isinstance(child, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
+                name = f"{prefix}{child.name}"
+                is_function = not isinstance(child, ast.ClassDef)
+                if is_function and (child.end_lineno or 0) - child.lineno + 1 > MAX_FUNCTION_LINES:
+                    found.append(f"{name_of(file)}:{name}")
+                look(child, f"{name}.")
+            else:
+                look(child, prefix)
+
+    look(ast.parse(file.read_text(encoding="utf-8")), "")
+    return found
+
+
+def test_modules_are_read_in_one_sitting() -> None:
+    long = {name_of(file) for file in modules() if file.read_text("utf-8").count("\n") > MAX_MODULE_LINES}
+    assert long == set(LONG_MODULES)
+
+
+def test_functions_are_short() -> None:
+    assert {name for file in modules() for name in long_functions(file)} == set(LONG_FUNCTIONS)
