--- a/service_proxy/sidecar/__main__.py
+++ b/service_proxy/sidecar/__main__.py
@@ -27,7 +27,7 @@
 from service_proxy.operator_file.reader import OperatorError, Problem, read_text
 from service_proxy.sidecar import explain, report
 from service_proxy.sidecar.checking import check, code_of
-from service_proxy.sidecar.description import Layers, load
+from service_proxy.sidecar.description import LayeredReader, load
 from service_proxy.sidecar.migrate import migrate
 from service_proxy.sidecar.model import Description
 from service_proxy.sidecar.write import replace_file, write
@@ -153,7 +153,7 @@
 
 def _read(arguments: argparse.Namespace) -> int:
     """Show or compare; also descriptions that break a rule, since the question may be why."""
-    read: list[tuple[Layers, Description]] = []
+    read: list[tuple[LayeredReader, Description]] = []
     for file in arguments.files:
         try:
             layers, description = load(file, arguments.environment)
--- a/service_proxy/sidecar/admission.py
+++ b/service_proxy/sidecar/admission.py
@@ -12,13 +12,13 @@
 from typing import Generic, TypeVar
 
 # s of Retry-After: for an application that is down, that is busy
-SLOWEST_ADVICE = 1.0
-QUICKEST_ADVICE = 0.05
-EASE = 0.1  # weight of the newest call's time in the mean
+MAX_RETRY_AFTER_S = 1.0
+MIN_RETRY_AFTER_S = 0.05
+LATENCY_SMOOTHING = 0.1  # weight of the newest call's time in the mean
 SILENCES = 2  # probes one after another without an answer that make an application slow
 
 
-class State(Enum):
+class ApplicationState(Enum):
     """What is known of the application."""
 
     STARTING = "starting"  # has not said yet that it can work
@@ -29,7 +29,7 @@
     DOWN = "down"  # nobody listens
 
 
-class Heard(Enum):
+class ApplicationSignal(Enum):
     """What a probe or a call showed."""
 
     HEALTHY = "healthy"  # a probe was answered with 2xx
@@ -39,9 +39,9 @@
     BROKEN = "broken"  # a connection ended under a call or a probe
 
 
-S = State
-H = Heard
-TABLE: dict[State, dict[Heard, State]] = {
+S = ApplicationState
+H = ApplicationSignal
+TRANSITIONS: dict[ApplicationState, dict[ApplicationSignal, ApplicationState]] = {
     S.STARTING: {
         H.HEALTHY: S.UP,
         H.UNHEALTHY: S.STARTING,
@@ -73,130 +73,162 @@
     },
     S.DOWN: {H.HEALTHY: S.UP, H.UNHEALTHY: S.DOWN, H.SILENT: S.DOWN, H.REFUSED: S.DOWN, H.BROKEN: S.DOWN},
 }
-TAKING = frozenset((State.UP, State.SUSPECT))  # in which the application is given calls
+ACCEPTING_STATES = frozenset(
+    (ApplicationState.UP, ApplicationState.SUSPECT)
+)  # in which the application is given calls
 
 
-class Verdict(Enum):
-    BEGIN = "begin"  # give it to the application now
-    WAIT = "wait"
-    REFUSE = "refuse"
+class AdmissionDecision(Enum):
+    """What becomes of a new request."""
+
+    START = "begin"  # give it to the application now
+    QUEUE = "wait"
+    REJECT = "refuse"
 
 
 T = TypeVar("T")
 
 
 @dataclass(slots=True)
-class Waiting(Generic[T]):
-    call: T
-    worth: float
-    due: float
+class QueuedRequest(Generic[T]):
+    """A request that waits for a slot."""
+
+    request: T
+    priority_weight: float
+    deadline: float
 
 
-class Admission(Generic[T]):
-    """For one application. `T`: a call, as its holder names it; each is begun, refused or left once."""
+class ApplicationAdmission(Generic[T]):
+    """Admission for one application; each request is started, rejected or removed once."""
 
-    def __init__(self, slots: int, waiting: int, cold_from: float, cold_for: float, warm_up: bool) -> None:
+    def __init__(
+        self,
+        slots: int,
+        max_queued: int,
+        slow_start_initial_share: float,
+        slow_start_window: float,
+        warm_up: bool,
+    ) -> None:
         self.slots = slots
-        self.most_waiting = waiting
-        self.cold_from = cold_from
-        self.cold_for = cold_for if warm_up else 0.0
-        self.state = State.STARTING
+        self.max_queued = max_queued
+        self.slow_start_initial_share = slow_start_initial_share
+        self.slow_start_window = slow_start_window if warm_up else 0.0
+        self.state = ApplicationState.STARTING
         self.draining = False
-        self.out = 0  # calls that the application has
-        self.queue: list[Waiting[T]] = []  # the longest waiting first
-        self.mean = QUICKEST_ADVICE  # s that a call takes lately
-        self.warm_from = float("-inf")  # when it last began anew
-        self.seen_down = False  # while it was starting: then it is younger than this sidecar
-        self.unexplained = False  # all its connections broke at once: it may have begun anew unseen
+        self.in_flight = 0  # calls that the application has
+        self.queue: list[QueuedRequest[T]] = []  # the longest waiting first
+        self.mean_latency = MIN_RETRY_AFTER_S  # s that a call takes lately
+        self.warming_up_since = float("-inf")  # when it last began anew
+        self.was_down_while_starting = False  # while it was starting: then it is younger than this sidecar
+        self.all_connections_broke = False  # all its connections broke at once: it may have begun anew unseen
 
     # the application
-    def heard(self, what: Heard, now: float) -> State:
-        """The state after it. A restart begins a warm-up."""
+    def on_signal(self, signal: ApplicationSignal, now: float) -> ApplicationState:
+        """Take in what a health check or a request showed; return the state after it.
+
+        A restart of the application begins its slow start.
+        """
         before = self.state
-        self.state = TABLE[before][what]
-        if before is State.STARTING and what is Heard.REFUSED:
-            self.seen_down = True
-        if self.state is State.UP and before is not State.UP:
-            anew = before is State.DOWN or self.unexplained or (before is State.STARTING and self.seen_down)
+        self.state = TRANSITIONS[before][signal]
+        if before is ApplicationState.STARTING and signal is ApplicationSignal.REFUSED:
+            self.was_down_while_starting = True
+        if self.state is ApplicationState.UP and before is not ApplicationState.UP:
+            anew = (
+                before is ApplicationState.DOWN
+                or self.all_connections_broke
+                or (before is ApplicationState.STARTING and self.was_down_while_starting)
+            )
             if anew:
-                self.warm_from = now
-            self.unexplained = False
+                self.warming_up_since = now
+            self.all_connections_broke = False
         return self.state
 
-    def broke(self, survivors: int, now: float) -> State:
-        """A connection to it ended under a call, and so many others stand. Where none does, a process may
-        have ended and another begun between two probes."""
+    def on_connection_broken(self, survivors: int, now: float) -> ApplicationState:
+        """Take in that a connection ended under a request, while `survivors` others stand.
+
+        Where none does, a process may have ended and another begun between two health checks.
+        """
         if not survivors:
-            self.unexplained = True
-        return self.heard(Heard.BROKEN, now)
+            self.all_connections_broke = True
+        return self.on_signal(ApplicationSignal.BROKEN, now)
 
     @property
-    def taking(self) -> bool:
-        return self.state in TAKING and not self.draining
+    def is_accepting(self) -> bool:
+        """Whether new requests are welcome."""
+        return self.state in ACCEPTING_STATES and not self.draining
 
-    def room(self, now: float) -> int:
-        """Calls that it may have at a time now: at least one, or it never showed that it is well."""
-        if self.cold_for <= 0.0:
+    def concurrency_limit(self, now: float) -> int:
+        """Return the requests that it may have at a time: one at least, to show that it is well."""
+        if self.slow_start_window <= 0.0:
             return self.slots
-        warm = min(1.0, max(0.0, (now - self.warm_from) / self.cold_for))
-        return max(1, int(self.slots * (self.cold_from + (1.0 - self.cold_from) * warm)))
+        warm = min(1.0, max(0.0, (now - self.warming_up_since) / self.slow_start_window))
+        return max(
+            1,
+            int(self.slots * (self.slow_start_initial_share + (1.0 - self.slow_start_initial_share) * warm)),
+        )
 
     # calls
-    def offer(self, call: T, worth: float, due: float, now: float) -> tuple[Verdict, T | None]:
-        """What becomes of a new call, and of another that gives up its place in the queue to it, if any:
-        that one was never begun, so refusing it is harmless."""
-        if self.state not in TAKING:
-            return Verdict.REFUSE, None
-        if not self.queue and self.out < self.room(now):
-            self.out += 1
-            return Verdict.BEGIN, None
-        yields = None
-        if len(self.queue) >= self.most_waiting:
-            least = min(self.queue, key=lambda waiting: waiting.worth, default=None)
-            if least is None or least.worth >= worth:
-                return Verdict.REFUSE, None
-            self.queue.remove(least)
-            yields = least.call
-        self.queue.append(Waiting(call, worth, due))
-        return Verdict.WAIT, yields
-
-    def ended(self, took: float | None, now: float) -> None:
-        """The application no longer has a call; it took so long, or never got it (None)."""
-        self.out -= 1
-        if took is not None:
-            self.mean += EASE * (took - self.mean)
-
-    def following(self, now: float) -> T | None:
-        """The next call to begin, if there is room for one. Whose time is up is not begun: its holder's
-        timer refuses it."""
-        if self.state not in TAKING:
+    def offer(
+        self, request: T, priority_weight: float, deadline: float, now: float
+    ) -> tuple[AdmissionDecision, T | None]:
+        """Decide on a new request; return another that gives up its place in the queue to it, if any.
+
+        That one was never started, so rejecting it is harmless.
+        """
+        if self.state not in ACCEPTING_STATES:
+            return AdmissionDecision.REJECT, None
+        if not self.queue and self.in_flight < self.concurrency_limit(now):
+            self.in_flight += 1
+            return AdmissionDecision.START, None
+        displaced = None
+        if len(self.queue) >= self.max_queued:
+            lowest = min(self.queue, key=lambda waiting: waiting.priority_weight, default=None)
+            if lowest is None or lowest.priority_weight >= priority_weight:
+                return AdmissionDecision.REJECT, None
+            self.queue.remove(lowest)
+            displaced = lowest.request
+        self.queue.append(QueuedRequest(request, priority_weight, deadline))
+        return AdmissionDecision.QUEUE, displaced
+
+    def on_request_end(self, latency: float | None) -> None:
+        """Release a slot; `latency` is None where the application never had the request."""
+        self.in_flight -= 1
+        if latency is not None:
+            self.mean_latency += LATENCY_SMOOTHING * (latency - self.mean_latency)
+
+    def next_request(self, now: float) -> T | None:
+        """Return the next request to start, if there is a slot for one.
+
+        One whose time is up is not started: its deadline timer rejects it.
+        """
+        if self.state not in ACCEPTING_STATES:
             return None
-        while self.queue and self.out < self.room(now):
+        while self.queue and self.in_flight < self.concurrency_limit(now):
             waiting = self.queue.pop(0)
-            if waiting.due > now:
-                self.out += 1
-                return waiting.call
+            if waiting.deadline > now:
+                self.in_flight += 1
+                return waiting.request
         return None
 
-    def left(self, call: T) -> bool:
-        """A call that waits no longer; whether it did."""
+    def remove_queued(self, request: T) -> bool:
+        """Remove a request that waits no longer; return whether it was queued."""
         for place, waiting in enumerate(self.queue):
-            if waiting.call is call:
+            if waiting.request is request:
                 del self.queue[place]
                 return True
         return False
 
-    def dismissed(self) -> list[T]:
-        """All that wait for an application that takes nothing any more: to be refused at once."""
-        if self.state in TAKING:
+    def take_rejected(self) -> list[T]:
+        """Empty the queue of an application that accepts nothing any more: all of it is rejected at once."""
+        if self.state in ACCEPTING_STATES:
             return []
-        calls = [waiting.call for waiting in self.queue]
+        calls = [waiting.request for waiting in self.queue]
         self.queue.clear()
         return calls
 
-    def advice(self, now: float) -> float:
-        """s after which to come again: when what waits has been served, or when it may be up again."""
-        if self.state not in TAKING:
-            return SLOWEST_ADVICE
-        wait = self.mean * (len(self.queue) + 1) / self.room(now)
-        return min(SLOWEST_ADVICE, max(QUICKEST_ADVICE, wait))
+    def retry_after(self, now: float) -> float:
+        """Return the seconds after which to retry: when the queue is served, or it may be up again."""
+        if self.state not in ACCEPTING_STATES:
+            return MAX_RETRY_AFTER_S
+        wait = self.mean_latency * (len(self.queue) + 1) / self.concurrency_limit(now)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -7,11 +7,11 @@
 from service_proxy.operator_file.positions import find_positions, place_of
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, read_text
 from service_proxy.operator_file.schema import TABLES as OPERATORS
-from service_proxy.sidecar.description import Layers, load
+from service_proxy.sidecar.description import LayeredReader, load
 from service_proxy.sidecar.fleet_checks import check_fleet
 from service_proxy.sidecar.model import Description
 from service_proxy.sidecar.platform import Platform
-from service_proxy.sidecar.write import edited, written_here
+from service_proxy.sidecar.write import has_digest, was_edited
 
 UNREADABLE = ("C001",)
 
@@ -19,7 +19,7 @@
 def check(files: list[str], environment: str) -> list[Problem]:
     """All findings of all files, and of all of them as one fleet."""
     problems: list[Problem] = []
-    read: list[tuple[Layers, Description]] = []
+    read: list[tuple[LayeredReader, Description]] = []
     platforms: list[Platform] = []
     operators: list[Operator] = []
     for file in files:
@@ -101,12 +101,12 @@
                 )
             ]
         ) from None
-    if not written_here(content, file):
+    if not has_digest(content, file):
         if file.endswith(".service"):
             text = "is no unit of this tool's: it has no digest at its head"
             return [Problem(file, 1, "C008", text, "name one that `write` made")]
         return []
-    if not edited(content, file):
+    if not was_edited(content, file):
         return []
     instead = "put the change into the description, and write it anew"
     return [Problem(file, 1, "C008", "was edited by hand since it was written", instead)]
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -22,19 +22,21 @@
 from service_proxy.sidecar.description_checks import check_description
 from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
 
-MOST_FILES = 32  # of one description with all it includes
-MOST_DEPTH = 32  # of tables within tables; the format has 4
+MAX_FILES = 32  # of one description with all it includes
+MAX_DEPTH = 32  # of tables within tables; the format has 4
 VARIABLE = re.compile(r"\$\{([^}]*)\}")
 ODD_NUMBER = re.compile(r"=\s*(0[xob][0-9a-fA-F_]+)")
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
+    """Where a value comes from."""
+
     file: str
     place: Place
 
 
-class Layers(TableReader):
+class LayeredReader(TableReader):
     """A reader of several files laid over one another."""
 
     def __init__(self, file: str) -> None:
@@ -43,17 +45,20 @@
         self.origins: dict[Path, Origin] = {(): Origin(file, Place(1, 1))}
 
     def add_problem(self, path: Path, code: str, text: str, instead: str) -> None:
+        """Add a problem at the place that the path's value comes from."""
         origin = self.origin(path)
         self.problems.append(
             Problem(origin.file, origin.place.line, code, text, instead, origin.place.column)
         )
 
     def origin(self, path: Path) -> Origin:
+        """Return where a value comes from, or the table that it would be in."""
         while path not in self.origins:
             path = path[:-1]
         return self.origins[path]
 
-    def lay(self, file: str, text: str, raw: Mapping[str, Any]) -> None:
+    def add_layer(self, file: str, text: str, raw: Mapping[str, Any]) -> None:
+        """Lay a file over those before it."""
         places = find_positions(text)
         self._merge(self.raw, raw, (), file, places)
 
@@ -80,18 +85,22 @@
 
 
 def overlay_of(file: str, environment: str) -> str:
+    """Return the name of the environment's overlay."""
     path = FilePath(file)
     return str(path.with_name(f"{path.stem}.{environment}{path.suffix}"))
 
 
 def load(
     file: str, environment: str = "", environ: Mapping[str, str] = os.environ
-) -> tuple[Layers, Description | None]:
-    """The layers with all problems found, and the description where it can be built. Raises OperatorError
-    where a file can't be read at all."""
-    layers = Layers(file)
+) -> tuple[LayeredReader, Description | None]:
+    """Read a description with all that belongs to it.
+
+    Return the layers with all problems found, and the description where it can be built. Raises OperatorError
+    where a file can't be read at all.
+    """
+    layers = LayeredReader(file)
     for name, (text, raw) in _files(layers, file).items():
-        _depth(name, raw)
+        _check_depth(name, raw)
         for number, line in enumerate(text.splitlines(), 1):
             odd = ODD_NUMBER.search(line.split("#", 1)[0])
             if odd:
@@ -104,17 +113,17 @@
                     odd.start(1) + 1,
                 )
                 layers.problems.append(problem)
-        layers.lay(name, text, raw)
+        layers.add_layer(name, text, raw)
     if environment:
         name = overlay_of(file, environment)
         text, raw = read_text(name)
-        _depth(name, raw)
-        layers.lay(name, text, raw)
+        _check_depth(name, raw)
+        layers.add_layer(name, text, raw)
     _fill(layers, environ)
     return layers, build(layers)
 
 
-def _files(layers: Layers, file: str) -> dict[str, tuple[str, dict[str, Any]]]:
+def _files(layers: LayeredReader, file: str) -> dict[str, tuple[str, dict[str, Any]]]:
     """The included files, then the file itself: text and TOML of each, read once."""
     found: dict[str, tuple[str, dict[str, Any]]] = {}
     root = FilePath(file).resolve().parent
@@ -136,8 +145,8 @@
                 )
             elif str(path) in (*way, name):
                 layers.add_problem(("include",), "C006", f"{entry} includes itself", "take it out")
-            elif len(found) >= MOST_FILES:
-                layers.add_problem(("include",), "C006", f"more than {MOST_FILES} files", "include fewer")
+            elif len(found) >= MAX_FILES:
+                layers.add_problem(("include",), "C006", f"more than {MAX_FILES} files", "include fewer")
                 return
             elif not path.is_file():
                 layers.add_problem(
@@ -151,14 +160,14 @@
     return found
 
 
-def _depth(file: str, raw: object) -> None:
+def _check_depth(file: str, raw: object) -> None:
     """Tables and lists within one another; without recursion, since the depth is the question."""
     level: list[object] = [raw]
-    for _ in range(MOST_DEPTH):
+    for _ in range(MAX_DEPTH):
         level = [item for entry in level for item in _inner(entry)]
         if not level:
             return
-    raise OperatorError([Problem(file, 1, "C003", f"nested deeper than {MOST_DEPTH}", "flatten it")])
+    raise OperatorError([Problem(file, 1, "C003", f"nested deeper than {MAX_DEPTH}", "flatten it")])
 
 
 def _inner(entry: object) -> list[object]:
@@ -167,7 +176,7 @@
     return list(entry) if isinstance(entry, list) else []
 
 
-def _fill(layers: Layers, environ: Mapping[str, str]) -> None:
+def _fill(layers: LayeredReader, environ: Mapping[str, str]) -> None:
     declared = layers.raw.get("variables", [])
     names = set(declared) if isinstance(declared, list) else set()
 
@@ -199,7 +208,7 @@
 Tables = dict[str, dict[str, Any]]  # of a description: the entries of each table by name
 
 
-def build(layers: Layers) -> Description | None:
+def build(layers: LayeredReader) -> Description | None:
     """Return the typed description, or None where a problem keeps it from being one.
 
     Findings of the whole are added to the layers' problems.
@@ -233,7 +242,7 @@
     return description
 
 
-def _read_top(layers: Layers) -> Top | None:
+def _read_top(layers: LayeredReader) -> Top | None:
     """Read the keys before the first table, and the format among them."""
     raw = layers.raw
     top_names = {entry.name for entry in fields(Top)}
@@ -248,7 +257,7 @@
     return top
 
 
-def _read_tables(layers: Layers, defaults: dict[str, Any]) -> Tables:
+def _read_tables(layers: LayeredReader, defaults: dict[str, Any]) -> Tables:
     """Read the tables with named entries; a route has the defaults where it says nothing."""
     found: Tables = {}
     for table, cls in TABLES.items():
@@ -266,7 +275,7 @@
     return found
 
 
-def _add_default_routes(layers: Layers, tables: Tables, defaults: dict[str, Any]) -> None:
+def _add_default_routes(layers: LayeredReader, tables: Tables, defaults: dict[str, Any]) -> None:
     """Give each class without a route one by the defaults, with their places."""
     for name in tables["class"]:
         if name in tables["route"] or name in layers.raw.get("route", {}):
@@ -280,7 +289,7 @@
             layers.origins.setdefault(("route", name, key), layers.origin(("defaults", key)))
 
 
-def _check_membership_tables(layers: Layers, tables: Tables, sidecars: list[Sidecar]) -> None:
+def _check_membership_tables(layers: LayeredReader, tables: Tables, sidecars: list[Sidecar]) -> None:
     """Check what the tables of ephemeral nodes say of one another."""
     for name, tier in tables["tier"].items():
         check_membership(layers, tier.membership, ("tier", name, "membership"))
@@ -292,7 +301,7 @@
             check_registration(layers, membership, membership_path, registration_path)
 
 
-def _sidecars(layers: Layers, entries: Any) -> Iterator[Sidecar]:
+def _sidecars(layers: LayeredReader, entries: Any) -> Iterator[Sidecar]:
     if not isinstance(entries, list):
         layers.add_problem(("sidecar",), "S104", "sidecar is no array of tables", "write a line [[sidecar]]")
         return
@@ -317,4 +326,4 @@
             yield value
 
 
-__all__ = ["Class", "Layers", "Origin", "build", "load", "overlay_of"]
+__all__ = ["Class", "LayeredReader", "Origin", "build", "load", "overlay_of"]
--- a/service_proxy/sidecar/description_checks.py
+++ b/service_proxy/sidecar/description_checks.py
@@ -9,10 +9,10 @@
 from service_proxy.net.limits import MIN_DESCRIPTORS, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.operator_file.positions import Path
 from service_proxy.operator_file.schema import Budgets
-from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar import rule_model
 from service_proxy.sidecar.call_graph import build_call_graph, call_depth
 from service_proxy.sidecar.findings import Finding
-from service_proxy.sidecar.model import Description, Sidecar, Tier, name_fault
+from service_proxy.sidecar.model import Description, Sidecar, Tier, find_name_problem
 
 RULES = {1: "R201", 2: "R202", 3: "R203", 4: "R204"}
 
@@ -36,7 +36,7 @@
     """Check the names of classes, tiers and tenants."""
     for table, names in (("class", d.classes), ("tier", d.tiers), ("tenant", d.tenants)):
         for name in names:
-            fault = name_fault(name)
+            fault = find_name_problem(name)
             if fault:
                 yield Finding(
                     d.file, (table, name), "S108", f"the name {name!r} {fault}", "write it in ASCII"
@@ -204,7 +204,7 @@
         route = d.routes.get(name)
         if route is None:
             continue
-        example = rulemodel.rule_two(name, cls, route)
+        example = rule_model.rule_two(name, cls, route)
         if example is not None:
             safe = {"repeatable": "always", "once": "never-ran", "by-key": "by-key"}[cls.effect]
             key = "hedge" if "while one is out" in example.events[-1] else "retry"
@@ -227,7 +227,7 @@
             default=None,
         )
         if slowest is not None:
-            example = rulemodel.rule_one(slowest, d.classes[slowest], tier)
+            example = rule_model.rule_one(slowest, d.classes[slowest], tier)
             if example is not None:
                 yield Finding(
                     d.file,
@@ -236,10 +236,10 @@
                     str(example),
                     f'write stop_after = "{d.classes[slowest].deadline:g}s" or more',
                 )
-        example = rulemodel.rule_three(tier_name, tier)
+        example = rule_model.rule_three(tier_name, tier)
         if example is not None:
             yield Finding(d.file, (*path, "drain"), RULES[3], str(example), 'write drain = "2s" or less')
-        example = rulemodel.rule_four(tier_name, tier)
+        example = rule_model.rule_four(tier_name, tier)
         if example is not None:
             yield Finding(
                 d.file, (*path, "push"), RULES[4], str(example), f"write a push below {tier.survives:g}"
--- a/service_proxy/sidecar/explain.py
+++ b/service_proxy/sidecar/explain.py
@@ -1,6 +1,4 @@
-"""What a description means: its schema, its effective values with their origins, and what a change does.
-Pure.
-"""
+"""What a description means: its schema, effective values with their origins, what a change does. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +8,7 @@
 
 from service_proxy.operator_file.reader import Duration
 from service_proxy.operator_file.schema import Budgets
-from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar import rule_model
 from service_proxy.sidecar.model import NAME, TABLES, Class, Description, Features, Route, Sidecar, Tier, Top
 
 KINDS: dict[type, dict[str, Any]] = {
@@ -114,6 +112,7 @@
 
 
 def tier_behaviour(tier: Tier) -> dict[str, Any]:
+    """Return what a tier's values mean for its requests."""
     return {
         "new calls after a drain was told": f"for {tier.drain:g} s",
         "killed after SIGTERM": f"{tier.stop_after:g} s",
@@ -137,15 +136,15 @@
         before = behaviour(old.classes[name], old.routes[name])
         after = behaviour(new.classes[name], new.routes[name])
         yield from _changed(name, before, after)
-        example = rulemodel.rule_two(name, new.classes[name], new.routes[name])
-        if example is not None and rulemodel.rule_two(name, old.classes[name], old.routes[name]) is None:
+        example = rule_model.rule_two(name, new.classes[name], new.routes[name])
+        if example is not None and rule_model.rule_two(name, old.classes[name], old.routes[name]) is None:
             yield f"{name}: breaks rule 2: {example}"
     for name in sorted(old.tiers.keys() | new.tiers.keys()):
         if name not in new.tiers or name not in old.tiers:
             yield f"tier {name}: {'gone' if name in old.tiers else 'new'}"
             continue
         yield from _changed(f"tier {name}", tier_behaviour(old.tiers[name]), tier_behaviour(new.tiers[name]))
-        for rule, judge in ((3, rulemodel.rule_three), (4, rulemodel.rule_four)):
+        for rule, judge in ((3, rule_model.rule_three), (4, rule_model.rule_four)):
             if judge(name, new.tiers[name]) and not judge(name, old.tiers[name]):
                 yield f"tier {name}: breaks rule {rule}: {judge(name, new.tiers[name])}"
 
--- a/service_proxy/sidecar/fleet_checks.py
+++ b/service_proxy/sidecar/fleet_checks.py
@@ -71,9 +71,7 @@
 
 
 def _check_same_classes(descriptions: list[Description]) -> Iterator[Finding]:
-    """One class has one effect, group and window everywhere; an inner tier gives no more time than an
-    outer.
-    """
+    """Check that a class has one idempotency and one deadline everywhere."""
     first: dict[str, Description] = {}
     for d in descriptions:
         for name, cls in d.classes.items():
@@ -122,8 +120,9 @@
 
 
 def _check_key_windows(descriptions: list[Description]) -> Iterator[Finding]:
-    """An outer tier sends a keyed call again for as long as its route allows; each time its application calls
-    the inner tier with the same key, whose nodes must still know it then.
+    """Check that inner tiers remember keys for as long as an outer one may send them again.
+
+    Each time the outer application sends its request to the inner tier with the same key.
     """
     calls = build_call_graph(descriptions)
     told = set()
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -14,6 +14,7 @@
 from service_proxy.net.downstream import HttpServer, LocalResponse, Request, ResponseWriter
 from service_proxy.net.endpoint_list import Endpoint, EndpointList, parse_address
 from service_proxy.net.header_fields import HOP_BY_HOP
+from service_proxy.net.http_status import OK
 from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.net.request_filters import (
     HeaderFields,
@@ -25,51 +26,68 @@
 )
 from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
 from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, EndpointEntry, Idempotency
-from service_proxy.sidecar.admission import TAKING, Admission, Heard, State, Verdict
+from service_proxy.sidecar.admission import (
+    ACCEPTING_STATES,
+    AdmissionDecision,
+    ApplicationAdmission,
+    ApplicationSignal,
+    ApplicationState,
+)
 from service_proxy.sidecar.model import Description, Sidecar
 
 log = logging.getLogger(__name__)
 
-PROBE_EVERY = 0.5  # s between probes of an application that is well
-PROBE_SOON = 0.05  # s between probes of one that is not known to be
-PROBE_TIMEOUT = 0.4  # s; a slow application is known within PROBE_EVERY and two of these
-CONNECT_TIMEOUT = 0.25  # s
-PROBES = 2  # connections beside those of calls: a probe, and the last one's while it ends
-IDLE = 4.0  # s for which a connection to the application is kept without use
-MARGIN = 0.01  # s before its caller gives up at which an answer leaves at the latest
-REJECTED = ((b"x-rejected", b"1"),)
-DROPPED = HOP_BY_HOP | {b"x-load-report"}  # the load is what this sidecar holds
-EFFECTS = {
+HEALTH_CHECK_INTERVAL_S = 0.5  # between health checks of an application that is well
+FAST_HEALTH_CHECK_INTERVAL_S = 0.05  # between those of one that is not known to be
+HEALTH_CHECK_TIMEOUT_S = 0.4  # a slow application is known within an interval and two of these
+CONNECT_TIMEOUT_S = 0.25
+HEALTH_CHECK_CONNECTIONS = 2  # beside those of requests: a check's, and the last one's while it ends
+IDLE_TIMEOUT_S = 4.0  # for which an idle connection to the application is kept
+DEADLINE_MARGIN_S = 0.01  # before its client gives up, by which a response leaves
+REJECTED_HEADERS = ((b"x-rejected", b"1"),)
+REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report"}  # its own load report is what counts
+IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by-key": Idempotency.IDEMPOTENT_WITH_KEY,
     "once": Idempotency.NOT_IDEMPOTENT,
 }
-APPLICATION = 1  # its number among the upstreams, which are one
+FIRST_REDIRECTION = 300  # status codes from here on are no success
+APPLICATION_ENDPOINT_ID = 1  # its number among the upstreams, which are one
 
 
-def probe_of(sidecar: Sidecar) -> bytes:
+def format_health_check(sidecar: Sidecar) -> bytes:
+    """Write the health check's request."""
     lines = f"GET {sidecar.health} HTTP/1.1", f"Host: {sidecar.application}", "", ""
     return "\r\n".join(lines).encode()
 
 
-class Held:
-    """A call that was taken and is owed its answer."""
+class InboundRequest:
+    """A request that was taken and is owed its response."""
 
-    __slots__ = ("began", "due", "exchange", "open", "reply", "request", "tickets", "timer")
+    __slots__ = (
+        "attempt",
+        "deadline",
+        "deadline_timer",
+        "filter_states",
+        "is_open",
+        "request",
+        "started_at",
+        "writer",
+    )
 
     def __init__(self, request: Request, reply: ResponseWriter, due: float) -> None:
         self.request = request
-        self.reply = reply
-        self.due = due
-        self.open = True
-        self.began = 0.0
-        self.exchange: UpstreamAttempt | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.tickets: list[RequestFilterState] = []
+        self.writer = reply
+        self.deadline = due
+        self.is_open = True
+        self.started_at = 0.0
+        self.attempt: UpstreamAttempt | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.filter_states: list[RequestFilterState] = []
 
 
-class Inbound:
-    """net.downstream.RequestHandler for the application of one [[sidecar]]."""
+class InboundListener:
+    """The listener before the application of one [[sidecar]]; the handler of its HTTP server."""
 
     def __init__(
         self,
@@ -80,303 +98,340 @@
         filters: tuple[RequestFilter, ...] = (),
     ) -> None:
         self.filters = filters
-        self.takes = headers_consumed_by(filters)
-        self.dropped = DROPPED | self.takes
+        self.consumed_headers = headers_consumed_by(filters)
+        self.removed_response_headers = REMOVED_RESPONSE_HEADERS | self.consumed_headers
         self.loop = asyncio.get_running_loop()
         self.sidecar = sidecar
         tier = description.tiers[sidecar.tier]
         self.classes = {name: description.classes[name] for name in tier.classes}
-        self.advise = description.features.retry_after
-        self.admission: Admission[Held] = Admission(
+        self.sends_retry_after = description.features.retry_after
+        self.admission: ApplicationAdmission[InboundRequest] = ApplicationAdmission(
             sidecar.slots, sidecar.waiting, tier.cold_from, tier.cold_for, description.features.warm_up
         )
-        self.upstreams = UpstreamCluster(
-            CONNECT_TIMEOUT, IDLE, int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + PROBES
+        self.cluster = UpstreamCluster(
+            CONNECT_TIMEOUT_S,
+            IDLE_TIMEOUT_S,
+            int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + HEALTH_CHECK_CONNECTIONS,
         )
         at = parse_address(sidecar.application)
-        self.upstreams.apply_endpoint_list(
-            EndpointList(0, True, [Endpoint(at, EndpointEntry(APPLICATION), "application")])
+        self.cluster.apply_endpoint_list(
+            EndpointList(0, True, [Endpoint(at, EndpointEntry(APPLICATION_ENDPOINT_ID), "application")])
         )
-        self.application = self.upstreams.pools[APPLICATION]
-        self.probe_request = probe_of(sidecar)
-        self.held: dict[bytes, Held] = {}  # by X-Call-Id, until the application is done with it, too
-        self.owed = 0  # answers
-        self.stopped = 0  # calls that nobody waits for and whose slots are held
-        self.closed = False  # takes nothing any more
+        self.application_pool = self.cluster.pools[APPLICATION_ENDPOINT_ID]
+        self.health_check_request = format_health_check(sidecar)
+        self.requests: dict[
+            bytes, InboundRequest
+        ] = {}  # by X-Call-Id, until the application is done with it, too
+        self.unanswered = 0  # answers
+        self.abandoned = 0  # calls that nobody waits for and whose slots are held
+        self.is_closed = False  # takes nothing any more
         self.end_by = float("inf")
-        self.probing: asyncio.TimerHandle | None = None
-        self.probe_out = False
-        self.changed = asyncio.Event()  # the application's state has changed
-        pages = {b"/healthz": self._health, b"/load": self._load}
-        effects = {name: EFFECTS[cls.effect] for name, cls in self.classes.items()}
-        self.server = HttpServer(effects, self, sockets, memory_mb, pages, REJECTED, self.takes)
+        self.health_check_timer: asyncio.TimerHandle | None = None
+        self.health_check_in_flight = False
+        self.state_changed = asyncio.Event()  # the application's state has changed
+        pages = {b"/healthz": self._health_response, b"/load": self._load_response}
+        effects = {name: IDEMPOTENCY_BY_EFFECT[cls.effect] for name, cls in self.classes.items()}
+        self.server = HttpServer(
+            effects, self, sockets, memory_mb, pages, REJECTED_HEADERS, self.consumed_headers
+        )
 
     async def start(self) -> None:
-        """Raises OSError where it can't listen."""
-        self._probe()
+        """Check the application and listen. Raises OSError where it can't listen."""
+        self._check_health()
         await self.server.listen(*parse_address(self.sidecar.inbound))
 
     def stop(self) -> None:
-        if self.probing is not None:
-            self.probing.cancel()
+        """End the health checks."""
+        if self.health_check_timer is not None:
+            self.health_check_timer.cancel()
 
     # what it says of itself
-    def _health(self) -> LocalResponse:
+    def _health_response(self) -> LocalResponse:
         state = self.admission.state
-        if self.admission.taking:
+        if self.admission.is_accepting:
             return LocalResponse(200, b"ok\n")
         return LocalResponse(
-            503, b"draining\n" if state in TAKING else b"the application is %s\n" % state.value.encode()
+            503,
+            b"draining\n" if state in ACCEPTING_STATES else b"the application is %s\n" % state.value.encode(),
         )
 
-    def _load(self) -> LocalResponse:
-        out = self.admission.out
+    def _load_response(self) -> LocalResponse:
+        out = self.admission.in_flight
         queue = len(self.admission.queue)
         return LocalResponse(
-            200 if self.admission.taking else 503, b"inflight=%d,queue=%d\n" % (out + queue, queue)
+            200 if self.admission.is_accepting else 503, b"inflight=%d,queue=%d\n" % (out + queue, queue)
         )
 
     # the application
-    def _probe(self) -> None:
-        self.probing = None
-        if self.probe_out:
+    def _check_health(self) -> None:
+        self.health_check_timer = None
+        if self.health_check_in_flight:
             return
-        self.probe_out = True
+        self.health_check_in_flight = True
         exchange = UpstreamAttempt(
-            self.application, self.probe_request, PROBE_TIMEOUT, lambda: True, self._probed
+            self.application_pool,
+            self.health_check_request,
+            HEALTH_CHECK_TIMEOUT_S,
+            lambda: True,
+            self._on_health_check_end,
         )
-        if self.admission.state is not State.UP:
-            self.application.close_idle()  # a connection that still stands says nothing of who listens now
-        self.upstreams.start_attempt(exchange)
+        if self.admission.state is not ApplicationState.UP:
+            # A connection that still stands says nothing of who listens now.
+            self.application_pool.close_idle()
+        self.cluster.start_attempt(exchange)
 
-    def _probed(self, exchange: UpstreamAttempt) -> None:
-        self.probe_out = False
+    def _on_health_check_end(self, exchange: UpstreamAttempt) -> None:
+        self.health_check_in_flight = False
         status = exchange.status
         if status is AttemptStatus.CONNECT_FAILED:
-            self._heard(Heard.REFUSED)
+            self._on_signal(ApplicationSignal.REFUSED)
         elif exchange.status_code:
-            self._heard(Heard.HEALTHY if 200 <= exchange.status_code < 300 else Heard.UNHEALTHY)
+            is_healthy = OK <= exchange.status_code < FIRST_REDIRECTION
+            self._on_signal(ApplicationSignal.HEALTHY if is_healthy else ApplicationSignal.UNHEALTHY)
         elif status is AttemptStatus.TIMEOUT:
-            self._heard(Heard.SILENT)
+            self._on_signal(ApplicationSignal.SILENT)
         elif status is not AttemptStatus.NOT_SENT:  # which was never sent, and says nothing
-            self._heard(Heard.BROKEN)
-        self._probe_later()
+            self._on_signal(ApplicationSignal.BROKEN)
+        self._schedule_health_check()
 
-    def _probe_later(self, wait: float | None = None) -> None:
-        if self.probing is not None:
-            self.probing.cancel()
+    def _schedule_health_check(self, wait: float | None = None) -> None:
+        if self.health_check_timer is not None:
+            self.health_check_timer.cancel()
         if wait is None:
-            wait = PROBE_EVERY if self.admission.state is State.UP else PROBE_SOON
-        self.probing = self.loop.call_later(wait, self._probe)
+            wait = (
+                HEALTH_CHECK_INTERVAL_S
+                if self.admission.state is ApplicationState.UP
+                else FAST_HEALTH_CHECK_INTERVAL_S
+            )
+        self.health_check_timer = self.loop.call_later(wait, self._check_health)
 
-    def _heard(self, what: Heard) -> None:
+    def _on_signal(self, what: ApplicationSignal) -> None:
         before = self.admission.state
         now = time.monotonic()
-        self._told(before, self.admission.heard(what, now), now)
+        self._on_state(before, self.admission.on_signal(what, now), now)
 
-    def _told(self, before: State, state: State, now: float) -> None:
+    def _on_state(self, before: ApplicationState, state: ApplicationState, now: float) -> None:
         if state is before:
             return
         address = self.sidecar.application
         log.warning(
             "application_state_changed address=%s before=%s after=%s", address, before.value, state.value
         )
-        self.changed.set()
-        for held in self.admission.dismissed():
-            self._refuse(held, b"the application is %s\n" % state.value.encode())
-        self._begin_more(now)
+        self.state_changed.set()
+        for held in self.admission.take_rejected():
+            self._reject(held, b"the application is %s\n" % state.value.encode())
+        self._start_queued(now)
 
     # callers
-    def start_request(self, request: Request, reply: ResponseWriter) -> Held | None:
+    def start_request(self, request: Request, reply: ResponseWriter) -> InboundRequest | None:
+        """Start, queue or reject a request."""
         now = time.monotonic()
-        if self.closed or request.id in self.held:
+        if self.is_closed or request.id in self.requests:
             # One of this name is with the application still: this one never was.
-            text = b"draining\n" if self.closed else b"this X-Call-Id is in use\n"
-            reply.respond(503, self._advice(now), text)
+            text = b"draining\n" if self.is_closed else b"this X-Call-Id is in use\n"
+            reply.respond(503, self._rejection_headers(now), text)
             return None
         cls = self.classes[request.class_name]
-        due = min(request.received_at + min(request.time_budget, cls.deadline) - MARGIN, self.end_by)
-        held = Held(request, reply, due)
+        due = min(
+            request.received_at + min(request.time_budget, cls.deadline) - DEADLINE_MARGIN_S, self.end_by
+        )
+        held = InboundRequest(request, reply, due)
         worth = cls.worth
         found = apply_filters(self.filters, request, lambda: None)  # who waits for it is its caller alone
         if isinstance(found, Rejection):
-            reply.respond(503, self._advice(now), found.body)
+            reply.respond(503, self._rejection_headers(now), found.body)
             return None
-        held.tickets = found
+        held.filter_states = found
         for ticket in found:
-            held.due = due = min(due, ticket.deadline)
+            held.deadline = due = min(due, ticket.deadline)
             worth *= ticket.weight_share
         verdict, yields = self.admission.offer(held, worth, due, now)
-        if verdict is Verdict.REFUSE:
-            self._ended(held, True)
+        if verdict is AdmissionDecision.REJECT:
+            self._end_filters(held, True)
             state = self.admission.state
-            busy = state in TAKING
+            busy = state in ACCEPTING_STATES
             reply.respond(
                 503,
-                self._advice(now),
+                self._rejection_headers(now),
                 b"busy\n" if busy else b"the application is %s\n" % state.value.encode(),
             )
             return None
-        self.held[request.id] = held
-        self.owed += 1
-        held.timer = self.loop.call_later(max(0.0, due - now), self._overdue, held)
+        self.requests[request.id] = held
+        self.unanswered += 1
+        held.deadline_timer = self.loop.call_later(max(0.0, due - now), self._on_deadline, held)
         if yields is not None:
-            self._refuse(yields, b"others are worth more\n")
-        if verdict is Verdict.BEGIN:
-            self._begin(held, now)
+            self._reject(yields, b"others are worth more\n")
+        if verdict is AdmissionDecision.START:
+            self._start_attempt(held, now)
         return held
 
-    def client_disconnected(self, held: Held) -> None:
-        """Its caller has gone. What waits is not begun; of what the application has the connection is closed,
-        so that no attempt is out which its caller has given up."""
-        if not held.open:
+    def client_disconnected(self, held: InboundRequest) -> None:
+        """End a request whose client has left.
+
+        One that is queued is not started; of one that the application has the connection is closed, so that
+        no attempt is in flight which its client has given up.
+        """
+        if not held.is_open:
             return
-        self._settle(held, False)
-        if self.admission.left(held):
-            del self.held[held.request.id]
-        elif held.exchange is not None:
-            self._stop(held, held.exchange)
-
-    def _stop(self, held: Held, exchange: UpstreamAttempt) -> None:
-        """Nobody waits for it, and its application may care to know. Its slot stays taken for as long as
-        such a call
-        usually takes: an application that does not look goes on."""
+        self._finish(held, False)
+        if self.admission.remove_queued(held):
+            del self.requests[held.request.id]
+        elif held.attempt is not None:
+            self._abandon(held, held.attempt)
+
+    def _abandon(self, held: InboundRequest, exchange: UpstreamAttempt) -> None:
+        """End an attempt that nobody waits for.
+
+        Its slot stays taken for as long as such a request usually takes: an application that does not look at
+        its connection works on.
+        """
         if not exchange.sent:
             exchange.cancel()
             return
-        left = held.began + self.admission.mean - time.monotonic()
-        self.stopped += 1
-        self.admission.out += 1  # in place of the one that ends now
-        self.loop.call_later(max(0.0, left), self._stopped)
+        left = held.started_at + self.admission.mean_latency - time.monotonic()
+        self.abandoned += 1
+        self.admission.in_flight += 1  # in place of the one that ends now
+        self.loop.call_later(max(0.0, left), self._release_slot)
         exchange.cancel()
 
-    def _stopped(self) -> None:
-        self.stopped -= 1
+    def _release_slot(self) -> None:
+        self.abandoned -= 1
         now = time.monotonic()
-        self.admission.ended(None, now)
-        self._begin_more(now)
+        self.admission.on_request_end(None)
+        self._start_queued(now)
 
-    def _ended(self, held: Held, answered: bool) -> None:
-        for ticket in held.tickets:
+    def _end_filters(self, held: InboundRequest, answered: bool) -> None:
+        for ticket in held.filter_states:
             ticket.on_request_end(answered)
 
-    def _begin(self, held: Held, now: float) -> None:
-        held.began = now
+    def _start_attempt(self, held: InboundRequest, now: float) -> None:
+        held.started_at = now
         request = held.request
-        left = held.due - now
-        more = b"".join(ticket.on_attempt_start(left) or b"" for ticket in held.tickets)
+        left = held.deadline - now
+        more = b"".join(ticket.on_attempt_start(left) or b"" for ticket in held.filter_states)
         head = b"%s%sx-budget: %du\r\n\r\n" % (request.head, more, max(1, int(left * 1e6)))
-        held.exchange = UpstreamAttempt(
-            self.application,
+        held.attempt = UpstreamAttempt(
+            self.application_pool,
             b"".join([head, *request.body.parts]),
             max(0.0, left),
-            lambda: held.open,
-            lambda exchange: self._done(held, exchange),
+            lambda: held.is_open,
+            lambda exchange: self._on_attempt_end(held, exchange),
         )
-        self.upstreams.start_attempt(held.exchange)
+        self.cluster.start_attempt(held.attempt)
 
-    def _begin_more(self, now: float) -> None:
-        while (held := self.admission.following(now)) is not None:
-            self._begin(held, now)
+    def _start_queued(self, now: float) -> None:
+        while (held := self.admission.next_request(now)) is not None:
+            self._start_attempt(held, now)
 
-    def _done(self, held: Held, exchange: UpstreamAttempt) -> None:
-        """The application is done with it, or never had it."""
+    def _on_attempt_end(self, held: InboundRequest, exchange: UpstreamAttempt) -> None:
+        """Take in that the application is done with a request, or never had it."""
         now = time.monotonic()
         status = exchange.status
         assert status is not None
-        del self.held[held.request.id]
-        for ticket in held.tickets:
+        del self.requests[held.request.id]
+        for ticket in held.filter_states:
             ticket.on_attempt_end(exchange, status)
-        self.admission.ended(exchange.elapsed if exchange.status_code else None, now)
-        if held.open:
-            self._answer_by(held, exchange, status, now)
+        self.admission.on_request_end(exchange.elapsed if exchange.status_code else None)
+        if held.is_open:
+            self._respond_by_outcome(held, exchange, status, now)
         before = self.admission.state
         if status is AttemptStatus.RESET:
-            self._told(before, self.admission.broke(len(self.application.connections), now), now)
-            self._probe_later(0.0)
+            self._on_state(
+                before, self.admission.on_connection_broken(len(self.application_pool.connections), now), now
+            )
+            self._schedule_health_check(0.0)
         elif status is AttemptStatus.CONNECT_FAILED:
-            self._told(before, self.admission.heard(Heard.REFUSED, now), now)
-            self._probe_later(PROBE_SOON)
-        self._begin_more(now)
-
-    def _answer_by(self, held: Held, exchange: UpstreamAttempt, status: AttemptStatus, now: float) -> None:
-        if exchange.status_code >= 200:
-            headers = tuple(pair for pair in exchange.response_headers if pair[0] not in self.dropped)
-            self._answer(held, exchange.status_code, headers, exchange.response_body, True)
+            self._on_state(before, self.admission.on_signal(ApplicationSignal.REFUSED, now), now)
+            self._schedule_health_check(FAST_HEALTH_CHECK_INTERVAL_S)
+        self._start_queued(now)
+
+    def _respond_by_outcome(
+        self, held: InboundRequest, exchange: UpstreamAttempt, status: AttemptStatus, now: float
+    ) -> None:
+        if exchange.status_code >= OK:
+            headers = tuple(
+                pair for pair in exchange.response_headers if pair[0] not in self.removed_response_headers
+            )
+            self._respond(held, exchange.status_code, headers, exchange.response_body, True)
         elif status in NEVER_EXECUTED:
-            self._answer(held, 503, self._advice(now), b"the application did not get it\n")
+            self._respond(held, 503, self._rejection_headers(now), b"the application did not get it\n")
         elif status is AttemptStatus.TIMEOUT:
-            self._answer(held, 504, (), b"the application did not answer in time\n")
+            self._respond(held, 504, (), b"the application did not answer in time\n")
         else:
-            self._answer(held, 502, (), b"the application's answer was cut or can't be used\n")
+            self._respond(held, 502, (), b"the application's answer was cut or can't be used\n")
 
-    def _answer(self, held: Held, code: int, headers: HeaderFields, body: bytes, own: bool = False) -> None:
-        """`own`: it is the application's, which is done with the call then."""
-        for ticket in held.tickets:
+    def _respond(
+        self, held: InboundRequest, code: int, headers: HeaderFields, body: bytes, own: bool = False
+    ) -> None:
+        """Respond; `own`: the response is the application's, which is done with the request then."""
+        for ticket in held.filter_states:
             headers += ticket.response_headers()
-        self._settle(held, own)
-        held.reply.respond(code, headers, body)
-
-    def _refuse(self, held: Held, text: bytes) -> None:
-        """One that waited and was never begun."""
-        del self.held[held.request.id]
-        if held.open:
-            self._answer(held, 503, self._advice(time.monotonic()), text)
-
-    def _advice(self, now: float) -> tuple[tuple[bytes, bytes], ...]:
-        if not self.advise:
-            return REJECTED
-        return (*REJECTED, (b"retry-after", b"%.3f" % self.admission.advice(now)))
-
-    def _overdue(self, held: Held, late: bool = False) -> None:
-        """Its time is up while it waits, or a moment before its exchange's own end."""
-        if not held.open:
+        self._finish(held, own)
+        held.writer.respond(code, headers, body)
+
+    def _reject(self, held: InboundRequest, text: bytes) -> None:
+        """Reject a request that was queued and never started."""
+        del self.requests[held.request.id]
+        if held.is_open:
+            self._respond(held, 503, self._rejection_headers(time.monotonic()), text)
+
+    def _rejection_headers(self, now: float) -> tuple[tuple[bytes, bytes], ...]:
+        if not self.sends_retry_after:
+            return REJECTED_HEADERS
+        return (*REJECTED_HEADERS, (b"retry-after", b"%.3f" % self.admission.retry_after(now)))
+
+    def _on_deadline(self, held: InboundRequest, late: bool = False) -> None:
+        """End a request whose time is up: it is queued, or its attempt would end a moment later."""
+        if not held.is_open:
             return
-        if not late and time.monotonic() > held.due + LOOP_STALL_S:
+        if not late and time.monotonic() > held.deadline + LOOP_STALL_S:
             # This process stood still, and timers come before sockets: the answer may have come meanwhile.
-            held.timer = self.loop.call_later(LOOP_TURN_S, self._overdue, held, True)
+            held.deadline_timer = self.loop.call_later(LOOP_TURN_S, self._on_deadline, held, True)
             return
-        exchange = held.exchange
+        exchange = held.attempt
         if exchange is None:
-            self.admission.left(held)  # unless it was passed over just now
-            self._refuse(held, b"waited for as long as its caller would\n")
+            self.admission.remove_queued(held)  # unless it was passed over just now
+            self._reject(held, b"waited for as long as its caller would\n")
             return
         if exchange.sent:
-            self._answer(held, 504, (), b"the application did not answer in time\n")
+            self._respond(held, 504, (), b"the application did not answer in time\n")
         else:
-            self._answer(held, 503, self._advice(time.monotonic()), b"the application did not get it\n")
+            self._respond(
+                held, 503, self._rejection_headers(time.monotonic()), b"the application did not get it\n"
+            )
         exchange.end(AttemptStatus.TIMEOUT if exchange.sent else AttemptStatus.NOT_SENT)
 
-    def _settle(self, held: Held, answered: bool) -> None:
-        """`answered`: by its application; else what that still does for it is for nobody."""
-        held.open = False
-        self._ended(held, answered)
-        self.owed -= 1
-        if held.timer is not None:
-            held.timer.cancel()
+    def _finish(self, held: InboundRequest, answered: bool) -> None:
+        """End the request; unless `answered`, what its application still does for it is for nobody."""
+        held.is_open = False
+        self._end_filters(held, answered)
+        self.unanswered -= 1
+        if held.deadline_timer is not None:
+            held.deadline_timer.cancel()
 
-    def change(self, sidecar: Sidecar) -> None:
-        """On SIGHUP: slots, places to wait and the path of its health."""
+    def update(self, sidecar: Sidecar) -> None:
+        """Take over slots, queue and health check of a reread description."""
         self.sidecar = sidecar
         self.admission.slots = sidecar.slots
-        self.admission.most_waiting = sidecar.waiting
-        self.probe_request = probe_of(sidecar)
-        self._begin_more(time.monotonic())
+        self.admission.max_queued = sidecar.waiting
+        self.health_check_request = format_health_check(sidecar)
+        self._start_queued(time.monotonic())
 
     # the end
     def drain(self, end_by: float) -> None:
-        """From now on its health says that it leaves; what callers send all the same is served for now, and
-        answered by `end_by` at the latest."""
+        """Announce the end by health checks; serve on, and answer all by `end_by` (monotonic, s)."""
         self.admission.draining = True
         self.end_by = end_by
-        for held in self.held.values():
-            if held.open and held.due > end_by:
-                assert held.timer is not None
-                held.timer.cancel()
-                held.due = end_by
-                held.timer = self.loop.call_later(max(0.0, end_by - time.monotonic()), self._overdue, held)
+        for held in self.requests.values():
+            if held.is_open and held.deadline > end_by:
+                assert held.deadline_timer is not None
+                held.deadline_timer.cancel()
+                held.deadline = end_by
+                held.deadline_timer = self.loop.call_later(
+                    max(0.0, end_by - time.monotonic()), self._on_deadline, held
+                )
 
     def close(self) -> None:
         """Refuses all that is new, and takes no connections any more."""
-        self.closed = True
+        self.is_closed = True
         self.server.stop_listening()
--- a/service_proxy/sidecar/migrate.py
+++ b/service_proxy/sidecar/migrate.py
@@ -49,8 +49,10 @@
 
 
 def migrate(file: str, text: str) -> tuple[str, list[Problem]]:
-    """The text in this program's format; with problems, it is the text as it was. Raises
-    tomllib.TOMLDecodeError, a ValueError."""
+    """Return the text in this program's format, or as it was together with what is in the way.
+
+    Raises tomllib.TOMLDecodeError, a ValueError.
+    """
     raw = tomllib.loads(text)
     version = raw.get("format", min(STEPS))
     if type(version) is not int or not min(STEPS) <= version <= FORMAT:
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -24,13 +24,16 @@
 
 
 def one_of(words: tuple[str, ...]) -> object:
+    """Return a check that a value is one of these words."""
+
     def check(value: str) -> str | None:
         return None if value in words else "must be one of " + ", ".join(f'"{word}"' for word in words)
 
     return check
 
 
-def name_fault(value: str) -> str | None:
+def find_name_problem(value: str) -> str | None:
+    """Say what is wrong with a name, or None."""
     if NAME.fullmatch(value):
         return None
     odd = next((letter for letter in value if not letter.isascii()), "")
@@ -40,7 +43,7 @@
 
 
 def _names(value: tuple[str, ...]) -> str | None:
-    fault = next((f"{name!r} {fault}" for name in value if (fault := name_fault(name))), None)
+    fault = next((f"{name!r} {fault}" for name in value if (fault := find_name_problem(name))), None)
     return fault or ("names one thing twice" if len(set(value)) != len(value) else None)
 
 
@@ -86,9 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tier:
-    """[tier.NAME]: the servers of a tier, as their operator knows them, and what sidecars are told of
-    them.
-    """
+    """[tier.NAME]: the endpoints of a tier as their operator knows them, and how sidecars treat them."""
 
     zones: tuple[str, ...] = key(tuple, '["zone-a", "zone-b"]', check=_names)
     classes: tuple[str, ...] = key(tuple, '["read", "order"]', check=_names)
@@ -109,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """[tenant.NAME]"""
+    """[tenant.NAME]: a tenant's share."""
 
     share: float = key(float, "0.5", check=between(0, 1))
     quota_per_s: float = key(float, "100.0", 0.0, between(0, 1e9))
@@ -117,14 +118,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Sidecar:
-    """[[sidecar]]: one beside each application. `inbound`: its listener before the application, which it asks
-    at `health` whether it can work and gives `slots` calls at a time, while `waiting` more may wait;
-    `outbound`: a listener for each tier that it calls, on which the application calls it.
+    """[[sidecar]]: one beside each application.
+
+    `inbound` is its listener before the application, whose health it checks at `health` and which it gives
+    `slots` requests at a time, while `waiting` more may be queued; `outbound` has a listener for each tier
+    that the application calls.
     """
 
-    host: str = key(str, '"h-1"', check=name_fault)
-    zone: str = key(str, '"zone-a"', check=name_fault)
-    tier: str = key(str, '"front"', check=name_fault)
+    host: str = key(str, '"h-1"', check=find_name_problem)
+    zone: str = key(str, '"zone-a"', check=find_name_problem)
+    tier: str = key(str, '"front"', check=find_name_problem)
     inbound: str = key(str, '"10.0.0.4:8081"', check=find_address_problem)
     application: str = key(str, '"127.0.0.1:9000"', check=find_address_problem)
     health: str = key(str, '"/healthz"', "/healthz", _path)
@@ -153,7 +156,7 @@
     """Keys before the first table."""
 
     format: int = key(int, str(FORMAT), check=between(1, 1000))
-    application: str = key(str, '"canjes"', check=name_fault)
+    application: str = key(str, '"canjes"', check=find_name_problem)
     include: tuple[str, ...] = key(tuple, '["base.toml"]', ())
     variables: tuple[str, ...] = key(tuple, '["ZONE"]', ())
     padron: str = key(str, '"10.2.0.1:8500"', "", _address_or_none)
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -16,7 +16,7 @@
 from service_proxy.operator_file.positions import Path, Place, place_of
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, suggest_name
 from service_proxy.settings import read_settings
-from service_proxy.sidecar import rulemodel
+from service_proxy.sidecar import rule_model
 from service_proxy.sidecar.model import Class, Description, Route
 
 TOP = frozenset(
@@ -28,7 +28,7 @@
 MOST_DEPTH = 64
 
 
-class TwiceGiven(ValueError):
+class DuplicateKeyError(ValueError):
     """A key that an object gives twice; JSON takes the last without a word."""
 
 
@@ -36,7 +36,7 @@
     found: dict[str, Any] = {}
     for key, value in pairs:
         if key in found:
-            raise TwiceGiven(key)
+            raise DuplicateKeyError(key)
         found[key] = value
     return found
 
@@ -94,7 +94,7 @@
             text = data.decode("utf-8")
             self.raw = json.loads(text, object_pairs_hook=_pairs)
             self.places = json_positions(text)
-        except TwiceGiven as fault:
+        except DuplicateKeyError as fault:
             places = [found.start() for found in re.finditer(re.escape(json.dumps(str(fault))), text)]
             line = text.count("\n", 0, places[1] if len(places) > 1 else 0) + 1
             raise self._unusable("C002", f"gives {fault} twice", "take one of them out", line) from None
@@ -109,11 +109,13 @@
         return OperatorError([Problem(self.file, line, code, text, instead, column)])
 
     def wrong(self, path: Path, code: str, text: str, instead: str) -> None:
+        """Add a problem at a path."""
         place = place_of(self.places, path)
         self.problems.append(Problem(self.file, place.line, code, text, instead, place.column))
 
     @property
     def settings(self) -> Mapping[str, Any]:
+        """The object `settings`, or an empty one."""
         found = self.raw.get("settings") if isinstance(self.raw, dict) else None
         return found if isinstance(found, dict) else {}
 
@@ -145,7 +147,7 @@
             self.wrong(path, "R202", "two attempts of a call may be out at once", "write false")
         contract = self.settings.get("contract", {})
         grace = contract.get("drain_grace", 0) if isinstance(contract, dict) else 0
-        if isinstance(grace, int | float) and grace > rulemodel.GRACE:
+        if isinstance(grace, int | float) and grace > rule_model.GRACE:
             path = ("settings", "contract", "drain_grace")
             self.wrong(
                 path,
@@ -167,9 +169,7 @@
         return ("settings", *parts)
 
     def against(self, descriptions: list[Description]) -> Iterator[Problem]:
-        """The treatment of each class here against what it is, as a description checked along with it
-        says.
-        """
+        """Compare the treatment of each class with what a description checked along with it says it is."""
         known: dict[str, tuple[Class, Description]] = {}
         for description in descriptions:
             for name, cls in description.classes.items():
@@ -187,7 +187,7 @@
                 float(grade.get("window", 0.0)),
                 int(limits.get("send_cap", 1)),
             )
-            example = rulemodel.rule_two(grade["name"], cls, route)
+            example = rule_model.rule_two(grade["name"], cls, route)
             if example is not None:
                 path = ("settings", "grades", str(number), "effect")
                 text = f"{grade['name']} is {cls.effect} by {description.file}; treated so, {example}"
--- a/service_proxy/sidecar/report.py
+++ b/service_proxy/sidecar/report.py
@@ -13,10 +13,12 @@
 
 
 def as_text(problems: Iterable[Problem]) -> str:
+    """Write findings as a compiler does."""
     return "".join(f"{problem}\n" for problem in problems)
 
 
 def as_json(problems: Iterable[Problem]) -> str:
+    """Write findings as a JSON list."""
     found = [
         {
             "file": problem.file,
@@ -33,6 +35,7 @@
 
 
 def as_sarif(problems: Iterable[Problem]) -> str:
+    """Write findings as SARIF 2.1.0."""
     found = list(problems)
     rules = [
         {
--- a/service_proxy/sidecar/rulemodel.py
+++ b/service_proxy/sidecar/rule_model.py
@@ -10,22 +10,23 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
 from service_proxy.sidecar.model import Class, Route, Tier
 
-MOST_EVENTS = 8  # of a run; every breach that these settings can make has fewer
+MAX_EVENTS = 8  # of a run; every breach that these settings can make has fewer
 MOMENT = 0.001  # s by which an event comes after a limit
 GRACE = 2.0  # s of the third rule
 # That the model plays: a breach is always between one that may have run, or is out, and the next one.
-MOST_ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 
 # The servers of the model: two in one cell, one in another cell of the zone, one in another zone.
 SERVERS = {"a1": ("a", 1), "a2": ("a", 1), "a3": ("a", 2), "b1": ("b", 1)}
 
 
 @dataclass(frozen=True, slots=True)
-class Example:
+class CounterExample:
     """A breach: the rule, and the events that lead to it."""
 
     rule: int
@@ -36,49 +37,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class ModelAttempt:
+    """An attempt in the model."""
+
     server: str
     at: float
     state: str  # "out", "never-ran", "may-have-run"
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class ModelState:
+    """A state of the model: the time, and the attempts so far."""
+
     now: float = 0.0
-    attempts: tuple[Attempt, ...] = ()
+    attempts: tuple[ModelAttempt, ...] = ()
     over: bool = False
 
 
 def same_group(group: str, one: str, other: str) -> bool:
+    """Tell whether two endpoints drop one another's repetitions of a key."""
     (zone, cell), (other_zone, other_cell) = SERVERS[one], SERVERS[other]
     if group == "all":
         return True
     return zone == other_zone and (group == "zone" or cell == other_cell)
 
 
-def may_send(route: Route, deadline: float, state: State, server: str) -> bool:
-    """What the settings allow the sidecar. It never sends after the deadline: the program holds that
-    itself.
-    """
-    if state.over or state.now >= deadline or len(state.attempts) >= min(route.attempts, MOST_ATTEMPTS):
+def can_send(route: Route, deadline: float, state: ModelState, server: str) -> bool:
+    """Tell whether the settings allow the sidecar to send; never after the deadline."""
+    if state.over or state.now >= deadline or len(state.attempts) >= min(route.attempts, MAX_ATTEMPTS):
         return False
     if any(attempt.state == "out" for attempt in state.attempts):
         return route.hedge
-    ran = [attempt for attempt in state.attempts if attempt.state == "may-have-run"]
-    if not state.attempts:
-        return True
+    return not state.attempts or _can_retry(route, state, server)
+
+
+def _can_retry(route: Route, state: ModelState, server: str) -> bool:
+    maybe_executed = [attempt for attempt in state.attempts if attempt.state == "may-have-run"]
     if route.retry == "never":
         return False
-    if not ran or route.retry == "always":
+    if not maybe_executed or route.retry == "always":
         return True
-    if route.retry == "by-key":
-        first = ran[0]
-        within = same_group(route.retry_within, first.server, server)
-        return within and state.now <= first.at + route.retry_for
-    return False
+    if route.retry != "by-key":
+        return False
+    first = maybe_executed[0]
+    within = same_group(route.retry_within, first.server, server)
+    return within and state.now <= first.at + route.retry_for
 
 
-def breach(cls: Class, state: State, server: str) -> str | None:
+def find_breach(cls: Class, state: ModelState, server: str) -> str | None:
     """Why sending to this server now breaks the second rule, by what the class is."""
     if any(attempt.state == "out" for attempt in state.attempts):
         return "a second attempt while one is out"
@@ -94,38 +100,29 @@
     return None
 
 
-def rule_two(name: str, cls: Class, route: Route) -> Example | None:
-    """The shortest run in which a request of the class may have its effect twice, or two attempts are out."""
+def rule_two(name: str, cls: Class, route: Route) -> CounterExample | None:
+    """Find the shortest run in which a request has its effect twice, or two attempts are in flight."""
     times = sorted({cls.window + MOMENT, route.retry_for, cls.deadline - MOMENT})
-    queue: deque[tuple[State, tuple[str, ...]]] = deque([(State(), ())])
-    seen = {State()}
+    queue: deque[tuple[ModelState, tuple[str, ...]]] = deque([(ModelState(), ())])
+    seen = {ModelState()}
     while queue:
         state, events = queue.popleft()
-        if len(events) >= MOST_EVENTS:
+        if len(events) >= MAX_EVENTS:
             continue
-        following: list[tuple[State, str]] = []
+        following: list[tuple[ModelState, str]] = []
         for server in SERVERS:
-            if may_send(route, cls.deadline, state, server):
-                why = breach(cls, state, server)
-                again = "again " if state.attempts else ""
-                text = f"{name} is sent {again}to {server} at {state.now:g} s"
-                if why is not None:
-                    return Example(2, (*events, f"{text}: {why}"))
-                attempt = Attempt(server, state.now, "out")
-                following.append((replace(state, attempts=(*state.attempts, attempt)), text))
-        for place, attempt in enumerate(state.attempts):
-            if attempt.state != "out":
+            if not can_send(route, cls.deadline, state, server):
                 continue
-            for ended, text in (
-                ("may-have-run", f"its connection to {attempt.server} breaks before the answer"),
-                ("never-ran", f"{attempt.server} turns it away unseen"),
-            ):
-                attempts = list(state.attempts)
-                attempts[place] = replace(attempt, state=ended)
-                following.append((replace(state, attempts=tuple(attempts)), text))
-        for at in times:
-            if state.now < at < cls.deadline and state.attempts:
-                following.append((replace(state, now=at), f"{at:g} s have passed since the first try"))
+            why = find_breach(cls, state, server)
+            again = "again " if state.attempts else ""
+            text = f"{name} is sent {again}to {server} at {state.now:g} s"
+            if why is not None:
+                return CounterExample(2, (*events, f"{text}: {why}"))
+            attempt = ModelAttempt(server, state.now, "out")
+            following.append((replace(state, attempts=(*state.attempts, attempt)), text))
+        following += _ends_of_attempts(state)
+        if state.attempts:
+            following += _passing_of_time(state, times, cls.deadline)
         for after, text in following:
             if after not in seen:
                 seen.add(after)
@@ -133,11 +130,34 @@
     return None
 
 
-def rule_one(cls_name: str, cls: Class, tier: Tier) -> Example | None:
+def _ends_of_attempts(state: ModelState) -> Iterator[tuple[ModelState, str]]:
+    """Yield the states after the end of each attempt in flight, in each of its ways."""
+    for place, attempt in enumerate(state.attempts):
+        if attempt.state != "out":
+            continue
+        for ended, text in (
+            ("may-have-run", f"its connection to {attempt.server} breaks before the answer"),
+            ("never-ran", f"{attempt.server} turns it away unseen"),
+        ):
+            attempts = list(state.attempts)
+            attempts[place] = replace(attempt, state=ended)
+            yield replace(state, attempts=tuple(attempts)), text
+
+
+def _passing_of_time(
+    state: ModelState, times: list[float], deadline: float
+) -> Iterator[tuple[ModelState, str]]:
+    """Yield the states at the next times at which something changes."""
+    for at in times:
+        if state.now < at < deadline:
+            yield replace(state, now=at), f"{at:g} s have passed since the first try"
+
+
+def rule_one(cls_name: str, cls: Class, tier: Tier) -> CounterExample | None:
     """A host stops its sidecar `stop_after` s after SIGTERM: what it has taken must be answered by then."""
     if tier.stop_after >= cls.deadline:
         return None
-    return Example(
+    return CounterExample(
         1,
         (
             f"a {cls_name} is taken, due within {cls.deadline:g} s",
@@ -147,10 +167,11 @@
     )
 
 
-def rule_three(tier_name: str, tier: Tier) -> Example | None:
+def rule_three(tier_name: str, tier: Tier) -> CounterExample | None:
+    """Find a run in which something new goes to a draining endpoint after the grace."""
     if tier.drain <= GRACE:
         return None
-    return Example(
+    return CounterExample(
         3,
         (
             f"a server of {tier_name} is told to drain at 0 s",
@@ -159,13 +180,14 @@
     )
 
 
-def rule_four(tier_name: str, tier: Tier) -> Example | None:
-    """All sidecars together may push a cold server with `push` times what it can do; it survives
-    `survives`.
+def rule_four(tier_name: str, tier: Tier) -> CounterExample | None:
+    """Find a run in which all sidecars together overload an endpoint that warms up.
+
+    They may send it `push` times what it can do; it survives `survives` times.
     """
     if tier.push < tier.survives or tier.cold_from == 1.0 or tier.cold_for == 0.0:
         return None
-    return Example(
+    return CounterExample(
         4,
         (
             f"a server of {tier_name} starts with {tier.cold_from:g} of its capacity",
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -36,22 +36,22 @@
 from service_proxy.operator_file.reader import OperatorError, Problem
 from service_proxy.policy.events import RequestClass
 from service_proxy.sidecar import report
-from service_proxy.sidecar.admission import TAKING, State
+from service_proxy.sidecar.admission import ACCEPTING_STATES, ApplicationState
 from service_proxy.sidecar.checking import check, code_of
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.explain import effective
-from service_proxy.sidecar.inbound import EFFECTS, Inbound
+from service_proxy.sidecar.inbound import IDEMPOTENCY_BY_EFFECT, InboundListener
 from service_proxy.sidecar.model import Description, Sidecar
 from service_proxy.sidecar.write import platform
 
 log = logging.getLogger("service_proxy.sidecar")
 
 SPARE = 0.4  # s before its SIGKILL by which all is answered
-MOST_SAID = 3  # findings in one line of the log
-CHANGEABLE = frozenset(("padron", "slots", "waiting", "health"))  # by SIGHUP
+MAX_LOGGED_FINDINGS = 3  # findings in one line of the log
+RELOADABLE_KEYS = frozenset(("padron", "slots", "waiting", "health"))  # by SIGHUP
 
 
-class Refused(Exception):
+class DescriptionRejectedError(Exception):
     """The description can't be run: what check found."""
 
     def __init__(self, problems: list[Problem]) -> None:
@@ -59,22 +59,22 @@
         self.problems = problems
 
 
-def read(file: str, environment: str) -> Description:
-    """Raises Refused where check does."""
+def read_description(file: str, environment: str) -> Description:
+    """Read and check a description. Raises DescriptionRejectedError."""
     problems = [problem for problem in check([file], environment) if not problem.is_warning]
     if not problems:
         try:
             layers, description = load(file, environment)
         except OperatorError as fault:
-            raise Refused(fault.problems) from None
+            raise DescriptionRejectedError(fault.problems) from None
         if description is not None:
             return description
         problems = layers.problems  # it changed since
-    raise Refused(problems)
+    raise DescriptionRejectedError(problems)
 
 
-def choose(description: Description, host: str, tier: str) -> Sidecar:
-    """The one [[sidecar]] that is this machine's. Raises Refused."""
+def choose_sidecar(description: Description, host: str, tier: str) -> Sidecar:
+    """Return the one [[sidecar]] that is this machine's. Raises DescriptionRejectedError."""
     found = [
         sidecar
         for sidecar in description.sidecars
@@ -86,11 +86,13 @@
         return found[0]
     names = ", ".join(f"--host {entry.host} --tier {entry.tier}" for entry in description.sidecars[:8])
     text = f"{len(found) or 'no'} sidecars are for host {host or 'any'} and tier {tier or 'any'}"
-    raise Refused([Problem(description.file, 1, "S107", text, f"say which: {names or 'there is none'}")])
+    raise DescriptionRejectedError(
+        [Problem(description.file, 1, "S107", text, f"say which: {names or 'there is none'}")]
+    )
 
 
-def shares(sidecar: Sidecar) -> tuple[int, float]:
-    """Descriptors and MB for each listener."""
+def listener_limits(sidecar: Sidecar) -> tuple[int, float]:
+    """Return the descriptors and MB of each listener."""
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = sidecar.sockets if soft == resource.RLIM_INFINITY else min(sidecar.sockets, soft)
     listeners = len(sidecar.outbound) + 1
@@ -98,8 +100,8 @@
 
 
 def outbound_config(description: Description, sidecar: Sidecar, called: str) -> ProxyConfig:
-    """Raises ConfigError."""
-    sockets, memory_mb = shares(sidecar)
+    """Return the configuration of the proxy towards a tier. Raises ConfigError."""
+    sockets, memory_mb = listener_limits(sidecar)
     raw = platform(description, sidecar, called)
     raw["limits"] = {"sockets": sockets, "memory_mb": memory_mb}
     raw["seed"] = secrets.token_hex(8)
@@ -110,27 +112,29 @@
 
 
 def request_classes(description: Description, tier: str) -> dict[str, RequestClass]:
-    """The classes that the application serves, as budgets know them."""
+    """Return the classes that the application serves, as deadline propagation knows them."""
     found = {}
     for name in description.tiers[tier].classes:
         cls = description.classes[name]
-        found[name] = RequestClass(name, cls.worth, cls.aim, cls.deadline, idempotency=EFFECTS[cls.effect])
+        found[name] = RequestClass(
+            name, cls.worth, cls.aim, cls.deadline, idempotency=IDEMPOTENCY_BY_EFFECT[cls.effect]
+        )
     return found
 
 
-class Running:
+class RunningSidecar:
     """One sidecar's parts, from their start until the end."""
 
     def __init__(self, description: Description, sidecar: Sidecar) -> None:
         self.description = description
         self.sidecar = sidecar
-        sockets, memory_mb = shares(sidecar)
+        sockets, memory_mb = listener_limits(sidecar)
         tier = description.tiers[sidecar.tier]
         self.budgets = None
         if description.budgets is not None:
             self.budgets = create_deadline_propagation(description.budgets, sidecar.tier)
         filters = inner_filters(self.budgets, request_classes(description, sidecar.tier))
-        self.inbound = Inbound(description, sidecar, sockets, memory_mb, filters)
+        self.inbound = InboundListener(description, sidecar, sockets, memory_mb, filters)
         self.outbound = {
             called: Proxy(
                 outbound_config(description, sidecar, called),
@@ -143,48 +147,53 @@
         self.registrar = None
         if sidecar.registration is not None and tier.membership is not None:
             self.registrar = create_registrar(tier.membership, sidecar.registration, int(time.time() * 1000))
-        self.registering: asyncio.Task[None] | None = None
+        self.registration_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Raises OSError, with the address, where a listener's is taken. Outbound comes first: the
-        application may call as soon as it is called."""
+        """Start all listeners, the outbound ones first: the application may need them at once.
+
+        Raises OSError, with the address, where a listener's is taken.
+        """
         for proxy in self.outbound.values():
             await proxy.start()
         await self.inbound.start()
         if self.registrar is not None:
-            self.registering = asyncio.get_running_loop().create_task(self._registering())
+            self.registration_task = asyncio.get_running_loop().create_task(self._keep_registered())
+
+    async def _keep_registered(self) -> None:
+        """Keep the endpoint's node up to date.
 
-    async def _registering(self) -> None:
-        """The node is there once the application can work, says Terminating while it can't, and begins anew
-        with it."""
+        It is there once the application can work, says Terminating while it can't, and has a new start after.
+        """
         assert self.registrar is not None
         inbound = self.inbound
         node = self.registrar.node
         begun = False
         ready = False
         while True:
-            inbound.changed.clear()
+            inbound.state_changed.clear()
             state = inbound.admission.state
-            if state is State.UP and not ready:
+            if state is ApplicationState.UP and not ready:
                 since_ms = int(time.time() * 1000) if begun else node.since_ms
                 self.registrar.update(dataclasses.replace(node, since_ms=since_ms))
                 if not begun:
                     self.registrar.start()
                 begun = True
                 ready = True
-            elif ready and state not in TAKING:
+            elif ready and state not in ACCEPTING_STATES:
                 self.registrar.update(self.registrar.node.draining())
                 ready = False
-            await inbound.changed.wait()
+            await inbound.state_changed.wait()
 
     def reload(self, new: Description, sidecar: Sidecar) -> list[str]:
-        """Takes what may change while it runs; returns what may not and has, and then nothing is taken.
-        Raises
-        OperatorError where the key file can't be used, and then nothing is taken either."""
+        """Take over what may change while it runs; return what may not and has changed.
+
+        Where anything may not, nothing is taken over; nor where the key file can't be used: OperatorError.
+        """
         old = dict(effective(self.description))
         late = []
         for path, value in effective(new):
-            if old.pop(path, None) != value and path[-1] not in CHANGEABLE:
+            if old.pop(path, None) != value and path[-1] not in RELOADABLE_KEYS:
                 late.append(".".join(path))
         late += [".".join(path) for path in old]
         if late:
@@ -195,7 +204,7 @@
         self.sidecar = sidecar
         for called, proxy in self.outbound.items():
             proxy.move_discovery(parse_address(new.padron(called)))
-        self.inbound.change(sidecar)
+        self.inbound.update(sidecar)
         return []
 
     async def drain(self) -> None:
@@ -206,13 +215,13 @@
         self.inbound.drain(end_by)
         for proxy in self.outbound.values():
             proxy.end_all_by(end_by)
-        if self.registering is not None and self.registrar is not None:
-            self.registering.cancel()
+        if self.registration_task is not None and self.registrar is not None:
+            self.registration_task.cancel()
             self.registrar.update(self.registrar.node.draining())
         # Callers learn late that it drains, and may send for so long after that.
         await asyncio.sleep(min(tier.drain, max(0.0, end_by - time.monotonic())))
         self.inbound.close()
-        await drain_server(self.inbound.server, lambda: self.inbound.owed > 0)
+        await drain_server(self.inbound.server, lambda: self.inbound.unanswered > 0)
         for proxy in self.outbound.values():
             proxy.server.stop_listening()
             await proxy.wait_until_drained()
@@ -220,42 +229,46 @@
             await self.registrar.leave(0.0)
 
     def stop(self) -> None:
+        """Stop all listeners."""
         self.inbound.stop()
         for proxy in self.outbound.values():
             proxy.stop()
 
 
-def one_line(problems: list[Problem]) -> str:
-    """Findings as one line of the log."""
-    said = [" | ".join(str(problem).splitlines()) for problem in problems[:MOST_SAID]]
-    more = f" (and {len(problems) - MOST_SAID} more)" if len(problems) > MOST_SAID else ""
+def join_findings(problems: list[Problem]) -> str:
+    """Write findings as one line of the log."""
+    said = [" | ".join(str(problem).splitlines()) for problem in problems[:MAX_LOGGED_FINDINGS]]
+    more = f" (and {len(problems) - MAX_LOGGED_FINDINGS} more)" if len(problems) > MAX_LOGGED_FINDINGS else ""
     return "; ".join(said) + more
 
 
-def hang_up(running: Running, wanted: Any) -> None:
-    """SIGHUP: the file is checked again, and nothing of one that is refused is taken."""
+def reload_description(running: RunningSidecar, options: Any) -> None:
+    """Reread the description on SIGHUP; nothing of one that is rejected is taken over."""
     try:
-        new = read(wanted.file, wanted.environment)
-        sidecar = choose(new, running.sidecar.host, running.sidecar.tier)
-    except Refused as fault:
-        log.error("reload_rejected error=%s", one_line(fault.problems))
+        new = read_description(options.file, options.environment)
+        sidecar = choose_sidecar(new, running.sidecar.host, running.sidecar.tier)
+    except DescriptionRejectedError as fault:
+        log.error("reload_rejected error=%s", join_findings(fault.problems))
         return
     try:
-        late = running.reload(new, sidecar)
+        unchangeable = running.reload(new, sidecar)
     except OperatorError as fault:
-        log.error("reload_rejected error=%s", one_line(fault.problems))
+        log.error("reload_rejected error=%s", join_findings(fault.problems))
         return
-    if late:
-        names = ", ".join(late[:MOST_SAID]) + (
-            f" and {len(late) - MOST_SAID} more" if late[MOST_SAID:] else ""
+    if unchangeable:
+        names = ", ".join(unchangeable[:MAX_LOGGED_FINDINGS]) + (
+            f" and {len(unchangeable) - MAX_LOGGED_FINDINGS} more"
+            if unchangeable[MAX_LOGGED_FINDINGS:]
+            else ""
         )
-        reason = f"{wanted.file}: S109: {names} can't change while it runs: start it anew"
+        reason = f"{options.file}: S109: {names} can't change while it runs: start it anew"
         log.error("reload_rejected error=%s", reason)
         return
-    log.info("reload_accepted file=%s", wanted.file)
+    log.info("reload_accepted file=%s", options.file)
 
 
-def said(running: Running) -> Iterator[str]:
+def status_lines(running: RunningSidecar) -> Iterator[str]:
+    """Yield what is printed once the sidecar runs."""
     sidecar = running.sidecar
     yield f"inbound {sidecar.inbound} for the application at {sidecar.application}"
     for called, at in sorted(sidecar.outbound.items()):
@@ -263,43 +276,47 @@
     yield "running"
 
 
-async def serve(description: Description, sidecar: Sidecar, wanted: Any) -> None:
+async def serve(description: Description, sidecar: Sidecar, options: Any) -> None:
+    """Run the sidecar until SIGTERM or SIGINT, and drain it."""
     loop = asyncio.get_running_loop()
     term = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, term.set)
-    running = Running(description, sidecar)
-    loop.add_signal_handler(signal.SIGHUP, hang_up, running, wanted)
+    running = RunningSidecar(description, sidecar)
+    loop.add_signal_handler(signal.SIGHUP, reload_description, running, options)
     await running.start()
     freeze_long_lived_objects()
-    for line in said(running):
+    for line in status_lines(running):
         print(line, flush=True)
     await term.wait()
     await running.drain()
     running.stop()
 
 
-def run(wanted: Any) -> int:
-    """`wanted`: file, environment, host and tier. Exit code 0 after SIGTERM, 1 for findings or an address
-    that is taken, 2 where a file can't be read."""
+def run(options: Any) -> int:
+    """Run a sidecar by file, environment, host and tier.
+
+    Return exit code 0 after SIGTERM, 1 for findings or an address that is taken, 2 where a file can't be
+    read.
+    """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes while it starts finds the new file read
     configure_logging()
     log.setLevel(logging.INFO)
     try:
-        description = read(wanted.file, wanted.environment)
-        sidecar = choose(description, wanted.host, wanted.tier)
-    except Refused as fault:
+        description = read_description(options.file, options.environment)
+        sidecar = choose_sidecar(description, options.host, options.tier)
+    except DescriptionRejectedError as fault:
         sys.stderr.write(report.as_text(fault.problems))
         return code_of(fault.problems)
     try:
-        asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(description, sidecar, wanted))
+        asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(description, sidecar, options))
     except ConfigError as fault:
-        print(f"{wanted.file}: {fault}", file=sys.stderr)
+        print(f"{options.file}: {fault}", file=sys.stderr)
         return 2
     except OperatorError as fault:  # a file that the description names
         sys.stderr.write(report.as_text(fault.problems))
         return code_of(fault.problems)
     except OSError as fault:
-        print(f"{wanted.file}: {sidecar.tier} on {sidecar.host}: {fault}", file=sys.stderr)
+        print(f"{options.file}: {sidecar.tier} on {sidecar.host}: {fault}", file=sys.stderr)
         return 1
     return 0
--- a/service_proxy/sidecar/toml.py
+++ b/service_proxy/sidecar/toml.py
@@ -27,8 +27,10 @@
 
 
 def table(value: Any, header: str) -> Iterator[str]:
-    """The lines of a table, and of those within it. Keys at their default are left out, as are tables that
-    are off."""
+    """Yield the lines of a table and of those within it.
+
+    Keys at their default are left out, as are tables that are off.
+    """
     inner = []
     yield header
     for entry in dataclasses.fields(value):
--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -1,5 +1,7 @@
-"""Writes what a description says: for each sidecar a unit, and for each tier that it calls the platform's
-JSON, the operator's file and a unit, for who runs a plain proxy for each tier instead of the sidecar.
+"""Write what a description says: units, and the configuration of plain proxies.
+
+For each sidecar a unit, and for each tier that it calls the platform's JSON, the operator's file and a unit,
+for who runs a plain proxy for each tier instead of the sidecar.
 
 The same bytes for the same input. The folder changes as a whole or not at all: it is made anew beside the old
 one and takes its place. A file that was edited by hand (its digest says so), one that was not written here
@@ -21,18 +23,18 @@
 from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier
 from service_proxy.sidecar.toml import table
 
-MARK = "written"
+DIGEST_KEY = "written"
 # The tool's old name stays in the heads: an earlier version that reads the folder knows its files by it.
 WRITTEN_BY = "granitepoint.sidecar"
-HEAD = f"# written by {WRITTEN_BY}, sha256 ".encode()
-FORMS = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
+DIGEST_HEAD = f"# written by {WRITTEN_BY}, sha256 ".encode()
+IDEMPOTENCY_BY_EFFECT = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
 # How a call is treated follows from its route; what it looks like (method, key) from its class.
-TREATMENTS = {"never": "once", "never-ran": "once", "by-key": "by_key", "always": "repeatable"}
+IDEMPOTENCY_BY_RETRY = {"never": "once", "never-ran": "once", "by-key": "by_key", "always": "repeatable"}
 # s
-CONNECT_TIMEOUT = 0.25
-CONN_IDLE = 15.0
-QUANTUM = 0.005  # s
-MOST_HELD = 4000  # calls that one listener holds
+CONNECT_TIMEOUT_S = 0.25
+IDLE_TIMEOUT_S = 15.0
+QUANTUM_S = 0.005  # s
+MAX_OPEN_REQUESTS = 4000  # calls that one listener holds
 REPORTS = {"probe": "on_probe", "answer": "inline", "none": "off"}
 
 
@@ -45,7 +47,7 @@
         for called in sorted(sidecar.outbound):
             stem = f"{home}-{called}"
             plain.append(f"willowwing-{sidecar.tier}-{called}.service")
-            found[f"{stem}.json"] = marked(platform(description, sidecar, called))
+            found[f"{stem}.json"] = with_json_digest(platform(description, sidecar, called))
             membership = description.tiers[called].membership
             on: dict[str, Any] = {}
             if membership is not None:
@@ -53,23 +55,24 @@
             if description.budgets is not None:
                 on["budgets"] = replace(description.budgets, mark=description.budgets.mark or sidecar.tier)
             if on:
-                found[f"{stem}.operator.toml"] = headed(toml_tables(**on))
-            found[f"{stem}.service"] = headed(unit(sidecar, called, stem, bool(on)))
+                found[f"{stem}.operator.toml"] = with_head_digest(toml_tables(**on))
+            found[f"{stem}.service"] = with_head_digest(unit(sidecar, called, stem, bool(on)))
         membership = description.tiers[sidecar.tier].membership
         if sidecar.registration is not None and membership is not None:
             tables = toml_tables(membership=membership, registration=sidecar.registration)
-            found[f"{home}.operator.toml"] = headed(tables)
-        found[f"{home}.service"] = headed(sidecar_unit(description, sidecar, plain))
+            found[f"{home}.operator.toml"] = with_head_digest(tables)
+        found[f"{home}.service"] = with_head_digest(sidecar_unit(description, sidecar, plain))
     return dict(sorted(found.items()))
 
 
 def number_of(description: Description, sidecar: Sidecar, called: str) -> tuple[int, int]:
-    """The sidecar's number among those that call the tier, and how many these are."""
+    """Return the sidecar's number among those that call the tier, and how many these are."""
     callers = [other for other in description.sidecars if called in other.outbound]
     return callers.index(sidecar), len(callers)
 
 
 def toml_tables(**tables: Any) -> bytes:
+    """Write tables as TOML."""
     lines = [line for name, value in tables.items() for line in table(value, f"[{name}]")]
     return "\n".join(lines).encode()
 
@@ -84,7 +87,7 @@
         "listen": sidecar.outbound[called],
         "discovery": description.padron(called),
         "seed": hashlib.sha256(f"{sidecar.host} {sidecar.tier} {called}".encode()).hexdigest()[:16],
-        "forms": {name: FORMS[description.classes[name].effect] for name in names},
+        "forms": {name: IDEMPOTENCY_BY_EFFECT[description.classes[name].effect] for name in names},
         "limits": {"memory_mb": sidecar.memory_mb, "sockets": sidecar.sockets},
         "settings": _platform_settings(description, sidecar, called, routes),
     }
@@ -107,7 +110,7 @@
         "zone": sidecar.zone,
         "dcs": list(tier.zones),
         "discovery": "ask",
-        "quantum": QUANTUM,
+        "quantum": QUANTUM_S,
         "grades": [_grade(name, description.classes[name], route) for name, route in routes.items()],
         "tenants": [
             {"name": name, "quota_rps": tenant.quota_per_s, "portion": tenant.share}
@@ -121,7 +124,7 @@
 
 def _grade(name: str, cls: Class, route: Route) -> dict[str, Any]:
     """Return one entry of the settings' `grades`: a class as its route treats it."""
-    effect = TREATMENTS[route.retry]
+    effect = IDEMPOTENCY_BY_RETRY[route.retry]
     grade: dict[str, Any] = {
         "name": name,
         "value": cls.worth,
@@ -141,9 +144,9 @@
         "may_duplicate": False,
         "may_cancel": features.cancel,
         "probes": features.probes,
-        "most_held": MOST_HELD,
-        "conn_idle": CONN_IDLE,
-        "connect_timeout": CONNECT_TIMEOUT,
+        "most_held": MAX_OPEN_REQUESTS,
+        "conn_idle": IDLE_TIMEOUT_S,
+        "connect_timeout": CONNECT_TIMEOUT_S,
         "retry_after": features.retry_after,
         "max_retry_after": 2.0,
     }
@@ -162,21 +165,23 @@
 
 
 def canonical(body: dict[str, Any]) -> bytes:
+    """Write JSON in the one form that digests are taken of."""
     return json.dumps(body, indent=1, ensure_ascii=False).encode()
 
 
-def marked(body: dict[str, Any]) -> bytes:
+def with_json_digest(body: dict[str, Any]) -> bytes:
     """With a digest of the rest at its head."""
     mark = {"by": WRITTEN_BY, "sha256": hashlib.sha256(canonical(body)).hexdigest()}
-    return canonical({MARK: mark, **body}) + b"\n"
+    return canonical({DIGEST_KEY: mark, **body}) + b"\n"
 
 
-def headed(body: bytes) -> bytes:
+def with_head_digest(body: bytes) -> bytes:
     """With a digest of it in a comment at its head."""
-    return HEAD + b"%s\n%s" % (digest(body), body)
+    return DIGEST_HEAD + b"%s\n%s" % (digest(body), body)
 
 
 def digest(body: bytes) -> bytes:
+    """Return the SHA-256 of a body, as hex."""
     return hashlib.sha256(body).hexdigest().encode()
 
 
@@ -213,30 +218,30 @@
     return _service(sidecar, title, conflicts, command, description.tiers[sidecar.tier].stop_after)
 
 
-def written_here(content: bytes, name: str) -> bool:
+def has_digest(content: bytes, name: str) -> bool:
     """Whether it bears a digest of this tool's, right or wrong."""
     if name.endswith(".json"):
         try:
-            return MARK in json.loads(content)
+            return DIGEST_KEY in json.loads(content)
         except (ValueError, TypeError, RecursionError):
             return False
-    return content.startswith(HEAD)
+    return content.startswith(DIGEST_HEAD)
 
 
-def edited(content: bytes, name: str) -> bool:
+def was_edited(content: bytes, name: str) -> bool:
     """Whether its digest is not that of its content, or there is none."""
     if name.endswith(".json"):
         try:
             body = json.loads(content)
-            mark = body.pop(MARK)
+            mark = body.pop(DIGEST_KEY)
             return bool(mark["sha256"] != hashlib.sha256(canonical(body)).hexdigest())
         except (ValueError, KeyError, TypeError, AttributeError):
             return True
     head, _, body = content.partition(b"\n")
-    return not head.startswith(HEAD) or head.split()[-1] != digest(body)
+    return not head.startswith(DIGEST_HEAD) or head.split()[-1] != digest(body)
 
 
-def refusals(folder: Path) -> list[Problem]:
+def find_edited_files(folder: Path) -> list[Problem]:
     """What in the folder would be lost by writing it anew."""
     if folder.is_symlink() or (folder.exists() and not folder.is_dir()):
         return [Problem(str(folder), 1, "C008", "is a link or no folder", "name a folder, or one to be made")]
@@ -244,7 +249,7 @@
     for path in sorted(folder.rglob("*")) if folder.exists() else ():
         if path.is_symlink():
             found.append(Problem(str(path), 1, "C008", "is a link, which may lead anywhere", "take it away"))
-        elif path.is_file() and edited(path.read_bytes(), path.name):
+        elif path.is_file() and was_edited(path.read_bytes(), path.name):
             text = "was edited by hand, or not written here"
             found.append(
                 Problem(str(path), 1, "C008", text, "put the change into the description, or --force")
@@ -270,10 +275,11 @@
 
 
 def write(description: Description, folder: Path, force: bool = False) -> list[Problem]:
-    """Makes the folder anew; returns what keeps it from that. Raises OSError, and then nothing has
-    changed.
+    """Make the folder anew; return what is in the way.
+
+    Raises OSError, and then nothing has changed.
     """
-    problems = refusals(folder)
+    problems = find_edited_files(folder)
     if problems and (not force or folder.is_symlink() or not folder.is_dir()):
         return problems
     folder.parent.mkdir(parents=True, exist_ok=True)
--- a/tests/sidecar/test_earlier_version.py
+++ b/tests/sidecar/test_earlier_version.py
@@ -17,7 +17,7 @@
 
 from service_proxy.net.config import load_config
 from service_proxy.sidecar.__main__ import main
-from service_proxy.sidecar.write import refusals, written_here
+from service_proxy.sidecar.write import find_edited_files, has_digest
 
 ROOT = Path(__file__).parent.parent.parent
 FIXTURE = Path(__file__).parent / "fixtures" / "written_by_granitepoint"
@@ -45,9 +45,9 @@
 
 
 def test_files_of_the_earlier_version_are_known_as_this_tools_own_and_unedited(folder: Path) -> None:
-    assert refusals(folder) == []
+    assert find_edited_files(folder) == []
     for name in FILES:
-        assert written_here((folder / name).read_bytes(), name)
+        assert has_digest((folder / name).read_bytes(), name)
 
 
 @pytest.mark.parametrize("name", FILES)
@@ -57,7 +57,7 @@
     edited = re.sub(r"1024|384", "512", text, count=1)
     assert edited != text
     path.write_text(edited)
-    (problem,) = refusals(folder)
+    (problem,) = find_edited_files(folder)
     assert problem.file == str(path) and problem.code == "C008" and not problem.is_warning
 
 
@@ -72,7 +72,7 @@
     shutil.copy(FIXTURE / UNITS[0], edited)
     assert main(["write", description, "-o", str(folder)]) == 0
     assert {started_module(folder / name) for name in UNITS} == {"service_proxy", "service_proxy.sidecar"}
-    assert refusals(folder) == []
+    assert find_edited_files(folder) == []
 
 
 def test_the_heads_of_written_files_are_those_that_the_earlier_version_knows(tmp_path: Path) -> None:
--- a/tests/sidecar/test_inbound.py
+++ b/tests/sidecar/test_inbound.py
@@ -18,17 +18,17 @@
 from harness.proxy_process import free_port
 from service_proxy.net.downstream import Request
 from service_proxy.net.request_body import RequestBody
-from service_proxy.sidecar.admission import Heard, State
-from service_proxy.sidecar.description import Layers, build
-from service_proxy.sidecar.inbound import Inbound
+from service_proxy.sidecar.admission import ApplicationSignal, ApplicationState
+from service_proxy.sidecar.description import LayeredReader, build
+from service_proxy.sidecar.inbound import InboundListener
 from service_proxy.sidecar.model import Description
 
 
 def described(**changes: Any) -> Description:
     """One application of the tier nucleo, which calls nobody."""
-    layers = Layers("app.toml")
+    layers = LayeredReader("app.toml")
 
-    layers.lay("app.toml", PLAIN, tomllib.loads(PLAIN))
+    layers.add_layer("app.toml", PLAIN, tomllib.loads(PLAIN))
     description = build(layers)
     assert description is not None
     sidecar = dataclasses.replace(description.sidecars[1], inbound=f"127.0.0.1:{free_port()}", **changes)
@@ -36,12 +36,12 @@
 
 
 class Side:
-    def __init__(self, inbound: Inbound, application: EndpointServer) -> None:
+    def __init__(self, inbound: InboundListener, application: EndpointServer) -> None:
         self.inbound = inbound
         self.application = application
 
     @property
-    def state(self) -> State:
+    def state(self) -> ApplicationState:
         return self.inbound.admission.state
 
     async def caller(self) -> Client:
@@ -52,7 +52,7 @@
         answer = await (await self.caller()).send_raw(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         return answer.status_code, answer.body
 
-    async def becomes(self, state: State) -> None:
+    async def becomes(self, state: ApplicationState) -> None:
         await until(lambda: self.state is state, f"{state}, not {self.state}")
 
 
@@ -69,12 +69,12 @@
     else:
         application.address = f"127.0.0.1:{free_port()}"
     description = described(application=application.address, **changes)
-    inbound = Inbound(description, description.sidecars[0], 256, 64)
+    inbound = InboundListener(description, description.sidecars[0], 256, 64)
     await inbound.start()
     made = Side(inbound, application)
     try:
         if started and application.health_answer:
-            await made.becomes(State.UP)
+            await made.becomes(ApplicationState.UP)
         yield made
     finally:
         inbound.stop()
@@ -142,7 +142,7 @@
             assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
             assert float(answer.headers["retry-after"]) == 1.0
             await made.application.start()
-            await made.becomes(State.UP)
+            await made.becomes(ApplicationState.UP)
             assert (await made.page("/healthz"))[0] == 200
             assert (await (await made.caller()).request("canje", "2" * 16)).status_code == 200
 
@@ -178,7 +178,7 @@
             answer = await (await made.caller()).request("canje", "1" * 16, "200m")
             assert answer.status_code == 504 and "x-rejected" not in answer.headers
             assert asyncio.get_running_loop().time() - begun < 1.0
-            assert made.inbound.admission.out == 0 and not made.inbound.held
+            assert made.inbound.admission.in_flight == 0 and not made.inbound.requests
 
     run_async(test())
 
@@ -187,7 +187,7 @@
     async def test() -> None:
         async with side() as made:
             made.application.health_answer = None
-            await made.becomes(State.SLOW)
+            await made.becomes(ApplicationState.SLOW)
             assert await made.page("/healthz") == (503, b"the application is slow\n")
             answer = await (await made.caller()).request("canje", "1" * 16)
             assert (
@@ -196,10 +196,10 @@
                 and made.application.received_count == 0
             )
             made.application.health_answer = True
-            await made.becomes(State.UP)
+            await made.becomes(ApplicationState.UP)
             assert (await (await made.caller()).request("canje", "2" * 16)).status_code == 200
             assert (
-                made.inbound.admission.room(0.0) == made.inbound.sidecar.slots
+                made.inbound.admission.concurrency_limit(0.0) == made.inbound.sidecar.slots
             )  # the same process: not cold
 
     run_async(test())
@@ -209,7 +209,7 @@
     async def test() -> None:
         async with side() as made:
             made.application.health_answer = False
-            await made.becomes(State.UNREADY)
+            await made.becomes(ApplicationState.UNREADY)
             assert (await (await made.caller()).request("canje", "1" * 16)).status_code == 503
 
     run_async(test())
@@ -224,7 +224,7 @@
             callers = [await made.caller() for _ in range(4)]
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", "5000m")
-                await until(lambda n=number: len(made.inbound.held) == n + 1)  # type: ignore[misc]
+                await until(lambda n=number: len(made.inbound.requests) == n + 1)  # type: ignore[misc]
             await until(lambda: made.application.received_count == 2)
             assert len(made.inbound.admission.queue) == 2
             begun = asyncio.get_running_loop().time()
@@ -235,14 +235,14 @@
             assert asyncio.get_running_loop().time() - begun < 2.5  # at once, not at the end of their 5 s
             assert [answer.status_code for answer in answers[:2]] == [502, 502]  # they may have run
             assert all("x-rejected" not in answer.headers for answer in answers[:2])
-            await made.becomes(State.DOWN)
+            await made.becomes(ApplicationState.DOWN)
             for answer in answers[2:]:
                 assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
             made.application.respond = respond_ok
             await made.application.start()
-            await made.becomes(State.UP)
+            await made.becomes(ApplicationState.UP)
             now = asyncio.get_running_loop().time()
-            assert made.inbound.admission.room(now) == 1  # of 2, at 16%
+            assert made.inbound.admission.concurrency_limit(now) == 1  # of 2, at 16%
             assert (await (await made.caller()).request("canje", "f" * 16)).status_code == 200
 
     run_async(test())
@@ -260,7 +260,7 @@
             callers = [await made.caller() for _ in range(4)]
             for number, caller in enumerate(callers[:3]):
                 caller.send("canje", f"{number:016x}", "5000m")
-                await until(lambda n=number: len(made.inbound.held) == n + 1)  # type: ignore[misc]
+                await until(lambda n=number: len(made.inbound.requests) == n + 1)  # type: ignore[misc]
             await until(lambda: made.application.received_count == 2)
             assert await made.page("/load") == (200, b"inflight=3,queue=1\n")
             refused = await callers[3].request("canje", "f" * 16, "5000m")
@@ -308,7 +308,7 @@
             await until(lambda: made.application.received_count == 1)
             answer = await waits.request("canje", "2" * 16, "150m")
             assert answer.status_code == 503 and answer.headers["x-rejected"] == "1"
-            assert made.application.received_count == 1 and list(made.inbound.held) == [b"1" * 16]
+            assert made.application.received_count == 1 and list(made.inbound.requests) == [b"1" * 16]
 
     run_async(test())
 
@@ -329,13 +329,17 @@
             await until(lambda: made.application.received_count == 1)
             waits.send("canje", "2" * 16, "5000m")
             await until(lambda: made.inbound.admission.queue)
-            made.inbound.admission.queue[0].due = 0.0
+            made.inbound.admission.queue[0].deadline = 0.0
             release.set()
             assert (await out.response()).status_code == 200 and made.application.received_count == 1
-            held = made.inbound.held[b"2" * 16]
-            made.inbound._overdue(held)
+            held = made.inbound.requests[b"2" * 16]
+            made.inbound._on_deadline(held)
             answer = await waits.response()
-            assert answer.status_code == 503 and answer.headers["x-rejected"] == "1" and not made.inbound.held
+            assert (
+                answer.status_code == 503
+                and answer.headers["x-rejected"] == "1"
+                and not made.inbound.requests
+            )
 
     run_async(test())
 
@@ -348,7 +352,7 @@
 
     async def test() -> None:
         async with side(behave, slots=1, waiting=4) as made:
-            made.inbound.admission.mean = 0.6
+            made.inbound.admission.mean_latency = 0.6
             out = await made.caller()
             waits = await made.caller()
             out.send("canje", "1" * 16, "5000m")
@@ -359,11 +363,14 @@
             waits.writer.close()
             await until(lambda: not made.inbound.admission.queue)
             out.writer.close()
-            await until(lambda: not made.inbound.owed)
-            assert (made.inbound.admission.out, made.inbound.stopped) == (1, 1) and not made.inbound.held
-            upstream = made.inbound.application  # whose connections that are in use are gone
+            await until(lambda: not made.inbound.unanswered)
+            assert (made.inbound.admission.in_flight, made.inbound.abandoned) == (
+                1,
+                1,
+            ) and not made.inbound.requests
+            upstream = made.inbound.application_pool  # whose connections that are in use are gone
             await until(lambda: len(upstream.connections) <= len(upstream.idle))
-            await until(lambda: made.inbound.admission.out == 0)
+            await until(lambda: made.inbound.admission.in_flight == 0)
             assert time.monotonic() - begun >= 0.5 and made.application.received_count == 1
 
     run_async(test())
@@ -477,7 +484,7 @@
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", "5000m")
             await until(lambda: made.inbound.admission.queue)
-            made.inbound.change(dataclasses.replace(made.inbound.sidecar, slots=2))
+            made.inbound.update(dataclasses.replace(made.inbound.sidecar, slots=2))
             await until(lambda: made.application.received_count == 2)
             release.set()
             assert [(await caller.response()).status_code for caller in callers] == [200, 200]
@@ -503,10 +510,10 @@
                 other.send("reserva", "2" * 16, "3900m")
                 await until(lambda: made.application.received_count == 1)
             else:
-                made.inbound.application.close_idle()
+                made.inbound.application_pool.close_idle()
             assert (await (await made.caller()).request("canje", "1" * 16)).status_code == 502
-            await until(lambda: made.state is State.UP and not made.inbound.probe_out)
-            room = made.inbound.admission.room(asyncio.get_running_loop().time())
+            await until(lambda: made.state is ApplicationState.UP and not made.inbound.health_check_in_flight)
+            room = made.inbound.admission.concurrency_limit(asyncio.get_running_loop().time())
             assert room == (8 if another else 1)
 
     run_async(test())
@@ -523,11 +530,11 @@
             assert [(await caller.response()).status_code for caller in callers] == [200, 200]
             assert made.application.server is not None
             made.application.server.close()
-            states = [made.inbound.admission.heard(Heard.REFUSED, time.monotonic())]
-            made.inbound._probe()
-            await until(lambda: not made.inbound.probe_out)
+            states = [made.inbound.admission.on_signal(ApplicationSignal.REFUSED, time.monotonic())]
+            made.inbound._check_health()
+            await until(lambda: not made.inbound.health_check_in_flight)
             states.append(made.state)
-            assert states == [State.DOWN, State.DOWN]
+            assert states == [ApplicationState.DOWN, ApplicationState.DOWN]
 
     run_async(test())
 
@@ -553,12 +560,12 @@
 def test_a_caller_that_left_while_the_connection_was_being_made_costs_the_application_nothing() -> None:
     async def test() -> None:
         async with side() as made:
-            made.inbound.application.close_idle()
+            made.inbound.application_pool.close_idle()
             held = made.inbound.start_request(request(b"1" * 16, 5.0), Caught())
-            assert held is not None and held.exchange is not None and not held.exchange.sent
+            assert held is not None and held.attempt is not None and not held.attempt.sent
             made.inbound.client_disconnected(held)
-            await until(lambda: not made.inbound.held)
-            assert made.application.received_count == 0 and made.inbound.admission.out == 0
+            await until(lambda: not made.inbound.requests)
+            assert made.application.received_count == 0 and made.inbound.admission.in_flight == 0
 
     run_async(test())
 
@@ -571,7 +578,7 @@
         async with side(behave) as made:
             begun = time.monotonic()
             held = made.inbound.start_request(request(b"1" * 16, 60.0), Caught())
-            assert held is not None and held.due - begun <= 6.0
+            assert held is not None and held.deadline - begun <= 6.0
             made.inbound.drain(begun + 0.3)
             reply = Caught()
             assert made.inbound.start_request(request(b"2" * 16, 5.0), reply) is not None
--- a/tests/sidecar/test_rulemodel.py
+++ b/tests/sidecar/test_rulemodel.py
@@ -8,7 +8,7 @@
 import pytest
 
 from service_proxy.sidecar.model import Class, Route, Tier
-from service_proxy.sidecar.rulemodel import GRACE, rule_four, rule_one, rule_three, rule_two
+from service_proxy.sidecar.rule_model import GRACE, rule_four, rule_one, rule_three, rule_two
 
 CANJE = Class("once", 2.5, 6.0)
 RESERVA = Class("by-key", 1.5, 4.0, 1.0, "zone", 6.0)
