--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -156,10 +156,11 @@
         )
 
     def _load_response(self) -> LocalResponse:
-        out = self.admission.in_flight
+        in_flight = self.admission.in_flight
         queue = len(self.admission.queue)
         return LocalResponse(
-            200 if self.admission.is_accepting else 503, b"inflight=%d,queue=%d\n" % (out + queue, queue)
+            200 if self.admission.is_accepting else 503,
+            b"inflight=%d,queue=%d\n" % (in_flight + queue, queue),
         )
 
     # the application
@@ -168,7 +169,7 @@
         if self.health_check_in_flight:
             return
         self.health_check_in_flight = True
-        exchange = UpstreamAttempt(
+        attempt = UpstreamAttempt(
             self.application_pool,
             self.health_check_request,
             HEALTH_CHECK_TIMEOUT_S,
@@ -178,15 +179,15 @@
         if self.admission.state is not ApplicationState.UP:
             # A connection that still stands says nothing of who listens now.
             self.application_pool.close_idle()
-        self.cluster.start_attempt(exchange)
+        self.cluster.start_attempt(attempt)
 
-    def _on_health_check_end(self, exchange: UpstreamAttempt) -> None:
+    def _on_health_check_end(self, attempt: UpstreamAttempt) -> None:
         self.health_check_in_flight = False
-        status = exchange.status
+        status = attempt.status
         if status is AttemptStatus.CONNECT_FAILED:
             self._on_signal(ApplicationSignal.REFUSED)
-        elif exchange.status_code:
-            is_healthy = OK <= exchange.status_code < FIRST_REDIRECTION
+        elif attempt.status_code:
+            is_healthy = OK <= attempt.status_code < FIRST_REDIRECTION
             self._on_signal(ApplicationSignal.HEALTHY if is_healthy else ApplicationSignal.UNHEALTHY)
         elif status is AttemptStatus.TIMEOUT:
             self._on_signal(ApplicationSignal.SILENT)
@@ -205,10 +206,10 @@
             )
         self.health_check_timer = self.loop.call_later(wait, self._check_health)
 
-    def _on_signal(self, what: ApplicationSignal) -> None:
+    def _on_signal(self, signal: ApplicationSignal) -> None:
         before = self.admission.state
         now = time.monotonic()
-        self._on_state(before, self.admission.on_signal(what, now), now)
+        self._on_state(before, self.admission.on_signal(signal, now), now)
 
     def _on_state(self, before: ApplicationState, state: ApplicationState, now: float) -> None:
         if state is before:
@@ -218,81 +219,81 @@
             "application_state_changed address=%s before=%s after=%s", address, before.value, state.value
         )
         self.state_changed.set()
-        for held in self.admission.take_rejected():
-            self._reject(held, b"the application is %s\n" % state.value.encode())
+        for inbound in self.admission.take_rejected():
+            self._reject(inbound, b"the application is %s\n" % state.value.encode())
         self._start_queued(now)
 
     # callers
-    def start_request(self, request: Request, reply: ResponseWriter) -> InboundRequest | None:
+    def start_request(self, request: Request, writer: ResponseWriter) -> InboundRequest | None:
         """Start, queue or reject a request."""
         now = time.monotonic()
         if self.is_closed or request.id in self.requests:
             # One of this name is with the application still: this one never was.
-            text = b"draining\n" if self.is_closed else b"this X-Call-Id is in use\n"
-            reply.respond(503, self._rejection_headers(now), text)
+            reason = b"draining\n" if self.is_closed else b"this X-Call-Id is in use\n"
+            writer.respond(503, self._rejection_headers(now), reason)
             return None
         cls = self.classes[request.class_name]
-        due = min(
+        deadline = min(
             request.received_at + min(request.time_budget, cls.deadline) - DEADLINE_MARGIN_S, self.end_by
         )
-        held = InboundRequest(request, reply, due)
-        worth = cls.worth
-        found = apply_filters(self.filters, request, lambda: None)  # who waits for it is its caller alone
-        if isinstance(found, Rejection):
-            reply.respond(503, self._rejection_headers(now), found.body)
+        inbound = InboundRequest(request, writer, deadline)
+        priority_weight = cls.worth
+        filtered = apply_filters(self.filters, request, lambda: None)  # who waits for it is its caller alone
+        if isinstance(filtered, Rejection):
+            writer.respond(503, self._rejection_headers(now), filtered.body)
             return None
-        held.filter_states = found
-        for ticket in found:
-            held.deadline = due = min(due, ticket.deadline)
-            worth *= ticket.weight_share
-        verdict, yields = self.admission.offer(held, worth, due, now)
-        if verdict is AdmissionDecision.REJECT:
-            self._end_filters(held, True)
+        inbound.filter_states = filtered
+        for filter_state in filtered:
+            inbound.deadline = deadline = min(deadline, filter_state.deadline)
+            priority_weight *= filter_state.weight_share
+        decision, displaced = self.admission.offer(inbound, priority_weight, deadline, now)
+        if decision is AdmissionDecision.REJECT:
+            self._end_filters(inbound, True)
             state = self.admission.state
             busy = state in ACCEPTING_STATES
-            reply.respond(
+            writer.respond(
                 503,
                 self._rejection_headers(now),
                 b"busy\n" if busy else b"the application is %s\n" % state.value.encode(),
             )
             return None
-        self.requests[request.id] = held
+        self.requests[request.id] = inbound
         self.unanswered += 1
-        held.deadline_timer = self.loop.call_later(max(0.0, due - now), self._on_deadline, held)
-        if yields is not None:
-            self._reject(yields, b"others are worth more\n")
-        if verdict is AdmissionDecision.START:
-            self._start_attempt(held, now)
-        return held
-
-    def client_disconnected(self, held: InboundRequest) -> None:
+        inbound.deadline_timer = self.loop.call_later(max(0.0, deadline - now), self._on_deadline, inbound)
+        if displaced is not None:
+            self._reject(displaced, b"others are worth more\n")
+        if decision is AdmissionDecision.START:
+            self._start_attempt(inbound, now)
+        return inbound
+
+    def client_disconnected(self, inbound: InboundRequest) -> None:
         """End a request whose client has left.
 
         One that is queued is not started; of one that the application has the connection is closed, so that
         no attempt is in flight which its client has given up.
         """
-        if not held.is_open:
+        if not inbound.is_open:
             return
-        self._finish(held, False)
-        if self.admission.remove_queued(held):
-            del self.requests[held.request.id]
-        elif held.attempt is not None:
-            self._abandon(held, held.attempt)
+        self._finish(inbound, False)
+        if self.admission.remove_queued(inbound):
+            del self.requests[inbound.request.id]
+        elif inbound.attempt is not None:
+            self._abandon(inbound, inbound.attempt)
 
-    def _abandon(self, held: InboundRequest, exchange: UpstreamAttempt) -> None:
+    def _abandon(self, inbound: InboundRequest, attempt: UpstreamAttempt) -> None:
         """End an attempt that nobody waits for.
 
         Its slot stays taken for as long as such a request usually takes: an application that does not look at
         its connection works on.
         """
-        if not exchange.sent:
-            exchange.cancel()
+        if not attempt.sent:
+            attempt.cancel()
             return
-        left = held.started_at + self.admission.mean_latency - time.monotonic()
+        time_left = inbound.started_at + self.admission.mean_latency - time.monotonic()
         self.abandoned += 1
         self.admission.in_flight += 1  # in place of the one that ends now
-        self.loop.call_later(max(0.0, left), self._release_slot)
-        exchange.cancel()
+        self.loop.call_later(max(0.0, time_left), self._release_slot)
+        attempt.cancel()
 
     def _release_slot(self) -> None:
         self.abandoned -= 1
@@ -300,40 +301,42 @@
         self.admission.on_request_end(None)
         self._start_queued(now)
 
-    def _end_filters(self, held: InboundRequest, answered: bool) -> None:
-        for ticket in held.filter_states:
-            ticket.on_request_end(answered)
-
-    def _start_attempt(self, held: InboundRequest, now: float) -> None:
-        held.started_at = now
-        request = held.request
-        left = held.deadline - now
-        more = b"".join(ticket.on_attempt_start(left) or b"" for ticket in held.filter_states)
-        head = b"%s%sx-budget: %du\r\n\r\n" % (request.head, more, max(1, int(left * 1e6)))
-        held.attempt = UpstreamAttempt(
+    def _end_filters(self, inbound: InboundRequest, answered: bool) -> None:
+        for filter_state in inbound.filter_states:
+            filter_state.on_request_end(answered)
+
+    def _start_attempt(self, inbound: InboundRequest, now: float) -> None:
+        inbound.started_at = now
+        request = inbound.request
+        time_left = inbound.deadline - now
+        extra_headers = b"".join(
+            filter_state.on_attempt_start(time_left) or b"" for filter_state in inbound.filter_states
+        )
+        head = b"%s%sx-budget: %du\r\n\r\n" % (request.head, extra_headers, max(1, int(time_left * 1e6)))
+        inbound.attempt = UpstreamAttempt(
             self.application_pool,
             b"".join([head, *request.body.parts]),
-            max(0.0, left),
-            lambda: held.is_open,
-            lambda exchange: self._on_attempt_end(held, exchange),
+            max(0.0, time_left),
+            lambda: inbound.is_open,
+            lambda exchange: self._on_attempt_end(inbound, exchange),
         )
-        self.cluster.start_attempt(held.attempt)
+        self.cluster.start_attempt(inbound.attempt)
 
     def _start_queued(self, now: float) -> None:
-        while (held := self.admission.next_request(now)) is not None:
-            self._start_attempt(held, now)
+        while (inbound := self.admission.next_request(now)) is not None:
+            self._start_attempt(inbound, now)
 
-    def _on_attempt_end(self, held: InboundRequest, exchange: UpstreamAttempt) -> None:
+    def _on_attempt_end(self, inbound: InboundRequest, attempt: UpstreamAttempt) -> None:
         """Take in that the application is done with a request, or never had it."""
         now = time.monotonic()
-        status = exchange.status
+        status = attempt.status
         assert status is not None
-        del self.requests[held.request.id]
-        for ticket in held.filter_states:
-            ticket.on_attempt_end(exchange, status)
-        self.admission.on_request_end(exchange.elapsed if exchange.status_code else None)
-        if held.is_open:
-            self._respond_by_outcome(held, exchange, status, now)
+        del self.requests[inbound.request.id]
+        for filter_state in inbound.filter_states:
+            filter_state.on_attempt_end(attempt, status)
+        self.admission.on_request_end(attempt.elapsed if attempt.status_code else None)
+        if inbound.is_open:
+            self._respond_by_outcome(inbound, attempt, status, now)
         before = self.admission.state
         if status is AttemptStatus.RESET:
             self._on_state(
@@ -346,68 +349,68 @@
         self._start_queued(now)
 
     def _respond_by_outcome(
-        self, held: InboundRequest, exchange: UpstreamAttempt, status: AttemptStatus, now: float
+        self, inbound: InboundRequest, attempt: UpstreamAttempt, status: AttemptStatus, now: float
     ) -> None:
-        if exchange.status_code >= OK:
+        if attempt.status_code >= OK:
             headers = tuple(
-                pair for pair in exchange.response_headers if pair[0] not in self.removed_response_headers
+                pair for pair in attempt.response_headers if pair[0] not in self.removed_response_headers
             )
-            self._respond(held, exchange.status_code, headers, exchange.response_body, True)
+            self._respond(inbound, attempt.status_code, headers, attempt.response_body, True)
         elif status in NEVER_EXECUTED:
-            self._respond(held, 503, self._rejection_headers(now), b"the application did not get it\n")
+            self._respond(inbound, 503, self._rejection_headers(now), b"the application did not get it\n")
         elif status is AttemptStatus.TIMEOUT:
-            self._respond(held, 504, (), b"the application did not answer in time\n")
+            self._respond(inbound, 504, (), b"the application did not answer in time\n")
         else:
-            self._respond(held, 502, (), b"the application's answer was cut or can't be used\n")
+            self._respond(inbound, 502, (), b"the application's answer was cut or can't be used\n")
 
     def _respond(
-        self, held: InboundRequest, code: int, headers: HeaderFields, body: bytes, own: bool = False
+        self, inbound: InboundRequest, status_code: int, headers: HeaderFields, body: bytes, own: bool = False
     ) -> None:
         """Respond; `own`: the response is the application's, which is done with the request then."""
-        for ticket in held.filter_states:
-            headers += ticket.response_headers()
-        self._finish(held, own)
-        held.writer.respond(code, headers, body)
+        for filter_state in inbound.filter_states:
+            headers += filter_state.response_headers()
+        self._finish(inbound, own)
+        inbound.writer.respond(status_code, headers, body)
 
-    def _reject(self, held: InboundRequest, text: bytes) -> None:
+    def _reject(self, inbound: InboundRequest, reason: bytes) -> None:
         """Reject a request that was queued and never started."""
-        del self.requests[held.request.id]
-        if held.is_open:
-            self._respond(held, 503, self._rejection_headers(time.monotonic()), text)
+        del self.requests[inbound.request.id]
+        if inbound.is_open:
+            self._respond(inbound, 503, self._rejection_headers(time.monotonic()), reason)
 
     def _rejection_headers(self, now: float) -> tuple[tuple[bytes, bytes], ...]:
         if not self.sends_retry_after:
             return REJECTED_HEADERS
         return (*REJECTED_HEADERS, (b"retry-after", b"%.3f" % self.admission.retry_after(now)))
 
-    def _on_deadline(self, held: InboundRequest, late: bool = False) -> None:
+    def _on_deadline(self, inbound: InboundRequest, is_second_look: bool = False) -> None:
         """End a request whose time is up: it is queued, or its attempt would end a moment later."""
-        if not held.is_open:
+        if not inbound.is_open:
             return
-        if not late and time.monotonic() > held.deadline + LOOP_STALL_S:
+        if not is_second_look and time.monotonic() > inbound.deadline + LOOP_STALL_S:
             # This process stood still, and timers come before sockets: the answer may have come meanwhile.
-            held.deadline_timer = self.loop.call_later(LOOP_TURN_S, self._on_deadline, held, True)
+            inbound.deadline_timer = self.loop.call_later(LOOP_TURN_S, self._on_deadline, inbound, True)
             return
-        exchange = held.attempt
-        if exchange is None:
-            self.admission.remove_queued(held)  # unless it was passed over just now
-            self._reject(held, b"waited for as long as its caller would\n")
+        attempt = inbound.attempt
+        if attempt is None:
+            self.admission.remove_queued(inbound)  # unless it was passed over just now
+            self._reject(inbound, b"waited for as long as its caller would\n")
             return
-        if exchange.sent:
-            self._respond(held, 504, (), b"the application did not answer in time\n")
+        if attempt.sent:
+            self._respond(inbound, 504, (), b"the application did not answer in time\n")
         else:
             self._respond(
-                held, 503, self._rejection_headers(time.monotonic()), b"the application did not get it\n"
+                inbound, 503, self._rejection_headers(time.monotonic()), b"the application did not get it\n"
             )
-        exchange.end(AttemptStatus.TIMEOUT if exchange.sent else AttemptStatus.NOT_SENT)
+        attempt.end(AttemptStatus.TIMEOUT if attempt.sent else AttemptStatus.NOT_SENT)
 
-    def _finish(self, held: InboundRequest, answered: bool) -> None:
+    def _finish(self, inbound: InboundRequest, answered: bool) -> None:
         """End the request; unless `answered`, what its application still does for it is for nobody."""
-        held.is_open = False
-        self._end_filters(held, answered)
+        inbound.is_open = False
+        self._end_filters(inbound, answered)
         self.unanswered -= 1
-        if held.deadline_timer is not None:
-            held.deadline_timer.cancel()
+        if inbound.deadline_timer is not None:
+            inbound.deadline_timer.cancel()
 
     def update(self, sidecar: Sidecar) -> None:
         """Take over slots, queue and health check of a reread description."""
@@ -422,13 +425,13 @@
         """Announce the end by health checks; serve on, and answer all by `end_by` (monotonic, s)."""
         self.admission.draining = True
         self.end_by = end_by
-        for held in self.requests.values():
-            if held.is_open and held.deadline > end_by:
-                assert held.deadline_timer is not None
-                held.deadline_timer.cancel()
-                held.deadline = end_by
-                held.deadline_timer = self.loop.call_later(
-                    max(0.0, end_by - time.monotonic()), self._on_deadline, held
+        for inbound in self.requests.values():
+            if inbound.is_open and inbound.deadline > end_by:
+                assert inbound.deadline_timer is not None
+                inbound.deadline_timer.cancel()
+                inbound.deadline = end_by
+                inbound.deadline_timer = self.loop.call_later(
+                    max(0.0, end_by - time.monotonic()), self._on_deadline, inbound
                 )
 
     def close(self) -> None:
