--- a/service_proxy/fleet/member_base.py
+++ b/service_proxy/fleet/member_base.py
@@ -168,7 +168,7 @@
             record: what others are told of this member.
             seeds: addresses at which others may be; its own among them is passed over.
             timing: of the protocol.
-            seed: of its random numbers.
+            seed: of random numbers.
             now: reading of a monotonic clock, s.
             wall_time: s since 1970, of which its incarnation's generation is made.
             authenticator: of its datagrams; None: checksums.
@@ -182,14 +182,17 @@
         self.seeds = [address for address in dict.fromkeys(seeds) if address != record.address]
         self.broadcast_address = broadcast_address
         self.key = member_key(record.name)
-        incarnation = Incarnation(initial_generation(wall_time), self.random.randint(1, MAX_NONCE), 0)
-        self.ownership = NameOwnership(record, incarnation)
+        nonce = self.random.randint(1, MAX_NONCE)
+        self.ownership = NameOwnership(record, Incarnation(initial_generation(wall_time), nonce, 0))
         self.now = now
-        self.clock_offset = 0.0
         self.started_at = now
+        self.clock_offset = 0.0
         self._initialise()
+        self._set_first_timers()
+
+    def _set_first_timers(self) -> None:
         self._set_timer(0.0, TimerKind.JOIN)
-        self._set_timer(timing.period, TimerKind.HOUSEKEEPING)
+        self._set_timer(self.timing.period, TimerKind.HOUSEKEEPING)
 
     def _initialise(self) -> None:
         """Create the state of this layer; a layer adds its own."""
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -86,6 +86,16 @@
         self.filter_states: list[RequestFilterState] = []
 
 
+def create_application_cluster(sidecar: Sidecar, sockets: int) -> UpstreamCluster:
+    """Return the upstream cluster whose one endpoint is the application."""
+    max_connections = int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + HEALTH_CHECK_CONNECTIONS
+    cluster = UpstreamCluster(CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, max_connections)
+    address = parse_address(sidecar.application)
+    application = Endpoint(address, EndpointEntry(APPLICATION_ENDPOINT_ID), "application")
+    cluster.apply_endpoint_list(EndpointList(0, True, [application]))
+    return cluster
+
+
 class InboundListener:
     """The listener before the application of one [[sidecar]]; the handler of its HTTP server."""
 
@@ -108,24 +118,15 @@
         self.admission: ApplicationAdmission[InboundRequest] = ApplicationAdmission(
             sidecar.slots, sidecar.waiting, tier.cold_from, tier.cold_for, description.features.warm_up
         )
-        self.cluster = UpstreamCluster(
-            CONNECT_TIMEOUT_S,
-            IDLE_TIMEOUT_S,
-            int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + HEALTH_CHECK_CONNECTIONS,
-        )
-        at = parse_address(sidecar.application)
-        self.cluster.apply_endpoint_list(
-            EndpointList(0, True, [Endpoint(at, EndpointEntry(APPLICATION_ENDPOINT_ID), "application")])
-        )
+        self.cluster = create_application_cluster(sidecar, sockets)
         self.application_pool = self.cluster.pools[APPLICATION_ENDPOINT_ID]
         self.health_check_request = format_health_check(sidecar)
-        self.requests: dict[
-            bytes, InboundRequest
-        ] = {}  # by X-Call-Id, until the application is done with it, too
-        self.unanswered = 0  # answers
-        self.abandoned = 0  # calls that nobody waits for and whose slots are held
-        self.is_closed = False  # takes nothing any more
-        self.end_by = float("inf")
+        # By X-Call-Id, until the application is done with it, too.
+        self.requests: dict[bytes, InboundRequest] = {}
+        self.unanswered = 0
+        self.abandoned = 0  # requests that nobody waits for and whose slots are still taken
+        self.is_closed = False  # accepts nothing any more
+        self.end_by = float("inf")  # monotonic, s
         self.health_check_timer: asyncio.TimerHandle | None = None
         self.health_check_in_flight = False
         self.state_changed = asyncio.Event()  # the application's state has changed
@@ -249,13 +250,7 @@
         decision, displaced = self.admission.offer(inbound, priority_weight, deadline, now)
         if decision is AdmissionDecision.REJECT:
             self._end_filters(inbound, True)
-            state = self.admission.state
-            busy = state in ACCEPTING_STATES
-            writer.respond(
-                503,
-                self._rejection_headers(now),
-                b"busy\n" if busy else b"the application is %s\n" % state.value.encode(),
-            )
+            writer.respond(503, self._rejection_headers(now), self._rejection_reason())
             return None
         self.requests[request.id] = inbound
         self.unanswered += 1
@@ -266,6 +261,12 @@
             self._start_attempt(inbound, now)
         return inbound
 
+    def _rejection_reason(self) -> bytes:
+        state = self.admission.state
+        if state in ACCEPTING_STATES:
+            return b"busy\n"
+        return b"the application is %s\n" % state.value.encode()
+
     def client_disconnected(self, inbound: InboundRequest) -> None:
         """End a request whose client has left.
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,8 +10,22 @@
 MAX_MODULE_LINES = 500
 MAX_FUNCTION_LINES = 40
 # What is longer, each with its reason; an entry that is no longer needed fails the test.
-LONG_MODULES: dict[str, str] = {}
-LONG_FUNCTIONS: dict[str, str] = {}
+NOT_YET_SPLIT = "a benchmark that has not been brought to the rules yet: docs/ROADMAP.md"
+LONG_MODULES = {"benchmarks/recovery.py": NOT_YET_SPLIT}
+ARGUMENTS = "its arguments and their documentation are half of it"
+LONG_FUNCTIONS = {
+    "harness/deployment.py:Deployment.__init__": "the state of a whole deployment, one field a line",
+    "harness/deployment.py:running_deployment": ARGUMENTS,
+    "harness/proxy_process.py:running_proxy": ARGUMENTS,
+    "harness/recovery/crash_points.py:record_store_run": "one recorded run, in the order of its steps",
+    "harness/tier_chain.py:running_chain": ARGUMENTS,
+    "benchmarks/ephemeral.py:judge": NOT_YET_SPLIT,
+    "benchmarks/ephemeral.py:measure": NOT_YET_SPLIT,
+    "benchmarks/sidecar.py:measure": NOT_YET_SPLIT,
+    "benchmarks/sidecar.py:restarts": NOT_YET_SPLIT,
+    "benchmarks/websocket.py:faults": NOT_YET_SPLIT,
+    "benchmarks/websocket.py:fuzz_sessions": NOT_YET_SPLIT,
+}
 
 
 def modules() -> list[Path]:
