--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -26,7 +26,7 @@
 
 @cache
 def defined_names() -> frozenset[str]:
-    """Return all classes and functions of the package, as NAME, CLASS.MEMBER and MODULE.NAME."""
+    """Return all classes, functions and constants of the package, as NAME, CLASS.MEMBER and MODULE.NAME."""
     names: set[str] = set()
     for file in PACKAGE.rglob("*.py"):
         for node in ast.parse(file.read_text(encoding="utf-8")).body:
@@ -34,6 +34,8 @@
                 names |= {node.name, f"{file.stem}.{node.name}"}
             if isinstance(node, ast.ClassDef):
                 names |= {f"{node.name}.{member}" for member in members(node)}
+            if isinstance(node, ast.Assign):
+                names |= {target.id for target in node.targets if isinstance(target, ast.Name)}
     return frozenset(names)
 
 
@@ -70,9 +72,25 @@
     assert [path for path in paths if not exists(path)] == []
 
 
-def test_the_architecture_page_names_what_is_defined() -> None:
-    text = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
+def names_of_tests() -> set[str]:
+    """Return the names of all tests, without `test_`."""
+    found: set[str] = set()
+    for file in (ROOT / "tests").rglob("test_*.py"):
+        found |= set(re.findall(r"def test_(\w+)\(", file.read_text(encoding="utf-8")))
+    return found
+
+
+@pytest.mark.parametrize("page", ["docs/ARCHITECTURE.md", "docs/design/endings.md"])
+def test_a_page_names_what_is_defined(page: str) -> None:
+    text = (ROOT / page).read_text(encoding="utf-8")
     names = {name for span in SPAN.findall(text) for name in [span.partition("(")[0]] if NAME.fullmatch(name)}
     names = {name for name in names if not PATH.fullmatch(name) and not name.startswith("sys.")}
     unknown = names - defined_names()
     assert unknown == set()
+
+
+def test_each_row_of_the_endings_names_tests_that_exist() -> None:
+    text = (ROOT / "docs" / "design" / "endings.md").read_text(encoding="utf-8")
+    rows = [line.split("|")[4] for line in text.splitlines() if line.count("|") == 5 and "`" in line]
+    named = {name for cell in rows for name in SPAN.findall(cell)}
+    assert len(named) > 40 and named - names_of_tests() == set()
