--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -44,6 +44,7 @@
 )
 from service_proxy.deadlines.correlation import BYTES_PER_REQUEST, CorrelationTable
 from service_proxy.deadlines.request_budget import root_budget
+from service_proxy.net.http_status import OK, SERVICE_UNAVAILABLE
 
 HOSTS = 2
 CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
@@ -63,8 +64,6 @@
 LOOP_REQUESTS = 60  # in each kind of loop
 SHORT_LOOP_REQUESTS = 10
 MAX_LOOP_HOPS = 3
-OK = 200
-SERVICE_UNAVAILABLE = 503
 HISTORIES = 100_000
 SHORT_HISTORIES = 2_000
 CPU_REQUESTS = 8000  # of the measurement of CPU, each turn
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -12,6 +12,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from random import Random
 
+from benchmarks.fleet_processes import MAX_SETTLING
 from benchmarks.report import BenchmarkReport
 from harness.fleet.fault_script import ACTIONS, FaultPlayer, FaultScript, ScriptedFault, ScriptHeader
 from harness.fleet.virtual_fleet import VirtualFaultTarget, VirtualFleet, VirtualMember
@@ -19,7 +20,6 @@
 from service_proxy.fleet.member_table import MembershipChange
 from service_proxy.fleet.timing import ProtocolTiming
 
-MAX_SETTLING = 10.0  # periods within which all views of the living are equal after the last fault
 MAX_BYTES_RATIO = 1.5  # bytes a member and period at the largest size, against the smallest
 WORKERS = 4  # processes that play schedules
 GLOBAL_SHARE = 0.3  # of faults of links, that are of all links
--- a/harness/fleet/proxy_files.py
+++ b/harness/fleet/proxy_files.py
@@ -7,20 +7,7 @@
 
 from harness.fleet.fault_relay import loopback_address
 from harness.fleet.slots import FleetOptions, Slot, zone_of
-from harness.proxy_process import configuration, platform_settings
-
-POLICY_LIMITS: dict[str, Any] = {
-    "send_cap": 5,
-    "may_duplicate": False,
-    "may_cancel": True,
-    "probes": True,
-    "conn_idle": 30.0,
-    "connect_timeout": 0.15,
-    "most_held": 20000,
-    "retry_after": True,
-    "max_retry_after": 2.0,
-    "peers": True,
-}
+from harness.proxy_process import POLICY_LIMITS, configuration, platform_settings
 
 
 def proxy_configuration(
@@ -49,7 +36,7 @@
         balancers=options.members,
         me=number,
         zone=zone_of(number),
-        policy_limits=dict(POLICY_LIMITS),
+        policy_limits={**POLICY_LIMITS, "peers": True},
         contract=contract,
     )
 
--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -19,6 +19,18 @@
 
 ROOT = Path(__file__).parent.parent
 
+POLICY_LIMITS: dict[str, Any] = {
+    "send_cap": 5,
+    "may_duplicate": False,
+    "may_cancel": True,
+    "probes": True,
+    "conn_idle": 30.0,
+    "connect_timeout": 0.15,
+    "most_held": 20000,
+    "retry_after": True,
+    "max_retry_after": 2.0,
+}
+
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
     """The platform's settings of a first tier that asks discovery and probes."""
@@ -34,17 +46,7 @@
         "grades": CLASS_SETTINGS,
         "tenants": [],
         "report": {"names": ["busy_reqs", "pending"], "via": "on_probe"},
-        "policy_limits": {
-            "send_cap": 5,
-            "may_duplicate": False,
-            "may_cancel": True,
-            "probes": True,
-            "conn_idle": 30.0,
-            "connect_timeout": 0.15,
-            "most_held": 20000,
-            "retry_after": True,
-            "max_retry_after": 2.0,
-        },
+        "policy_limits": dict(POLICY_LIMITS),
         "contract": {
             "must_ask_in": 10.0,
             "grace_to_answer": 0.02,
--- a/service_proxy/__init__.py
+++ b/service_proxy/__init__.py
@@ -5,46 +5,52 @@
 `service_proxy.simulator_adapter` in a simulation.
 """
 
-from service_proxy.policy.balancer import Balancer
-from service_proxy.policy.events import (
+from service_proxy.policy.actions import (
     Action,
-    AttemptEnded,
-    AttemptStatus,
     CancelAttempt,
     CheckHealth,
     CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    Reject,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+    WriteLog,
+)
+from service_proxy.policy.balancer import Balancer
+from service_proxy.policy.events import (
+    NEVER_EXECUTED,
+    AttemptEnded,
+    AttemptStatus,
     EndpointEntry,
     EndpointListUpdate,
     EndpointState,
     Event,
-    Fail,
-    FetchEndpoints,
     HealthCheckEnded,
-    Idempotency,
-    IdempotencyScope,
-    InvalidSettingError,
     ListScope,
-    LoadReportSource,
     PeerMessage,
     ProxyCountUpdated,
-    Reject,
     RequestAbandoned,
     RequestArrived,
-    RequestClass,
-    SendPeerMessage,
-    SetTimer,
-    Settings,
     SettingsUpdated,
-    StartAttempt,
     StreamStarted,
-    Tenant,
     TimerFired,
-    WatchEndpoints,
+)
+from service_proxy.policy.settings_types import (
+    Idempotency,
+    IdempotencyScope,
+    InvalidSettingError,
+    LoadReportSource,
+    RequestClass,
+    Settings,
+    Tenant,
     WeightMeaning,
-    WriteLog,
 )
 
 __all__ = [
+    "NEVER_EXECUTED",
     "Action",
     "AttemptEnded",
     "AttemptStatus",
--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -35,9 +35,8 @@
 EXIT_CANNOT_LISTEN = 1
 EXIT_INVALID_CONFIGURATION = 2
 
-LISTENER_GRACE_S = (
-    0.6  # after SIGTERM, at which the listener closes; load balancers have taken notice by then
-)
+# After SIGTERM, at which the listener closes: load balancers have taken notice by then.
+LISTENER_GRACE_S = 0.6
 MAX_DEADLINE_WAIT_S = 3.0  # of the longest deadline that the platform waits for after SIGTERM
 KILL_GRACE_S = 0.7  # that it waits beyond that
 KILL_MARGIN_S = 0.4  # before its SIGKILL, by which all requests are answered
--- a/service_proxy/admin/settings_update.py
+++ b/service_proxy/admin/settings_update.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from service_proxy.admin.errors import InvalidSettingsUpdateError
-from service_proxy.policy.events import Settings
+from service_proxy.policy.settings_types import Settings
 
 TRANSITION_S = 0.8  # for which clients' requests may still be of the file before
 STARTUP_ONLY_KEYS = frozenset(("known", "seed"))
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -32,7 +32,7 @@
     from service_proxy.operator_file import Fleet as FleetSettings
     from service_proxy.operator_file import Membership, Registration, WebSocket
     from service_proxy.operator_file import Recovery as RecoverySettings
-    from service_proxy.policy.events import RequestClass
+    from service_proxy.policy.settings_types import RequestClass
     from service_proxy.recovery.service import Recovery
     from service_proxy.websocket.listener import WebSocketListener
 
@@ -110,7 +110,9 @@
             self._attach_recovery(self.recovery)
         self.websocket: WebSocketListener | None = None
         if websocket is not None:
-            self.websocket = create_websocket_front(websocket, process_config, self.dispatcher, self.server)
+            self.websocket = create_websocket_listener(
+                websocket, process_config, self.dispatcher, self.server
+            )
             self.subsystems.append(self.websocket)
 
     def _list_overlays(self) -> list[ListOverlay]:
@@ -230,11 +232,11 @@
     settings: Membership, dispatcher: RequestDispatcher, config: ProxyConfig
 ) -> Subsystem:
     """Return the source of endpoints that reads ephemeral nodes; it feeds the dispatcher."""
-    from service_proxy.ephemeral_nodes.source import EphemeralNodeSource as EndpointSource
+    from service_proxy.ephemeral_nodes.source import EphemeralNodeSource
 
     # Its lines say which source decided: docs/operators/ephemeral.md.
     _log_at_info("service_proxy.ephemeral_nodes")
-    return EndpointSource(settings, dispatcher, config)
+    return EphemeralNodeSource(settings, dispatcher, config)
 
 
 def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
@@ -296,7 +298,7 @@
     return reserve_resources(config, settings)
 
 
-def create_websocket_front(
+def create_websocket_listener(
     settings: WebSocket, config: ProxyConfig, dispatcher: RequestDispatcher, server: HttpServer
 ) -> WebSocketListener:
     """Return the WebSocket listener, attached to the HTTP listener. `config`: of the whole process.
--- a/service_proxy/deadlines/inbound.py
+++ b/service_proxy/deadlines/inbound.py
@@ -19,13 +19,13 @@
     BudgetPropagation,
     ClassLatencies,
     budget_value,
-    weight_share,
 )
 from service_proxy.deadlines.request_budget import RequestBudget
 from service_proxy.net.downstream import Request
 from service_proxy.net.request_filters import HeaderFields, Rejection
 from service_proxy.net.upstream import UpstreamAttempt
-from service_proxy.policy.events import AttemptStatus, RequestClass
+from service_proxy.policy.events import AttemptStatus
+from service_proxy.policy.settings_types import RequestClass
 
 log = logging.getLogger(__name__)
 
@@ -103,8 +103,7 @@
         self.request_class = request_class
         self.has_budget_header = has_budget_header
         self.deadline = budget.deadline
-        expected_end = time.monotonic() + filter.latencies[request_class.name].lower_quartile
-        self.weight_share = weight_share(budget, request_class, expected_end)
+        self.weight_share = filter.weight_share(budget, request_class)
         self.correlated: CorrelatedRequest | None = None
 
     def on_attempt_start(self, _timeout: float) -> bytes:
--- a/service_proxy/deadlines/outbound.py
+++ b/service_proxy/deadlines/outbound.py
@@ -15,14 +15,14 @@
     BudgetPropagation,
     ClassLatencies,
     budget_value,
-    weight_share,
 )
 from service_proxy.deadlines.request_budget import AttemptGrant, RequestBudget, completion_factor
 from service_proxy.net.downstream import Request
 from service_proxy.net.request_filters import HeaderFields, Rejection
 from service_proxy.net.upstream import UpstreamAttempt
-from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, RequestClass
-from service_proxy.policy.events import Settings as ProxySettings
+from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus
+from service_proxy.policy.settings_types import RequestClass
+from service_proxy.policy.settings_types import Settings as ProxySettings
 
 DEADLINE_MARGIN_S = 0.002  # by which a time on the wire is less than what is left: a turn of each event loop
 
@@ -129,8 +129,7 @@
         self.request_class = request_class
         self.give_up = give_up
         self.deadline = budget.deadline
-        expected_end = time.monotonic() + filter.latencies[request_class.name].lower_quartile
-        self.weight_share = weight_share(budget, request_class, expected_end)
+        self.weight_share = filter.weight_share(budget, request_class)
         if budget.parent is not None:
             calls_expected = filter.propagation.settings.calls_per_request
             factor = completion_factor(calls_expected, budget.parent.child_count - 1)
--- a/service_proxy/deadlines/propagation.py
+++ b/service_proxy/deadlines/propagation.py
@@ -4,6 +4,7 @@
 
 import logging
 import secrets
+import time
 from collections.abc import Mapping
 from typing import Protocol
 
@@ -16,8 +17,8 @@
 from service_proxy.operator_file import Budgets as Settings
 from service_proxy.operator_file import OperatorError, Problem, load
 from service_proxy.operator_file.key_file import read_keys
-from service_proxy.policy.events import RequestClass
-from service_proxy.policy.events import Settings as ProxySettings
+from service_proxy.policy.settings_types import RequestClass
+from service_proxy.policy.settings_types import Settings as ProxySettings
 
 log = logging.getLogger(__name__)
 
@@ -126,6 +127,17 @@
         for name in self.classes:
             self.latencies.setdefault(name, LatencyEstimate())
 
+    def weight_share(self, budget: RequestBudget, request_class: RequestClass) -> float:
+        """Return a request's share of its class's priority weight.
+
+        It is what the outermost request's answer is worth at the earliest instant at which this one usually
+        ends.
+        """
+        if request_class.priority_weight <= 0:
+            return 1.0
+        expected_end = time.monotonic() + self.latencies[request_class.name].lower_quartile
+        return min(MAX_WEIGHT_SHARE, budget.priority_weight_at(expected_end) / request_class.priority_weight)
+
 
 def budget_value(request: Request) -> bytes | None:
     """Return the value of the request's header; None where there is none.
@@ -136,13 +148,3 @@
     if len(request.consumed) > 1:
         raise header.MalformedBudgetError("given twice")
     return request.consumed[0][1] if request.consumed else None
-
-
-def weight_share(budget: RequestBudget, request_class: RequestClass, expected_end: float) -> float:
-    """Return a request's share of its class's priority weight.
-
-    It is what the outermost request's answer is worth at the earliest instant at which this one usually ends.
-    """
-    if request_class.priority_weight <= 0:
-        return 1.0
-    return min(MAX_WEIGHT_SHARE, budget.priority_weight_at(expected_end) / request_class.priority_weight)
--- a/service_proxy/ephemeral_nodes/merge_rules.py
+++ b/service_proxy/ephemeral_nodes/merge_rules.py
@@ -24,6 +24,7 @@
 
 from dataclasses import dataclass, replace
 
+from service_proxy.ephemeral_nodes.endpoint_node import MAX_GROUP
 from service_proxy.ephemeral_nodes.source_reports import (
     END_STATUSES,
     START_TOLERANCE_S,
@@ -36,7 +37,6 @@
 from service_proxy.policy.events import EndpointState
 
 LOSS_WINDOW_S = 2.0  # from a session's loss until its endpoint is gone: the platform's drain window
-MAX_GROUP = 1 << 31  # of real groups; those of rule 6 are negative
 NO_DISAGREEMENT = "no source contradicts"
 
 CurrentReports = list[tuple[SourceView, SourceReport]]
@@ -109,6 +109,7 @@
     entries = [report.endpoint.entry for _, report in reports]
     if len({(other.zone, other.cell) for other in entries if other.zone}) > 1:
         entry.zone = f"?{decision.endpoint.name}"
+        # Groups of nodes are 0 and above.
         entry.cell = -(endpoint_id_of(decision.endpoint.name) % MAX_GROUP) - 1
         if not has_ended:
             decision.reason = "the sources give other zones or groups (rule 6)"
--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -18,7 +18,7 @@
 
 from service_proxy.fleet.authentication import MessageAuthenticator
 from service_proxy.fleet.errors import MalformedDatagramError, NoAnswerError
-from service_proxy.fleet.members import initial_generation
+from service_proxy.fleet.members import MAX_NONCE, initial_generation
 from service_proxy.fleet.view_query import (
     ViewPage,
     ViewRow,
@@ -34,7 +34,6 @@
 ANSWER_TIMEOUT_S = 0.5
 MAX_ATTEMPTS = 4  # of one request
 WATCH_INTERVAL_S = 1.0
-MAX_NONCE = 65535
 EXIT_SETTLED = 0
 EXIT_NO_ANSWER = 1
 EXIT_BAD_CALL = 2
--- a/service_proxy/fleet/dissemination.py
+++ b/service_proxy/fleet/dissemination.py
@@ -12,9 +12,8 @@
 from service_proxy.fleet.members import Claim, MemberKey
 from service_proxy.fleet.wire import DatagramWriter, MemberUpdate
 
-MAX_PENDING_UPDATES = (
-    1024  # changes; beyond it those that were sent last are dropped: anti-entropy finds them
-)
+# Changes; beyond it those that were sent last are dropped: anti-entropy finds them.
+MAX_PENDING_UPDATES = 1024
 MIN_UPDATE_BYTES = 24  # bytes that any change takes
 QueueKey = tuple[MemberKey, MemberKey]  # member and accuser
 
--- a/service_proxy/fleet/timing.py
+++ b/service_proxy/fleet/timing.py
@@ -13,16 +13,14 @@
 PROBE_TIMEOUT = 0.9  # of a period from a ping to the verdict
 GOSSIP_INTERVAL = 0.2  # of a period
 GOSSIP_FANOUT = 3  # members that are told at each such beat
-MAX_LOCAL_HEALTH = (
-    8  # by which a member that is itself slow multiplies its time-outs, less one (Lifeguard, 4.1: S)
-)
+# By which a member that is itself slow multiplies its time-outs, less one (Lifeguard, 4.1: S).
+MAX_LOCAL_HEALTH = 8
 RECENT_PERIODS = 3.0  # periods for which what was heard of a member says something of now
 QUIET_PERIODS = 2.0  # periods without a change, after which unequal digests are news
 SYNC_STARVED_PERIODS = 4.0  # periods after which an exchange begins though changes go on
 STALL_PERIODS = 1.0  # periods by which a timer is late, after which this process is taken to have stood still
-RECONNECT_INTERVAL = (
-    2.0  # periods between tries of one that is dead, or of an address that nobody was heard at
-)
+# Periods between tries of one that is dead, or of an address that nobody was heard at.
+RECONNECT_INTERVAL = 2.0
 MAX_JOIN_ATTEMPTS = 3  # tries to join that nobody answered, after which a member goes on alone
 JOIN_FANOUT = 3  # addresses at each try
 BROADCAST_JOIN_REPLIES = 8  # that come, about, to a question to everyone
--- a/service_proxy/net/config.py
+++ b/service_proxy/net/config.py
@@ -12,7 +12,7 @@
 from service_proxy.net.endpoint_list import Address, parse_address
 from service_proxy.net.errors import NetError
 from service_proxy.net.limits import MIN_DESCRIPTORS
-from service_proxy.policy.events import Idempotency, Settings
+from service_proxy.policy.settings_types import Idempotency, Settings
 from service_proxy.settings import read_idempotency, read_settings
 
 T = TypeVar("T")
--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Mapping
 
+import service_proxy as api
 from service_proxy.net.cached_endpoints import cached_endpoint_list
 from service_proxy.net.config import ProxyConfig
 from service_proxy.net.discovery import DiscoveryClient
@@ -33,7 +34,6 @@
 )
 from service_proxy.net.upstream.cluster import IDLE_TIMEOUT_SHARE
 from service_proxy.net.upstream.connection import STALL_TIMEOUT_S
-from service_proxy.policy import events as api
 from service_proxy.policy.balancer import Balancer
 from service_proxy.policy.settings_types import LoadReportSource
 
@@ -396,8 +396,7 @@
         assert status is not None
         open_request.attempt = None
         self.table.attempts_in_flight.pop(open_request.request_id, None)
-        if self.on_attempt_outcome is not None:
-            self.on_attempt_outcome(endpoint_id, status)
+        self._report_outcome(endpoint_id, status)
         for state in open_request.filter_states:
             state.on_attempt_end(attempt, status)
         if status not in api.NEVER_EXECUTED:
--- a/service_proxy/net/downstream/http_server.py
+++ b/service_proxy/net/downstream/http_server.py
@@ -13,7 +13,7 @@
 from service_proxy.net.downstream.request_reader import UpgradeHandler
 from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.net.socket_polling import ended_by_peer, is_readable
-from service_proxy.policy.events import Idempotency
+from service_proxy.policy.settings_types import Idempotency
 
 READ_BUFFER_BYTES = 64 * 1024  # that are read at once
 # From the connect, or a further request's first byte, to a complete head; then for each BODY_PROGRESS_BYTES.
@@ -31,9 +31,8 @@
 MIN_CONNECTIONS = 8
 BASE_MEMORY_MB = 20  # of the process before it serves
 CONNECTION_MEMORY_MB = 0.125  # that a connection may take: a request with its copy, and a response
-BODY_POOL_SHARE = (
-    0.25  # of the memory beyond BASE_MEMORY_MB, for buffered bodies over MAX_BUFFERED_BODY_BYTES
-)
+# Of the memory beyond BASE_MEMORY_MB, for buffered bodies over MAX_BUFFERED_BODY_BYTES.
+BODY_POOL_SHARE = 0.25
 
 
 class HttpServer:
--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -9,7 +9,7 @@
 from service_proxy.net.header_fields import HOP_BY_HOP
 from service_proxy.net.limits import MAX_LENGTH_DIGITS
 from service_proxy.net.request_body import RequestBody
-from service_proxy.policy.events import Idempotency
+from service_proxy.policy.settings_types import Idempotency
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a request that is buffered until it is complete
 CONTROL_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # in a header's value
--- a/service_proxy/net/downstream/request_reader.py
+++ b/service_proxy/net/downstream/request_reader.py
@@ -25,7 +25,7 @@
 )
 from service_proxy.net.header_fields import closes_connection, parse_field
 from service_proxy.net.request_body import RequestBody
-from service_proxy.policy.events import Idempotency
+from service_proxy.policy.settings_types import Idempotency
 
 MAX_HEAD_BYTES = 32 * 1024  # of a request's target and headers
 MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES  # beyond 8 times its chunks' content
--- a/service_proxy/net/health_checker.py
+++ b/service_proxy/net/health_checker.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+import service_proxy as api
 from service_proxy.net.load_report import parse_load_report
 from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
-from service_proxy.policy import events as api
 from service_proxy.policy.settings_types import LoadReportSource
 
 MAX_HEALTH_CHECKS = 32  # at once
--- a/service_proxy/net/open_request_table.py
+++ b/service_proxy/net/open_request_table.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+import service_proxy as api
 from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S
 from service_proxy.net.open_request import OpenRequest
 from service_proxy.net.upstream import UpstreamAttempt
-from service_proxy.policy import events as api
 
 MIN_DEADLINE_MARGIN_S = 0.02  # before a client's deadline, at which its response leaves at the latest
 
--- a/service_proxy/net/policy_runner.py
+++ b/service_proxy/net/policy_runner.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from service_proxy.policy import events as api
+import service_proxy as api
 from service_proxy.policy.balancer import Balancer
 
 log = logging.getLogger(__name__)
--- a/service_proxy/net/poll_schedule.py
+++ b/service_proxy/net/poll_schedule.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from service_proxy.policy.events import Settings
+from service_proxy.policy.settings_types import Settings
 
 SILENT_CALL_NOTIFIED_S = 2.0  # after the wait of a poll that fell silent: what it missed counts as notified
 ADDRESS_CHANGE_NOTIFIED_S = 4.0  # after SIGHUP: what the new address lists counts as notified
--- a/service_proxy/net/request_filters.py
+++ b/service_proxy/net/request_filters.py
@@ -13,7 +13,8 @@
 
 from service_proxy.net.downstream.request import Request
 from service_proxy.net.upstream import UpstreamAttempt
-from service_proxy.policy.events import AttemptStatus, Settings
+from service_proxy.policy.events import AttemptStatus
+from service_proxy.policy.settings_types import Settings
 
 HeaderFields = tuple[tuple[bytes, bytes], ...]
 
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -1,77 +1,11 @@
-"""What a Balancer takes in: events, the endpoint list and the ends of attempts.
-
-Its settings (`settings_types`) and its actions (`actions`) can be imported from here, too: one module for who
-drives a Balancer.
-"""
+"""What a Balancer takes in: events, the endpoint list and the ends of attempts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
-from service_proxy.policy.actions import (
-    Action,
-    CancelAttempt,
-    CheckHealth,
-    CloseIdleConnections,
-    Fail,
-    FetchEndpoints,
-    Reject,
-    SendPeerMessage,
-    SetTimer,
-    StartAttempt,
-    WatchEndpoints,
-    WriteLog,
-)
-from service_proxy.policy.settings_types import (
-    Idempotency,
-    IdempotencyScope,
-    InvalidSettingError,
-    LoadReportSource,
-    RequestClass,
-    Settings,
-    Tenant,
-    WeightMeaning,
-)
-
-__all__ = [
-    "NEVER_EXECUTED",
-    "Action",
-    "AttemptEnded",
-    "AttemptStatus",
-    "CancelAttempt",
-    "CheckHealth",
-    "CloseIdleConnections",
-    "EndpointEntry",
-    "EndpointListUpdate",
-    "EndpointState",
-    "Event",
-    "Fail",
-    "FetchEndpoints",
-    "HealthCheckEnded",
-    "Idempotency",
-    "IdempotencyScope",
-    "InvalidSettingError",
-    "ListScope",
-    "LoadReportSource",
-    "PeerMessage",
-    "ProxyCountUpdated",
-    "Reject",
-    "RequestAbandoned",
-    "RequestArrived",
-    "RequestClass",
-    "SendPeerMessage",
-    "SetTimer",
-    "Settings",
-    "SettingsUpdated",
-    "StartAttempt",
-    "StreamStarted",
-    "Tenant",
-    "TimerFired",
-    "WatchEndpoints",
-    "WeightMeaning",
-    "WriteLog",
-]
+from service_proxy.policy.settings_types import Settings
 
 
 class AttemptStatus(IntEnum):
--- a/service_proxy/recovery/__main__.py
+++ b/service_proxy/recovery/__main__.py
@@ -201,7 +201,7 @@
     return EXIT_OK
 
 
-def argument_parser() -> argparse.ArgumentParser:
+def create_parser() -> argparse.ArgumentParser:
     """Build the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy.recovery",
@@ -227,7 +227,7 @@
 
 def main(argv: list[str] | None = None, now: float | None = None) -> int:
     """Run the command; return its exit code. `now`: wall time, s, for tests."""
-    arguments = argument_parser().parse_args(argv)
+    arguments = create_parser().parse_args(argv)
     now = time.time() if now is None else now
     try:
         if arguments.command == "show":
--- a/service_proxy/recovery/admission.py
+++ b/service_proxy/recovery/admission.py
@@ -8,8 +8,9 @@
 from typing import Protocol
 
 from service_proxy.net.downstream import Request
+from service_proxy.net.http_status import GATEWAY_TIMEOUT, SERVICE_UNAVAILABLE
 from service_proxy.net.request_filters import Rejection, RequestFilterState
-from service_proxy.policy.events import Settings
+from service_proxy.policy.settings_types import Settings
 from service_proxy.recovery.endpoint_override import EndpointListOverride
 from service_proxy.recovery.keyed_requests import KeyedRequestLog, KeyedRequestTracker, record_key
 from service_proxy.recovery.persisted_records import KeyedRequestRecord
@@ -18,8 +19,6 @@
 from service_proxy.recovery.staggered_start import IMMEDIATE_STARTS
 from service_proxy.recovery.validity_rules import RestartContext, RetryPermission, retry_permission
 
-GATEWAY_TIMEOUT = 504
-SERVICE_UNAVAILABLE = 503
 MAY_HAVE_RUN = b"it may have run before the power was lost; ask what became of it\n"
 NO_ENDPOINT_ANSWERS = b"no server answers yet\n"
 FIRST_ATTEMPTS_FIRST = b"service returns: first tries come first\n"
--- a/service_proxy/recovery/keyed_requests.py
+++ b/service_proxy/recovery/keyed_requests.py
@@ -11,14 +11,8 @@
 from service_proxy.clock import Clock
 from service_proxy.net.request_filters import HeaderFields
 from service_proxy.net.upstream import UpstreamAttempt
-from service_proxy.policy.events import (
-    NEVER_EXECUTED,
-    AttemptStatus,
-    Idempotency,
-    IdempotencyScope,
-    RequestClass,
-    Settings,
-)
+from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus
+from service_proxy.policy.settings_types import Idempotency, IdempotencyScope, RequestClass, Settings
 from service_proxy.recovery.persisted_records import KeyedRequestRecord, PersistedRecord, PersistedState
 from service_proxy.recovery.validity_rules import ALL_ENDPOINTS
 
--- a/service_proxy/recovery/restoration.py
+++ b/service_proxy/recovery/restoration.py
@@ -9,8 +9,7 @@
 from dataclasses import dataclass, field
 
 from service_proxy.net.discovery import WALL_CLOCK_OFFSET_S
-from service_proxy.net.endpoint_list import Endpoint, endpoint_id_of
-from service_proxy.net.endpoint_list import parse_address as address_of
+from service_proxy.net.endpoint_list import MIN_STARTED_AT_S, Endpoint, endpoint_id_of, parse_address
 from service_proxy.policy.events import EndpointEntry, EndpointState
 from service_proxy.recovery.peer_survey import KnownMember
 from service_proxy.recovery.persisted_records import (
@@ -23,8 +22,6 @@
 
 log = logging.getLogger("service_proxy.recovery")
 
-MIN_STARTED_AT_S = 1e-3  # monotonic: an endpoint's start of 0 would mean "long ago"
-
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
@@ -82,7 +79,7 @@
         weight=record.weight,
         started_at=started_at,
     )
-    return Endpoint(address_of(record.address), entry, name)
+    return Endpoint(parse_address(record.address), entry, name)
 
 
 def record_of_endpoint(endpoint: Endpoint, now: float) -> EndpointRecord:
--- a/service_proxy/recovery/validity_rules.py
+++ b/service_proxy/recovery/validity_rules.py
@@ -22,9 +22,8 @@
     PersistedRecord,
 )
 
-MAX_CLOCK_SKEW_S = (
-    60.0  # by which a record may lie ahead of the clock: one machine's clock, set back a little
-)
+# By which a record may lie ahead of the clock: one machine's clock, set back a little.
+MAX_CLOCK_SKEW_S = 60.0
 ENDPOINT_LIST_MAX_AGE_S = 600.0  # for which the sources would probably still give the same list
 PERFORMANCE_MAX_AGE_S = 120.0  # for which an endpoint's latency is likely to be the same
 MEMBER_MAX_AGE_S = 30 * 86_400.0  # after which no member is looked for at its address
@@ -84,17 +83,15 @@
         }[outage]
 
 
+def always_trusted(reason: str) -> ValidityRule:
+    """Return the rule of records that count whatever happened and however old they are."""
+    trusted = Validity.TRUSTED
+    return ValidityRule(trusted, trusted, trusted, trusted, trusted, NO_EXPIRY, trusted, trusted, reason)
+
+
 VALIDITY_RULES: dict[str, ValidityRule] = {
-    BootRecord.KIND: ValidityRule(
-        process=Validity.TRUSTED,
-        machine=Validity.TRUSTED,
-        zone=Validity.TRUSTED,
-        fleet=Validity.TRUSTED,
-        unknown=Validity.TRUSTED,
-        max_age_s=NO_EXPIRY,
-        when_expired=Validity.TRUSTED,
-        when_in_future=Validity.TRUSTED,
-        reason="it only counts starts, and one that is counted twice harms nobody",
+    BootRecord.KIND: always_trusted(
+        "it only counts starts, and one that is counted twice harms nobody",
     ),
     EndpointSourceRecord.KIND: ValidityRule(
         process=Validity.TRUSTED,
@@ -120,16 +117,8 @@
         reason="endpoints keep their addresses for longer than proxies run; but whether one still serves is "
         "only known when it answers, so after more than this process's own end an address is to be checked",
     ),
-    MaintenanceRecord.KIND: ValidityRule(
-        process=Validity.TRUSTED,
-        machine=Validity.TRUSTED,
-        zone=Validity.TRUSTED,
-        fleet=Validity.TRUSTED,
-        unknown=Validity.TRUSTED,
-        max_age_s=NO_EXPIRY,
-        when_expired=Validity.TRUSTED,
-        when_in_future=Validity.TRUSTED,
-        reason="a machine in maintenance stays out until staff or the rolling operation say otherwise: a "
+    MaintenanceRecord.KIND: always_trusted(
+        "a machine in maintenance stays out until staff or the rolling operation say otherwise: a "
         "request too few is no harm, one to an open machine is",
     ),
     MemberRecord.KIND: ValidityRule(
@@ -155,16 +144,8 @@
         reason="an endpoint's latency depends on its caches and neighbours, which the outage emptied; what "
         "was learned of a warm endpoint does not hold for one that is warming up",
     ),
-    KeyedRequestRecord.KIND: ValidityRule(
-        process=Validity.TRUSTED,
-        machine=Validity.TRUSTED,
-        zone=Validity.TRUSTED,
-        fleet=Validity.TRUSTED,
-        unknown=Validity.TRUSTED,
-        max_age_s=NO_EXPIRY,
-        when_expired=Validity.TRUSTED,
-        when_in_future=Validity.TRUSTED,
-        reason="that a request may have been executed keeps it from taking effect twice; the record ends by "
+    KeyedRequestRecord.KIND: always_trusted(
+        "that a request may have been executed keeps it from taking effect twice; the record ends by "
         "its own expiry, and where the clock can't be trusted not at all",
     ),
 }
--- a/service_proxy/sidecar/admission.py
+++ b/service_proxy/sidecar/admission.py
@@ -15,7 +15,6 @@
 MAX_RETRY_AFTER_S = 1.0
 MIN_RETRY_AFTER_S = 0.05
 LATENCY_SMOOTHING = 0.1  # weight of the newest call's time in the mean
-SILENCES = 2  # probes one after another without an answer that make an application slow
 
 
 class ApplicationState(Enum):
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -25,7 +25,8 @@
     headers_consumed_by,
 )
 from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
-from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, EndpointEntry, Idempotency
+from service_proxy.policy.events import NEVER_EXECUTED, AttemptStatus, EndpointEntry
+from service_proxy.policy.settings_types import Idempotency
 from service_proxy.sidecar.admission import (
     ACCEPTING_STATES,
     AdmissionDecision,
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -25,7 +25,6 @@
 TOKEN = re.compile(r'\s*("(?:[^"\\]|\\.)*"|[{}\[\],:]|[^\s{}\[\],:"]+)')
 RETRIES = {"repeatable": "always", "by_key": "by-key", "once": "never-ran"}
 SETTING = re.compile(r"setting (?:class (?P<cls>\S+) )?(?P<path>[\w.]+)")
-MOST_DEPTH = 64
 
 
 class DuplicateKeyError(ValueError):
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -34,7 +34,7 @@
 from service_proxy.net.downstream import BASE_MEMORY_MB
 from service_proxy.net.endpoint_list import parse_address
 from service_proxy.operator_file.reader import OperatorError, Problem
-from service_proxy.policy.events import RequestClass
+from service_proxy.policy.settings_types import RequestClass
 from service_proxy.sidecar import report
 from service_proxy.sidecar.admission import ACCEPTING_STATES, ApplicationState
 from service_proxy.sidecar.checking import check, code_of
--- a/service_proxy/simulator_adapter.py
+++ b/service_proxy/simulator_adapter.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 from typing import IO, Any
 
-from service_proxy.policy import events as api
+import service_proxy as api
 from service_proxy.policy.balancer import Balancer
 from service_proxy.settings import (
     LOAD_REPORT_FIELDS,
--- a/service_proxy/websocket/listener.py
+++ b/service_proxy/websocket/listener.py
@@ -26,7 +26,7 @@
 from service_proxy.net.request_body import RequestBody
 from service_proxy.net.upstream import ConnectionPool
 from service_proxy.operator_file import OperatorError, Problem, WebSocket, load
-from service_proxy.policy.events import Idempotency
+from service_proxy.policy.settings_types import Idempotency
 from service_proxy.websocket.connection import ConnectionOwner, WebSocketConnection
 from service_proxy.websocket.frame_codec import FrameCodec
 from service_proxy.websocket.message_session import MessageConnection, MessageSessions
--- a/service_proxy/websocket/message_framing.py
+++ b/service_proxy/websocket/message_framing.py
@@ -12,6 +12,7 @@
 import re
 from dataclasses import dataclass
 
+from service_proxy.net.http_status import OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS
 from service_proxy.websocket.errors import WebSocketError
 
 MAX_ID_CHARACTERS = 64
@@ -21,8 +22,7 @@
 FIELD = re.compile(r"[!-+\--:<-~]{1,256}")  # ASCII without space, comma, semicolon: for a header
 PATH = re.compile(r"[/?][A-Za-z0-9\-._~%!$&'()*+,;=:@/?\[\]|{}]{0,2047}|")
 KNOWN_FIELDS = frozenset(("id", "class", "budget_ms", "path", "key", "subject", "again", "body", "seen"))
-OK = 200
-REJECTED_CODES = (429, 503)
+REJECTED_CODES = (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE)
 NOT_ACKNOWLEDGED = -1
 
 
--- a/service_proxy/websocket/message_session.py
+++ b/service_proxy/websocket/message_session.py
@@ -10,9 +10,17 @@
 from typing import Any
 
 from service_proxy.net.downstream import BadRequestError, Request, parse_request
+from service_proxy.net.http_status import (
+    BAD_GATEWAY,
+    INTERNAL_SERVER_ERROR,
+    NOT_FOUND,
+    OK,
+    SERVICE_UNAVAILABLE,
+    TOO_MANY_REQUESTS,
+)
 from service_proxy.net.protocols import ResponseSource
 from service_proxy.net.request_body import RequestBody
-from service_proxy.policy.events import Idempotency
+from service_proxy.policy.settings_types import Idempotency
 from service_proxy.websocket import message_framing
 from service_proxy.websocket.connection import POLICY_VIOLATION, WebSocketConnection
 from service_proxy.websocket.frame_codec import NO_STATUS, MessageFragment
@@ -32,13 +40,6 @@
 UNSUPPORTED_DATA = 1003
 MESSAGE_TOO_BIG = 1009
 SESSION_END_CODES = (NORMAL, NO_STATUS)  # with which a client ends its session, not only its connection
-# Status codes of outcomes.
-OK = 200
-NOT_FOUND = 404
-TOO_MANY_REQUESTS = 429
-INTERNAL_SERVER_ERROR = 500
-BAD_GATEWAY = 502
-SERVICE_UNAVAILABLE = 503
 TOO_MANY_PENDING_RETRY_S = 1.0  # after which a client with too many pending messages may retry
 
 
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from service_proxy.net.http_status import BAD_GATEWAY, OK
 from service_proxy.net.upstream import ConnectionPool, UpstreamConnection
 from service_proxy.policy.events import AttemptStatus
 from service_proxy.websocket.closing_handshake import ClosingState
@@ -24,8 +25,6 @@
 from service_proxy.websocket.session_limits import TokenBucket
 
 CLOSE_GRACE_S = 0.4  # for an endpoint's close frame when it must be left: rule 3 has 2 s for all
-OK = 200
-BAD_GATEWAY = 502
 # Close codes.
 GOING_AWAY = 1001
 INTERNAL_ERROR = 1011
