--- a/tests/sidecar/test_description.py
+++ b/tests/sidecar/test_description.py
@@ -1,4 +1,4 @@
-"""Files, includes, overlays, variables; several descriptions as one fleet; and what the command says."""
+"""Files, includes, overlays, variables; several descriptions as one fleet; and the output of `check`."""
 
 from __future__ import annotations
 
@@ -8,81 +8,77 @@
 from pathlib import Path
 
 import pytest
+from description_files import (
+    PLAIN,
+    PLAIN_WITHOUT_SIDECARS,
+    ROOT,
+    write_description,
+    write_with_include,
+)
 
 from service_proxy.operator_file.codes import CODES
-from service_proxy.operator_file.reader import MAX_FILE_BYTES
+from service_proxy.operator_file.reader import MAX_FILE_BYTES, Problem
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.checking import check
 from service_proxy.sidecar.description import load
 
-ROOT = Path(__file__).parent.parent.parent
-PLAIN = (ROOT / "tests" / "corpus" / "good" / "plain.toml").read_text()
-
-
-def put(folder: Path, name: str = "app.toml", text: str = PLAIN) -> str:
-    file = folder / name
-    file.write_text(text)
-    return str(file)
-
 
-def split(folder: Path) -> str:
-    """The classes and routes in an included file, the rest in the description."""
-    at = PLAIN.index("[class.stock]")
-    end = PLAIN.index("[tier.portal]")
-    put(folder, "base.toml", PLAIN[at:end])
-    return put(folder, text=PLAIN[:at].replace("padron", 'include = ["base.toml"]\npadron') + PLAIN[end:])
+def findings_of(*files: str, environment: str = "") -> list[tuple[str, int, str]]:
+    """Return file name, line and code of each finding."""
+    return [(Path(problem.file).name, problem.line, problem.code) for problem in check([*files], environment)]
 
 
-def found(file: str, environment: str = "") -> list[tuple[str, int, str]]:
-    return [(Path(p.file).name, p.line, p.code) for p in check([file], environment)]
+def places_of_message(problems: list[Problem], message: str) -> list[tuple[int, str]]:
+    """Return line and code of the problems that have this message."""
+    return [(problem.line, problem.code) for problem in problems if message in problem.text]
 
 
 def test_a_finding_names_the_included_file(tmp_path: Path) -> None:
-    file = split(tmp_path)
+    file = write_with_include(tmp_path)
     assert check([file], "") == []
     base = tmp_path / "base.toml"
     base.write_text(base.read_text().replace('retry = "never-ran"', 'retry = "always"'))
-    assert found(file) == [("base.toml", 28, "R202")]
+    assert findings_of(file) == [("base.toml", 28, "R202")]
 
 
-def test_a_canje_that_an_overlay_marks_as_retryable_is_told_where_the_overlay_does(tmp_path: Path) -> None:
-    file = split(tmp_path)
-    put(tmp_path, "app.prod.toml", '# more tries\n\n[route.canje]\nretry = "always"\n')
-    assert found(file) == [] and found(file, "prod") == [("app.prod.toml", 4, "R202")]
+def test_a_canje_made_retryable_by_an_overlay_is_reported_at_the_overlays_line(tmp_path: Path) -> None:
+    file = write_with_include(tmp_path)
+    write_description(tmp_path, "app.prod.toml", '# more tries\n\n[route.canje]\nretry = "always"\n')
+    assert findings_of(file) == [] and findings_of(file, environment="prod") == [("app.prod.toml", 4, "R202")]
 
 
-def test_a_canje_that_a_default_marks_as_retryable_is_told_where_the_default_stands(tmp_path: Path) -> None:
-    file = split(tmp_path)
+def test_a_canje_made_retryable_by_a_default_is_reported_at_the_defaults_line(tmp_path: Path) -> None:
+    file = write_with_include(tmp_path)
     base = tmp_path / "base.toml"
     base.write_text(base.read_text().replace('[route.canje]\nretry = "never-ran"\n', ""))
-    put(tmp_path, "app.prod.toml", '[defaults]\nattempts = 2\nretry = "always"\n')
-    assert found(file) == [] and found(file, "prod") == [("app.prod.toml", 3, "R202")]
+    write_description(tmp_path, "app.prod.toml", '[defaults]\nattempts = 2\nretry = "always"\n')
+    assert findings_of(file) == [] and findings_of(file, environment="prod") == [("app.prod.toml", 3, "R202")]
 
 
-def test_the_file_wins_over_what_it_includes_and_the_overlay_over_both(tmp_path: Path) -> None:
-    file = split(tmp_path)
+def test_the_file_overrides_its_includes_and_the_overlay_overrides_both(tmp_path: Path) -> None:
+    file = write_with_include(tmp_path)
     path = Path(file)
     path.write_text(path.read_text() + "[class.stock]\nworth = 3\n")
-    put(tmp_path, "app.prod.toml", "[class.stock]\nworth = 4\n")
-    for environment, worth in (("", 3.0), ("prod", 4.0)):
+    write_description(tmp_path, "app.prod.toml", "[class.stock]\nworth = 4\n")
+    for environment, expected_weight in (("", 3.0), ("prod", 4.0)):
         layers, description = load(file, environment)
-        assert description is not None and description.classes["stock"].worth == worth
+        assert description is not None and description.classes["stock"].worth == expected_weight
         assert description.classes["stock"].aim == 0.5  # from the included file
     assert layers.origin(("class", "stock", "worth")).file.endswith("app.prod.toml")
 
 
-def test_a_list_is_replaced_whole(tmp_path: Path) -> None:
-    file = split(tmp_path)
-    put(tmp_path, "app.prod.toml", '[tier.nucleo]\nzones = ["sala-b"]\n')
+def test_an_overlays_list_replaces_the_files_list(tmp_path: Path) -> None:
+    file = write_with_include(tmp_path)
+    write_description(tmp_path, "app.prod.toml", '[tier.nucleo]\nzones = ["sala-b"]\n')
     _, description = load(file, "prod")
     assert description is not None and description.tiers["nucleo"].zones == ("sala-b",)
 
 
-def test_files_that_include_one_another_are_told(tmp_path: Path) -> None:
-    put(tmp_path, "a.toml", 'include = ["b.toml"]\n')
-    put(tmp_path, "b.toml", 'include = ["a.toml"]\n')
-    file = put(tmp_path, text=PLAIN.replace("padron", 'include = ["a.toml"]\npadron'))
-    assert ("b.toml", 1, "C006") in found(file)
+def test_a_cycle_of_includes_is_reported(tmp_path: Path) -> None:
+    write_description(tmp_path, "a.toml", 'include = ["b.toml"]\n')
+    write_description(tmp_path, "b.toml", 'include = ["a.toml"]\n')
+    file = write_description(tmp_path, text=PLAIN.replace("padron", 'include = ["a.toml"]\npadron'))
+    assert ("b.toml", 1, "C006") in findings_of(file)
 
 
 def test_a_symlink_out_of_the_folder_is_not_followed(tmp_path: Path) -> None:
@@ -90,34 +86,34 @@
     outside = tmp_path / "out"
     inside.mkdir()
     outside.mkdir()
-    put(outside, "base.toml", "[class.other]\n")
+    write_description(outside, "base.toml", "[class.other]\n")
     (inside / "base.toml").symlink_to(outside / "base.toml")
-    file = put(inside, text=PLAIN.replace("padron", 'include = ["base.toml"]\npadron'))
-    assert [(line, code) for _, line, code in found(file)] == [(3, "C006")]
+    file = write_description(inside, text=PLAIN.replace("padron", 'include = ["base.toml"]\npadron'))
+    assert [(line, code) for _, line, code in findings_of(file)] == [(3, "C006")]
 
 
 def test_variables_come_from_the_environment_where_they_are_declared(tmp_path: Path) -> None:
     text = PLAIN.replace("padron", 'variables = ["SALA"]\npadron').replace(
         'zone = "sala-a"', 'zone = "${SALA}"'
     )
-    file = put(tmp_path, text=text)
+    file = write_description(tmp_path, text=text)
     _, description = load(file, environ={"SALA": "sala-c"})
     assert description is not None and description.sidecars[0].zone == "sala-c"
     layers, _ = load(file, environ={"SALA": "sala-z"})
     assert [problem.code for problem in layers.problems] == ["S107"]
 
 
-def test_files_that_are_none(tmp_path: Path) -> None:
+def test_files_that_cannot_be_read(tmp_path: Path) -> None:
     large = tmp_path / "large.toml"
     large.write_bytes(b"# " + b"a" * (10 << 20))
-    assert large.stat().st_size > MAX_FILE_BYTES and found(str(large)) == [("large.toml", 1, "C003")]
-    assert found(str(tmp_path)) == [(tmp_path.name, 1, "C001")]
+    assert large.stat().st_size > MAX_FILE_BYTES and findings_of(str(large)) == [("large.toml", 1, "C003")]
+    assert findings_of(str(tmp_path)) == [(tmp_path.name, 1, "C001")]
     assert main(["check", str(tmp_path / "nowhere.toml")]) == 2
 
 
 def test_a_file_without_permission(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """As a user who may not read it; root may read everything, so the system's word is put in its mouth."""
-    file = put(tmp_path)
+    """Tests may run as root, who may read everything: the system's refusal is simulated."""
+    file = write_description(tmp_path)
 
     def refuse(*_: object) -> None:
         raise PermissionError(13, "Permission denied")
@@ -129,20 +125,20 @@
     ]
 
 
-def test_an_octal_number_is_a_warning_and_no_reason_to_refuse(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
-    file = put(tmp_path, text=PLAIN.replace("nodes = 16", "nodes = 0o20"))
+def test_an_octal_number_is_a_warning_only(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    file = write_description(tmp_path, text=PLAIN.replace("nodes = 16", "nodes = 0o20"))
     assert main(["check", file]) == 0
-    said = capsys.readouterr().out
-    assert f"{file}:37:9: warning[S110]: 0o20 is written in another base\n  help: write 16" in said
+    output = capsys.readouterr().out
+    assert f"{file}:37:9: warning[S110]: 0o20 is written in another base\n  help: write 16" in output
 
 
 def test_two_descriptions_on_one_host_claim_one_port(tmp_path: Path) -> None:
-    one = put(tmp_path, "one.toml")
-    two = put(tmp_path, "two.toml", PLAIN.replace("h-2", "h-3").replace("127.0.0.1:9000", "127.0.0.1:9001"))
-    problems = check([one, two], "")
-    assert [(Path(p.file).name, p.line, p.code) for p in problems if p.code == "F301"] == [
+    first = write_description(tmp_path, "one.toml")
+    second = write_description(
+        tmp_path, "two.toml", PLAIN.replace("h-2", "h-3").replace("127.0.0.1:9000", "127.0.0.1:9001")
+    )
+    problems = check([first, second], "")
+    assert [finding for finding in findings_of(first, second) if finding[2] == "F301"] == [
         ("two.toml", 57, "F301"),
         ("two.toml", 59, "F301"),
     ]
@@ -150,45 +146,44 @@
 
 
 def test_a_class_that_differs_between_two_descriptions(tmp_path: Path) -> None:
-    one = put(tmp_path, "one.toml", PLAIN[: PLAIN.index("[[sidecar]]")])
-    text = PLAIN[: PLAIN.index("[[sidecar]]")]
-    two = put(
+    first = write_description(tmp_path, "one.toml", PLAIN_WITHOUT_SIDECARS)
+    text = PLAIN_WITHOUT_SIDECARS
+    second = write_description(
         tmp_path,
         "two.toml",
         text.replace('effect = "once"', 'effect = "repeatable"').replace(
             'deadline = "1.2s"', 'deadline = "2s"'
         ),
     )
-    problems = check([one, two], "")
-    assert [(Path(p.file).name, p.line, p.code) for p in problems] == [
+    assert findings_of(first, second) == [
         ("two.toml", 8, "F302"),
         ("two.toml", 19, "F302"),
     ]
 
 
 def test_a_tier_that_differs_between_two_descriptions(tmp_path: Path) -> None:
-    text = PLAIN[: PLAIN.index("[[sidecar]]")]
-    one = put(tmp_path, "one.toml", text)
-    two = put(tmp_path, "two.toml", text.replace("nodes = 40", "nodes = 41"))
-    assert [(Path(p.file).name, p.line, p.code) for p in check([one, two], "")] == [("two.toml", 44, "F310")]
+    text = PLAIN_WITHOUT_SIDECARS
+    first = write_description(tmp_path, "one.toml", text)
+    second = write_description(tmp_path, "two.toml", text.replace("nodes = 40", "nodes = 41"))
+    assert findings_of(first, second) == [("two.toml", 44, "F310")]
 
 
-def test_an_inner_tier_that_forgets_a_key_while_the_outer_one_still_sends(tmp_path: Path) -> None:
-    """Each file keeps rule 2 by itself: the inner one sends again for 2 s and drops repeats for 3 s."""
-    text = PLAIN[: PLAIN.index("[[sidecar]]")]
-    outer = put(tmp_path, "outer.toml", text)
+def test_an_inner_tier_that_forgets_a_key_while_the_outer_one_still_retries(tmp_path: Path) -> None:
+    """Each file alone obeys rule 2: the inner tier retries for 2 s and drops repeats for 3 s."""
+    text = PLAIN_WITHOUT_SIDECARS
+    outer = write_description(tmp_path, "outer.toml", text)
     inner_text = text.replace('window = "6s"', 'window = "3s"').replace(
         'retry_for = "6s"', 'retry_for = "2s"'
     )
-    inner = put(tmp_path, "inner.toml", inner_text.replace('calls = ["nucleo"]\n', ""))
+    inner = write_description(tmp_path, "inner.toml", inner_text.replace('calls = ["nucleo"]\n', ""))
     assert check([outer], "") == [] == check([inner], "")
     for files in ([outer, inner], [inner, outer]):
-        codes = {(Path(p.file).name, p.code) for p in check(files, "")}
+        codes = {(name, code) for name, _, code in findings_of(*files)}
         assert ("inner.toml", "F309") in codes, codes
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "code", "says"),
+    ("replaced", "replacement", "line", "code", "message"),
     [
         ('padron = "10.2.0.1:8500"\n', "", 58, "S103", "nobody tells the nodes of nucleo"),
         ('tier = "portal"\n', 'tier = "portal"\nsockets = 100\n', 57, "S107", "leave 50 for each listener"),
@@ -219,16 +214,19 @@
         ),
     ],
 )
-def test_what_a_sidecar_needs(tmp_path: Path, old: str, new: str, line: int, code: str, says: str) -> None:
-    problems = check([put(tmp_path, text=PLAIN.replace(old, new, 1))], "")
-    assert [(p.line, p.code) for p in problems if says in p.text] == [(line, code)], problems
+def test_what_a_sidecar_needs(
+    tmp_path: Path, replaced: str, replacement: str, line: int, code: str, message: str
+) -> None:
+    text = PLAIN.replace(replaced, replacement, 1)
+    problems = check([write_description(tmp_path, text=text)], "")
+    assert places_of_message(problems, message) == [(line, code)], problems
 
 
 BUDGETS = '[budgets]\nkeys_file = "keys"\n'
 
 
 @pytest.mark.parametrize(
-    ("more", "line", "code", "says"),
+    ("extra_key", "line", "code", "message"),
     [
         ("attempts = 3\n", 7, "S107", "3 attempts don't reach every call of 2 tiers that make 2 calls each"),
         ("attempts = 13\n", 7, "S107", "attempts_over_tiers says 12"),
@@ -238,31 +236,33 @@
         ("attempt = 3\n", 7, "S101", "unknown key attempt"),
     ],
 )
-def test_budgets_that_cant_work(tmp_path: Path, more: str, line: int, code: str, says: str) -> None:
-    good = PLAIN.replace("[class.stock]", BUDGETS + "\n[class.stock]", 1)
-    assert check([put(tmp_path, text=good)], "") == []
-    text = PLAIN.replace("[class.stock]", BUDGETS + more + "\n[class.stock]", 1)
-    problems = check([put(tmp_path, text=text)], "")
-    assert [(p.line, p.code) for p in problems if says in p.text] == [(line, code)], problems
+def test_budgets_that_cant_work(tmp_path: Path, extra_key: str, line: int, code: str, message: str) -> None:
+    valid = PLAIN.replace("[class.stock]", BUDGETS + "\n[class.stock]", 1)
+    assert check([write_description(tmp_path, text=valid)], "") == []
+    text = PLAIN.replace("[class.stock]", BUDGETS + extra_key + "\n[class.stock]", 1)
+    problems = check([write_description(tmp_path, text=text)], "")
+    assert places_of_message(problems, message) == [(line, code)], problems
 
 
 def test_budgets_bound_the_attempts_over_tiers(tmp_path: Path) -> None:
     """Four attempts at each of two tiers are 16, over the bound of 12; of one tree they are 12."""
     text = PLAIN.replace("[route.stock]", "[route.stock]\nattempts = 4", 1)
-    assert "F307" in {problem.code for problem in check([put(tmp_path, text=text)], "")}
+    assert "F307" in {problem.code for problem in check([write_description(tmp_path, text=text)], "")}
     text = text.replace("[class.stock]", BUDGETS + "\n[class.stock]", 1)
-    assert check([put(tmp_path, text=text)], "") == []
+    assert check([write_description(tmp_path, text=text)], "") == []
 
 
-def test_a_ring_over_two_descriptions(tmp_path: Path) -> None:
-    text = PLAIN[: PLAIN.index("[[sidecar]]")]
-    one = put(tmp_path, "one.toml", text)
-    two = put(tmp_path, "two.toml", text.replace("nodes = 40", 'nodes = 40\ncalls = ["portal"]'))
-    assert {problem.code for problem in check([one, two], "")} == {"F303"}
+def test_a_cycle_of_calls_over_two_descriptions(tmp_path: Path) -> None:
+    text = PLAIN_WITHOUT_SIDECARS
+    first = write_description(tmp_path, "one.toml", text)
+    second = write_description(
+        tmp_path, "two.toml", text.replace("nodes = 40", 'nodes = 40\ncalls = ["portal"]')
+    )
+    assert {problem.code for problem in check([first, second], "")} == {"F303"}
 
 
-def test_the_command_speaks_text_json_and_sarif(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    file = put(tmp_path, text=PLAIN.replace('retry = "never-ran"', 'retry = "always"'))
+def test_check_writes_text_json_and_sarif(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    file = write_description(tmp_path, text=PLAIN.replace('retry = "never-ran"', 'retry = "always"'))
     assert main(["check", file]) == 1
     assert (
         f"{file}:32:1: error[R202]: canje may have its effect twice: 1. canje is sent"
@@ -292,7 +292,7 @@
 
 
 def test_the_program_checks_from_outside(tmp_path: Path) -> None:
-    file = put(tmp_path)
+    file = write_description(tmp_path)
     command = [sys.executable, "-m", "service_proxy.sidecar", "check", file]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
-    assert (ended.returncode, ended.stdout, ended.stderr) == (0, "", "")
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, "", "")
--- a/tests/sidecar/test_earlier_version.py
+++ b/tests/sidecar/test_earlier_version.py
@@ -14,12 +14,12 @@
 from pathlib import Path
 
 import pytest
+from description_files import ROOT
 
 from service_proxy.net.config import load_config
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.write import find_edited_files, has_digest
 
-ROOT = Path(__file__).parent.parent.parent
 FIXTURE = Path(__file__).parent / "fixtures" / "written_by_granitepoint"
 FILES = ("h-1/portal-nucleo.json", "h-1/portal-nucleo.service", "h-1/portal.service")
 UNITS = tuple(name for name in FILES if name.endswith(".service"))
@@ -27,6 +27,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
+    """Return a copy of the fixture that a test may change."""
     copy = tmp_path / "deployed"
     shutil.copytree(FIXTURE, copy)
     return copy
@@ -38,13 +39,18 @@
     return str(module)
 
 
+def head_without_digest(file: Path) -> bytes:
+    """Return the first line of a written file up to its digest."""
+    return file.read_bytes().split(b"\n")[0].rpartition(b" ")[0]
+
+
 def test_the_fixture_has_these_files_of_the_earlier_version() -> None:
     found = {str(path.relative_to(FIXTURE)) for path in FIXTURE.rglob("*") if path.is_file()}
     assert found == set(FILES)
     assert {started_module(FIXTURE / name) for name in UNITS} == {"granitepoint", "granitepoint.sidecar"}
 
 
-def test_files_of_the_earlier_version_are_known_as_this_tools_own_and_unedited(folder: Path) -> None:
+def test_files_of_the_earlier_version_are_recognized_as_written_and_unedited(folder: Path) -> None:
     assert find_edited_files(folder) == []
     for name in FILES:
         assert has_digest((folder / name).read_bytes(), name)
@@ -61,7 +67,7 @@
     assert problem.file == str(path) and problem.code == "C008" and not problem.is_warning
 
 
-def test_a_folder_of_the_earlier_version_is_written_anew_unless_it_was_edited(
+def test_a_folder_of_the_earlier_version_is_replaced_unless_it_was_edited(
     folder: Path,
 ) -> None:
     description = str(ROOT / "deploy" / "application.toml")
@@ -75,14 +81,12 @@
     assert find_edited_files(folder) == []
 
 
-def test_the_heads_of_written_files_are_those_that_the_earlier_version_knows(tmp_path: Path) -> None:
+def test_the_heads_of_written_files_are_those_that_the_earlier_version_reads(tmp_path: Path) -> None:
     folder = tmp_path / "deployed"
     assert main(["write", str(ROOT / "deploy" / "application.toml"), "-o", str(folder)]) == 0
     for name in UNITS:
-        old_head, new_head = (
-            (where / name).read_bytes().split(b"\n")[0].rpartition(b" ")[0] for where in (FIXTURE, folder)
-        )
-        assert new_head == old_head == b"# written by granitepoint.sidecar, sha256"
+        assert head_without_digest(folder / name) == head_without_digest(FIXTURE / name)
+        assert head_without_digest(folder / name) == b"# written by granitepoint.sidecar, sha256"
     json_name = FILES[0]
     assert (folder / json_name).read_bytes() == (FIXTURE / json_name).read_bytes()
 
@@ -100,5 +104,5 @@
     if spec.submodule_search_locations is not None:  # a package: `-m` runs its __main__
         assert importlib.util.find_spec(f"{module}.__main__") is not None
     command = [sys.executable, "-m", module, *(["run"] if module.endswith(".sidecar") else []), "--help"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30, check=False)
-    assert done.returncode == 0 and done.stdout.startswith("usage: ")
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30, check=False)
+    assert completed.returncode == 0 and completed.stdout.startswith("usage: ")
--- a/tests/sidecar/test_explain.py
+++ b/tests/sidecar/test_explain.py
@@ -1,4 +1,4 @@
-"""schema, show and diff: generated from the one model, and said in terms of calls."""
+"""schema, show and diff: generated from the one model; diff in terms of requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import jsonschema
 import pytest
-from test_description import PLAIN, ROOT, put, split
+from description_files import CORPUS, PLAIN, good_descriptions, write_description, write_with_include
 
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.explain import schema
@@ -15,9 +15,7 @@
 VALIDATOR = jsonschema.Draft202012Validator(schema())
 
 
-@pytest.mark.parametrize(
-    "file", sorted((ROOT / "tests/corpus/good").glob("*.toml")), ids=lambda path: path.stem
-)
+@pytest.mark.parametrize("file", good_descriptions(), ids=lambda path: path.stem)
 def test_good_descriptions_fit_the_schema(file: Path) -> None:
     VALIDATOR.validate(tomllib.loads(file.read_bytes().decode()))
 
@@ -26,36 +24,38 @@
     "name",
     ["unknown-key", "unknown-table", "type-number-for-string", "missing-effect", "unit-none", "name-capital"],
 )
-def test_what_a_schema_can_tell_it_tells(name: str) -> None:
-    raw = tomllib.loads((ROOT / "tests/corpus/broken" / f"{name}.toml").read_text())
+def test_the_schema_rejects_what_a_schema_can_express(name: str) -> None:
+    raw = tomllib.loads((CORPUS / "broken" / f"{name}.toml").read_text())
     assert not VALIDATOR.is_valid(raw)
 
 
-def test_the_schema_is_one(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_schema_is_valid_and_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
     jsonschema.Draft202012Validator.check_schema(schema())
     assert main(["schema"]) == 0 and '"title": "willowwing"' in capsys.readouterr().out
 
 
 def test_show_names_each_value_and_its_origin(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    file = split(tmp_path)
-    put(tmp_path, "app.prod.toml", "[class.stock]\nworth = 4\n")
+    file = write_with_include(tmp_path)
+    write_description(tmp_path, "app.prod.toml", "[class.stock]\nworth = 4\n")
     assert main(["show", file, "--environment", "prod"]) == 0
-    said = capsys.readouterr().out
-    assert f"class.stock.worth = 4.0  # {tmp_path}/app.prod.toml:2\n" in said
-    assert f"class.stock.aim = 0.5  # {tmp_path}/base.toml:3\n" in said
-    assert f"sidecar.0.inbound = 10.0.0.4:8081  # {file}:" in said
-    assert "route.stock.attempts = 3  # default\n" in said
+    output = capsys.readouterr().out
+    assert f"class.stock.worth = 4.0  # {tmp_path}/app.prod.toml:2\n" in output
+    assert f"class.stock.aim = 0.5  # {tmp_path}/base.toml:3\n" in output
+    assert f"sidecar.0.inbound = 10.0.0.4:8081  # {file}:" in output
+    assert "route.stock.attempts = 3  # default\n" in output
 
 
-def test_diff_says_what_changes_for_a_call_and_which_rule_breaks(
+def test_diff_lists_what_changes_for_a_request_and_which_rule_breaks(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    old = put(tmp_path, "old.toml")
+    before = write_description(tmp_path, "old.toml")
     text = PLAIN.replace('retry = "never-ran"', 'retry = "always"\nattempts = 2').replace(
         "worth = 12", "worth = 6"
     )
-    new = put(tmp_path, "new.toml", text.replace("nodes = 40", 'nodes = 40\ndrain = "3s"') + "# a comment\n")
-    assert main(["diff", old, new]) == 0
+    after = write_description(
+        tmp_path, "new.toml", text.replace("nodes = 40", 'nodes = 40\ndrain = "3s"') + "# a comment\n"
+    )
+    assert main(["diff", before, after]) == 0
     lines = capsys.readouterr().out.splitlines()
     assert lines == [
         "canje: attempts after one that never ran: 2 -> 1",
@@ -68,11 +68,13 @@
         "tier nucleo: breaks rule 3: 1. a server of nucleo is told to drain at 0 s; 2. a call is sent to it "
         "at 3 s, which `drain` allows, and 2 s is the limit",
     ]
-    assert main(["diff", old, old]) == 0 and capsys.readouterr().out == ""
+    assert main(["diff", before, before]) == 0 and capsys.readouterr().out == ""
 
 
-def test_show_and_diff_of_what_cant_be_read(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_show_and_diff_of_unreadable_or_invalid_files(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert main(["show", str(tmp_path / "nowhere.toml")]) == 2
     assert "error[C001]" in capsys.readouterr().err
-    bad = put(tmp_path, text=PLAIN.replace("worth = 12", "worth = -1"))
-    assert main(["diff", bad, bad]) == 1 and "error[S105]" in capsys.readouterr().out
+    invalid = write_description(tmp_path, text=PLAIN.replace("worth = 12", "worth = -1"))
+    assert main(["diff", invalid, invalid]) == 1 and "error[S105]" in capsys.readouterr().out
--- a/tests/sidecar/test_migrate.py
+++ b/tests/sidecar/test_migrate.py
@@ -1,4 +1,4 @@
-"""From an older format: what was good reads as the same, comments stay, and what can't be done is said."""
+"""From an older format: valid files read as before, comments stay, and what can't be migrated is reported."""
 
 from __future__ import annotations
 
@@ -6,35 +6,37 @@
 from pathlib import Path
 
 import pytest
-from test_description import PLAIN, ROOT, put
+from description_files import CORPUS, PLAIN, write_description
 
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.checking import check
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.migrate import migrate
 
-OLD = sorted((ROOT / "tests" / "corpus" / "old").glob("*.toml"))
+FORMAT_1 = sorted((CORPUS / "old").glob("*.toml"))
+PLAIN_FORMAT_1 = CORPUS / "old" / "plain.toml"
 
 
-@pytest.mark.parametrize("file", OLD, ids=lambda path: path.stem)
-def test_an_old_file_becomes_the_same_as_the_new_one(file: Path, tmp_path: Path) -> None:
+@pytest.mark.parametrize("file", FORMAT_1, ids=lambda path: path.stem)
+def test_a_file_of_format_1_becomes_the_same_as_the_one_of_format_2(file: Path, tmp_path: Path) -> None:
     with file.open(newline="") as source:
         text = source.read()
-    new, problems = migrate(str(file), text)
+    migrated, problems = migrate(str(file), text)
     assert problems == []
     with (file.parent.parent / "good" / file.name).open(newline="") as source:
-        assert new == source.read()  # to the byte: comments, order, ends of lines
+        assert migrated == source.read()  # to the byte: comments, order, ends of lines
 
 
-def test_an_old_file_is_refused_with_what_to_do(tmp_path: Path) -> None:
-    (problem,) = (p for p in check([str(OLD[0].with_name("plain.toml"))], "") if p.code == "C005")
+def test_a_file_of_format_1_is_refused_with_the_remedy() -> None:
+    problems = check([str(PLAIN_FORMAT_1)], "")
+    (problem,) = [problem for problem in problems if problem.code == "C005"]
     assert problem.line == 1 and problem.remedy == "run migrate"
 
 
-def test_what_a_program_cant_rename_is_left_to_a_hand_and_nothing_is_changed(
+def test_a_key_that_cannot_be_renamed_is_reported_and_no_file_is_changed(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """An array of inline tables on one line: the scan knows the line, not the column."""
+    """An array of inline tables on one line: the scan finds the line, not the column."""
     text = PLAIN.split("[[sidecar]]")[0].replace("format = 2", "format = 1")
     text = text.replace(
         'padron = "10.2.0.1:8500"',
@@ -42,17 +44,17 @@
         'listen = "10.0.0.4:8081", application = "127.0.0.1:9000"}]',
     )
     assert migrate("odd.toml", text)[0] == text
-    good = put(tmp_path, "good.toml", text.replace("sidecar = ", "# "))
-    odd = put(tmp_path, "odd.toml", text)
-    assert main(["migrate", good, odd, "--in-place"]) == 1
-    said = capsys.readouterr().out
-    assert "odd.toml:4:1: error[C005]" in said and "write inbound in place of listen" in said
-    assert Path(good).read_text().startswith("format = 1") and Path(odd).read_text() == text
+    migratable = write_description(tmp_path, "good.toml", text.replace("sidecar = ", "# "))
+    unmigratable = write_description(tmp_path, "odd.toml", text)
+    assert main(["migrate", migratable, unmigratable, "--in-place"]) == 1
+    output = capsys.readouterr().out
+    assert "odd.toml:4:1: error[C005]" in output and "write inbound in place of listen" in output
+    assert Path(migratable).read_text().startswith("format = 1")
+    assert Path(unmigratable).read_text() == text
 
 
 def test_files_change_in_place_with_their_mode_and_through_a_link(tmp_path: Path) -> None:
-    old = (OLD[0].with_name("plain.toml")).read_text()
-    file = Path(put(tmp_path, "real.toml", old))
+    file = Path(write_description(tmp_path, "real.toml", PLAIN_FORMAT_1.read_text()))
     file.chmod(0o640)
     link = tmp_path / "link.toml"
     link.symlink_to(file)
@@ -63,42 +65,41 @@
 
 
 def test_a_file_of_this_format_stays_as_it_is(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(["migrate", put(tmp_path)]) == 0
+    assert main(["migrate", write_description(tmp_path)]) == 0
     assert capsys.readouterr().out == PLAIN
 
 
 @pytest.mark.parametrize("version", ["0", "3", '"1"', "true", "1.0"])
-def test_a_format_that_nobody_knows_is_refused(
+def test_an_unknown_format_is_refused(
     tmp_path: Path, version: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    file = put(tmp_path, text=PLAIN.replace("format = 2", f"format = {version}"))
+    file = write_description(tmp_path, text=PLAIN.replace("format = 2", f"format = {version}"))
     assert main(["migrate", file, "--in-place"]) == 1
-    assert ":1:1: error[C005]" in capsys.readouterr().out and Path(file).read_text().startswith(
-        "format = " + version
-    )
+    assert ":1:1: error[C005]" in capsys.readouterr().out
+    assert Path(file).read_text().startswith("format = " + version)
 
 
 def test_an_included_file_and_an_overlay_have_no_format_and_are_migrated_too(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     text = '[[sidecar]]\n"listen" = "10.0.0.4:8081"  # here\nhost = "listen"\n'
-    assert main(["migrate", put(tmp_path, "app.prod.toml", text)]) == 0
+    assert main(["migrate", write_description(tmp_path, "app.prod.toml", text)]) == 0
     assert capsys.readouterr().out == '[[sidecar]]\ninbound = "10.0.0.4:8081"  # here\nhost = "listen"\n'
 
 
-def test_a_folder_that_may_not_be_written_leaves_the_file(
+def test_a_folder_without_write_permission_leaves_the_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def refused(*_: object, **__: object) -> None:  # root, as which tests may run, is refused nothing
+    def refuse(*_: object, **__: object) -> None:  # tests may run as root, who is refused nothing
         raise PermissionError(13, "Permission denied")
 
     text = PLAIN.replace("format = 2", "format = 1").replace("inbound", "listen")
-    file = put(tmp_path, text=text)
-    monkeypatch.setattr(tempfile, "mkstemp", refused)
+    file = write_description(tmp_path, text=text)
+    monkeypatch.setattr(tempfile, "mkstemp", refuse)
     assert main(["migrate", file, "--in-place"]) == 2
     assert "not written: Permission denied" in capsys.readouterr().err and Path(file).read_text() == text
 
 
-def test_a_file_that_is_not_there_is_exit_2(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_missing_file_is_exit_code_2(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["migrate", "nowhere.toml"]) == 2
     assert "error[C001]" in capsys.readouterr().out
--- a/tests/sidecar/test_platform.py
+++ b/tests/sidecar/test_platform.py
@@ -8,50 +8,49 @@
 from typing import Any
 
 import pytest
-from test_description import PLAIN, put
+from description_files import PLAIN, write_description
 
 from service_proxy.sidecar.__main__ import main
 from service_proxy.sidecar.checking import check
 from service_proxy.sidecar.platform import json_positions
 
 
-def platform(tmp_path: Path) -> Path:
-    assert main(["write", put(tmp_path), "-o", str(tmp_path / "out")]) == 0
+def write_platform_file(tmp_path: Path) -> Path:
+    """Write the plain description's files; return the platform's JSON of its one outbound tier."""
+    assert main(["write", write_description(tmp_path), "-o", str(tmp_path / "out")]) == 0
     return tmp_path / "out/h-1/portal-nucleo.json"
 
 
-def change(file: Path, by: Callable[[Any], object]) -> str:
+def edit_json(file: Path, edit: Callable[[Any], object]) -> str:
+    """Edit the file's JSON, without the digest that this tool writes; return its path."""
     raw = json.loads(file.read_text())
-    raw.pop("written", None)  # as one that was never this tool's
-    by(raw)
+    raw.pop("written", None)
+    edit(raw)
     file.write_text(json.dumps(raw, indent=1))
     return str(file)
 
 
-def line_of(file: Path, text: str) -> int:
-    return next(n for n, line in enumerate(file.read_text().splitlines(), 1) if text in line)
+def lines_with(file: Path, text: str) -> list[int]:
+    """Return the numbers of the lines that contain the text."""
+    lines = file.read_text().splitlines()
+    return [number for number, line in enumerate(lines, 1) if text in line]
 
 
-def test_what_was_written_is_accepted_alone_and_with_its_description(tmp_path: Path) -> None:
-    file = platform(tmp_path)
+def test_a_written_file_is_accepted_alone_and_with_its_description(tmp_path: Path) -> None:
+    file = write_platform_file(tmp_path)
     assert check([str(file)], "") == [] and check([str(file), str(tmp_path / "app.toml")], "") == []
 
 
-def test_a_canje_that_somebody_made_repeatable_by_hand_breaks_rule_2(tmp_path: Path) -> None:
-    file = platform(tmp_path)
-    change(file, lambda raw: raw["settings"]["grades"][2].update(effect="repeatable"))
-    assert check([str(file)], "") == []  # alone it can't be known
+def test_a_canje_made_repeatable_by_hand_breaks_rule_2(tmp_path: Path) -> None:
+    file = write_platform_file(tmp_path)
+    edit_json(file, lambda raw: raw["settings"]["grades"][2].update(effect="repeatable"))
+    assert check([str(file)], "") == []  # the JSON alone does not say what the class is
     (problem,) = check([str(file), str(tmp_path / "app.toml")], "")
     assert problem.code == "R202" and "canje is once by" in problem.text
-    assert (
-        problem.line
-        == [n for n, line in enumerate(file.read_text().splitlines(), 1) if '"effect": "repeatable"' in line][
-            -1
-        ]
-    )
+    assert problem.line == lines_with(file, '"effect": "repeatable"')[-1]
 
 
-CHANGES: dict[str, tuple[str, str, Callable[[Any], object]]] = {
+EDITS: dict[str, tuple[str, str, Callable[[Any], object]]] = {
     "hedged": (
         "R202",
         "may_duplicate",
@@ -66,17 +65,16 @@
 }
 
 
-@pytest.mark.parametrize(("code", "where", "by"), CHANGES.values(), ids=CHANGES)
-def test_a_broken_one_is_told_at_its_line(
-    tmp_path: Path, code: str, where: str, by: Callable[[Any], object]
+@pytest.mark.parametrize(("code", "text_of_line", "edit"), EDITS.values(), ids=EDITS)
+def test_a_broken_platform_file_is_reported_at_its_line(
+    tmp_path: Path, code: str, text_of_line: str, edit: Callable[[Any], object]
 ) -> None:
-    file = platform(tmp_path)
-    (problem,) = check([change(file, by)], "")
+    file = write_platform_file(tmp_path)
+    (problem,) = check([edit_json(file, edit)], "")
     assert problem.code == code and problem.remedy
-    if (
-        code != "S105" or where != '"objective": -1'
-    ):  # the class's aim has another name there: its grade is told
-        assert problem.line == line_of(file, where), str(problem)
+    if text_of_line == '"objective": -1':
+        return  # the reader calls the key by another name, so its grade is reported
+    assert problem.line == lines_with(file, text_of_line)[0], str(problem)
 
 
 @pytest.mark.parametrize(
@@ -90,13 +88,13 @@
     ],
     ids=["open", "twice", "deep", "bom", "list"],
 )
-def test_what_is_no_such_file_is_told(tmp_path: Path, text: str, line: int, code: str) -> None:
-    file = put(tmp_path, "bad.json", text)
+def test_a_file_that_is_no_platform_json_is_reported(tmp_path: Path, text: str, line: int, code: str) -> None:
+    file = write_description(tmp_path, "bad.json", text)
     (problem,) = check([file], "")
     assert (problem.line, problem.code) == (line, code)
 
 
-def test_places_in_a_json_text() -> None:
+def test_positions_in_a_json_text() -> None:
     text = '{\n "a": [1, {"b:": "}"}, []],\n "c": {"d": null}}\n'
     found = {".".join(path): (place.line, place.column) for path, place in json_positions(text).items()}
     assert found == {
@@ -112,7 +110,8 @@
 
 
 def test_the_operators_file_is_checked_by_its_own_schema(tmp_path: Path) -> None:
-    good = '[membership]\nservers = ["127.0.0.1:2181"]\npath = "/salas/portal"\n'
-    assert check([put(tmp_path, "operator.toml", good)], "") == []
-    (problem,) = check([put(tmp_path, "operator.toml", good + "reed = 1\n"), put(tmp_path, text=PLAIN)], "")
+    valid = '[membership]\nservers = ["127.0.0.1:2181"]\npath = "/salas/portal"\n'
+    assert check([write_description(tmp_path, "operator.toml", valid)], "") == []
+    broken = write_description(tmp_path, "operator.toml", valid + "reed = 1\n")
+    (problem,) = check([broken, write_description(tmp_path, text=PLAIN)], "")
     assert (problem.line, problem.code) == (4, "S101")
--- a/tests/sidecar/test_write.py
+++ b/tests/sidecar/test_write.py
@@ -1,6 +1,4 @@
-"""What is written: the same bytes each time, read by the proxy's own reader, and nothing of anybody's
-lost.
-"""
+"""What is written: the same bytes each time, read by the proxy's own reader, and no edit by hand is lost."""
 
 from __future__ import annotations
 
@@ -9,9 +7,9 @@
 from pathlib import Path
 
 import pytest
-from test_description import PLAIN, ROOT, put
+from description_files import PLAIN, good_descriptions, write_description
 
-from service_proxy.net.config import load_config as load_config
+from service_proxy.net.config import ProxyConfig, load_config
 from service_proxy.operator_file import load as load_operator
 from service_proxy.policy.settings_types import Idempotency
 from service_proxy.sidecar.__main__ import main
@@ -19,45 +17,47 @@
 from service_proxy.sidecar.toml import description_text
 
 
-def tree(folder: Path) -> dict[str, bytes]:
+def read_tree(folder: Path) -> dict[str, bytes]:
+    """Return the content of all files below the folder, by relative path."""
     return {str(path.relative_to(folder)): path.read_bytes() for path in folder.rglob("*") if path.is_file()}
 
 
-def written(tmp_path: Path, text: str = PLAIN) -> Path:
-    assert main(["write", put(tmp_path, text=text), "-o", str(tmp_path / "out")]) == 0
-    return tmp_path / "out"
+def write_folder(tmp_path: Path, text: str = PLAIN) -> Path:
+    """Write a description's files; return their folder."""
+    folder = tmp_path / "out"
+    assert main(["write", write_description(tmp_path, text=text), "-o", str(folder)]) == 0
+    return folder
+
+
+def outbound_config(folder: Path) -> ProxyConfig:
+    """Read the written configuration of the proxy from portal to nucleo."""
+    return load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")})
 
 
-def test_the_proxys_own_reader_takes_what_is_written(tmp_path: Path) -> None:
-    folder = written(tmp_path)
-    assert set(tree(folder)) == {
+def test_the_proxys_own_reader_accepts_the_written_files(tmp_path: Path) -> None:
+    folder = write_folder(tmp_path)
+    assert set(read_tree(folder)) == {
         "h-1/portal-nucleo.json",
         "h-1/portal-nucleo.service",
         "h-1/portal.service",
         "h-2/nucleo.service",
     }
-    config = load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")})
+    config = outbound_config(folder)
     classes = {cls.name: cls for cls in config.settings.classes}
     assert [cls.idempotency for cls in classes.values()] == [
         Idempotency.IDEMPOTENT,
         Idempotency.IDEMPOTENT_WITH_KEY,
         Idempotency.NOT_IDEMPOTENT,
     ]
-    assert (
-        classes["reserva"].idempotency_scope,
-        classes["reserva"].idempotency_window,
-        classes["canje"].deadline,
-    ) == (
-        "zone",
-        6.0,
-        6.0,
-    )
+    assert classes["reserva"].idempotency_scope == "zone"
+    assert classes["reserva"].idempotency_window == 6.0
+    assert classes["canje"].deadline == 6.0
     assert config.listen == ("127.0.0.1", 7001) and config.settings.drain_grace == 2.0
     assert config.settings.tier_index == 1 and config.settings.max_attempts == 3
     assert (folder / "h-1/portal-nucleo.service").read_text().count("EDGE_CONFIG") == 1
 
 
-SOURCES = """
+MEMBERSHIP = """
 [tier.nucleo.membership]
 servers = ["10.2.0.7:2181", "10.2.0.8:2181"]
 path = "/salas/nucleo"
@@ -67,35 +67,30 @@
 
 
 def test_ephemeral_nodes_are_written_as_the_operators_file(tmp_path: Path) -> None:
-    text = PLAIN.replace("[tenant.app]", SOURCES + "[tenant.app]").replace(
+    text = PLAIN.replace("[tenant.app]", MEMBERSHIP + "[tenant.app]").replace(
         "[tier.nucleo]\n", '[tier.nucleo]\npadron = "10.2.0.9:8500"\n'
     )
     text += '\n[sidecar.registration]\nname = "s-\\"2"\naddress = "10.0.0.5:8081"\n'
-    folder = written(tmp_path, text)
-    called = load_operator(str(folder / "h-1/portal-nucleo.operator.toml"))
-    assert called.membership is not None and called.registration is None
-    assert called.membership.servers == ("10.2.0.7:2181", "10.2.0.8:2181")
-    assert called.membership.reread_jitter == 0.25 and called.membership.path == "/salas/nucleo"
-    own = load_operator(str(folder / "h-2/nucleo.operator.toml"))
-    assert own.registration is not None and own.registration.name == 's-"2'
+    folder = write_folder(tmp_path, text)
+    outbound = load_operator(str(folder / "h-1/portal-nucleo.operator.toml"))
+    assert outbound.membership is not None and outbound.registration is None
+    assert outbound.membership.servers == ("10.2.0.7:2181", "10.2.0.8:2181")
+    assert outbound.membership.reread_jitter == 0.25 and outbound.membership.path == "/salas/nucleo"
+    inbound = load_operator(str(folder / "h-2/nucleo.operator.toml"))
+    assert inbound.registration is not None and inbound.registration.name == 's-"2'
     assert "--operator" in (folder / "h-1/portal-nucleo.service").read_text()
-    assert load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")}).discovery == (
-        "10.2.0.9",
-        8500,
-    )
-    assert (
-        "run /etc/willowwing/canjes.toml --host h-2 --tier nucleo"
-        in (folder / "h-2/nucleo.service").read_text()
-    )
+    assert outbound_config(folder).discovery == ("10.2.0.9", 8500)
+    unit = (folder / "h-2/nucleo.service").read_text()
+    assert "run /etc/willowwing/canjes.toml --host h-2 --tier nucleo" in unit
     file = folder / "h-2/nucleo.operator.toml"
     file.write_text(file.read_text().replace("0.25", "0.5"))
     assert main(["write", str(tmp_path / "app.toml"), "-o", str(folder)]) == 1
 
 
-def test_check_takes_every_file_that_write_makes_and_tells_which_was_edited(
+def test_check_accepts_every_written_file_and_reports_which_was_edited(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    folder = written(tmp_path, PLAIN.replace("[tenant.app]", SOURCES + "[tenant.app]"))
+    folder = write_folder(tmp_path, PLAIN.replace("[tenant.app]", MEMBERSHIP + "[tenant.app]"))
     files = sorted(str(path) for path in folder.rglob("*") if path.is_file())
     assert {Path(file).suffix for file in files} == {".json", ".service", ".toml"}
     assert main(["check", str(tmp_path / "app.toml"), *files]) == 0, capsys.readouterr().out
@@ -105,16 +100,16 @@
         assert main(["check", file]) == 1
         assert f"{file}:1:1: error[C008]: was edited by hand" in capsys.readouterr().out
         Path(file).write_text(before)
-    own = tmp_path / "own.service"
-    own.write_text("[Service]\n")
-    assert main(["check", str(own)]) == 1 and main(["check", str(tmp_path / "no.service")]) == 2
+    foreign = tmp_path / "own.service"
+    foreign.write_text("[Service]\n")
+    assert main(["check", str(foreign)]) == 1 and main(["check", str(tmp_path / "no.service")]) == 2
 
 
-def test_a_route_that_is_stricter_than_its_class_changes_no_requests_form(tmp_path: Path) -> None:
-    """A keyed class that is sent again only where it never ran is still sent with its key."""
+def test_a_route_stricter_than_its_class_keeps_the_form_of_requests(tmp_path: Path) -> None:
+    """A keyed class that is retried only where it never ran is still sent with its key."""
     text = PLAIN.replace('retry = "by-key"\nretry_within = "zone"\nretry_for = "6s"', 'retry = "never-ran"')
     text = text.replace('retry = "always"', 'retry = "never"\nattempts = 2')
-    config = load_config({"EDGE_CONFIG": str(written(tmp_path, text) / "h-1/portal-nucleo.json")})
+    config = outbound_config(write_folder(tmp_path, text))
     classes = {cls.name: cls for cls in config.settings.classes}
     assert {cls.idempotency for cls in classes.values()} == {Idempotency.NOT_IDEMPOTENT}
     assert config.request_idempotency == {
@@ -128,84 +123,83 @@
 def test_features_are_the_platforms_limits(tmp_path: Path) -> None:
     text = '[features]\nprobes = false\nretry_after = false\ncancel = false\nload_reports = "answer"\n\n'
     text = PLAIN.replace("[class.stock]", text + "[class.stock]", 1)
-    settings = load_config({"EDGE_CONFIG": str(written(tmp_path, text) / "h-1/portal-nucleo.json")}).settings
+    settings = outbound_config(write_folder(tmp_path, text)).settings
     assert not (settings.can_check_health or settings.can_send_retry_after or settings.can_cancel)
     assert settings.load_report_source == "answer"
 
 
-@pytest.mark.parametrize(
-    "file", sorted((ROOT / "tests" / "corpus" / "good").glob("*.toml")), ids=lambda p: p.stem
-)
+@pytest.mark.parametrize("file", good_descriptions(), ids=lambda path: path.stem)
 def test_a_description_written_as_text_reads_as_the_same(file: Path, tmp_path: Path) -> None:
     _, description = load(str(file))
     assert description is not None
-    again = load(put(tmp_path, text=description_text(description)))[1]
-    assert again is not None
-    assert dataclasses.replace(again, file="", top=description.top) == dataclasses.replace(
-        description, file=""
-    )
+    reread = load(write_description(tmp_path, text=description_text(description)))[1]
+    assert reread is not None
+    expected = dataclasses.replace(description, file="")
+    assert dataclasses.replace(reread, file="", top=description.top) == expected
 
 
 def test_the_same_input_gives_the_same_bytes(tmp_path: Path) -> None:
-    first = tree(written(tmp_path))
-    assert tree(written(tmp_path)) == first
+    first = read_tree(write_folder(tmp_path))
+    assert read_tree(write_folder(tmp_path)) == first
     assert [path.name for path in tmp_path.iterdir() if path.name.startswith(".out")] == []
 
 
-def test_what_check_refuses_is_not_written(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    file = put(tmp_path, text=PLAIN.replace('retry = "never-ran"', 'retry = "always"'))
+def test_a_description_that_check_refuses_is_not_written(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    file = write_description(tmp_path, text=PLAIN.replace('retry = "never-ran"', 'retry = "always"'))
     assert main(["write", file, "-o", str(tmp_path / "out")]) == 1
     assert "R202" in capsys.readouterr().out and not (tmp_path / "out").exists()
 
 
 @pytest.mark.parametrize("name", ["portal-nucleo.json", "portal-nucleo.service", "notes.txt"])
-def test_what_was_edited_by_hand_is_kept_unless_forced(
+def test_a_file_edited_by_hand_is_not_overwritten_unless_forced(
     tmp_path: Path, name: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    folder = written(tmp_path)
+    folder = write_folder(tmp_path)
     edited = folder / "h-1" / name
     edited.write_text((edited.read_text() if edited.exists() else "").replace("0.25", "0.5") + "\n# mine\n")
-    before = tree(folder)
+    before = read_tree(folder)
     file = str(tmp_path / "app.toml")
     assert main(["write", file, "-o", str(folder)]) == 1
-    assert "error[C008]" in capsys.readouterr().out and tree(folder) == before
+    assert "error[C008]" in capsys.readouterr().out and read_tree(folder) == before
     assert main(["write", file, "-o", str(folder), "--force"]) == 0
-    assert tree(folder) != before and tree(tmp_path / ".out.old") == before
+    assert read_tree(folder) != before and read_tree(tmp_path / ".out.old") == before
 
 
-def test_white_space_alone_is_no_edit_of_the_json(tmp_path: Path) -> None:
-    folder = written(tmp_path)
+def test_white_space_is_no_edit_of_the_json(tmp_path: Path) -> None:
+    folder = write_folder(tmp_path)
     file = folder / "h-1" / "portal-nucleo.json"
     file.write_text(json.dumps(json.loads(file.read_text())))
-    assert written(tmp_path) == folder
+    assert write_folder(tmp_path) == folder
 
 
 def test_a_link_in_the_folder_is_not_followed(tmp_path: Path) -> None:
-    folder = written(tmp_path)
+    folder = write_folder(tmp_path)
     outside = tmp_path / "outside"
     outside.write_text("mine")
     (folder / "h-1" / "link.json").symlink_to(outside)
     assert main(["write", str(tmp_path / "app.toml"), "-o", str(folder)]) == 1
-    other = tmp_path / "other"
-    other.symlink_to(folder)
-    assert main(["write", str(tmp_path / "app.toml"), "-o", str(other), "--force"]) == 1
+    linked_folder = tmp_path / "other"
+    linked_folder.symlink_to(folder)
+    assert main(["write", str(tmp_path / "app.toml"), "-o", str(linked_folder), "--force"]) == 1
     assert outside.read_text() == "mine"
 
 
-def test_a_disk_that_is_full_in_the_middle_leaves_the_old_folder(
+def test_a_disk_that_becomes_full_leaves_the_old_folder(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    folder = written(tmp_path)
-    before = tree(folder)
-    calls = []
+    folder = write_folder(tmp_path)
+    before = read_tree(folder)
+    synced = []
 
-    def full(handle: int) -> None:
-        calls.append(handle)
-        if len(calls) > 1:
+    def fsync_on_full_disk(handle: int) -> None:
+        synced.append(handle)
+        if len(synced) > 1:
             raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("os.fsync", full)
-    put(tmp_path, text=PLAIN.replace("worth = 12", "worth = 13"))
+    monkeypatch.setattr("os.fsync", fsync_on_full_disk)
+    write_description(tmp_path, text=PLAIN.replace("worth = 12", "worth = 13"))
     assert main(["write", str(tmp_path / "app.toml"), "-o", str(folder)]) == 2
     assert "nothing was written: No space" in capsys.readouterr().err
-    assert tree(folder) == before and {path.name for path in tmp_path.iterdir()} == {"app.toml", "out"}
+    assert read_tree(folder) == before and {path.name for path in tmp_path.iterdir()} == {"app.toml", "out"}
