--- a/tests/ephemeral_nodes/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -5,9 +5,9 @@
 import signal
 from collections import Counter
 
+from source_harness import register_node
 from test_register import PATH
 from test_session import ensemble, run
-from test_source import register_node
 
 from harness.clients import DEFAULT_CLASSES, IDEMPOTENCY_BY_CLASS, ClientPool
 from harness.coordination import CoordinationService
--- a/tests/ephemeral_nodes/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -25,11 +25,13 @@
 
 
 def settings(service: CoordinationService, **more: object) -> Membership:
+    """Return the settings of a client of this service."""
     servers = tuple("{}:{}".format(*server.address) for server in service.servers)
     return Membership(servers, PATH, session_timeout=1.0, connect_timeout=0.3, **more)  # type: ignore[arg-type]
 
 
 def node(name: str = "s-1", address: str = "127.0.0.1:8081", since: int = 1000) -> EndpointNode:
+    """Return a node that is Ready; `since` is when its endpoint started (Unix time, ms)."""
     return EndpointNode(name, address, "a", "m", 1, 1.0, since)
 
 
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -29,7 +29,7 @@
 
 
 class RecordingClient:
-    """A session with its states and events kept."""
+    """A session whose states and events are recorded."""
 
     def __init__(self, service: CoordinationService, timeout: float = 2.0, **more: object) -> None:
         self.states: list[SessionState] = []
@@ -46,6 +46,7 @@
         self.session.start()
 
     async def wait_for_state(self, state: SessionState) -> None:
+        """Wait until the session is in this state."""
         await until(lambda: self.session.state is state, f"{state} after {self.states}")
 
 
@@ -57,6 +58,7 @@
 
 @contextlib.asynccontextmanager
 async def ensemble(servers: int = 3, **more: bool) -> AsyncIterator[CoordinationService]:
+    """Run the stand-in with so many servers."""
     service = CoordinationService(servers, **more)
     await service.start()
     try:
@@ -70,6 +72,8 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
+    """Run a test in an event loop, with a time limit."""
+
     async def bounded() -> None:
         async with asyncio.timeout(3 * DEFAULT_TIMEOUT_S):
             await test()
