--- /dev/null
+++ b/benchmarks/sidecar_restarts.py
@@ -0,0 +1,147 @@
+"""Two tiers and four applications on real processes: each application and each sidecar restarts under load.
+
+An application dies without notice and comes back warming up; a sidecar gets SIGTERM and ends by itself. Every
+accepted request must get its one response, by the recorder.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+from functools import partial
+from pathlib import Path
+
+from benchmarks.report import BenchmarkReport
+from harness.clients import GIVE_UP_MARGIN_S
+from harness.deployment import EDGE_PROXY_NAME, Deployment, SidecarHost, running_deployment
+from harness.event_loop import until
+from harness.stub_endpoint import StubEndpoint
+from service_proxy.sidecar.description import load
+
+EXAMPLE = Path(__file__).parent.parent / "deploy" / "application.toml"
+SETTLING_S = 1.0  # of traffic before the first restart and after the last
+MAX_TRAFFIC_S = 600.0
+MIN_SERVED_SHARE = 0.9  # one of two endpoints of a tier is down for most of the time
+MIN_INNER_SHARE = 0.5  # requests to the second tier, of those to the first
+LAST_RESPONSE_MARGIN_S = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class RestartSize:
+    """The size of a run."""
+
+    rate: float  # requests a second
+    rounds: int  # restarts of each application and each sidecar
+    downtime: float  # s for which an application is down
+
+
+FULL_SIZE = RestartSize(120.0, 5, 2.0)
+SHORT_SIZE = RestartSize(60.0, 1, 0.5)
+
+
+@dataclass(slots=True)
+class RestartResults:
+    """What was measured: s, one for each restart."""
+
+    application_recovery: list[float] = field(default_factory=list)  # until it got a request again
+    sidecar_shutdown: list[float] = field(default_factory=list)  # from SIGTERM to its end
+
+
+def has_more_requests(endpoint: StubEndpoint, count: int) -> bool:
+    """Tell whether the endpoint got a request after that many."""
+    return endpoint.request_count > count
+
+
+async def restart_application(host: SidecarHost, downtime: float) -> float:
+    """Restart an application; return the time until it gets a request again, s."""
+    count = host.application.request_count
+    await host.restart_application(downtime)
+    started_at = asyncio.get_running_loop().time()
+    await until(partial(has_more_requests, host.application, count), f"calls to {host.name}")
+    return asyncio.get_running_loop().time() - started_at
+
+
+async def restart_sidecar(report: BenchmarkReport, deployment: Deployment, host: SidecarHost) -> float:
+    """Restart a sidecar by SIGTERM; return the time until its end, s."""
+    loop = asyncio.get_running_loop()
+    signalled_at = loop.time()
+    await host.stop_sidecar()
+    elapsed = loop.time() - signalled_at
+    report.check(host.exit_code == 0, f"{host.name} ended with {host.exit_code}")
+    await host.start_sidecar()
+    deployment.update_lists(host.sidecar.tier, host.list_entry)
+    return elapsed
+
+
+async def restart_all(report: BenchmarkReport, deployment: Deployment, size: RestartSize) -> RestartResults:
+    """Restart all applications, then all sidecars, one after another, in each round."""
+    results = RestartResults()
+    for _ in range(size.rounds):
+        for host in deployment.hosts:
+            results.application_recovery.append(await restart_application(host, size.downtime))
+        for host in deployment.hosts:
+            results.sidecar_shutdown.append(await restart_sidecar(report, deployment, host))
+    return results
+
+
+async def measure_restarts(report: BenchmarkReport) -> None:
+    """Restart each application and each sidecar under load, and audit what became of the requests."""
+    size = SHORT_SIZE if report.short else FULL_SIZE
+    _, description = load(str(EXAMPLE))
+    assert description is not None
+    async with running_deployment(description) as deployment:
+        clients = deployment.clients
+        assert clients is not None
+        loop = asyncio.get_running_loop()
+        started_at = loop.time()
+        traffic = asyncio.create_task(clients.run(MAX_TRAFFIC_S, size.rate, wait_and_close=False))
+        await asyncio.sleep(SETTLING_S)
+        results = await restart_all(report, deployment, size)
+        await asyncio.sleep(SETTLING_S)
+        traffic.cancel()
+        longest_wait = max(cls.budget for cls in deployment.classes.values()) + GIVE_UP_MARGIN_S
+        await until(
+            lambda: not clients.open_requests, "the last answers", longest_wait + LAST_RESPONSE_MARGIN_S
+        )
+        elapsed = loop.time() - started_at
+        report_restarts(report, results, size)
+        report_requests(report, deployment, size, elapsed)
+
+
+def report_restarts(report: BenchmarkReport, results: RestartResults, size: RestartSize) -> None:
+    """Record the restarts and their times."""
+    report.record(
+        "restarts_applications", len(results.application_recovery), f"each away for {size.downtime:g} s"
+    )
+    report.record("restarts_sidecars", len(results.sidecar_shutdown), "by SIGTERM")
+    report.record(
+        "application_back", max(results.application_recovery), "s at the most until it was called again"
+    )
+    report.record("sidecar_ended", max(results.sidecar_shutdown), "s at the most from SIGTERM to its end")
+
+
+def report_requests(
+    report: BenchmarkReport, deployment: Deployment, size: RestartSize, elapsed: float
+) -> None:
+    """Record what became of the requests, and check that none was lost and no rule broken."""
+    clients = deployment.clients
+    assert clients is not None
+    codes = clients.status_codes
+    total = codes.total()
+    unanswered = codes[0] + codes[-1]
+    lost = unanswered + clients.unsent_count
+    violations = deployment.recorder.audit(
+        {name: cls.idempotency for name, cls in deployment.classes.items()}
+    )
+    inner = sum(request.proxy != EDGE_PROXY_NAME for request in deployment.recorder.requests)
+    report.record("calls", total, f"in {elapsed:.1f} s, and {inner} of them to the second tier")
+    report.record("served", codes[200], "")
+    report.record("refused", codes[503], "with 503, harmless to try again")
+    report.record("failed", total - codes[200] - codes[503] - unanswered, "with another code")
+    report.record("lost", lost, "taken and not answered in time, or not taken")
+    report.record("rules_broken", len(violations), "by the ledger")
+    is_enough = total > size.rate and inner > MIN_INNER_SHARE * total
+    report.check(is_enough, "too few calls to tell anything")
+    report.check(not lost, f"{lost} calls lost")
+    report.check(not violations, f"rules broken: {[str(violation) for violation in violations[:3]]}")
+    report.check(codes[200] >= MIN_SERVED_SHARE * total, f"{codes[200]} of {total} calls served")
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -18,10 +18,6 @@
     "harness/proxy_process.py:running_proxy": ARGUMENTS,
     "harness/recovery/crash_points.py:record_store_run": "one recorded run, in the order of its steps",
     "harness/tier_chain.py:running_chain": ARGUMENTS,
-    "benchmarks/ephemeral.py:judge": NOT_YET_SPLIT,
-    "benchmarks/ephemeral.py:measure": NOT_YET_SPLIT,
-    "benchmarks/sidecar.py:measure": NOT_YET_SPLIT,
-    "benchmarks/sidecar.py:restarts": NOT_YET_SPLIT,
     "benchmarks/websocket.py:faults": NOT_YET_SPLIT,
     "benchmarks/websocket.py:fuzz_sessions": NOT_YET_SPLIT,
 }
