--- a/harness/coordination.py
+++ b/harness/coordination.py
@@ -91,9 +91,9 @@
         self._actions: dict[str, Callable[[Step], None]] = {
             "expire": self._expire_by_step,
             "partition": lambda step: self._for_each(
-                step, lambda server: server.cut(step.get("mode", SILENT))
+                step, lambda server: server.partition(step.get("mode", SILENT))
             ),
-            "heal": lambda step: self._for_each(step, EnsembleServer.mend),
+            "heal": lambda step: self._for_each(step, EnsembleServer.heal),
             "slow": self._set_slow,
             "lose_leader": lambda step: self.lose_leader(float(step["seconds"])),
             "lose_watches": self._set_watches_lost,
@@ -128,9 +128,9 @@
             now = time.monotonic()
             if self.leaderless:  # without a leader no session can end
                 for session in self.sessions.values():
-                    session.heard = now
+                    session.last_request_at = now
                 continue
-            for session in [s for s in self.sessions.values() if now > s.heard + s.timeout]:
+            for session in [s for s in self.sessions.values() if now > s.last_request_at + s.timeout]:
                 self.expire(session.id)
 
     def expire(self, number: int) -> None:
@@ -163,7 +163,7 @@
                 return None
             session = found
             session.timeout = timeout
-            session.heard = now
+            session.last_request_at = now
             if session.connection is not None and session.connection is not connection:
                 session.connection.drop()
         session.connection = connection
@@ -214,14 +214,14 @@
         """Serve nobody until another leader is elected."""
         self.leaderless = True
         for server in self.servers:
-            server.cut(RESET)
+            server.partition(RESET)
         self.loop.call_later(seconds, self._elect_leader)
 
     def _elect_leader(self) -> None:
         self.leaderless = False
         self.tree.begin_epoch()
         for server in self.servers:
-            server.mend()
+            server.heal()
 
     def empty(self) -> None:
         """Restore from nothing: zxids go on, sessions and znodes are gone, and no watch tells."""
@@ -281,13 +281,13 @@
         for connection in list(self.connections):
             connection.drop()
 
-    def cut(self, mode: str) -> None:
+    def partition(self, mode: str) -> None:
         """Cut the server off: SILENT leaves its connections open, RESET ends them, and new ones at once."""
         self.mode = mode
         if mode == RESET:
             self.drop_all()
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """Serve again; what was sent meanwhile is lost, as the connections that carried it are."""
         mode = self.mode
         self.mode = ""
--- a/harness/coordination_connection.py
+++ b/harness/coordination_connection.py
@@ -45,7 +45,7 @@
     id: int
     password: bytes
     timeout: float
-    heard: float  # when a request came last
+    last_request_at: float
     nodes: set[str] = field(default_factory=set)  # paths of its ephemeral znodes
     connection: ServiceConnection | None = None
 
@@ -136,7 +136,7 @@
 
     # asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server, which may be cut off."""
+        """Register with the server, which may be partitioned."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
         self.server.accepted += 1
@@ -155,7 +155,7 @@
         if self.server.mode:
             return
         if self.is_connect_due and not self.buffer and data[:FOUR_LETTERS] in FOUR_LETTER_WORDS:
-            self._answer_word(data[:FOUR_LETTERS])
+            self._answer_four_letter_word(data[:FOUR_LETTERS])
             return
         self.buffer += data
         try:
@@ -176,10 +176,10 @@
     def _drop_later(self, delay: float) -> None:
         self.service.loop.call_later(delay, self.drop)
 
-    def _answer_word(self, word: bytes) -> None:
+    def _answer_four_letter_word(self, command: bytes) -> None:
         assert self.transport is not None
-        is_read_only = word == b"isro" and self.server.read_only
-        self.transport.write(b"ro" if is_read_only else FOUR_LETTER_WORDS[word])
+        is_read_only = command == b"isro" and self.server.read_only
+        self.transport.write(b"ro" if is_read_only else FOUR_LETTER_WORDS[command])
         self.transport.close()
 
     # Replies and notifications
@@ -234,7 +234,7 @@
         self._send(response.frame())
 
     def _on_request(self, frame: bytes, session: SessionRecord) -> None:
-        session.heard = time.monotonic()
+        session.last_request_at = time.monotonic()
         source = RecordReader(frame)
         xid = source.int32()
         op = source.int32()
@@ -269,8 +269,8 @@
         scheme = source.string()
         auth = source.buffer() or b""
         user, _, password = auth.decode("utf-8", "replace").partition(":")
-        known = self.service.credentials
-        if scheme != "digest" or (known and known.get(user) != password):
+        credentials = self.service.credentials
+        if scheme != "digest" or (credentials and credentials.get(user) != password):
             raise ServiceError(ErrorCode.AUTH_FAILED)
         digest = base64.b64encode(hashlib.sha1(auth).digest()).decode()
         self.users.add(f"{user}:{digest}")
--- a/harness/deployment.py
+++ b/harness/deployment.py
@@ -51,6 +51,17 @@
     service_time_by_tier: dict[str, float] = field(default_factory=dict)  # the same for some tiers
 
 
+@dataclass(frozen=True, slots=True)
+class DeploymentOptions:
+    """How a deployment differs from what its description says."""
+
+    profile: ApplicationProfile = field(default_factory=ApplicationProfile)
+    routes: Mapping[str, str] = field(default_factory=dict)  # a tier: another whose endpoint list it gets
+    skews: Mapping[str, list[str]] = field(default_factory=dict)  # a sidecar: arguments of harness.clock_skew
+    edge_operator: str = ""  # the operator's file of the proxy before the first tier
+    tiers_without_budgets: frozenset[str] = frozenset()  # whose sidecars know of no deadline propagation
+
+
 class SidecarHost:
     """One sidecar with its application."""
 
@@ -62,7 +73,7 @@
             deployment.recorder,
             self.name,
             deployment.key_group(sidecar.zone),
-            deployment.profile.service_time_by_tier.get(sidecar.tier, deployment.profile.service_time),
+            deployment.service_time(sidecar.tier),
             handler=self.handle_request,
         )
         self.outbound: dict[str, ClientPool] = {}
@@ -77,7 +88,7 @@
 
         Returns whether all of them were served.
         """
-        profile = self.deployment.profile
+        profile = self.deployment.options.profile
         cls = self.deployment.classes[incoming.class_name]
         budget_header = (
             f"Tier-Budget: {incoming.budget.decode()}"
@@ -113,7 +124,7 @@
                 self.deployment.recorder, parse_address(address), f"{self.name}.{called}", 0
             )
         description = replace(self.deployment.description, tiers=tiers)
-        if self.sidecar.tier in self.deployment.tiers_without_budgets:
+        if self.sidecar.tier in self.deployment.options.tiers_without_budgets:
             description = replace(description, budgets=None)
         self.file.write_text(description_text(description))
         await self.start_sidecar()
@@ -121,7 +132,7 @@
     async def start_sidecar(self) -> None:
         """Start the sidecar; return once it listens and has seen its application work."""
         sidecar = self.sidecar
-        skew = self.deployment.skews.get(self.name)
+        skew = self.deployment.options.skews.get(self.name)
         module = ["harness.clock_skew", *skew, "service_proxy.sidecar"] if skew else ["service_proxy.sidecar"]
         command = [sys.executable, "-m", *module, "run", str(self.file)]
         command += ["--host", sidecar.host, "--tier", sidecar.tier]
@@ -130,15 +141,10 @@
             self.process = await asyncio.create_subprocess_exec(
                 *command, cwd=ROOT, env=environ, stdout=sink, stderr=sink
             )
-        process = self.process
-        program = ProxyProcess(self.process, parse_address(sidecar.inbound), self.log_file)
-        await until(lambda: process.returncode is not None or program.is_ready(), f"{self.name} ready")
-        if process.returncode is not None:
-            raise RuntimeError(
-                f"{self.name} ended with {process.returncode}: {self.log_file.read_text()[-2000:]}"
-            )
+        inbound = ProxyProcess(self.process, parse_address(sidecar.inbound), self.log_file)
+        await inbound.wait_until_ready(self.name)
         for called, address in sidecar.outbound.items():
-            outbound = ProxyProcess(process, parse_address(address), self.log_file)
+            outbound = ProxyProcess(self.process, parse_address(address), self.log_file)
             await until(outbound.is_ready, f"{self.name} towards {called} ready")
 
     async def stop_sidecar(self) -> None:
@@ -149,7 +155,7 @@
         self.exit_code = await self.process.wait()
 
     async def restart_application(self, downtime: float) -> None:
-        """End the application as a process that dies, and start it cold after the downtime (s)."""
+        """End the application as a process that dies, and start it, warming up, after the downtime (s)."""
         self.application.stop()
         await asyncio.sleep(downtime)
         await self.application.start(warming_up=True)
@@ -164,20 +170,9 @@
 class Deployment:
     """All processes and stand-ins of a description; made by `running_deployment`."""
 
-    def __init__(
-        self,
-        description: Description,
-        folder: Path,
-        profile: ApplicationProfile,
-        routes: Mapping[str, str],
-        skews: Mapping[str, list[str]],
-        tiers_without_budgets: frozenset[str],
-    ) -> None:
+    def __init__(self, description: Description, folder: Path, options: DeploymentOptions) -> None:
         self.folder = folder
-        self.profile = profile
-        self.routes = routes
-        self.skews = skews
-        self.tiers_without_budgets = tiers_without_budgets  # tiers whose sidecars know of no budgets
+        self.options = options
         # By request of an application, the request that it was made for.
         self.parent_requests: dict[str, str] = {}
         self.recorder = Recorder()
@@ -191,24 +186,28 @@
         self.entry_tier = next((name for name in description.tiers if name not in called_tiers), "")
         self.description = self.on_loopback(description)
         self.hosts = [SidecarHost(self, sidecar) for sidecar in self.description.sidecars]
-        tiers_with_sidecars = {host.sidecar.tier for host in self.hosts}
-        self.plain_endpoints = [
-            (
-                name,
-                StubEndpoint(
-                    self.recorder,
-                    f"{name}-{number}",
-                    self.key_group(tier.zones[number % len(tier.zones)]),
-                    profile.service_time_by_tier.get(name, profile.service_time),
-                ),
-            )
-            for name, tier in self.description.tiers.items()
-            if name not in tiers_with_sidecars
-            for number in range(min(PLAIN_ENDPOINTS_PER_TIER, tier.nodes))
-        ]
+        self.plain_endpoints = self._plain_endpoints()
         self.edge_proxy: ProxyProcess | None = None
         self.clients: ClientPool | None = None
 
+    def _plain_endpoints(self) -> list[tuple[str, StubEndpoint]]:
+        """Return the endpoints of the tiers that have no sidecars, each with its tier."""
+        tiers_with_sidecars = {host.sidecar.tier for host in self.hosts}
+        endpoints = []
+        for name, tier in self.description.tiers.items():
+            if name in tiers_with_sidecars:
+                continue
+            for number in range(min(PLAIN_ENDPOINTS_PER_TIER, tier.nodes)):
+                group = self.key_group(tier.zones[number % len(tier.zones)])
+                endpoint = StubEndpoint(self.recorder, f"{name}-{number}", group, self.service_time(name))
+                endpoints.append((name, endpoint))
+        return endpoints
+
+    def service_time(self, tier: str) -> float:
+        """Return how long an application of the tier works before it sends requests of its own, s."""
+        profile = self.options.profile
+        return profile.service_time_by_tier.get(tier, profile.service_time)
+
     def key_group(self, zone: str) -> str:
         """Name the group of endpoints that drop one another's repetitions of a key."""
         return "all" if self.groups == {"all"} else zone
@@ -236,7 +235,7 @@
     async def start_registry(self, proxy: str, tier: str) -> str:
         """Start the discovery stand-in of a proxy towards a tier; return its address."""
         registry = self.registries[proxy, tier] = EndpointRegistry(self.recorder, proxy=proxy)
-        tier = self.routes.get(tier, tier)  # a misroute: the list of another tier
+        tier = self.options.routes.get(tier, tier)  # a misroute: the list of another tier
         for host in self.hosts:
             if host.sidecar.tier == tier:
                 registry.put(host.list_entry)
@@ -285,48 +284,28 @@
 
 @contextlib.asynccontextmanager
 async def running_deployment(
-    description: Description,
-    profile: ApplicationProfile | None = None,
-    routes: Mapping[str, str] | None = None,
-    skews: Mapping[str, list[str]] | None = None,
-    edge: str = "",
-    tiers_without_budgets: frozenset[str] = frozenset(),
+    description: Description, options: DeploymentOptions | None = None
 ) -> AsyncIterator[Deployment]:
-    """Start a deployment and yield it when it is ready.
-
-    Args:
-        description: What is deployed.
-        profile: What its applications do for a request.
-        routes: Misroutes: a tier whose endpoint list is another tier's.
-        skews: Arguments of harness.clock_skew for some sidecars.
-        edge: The operator's file of the proxy before the first tier.
-        tiers_without_budgets: Tiers whose sidecars know of no deadline propagation.
-    """
-    with tempfile.TemporaryDirectory() as text:
-        deployment = Deployment(
-            description,
-            Path(text),
-            profile or ApplicationProfile(),
-            routes or {},
-            skews or {},
-            tiers_without_budgets,
-        )
+    """Start a deployment and yield it when it is ready."""
+    options = options or DeploymentOptions()
+    with tempfile.TemporaryDirectory() as folder:
+        deployment = Deployment(description, Path(folder), options)
         try:
             for _, endpoint in deployment.plain_endpoints:
                 await endpoint.start()
             await asyncio.gather(*(host.start() for host in deployment.hosts))
-            registry = await deployment.start_registry(EDGE_PROXY_NAME, deployment.entry_tier)
-            known = list(deployment.registries[EDGE_PROXY_NAME, deployment.entry_tier].entries.values())
+            entry_tier = deployment.entry_tier
+            registry = await deployment.start_registry(EDGE_PROXY_NAME, entry_tier)
+            known = list(deployment.registries[EDGE_PROXY_NAME, entry_tier].entries.values())
             async with running_proxy(
-                EDGE_PROXY_NAME, registry, known, edge, overrides=deployment.edge_settings()
-            ) as program:
+                EDGE_PROXY_NAME, registry, known, options.edge_operator, overrides=deployment.edge_settings()
+            ) as edge_proxy:
                 classes = [
-                    deployment.classes[name]
-                    for name in deployment.description.tiers[deployment.entry_tier].classes
+                    deployment.classes[name] for name in deployment.description.tiers[entry_tier].classes
                 ]
-                deployment.edge_proxy = program
+                deployment.edge_proxy = edge_proxy
                 deployment.clients = ClientPool(
-                    deployment.recorder, program.address, EDGE_PROXY_NAME, 1, classes
+                    deployment.recorder, edge_proxy.address, EDGE_PROXY_NAME, 1, classes
                 )
                 yield deployment
         finally:
--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -18,6 +18,7 @@
 from harness.event_loop import until
 
 ROOT = Path(__file__).parent.parent
+MAX_LOG_CHARACTERS = 2000  # of a log that an error quotes
 
 POLICY_LIMITS: dict[str, Any] = {
     "send_cap": 5,
@@ -129,12 +130,25 @@
 
     def is_ready(self) -> bool:
         """Tell whether its health check answers 200."""
-        with contextlib.suppress(OSError), socket.create_connection(self.address, 0.2) as caller:
-            caller.settimeout(0.5)
-            caller.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-            return caller.recv(64).startswith(b"HTTP/1.1 200")
+        with contextlib.suppress(OSError), socket.create_connection(self.address, 0.2) as client:
+            client.settimeout(0.5)
+            client.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+            return client.recv(64).startswith(b"HTTP/1.1 200")
         return False
 
+    async def wait_until_ready(self, name: str) -> None:
+        """Wait until its health check answers 200. Raises RuntimeError, with its log, where it ends first."""
+        await until(lambda: self.process.returncode is not None or self.is_ready(), f"{name} ready")
+        if self.process.returncode is not None:
+            log = self.log_file.read_text()[-MAX_LOG_CHARACTERS:]
+            raise RuntimeError(f"{name} ended with {self.process.returncode}: {log}")
+
+    async def kill(self) -> None:
+        """End it at once, if it still runs."""
+        if self.process.returncode is None:
+            self.process.kill()
+            await self.process.wait()
+
 
 def configuration(
     name: str,
@@ -144,7 +158,10 @@
     overrides: dict[str, Any] | None = None,
     **changes: Any,
 ) -> dict[str, Any]:
-    """The JSON of one proxy; `more`: what it has beside the usual, or in its place."""
+    """Return the JSON of one proxy.
+
+    `overrides` are added to it or replace what it has; `changes` do the same with its settings.
+    """
     return {
         "name": name,
         "listen": listen,
@@ -203,22 +220,15 @@
     """
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
-        listen = f"127.0.0.1:{free_port()}"
-        raw = configuration(name, listen, discovery, known, overrides, **changes)
+        port = free_port()
+        raw = configuration(name, f"127.0.0.1:{port}", discovery, known, overrides, **changes)
         for file, content in (files or {}).items():
             (folder / file).write_text(content)
         process = await start_process(folder, raw, operator, root)
-        host, _, port = listen.rpartition(":")
-        program = ProxyProcess(process, (host, int(port)), folder / "log")
+        proxy = ProxyProcess(process, ("127.0.0.1", port), folder / "log")
         try:
-            await until(
-                lambda: process.returncode is not None or not ready or program.is_ready(), f"{name} ready"
-            )
-            if process.returncode is not None:
-                said = program.log_file.read_text()[-2000:]
-                raise RuntimeError(f"{name} ended with {process.returncode}: {said}")
-            yield program
+            if ready:
+                await proxy.wait_until_ready(name)
+            yield proxy
         finally:
-            if process.returncode is None:
-                process.kill()
-                await process.wait()
+            await proxy.kill()
--- a/harness/tier_chain.py
+++ b/harness/tier_chain.py
@@ -23,7 +23,7 @@
 
 import uvloop
 
-from harness.deployment import ApplicationProfile, Deployment, running_deployment
+from harness.deployment import ApplicationProfile, Deployment, DeploymentOptions, running_deployment
 from harness.recorder import RecordedAttempt
 from service_proxy.operator_file.schema import Budgets
 from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier, Top
@@ -40,7 +40,7 @@
     "reserva": Route("by-key", "zone", 1.5),
     "canje": Route("never-ran"),
 }
-ATTEMPTS_PER_TREE = 12  # of a tree
+ATTEMPTS_PER_TREE = 12
 SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # requests at a time of one application
 SERVICE_TIMES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}  # s that it works on each
 MAX_WAITING = 64  # requests that wait for a slot
@@ -111,14 +111,14 @@
         return Counter(self.root_request(attempt.request_id) for attempt in self.deployment.recorder.attempts)
 
     def late_attempts(self, allowance: float) -> list[tuple[RecordedAttempt, float]]:
-        """Find work that began when the outermost client no longer waited, and how late (s)."""
+        """Find work that began after the deadline of the outermost client, and how late (s)."""
         deadlines = {taken.request_id: taken.deadline for taken in self.deployment.recorder.requests}
-        late = []
+        found = []
         for attempt in self.deployment.recorder.attempts:
             late_by = attempt.executed_at - deadlines.get(self.root_request(attempt.request_id), float("inf"))
             if attempt.executed and late_by > allowance:
-                late.append((attempt, late_by))
-        return late
+                found.append((attempt, late_by))
+        return found
 
     def reported_loops(self) -> int:
         """Count the log lines of the sidecars that name the path of a loop."""
@@ -133,6 +133,22 @@
     return keys
 
 
+def skew_arguments(sidecars: tuple[Sidecar, ...]) -> dict[str, list[str]]:
+    """Skew every second sidecar's clock by an hour, to the future or the past, with a step in the middle."""
+    skews = {}
+    for number, sidecar in enumerate(sidecars):
+        if number % 2 == 0:
+            continue
+        hour = "3600" if number % 4 == 1 else "-3600"
+        skews[f"{sidecar.tier}-{sidecar.host}"] = [
+            f"--wall={hour}",
+            f"--step={hour}",
+            "--at=2",
+            f"--monotonic={number * 1000}",
+        ]
+    return skews
+
+
 @contextlib.asynccontextmanager
 async def running_chain(
     tiers: int = 2,
@@ -146,35 +162,23 @@
     """Start a chain and yield it; `tiers_without_budgets` know of no deadline propagation."""
     with tempfile.TemporaryDirectory() as folder:
         keys = write_key_file(Path(folder))
-        usual = profile or ApplicationProfile(
+        profile = profile or ApplicationProfile(
             propagates_deadline=False, copies_budget_header=True, service_time_by_tier=SERVICE_TIMES
         )
-        settings = None
-        if budgets:
-            settings = Budgets(
-                str(keys), attempts=ATTEMPTS_PER_TREE, calls_per_request=usual.requests_per_tier
-            )
-        edge = (
-            f'[budgets]\nkeys_file = "{keys}"\nedge = true\nattempts = {ATTEMPTS_PER_TREE}\n'
-            if budgets
-            else ""
+        calls = profile.requests_per_tier
+        settings = (
+            Budgets(str(keys), attempts=ATTEMPTS_PER_TREE, calls_per_request=calls) if budgets else None
         )
         description = describe_chain(tiers, hosts, settings, misroute)
-        skews = {}
-        if skew:
-            for number, sidecar in enumerate(description.sidecars):
-                hour = "3600" if number % 4 < 2 else "-3600"
-                if number % 2:
-                    skews[f"{sidecar.tier}-{sidecar.host}"] = [
-                        f"--wall={hour}",
-                        f"--step={hour}",
-                        "--at=2",
-                        f"--monotonic={number * 1000}",
-                    ]
-        routes = {TIERS[tiers]: TIERS[0]} if misroute else {}
-        async with running_deployment(
-            description, usual, routes, skews, edge, tiers_without_budgets
-        ) as deployment:
+        edge = f'[budgets]\nkeys_file = "{keys}"\nedge = true\nattempts = {ATTEMPTS_PER_TREE}\n'
+        options = DeploymentOptions(
+            profile,
+            routes={TIERS[tiers]: TIERS[0]} if misroute else {},
+            skews=skew_arguments(description.sidecars) if skew else {},
+            edge_operator=edge if budgets else "",
+            tiers_without_budgets=tiers_without_budgets,
+        )
+        async with running_deployment(description, options) as deployment:
             yield Chain(deployment, keys)
 
 
@@ -190,15 +194,15 @@
             {name: cls.idempotency for name, cls in chain.deployment.classes.items()}
         )
         late = chain.late_attempts(0.0)
-        most_attempts = max(chain.attempts_by_root().values(), default=0)
-        deepest = max(
+        max_attempts = max(chain.attempts_by_root().values(), default=0)
+        max_depth = max(
             (chain.depth(attempt.request_id) for attempt in chain.deployment.recorder.attempts), default=0
         )
         print(f"calls {codes.total()}: served {codes[200]}, refused {codes[503]}")
         print(
             f"work begun for nobody: {len(late)}, the latest {max((by for _, by in late), default=0.0):.3f} s"
         )
-        print(f"attempts of a request: {most_attempts} at the most; hops {deepest}")
+        print(f"attempts of a request: {max_attempts} at the most; hops {max_depth}")
         print(f"loops told: {chain.reported_loops()}; rules broken: {len(violations)}")
         for violation in violations[:3]:
             print(violation)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -11,13 +11,8 @@
 MAX_FUNCTION_LINES = 40
 # What is longer, each with its reason; an entry that is no longer needed fails the test.
 NOT_YET_SPLIT = "a benchmark that has not been brought to the rules yet: docs/ROADMAP.md"
-ARGUMENTS = "its arguments and their documentation are half of it"
 LONG_FUNCTIONS = {
-    "harness/deployment.py:Deployment.__init__": "the state of a whole deployment, one field a line",
-    "harness/deployment.py:running_deployment": ARGUMENTS,
-    "harness/proxy_process.py:running_proxy": ARGUMENTS,
     "harness/recovery/crash_points.py:record_store_run": "one recorded run, in the order of its steps",
-    "harness/tier_chain.py:running_chain": ARGUMENTS,
     "benchmarks/websocket.py:faults": NOT_YET_SPLIT,
     "benchmarks/websocket.py:fuzz_sessions": NOT_YET_SPLIT,
 }
