--- a/benchmarks/ephemeral_fleet.py
+++ b/benchmarks/ephemeral_fleet.py
@@ -167,8 +167,8 @@
         self.register(name)
         self.down.discard(name)
 
-    def most_used(self) -> list[str]:
-        """Return the endpoints that the most proxies have lately sent to: their loss matters."""
+    def endpoints_in_use(self) -> list[str]:
+        """Return the endpoints that the greatest number of proxies have lately sent to."""
         since = time.monotonic() - RECENT_S
         users = {
             name: sum(sent_at > since for sent_at in endpoint.last_request_by_proxy.values())
@@ -229,7 +229,7 @@
             if number in partitions:
                 await self.settle(pending)
                 await self.partition(partitions[number], "silent" if silent else "reset")
-            name = self.random.choice(self.most_used())
+            name = self.random.choice(self.endpoints_in_use())
             pending.append(asyncio.ensure_future(self.lose_session(name, silent)))
             await asyncio.sleep(size.spacing * (0.5 + self.random.random()))
         await self.settle(pending)
