--- a/service_proxy/operator_file/__init__.py
+++ b/service_proxy/operator_file/__init__.py
@@ -1,8 +1,8 @@
 """The operator's file: one typed, frozen object, or errors with file and line.
 
-`loader` reads a file, by `reader` into the tables of `schema`; `value_checks` and `contradictions` say what
-is wrong with them, `positions` where it stands, `codes` what each finding means; `key_file` reads the keys
-that a table names. Importing this package imports no subsystem.
+`loader` reads a file, by `reader` into the tables of `schema`; `value_checks` and `contradictions` find the
+problems, `positions` their lines; `codes` explains each kind of finding; `key_file` reads the keys that a
+table names. Importing this package imports no subsystem.
 """
 
 from service_proxy.operator_file.loader import load
--- a/service_proxy/operator_file/codes.py
+++ b/service_proxy/operator_file/codes.py
@@ -1,7 +1,7 @@
 """The codes of all findings: what each means, and what to do. One table; the operators' page is made of it.
 
 C: the file itself. S: a key and its value. R: one of the four rules. F: several files as one fleet.
-A title that ends in `(warning)` is told, but no reason to refuse.
+A finding whose title ends in `(warning)` is reported, and the file accepted.
 """
 
 from __future__ import annotations
@@ -104,7 +104,7 @@
 
 
 def _parse_table(table: str) -> dict[str, FindingCode]:
-    found: dict[str, FindingCode] = {}
+    codes: dict[str, FindingCode] = {}
     code = ""
     title = ""
     lines: list[str] = []
@@ -113,12 +113,12 @@
             lines.append(line.strip())
             continue
         if code:
-            found[code] = FindingCode(
+            codes[code] = FindingCode(
                 title.removesuffix(" (warning)"), " ".join(lines), title.endswith(" (warning)")
             )
         code, _, title = line.partition(" ")
         lines = []
-    return found
+    return codes
 
 
 CODES = _parse_table(TABLE)
--- a/service_proxy/operator_file/contradictions.py
+++ b/service_proxy/operator_file/contradictions.py
@@ -1,4 +1,4 @@
-"""What in a table, or in two, can't all be so; found once each value is valid by itself."""
+"""Contradictions within a table or between two, checked once each value is valid by itself."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check_membership(reader: TableReader, membership: object, path: Path) -> None:
-    """Report what a table [membership] at this path holds that can't all be so."""
+    """Report the contradictions in a table [membership] at this path."""
     if not isinstance(membership, Membership):
         return
     if membership.connect_timeout >= membership.session_timeout:
@@ -33,18 +33,18 @@
         )
 
 
-def check_registration(reader: TableReader, membership: object, of: Path, path: Path) -> None:
-    """Report what a table [registration] at this path and the [membership] at `of` can't both say."""
+def check_registration(reader: TableReader, membership: object, membership_path: Path, path: Path) -> None:
+    """Report the contradictions of a table [registration] with a table [membership], at these paths."""
     if membership is None:
         reader.add_problem(
             path,
             "S107",
-            f"[{'.'.join(path)}] without [{'.'.join(of)}]: there is no service to register with",
-            f"write a table [{'.'.join(of)}] with servers and path",
+            f"[{'.'.join(path)}] without [{'.'.join(membership_path)}]: there is no service to register with",
+            f"write a table [{'.'.join(membership_path)}] with servers and path",
         )
     elif isinstance(membership, Membership) and membership.read_only:
         reader.add_problem(
-            (*of, "read_only"),
+            (*membership_path, "read_only"),
             "S107",
             f"read_only = true with [{'.'.join(path)}]: a read-only server takes no registration",
             "write read_only = false",
@@ -52,7 +52,7 @@
 
 
 def check_websocket(reader: TableReader, table: object, path: Path) -> None:
-    """Report what a table [websocket] at this path holds that can't all be so."""
+    """Report the contradictions in a table [websocket] at this path."""
     if not isinstance(table, WebSocket):
         return
     if not table.messages and not table.tunnels:
@@ -105,14 +105,14 @@
 
 
 def check_fleet(reader: TableReader, table: object, path: Path) -> None:
-    """Report what a table [fleet] at this path holds that can't all be so."""
+    """Report the contradictions in a table [fleet] at this path."""
     if not isinstance(table, Fleet):
         return
     if table.suspicion < MIN_SUSPICION_PERIODS:
         reader.add_problem(
             (*path, "suspicion"),
             "S107",
-            "suspicion is shorter than a probe round: who is slow once is dead before it is asked " "again",
+            "suspicion is shorter than a probe round: who is slow once is dead before it is asked again",
             "write suspicion = 3.0, or at least 1.0",
         )
     if table.memory < MIN_MEMORY_SUSPICIONS * table.suspicion * table.period:
@@ -128,8 +128,8 @@
 
 
 def _check_fleet_members(reader: TableReader, table: Fleet, path: Path) -> None:
-    own = table.address or table.listen
-    if table.members and not [at for at in table.members if at != own]:
+    own_address = table.address or table.listen
+    if table.members and not [address for address in table.members if address != own_address]:
         reader.add_problem(
             (*path, "members"),
             "S107",
@@ -141,23 +141,23 @@
         reader.add_problem(
             (*path, "own_network"),
             "S107",
-            f"own_network = true without {missing}: the platform is not asked, and nobody else says " "it",
+            f"own_network = true without {missing}: the platform is not asked, and nobody else says it",
             'write listen = "HOST:PORT" and members = [...]',
         )
 
 
 def _check_fleet_networks(reader: TableReader, table: Fleet, path: Path) -> None:
     networks = [ipaddress.IPv4Network(network) for network in table.networks]
-    for at in (table.listen, table.address, *table.members):
-        host = at.rpartition(":")[0]
-        if not at:
+    for address in (table.listen, table.address, *table.members):
+        host = address.rpartition(":")[0]
+        if not address:
             continue
         try:
-            number = ipaddress.IPv4Address(host)
+            ip_address = ipaddress.IPv4Address(host)
         except ValueError:
             reader.add_problem(path, "S105", f"{host} is no IPv4 address", "write numbers; there is no DNS")
             continue
-        if not number.is_unspecified and not any(number in network for network in networks):
+        if not ip_address.is_unspecified and not any(ip_address in network for network in networks):
             reader.add_problem(
                 (*path, "networks"),
                 "S107",
--- a/service_proxy/operator_file/key_file.py
+++ b/service_proxy/operator_file/key_file.py
@@ -27,7 +27,7 @@
         OperatorError: with file and line; it never shows a key.
     """
 
-    def fault(line: int, code: str, text: str, instead: str) -> OperatorError:
+    def key_file_error(line: int, code: str, text: str, instead: str) -> OperatorError:
         return OperatorError([Problem(file, line, code, text, instead)])
 
     try:
@@ -35,25 +35,27 @@
             mode = os.fstat(source.fileno()).st_mode
             data = source.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise fault(
+        raise key_file_error(
             1, "C001", f"can't be read: {error.strerror}", "name the file of the fleet's keys"
         ) from None
     if mode & READABLE:
-        raise fault(1, "S105", "may be read by everybody on this machine", "chmod o-rwx it")
+        raise key_file_error(1, "S105", "may be read by everybody on this machine", "chmod o-rwx it")
     if len(data) > MAX_FILE_BYTES:
-        raise fault(1, "C003", f"larger than {MAX_FILE_BYTES} bytes", EXAMPLE)
+        raise key_file_error(1, "C003", f"larger than {MAX_FILE_BYTES} bytes", EXAMPLE)
     keys: dict[bytes, bytes] = {}
     for number, line in enumerate(data.decode("latin-1").splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        found = LINE.fullmatch(line.rstrip())
-        if found is None or len(found[2]) % 2 or not MIN_KEY_BYTES <= len(found[2]) // 2 <= MAX_KEY_BYTES:
-            raise fault(number, "S105", "is no key", EXAMPLE)
-        if found[1].encode() in keys or bytes.fromhex(found[2]) in keys.values():
-            raise fault(number, "S107", "is given twice", "take one of them out")
-        keys[found[1].encode()] = bytes.fromhex(found[2])
+        match = LINE.fullmatch(line.rstrip())
+        if match is None or len(match[2]) % 2 or not MIN_KEY_BYTES <= len(match[2]) // 2 <= MAX_KEY_BYTES:
+            raise key_file_error(number, "S105", "is no key", EXAMPLE)
+        if match[1].encode() in keys or bytes.fromhex(match[2]) in keys.values():
+            raise key_file_error(number, "S107", "is given twice", "take one of them out")
+        keys[match[1].encode()] = bytes.fromhex(match[2])
     if not 1 <= len(keys) <= MAX_KEYS:
-        raise fault(1, "S105", f"holds {len(keys)} keys", f"write one, or {MAX_KEYS} while they are rotated")
+        raise key_file_error(
+            1, "S105", f"holds {len(keys)} keys", f"write one, or {MAX_KEYS} while they are rotated"
+        )
     return keys
 
 
--- a/service_proxy/operator_file/loader.py
+++ b/service_proxy/operator_file/loader.py
@@ -26,9 +26,9 @@
     for name, value in raw.items():
         cls = TABLES.get(name)
         if cls is None:
-            known = ", ".join(f"[{table}]" for table in TABLES)
+            known_tables = ", ".join(f"[{table}]" for table in TABLES)
             reader.add_problem(
-                (name,), "S102", f"unknown table or key {name}", f"leave it out; known are {known}"
+                (name,), "S102", f"unknown table or key {name}", f"leave it out; known are {known_tables}"
             )
         else:
             tables[name] = reader.read_table(cls, value, (name,))
--- a/service_proxy/operator_file/positions.py
+++ b/service_proxy/operator_file/positions.py
@@ -1,7 +1,7 @@
-"""Where in a TOML text a key stands: tomllib tells values, not lines.
+"""The positions of keys in a TOML text: tomllib returns values, not lines.
 
 A scan over lines, not a parser: tomllib has accepted the text before, so only headers, keys, strings and
-brackets have to be told apart. A key that the scan can't place gets its table's line.
+brackets have to be distinguished. A key that the scan can't place gets its table's line.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 PART = re.compile(NAME)
 QUOTED = re.compile(r'"(?:[^"\\]|\\.)*"|\'[^\']*\'')
 
-LONG_QUOTES = ('"""', "'''")
+MULTILINE_QUOTES = ('"""', "'''")
 
 Path = tuple[str, ...]
 
@@ -55,23 +55,23 @@
 
     def scan_line(self, number: int, line: str) -> None:
         """Note the places of what the line names."""
-        rest = line
+        remainder = line
         place = Place(number, len(line) - len(line.lstrip()) + 1)
         if self.closing_quotes:
-            _, end, rest = rest.partition(self.closing_quotes)
+            _, end, remainder = remainder.partition(self.closing_quotes)
             if not end:
                 return
             self.closing_quotes = ""
         elif self.open_brackets == 0:
-            header = HEADER.match(rest)
+            header = HEADER.match(remainder)
             if header:
                 self._enter_table(_parts(header[2]), header[1] == "[[", place)
                 return
-            key = KEY.match(rest)
+            key = KEY.match(remainder)
             if key:
                 self._add_key(_parts(key[1]), place)
-                rest = rest[key.end() :]
-        self._count_brackets(self._cut_long_string(rest))
+                remainder = remainder[key.end() :]
+        self._count_brackets(self._before_multiline_string(remainder))
 
     def _enter_table(self, parts: Path, is_array: bool, place: Place) -> None:
         table: Path = ()
@@ -92,19 +92,19 @@
             path += (part,)
             self.places.setdefault(path, place)
 
-    def _cut_long_string(self, rest: str) -> str:
+    def _before_multiline_string(self, remainder: str) -> str:
         """Return what stands before a string over several lines, and remember how that ends."""
-        for quotes in LONG_QUOTES:
-            if quotes in rest:
-                rest, _, after = rest.partition(quotes)
-                if quotes not in after:
+        for quotes in MULTILINE_QUOTES:
+            if quotes in remainder:
+                remainder, _, after_quotes = remainder.partition(quotes)
+                if quotes not in after_quotes:
                     self.closing_quotes = quotes
-        return rest
+        return remainder
 
-    def _count_brackets(self, rest: str) -> None:
-        rest = QUOTED.sub("", rest).split("#", 1)[0]
-        opened = rest.count("[") + rest.count("{")
-        closed = rest.count("]") + rest.count("}")
+    def _count_brackets(self, remainder: str) -> None:
+        remainder = QUOTED.sub("", remainder).split("#", 1)[0]
+        opened = remainder.count("[") + remainder.count("{")
+        closed = remainder.count("]") + remainder.count("}")
         self.open_brackets = max(0, self.open_brackets + opened - closed)
 
 
--- a/service_proxy/operator_file/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -17,7 +17,7 @@
 from service_proxy.operator_file.codes import CODES
 from service_proxy.operator_file.positions import Path, find_positions, place_of
 
-MAX_FILE_BYTES = 1 << 20  # bytes of an operator's file; a larger one is some other file
+MAX_FILE_BYTES = 1 << 20  # of an operator's file; a larger file is something else
 TOML_ERROR_PLACE = re.compile(r"^(.*) \(at (?:line (\d+), column (\d+)|end of document)\)$")
 
 T = TypeVar("T")
@@ -37,14 +37,14 @@
 
     @property
     def is_warning(self) -> bool:
-        """Whether it is no reason to refuse the file."""
+        """Whether the file is accepted all the same."""
         return CODES[self.code].is_warning
 
     def __str__(self) -> str:
         """As compilers write it."""
         severity = "warning" if self.is_warning else "error"
-        head = f"{self.file}:{self.line}:{self.column}: {severity}[{self.code}]: {self.text}"
-        return f"{head}\n  help: {self.remedy}"
+        first_line = f"{self.file}:{self.line}:{self.column}: {severity}[{self.code}]: {self.text}"
+        return f"{first_line}\n  help: {self.remedy}"
 
 
 class OperatorError(ValueError):
@@ -127,29 +127,29 @@
             if isinstance(kind, type) and dataclasses.is_dataclass(kind):  # a table within this one
                 values[field.name] = self.read_table(kind, raw[field.name], (*path, field.name))
                 continue
-            value, code, fault = _typed(kind, raw[field.name])
+            value, code, problem = _convert(kind, raw[field.name])
             check = field.metadata["check"]
-            if fault is None and check is not None:
+            if problem is None and check is not None:
                 code = "S105"
-                fault = check(value)
-            if fault is not None:
+                problem = check(value)
+            if problem is not None:
                 path_of = (*path, field.name)
-                self.add_problem(path_of, code, f"{field.name} {fault}", f"write {field.name} = {text}")
+                self.add_problem(path_of, code, f"{field.name} {problem}", f"write {field.name} = {text}")
             values[field.name] = value
         return cls(**values) if len(self.problems) == before else None
 
 
-def suggest_name(unknown: str, known: Iterable[str]) -> str:
-    """Return what was probably meant, as the remedy for an unknown name."""
-    names = sorted(known)
-    near = difflib.get_close_matches(unknown, names, 1)
-    return f"write {near[0]}" if near else "leave it out; known are " + ", ".join(names)
+def suggest_name(unknown: str, known_names: Iterable[str]) -> str:
+    """Return the closest known name, as the remedy for an unknown one."""
+    names = sorted(known_names)
+    closest = difflib.get_close_matches(unknown, names, 1)
+    return f"write {closest[0]}" if closest else "leave it out; known are " + ", ".join(names)
 
 
-def _typed(kind: type, raw: Any) -> tuple[Any, str, str | None]:
-    """The value, and the code and text of what is wrong with it."""
+def _convert(kind: type, raw: Any) -> tuple[Any, str, str | None]:
+    """Return the value, and the code and text of its problem, if any."""
     if kind is Duration:
-        return _duration(raw)
+        return _parse_duration(raw)
     if kind is float and type(raw) in (int, float):
         return float(raw), "S105", None if math.isfinite(raw) else "is not finite"
     if kind is dict:
@@ -157,11 +157,11 @@
     if kind is tuple:
         is_list = isinstance(raw, list) and all(isinstance(item, str) for item in raw)
         return (tuple(raw), "S104", None) if is_list else (raw, "S104", "must be a list of strings")
-    fault = None if type(raw) is kind else f"must be {KIND_NAMES[kind]}, not {raw!r:.40}"
-    return raw, "S104", fault
+    problem = None if type(raw) is kind else f"must be {KIND_NAMES[kind]}, not {raw!r:.40}"
+    return raw, "S104", problem
 
 
-def _duration(raw: Any) -> tuple[Any, str, str | None]:
+def _parse_duration(raw: Any) -> tuple[Any, str, str | None]:
     if not isinstance(raw, str):
         code = "S106" if type(raw) in (int, float) else "S104"
         return raw, code, f'is a time and needs its unit, as in "{raw}ms" or "{raw}s"'
@@ -192,16 +192,18 @@
         )
     try:
         text = data.decode("utf-8")
-    except UnicodeDecodeError as fault:
-        line = data.count(b"\n", 0, fault.start) + 1
+    except UnicodeDecodeError as error:
+        line = data.count(b"\n", 0, error.start) + 1
         raise OperatorError([Problem(file, line, "C004", "is no UTF-8 here", "save it as UTF-8")]) from None
     try:
         return text, tomllib.loads(text)
     except RecursionError:
         raise OperatorError([Problem(file, 1, "C003", "nested too deep", remedy)]) from None
-    except ValueError as fault:
-        said = TOML_ERROR_PLACE.match(str(fault))
-        line, column = (int(said[2]), int(said[3])) if said and said[2] else (text.count("\n") + 1, 1)
-        reason = said[1] if said else str(fault)
+    except ValueError as error:
+        place_match = TOML_ERROR_PLACE.match(str(error))
+        line, column = text.count("\n") + 1, 1
+        if place_match and place_match[2]:
+            line, column = int(place_match[2]), int(place_match[3])
+        reason = place_match[1] if place_match else str(error)
         problem = Problem(file, line, "C002", f"is no TOML: {reason}", "mend this line", column)
         raise OperatorError([problem]) from None
