--- a/service_proxy/sidecar/__main__.py
+++ b/service_proxy/sidecar/__main__.py
@@ -26,7 +26,7 @@
 from service_proxy.operator_file.codes import CODES
 from service_proxy.operator_file.reader import OperatorError, Problem, read_text
 from service_proxy.sidecar import explain, report
-from service_proxy.sidecar.checking import check, code_of
+from service_proxy.sidecar.checking import check, exit_code_of
 from service_proxy.sidecar.description import LayeredReader, load
 from service_proxy.sidecar.migrate import migrate
 from service_proxy.sidecar.model import Description
@@ -126,7 +126,7 @@
     else:
         text = report.as_text(problems)
     sys.stdout.write(text)
-    return code_of(problems)
+    return exit_code_of(problems)
 
 
 def _explain(arguments: argparse.Namespace) -> int:
@@ -153,22 +153,22 @@
 
 def _read(arguments: argparse.Namespace) -> int:
     """Show or compare; also descriptions that break a rule, since the question may be why."""
-    read: list[tuple[LayeredReader, Description]] = []
+    loaded: list[tuple[LayeredReader, Description]] = []
     for file in arguments.files:
         try:
             layers, description = load(file, arguments.environment)
-        except OperatorError as fault:
-            print(fault, file=sys.stderr)
+        except OperatorError as error:
+            print(error, file=sys.stderr)
             return EXIT_UNREADABLE
         if description is None:
             sys.stdout.write(report.as_text(layers.problems))
             return EXIT_FINDINGS
-        read.append((layers, description))
+        loaded.append((layers, description))
     if arguments.command == "diff":
-        for line in explain.differences(read[0][1], read[1][1]):
+        for line in explain.differences(loaded[0][1], loaded[1][1]):
             print(line)
         return EXIT_OK
-    layers, description = read[0]
+    layers, description = loaded[0]
     for path, value in explain.effective(description):
         origin = layers.origins.get(path)
         source = f"{origin.file}:{origin.place.line}" if origin is not None else "default"
@@ -184,22 +184,22 @@
     for file in arguments.files:
         try:
             text, _ = read_text(file)
-        except OperatorError as fault:
-            problems += fault.problems
+        except OperatorError as error:
+            problems += error.problems
             continue
         changed[file], found = migrate(file, text)
         problems += found
     sys.stdout.write(report.as_text(problems))
     if problems:
-        return code_of(problems)
+        return exit_code_of(problems)
     for file, text in changed.items():
         if not arguments.in_place:
             sys.stdout.write(text)
             continue
         try:
             replace_file(Path(file), text.encode())
-        except OSError as fault:
-            print(f"{file}: not written: {fault.strerror}", file=sys.stderr)
+        except OSError as error:
+            print(f"{file}: not written: {error.strerror}", file=sys.stderr)
             return EXIT_UNREADABLE
     return EXIT_OK
 
@@ -211,7 +211,7 @@
     ]
     if problems:
         sys.stdout.write(report.as_text(problems))
-        return code_of(problems)
+        return exit_code_of(problems)
     if importlib.util.find_spec("harness") is None:
         print("try needs the folder harness of a checkout: call it from there", file=sys.stderr)
         return EXIT_UNREADABLE
@@ -224,7 +224,7 @@
     """Only what passes check is written, read at this moment and not when it was checked last."""
     problems = check(arguments.files, arguments.environment)
     sys.stdout.write(report.as_text(problems))
-    code = code_of(problems)
+    code = exit_code_of(problems)
     if code:
         return code
     _, description = load(arguments.files[0], arguments.environment)
@@ -232,12 +232,12 @@
         print(f"{arguments.files[0]} changed while it was read; call again", file=sys.stderr)
         return EXIT_UNREADABLE
     try:
-        refused = write(description, arguments.folder, arguments.force)
-    except OSError as fault:
-        print(f"{arguments.folder}: nothing was written: {fault.strerror}", file=sys.stderr)
+        problems_of_folder = write(description, arguments.folder, arguments.force)
+    except OSError as error:
+        print(f"{arguments.folder}: nothing was written: {error.strerror}", file=sys.stderr)
         return EXIT_UNREADABLE
-    sys.stdout.write(report.as_text(refused))
-    return code_of(refused)
+    sys.stdout.write(report.as_text(problems_of_folder))
+    return exit_code_of(problems_of_folder)
 
 
 if __name__ == "__main__":
--- a/service_proxy/sidecar/admission.py
+++ b/service_proxy/sidecar/admission.py
@@ -1,8 +1,8 @@
-"""Which calls the application beside this sidecar gets, which wait, and which are refused. Pure.
+"""Admission of requests for the application beside this sidecar: start, queue or reject. Pure.
 
-Two matters: what is known of the application (one table of states), and how much it is given: so many calls
-at a time, fewer while it is cold after a restart, since callers can't know that it began anew. Time is
-handed in, in seconds; whoever holds an Admission does what it says.
+One table has the states of the application. The concurrency limit is its slots, or a part of them during the
+slow start after a restart, which clients can't know of. Time is passed in, in seconds; the caller acts on the
+decisions.
 """
 
 from __future__ import annotations
@@ -11,78 +11,89 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-# s of Retry-After: for an application that is down, that is busy
+# Of Retry-After: the first for an application that is down, the second for one that is busy.
 MAX_RETRY_AFTER_S = 1.0
 MIN_RETRY_AFTER_S = 0.05
-LATENCY_SMOOTHING = 0.1  # weight of the newest call's time in the mean
+LATENCY_SMOOTHING = 0.1  # weight of the newest latency in the mean
 
 
 class ApplicationState(Enum):
-    """What is known of the application."""
+    """The states of the application, as far as the sidecar knows."""
 
-    STARTING = "starting"  # has not said yet that it can work
+    STARTING = "starting"  # has not been healthy yet
     UP = "up"
-    SUSPECT = "suspect"  # something broke, or a probe had no answer: the next probe tells
-    SLOW = "slow"  # takes connections and answers no probe
-    UNREADY = "unready"  # answers that it can't work
-    DOWN = "down"  # nobody listens
+    SUSPECT = "suspect"  # a connection broke or a probe timed out: the next probe decides
+    SLOW = "slow"  # accepts connections, and probes time out
+    UNREADY = "unready"  # answers probes with an error
+    DOWN = "down"  # refuses connections
 
 
 class ApplicationSignal(Enum):
-    """What a probe or a call showed."""
+    """What a probe or a request showed."""
 
     HEALTHY = "healthy"  # a probe was answered with 2xx
     UNHEALTHY = "unhealthy"  # a probe was answered with anything else
     SILENT = "silent"  # a probe had no answer in time
     REFUSED = "refused"  # no connection came up
-    BROKEN = "broken"  # a connection ended under a call or a probe
+    BROKEN = "broken"  # a connection ended during a request or a probe
 
 
-S = ApplicationState
-H = ApplicationSignal
+STATE = ApplicationState
+SIGNAL = ApplicationSignal
 TRANSITIONS: dict[ApplicationState, dict[ApplicationSignal, ApplicationState]] = {
-    S.STARTING: {
-        H.HEALTHY: S.UP,
-        H.UNHEALTHY: S.STARTING,
-        H.SILENT: S.STARTING,
-        H.REFUSED: S.STARTING,
-        H.BROKEN: S.STARTING,
+    STATE.STARTING: {
+        SIGNAL.HEALTHY: STATE.UP,
+        SIGNAL.UNHEALTHY: STATE.STARTING,
+        SIGNAL.SILENT: STATE.STARTING,
+        SIGNAL.REFUSED: STATE.STARTING,
+        SIGNAL.BROKEN: STATE.STARTING,
     },
-    S.UP: {
-        H.HEALTHY: S.UP,
-        H.UNHEALTHY: S.UNREADY,
-        H.SILENT: S.SUSPECT,
-        H.REFUSED: S.DOWN,
-        H.BROKEN: S.SUSPECT,
+    STATE.UP: {
+        SIGNAL.HEALTHY: STATE.UP,
+        SIGNAL.UNHEALTHY: STATE.UNREADY,
+        SIGNAL.SILENT: STATE.SUSPECT,
+        SIGNAL.REFUSED: STATE.DOWN,
+        SIGNAL.BROKEN: STATE.SUSPECT,
     },
-    S.SUSPECT: {
-        H.HEALTHY: S.UP,
-        H.UNHEALTHY: S.UNREADY,
-        H.SILENT: S.SLOW,
-        H.REFUSED: S.DOWN,
-        H.BROKEN: S.SUSPECT,
+    STATE.SUSPECT: {
+        SIGNAL.HEALTHY: STATE.UP,
+        SIGNAL.UNHEALTHY: STATE.UNREADY,
+        SIGNAL.SILENT: STATE.SLOW,
+        SIGNAL.REFUSED: STATE.DOWN,
+        SIGNAL.BROKEN: STATE.SUSPECT,
     },
-    S.SLOW: {H.HEALTHY: S.UP, H.UNHEALTHY: S.UNREADY, H.SILENT: S.SLOW, H.REFUSED: S.DOWN, H.BROKEN: S.SLOW},
-    S.UNREADY: {
-        H.HEALTHY: S.UP,
-        H.UNHEALTHY: S.UNREADY,
-        H.SILENT: S.SLOW,
-        H.REFUSED: S.DOWN,
-        H.BROKEN: S.UNREADY,
+    STATE.SLOW: {
+        SIGNAL.HEALTHY: STATE.UP,
+        SIGNAL.UNHEALTHY: STATE.UNREADY,
+        SIGNAL.SILENT: STATE.SLOW,
+        SIGNAL.REFUSED: STATE.DOWN,
+        SIGNAL.BROKEN: STATE.SLOW,
+    },
+    STATE.UNREADY: {
+        SIGNAL.HEALTHY: STATE.UP,
+        SIGNAL.UNHEALTHY: STATE.UNREADY,
+        SIGNAL.SILENT: STATE.SLOW,
+        SIGNAL.REFUSED: STATE.DOWN,
+        SIGNAL.BROKEN: STATE.UNREADY,
+    },
+    STATE.DOWN: {
+        SIGNAL.HEALTHY: STATE.UP,
+        SIGNAL.UNHEALTHY: STATE.DOWN,
+        SIGNAL.SILENT: STATE.DOWN,
+        SIGNAL.REFUSED: STATE.DOWN,
+        SIGNAL.BROKEN: STATE.DOWN,
     },
-    S.DOWN: {H.HEALTHY: S.UP, H.UNHEALTHY: S.DOWN, H.SILENT: S.DOWN, H.REFUSED: S.DOWN, H.BROKEN: S.DOWN},
 }
-ACCEPTING_STATES = frozenset(
-    (ApplicationState.UP, ApplicationState.SUSPECT)
-)  # in which the application is given calls
+# In which the application gets requests.
+ACCEPTING_STATES = frozenset((ApplicationState.UP, ApplicationState.SUSPECT))
 
 
 class AdmissionDecision(Enum):
-    """What becomes of a new request."""
+    """The decision on a new request."""
 
-    START = "begin"  # give it to the application now
-    QUEUE = "wait"
-    REJECT = "refuse"
+    START = "start"  # send it to the application now
+    QUEUE = "queue"
+    REJECT = "reject"
 
 
 T = TypeVar("T")
@@ -114,16 +125,15 @@
         self.slow_start_window = slow_start_window if warm_up else 0.0
         self.state = ApplicationState.STARTING
         self.draining = False
-        self.in_flight = 0  # calls that the application has
-        self.queue: list[QueuedRequest[T]] = []  # the longest waiting first
-        self.mean_latency = MIN_RETRY_AFTER_S  # s that a call takes lately
-        self.warming_up_since = float("-inf")  # when it last began anew
-        self.was_down_while_starting = False  # while it was starting: then it is younger than this sidecar
-        self.all_connections_broke = False  # all its connections broke at once: it may have begun anew unseen
-
-    # the application
+        self.in_flight = 0  # requests that the application has
+        self.queue: list[QueuedRequest[T]] = []  # in the order of arrival
+        self.mean_latency = MIN_RETRY_AFTER_S  # s, smoothed
+        self.warming_up_since = float("-inf")  # the start of the last slow start
+        self.was_down_while_starting = False  # then it started after this sidecar
+        self.all_connections_broke = False  # then it may have restarted between two probes
+
     def on_signal(self, signal: ApplicationSignal, now: float) -> ApplicationState:
-        """Take in what a health check or a request showed; return the state after it.
+        """Apply what a health check or a request showed; return the new state.
 
         A restart of the application begins its slow start.
         """
@@ -132,20 +142,20 @@
         if before is ApplicationState.STARTING and signal is ApplicationSignal.REFUSED:
             self.was_down_while_starting = True
         if self.state is ApplicationState.UP and before is not ApplicationState.UP:
-            anew = (
+            has_restarted = (
                 before is ApplicationState.DOWN
                 or self.all_connections_broke
                 or (before is ApplicationState.STARTING and self.was_down_while_starting)
             )
-            if anew:
+            if has_restarted:
                 self.warming_up_since = now
             self.all_connections_broke = False
         return self.state
 
     def on_connection_broken(self, survivors: int, now: float) -> ApplicationState:
-        """Take in that a connection ended under a request, while `survivors` others stand.
+        """Apply that a connection ended during a request, while `survivors` others are open.
 
-        Where none does, a process may have ended and another begun between two health checks.
+        Without survivors the application may have restarted between two health checks.
         """
         if not survivors:
             self.all_connections_broke = True
@@ -157,22 +167,24 @@
         return self.state in ACCEPTING_STATES and not self.draining
 
     def concurrency_limit(self, now: float) -> int:
-        """Return the requests that it may have at a time: one at least, to show that it is well."""
+        """Return the requests that it may have at a time: one at least, to show that it is healthy."""
         if self.slow_start_window <= 0.0:
             return self.slots
-        warm = min(1.0, max(0.0, (now - self.warming_up_since) / self.slow_start_window))
+        progress = min(1.0, max(0.0, (now - self.warming_up_since) / self.slow_start_window))
         return max(
             1,
-            int(self.slots * (self.slow_start_initial_share + (1.0 - self.slow_start_initial_share) * warm)),
+            int(
+                self.slots
+                * (self.slow_start_initial_share + (1.0 - self.slow_start_initial_share) * progress)
+            ),
         )
 
-    # calls
     def offer(
         self, request: T, priority_weight: float, deadline: float, now: float
     ) -> tuple[AdmissionDecision, T | None]:
-        """Decide on a new request; return another that gives up its place in the queue to it, if any.
+        """Decide on a new request; return the queued request that it displaces, if any.
 
-        That one was never started, so rejecting it is harmless.
+        The displaced one was never started, so it can be rejected.
         """
         if self.state not in ACCEPTING_STATES:
             return AdmissionDecision.REJECT, None
@@ -181,7 +193,7 @@
             return AdmissionDecision.START, None
         displaced = None
         if len(self.queue) >= self.max_queued:
-            lowest = min(self.queue, key=lambda waiting: waiting.priority_weight, default=None)
+            lowest = min(self.queue, key=lambda queued: queued.priority_weight, default=None)
             if lowest is None or lowest.priority_weight >= priority_weight:
                 return AdmissionDecision.REJECT, None
             self.queue.remove(lowest)
@@ -198,32 +210,32 @@
     def next_request(self, now: float) -> T | None:
         """Return the next request to start, if there is a slot for one.
 
-        One whose time is up is not started: its deadline timer rejects it.
+        One past its deadline is not started: its deadline timer rejects it.
         """
         if self.state not in ACCEPTING_STATES:
             return None
         while self.queue and self.in_flight < self.concurrency_limit(now):
-            waiting = self.queue.pop(0)
-            if waiting.deadline > now:
+            queued = self.queue.pop(0)
+            if queued.deadline > now:
                 self.in_flight += 1
-                return waiting.request
+                return queued.request
         return None
 
     def remove_queued(self, request: T) -> bool:
         """Remove a request that waits no longer; return whether it was queued."""
-        for place, waiting in enumerate(self.queue):
-            if waiting.request is request:
-                del self.queue[place]
+        for index, queued in enumerate(self.queue):
+            if queued.request is request:
+                del self.queue[index]
                 return True
         return False
 
     def take_rejected(self) -> list[T]:
-        """Empty the queue of an application that accepts nothing any more: all of it is rejected at once."""
+        """Empty the queue of an application that accepts no requests; return what to reject."""
         if self.state in ACCEPTING_STATES:
             return []
-        calls = [waiting.request for waiting in self.queue]
+        rejected = [queued.request for queued in self.queue]
         self.queue.clear()
-        return calls
+        return rejected
 
     def retry_after(self, now: float) -> float:
         """Return the seconds after which to retry: when the queue is served, or it may be up again."""
--- a/service_proxy/sidecar/call_graph.py
+++ b/service_proxy/sidecar/call_graph.py
@@ -32,9 +32,9 @@
     return found
 
 
-def call_depth(graph: CallGraph, name: str, seen: frozenset[str] = frozenset()) -> int:
+def call_depth(graph: CallGraph, name: str, visited: frozenset[str] = frozenset()) -> int:
     """Count the tiers on the longest way down from this one, itself included; a ring is not followed."""
-    if name in seen:
+    if name in visited:
         return 0
-    further = [call_depth(graph, called, seen | {name}) for called, _ in graph.get(name, ())]
-    return 1 + max(further, default=0)
+    depths = [call_depth(graph, called, visited | {name}) for called, _ in graph.get(name, ())]
+    return 1 + max(depths, default=0)
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -17,87 +17,93 @@
 
 
 def check(files: list[str], environment: str) -> list[Problem]:
-    """All findings of all files, and of all of them as one fleet."""
+    """Return the findings of each file, and of all files as one fleet."""
     problems: list[Problem] = []
-    read: list[tuple[LayeredReader, Description]] = []
+    readable: list[tuple[LayeredReader, Description]] = []
     platforms: list[Platform] = []
     operators: list[Operator] = []
     for file in files:
         try:
-            problems += altered(file)
+            problems += find_edits(file)
             if file.endswith(".service"):
                 continue
             if file.endswith(".json"):
                 platforms.append(Platform(file))
                 problems += platforms[-1].problems
                 continue
-            if is_operators(file):
+            if is_operator_file(file):
                 operators.append(load_operator(file))
                 continue
             layers, description = load(file, environment)
-        except OperatorError as fault:
-            problems += fault.problems
+        except OperatorError as error:
+            problems += error.problems
             continue
         problems += layers.problems
         if description is not None:
-            read.append((layers, description))
-    by_file = {description.file: layers for layers, description in read}
-    for finding in check_fleet([description for _, description in read]):
+            readable.append((layers, description))
+    by_file = {description.file: layers for layers, description in readable}
+    for finding in check_fleet([description for _, description in readable]):
         layers = by_file[finding.file]
         before = len(layers.problems)
         layers.add_problem(finding.path, finding.code, finding.text, finding.instead)
         problems += layers.problems[before:]
-    problems += fleets_of(operators)
+    problems += compare_fleets(operators)
     for platform in platforms:
-        problems += platform.against([description for _, description in read])
+        problems += platform.compare_with([description for _, description in readable])
     unique = {str(problem): problem for problem in problems}  # an included file's fault is one, not several
     return sorted(
         unique.values(), key=lambda problem: (problem.file, problem.line, problem.column, problem.code)
     )
 
 
-def fleets_of(operators: list[Operator]) -> list[Problem]:
-    """What several operators' files say of one fleet, or of two that are named alike."""
+def compare_fleets(operators: list[Operator]) -> list[Problem]:
+    """Return the contradictions of several operators' files on one fleet, or on two of one name."""
     problems = []
-    first: dict[str, Operator] = {}
+    first_by_name: dict[str, Operator] = {}
     for operator in operators:
-        mine = operator.fleet
-        if mine is None:
+        fleet = operator.fleet
+        if fleet is None:
             continue
-        other = first.setdefault(mine.name, operator)
-        theirs = other.fleet
-        if theirs is None or other is operator:
+        first_operator = first_by_name.setdefault(fleet.name, operator)
+        other_fleet = first_operator.fleet
+        if other_fleet is None or first_operator is operator:
             continue
-        here = {*mine.members, mine.address or mine.listen} - {""}
-        there = {*theirs.members, theirs.address or theirs.listen} - {""}
-        if mine.members and theirs.members and not here & there:
-            text = f"the fleet {mine.name} is named in {other.file}, too, and shares no member with this one"
-            problems.append(_at(operator.file, "name", "F311", text, "give each fleet a name of its own"))
+        own_members = {*fleet.members, fleet.address or fleet.listen} - {""}
+        other_members = {*other_fleet.members, other_fleet.address or other_fleet.listen} - {""}
+        if fleet.members and other_fleet.members and not own_members & other_members:
+            text = (
+                f"the fleet {fleet.name} is named in {first_operator.file}, too, "
+                "and shares no member with this one"
+            )
+            remedy = "give each fleet a name of its own"
+            problems.append(_fleet_problem(operator.file, "name", "F311", text, remedy))
             continue
         for name in ("period", "suspicion", "memory"):
-            wanted = getattr(theirs, name)
-            found = getattr(mine, name)
-            if wanted != found:
-                text = f"{name} is {found:g} here and {wanted:g} in {other.file}, of the same fleet"
-                problems.append(_at(operator.file, name, "F312", text, f"write {name} = {wanted:g}"))
+            expected = getattr(other_fleet, name)
+            actual = getattr(fleet, name)
+            if expected != actual:
+                first_file = first_operator.file
+                text = f"{name} is {actual:g} here and {expected:g} in {first_file}, of the same fleet"
+                remedy = f"write {name} = {expected:g}"
+                problems.append(_fleet_problem(operator.file, name, "F312", text, remedy))
     return problems
 
 
-def _at(file: str, key: str, code: str, text: str, instead: str) -> Problem:
+def _fleet_problem(file: str, key: str, code: str, text: str, remedy: str) -> Problem:
     place = place_of(find_positions(read_text(file)[0]), ("fleet", key))
-    return Problem(file, place.line, code, text, instead, place.column)
+    return Problem(file, place.line, code, text, remedy, place.column)
 
 
-def altered(file: str) -> list[Problem]:
-    """Whether a file that this tool wrote was changed since. Raises OperatorError where it can't be read."""
+def find_edits(file: str) -> list[Problem]:
+    """Return a problem if a written file was edited. Raises OperatorError where it can't be read."""
     try:
         with open(file, "rb") as source:
             content = source.read(MAX_FILE_BYTES)
-    except OSError as fault:
+    except OSError as error:
         raise OperatorError(
             [
                 Problem(
-                    file, 1, "C001", f"can't be read: {fault.strerror}", "name a file as `write` makes them"
+                    file, 1, "C001", f"can't be read: {error.strerror}", "name a file as `write` makes them"
                 )
             ]
         ) from None
@@ -108,18 +114,18 @@
         return []
     if not was_edited(content, file):
         return []
-    instead = "put the change into the description, and write it anew"
-    return [Problem(file, 1, "C008", "was edited by hand since it was written", instead)]
+    remedy = "put the change into the description, and write it anew"
+    return [Problem(file, 1, "C008", "was edited by hand since it was written", remedy)]
 
 
-def is_operators(file: str) -> bool:
-    """Whether a TOML file is an operator's and no description: it has a table that only these have."""
+def is_operator_file(file: str) -> bool:
+    """Tell whether a TOML file is an operator's and no description, by its tables."""
     _, raw = read_text(file)
     return bool(raw.keys() & OPERATORS.keys()) and "format" not in raw
 
 
-def code_of(problems: list[Problem]) -> int:
-    """The exit code that says them."""
+def exit_code_of(problems: list[Problem]) -> int:
+    """Return the exit code for these problems."""
     if any(problem.code in UNREADABLE for problem in problems):
         return 2
     return 1 if any(not problem.is_warning for problem in problems) else 0
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -1,8 +1,8 @@
-"""Reads a description: its file, what it includes, the overlay of an environment, and declared variables.
+"""Reads a description: its file, its includes, the overlay of an environment, and declared variables.
 
-Order, the later one wins key by key: the included files in their order, the file itself, the overlay
-(`NAME.ENVIRONMENT.toml` beside `NAME.toml`). Tables are merged; a list or an array of tables is replaced
-whole. Each value remembers where it came from, so that a finding names the file and line to change.
+Later layers override earlier ones key by key: the included files in their order, the file itself, the overlay
+(`NAME.ENVIRONMENT.toml` beside `NAME.toml`). Tables are merged; a list or an array of tables is replaced.
+Each value has its origin, so that a finding names the file and line to change.
 """
 
 from __future__ import annotations
@@ -44,12 +44,10 @@
         self.raw: dict[str, Any] = {}
         self.origins: dict[Path, Origin] = {(): Origin(file, Place(1, 1))}
 
-    def add_problem(self, path: Path, code: str, text: str, instead: str) -> None:
+    def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
         """Add a problem at the place that the path's value comes from."""
         origin = self.origin(path)
-        self.problems.append(
-            Problem(origin.file, origin.place.line, code, text, instead, origin.place.column)
-        )
+        self.problems.append(Problem(origin.file, origin.place.line, code, text, remedy, origin.place.column))
 
     def origin(self, path: Path) -> Origin:
         """Return where a value comes from, or the table that it would be in."""
@@ -66,22 +64,22 @@
         self, into: dict[str, Any], raw: Mapping[str, Any], path: Path, file: str, places: dict[Path, Place]
     ) -> None:
         for name, value in raw.items():
-            here = (*path, name)
+            key_path = (*path, name)
             if isinstance(value, Mapping):
                 below = into.get(name)
                 if not isinstance(below, dict):
                     below = into[name] = {}
-                self.origins.setdefault(here, Origin(file, place_of(places, here)))
-                self._merge(below, value, here, file, places)
+                self.origins.setdefault(key_path, Origin(file, place_of(places, key_path)))
+                self._merge(below, value, key_path, file, places)
                 continue
             into[name] = value
-            for old in [old for old in self.origins if old[: len(here)] == here]:
-                del self.origins[old]
-            self.origins[here] = Origin(file, place_of(places, here))
+            for replaced in [replaced for replaced in self.origins if replaced[: len(key_path)] == key_path]:
+                del self.origins[replaced]
+            self.origins[key_path] = Origin(file, place_of(places, key_path))
             if isinstance(value, list):
-                for known, place in places.items():
-                    if known[: len(here)] == here:
-                        self.origins[known] = Origin(file, place)
+                for path_of_element, place in places.items():
+                    if path_of_element[: len(key_path)] == key_path:
+                        self.origins[path_of_element] = Origin(file, place)
 
 
 def overlay_of(file: str, environment: str) -> str:
@@ -93,7 +91,7 @@
 def load(
     file: str, environment: str = "", environ: Mapping[str, str] = os.environ
 ) -> tuple[LayeredReader, Description | None]:
-    """Read a description with all that belongs to it.
+    """Read a description with its includes, overlay and variables.
 
     Return the layers with all problems found, and the description where it can be built. Raises OperatorError
     where a file can't be read at all.
@@ -102,15 +100,15 @@
     for name, (text, raw) in _files(layers, file).items():
         _check_depth(name, raw)
         for number, line in enumerate(text.splitlines(), 1):
-            odd = ODD_NUMBER.search(line.split("#", 1)[0])
-            if odd:
+            number_literal = ODD_NUMBER.search(line.split("#", 1)[0])
+            if number_literal:
                 problem = Problem(
                     name,
                     number,
                     "S110",
-                    f"{odd[1]} is written in another base",
-                    f"write {int(odd[1], 0)}",
-                    odd.start(1) + 1,
+                    f"{number_literal[1]} is written in another base",
+                    f"write {int(number_literal[1], 0)}",
+                    number_literal.start(1) + 1,
                 )
                 layers.problems.append(problem)
         layers.add_layer(name, text, raw)
@@ -119,16 +117,16 @@
         text, raw = read_text(name)
         _check_depth(name, raw)
         layers.add_layer(name, text, raw)
-    _fill(layers, environ)
+    _substitute_variables(layers, environ)
     return layers, build(layers)
 
 
 def _files(layers: LayeredReader, file: str) -> dict[str, tuple[str, dict[str, Any]]]:
-    """The included files, then the file itself: text and TOML of each, read once."""
+    """Return the included files, then the file itself: text and TOML of each, read once."""
     found: dict[str, tuple[str, dict[str, Any]]] = {}
     root = FilePath(file).resolve().parent
 
-    def visit(name: str, way: tuple[str, ...]) -> None:
+    def read_file(name: str, including: tuple[str, ...]) -> None:
         text, raw = read_text(name)
         layers.origins[("include",)] = Origin(name, place_of(find_positions(text), ("include",)))
         included = raw.get("include", [])
@@ -143,7 +141,7 @@
                     f"{entry} leads out of {root.name}",
                     "put the file into the description's folder",
                 )
-            elif str(path) in (*way, name):
+            elif str(path) in (*including, name):
                 layers.add_problem(("include",), "C006", f"{entry} includes itself", "take it out")
             elif len(found) >= MAX_FILES:
                 layers.add_problem(("include",), "C006", f"more than {MAX_FILES} files", "include fewer")
@@ -153,49 +151,50 @@
                     ("include",), "C006", f"{entry} is not there", "write the name of a file here"
                 )
             else:
-                visit(str(path), (*way, name))
+                read_file(str(path), (*including, name))
         found.setdefault(name, (text, raw))
 
-    visit(file, ())
+    read_file(file, ())
     return found
 
 
 def _check_depth(file: str, raw: object) -> None:
-    """Tables and lists within one another; without recursion, since the depth is the question."""
+    """Refuse tables and lists that are nested too deep, without recursion. Raises OperatorError."""
     level: list[object] = [raw]
     for _ in range(MAX_DEPTH):
-        level = [item for entry in level for item in _inner(entry)]
+        level = [item for entry in level for item in _elements(entry)]
         if not level:
             return
     raise OperatorError([Problem(file, 1, "C003", f"nested deeper than {MAX_DEPTH}", "flatten it")])
 
 
-def _inner(entry: object) -> list[object]:
+def _elements(entry: object) -> list[object]:
     if isinstance(entry, Mapping):
         return list(entry.values())
     return list(entry) if isinstance(entry, list) else []
 
 
-def _fill(layers: LayeredReader, environ: Mapping[str, str]) -> None:
+def _substitute_variables(layers: LayeredReader, environ: Mapping[str, str]) -> None:
+    """Replace the declared variables in all strings by their values."""
     declared = layers.raw.get("variables", [])
     names = set(declared) if isinstance(declared, list) else set()
 
-    def filled(value: str, path: Path) -> str:
-        def one(found: re.Match[str]) -> str:
-            name = found[1]
+    def substitute(value: str, path: Path) -> str:
+        def value_of(match: re.Match[str]) -> str:
+            name = match[1]
             if name not in names:
                 layers.add_problem(path, "C007", f"${{{name}}} is not declared", f'add "{name}" to variables')
             elif name not in environ:
                 layers.add_problem(path, "C007", f"${{{name}}} is not set", f"set {name} in the environment")
             else:
                 return environ[name]
-            return found[0]
+            return match[0]
 
-        return VARIABLE.sub(one, value)
+        return VARIABLE.sub(value_of, value)
 
     def walk(value: Any, path: Path) -> Any:
         if isinstance(value, str):
-            return filled(value, path)
+            return substitute(value, path)
         if isinstance(value, dict):
             return {key: walk(item, (*path, key)) for key, item in value.items()}
         if isinstance(value, list):
@@ -209,9 +208,9 @@
 
 
 def build(layers: LayeredReader) -> Description | None:
-    """Return the typed description, or None where a problem keeps it from being one.
+    """Return the typed description, or None where problems prevent it.
 
-    Findings of the whole are added to the layers' problems.
+    Findings of the description as one are added to the layers' problems.
     """
     raw = layers.raw
     top = _read_top(layers)
@@ -246,14 +245,14 @@
     """Read the keys before the first table, and the format among them."""
     raw = layers.raw
     top_names = {entry.name for entry in fields(Top)}
-    known = top_names | set(TABLES) | {"budgets", "defaults", "features", "sidecar"}
-    for name in raw.keys() - known:
-        layers.add_problem((name,), "S102", f"unknown table or key {name}", suggest_name(name, known))
+    known_names = top_names | set(TABLES) | {"budgets", "defaults", "features", "sidecar"}
+    for name in raw.keys() - known_names:
+        layers.add_problem((name,), "S102", f"unknown table or key {name}", suggest_name(name, known_names))
     top = layers.read_table(Top, {name: raw[name] for name in raw.keys() & top_names}, ())
     if top is not None and top.format != FORMAT:
-        instead = "run migrate" if top.format < FORMAT else f"write format = {FORMAT}"
+        remedy = "run migrate" if top.format < FORMAT else f"write format = {FORMAT}"
         text = f"format {top.format}, and this program reads {FORMAT}"
-        layers.add_problem(("format",), "C005", text, instead)
+        layers.add_problem(("format",), "C005", text, remedy)
     return top
 
 
@@ -313,16 +312,16 @@
                 (*path, "outbound"), "S104", "outbound is no table", 'write outbound.TIER = "HOST:PORT"'
             )
             continue
-        good = True
-        for tier, at in outbound.items():
-            fault = find_address_problem(at) if isinstance(at, str) else "must be a string"
-            if fault:
-                good = False
+        is_valid = True
+        for tier, address in outbound.items():
+            problem = find_address_problem(address) if isinstance(address, str) else "must be a string"
+            if problem:
+                is_valid = False
                 layers.add_problem(
-                    (*path, "outbound", tier), "S105", f"{tier} {fault}", 'write "127.0.0.1:7001"'
+                    (*path, "outbound", tier), "S105", f"{tier} {problem}", 'write "127.0.0.1:7001"'
                 )
         value = layers.read_table(Sidecar, entry, path)
-        if value is not None and good:
+        if value is not None and is_valid:
             yield value
 
 
--- a/service_proxy/sidecar/description_checks.py
+++ b/service_proxy/sidecar/description_checks.py
@@ -130,24 +130,24 @@
     """Check that its descriptors suffice for its listeners and slots."""
     share = sidecar.sockets // (len(sidecar.outbound) + 1)
     if share < MIN_DESCRIPTORS:
-        least = MIN_DESCRIPTORS * (len(sidecar.outbound) + 1)
+        min_sockets = MIN_DESCRIPTORS * (len(sidecar.outbound) + 1)
         yield Finding(
             d.file,
             (*path, "sockets"),
             "S107",
             f"{sidecar.sockets} descriptors leave {share} for each listener, which needs "
             f"{MIN_DESCRIPTORS}",
-            f"write sockets = {least} or more",
+            f"write sockets = {min_sockets} or more",
         )
-    most = int(share * UPSTREAM_DESCRIPTOR_SHARE)
-    if sidecar.slots > most:
+    max_slots = int(share * UPSTREAM_DESCRIPTOR_SHARE)
+    if sidecar.slots > max_slots:
         yield Finding(
             d.file,
             (*path, "slots"),
             "S107",
             f"{sidecar.slots} calls at a time need as many connections to the application, and "
-            f"{sidecar.sockets} descriptors leave {most}",
-            f"write slots = {most}, or more sockets",
+            f"{sidecar.sockets} descriptors leave {max_slots}",
+            f"write slots = {max_slots}, or more sockets",
         )
 
 
@@ -294,28 +294,28 @@
 
 def _check_attempts_of_tree(d: Description, budgets: Budgets) -> Iterator[Finding]:
     """Check that the attempts of a tree reach each of its calls, and its hops the deepest tier."""
-    longest = max((call_depth(build_call_graph([d]), name) for name in d.tiers), default=1)
-    each = max((route.attempts for route in d.routes.values()), default=1)
-    if longest <= MAX_HOPS and not covers_call_tree(
-        budgets.attempts, longest, budgets.calls_per_request, each
+    max_depth = max((call_depth(build_call_graph([d]), name) for name in d.tiers), default=1)
+    max_attempts = max((route.attempts for route in d.routes.values()), default=1)
+    if max_depth <= MAX_HOPS and not covers_call_tree(
+        budgets.attempts, max_depth, budgets.calls_per_request, max_attempts
     ):
-        enough = budgets.attempts
-        while not covers_call_tree(enough, longest, budgets.calls_per_request, each):
-            enough *= 2
+        sufficient = budgets.attempts
+        while not covers_call_tree(sufficient, max_depth, budgets.calls_per_request, max_attempts):
+            sufficient *= 2
         yield Finding(
             d.file,
             ("budgets", "attempts"),
             "S107",
-            f"{budgets.attempts} attempts don't reach every call of {longest} tiers that make "
+            f"{budgets.attempts} attempts don't reach every call of {max_depth} tiers that make "
             f"{budgets.calls_per_request} calls each",
-            f"write up to {enough}, or fewer calls_per_request",
+            f"write up to {sufficient}, or fewer calls_per_request",
         )
-    if longest > MAX_HOPS:
+    if max_depth > MAX_HOPS:
         yield Finding(
             d.file,
             ("budgets",),
             "S107",
-            f"{longest} tiers, and a budget passes {MAX_HOPS}",
+            f"{max_depth} tiers, and a budget passes {MAX_HOPS}",
             "call fewer tiers one below another",
         )
 
--- a/service_proxy/sidecar/explain.py
+++ b/service_proxy/sidecar/explain.py
@@ -23,15 +23,15 @@
 
 
 def table_schema(cls: type) -> dict[str, Any]:
-    """JSON Schema of one table, from the same fields that the reader reads."""
+    """Return the JSON Schema of one table, from the fields that the reader reads."""
     properties: dict[str, Any] = {}
     required = []
     for entry in dataclasses.fields(cls):
-        inner: type = entry.metadata["kind"]
-        if dataclasses.is_dataclass(inner):
-            properties[entry.name] = table_schema(inner)
+        value_kind: type = entry.metadata["kind"]
+        if dataclasses.is_dataclass(value_kind):
+            properties[entry.name] = table_schema(value_kind)
             continue
-        kind = dict(KINDS[inner])
+        kind = dict(KINDS[value_kind])
         if entry.metadata["text"]:
             kind["description"] = f"for example {entry.metadata['text']}"
         properties[entry.name] = kind
@@ -41,33 +41,33 @@
 
 
 def schema() -> dict[str, Any]:
-    """JSON Schema (draft 2020-12) of a description without includes. Ranges are the checker's to tell."""
-    whole = table_schema(Top)
+    """Return the JSON Schema (draft 2020-12) of a description; it has types and names, not ranges."""
+    document = table_schema(Top)
     for name, cls in TABLES.items():
         entry = table_schema(cls)
         if cls is Route:
             entry["required"] = []
-        whole["properties"][name] = {
+        document["properties"][name] = {
             "type": "object",
             "propertyNames": {"pattern": f"^{NAME.pattern}$"},
             "additionalProperties": entry,
         }
-    whole["properties"]["defaults"] = table_schema(Route)
-    whole["properties"]["features"] = table_schema(Features)
-    whole["properties"]["budgets"] = table_schema(Budgets)
-    whole["properties"]["sidecar"] = {"type": "array", "items": table_schema(Sidecar)}
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "willowwing", **whole}
+    document["properties"]["defaults"] = table_schema(Route)
+    document["properties"]["features"] = table_schema(Features)
+    document["properties"]["budgets"] = table_schema(Budgets)
+    document["properties"]["sidecar"] = {"type": "array", "items": table_schema(Sidecar)}
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "willowwing", **document}
 
 
 def effective(description: Description) -> Iterator[tuple[tuple[str, ...], Any]]:
-    """Each value in force, defaults among them, with its path. Times in seconds."""
+    """Yield each value in force, defaults too, with its path. Times in seconds."""
     for entry in dataclasses.fields(Top):
         yield (entry.name,), getattr(description.top, entry.name)
     for entry in dataclasses.fields(Features):
         yield ("features", entry.name), getattr(description.features, entry.name)
     for name, value in (("budgets", description.budgets),):
         if value is not None:
-            yield from _effective(value, (name,))
+            yield from _effective_table(value, (name,))
     groups: list[tuple[str, Mapping[str, Any]]] = [
         ("class", description.classes),
         ("route", description.routes),
@@ -77,24 +77,24 @@
     ]
     for table, entries in groups:
         for name, value in entries.items():
-            yield from _effective(value, (table, name))
+            yield from _effective_table(value, (table, name))
 
 
-def _effective(value: Any, path: tuple[str, ...]) -> Iterator[tuple[tuple[str, ...], Any]]:
+def _effective_table(value: Any, path: tuple[str, ...]) -> Iterator[tuple[tuple[str, ...], Any]]:
     for entry in dataclasses.fields(value):
-        inner = getattr(value, entry.name)
-        if dataclasses.is_dataclass(inner):
-            yield from _effective(inner, (*path, entry.name))
-        elif inner is not None:
-            yield (*path, entry.name), inner
+        field_value = getattr(value, entry.name)
+        if dataclasses.is_dataclass(field_value):
+            yield from _effective_table(field_value, (*path, entry.name))
+        elif field_value is not None:
+            yield (*path, entry.name), field_value
 
 
 def behaviour(cls: Class, route: Route) -> dict[str, Any]:
-    """What happens to a call of the class, by the settings alone."""
-    again = route.attempts - 1
-    after_break = again if route.retry in ("by-key", "always") else 0
+    """Return what the settings mean for a request of a class."""
+    retries = route.attempts - 1
+    after_break = retries if route.retry in ("by-key", "always") else 0
     found: dict[str, Any] = {
-        "attempts after one that never ran": again if route.retry != "never" else 0,
+        "attempts after one that never ran": retries if route.retry != "never" else 0,
         "attempts after a broken connection": after_break,
         "two attempts out at once": route.hedge and route.attempts > 1,
         "answered within": f"{cls.deadline:g} s",
@@ -128,7 +128,7 @@
 
 
 def differences(old: Description, new: Description) -> Iterator[str]:
-    """What a change of the description does to a call of each class and to each tier, one line each."""
+    """Yield what a change of the description means for each class and tier, one line each."""
     for name in sorted(old.classes.keys() | new.classes.keys()):
         if name not in new.classes or name not in old.classes:
             yield f"{name}: {'no longer taken' if name in old.classes else 'new'}"
@@ -144,18 +144,19 @@
             yield f"tier {name}: {'gone' if name in old.tiers else 'new'}"
             continue
         yield from _changed(f"tier {name}", tier_behaviour(old.tiers[name]), tier_behaviour(new.tiers[name]))
-        for rule, judge in ((3, rule_model.rule_three), (4, rule_model.rule_four)):
-            if judge(name, new.tiers[name]) and not judge(name, old.tiers[name]):
-                yield f"tier {name}: breaks rule {rule}: {judge(name, new.tiers[name])}"
+        for rule, find_example in ((3, rule_model.rule_three), (4, rule_model.rule_four)):
+            example = find_example(name, new.tiers[name])
+            if example is not None and find_example(name, old.tiers[name]) is None:
+                yield f"tier {name}: breaks rule {rule}: {example}"
 
 
 def _changed(name: str, before: dict[str, Any], after: dict[str, Any]) -> Iterator[str]:
     for key in {**before, **after}:
         if before.get(key) != after.get(key):
-            yield f"{name}: {key}: {_word(before.get(key))} -> {_word(after.get(key))}"
+            yield f"{name}: {key}: {_format_value(before.get(key))} -> {_format_value(after.get(key))}"
 
 
-def _word(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     return "-" if value is None else str(value)
--- a/service_proxy/sidecar/fleet_checks.py
+++ b/service_proxy/sidecar/fleet_checks.py
@@ -29,29 +29,29 @@
     claimed: dict[tuple[str, str], list[tuple[str, str, str]]] = defaultdict(list)
     for d in descriptions:
         for number, sidecar in enumerate(d.sidecars):
-            here: Path = ("sidecar", str(number))
-            wanted = [((*here, "inbound"), sidecar.inbound, "its inbound listener")]
-            for tier, at in sidecar.outbound.items():
-                wanted.append(((*here, "outbound", tier), at, f"its listener for {tier}"))
-            wanted.append(((*here, "application"), sidecar.application, "its application"))
-            for path, at, what in wanted:
-                host, _, port = at.rpartition(":")
-                for other, other_what, where in claimed[sidecar.host, port]:
-                    if other == host or is_any(other) or is_any(host):
+            sidecar_path: Path = ("sidecar", str(number))
+            listeners = [((*sidecar_path, "inbound"), sidecar.inbound, "its inbound listener")]
+            for tier, address in sidecar.outbound.items():
+                listeners.append(((*sidecar_path, "outbound", tier), address, f"its listener for {tier}"))
+            listeners.append(((*sidecar_path, "application"), sidecar.application, "its application"))
+            for path, address, role in listeners:
+                host, _, port = address.rpartition(":")
+                for other_host, other_role, claimed_by in claimed[sidecar.host, port]:
+                    if other_host == host or is_any(other_host) or is_any(host):
                         yield Finding(
                             d.file,
                             path,
                             "F301",
-                            f"{what} on {sidecar.host} wants {at}, and {other_what} of {where} has "
-                            f"{other}:{port}",
+                            f"{role} on {sidecar.host} wants {address}, and {other_role} of {claimed_by} has "
+                            f"{other_host}:{port}",
                             "give one of them another port",
                         )
                         break
-                claimed[sidecar.host, port].append((host, what, f"{d.top.application} ({d.file})"))
+                claimed[sidecar.host, port].append((host, role, f"{d.top.application} ({d.file})"))
 
 
 def _check_connections(descriptions: list[Description]) -> Iterator[Finding]:
-    """Each sidecar of a tier that calls another may open `per_node` connections to each of its nodes."""
+    """Check the connections that all sidecars together may open to a node, `per_node` each."""
     opened: dict[str, int] = defaultdict(int)
     for d in descriptions:
         for sidecar in d.sidecars:
@@ -78,43 +78,43 @@
             other = first.setdefault(name, d)
             if other is d:
                 continue
-            known = other.classes[name]
+            other_class = other.classes[name]
             for key in ("effect", "group", "window"):
-                if getattr(known, key) != getattr(cls, key):
+                if getattr(other_class, key) != getattr(cls, key):
                     yield Finding(
                         d.file,
                         ("class", name, key),
                         "F302",
-                        f"{name}: {key} is {getattr(cls, key)!r} here and {getattr(known, key)!r} "
+                        f"{name}: {key} is {getattr(cls, key)!r} here and {getattr(other_class, key)!r} "
                         f"in {other.file}",
                         "describe the class once, and include it",
                     )
-            if cls.deadline != known.deadline:
+            if cls.deadline != other_class.deadline:
                 yield Finding(
                     d.file,
                     ("class", name, "deadline"),
                     "F302",
-                    f"{name} is given up after {cls.deadline:g} s here and {known.deadline:g} s in "
+                    f"{name} is given up after {cls.deadline:g} s here and {other_class.deadline:g} s in "
                     f"{other.file}",
                     "give it one deadline; budgets shorten it inside",
                 )
 
 
 def _check_same_tiers(descriptions: list[Description]) -> Iterator[Finding]:
-    """A tier is one thing, whoever describes it: its servers, and what they bear."""
+    """Check that all descriptions agree on a tier's endpoints and their limits."""
     first: dict[str, Description] = {}
     for d in descriptions:
         for name, tier in d.tiers.items():
             other = first.setdefault(name, d)
             for key in TIER_FACTS:
-                here = getattr(tier, key)
-                there = getattr(other.tiers[name], key)
-                if here != there:
+                own_value = getattr(tier, key)
+                other_value = getattr(other.tiers[name], key)
+                if own_value != other_value:
                     yield Finding(
                         d.file,
                         ("tier", name, key),
                         "F310",
-                        f"{name}: {key} is {here!r} here and {there!r} in {other.file}",
+                        f"{name}: {key} is {own_value!r} here and {other_value!r} in {other.file}",
                         "describe the tier once, and include it",
                     )
 
@@ -125,7 +125,7 @@
     Each time the outer application sends its request to the inner tier with the same key.
     """
     calls = build_call_graph(descriptions)
-    told = set()
+    reported = set()
     for outer in descriptions:
         for start, tier in outer.tiers.items():
             for name in tier.classes:
@@ -138,52 +138,53 @@
                     or route.attempts < MIN_ATTEMPTS_TO_RETRY
                 ):
                     continue
-                latest = min(route.retry_for, cls.deadline)
+                last_retry = min(route.retry_for, cls.deadline)
                 for called, inner in (
                     (called, d) for called in tiers_below(calls, start) for d in descriptions
                 ):
-                    known = inner.classes.get(name) if called in inner.tiers else None
-                    if inner is outer or known is None or name not in inner.tiers[called].classes:
-                        continue  # within one description rule 2 tells it
-                    if known.effect == "by-key" and known.window < latest and (inner.file, name) not in told:
-                        told.add((inner.file, name))
+                    other_class = inner.classes.get(name) if called in inner.tiers else None
+                    if inner is outer or other_class is None or name not in inner.tiers[called].classes:
+                        continue  # within one description rule 2 covers it
+                    is_forgotten = other_class.effect == "by-key" and other_class.window < last_retry
+                    if is_forgotten and (inner.file, name) not in reported:
+                        reported.add((inner.file, name))
                         yield Finding(
                             inner.file,
                             ("class", name, "window"),
                             "F309",
-                            f"{called} drops repeats of {name} for {known.window:g} s, and {start} "
-                            f"({outer.file}) sends it again for {latest:g} s",
-                            f'write window = "{latest:g}s" or more',
+                            f"{called} drops repeats of {name} for {other_class.window:g} s, and {start} "
+                            f"({outer.file}) sends it again for {last_retry:g} s",
+                            f'write window = "{last_retry:g}s" or more',
                         )
 
 
 def _check_rings(descriptions: list[Description]) -> Iterator[Finding]:
     calls = build_call_graph(descriptions)
-    told: set[frozenset[str]] = set()
+    reported: set[frozenset[str]] = set()
     for start in calls:
         stack: list[tuple[str, tuple[str, ...], Description | None]] = [(start, (start,), None)]
         while stack:
-            name, way, _ = stack.pop()
+            name, chain, _ = stack.pop()
             for called, d in calls.get(name, ()):
-                if called == start and frozenset(way) not in told:
-                    told.add(frozenset(way))
+                if called == start and frozenset(chain) not in reported:
+                    reported.add(frozenset(chain))
                     yield Finding(
                         d.file,
                         ("tier", name, "calls"),
                         "F303",
-                        f"{' calls '.join((*way, called))}",
+                        f"{' calls '.join((*chain, called))}",
                         f"take {called} out here",
                     )
-                elif called not in way:
-                    stack.append((called, (*way, called), d))
+                elif called not in chain:
+                    stack.append((called, (*chain, called), d))
 
 
 def _check_multiplied_attempts(descriptions: list[Description]) -> Iterator[Finding]:
-    """Attempts of a class along each way through the tiers, multiplied."""
+    """Check the attempts of a class over the tiers that its requests pass, multiplied."""
     calls = build_call_graph(descriptions)
     for d in descriptions:
         if d.budgets is not None:
-            continue  # these bound the whole tree
+            continue  # these bound the tree of requests
         for start, tier in d.tiers.items():
             for cls in tier.classes:
                 route = d.routes.get(cls)
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -1,8 +1,8 @@
-"""The inbound side: takes calls for the application beside the sidecar; tells callers what became of them.
+"""The inbound side: accepts requests for the application beside the sidecar and responds to their clients.
 
-What is begun, waits and is refused is admission.py's to say. Here are the sockets: a probe of the
-application, the calls' timers, and the answers. To its callers the sidecar is the server itself, and speaks
-as the protocol has it: 503 with `X-Rejected: 1` where the application never had the call, and never else.
+admission.py decides what is started, queued and rejected; this module has the sockets: health checks of the
+application, the deadline timers, and the responses. To its clients the sidecar is the endpoint, and follows
+the protocol: 503 with `X-Rejected: 1` where the application never had the request, and only then.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 
 log = logging.getLogger(__name__)
 
-HEALTH_CHECK_INTERVAL_S = 0.5  # between health checks of an application that is well
-FAST_HEALTH_CHECK_INTERVAL_S = 0.05  # between those of one that is not known to be
-HEALTH_CHECK_TIMEOUT_S = 0.4  # a slow application is known within an interval and two of these
+HEALTH_CHECK_INTERVAL_S = 0.5  # between health checks of a healthy application
+FAST_HEALTH_CHECK_INTERVAL_S = 0.05  # between those of another
+HEALTH_CHECK_TIMEOUT_S = 0.4  # a slow application is detected within an interval and two of these
 CONNECT_TIMEOUT_S = 0.25
 HEALTH_CHECK_CONNECTIONS = 2  # beside those of requests: a check's, and the last one's while it ends
 IDLE_TIMEOUT_S = 4.0  # for which an idle connection to the application is kept
-DEADLINE_MARGIN_S = 0.01  # before its client gives up, by which a response leaves
+DEADLINE_MARGIN_S = 0.01  # by which a response is sent before its client gives up
 REJECTED_HEADERS = ((b"x-rejected", b"1"),)
-REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report"}  # its own load report is what counts
+REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report"}  # the sidecar has a load report of its own
 IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by-key": Idempotency.IDEMPOTENT_WITH_KEY,
@@ -63,7 +63,7 @@
 
 
 class InboundRequest:
-    """A request that was taken and is owed its response."""
+    """A request that was accepted and awaits its response."""
 
     __slots__ = (
         "attempt",
@@ -76,10 +76,10 @@
         "writer",
     )
 
-    def __init__(self, request: Request, reply: ResponseWriter, due: float) -> None:
+    def __init__(self, request: Request, writer: ResponseWriter, deadline: float) -> None:
         self.request = request
-        self.writer = reply
-        self.deadline = due
+        self.writer = writer
+        self.deadline = deadline
         self.is_open = True
         self.started_at = 0.0
         self.attempt: UpstreamAttempt | None = None
@@ -125,7 +125,7 @@
         # By X-Call-Id, until the application is done with it, too.
         self.requests: dict[bytes, InboundRequest] = {}
         self.unanswered = 0
-        self.abandoned = 0  # requests that nobody waits for and whose slots are still taken
+        self.abandoned = 0  # requests without a client whose slots are still in use
         self.is_closed = False  # accepts nothing any more
         self.end_by = float("inf")  # monotonic, s
         self.health_check_timer: asyncio.TimerHandle | None = None
@@ -147,7 +147,6 @@
         if self.health_check_timer is not None:
             self.health_check_timer.cancel()
 
-    # what it says of itself
     def _health_response(self) -> LocalResponse:
         state = self.admission.state
         if self.admission.is_accepting:
@@ -165,7 +164,6 @@
             b"inflight=%d,queue=%d\n" % (in_flight + queue, queue),
         )
 
-    # the application
     def _check_health(self) -> None:
         self.health_check_timer = None
         if self.health_check_in_flight:
@@ -179,7 +177,7 @@
             self._on_health_check_end,
         )
         if self.admission.state is not ApplicationState.UP:
-            # A connection that still stands says nothing of who listens now.
+            # An open connection does not show whether the application still listens.
             self.application_pool.close_idle()
         self.cluster.start_attempt(attempt)
 
@@ -193,7 +191,7 @@
             self._on_signal(ApplicationSignal.HEALTHY if is_healthy else ApplicationSignal.UNHEALTHY)
         elif status is AttemptStatus.TIMEOUT:
             self._on_signal(ApplicationSignal.SILENT)
-        elif status is not AttemptStatus.NOT_SENT:  # which was never sent, and says nothing
+        elif status is not AttemptStatus.NOT_SENT:  # which was never sent
             self._on_signal(ApplicationSignal.BROKEN)
         self._schedule_health_check()
 
@@ -225,12 +223,11 @@
             self._reject(inbound, b"the application is %s\n" % state.value.encode())
         self._start_queued(now)
 
-    # callers
     def start_request(self, request: Request, writer: ResponseWriter) -> InboundRequest | None:
         """Start, queue or reject a request."""
         now = time.monotonic()
         if self.is_closed or request.id in self.requests:
-            # One of this name is with the application still: this one never was.
+            # The application still has one of this id; this one never reached it.
             reason = b"draining\n" if self.is_closed else b"this X-Call-Id is in use\n"
             writer.respond(503, self._rejection_headers(now), reason)
             return None
@@ -240,7 +237,7 @@
         )
         inbound = InboundRequest(request, writer, deadline)
         priority_weight = cls.worth
-        filtered = apply_filters(self.filters, request, lambda: None)  # who waits for it is its caller alone
+        filtered = apply_filters(self.filters, request, lambda: None)  # only its client waits for it
         if isinstance(filtered, Rejection):
             writer.respond(503, self._rejection_headers(now), filtered.body)
             return None
@@ -271,8 +268,8 @@
     def client_disconnected(self, inbound: InboundRequest) -> None:
         """End a request whose client has left.
 
-        One that is queued is not started; of one that the application has the connection is closed, so that
-        no attempt is in flight which its client has given up.
+        A queued one is not started; the connection of one in flight is closed, so that no attempt is in
+        flight without a client.
         """
         if not inbound.is_open:
             return
@@ -283,10 +280,10 @@
             self._abandon(inbound, inbound.attempt)
 
     def _abandon(self, inbound: InboundRequest, attempt: UpstreamAttempt) -> None:
-        """End an attempt that nobody waits for.
+        """End an attempt whose client has left.
 
-        Its slot stays taken for as long as such a request usually takes: an application that does not look at
-        its connection works on.
+        Its slot stays in use for the mean latency: an application that does not notice the closed connection
+        works on.
         """
         if not attempt.sent:
             attempt.cancel()
@@ -320,7 +317,7 @@
             b"".join([head, *request.body.parts]),
             max(0.0, time_left),
             lambda: inbound.is_open,
-            lambda exchange: self._on_attempt_end(inbound, exchange),
+            lambda ended_attempt: self._on_attempt_end(inbound, ended_attempt),
         )
         self.cluster.start_attempt(inbound.attempt)
 
@@ -329,7 +326,7 @@
             self._start_attempt(inbound, now)
 
     def _on_attempt_end(self, inbound: InboundRequest, attempt: UpstreamAttempt) -> None:
-        """Take in that the application is done with a request, or never had it."""
+        """Handle that the application has finished a request, or never had it."""
         now = time.monotonic()
         status = attempt.status
         assert status is not None
@@ -355,7 +352,7 @@
     ) -> None:
         if attempt.status_code >= OK:
             headers = tuple(
-                pair for pair in attempt.response_headers if pair[0] not in self.removed_response_headers
+                field for field in attempt.response_headers if field[0] not in self.removed_response_headers
             )
             self._respond(inbound, attempt.status_code, headers, attempt.response_body, True)
         elif status in NEVER_EXECUTED:
@@ -366,12 +363,17 @@
             self._respond(inbound, 502, (), b"the application's answer was cut or can't be used\n")
 
     def _respond(
-        self, inbound: InboundRequest, status_code: int, headers: HeaderFields, body: bytes, own: bool = False
+        self,
+        inbound: InboundRequest,
+        status_code: int,
+        headers: HeaderFields,
+        body: bytes,
+        is_application_response: bool = False,
     ) -> None:
-        """Respond; `own`: the response is the application's, which is done with the request then."""
+        """Respond; `is_application_response`: the application has finished the request."""
         for filter_state in inbound.filter_states:
             headers += filter_state.response_headers()
-        self._finish(inbound, own)
+        self._finish(inbound, is_application_response)
         inbound.writer.respond(status_code, headers, body)
 
     def _reject(self, inbound: InboundRequest, reason: bytes) -> None:
@@ -385,17 +387,17 @@
             return REJECTED_HEADERS
         return (*REJECTED_HEADERS, (b"retry-after", b"%.3f" % self.admission.retry_after(now)))
 
-    def _on_deadline(self, inbound: InboundRequest, is_second_look: bool = False) -> None:
-        """End a request whose time is up: it is queued, or its attempt would end a moment later."""
+    def _on_deadline(self, inbound: InboundRequest, is_recheck: bool = False) -> None:
+        """End a request at its deadline: it is queued, or its attempt would end just after."""
         if not inbound.is_open:
             return
-        if not is_second_look and time.monotonic() > inbound.deadline + LOOP_STALL_S:
-            # This process stood still, and timers come before sockets: the answer may have come meanwhile.
+        if not is_recheck and time.monotonic() > inbound.deadline + LOOP_STALL_S:
+            # The event loop stalled, and timers run before sockets: the response may have arrived.
             inbound.deadline_timer = self.loop.call_later(LOOP_TURN_S, self._on_deadline, inbound, True)
             return
         attempt = inbound.attempt
         if attempt is None:
-            self.admission.remove_queued(inbound)  # unless it was passed over just now
+            self.admission.remove_queued(inbound)  # unless it was skipped just now
             self._reject(inbound, b"waited for as long as its caller would\n")
             return
         if attempt.sent:
@@ -407,7 +409,7 @@
         attempt.end(AttemptStatus.TIMEOUT if attempt.sent else AttemptStatus.NOT_SENT)
 
     def _finish(self, inbound: InboundRequest, answered: bool) -> None:
-        """End the request; unless `answered`, what its application still does for it is for nobody."""
+        """End the request; unless `answered`, the application's work on it is lost."""
         inbound.is_open = False
         self._end_filters(inbound, answered)
         self.unanswered -= 1
@@ -415,16 +417,15 @@
             inbound.deadline_timer.cancel()
 
     def update(self, sidecar: Sidecar) -> None:
-        """Take over slots, queue and health check of a reread description."""
+        """Apply slots, queue and health check of a reread description."""
         self.sidecar = sidecar
         self.admission.slots = sidecar.slots
         self.admission.max_queued = sidecar.waiting
         self.health_check_request = format_health_check(sidecar)
         self._start_queued(time.monotonic())
 
-    # the end
     def drain(self, end_by: float) -> None:
-        """Announce the end by health checks; serve on, and answer all by `end_by` (monotonic, s)."""
+        """Fail health checks, go on serving, and answer all requests by `end_by` (monotonic, s)."""
         self.admission.draining = True
         self.end_by = end_by
         for inbound in self.requests.values():
@@ -437,6 +438,6 @@
                 )
 
     def close(self) -> None:
-        """Refuses all that is new, and takes no connections any more."""
+        """Reject new requests, and stop listening."""
         self.is_closed = True
         self.server.stop_listening()
--- a/service_proxy/sidecar/migrate.py
+++ b/service_proxy/sidecar/migrate.py
@@ -23,16 +23,16 @@
     """Renames the key that stands there, quoted or not; what can't be told apart is left to a hand."""
     line = lines[place.line - 1]
     before = line[: place.column - 1]
-    rest = line[place.column - 1 :]
-    found = re.match(rf"""({old}|"{old}"|'{old}')(?=\s*[=.])""", rest)
+    from_key = line[place.column - 1 :]
+    found = re.match(rf"""({old}|"{old}"|'{old}')(?=\s*[=.])""", from_key)
     if found is None:
         text = f"{old} is called {new} by now, and can't be renamed by a program here"
         return Problem(file, place.line, "C005", text, f"write {new} in place of {old}", place.column)
-    lines[place.line - 1] = before + new + rest[found.end() :]
+    lines[place.line - 1] = before + new + from_key[found.end() :]
     return None
 
 
-def inbound(file: str, lines: Lines, raw: Mapping[str, Any]) -> Iterator[Problem]:
+def rename_listen(file: str, lines: Lines, raw: Mapping[str, Any]) -> Iterator[Problem]:
     """1 to 2: [[sidecar]] `listen` is `inbound`, beside `outbound`."""
     places = find_positions("".join(lines))
     sidecars = raw.get("sidecar", [])
@@ -45,7 +45,7 @@
                 yield problem
 
 
-STEPS: dict[int, Step] = {1: inbound}
+STEPS: dict[int, Step] = {1: rename_listen}
 
 
 def migrate(file: str, text: str) -> tuple[str, list[Problem]]:
@@ -57,8 +57,8 @@
     version = raw.get("format", min(STEPS))
     if type(version) is not int or not min(STEPS) <= version <= FORMAT:
         place = find_positions(text).get(("format",), Place(1, 1))
-        said = f"format {version!r} is none that this program knows"
-        return text, [Problem(file, place.line, "C005", said, f"write format = {FORMAT}", place.column)]
+        message = f"format {version!r} is none that this program knows"
+        return text, [Problem(file, place.line, "C005", message, f"write format = {FORMAT}", place.column)]
     lines = text.splitlines(keepends=True)
     problems: list[Problem] = []
     for step in range(version, FORMAT):
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -1,7 +1,7 @@
 """The typed description of an application: its tables, their keys, and what each may be. Pure.
 
 A class says what a second execution of it *does* (`effect`: the truth, which its owner knows); a route says
-what a sidecar *may do* with it (`retry`). rulemodel.py tells whether the one breaks the other. Times are in
+what a sidecar *may do* with it (`retry`). rule_model.py finds whether the one breaks the other. Times are in
 seconds.
 """
 
@@ -23,11 +23,13 @@
 RETRIES = ("never", "never-ran", "by-key", "always")
 
 
-def one_of(words: tuple[str, ...]) -> object:
-    """Return a check that a value is one of these words."""
+def one_of(choices: tuple[str, ...]) -> object:
+    """Return a check that a value is one of these."""
 
     def check(value: str) -> str | None:
-        return None if value in words else "must be one of " + ", ".join(f'"{word}"' for word in words)
+        return (
+            None if value in choices else "must be one of " + ", ".join(f'"{choice}"' for choice in choices)
+        )
 
     return check
 
@@ -36,28 +38,28 @@
     """Say what is wrong with a name, or None."""
     if NAME.fullmatch(value):
         return None
-    odd = next((letter for letter in value if not letter.isascii()), "")
-    if odd:
-        return f"holds U+{ord(odd):04X}, which may look like another letter"
+    non_ascii = next((character for character in value if not character.isascii()), "")
+    if non_ascii:
+        return f"holds U+{ord(non_ascii):04X}, which may look like another letter"
     return "must be small letters, digits, - and _, with a letter first"
 
 
-def _names(value: tuple[str, ...]) -> str | None:
-    fault = next((f"{name!r} {fault}" for name in value if (fault := find_name_problem(name))), None)
-    return fault or ("names one thing twice" if len(set(value)) != len(value) else None)
+def _find_names_problem(value: tuple[str, ...]) -> str | None:
+    problem = next((f"{name!r} {problem}" for name in value if (problem := find_name_problem(name))), None)
+    return problem or ("names one thing twice" if len(set(value)) != len(value) else None)
 
 
-def _address_or_none(value: str) -> str | None:
+def _find_optional_address_problem(value: str) -> str | None:
     return find_address_problem(value) if value else None
 
 
-def _path(value: str) -> str | None:
-    good = value.startswith("/") and value.isascii() and value.isprintable() and " " not in value
-    return None if good else 'must be a path such as "/healthz"'
+def _find_health_path_problem(value: str) -> str | None:
+    is_valid = value.startswith("/") and value.isascii() and value.isprintable() and " " not in value
+    return None if is_valid else 'must be a path such as "/healthz"'
 
 
 def is_any(host: str) -> bool:
-    """Whether the address stands for all of a host's: 0.0.0.0 and [::]."""
+    """Tell whether the address stands for all of a host's: 0.0.0.0 and [::]."""
     try:
         return ipaddress.ip_address(host.strip("[]")).is_unspecified
     except ValueError:
@@ -91,10 +93,10 @@
 class Tier:
     """[tier.NAME]: the endpoints of a tier as their operator knows them, and how sidecars treat them."""
 
-    zones: tuple[str, ...] = key(tuple, '["zone-a", "zone-b"]', check=_names)
-    classes: tuple[str, ...] = key(tuple, '["read", "order"]', check=_names)
+    zones: tuple[str, ...] = key(tuple, '["zone-a", "zone-b"]', check=_find_names_problem)
+    classes: tuple[str, ...] = key(tuple, '["read", "order"]', check=_find_names_problem)
     nodes: int = key(int, "16", check=between(1, 100_000))
-    calls: tuple[str, ...] = key(tuple, '["core"]', (), _names)
+    calls: tuple[str, ...] = key(tuple, '["core"]', (), _find_names_problem)
     connections: int = key(int, "28", 28, between(1, 1_000_000))
     drain: float = key(Duration, '"2s"', 2.0, between(0, 3600))
     stop_after: float = key(Duration, '"7s"', 30.0, between(0, 3600))
@@ -104,7 +106,7 @@
     push: float = key(float, "2.0", 2.0, between(0.01, 1000))
     # Where a sidecar learns of its nodes: the padron (this one, else the description's), and beside it
     # ephemeral nodes, in the terms of the operator's file.
-    padron: str = key(str, '"10.2.0.1:8500"', "", _address_or_none)
+    padron: str = key(str, '"10.2.0.1:8500"', "", _find_optional_address_problem)
     membership: Membership | None = key(Membership, "", None)
 
 
@@ -130,7 +132,7 @@
     tier: str = key(str, '"front"', check=find_name_problem)
     inbound: str = key(str, '"10.0.0.4:8081"', check=find_address_problem)
     application: str = key(str, '"127.0.0.1:9000"', check=find_address_problem)
-    health: str = key(str, '"/healthz"', "/healthz", _path)
+    health: str = key(str, '"/healthz"', "/healthz", _find_health_path_problem)
     slots: int = key(int, "64", 64, between(1, 10_000))
     waiting: int = key(int, "128", 128, between(0, 100_000))
     per_node: int = key(int, "1", 1, between(1, 10_000))
@@ -159,7 +161,7 @@
     application: str = key(str, '"canjes"', check=find_name_problem)
     include: tuple[str, ...] = key(tuple, '["base.toml"]', ())
     variables: tuple[str, ...] = key(tuple, '["ZONE"]', ())
-    padron: str = key(str, '"10.2.0.1:8500"', "", _address_or_none)
+    padron: str = key(str, '"10.2.0.1:8500"', "", _find_optional_address_problem)
     attempts_over_tiers: int = key(int, "12", 12, between(1, 10_000))
 
 
@@ -181,5 +183,5 @@
     budgets: Budgets | None = None
 
     def padron(self, tier: str) -> str:
-        """Where the nodes of a tier are asked for."""
+        """Return the address of the discovery of a tier's nodes."""
         return self.tiers[tier].padron or self.top.padron
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -1,7 +1,7 @@
-"""Checks a platform's JSON (DEPLOY, EDGE_CONFIG): its form, its settings, and the rules by what classes are.
+"""Checks a platform's JSON (DEPLOY, EDGE_CONFIG): its form, its settings, and the four rules.
 
-The JSON says how a class is treated and not what it is. Where a description is checked along with it, the
-class's own effect is known, and the same model tells whether the treatment breaks a rule.
+The JSON says how a class is treated and not whether it is idempotent. Where a description is checked along
+with it, the class's effect is known, and the same model finds whether the treatment breaks a rule.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from service_proxy.sidecar import rule_model
 from service_proxy.sidecar.model import Class, Description, Route
 
-TOP = frozenset(
+TOP_LEVEL_KEYS = frozenset(
     "name listen discovery seed limits peer_listen peers peers_all known settings written forms".split()
 )
 TOKEN = re.compile(r'\s*("(?:[^"\\]|\\.)*"|[{}\[\],:]|[^\s{}\[\],:"]+)')
@@ -28,10 +28,10 @@
 
 
 class DuplicateKeyError(ValueError):
-    """A key that an object gives twice; JSON takes the last without a word."""
+    """A key that an object gives twice; JSON readers use the last one without an error."""
 
 
-def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _to_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found: dict[str, Any] = {}
     for key, value in pairs:
         if key in found:
@@ -41,76 +41,76 @@
 
 
 def json_positions(text: str) -> dict[Path, Place]:
-    """The places of keys and elements of an accepted JSON text."""
+    """Return the places of keys and elements of an accepted JSON text."""
     found: dict[Path, Place] = {(): Place(1, 1)}
     stack: list[list[Any]] = []  # of [kind, key or index, whether a key is due]
     at = 0
     while token := TOKEN.match(text, at):
         at = token.end()
-        word = token[1]
+        value = token[1]
         start = token.start(1)
         line = text.count("\n", 0, start) + 1
         place = Place(line, start - text.rfind("\n", 0, start))
         inside = stack[-1] if stack else None
-        if word in "}]":
+        if value in "}]":
             stack.pop()
             continue
-        if word == ",":
+        if value == ",":
             assert inside is not None
             if inside[0] == "[":
                 inside[1] += 1
             else:
                 inside[2] = True
             continue
-        if word == ":":
+        if value == ":":
             continue
         if inside is not None and inside[0] == "{" and inside[2]:
-            inside[1], inside[2] = json.loads(word), False
+            inside[1], inside[2] = json.loads(value), False
             found.setdefault(tuple(str(entry[1]) for entry in stack), place)
             continue
         path = tuple(str(entry[1]) for entry in stack)
         found.setdefault(path, place)
-        if word in "{[":
-            stack.append([word, "" if word == "{" else 0, word == "{"])
+        if value in "{[":
+            stack.append([value, "" if value == "{" else 0, value == "{"])
     return found
 
 
 class Platform:
-    """One such file, read. Raises OperatorError where it can't be."""
+    """A platform's JSON with its problems. Raises OperatorError where it can't be read."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        instead = "name a file as `write` makes them"
+        remedy = "name a file as `write` makes them"
         try:
             with open(file, "rb") as source:
                 data = source.read(MAX_FILE_BYTES + 1)
-        except OSError as fault:
-            raise self._unusable("C001", f"can't be read: {fault.strerror}", instead) from None
+        except OSError as error:
+            raise self._unreadable("C001", f"can't be read: {error.strerror}", remedy) from None
         if len(data) > MAX_FILE_BYTES:
-            raise self._unusable("C003", f"larger than {MAX_FILE_BYTES} bytes", instead)
+            raise self._unreadable("C003", f"larger than {MAX_FILE_BYTES} bytes", remedy)
         try:
             text = data.decode("utf-8")
-            self.raw = json.loads(text, object_pairs_hook=_pairs)
+            self.raw = json.loads(text, object_pairs_hook=_to_object)
             self.places = json_positions(text)
-        except DuplicateKeyError as fault:
-            places = [found.start() for found in re.finditer(re.escape(json.dumps(str(fault))), text)]
+        except DuplicateKeyError as error:
+            places = [found.start() for found in re.finditer(re.escape(json.dumps(str(error))), text)]
             line = text.count("\n", 0, places[1] if len(places) > 1 else 0) + 1
-            raise self._unusable("C002", f"gives {fault} twice", "take one of them out", line) from None
-        except json.JSONDecodeError as fault:
-            text_of = f"is no JSON: {fault.msg}"
-            raise self._unusable("C002", text_of, "mend this line", fault.lineno, fault.colno) from None
+            raise self._unreadable("C002", f"gives {error} twice", "take one of them out", line) from None
+        except json.JSONDecodeError as error:
+            text_of = f"is no JSON: {error.msg}"
+            raise self._unreadable("C002", text_of, "mend this line", error.lineno, error.colno) from None
         except (UnicodeDecodeError, RecursionError):
-            raise self._unusable("C004", "is no UTF-8, or nested too deep", "save it as UTF-8") from None
+            raise self._unreadable("C004", "is no UTF-8, or nested too deep", "save it as UTF-8") from None
         self._check()
 
-    def _unusable(self, code: str, text: str, instead: str, line: int = 1, column: int = 1) -> OperatorError:
-        return OperatorError([Problem(self.file, line, code, text, instead, column)])
+    def _unreadable(self, code: str, text: str, remedy: str, line: int = 1, column: int = 1) -> OperatorError:
+        return OperatorError([Problem(self.file, line, code, text, remedy, column)])
 
-    def wrong(self, path: Path, code: str, text: str, instead: str) -> None:
+    def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
         """Add a problem at a path."""
         place = place_of(self.places, path)
-        self.problems.append(Problem(self.file, place.line, code, text, instead, place.column))
+        self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
     @property
     def settings(self) -> Mapping[str, Any]:
@@ -120,21 +120,21 @@
 
     def _check(self) -> None:
         if not isinstance(self.raw, dict) or not self.settings:
-            self.wrong((), "S103", "there is no object settings", 'write {"settings": {...}, ...}')
+            self.add_problem((), "S103", "there is no object settings", 'write {"settings": {...}, ...}')
             return
-        for key in self.raw.keys() - TOP:
-            self.wrong((key,), "S101", f"unknown key {key}", suggest_name(key, TOP))
+        for key in self.raw.keys() - TOP_LEVEL_KEYS:
+            self.add_problem((key,), "S101", f"unknown key {key}", suggest_name(key, TOP_LEVEL_KEYS))
         for key in ("listen", "discovery"):
             if key in self.raw:
                 try:
                     parse_address(self.raw[key])
-                except ValueError as fault:
-                    self.wrong((key,), "S105", str(fault), 'write "127.0.0.1:8081"')
+                except ValueError as error:
+                    self.add_problem((key,), "S105", str(error), 'write "127.0.0.1:8081"')
         try:
             read_settings(flatten_settings(self.raw["settings"]))
-        except (ValueError, TypeError, AttributeError) as fault:
-            self.wrong(
-                self._path_of(str(fault)), "S105", str(fault), "write a value that the platform's page has"
+        except (ValueError, TypeError, AttributeError) as error:
+            self.add_problem(
+                self._path_of(str(error)), "S105", str(error), "write a value that the platform's page has"
             )
         limits = self.settings.get("policy_limits", {})
         if (
@@ -143,12 +143,12 @@
             and limits.get("send_cap", 1) != 1
         ):
             path = ("settings", "policy_limits", "may_duplicate")
-            self.wrong(path, "R202", "two attempts of a call may be out at once", "write false")
+            self.add_problem(path, "R202", "two attempts of a call may be out at once", "write false")
         contract = self.settings.get("contract", {})
         grace = contract.get("drain_grace", 0) if isinstance(contract, dict) else 0
-        if isinstance(grace, int | float) and grace > rule_model.GRACE:
+        if isinstance(grace, int | float) and grace > rule_model.MAX_DRAIN_S:
             path = ("settings", "contract", "drain_grace")
-            self.wrong(
+            self.add_problem(
                 path,
                 "R203",
                 f"something new may go to a draining server for {grace:g} s",
@@ -156,7 +156,7 @@
             )
 
     def _path_of(self, text: str) -> Path:
-        """Where the setting stands that the reader's message names."""
+        """Return the path of the setting that the reader's message names."""
         found = SETTING.match(text)
         if not found:
             return ("settings",)
@@ -167,19 +167,19 @@
                     return ("settings", "grades", str(number), *parts)
         return ("settings", *parts)
 
-    def against(self, descriptions: list[Description]) -> Iterator[Problem]:
-        """Compare the treatment of each class with what a description checked along with it says it is."""
-        known: dict[str, tuple[Class, Description]] = {}
+    def compare_with(self, descriptions: list[Description]) -> Iterator[Problem]:
+        """Yield the classes whose treatment breaks a rule by what a description says that they are."""
+        described: dict[str, tuple[Class, Description]] = {}
         for description in descriptions:
             for name, cls in description.classes.items():
-                known.setdefault(name, (cls, description))
+                described.setdefault(name, (cls, description))
         before = len(self.problems)
         grades = self.settings.get("grades")
         limits = self.settings.get("policy_limits", {})
         for number, grade in enumerate(grades if isinstance(grades, list) else []):
-            if not isinstance(grade, dict) or grade.get("name") not in known:
+            if not isinstance(grade, dict) or grade.get("name") not in described:
                 continue
-            cls, description = known[grade["name"]]
+            cls, description = described[grade["name"]]
             route = Route(
                 RETRIES.get(str(grade.get("effect")), "never-ran"),
                 str(grade.get("group", "all")),
@@ -190,5 +190,5 @@
             if example is not None:
                 path = ("settings", "grades", str(number), "effect")
                 text = f"{grade['name']} is {cls.effect} by {description.file}; treated so, {example}"
-                self.wrong(path, "R202", text, "write it anew from its description")
+                self.add_problem(path, "R202", text, "write it anew from its description")
         yield from self.problems[before:]
--- a/service_proxy/sidecar/report.py
+++ b/service_proxy/sidecar/report.py
@@ -62,5 +62,5 @@
         for problem in found
     ]
     driver = {"name": "willowwing-sidecar", "rules": rules}
-    whole = {"$schema": SARIF, "version": "2.1.0", "runs": [{"tool": {"driver": driver}, "results": results}]}
-    return json.dumps(whole, indent=1) + "\n"
+    log = {"$schema": SARIF, "version": "2.1.0", "runs": [{"tool": {"driver": driver}, "results": results}]}
+    return json.dumps(log, indent=1) + "\n"
--- a/service_proxy/sidecar/rule_model.py
+++ b/service_proxy/sidecar/rule_model.py
@@ -1,10 +1,9 @@
-"""A small model of the four rules: does some run of events break one under these settings? Pure.
+"""A small model of the four rules: does a sequence of events break one under these settings? Pure.
 
-It knows no list of known mistakes. A request's run is a sequence of moves: those that the settings *allow*
-the sidecar (send, send again, refuse), and those of the world (an attempt never ran, or may have run; time
-passes; a server is told to drain; the host stops). Each state is judged by what the class and the servers
-*are*. A search over runs, the shortest first, ends with the first that breaks a rule: it is the example
-that is shown.
+It has no list of known mistakes. The events of a request are those that the settings *allow* the sidecar
+(send, retry, reject) and those of the environment (an attempt never ran, or may have run; time passes; a
+server drains; the host stops). Each state is checked against what the class and the servers *are*. A
+breadth-first search ends with the shortest sequence that breaks a rule: the counterexample that is shown.
 """
 
 from __future__ import annotations
@@ -15,10 +14,10 @@
 
 from service_proxy.sidecar.model import Class, Route, Tier
 
-MAX_EVENTS = 8  # of a run; every breach that these settings can make has fewer
-MOMENT = 0.001  # s by which an event comes after a limit
-GRACE = 2.0  # s of the third rule
-# That the model plays: a breach is always between one that may have run, or is out, and the next one.
+MAX_EVENTS = 8  # of a sequence; every breach of these settings has fewer
+SHORTLY_S = 0.001  # s by which an event comes after a limit
+MAX_DRAIN_S = 2.0  # s of the third rule
+# A breach is always between an attempt that may have run, or is in flight, and the next one.
 MAX_ATTEMPTS = 2
 
 # The servers of the model: two in one cell, one in another cell of the zone, one in another zone.
@@ -51,12 +50,11 @@
 
     now: float = 0.0
     attempts: tuple[ModelAttempt, ...] = ()
-    over: bool = False
 
 
-def same_group(group: str, one: str, other: str) -> bool:
+def is_same_group(group: str, server: str, other_server: str) -> bool:
     """Tell whether two endpoints drop one another's repetitions of a key."""
-    (zone, cell), (other_zone, other_cell) = SERVERS[one], SERVERS[other]
+    (zone, cell), (other_zone, other_cell) = SERVERS[server], SERVERS[other_server]
     if group == "all":
         return True
     return zone == other_zone and (group == "zone" or cell == other_cell)
@@ -64,7 +62,7 @@
 
 def can_send(route: Route, deadline: float, state: ModelState, server: str) -> bool:
     """Tell whether the settings allow the sidecar to send; never after the deadline."""
-    if state.over or state.now >= deadline or len(state.attempts) >= min(route.attempts, MAX_ATTEMPTS):
+    if state.now >= deadline or len(state.attempts) >= min(route.attempts, MAX_ATTEMPTS):
         return False
     if any(attempt.state == "out" for attempt in state.attempts):
         return route.hedge
@@ -80,31 +78,31 @@
     if route.retry != "by-key":
         return False
     first = maybe_executed[0]
-    within = same_group(route.retry_within, first.server, server)
-    return within and state.now <= first.at + route.retry_for
+    is_within = is_same_group(route.retry_within, first.server, server)
+    return is_within and state.now <= first.at + route.retry_for
 
 
 def find_breach(cls: Class, state: ModelState, server: str) -> str | None:
-    """Why sending to this server now breaks the second rule, by what the class is."""
+    """Return why sending to this server now breaks the second rule, or None."""
     if any(attempt.state == "out" for attempt in state.attempts):
         return "a second attempt while one is out"
-    ran = [attempt for attempt in state.attempts if attempt.state == "may-have-run"]
-    if not ran or cls.effect == "repeatable":
+    maybe_executed = [attempt for attempt in state.attempts if attempt.state == "may-have-run"]
+    if not maybe_executed or cls.effect == "repeatable":
         return None
     if cls.effect == "once":
         return "it may run twice"
-    if not same_group(cls.group, ran[0].server, server):
+    if not is_same_group(cls.group, maybe_executed[0].server, server):
         return f"a server outside the {cls.group} does not know its key, so it may run twice"
-    if state.now > ran[0].at + cls.window:
+    if state.now > maybe_executed[0].at + cls.window:
         return "its key is forgotten by now, so it may run twice"
     return None
 
 
 def rule_two(name: str, cls: Class, route: Route) -> CounterExample | None:
-    """Find the shortest run in which a request has its effect twice, or two attempts are in flight."""
-    times = sorted({cls.window + MOMENT, route.retry_for, cls.deadline - MOMENT})
+    """Find the shortest sequence in which a request has its effect twice, or two attempts are in flight."""
+    times = sorted({cls.window + SHORTLY_S, route.retry_for, cls.deadline - SHORTLY_S})
     queue: deque[tuple[ModelState, tuple[str, ...]]] = deque([(ModelState(), ())])
-    seen = {ModelState()}
+    visited = {ModelState()}
     while queue:
         state, events = queue.popleft()
         if len(events) >= MAX_EVENTS:
@@ -113,25 +111,25 @@
         for server in SERVERS:
             if not can_send(route, cls.deadline, state, server):
                 continue
-            why = find_breach(cls, state, server)
-            again = "again " if state.attempts else ""
-            text = f"{name} is sent {again}to {server} at {state.now:g} s"
-            if why is not None:
-                return CounterExample(2, (*events, f"{text}: {why}"))
+            reason = find_breach(cls, state, server)
+            adverb = "again " if state.attempts else ""
+            text = f"{name} is sent {adverb}to {server} at {state.now:g} s"
+            if reason is not None:
+                return CounterExample(2, (*events, f"{text}: {reason}"))
             attempt = ModelAttempt(server, state.now, "out")
             following.append((replace(state, attempts=(*state.attempts, attempt)), text))
         following += _ends_of_attempts(state)
         if state.attempts:
             following += _passing_of_time(state, times, cls.deadline)
         for after, text in following:
-            if after not in seen:
-                seen.add(after)
+            if after not in visited:
+                visited.add(after)
                 queue.append((after, (*events, text)))
     return None
 
 
 def _ends_of_attempts(state: ModelState) -> Iterator[tuple[ModelState, str]]:
-    """Yield the states after the end of each attempt in flight, in each of its ways."""
+    """Yield the states after the end of each attempt in flight, by each possible outcome."""
     for place, attempt in enumerate(state.attempts):
         if attempt.state != "out":
             continue
@@ -154,7 +152,7 @@
 
 
 def rule_one(cls_name: str, cls: Class, tier: Tier) -> CounterExample | None:
-    """A host stops its sidecar `stop_after` s after SIGTERM: what it has taken must be answered by then."""
+    """Find a sequence in which a host kills its sidecar (`stop_after` s after SIGTERM) before a response."""
     if tier.stop_after >= cls.deadline:
         return None
     return CounterExample(
@@ -168,20 +166,21 @@
 
 
 def rule_three(tier_name: str, tier: Tier) -> CounterExample | None:
-    """Find a run in which something new goes to a draining endpoint after the grace."""
-    if tier.drain <= GRACE:
+    """Find a sequence in which something new goes to a draining endpoint after the grace."""
+    if tier.drain <= MAX_DRAIN_S:
         return None
     return CounterExample(
         3,
         (
             f"a server of {tier_name} is told to drain at 0 s",
-            f"a call is sent to it at {tier.drain:g} s, which `drain` allows, and {GRACE:g} s is the limit",
+            f"a call is sent to it at {tier.drain:g} s, which `drain` allows, "
+            f"and {MAX_DRAIN_S:g} s is the limit",
         ),
     )
 
 
 def rule_four(tier_name: str, tier: Tier) -> CounterExample | None:
-    """Find a run in which all sidecars together overload an endpoint that warms up.
+    """Find a sequence in which all sidecars together overload an endpoint that warms up.
 
     They may send it `push` times what it can do; it survives `survives` times.
     """
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -1,8 +1,8 @@
-"""The sidecar for real: one process beside an application, with its inbound and its outbound listeners.
+"""The process `run`: the inbound and outbound listeners of one sidecar beside its application.
 
-It checks its description again itself before it opens a socket, and again on SIGHUP: a file that check
-refuses changes nothing. At SIGTERM the inbound side ends first, since the application needs the outbound
-listeners for as long as it works.
+It checks its description before it opens a socket, and again on SIGHUP: a file that check refuses changes
+nothing. At SIGTERM the inbound side ends first, since the application needs the outbound listeners while it
+has requests.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from service_proxy.policy.settings_types import RequestClass
 from service_proxy.sidecar import report
 from service_proxy.sidecar.admission import ACCEPTING_STATES, ApplicationState
-from service_proxy.sidecar.checking import check, code_of
+from service_proxy.sidecar.checking import check, exit_code_of
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.explain import effective
 from service_proxy.sidecar.inbound import IDEMPOTENCY_BY_EFFECT, InboundListener
@@ -46,7 +46,7 @@
 
 log = logging.getLogger("service_proxy.sidecar")
 
-SPARE = 0.4  # s before its SIGKILL by which all is answered
+RESPONSE_MARGIN_S = 0.4  # by which the last responses are sent before SIGKILL
 MAX_LOGGED_FINDINGS = 3  # findings in one line of the log
 RELOADABLE_KEYS = frozenset(("padron", "slots", "waiting", "health"))  # by SIGHUP
 
@@ -65,8 +65,8 @@
     if not problems:
         try:
             layers, description = load(file, environment)
-        except OperatorError as fault:
-            raise DescriptionRejectedError(fault.problems) from None
+        except OperatorError as error:
+            raise DescriptionRejectedError(error.problems) from None
         if description is not None:
             return description
         problems = layers.problems  # it changed since
@@ -107,8 +107,8 @@
     raw["seed"] = secrets.token_hex(8)
     try:
         return parse_config(raw, {})
-    except (ValueError, TypeError) as fault:
-        raise ConfigError(f"towards {called}: {fault}") from None
+    except (ValueError, TypeError) as error:
+        raise ConfigError(f"towards {called}: {error}") from None
 
 
 def request_classes(description: Description, tier: str) -> dict[str, RequestClass]:
@@ -163,7 +163,8 @@
     async def _keep_registered(self) -> None:
         """Keep the endpoint's node up to date.
 
-        It is there once the application can work, says Terminating while it can't, and has a new start after.
+        It is created once the application is healthy, says Terminating while it is not, and then has a new
+        start time.
         """
         assert self.registrar is not None
         inbound = self.inbound
@@ -185,40 +186,40 @@
                 ready = False
             await inbound.state_changed.wait()
 
-    def reload(self, new: Description, sidecar: Sidecar) -> list[str]:
-        """Take over what may change while it runs; return what may not and has changed.
+    def reload(self, description: Description, sidecar: Sidecar) -> list[str]:
+        """Apply a reread description; return the keys that have changed and can't while it runs.
 
-        Where anything may not, nothing is taken over; nor where the key file can't be used: OperatorError.
+        If there are any, nothing is applied; nor where the key file can't be used: OperatorError.
         """
-        old = dict(effective(self.description))
-        late = []
-        for path, value in effective(new):
-            if old.pop(path, None) != value and path[-1] not in RELOADABLE_KEYS:
-                late.append(".".join(path))
-        late += [".".join(path) for path in old]
-        if late:
-            return late
+        values = dict(effective(self.description))
+        unchangeable = []
+        for path, value in effective(description):
+            if values.pop(path, None) != value and path[-1] not in RELOADABLE_KEYS:
+                unchangeable.append(".".join(path))
+        unchangeable += [".".join(path) for path in values]
+        if unchangeable:
+            return unchangeable
         if self.budgets is not None:
             self.budgets.reread_keys()
-        self.description = new
+        self.description = description
         self.sidecar = sidecar
         for called, proxy in self.outbound.items():
-            proxy.move_discovery(parse_address(new.padron(called)))
+            proxy.move_discovery(parse_address(description.padron(called)))
         self.inbound.update(sidecar)
         return []
 
     async def drain(self) -> None:
-        """All that was taken is answered; in time for the SIGKILL, `stop_after` s from now."""
+        """Answer all accepted requests, before the SIGKILL `stop_after` s from now."""
         tier = self.description.tiers[self.sidecar.tier]
         now = time.monotonic()
-        end_by = now + tier.stop_after - SPARE
+        end_by = now + tier.stop_after - RESPONSE_MARGIN_S
         self.inbound.drain(end_by)
         for proxy in self.outbound.values():
             proxy.end_all_by(end_by)
         if self.registration_task is not None and self.registrar is not None:
             self.registration_task.cancel()
             self.registrar.update(self.registrar.node.draining())
-        # Callers learn late that it drains, and may send for so long after that.
+        # Clients learn late that it drains, and may send requests until then.
         await asyncio.sleep(min(tier.drain, max(0.0, end_by - time.monotonic())))
         self.inbound.close()
         await drain_server(self.inbound.server, lambda: self.inbound.unanswered > 0)
@@ -237,23 +238,23 @@
 
 def join_findings(problems: list[Problem]) -> str:
     """Write findings as one line of the log."""
-    said = [" | ".join(str(problem).splitlines()) for problem in problems[:MAX_LOGGED_FINDINGS]]
+    lines = [" | ".join(str(problem).splitlines()) for problem in problems[:MAX_LOGGED_FINDINGS]]
     more = f" (and {len(problems) - MAX_LOGGED_FINDINGS} more)" if len(problems) > MAX_LOGGED_FINDINGS else ""
-    return "; ".join(said) + more
+    return "; ".join(lines) + more
 
 
 def reload_description(running: RunningSidecar, options: Any) -> None:
-    """Reread the description on SIGHUP; nothing of one that is rejected is taken over."""
+    """Reread the description on SIGHUP; nothing of a rejected one is applied."""
     try:
-        new = read_description(options.file, options.environment)
-        sidecar = choose_sidecar(new, running.sidecar.host, running.sidecar.tier)
-    except DescriptionRejectedError as fault:
-        log.error("reload_rejected error=%s", join_findings(fault.problems))
+        description = read_description(options.file, options.environment)
+        sidecar = choose_sidecar(description, running.sidecar.host, running.sidecar.tier)
+    except DescriptionRejectedError as error:
+        log.error("reload_rejected error=%s", join_findings(error.problems))
         return
     try:
-        unchangeable = running.reload(new, sidecar)
-    except OperatorError as fault:
-        log.error("reload_rejected error=%s", join_findings(fault.problems))
+        unchangeable = running.reload(description, sidecar)
+    except OperatorError as error:
+        log.error("reload_rejected error=%s", join_findings(error.problems))
         return
     if unchangeable:
         names = ", ".join(unchangeable[:MAX_LOGGED_FINDINGS]) + (
@@ -271,8 +272,8 @@
     """Yield what is printed once the sidecar runs."""
     sidecar = running.sidecar
     yield f"inbound {sidecar.inbound} for the application at {sidecar.application}"
-    for called, at in sorted(sidecar.outbound.items()):
-        yield f"outbound {at} towards {called}"
+    for called, address in sorted(sidecar.outbound.items()):
+        yield f"outbound {address} towards {called}"
     yield "running"
 
 
@@ -299,24 +300,24 @@
     Return exit code 0 after SIGTERM, 1 for findings or an address that is taken, 2 where a file can't be
     read.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one that comes while it starts finds the new file read
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one during the start: the new file is read anyway
     configure_logging()
     log.setLevel(logging.INFO)
     try:
         description = read_description(options.file, options.environment)
         sidecar = choose_sidecar(description, options.host, options.tier)
-    except DescriptionRejectedError as fault:
-        sys.stderr.write(report.as_text(fault.problems))
-        return code_of(fault.problems)
+    except DescriptionRejectedError as error:
+        sys.stderr.write(report.as_text(error.problems))
+        return exit_code_of(error.problems)
     try:
         asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(description, sidecar, options))
-    except ConfigError as fault:
-        print(f"{options.file}: {fault}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"{options.file}: {error}", file=sys.stderr)
         return 2
-    except OperatorError as fault:  # a file that the description names
-        sys.stderr.write(report.as_text(fault.problems))
-        return code_of(fault.problems)
-    except OSError as fault:
-        print(f"{options.file}: {sidecar.tier} on {sidecar.host}: {fault}", file=sys.stderr)
+    except OperatorError as error:  # a file that the description names
+        sys.stderr.write(report.as_text(error.problems))
+        return exit_code_of(error.problems)
+    except OSError as error:
+        print(f"{options.file}: {sidecar.tier} on {sidecar.host}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -1,11 +1,11 @@
-"""Write what a description says: units, and the configuration of plain proxies.
+"""Write the files of a description: units, and the configuration of plain proxies.
 
 For each sidecar a unit, and for each tier that it calls the platform's JSON, the operator's file and a unit,
-for who runs a plain proxy for each tier instead of the sidecar.
+for installations that run a plain proxy for each tier instead of the sidecar.
 
-The same bytes for the same input. The folder changes as a whole or not at all: it is made anew beside the old
-one and takes its place. A file that was edited by hand (its digest says so), one that was not written here
-and a link are refused, unless forced; then the old folder is kept beside the new one.
+The same input gives the same bytes. The folder is replaced atomically: a new one is made beside it and
+renamed. A file that was edited by hand (by its digest), one that was not written here and a link are refused
+unless forced; then the old folder stays beside the new one.
 """
 
 from __future__ import annotations
@@ -39,35 +39,37 @@
 
 
 def files(description: Description) -> dict[str, bytes]:
-    """Relative path and content of all that is written, by path."""
-    found: dict[str, bytes] = {}
+    """Return the content of all files that are written, by relative path."""
+    contents: dict[str, bytes] = {}
     for sidecar in description.sidecars:
         home = f"{sidecar.host}/{sidecar.tier}"
-        plain = []
+        plain_units = []
         for called in sorted(sidecar.outbound):
             stem = f"{home}-{called}"
-            plain.append(f"willowwing-{sidecar.tier}-{called}.service")
-            found[f"{stem}.json"] = with_json_digest(platform(description, sidecar, called))
+            plain_units.append(f"willowwing-{sidecar.tier}-{called}.service")
+            contents[f"{stem}.json"] = with_json_digest(platform(description, sidecar, called))
             membership = description.tiers[called].membership
-            on: dict[str, Any] = {}
+            operator_tables: dict[str, Any] = {}
             if membership is not None:
-                on["membership"] = membership
+                operator_tables["membership"] = membership
             if description.budgets is not None:
-                on["budgets"] = replace(description.budgets, mark=description.budgets.mark or sidecar.tier)
-            if on:
-                found[f"{stem}.operator.toml"] = with_head_digest(toml_tables(**on))
-            found[f"{stem}.service"] = with_head_digest(unit(sidecar, called, stem, bool(on)))
+                operator_tables["budgets"] = replace(
+                    description.budgets, mark=description.budgets.mark or sidecar.tier
+                )
+            if operator_tables:
+                contents[f"{stem}.operator.toml"] = with_head_digest(toml_tables(**operator_tables))
+            contents[f"{stem}.service"] = with_head_digest(unit(sidecar, called, stem, bool(operator_tables)))
         membership = description.tiers[sidecar.tier].membership
         if sidecar.registration is not None and membership is not None:
             tables = toml_tables(membership=membership, registration=sidecar.registration)
-            found[f"{home}.operator.toml"] = with_head_digest(tables)
-        found[f"{home}.service"] = with_head_digest(sidecar_unit(description, sidecar, plain))
-    return dict(sorted(found.items()))
+            contents[f"{home}.operator.toml"] = with_head_digest(tables)
+        contents[f"{home}.service"] = with_head_digest(sidecar_unit(description, sidecar, plain_units))
+    return dict(sorted(contents.items()))
 
 
-def number_of(description: Description, sidecar: Sidecar, called: str) -> tuple[int, int]:
+def balancer_number(description: Description, sidecar: Sidecar, called: str) -> tuple[int, int]:
     """Return the sidecar's number among those that call the tier, and how many these are."""
-    callers = [other for other in description.sidecars if called in other.outbound]
+    callers = [candidate for candidate in description.sidecars if called in candidate.outbound]
     return callers.index(sidecar), len(callers)
 
 
@@ -99,7 +101,7 @@
     """Return the `settings` of the platform's configuration."""
     tier = description.tiers[called]
     order = list(description.tiers)
-    number, sidecars = number_of(description, sidecar, called)
+    number, sidecars = balancer_number(description, sidecar, called)
     features = description.features
     max_attempts = max((route.attempts for route in routes.values()), default=1)
     return {
@@ -170,13 +172,13 @@
 
 
 def with_json_digest(body: dict[str, Any]) -> bytes:
-    """With a digest of the rest at its head."""
-    mark = {"by": WRITTEN_BY, "sha256": hashlib.sha256(canonical(body)).hexdigest()}
-    return canonical({DIGEST_KEY: mark, **body}) + b"\n"
+    """Return JSON with a digest of the rest as its first key."""
+    digest_entry = {"by": WRITTEN_BY, "sha256": hashlib.sha256(canonical(body)).hexdigest()}
+    return canonical({DIGEST_KEY: digest_entry, **body}) + b"\n"
 
 
 def with_head_digest(body: bytes) -> bytes:
-    """With a digest of it in a comment at its head."""
+    """Return a file with its digest in a comment on the first line."""
     return DIGEST_HEAD + b"%s\n%s" % (digest(body), body)
 
 
@@ -185,10 +187,10 @@
     return hashlib.sha256(body).hexdigest().encode()
 
 
-def _service(sidecar: Sidecar, title: str, more: str, command: str, stop_after: float) -> bytes:
-    """A systemd unit (systemd.service(5)), as a file only: nothing installs it."""
+def _service(sidecar: Sidecar, title: str, unit_lines: str, command: str, stop_after: float) -> bytes:
+    """Return a systemd unit (systemd.service(5)); nothing installs it."""
     return (
-        f"[Unit]\nDescription=willowwing {title}\nAfter=network.target\n{more}\n"
+        f"[Unit]\nDescription=willowwing {title}\nAfter=network.target\n{unit_lines}\n"
         f"[Service]\n{command}"
         "ExecReload=/bin/kill -HUP $MAINPID\n"
         "Restart=always\nRestartSec=1\nKillSignal=SIGTERM\n"
@@ -198,28 +200,28 @@
 
 
 def unit(sidecar: Sidecar, called: str, stem: str, operator: bool) -> bytes:
-    """Of a plain proxy towards one tier."""
-    more = f" --operator /etc/willowwing/{stem}.operator.toml" if operator else ""
+    """Return the unit of a plain proxy towards one tier."""
+    operator_option = f" --operator /etc/willowwing/{stem}.operator.toml" if operator else ""
     command = (
         f"Environment=EDGE_CONFIG=/etc/willowwing/{stem}.json\n"
-        f"ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy{more}\n"
+        f"ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy{operator_option}\n"
     )
     return _service(sidecar, f"proxy of {sidecar.tier} on {sidecar.host}, towards {called}", "", command, 5.0)
 
 
-def sidecar_unit(description: Description, sidecar: Sidecar, plain: list[str]) -> bytes:
-    """Of the sidecar as one process, in place of the plain proxies: their ports are its own."""
+def sidecar_unit(description: Description, sidecar: Sidecar, plain_units: list[str]) -> bytes:
+    """Return the unit of the sidecar as one process, which excludes the plain proxies: it has their ports."""
     command = (
         "ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy.sidecar run "
         f"/etc/willowwing/{description.top.application}.toml --host {sidecar.host} --tier {sidecar.tier}\n"
     )
-    conflicts = f"Conflicts={' '.join(plain)}\n" if plain else ""
+    conflicts = f"Conflicts={' '.join(plain_units)}\n" if plain_units else ""
     title = f"sidecar of {sidecar.tier} on {sidecar.host}"
     return _service(sidecar, title, conflicts, command, description.tiers[sidecar.tier].stop_after)
 
 
 def has_digest(content: bytes, name: str) -> bool:
-    """Whether it bears a digest of this tool's, right or wrong."""
+    """Tell whether a file has a digest of this tool, valid or not."""
     if name.endswith(".json"):
         try:
             return DIGEST_KEY in json.loads(content)
@@ -229,12 +231,12 @@
 
 
 def was_edited(content: bytes, name: str) -> bool:
-    """Whether its digest is not that of its content, or there is none."""
+    """Tell whether a file's digest is missing or not that of its content."""
     if name.endswith(".json"):
         try:
             body = json.loads(content)
-            mark = body.pop(DIGEST_KEY)
-            return bool(mark["sha256"] != hashlib.sha256(canonical(body)).hexdigest())
+            digest_entry = body.pop(DIGEST_KEY)
+            return bool(digest_entry["sha256"] != hashlib.sha256(canonical(body)).hexdigest())
         except (ValueError, KeyError, TypeError, AttributeError):
             return True
     head, _, body = content.partition(b"\n")
@@ -242,28 +244,30 @@
 
 
 def find_edited_files(folder: Path) -> list[Problem]:
-    """What in the folder would be lost by writing it anew."""
+    """Return a problem for each file in the folder that overwriting it would lose."""
     if folder.is_symlink() or (folder.exists() and not folder.is_dir()):
         return [Problem(str(folder), 1, "C008", "is a link or no folder", "name a folder, or one to be made")]
-    found = []
+    problems = []
     for path in sorted(folder.rglob("*")) if folder.exists() else ():
         if path.is_symlink():
-            found.append(Problem(str(path), 1, "C008", "is a link, which may lead anywhere", "take it away"))
+            problems.append(
+                Problem(str(path), 1, "C008", "is a link, which may lead anywhere", "take it away")
+            )
         elif path.is_file() and was_edited(path.read_bytes(), path.name):
             text = "was edited by hand, or not written here"
-            found.append(
+            problems.append(
                 Problem(str(path), 1, "C008", text, "put the change into the description, or --force")
             )
-    return found
+    return problems
 
 
 def replace_file(path: Path, content: bytes) -> None:
-    """The file changes as a whole or not at all; a link is followed. Raises OSError."""
+    """Replace a file atomically; a link is followed. Raises OSError."""
     path = path.resolve(strict=True)
     mode = path.stat().st_mode
-    handle, name = tempfile.mkstemp(prefix=f".{path.name}.", dir=path.parent)
+    descriptor, name = tempfile.mkstemp(prefix=f".{path.name}.", dir=path.parent)
     try:
-        with os.fdopen(handle, "wb") as sink:
+        with os.fdopen(descriptor, "wb") as sink:
             sink.write(content)
             sink.flush()
             os.fsync(sink.fileno())
@@ -275,7 +279,7 @@
 
 
 def write(description: Description, folder: Path, force: bool = False) -> list[Problem]:
-    """Make the folder anew; return what is in the way.
+    """Replace the folder atomically; return the problems that prevent it.
 
     Raises OSError, and then nothing has changed.
     """
@@ -283,29 +287,29 @@
     if problems and (not force or folder.is_symlink() or not folder.is_dir()):
         return problems
     folder.parent.mkdir(parents=True, exist_ok=True)
-    new = Path(tempfile.mkdtemp(prefix=f".{folder.name}.new-", dir=folder.parent))
+    new_folder = Path(tempfile.mkdtemp(prefix=f".{folder.name}.new-", dir=folder.parent))
     try:
         for name, content in files(description).items():
-            path = new / name
+            path = new_folder / name
             path.parent.mkdir(parents=True, exist_ok=True)
             with path.open("wb") as sink:
                 sink.write(content)
                 sink.flush()
                 os.fsync(sink.fileno())
-        new.chmod(0o755)
-        old = folder.with_name(f".{folder.name}.old")
+        new_folder.chmod(0o755)
+        old_folder = folder.with_name(f".{folder.name}.old")
         if folder.exists():
-            shutil.rmtree(old, ignore_errors=True)
-            folder.rename(old)
+            shutil.rmtree(old_folder, ignore_errors=True)
+            folder.rename(old_folder)
         try:
-            new.rename(folder)
+            new_folder.rename(folder)
         except OSError:
-            if old.exists() and not folder.exists():
-                old.rename(folder)
+            if old_folder.exists() and not folder.exists():
+                old_folder.rename(folder)
             raise
         if not problems:
-            shutil.rmtree(old, ignore_errors=True)
+            shutil.rmtree(old_folder, ignore_errors=True)
     except BaseException:
-        shutil.rmtree(new, ignore_errors=True)
+        shutil.rmtree(new_folder, ignore_errors=True)
         raise
     return []
--- a/tests/sidecar/test_rule_model.py
+++ b/tests/sidecar/test_rule_model.py
@@ -8,7 +8,7 @@
 import pytest
 
 from service_proxy.sidecar.model import Class, Route, Tier
-from service_proxy.sidecar.rule_model import GRACE, rule_four, rule_one, rule_three, rule_two
+from service_proxy.sidecar.rule_model import MAX_DRAIN_S, rule_four, rule_one, rule_three, rule_two
 
 CANJE = Class("once", 2.5, 6.0)
 RESERVA = Class("by-key", 1.5, 4.0, 1.0, "zone", 6.0)
@@ -91,7 +91,9 @@
     assert rule_one("canje", CANJE, TIER) is None
     killed = rule_one("canje", CANJE, replace(TIER, stop_after=5.0))
     assert killed is not None and "SIGKILL comes 5 s later" in killed.events[-1]
-    assert rule_three("portal", TIER) is None and rule_three("portal", replace(TIER, drain=GRACE)) is None
+    assert (
+        rule_three("portal", TIER) is None and rule_three("portal", replace(TIER, drain=MAX_DRAIN_S)) is None
+    )
     assert rule_three("portal", replace(TIER, drain=2.5)) is not None
     assert rule_four("portal", TIER) is None and rule_four("portal", replace(TIER, push=3.0)) is not None
     assert rule_four("portal", replace(TIER, push=9.0, cold_from=1.0)) is None
