--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -3,7 +3,7 @@
     python -m benchmarks.ephemeral [--short] [--seed N] [--json FILE]
 
 Two proxies read the stand-in's ephemeral nodes beside the registry; a third, in the same run, has the
-registry alone (`ephemeral_fleet` says what is played, `ephemeral_audit` what is checked).
+registry alone. `ephemeral_fleet` has the script, `ephemeral_audit` the checks.
 """
 
 from __future__ import annotations
@@ -121,7 +121,7 @@
 
 
 def has_read_all(proxy: ProxyProcess) -> bool:
-    """Tell whether the proxy's log says that its source is fresh."""
+    """Tell whether the proxy has logged that its source is fresh."""
     return "source=membership health=fresh" in proxy.log_file.read_text()
 
 
--- a/benchmarks/ephemeral_fleet.py
+++ b/benchmarks/ephemeral_fleet.py
@@ -1,7 +1,7 @@
 """The fleet of the benchmark of ephemeral nodes: endpoints, their registrations, the service, the registry.
 
-Half of the sessions that are lost are of endpoints that go on answering (the registry says Terminating, 0.7
-to 4.3 s late), half of endpoints that fell silent (it says Gone, 5.5 to 11 s late). Each comes back after a
+Half of the lost sessions are of endpoints that go on responding (the registry lists them as Terminating, 0.7
+to 4.3 s late), half of endpoints that fall silent (listed as Gone, 5.5 to 11 s late). Each comes back after a
 while, warming up. Between the losses the ensemble is cut off, and in the end it is empty after a restore.
 """
 
@@ -27,8 +27,8 @@
 PARENT = "/salas/portal"
 ZONES = "abc"
 SERVERS = 3  # of the ensemble
-LEAVING_DELAY_S = (0.7, 4.3)  # by which the registry is late to say that an endpoint leaves
-SILENT_DELAY_S = (5.5, 11.0)  # the same of one that is gone without notice
+LEAVING_DELAY_S = (0.7, 4.3)  # by which the registry is late to list an endpoint as Terminating
+SILENT_DELAY_S = (5.5, 11.0)  # the same for Gone
 RECENT_S = 3.0  # within which a proxy must have sent to an endpoint that is in use
 SESSION_TIMEOUT_S = 1.5  # of a registration
 CONNECT_TIMEOUT_S = 0.4
--- a/harness/coordination.py
+++ b/harness/coordination.py
@@ -224,7 +224,7 @@
             server.heal()
 
     def empty(self) -> None:
-        """Restore from nothing: zxids go on, sessions and znodes are gone, and no watch tells."""
+        """Restore from nothing: zxids go on, sessions and znodes are lost, and no watch fires."""
         self.sessions.clear()
         self.tree.reset()
         self.tree.zxid += 1
@@ -288,7 +288,7 @@
             self.drop_all()
 
     def heal(self) -> None:
-        """Serve again; what was sent meanwhile is lost, as the connections that carried it are."""
+        """Serve again; connections from before are dropped with what was sent on them."""
         mode = self.mode
         self.mode = ""
         if mode == SILENT:
@@ -322,7 +322,7 @@
 
 
 async def serve(listen: str, ensemble: int, script: Path | None, seconds: float) -> None:
-    """Run an ensemble for so long."""
+    """Run an ensemble for this many seconds."""
     host, _, port = listen.rpartition(":")
     service = CoordinationService(ensemble)
     steps = read_script(script) if script else []
--- a/harness/deployment.py
+++ b/harness/deployment.py
@@ -1,8 +1,8 @@
 """A described deployment on loopback: its sidecars for real, and stand-ins for all else.
 
 Each [[sidecar]] is a process of the program itself beside an application that sends requests to the next
-tiers through it; each proxy has a discovery stand-in of its own, so that the recorder knows who was notified
-of what; a plain proxy stands before the first tier. Everything is recorded in one recorder.
+tiers through it; each proxy has a discovery stand-in of its own, so that the recorder knows which proxy was
+notified of what; a plain proxy is before the first tier. Everything is recorded in one recorder.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
 class ApplicationProfile:
     """What applications do for a request."""
 
-    requests_per_tier: int = 1  # to each tier below, one after another
-    propagates_deadline: bool = True  # X-Budget says what is left; else the class's whole deadline
+    requests_per_tier: int = 1  # to each next tier, one after another
+    propagates_deadline: bool = True  # X-Budget is the time left; otherwise the class's deadline
     copies_budget_header: bool = False  # Tier-Budget goes on to the requests that it makes
-    extends_ids: bool = False  # the ids of these begin with the request's
-    service_time: float = 0.01  # s that it works before it sends requests of its own
+    extends_ids: bool = False  # the ids of its requests begin with that of the incoming one
+    service_time: float = 0.01  # s before it sends requests to the next tiers
     service_time_by_tier: dict[str, float] = field(default_factory=dict)  # the same for some tiers
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentOptions:
-    """How a deployment differs from what its description says."""
+    """How a deployment differs from its description."""
 
     profile: ApplicationProfile = field(default_factory=ApplicationProfile)
     routes: Mapping[str, str] = field(default_factory=dict)  # a tier: another whose endpoint list it gets
@@ -204,7 +204,7 @@
         return endpoints
 
     def service_time(self, tier: str) -> float:
-        """Return how long an application of the tier works before it sends requests of its own, s."""
+        """Return how long an application of the tier works before it sends requests to the next tiers, s."""
         profile = self.options.profile
         return profile.service_time_by_tier.get(tier, profile.service_time)
 
--- a/harness/endpoint_registry.py
+++ b/harness/endpoint_registry.py
@@ -85,7 +85,7 @@
             connection.respond()
 
     def encode_list(self, since: int | None) -> bytes:
-        """Return the changes since an index, or the whole list where there is none."""
+        """Return the changes since an index, or the full list without one."""
         is_snapshot = since is None or since > self.index
         if since is None or is_snapshot:
             changed = [item for item in self.entries.values() if item["status"] != "Gone"]
--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -62,10 +62,10 @@
 
 
 class PortAllocator:
-    """Ports for programs that are given theirs.
+    """Ports for programs that listen on configured ports.
 
-    Nobody else gets one between the choice and the listening: they lie below those that the kernel deals out,
-    and no other process of this machine has this block.
+    Nobody else can take one before the program listens: they are below the kernel's ephemeral ports, and no
+    other process of this machine has the same block.
     """
 
     # ports 10,240 to 32,239
@@ -74,7 +74,7 @@
     BLOCKS = 220
 
     def __init__(self) -> None:
-        self.block_lock = socket.socket(socket.AF_UNIX)  # holds the block for as long as this process lives
+        self.block_lock = socket.socket(socket.AF_UNIX)  # reserves the block until this process ends
         self.first = 0
         self.next_offset = 0
         begin = os.getpid() % self.BLOCKS
@@ -211,7 +211,7 @@
         name: Its name.
         discovery: The address of its discovery.
         known: The endpoint list that it starts with.
-        operator: Text of its operator's file, in which `{folder}` stands for a folder of its own.
+        operator: Text of its operator's file, in which `{folder}` is replaced by its folder.
         files: Further files of that folder.
         root: The checkout whose program is started.
         ready: Whether to wait for it.
--- a/harness/tier_chain.py
+++ b/harness/tier_chain.py
@@ -64,7 +64,7 @@
 def describe_chain(tiers: int, hosts: int, budgets: Budgets | None, misroute: bool = False) -> Description:
     """Describe tiers that call one another in turn.
 
-    Where `misroute`, the last one calls a tier of its own, which nobody serves.
+    Where `misroute`, the last one calls a further tier, which has no endpoints.
     """
     names = TIERS[:tiers]
     described = {}
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class Chain:
-    """A running chain, and what its recorder says of the trees of requests."""
+    """A running chain, and its trees of requests by the recorder."""
 
     deployment: Deployment
     key_file: Path  # of all its processes
@@ -99,7 +99,7 @@
         return request_id
 
     def depth(self, request_id: str) -> int:
-        """Count the hops from the edge to who has the request: 1 for the first tier's."""
+        """Count the hops of a request from the edge: 1 in the first tier."""
         hops = 1
         while request_id in self.deployment.parent_requests:
             request_id = self.deployment.parent_requests[request_id]
--- a/service_proxy/operator_file/key_file.py
+++ b/service_proxy/operator_file/key_file.py
@@ -1,6 +1,6 @@
 """The key file that [budgets] names: one key a line, `ID HEX`; the first signs, all are accepted.
 
-Deadline propagation and the fleet's message authentication use the same keys, each for a purpose of its own.
+Deadline propagation and the fleet's message authentication use the same keys, each for its own purpose.
 """
 
 from __future__ import annotations
--- a/service_proxy/operator_file/positions.py
+++ b/service_proxy/operator_file/positions.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where something stands; both count from 1, the column in letters."""
+    """A position in a text; both numbers count from 1, the column in characters."""
 
     line: int
     column: int
@@ -44,7 +44,7 @@
 
 
 class _Scanner:
-    """Goes over the lines of a text that tomllib has accepted."""
+    """Scans the lines of a text that tomllib has accepted."""
 
     def __init__(self) -> None:
         self.places: dict[Path, Place] = {(): Place(1, 1)}
@@ -54,7 +54,7 @@
         self.closing_quotes = ""  # of a string over several lines
 
     def scan_line(self, number: int, line: str) -> None:
-        """Note the places of what the line names."""
+        """Note the places of the tables and keys on the line."""
         remainder = line
         place = Place(number, len(line) - len(line.lstrip()) + 1)
         if self.closing_quotes:
@@ -93,7 +93,7 @@
             self.places.setdefault(path, place)
 
     def _before_multiline_string(self, remainder: str) -> str:
-        """Return what stands before a string over several lines, and remember how that ends."""
+        """Return the part before a multi-line string, and note the quotes that close the string."""
         for quotes in MULTILINE_QUOTES:
             if quotes in remainder:
                 remainder, _, after_quotes = remainder.partition(quotes)
--- a/service_proxy/operator_file/schema.py
+++ b/service_proxy/operator_file/schema.py
@@ -27,7 +27,7 @@
     find_watch_problem,
 )
 
-MIN_MASS_LOSS_SHARE = 0.05  # share; below it a single node's end would be held for a mass loss
+MIN_MASS_LOSS_SHARE = 0.05  # below it the end of a single node would be taken for a mass loss
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budgets:
-    """[budgets]: time, attempts and worth that are passed down the chain of calls."""
+    """[budgets]: deadline and retry-budget propagation."""
 
     keys_file: str = key(str, '"/etc/willowwing/budget-keys" (a file with a line "ID HEX")')
     mark: str = key(str, '"front" (this tier; "edge" before the first)', "", find_mark_problem)
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """[recovery]: what is kept over this process's end, and how service returns after a power loss."""
+    """[recovery]: the state that survives this process, for the return after a power loss."""
 
     store: str = key(str, '"/var/lib/willowwing/p0" (a folder of this proxy\'s own)', "", find_folder_problem)
     machine_mark: str = key(
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """The whole file. `file` is where it came from."""
+    """All tables of a file; `file` is its path."""
 
     file: str
     membership: Membership | None = None
--- a/service_proxy/sidecar/call_graph.py
+++ b/service_proxy/sidecar/call_graph.py
@@ -1,4 +1,4 @@
-"""Which tier calls which, over one description or several. Pure."""
+"""The graph of calls between tiers, over one description or several. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from service_proxy.sidecar.model import Description
 
-# By tier, the tiers that it calls, each with the description that says so.
+# By tier, the tiers that it calls, each with the description that names it.
 CallGraph = dict[str, list[tuple[str, Description]]]
 
 
@@ -33,7 +33,7 @@
 
 
 def call_depth(graph: CallGraph, name: str, visited: frozenset[str] = frozenset()) -> int:
-    """Count the tiers on the longest way down from this one, itself included; a ring is not followed."""
+    """Return the longest path of calls from this tier, in tiers, itself included; cycles are not followed."""
     if name in visited:
         return 0
     depths = [call_depth(graph, called, visited | {name}) for called, _ in graph.get(name, ())]
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -22,7 +22,7 @@
 from service_proxy.sidecar.description_checks import check_description
 from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
 
-MAX_FILES = 32  # of one description with all it includes
+MAX_FILES = 32  # of one description with its includes
 MAX_DEPTH = 32  # of tables within tables; the format has 4
 VARIABLE = re.compile(r"\$\{([^}]*)\}")
 ODD_NUMBER = re.compile(r"=\s*(0[xob][0-9a-fA-F_]+)")
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a value comes from."""
+    """The file and position that a value comes from."""
 
     file: str
     place: Place
 
 
 class LayeredReader(TableReader):
-    """A reader of several files laid over one another."""
+    """A reader of several files, of which later ones override earlier ones."""
 
     def __init__(self, file: str) -> None:
         super().__init__(file, "")
@@ -50,13 +50,13 @@
         self.problems.append(Problem(origin.file, origin.place.line, code, text, remedy, origin.place.column))
 
     def origin(self, path: Path) -> Origin:
-        """Return where a value comes from, or the table that it would be in."""
+        """Return the origin of a value, or of the table that it would be in."""
         while path not in self.origins:
             path = path[:-1]
         return self.origins[path]
 
     def add_layer(self, file: str, text: str, raw: Mapping[str, Any]) -> None:
-        """Lay a file over those before it."""
+        """Add a file, which overrides the earlier ones."""
         places = find_positions(text)
         self._merge(self.raw, raw, (), file, places)
 
@@ -257,7 +257,7 @@
 
 
 def _read_tables(layers: LayeredReader, defaults: dict[str, Any]) -> Tables:
-    """Read the tables with named entries; a route has the defaults where it says nothing."""
+    """Read the tables with named entries; a route has the defaults for the keys that it lacks."""
     found: Tables = {}
     for table, cls in TABLES.items():
         found[table] = {}
@@ -289,7 +289,7 @@
 
 
 def _check_membership_tables(layers: LayeredReader, tables: Tables, sidecars: list[Sidecar]) -> None:
-    """Check what the tables of ephemeral nodes say of one another."""
+    """Check the tables of ephemeral nodes against one another."""
     for name, tier in tables["tier"].items():
         check_membership(layers, tier.membership, ("tier", name, "membership"))
     for number, sidecar in enumerate(sidecars):
--- a/service_proxy/sidecar/description_checks.py
+++ b/service_proxy/sidecar/description_checks.py
@@ -1,4 +1,4 @@
-"""What holds within one description: findings with the path they belong to. Pure."""
+"""The checks of one description by itself: findings with their paths. Pure."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def check_description(description: Description) -> Iterator[Finding]:
-    """Yield all findings of one description that its types and ranges don't tell."""
+    """Yield the findings of one description beyond types and ranges."""
     yield from _check_names(description)
     yield from _check_tier_references(description)
     yield from _check_class_references(description)
--- a/service_proxy/sidecar/findings.py
+++ b/service_proxy/sidecar/findings.py
@@ -1,4 +1,4 @@
-"""What is wrong in a description. Pure."""
+"""A finding in a description, before its place in a file is known. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What is wrong at a path of a description, without its place in a file."""
+    """A problem at a path of a description, without its place in a file."""
 
     file: str
     path: Path
--- a/service_proxy/sidecar/fleet_checks.py
+++ b/service_proxy/sidecar/fleet_checks.py
@@ -1,4 +1,4 @@
-"""What several descriptions contradict one another in, as one fleet. Pure."""
+"""The checks of several descriptions as one fleet: contradictions, ports, connections. Pure."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def check_fleet(descriptions: list[Description]) -> Iterator[Finding]:
-    """Yield all that several descriptions contradict one another in, and their ports and connections."""
+    """Yield the findings of several descriptions as one fleet."""
     yield from _check_ports(descriptions)
     yield from _check_connections(descriptions)
     yield from _check_same_classes(descriptions)
--- a/service_proxy/sidecar/migrate.py
+++ b/service_proxy/sidecar/migrate.py
@@ -1,7 +1,7 @@
-"""Brings a description of an older format up to date, line by line: comments and order stay. Pure.
+"""Migrates a description of an older format line by line: comments and order are preserved. Pure.
 
-Each step goes from one format to the next. A file without `format` (an include, an overlay) is taken for the
-oldest that it can be.
+Each step goes from one format to the next. A file without `format` (an include, an overlay) is taken to have
+the oldest one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def _rename(file: str, lines: Lines, place: Place, old: str, new: str) -> Problem | None:
-    """Renames the key that stands there, quoted or not; what can't be told apart is left to a hand."""
+    """Rename the key at a place, quoted or not; return a problem where it can't be identified."""
     line = lines[place.line - 1]
     before = line[: place.column - 1]
     from_key = line[place.column - 1 :]
@@ -49,7 +49,7 @@
 
 
 def migrate(file: str, text: str) -> tuple[str, list[Problem]]:
-    """Return the text in this program's format, or as it was together with what is in the way.
+    """Return the text in this program's format, or unchanged with the problems that prevent it.
 
     Raises tomllib.TOMLDecodeError, a ValueError.
     """
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -1,7 +1,7 @@
 """The typed description of an application: its tables, their keys, and what each may be. Pure.
 
-A class says what a second execution of it *does* (`effect`: the truth, which its owner knows); a route says
-what a sidecar *may do* with it (`retry`). rule_model.py finds whether the one breaks the other. Times are in
+A class has the effect of a second execution (`effect`, which its owner knows); a route has what a sidecar
+*may do* with it (`retry`). rule_model.py finds whether the one breaks the other. Times are in
 seconds.
 """
 
@@ -35,7 +35,7 @@
 
 
 def find_name_problem(value: str) -> str | None:
-    """Say what is wrong with a name, or None."""
+    """Return the problem of a name, or None."""
     if NAME.fullmatch(value):
         return None
     non_ascii = next((character for character in value if not character.isascii()), "")
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Description:
-    """An application's whole description, with includes and overlay. Routes are complete: defaults are in."""
+    """An application's description, with includes and overlay; routes have their defaults."""
 
     file: str
     top: Top
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -168,7 +168,7 @@
         return ("settings", *parts)
 
     def compare_with(self, descriptions: list[Description]) -> Iterator[Problem]:
-        """Yield the classes whose treatment breaks a rule by what a description says that they are."""
+        """Yield a problem for each class whose treatment breaks a rule by its description."""
         described: dict[str, tuple[Class, Description]] = {}
         for description in descriptions:
             for name, cls in description.classes.items():
--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -24,17 +24,16 @@
 from service_proxy.sidecar.toml import table
 
 DIGEST_KEY = "written"
-# The tool's old name stays in the heads: an earlier version that reads the folder knows its files by it.
+# The tool's old name stays in the first lines: earlier versions recognize the files of a folder by it.
 WRITTEN_BY = "granitepoint.sidecar"
 DIGEST_HEAD = f"# written by {WRITTEN_BY}, sha256 ".encode()
 IDEMPOTENCY_BY_EFFECT = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
-# How a call is treated follows from its route; what it looks like (method, key) from its class.
+# The treatment of a request follows from its route; its form (method, key) from its class.
 IDEMPOTENCY_BY_RETRY = {"never": "once", "never-ran": "once", "by-key": "by_key", "always": "repeatable"}
-# s
 CONNECT_TIMEOUT_S = 0.25
 IDLE_TIMEOUT_S = 15.0
-QUANTUM_S = 0.005  # s
-MAX_OPEN_REQUESTS = 4000  # calls that one listener holds
+QUANTUM_S = 0.005
+MAX_OPEN_REQUESTS = 4000  # of one listener
 REPORTS = {"probe": "on_probe", "answer": "inline", "none": "off"}
 
 
--- a/tests/sidecar/description_files.py
+++ b/tests/sidecar/description_files.py
@@ -1,4 +1,4 @@
-"""Descriptions on disk, for the tests of the tool: the plain one of the corpus, whole or changed."""
+"""Descriptions on disk, for the tests of the tool: the plain one of the corpus, as it is or changed."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/test_description.py
+++ b/tests/sidecar/test_description.py
@@ -118,7 +118,7 @@
 
 
 def test_a_file_without_permission(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tests may run as root, who may read everything: the system's refusal is simulated."""
+    """Tests may run as root, which may read everything: the system's refusal is simulated."""
     file = write_description(tmp_path)
 
     def refuse(*_: object) -> None:
--- a/tests/sidecar/test_migrate.py
+++ b/tests/sidecar/test_migrate.py
@@ -94,7 +94,7 @@
 def test_a_folder_without_write_permission_leaves_the_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def refuse(*_: object, **__: object) -> None:  # tests may run as root, who is refused nothing
+    def refuse(*_: object, **__: object) -> None:  # tests may run as root, which has all permissions
         raise PermissionError(13, "Permission denied")
 
     text = PLAIN.replace("format = 2", "format = 1").replace("inbound", "listen")
