--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -65,7 +65,8 @@
         if value == ":":
             continue
         if inside is not None and inside[0] == "{" and inside[2]:
-            inside[1], inside[2] = json.loads(value), False
+            inside[1] = json.loads(value)
+            inside[2] = False
             found.setdefault(tuple(str(entry[1]) for entry in stack), place)
             continue
         path = tuple(str(entry[1]) for entry in stack)
--- a/service_proxy/sidecar/rule_model.py
+++ b/service_proxy/sidecar/rule_model.py
@@ -54,7 +54,8 @@
 
 def is_same_group(group: str, server: str, other_server: str) -> bool:
     """Tell whether two endpoints drop one another's repetitions of a key."""
-    (zone, cell), (other_zone, other_cell) = SERVERS[server], SERVERS[other_server]
+    zone, cell = SERVERS[server]
+    other_zone, other_cell = SERVERS[other_server]
     if group == "all":
         return True
     return zone == other_zone and (group == "zone" or cell == other_cell)
--- a/tests/ephemeral_nodes/test_source_availability.py
+++ b/tests/ephemeral_nodes/test_source_availability.py
@@ -181,7 +181,9 @@
     run(test)
 
 
-def test_failures_of_discovery_reach_the_policy_and_remove_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failures_of_discovery_reach_the_policy_and_remove_no_endpoint(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(source, "DISCOVERY_TIMEOUT_S", 0.3)
 
     async def test() -> None:
--- a/tests/ephemeral_nodes/test_source_losses.py
+++ b/tests/ephemeral_nodes/test_source_losses.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("watch", MODES)
-def test_the_service_empty_after_a_restore_removes_nobody(watch: str) -> None:
+def test_an_empty_service_after_a_restore_removes_no_endpoint(watch: str) -> None:
     async def test() -> None:
         async with watching_source(watch) as (service, proxy):
             service.run_step({"do": "empty"})
@@ -103,7 +103,7 @@
     run(test)
 
 
-def test_all_sessions_expire_in_one_burst_and_nobody_is_removed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_all_sessions_expiring_in_one_burst_remove_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     """One by one in the service's order: they are collected and decided on together."""
     monkeypatch.setattr(source, "LOSS_BATCH_S", 1.0)
 
--- a/tests/sidecar/test_inbound_health.py
+++ b/tests/sidecar/test_inbound_health.py
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("another_stays", [False, True])
-def test_a_restart_between_two_probes_is_seen_by_all_its_connections_breaking(another_stays: bool) -> None:
+def test_a_restart_between_two_probes_is_detected_by_all_connections_breaking(another_stays: bool) -> None:
     """The listener is there all the time, as with a supervisor that starts the next process at once.
 
     Where `another_stays`, a connection of another request stays open: it was one connection's end.
