--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -1,4 +1,4 @@
-"""The opening handshake, both sides, without a socket."""
+"""The opening handshake as server and as client, without a socket."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 
 KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # RFC 6455, 1.3
-GOOD = (
+VALID_HEADERS = (
     (b"host", b"x"),
     (b"upgrade", b"websocket"),
     (b"connection", b"Upgrade"),
@@ -27,19 +27,19 @@
 )
 
 
-def changed(**fields: bytes | None) -> list[tuple[bytes, bytes]]:
-    """GOOD with these in place of its own; None: without."""
+def headers_with(**fields: bytes | None) -> list[tuple[bytes, bytes]]:
+    """Return VALID_HEADERS with these fields replaced; None removes one."""
     names = {name.replace("_", "-").encode(): value for name, value in fields.items()}
-    kept = [pair for pair in GOOD if pair[0] not in names]
-    return kept + [(name, value) for name, value in names.items() if value is not None]
+    unchanged = [pair for pair in VALID_HEADERS if pair[0] not in names]
+    return unchanged + [(name, value) for name, value in names.items() if value is not None]
 
 
 def test_the_accept_key_is_that_of_the_rfc() -> None:
     assert accept_key(KEY) == b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo="
 
 
-def test_a_good_request_is_read() -> None:
-    headers = changed(
+def test_a_valid_opening_request_is_parsed() -> None:
+    headers = headers_with(
         connection=b"keep-alive, UPGRADE",
         upgrade=b"WebSocket",
         origin=b"https://k",
@@ -69,63 +69,65 @@
         ({"sec_websocket_protocol": b",".join(b"p%d" % n for n in range(17))}, 400),
     ],
 )
-def test_what_the_rfc_has_refused_is_refused(fields: dict[str, bytes | None], code: int) -> None:
-    with pytest.raises(HandshakeRejectedError) as no:
-        parse_opening(b"GET", "1.1", changed(**fields), False)
-    assert no.value.status_code == code
+def test_an_opening_request_that_the_rfc_forbids_is_rejected(
+    fields: dict[str, bytes | None], code: int
+) -> None:
+    with pytest.raises(HandshakeRejectedError) as rejected:
+        parse_opening(b"GET", "1.1", headers_with(**fields), False)
+    assert rejected.value.status_code == code
     if code == 426:
-        assert no.value.headers == ((b"sec-websocket-version", b"13"),)
+        assert rejected.value.headers == ((b"sec-websocket-version", b"13"),)
 
 
-def test_doubled_fields_a_body_other_methods_and_versions_are_refused() -> None:
+def test_repeated_fields_a_body_other_methods_and_versions_are_rejected() -> None:
     for headers in (
-        [*GOOD, (b"sec-websocket-key", KEY)],
-        [*GOOD, (b"sec-websocket-version", b"13")],
-        [*GOOD, (b"upgrade", b"websocket")],
-        [*GOOD, (b"origin", b"a"), (b"origin", b"b")],
+        [*VALID_HEADERS, (b"sec-websocket-key", KEY)],
+        [*VALID_HEADERS, (b"sec-websocket-version", b"13")],
+        [*VALID_HEADERS, (b"upgrade", b"websocket")],
+        [*VALID_HEADERS, (b"origin", b"a"), (b"origin", b"b")],
     ):
         with pytest.raises(HandshakeRejectedError):
             parse_opening(b"GET", "1.1", headers, False)
     for method, version, body in ((b"POST", "1.1", False), (b"GET", "1.0", False), (b"GET", "1.1", True)):
         with pytest.raises(HandshakeRejectedError):
-            parse_opening(method, version, GOOD, body)
+            parse_opening(method, version, VALID_HEADERS, body)
 
 
-def test_origins_bind_browsers_alone() -> None:
-    opening = parse_opening(b"GET", "1.1", changed(origin=b"https://Kiosk.example"), False)
+def test_the_origin_is_checked_where_a_browser_sends_one() -> None:
+    opening = parse_opening(b"GET", "1.1", headers_with(origin=b"https://Kiosk.example"), False)
     check_origin(opening, ["https://kiosk.example"])
     check_origin(opening, [])
-    with pytest.raises(HandshakeRejectedError) as no:
+    with pytest.raises(HandshakeRejectedError) as rejected:
         check_origin(opening, ["https://other.example"])
-    assert no.value.status_code == 403
-    check_origin(parse_opening(b"GET", "1.1", GOOD, False), ["https://other.example"])
+    assert rejected.value.status_code == 403
+    check_origin(parse_opening(b"GET", "1.1", VALID_HEADERS, False), ["https://other.example"])
 
 
-def test_a_subprotocol_is_the_clients_first_that_is_served() -> None:
-    opening = parse_opening(b"GET", "1.1", changed(sec_websocket_protocol=b"a, b, c"), False)
+def test_the_subprotocol_is_the_clients_first_that_is_configured() -> None:
+    opening = parse_opening(b"GET", "1.1", headers_with(sec_websocket_protocol=b"a, b, c"), False)
     assert choose_subprotocol(opening, ["c", "b"]) == b"b" and choose_subprotocol(opening, ["z"]) == b""
     assert b"\r\nsec-websocket-protocol: b\r\n" in encode_response(opening, b"b")
-    assert b"protocol" not in encode_response(opening, b"") and b"extensions" not in encode_response(
-        opening, b""
-    )
+    assert b"protocol" not in encode_response(opening, b"")
+    assert b"extensions" not in encode_response(opening, b"")
 
 
-def proof(asking: ClientHandshake, **fields: bytes) -> list[tuple[bytes, bytes]]:
-    found = {
+def response_headers(handshake: ClientHandshake, **fields: bytes) -> list[tuple[bytes, bytes]]:
+    headers = {
         b"upgrade": b"websocket",
         b"connection": b"upgrade",
-        b"sec-websocket-accept": accept_key(asking.key),
+        b"sec-websocket-accept": accept_key(handshake.key),
     }
-    return list((found | {name.replace("_", "-").encode(): value for name, value in fields.items()}).items())
+    headers |= {name.replace("_", "-").encode(): value for name, value in fields.items()}
+    return list(headers.items())
 
 
-def test_a_nodes_101_must_prove_that_it_read_the_key() -> None:
-    asking = ClientHandshake((b"a",))
-    lines = asking.request_headers(b"n" * 16)
+def test_an_endpoints_101_must_prove_that_it_read_the_key() -> None:
+    handshake = ClientHandshake((b"a",))
+    lines = handshake.request_headers(b"n" * 16)
     assert b"sec-websocket-key: " + base64.b64encode(b"n" * 16) + b"\r\n" in lines
     assert b"sec-websocket-protocol: a\r\n" in lines and b"extensions" not in lines
-    assert asking.verify_response(proof(asking)) is None
-    assert asking.verify_response(proof(asking, sec_websocket_protocol=b"a")) is None
+    assert handshake.verify_response(response_headers(handshake)) is None
+    assert handshake.verify_response(response_headers(handshake, sec_websocket_protocol=b"a")) is None
     for wrong in (
         {"sec_websocket_accept": accept_key(KEY)},
         {"upgrade": b"h2c"},
@@ -134,7 +136,7 @@
         {"sec_websocket_protocol": b"b"},
         {"sec_websocket_protocol": b"a, a"},
     ):
-        assert asking.verify_response(proof(asking, **wrong)), wrong
-    before = proof(asking)
-    asking.request_headers(b"m" * 16)  # the next attempt has its own key
-    assert asking.verify_response(before)
+        assert handshake.verify_response(response_headers(handshake, **wrong)), wrong
+    previous = response_headers(handshake)
+    handshake.request_headers(b"m" * 16)  # the next attempt has its own key
+    assert handshake.verify_response(previous)
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -1,4 +1,4 @@
-"""Message mode through the program itself: each message taken has exactly one outcome, whatever fails."""
+"""Message mode through a running proxy: each accepted message has exactly one outcome, whatever fails."""
 
 from __future__ import annotations
 
@@ -10,45 +10,60 @@
 from typing import Any
 
 import pytest
-from wskit import CONFIG, PATIENCE, Made, Raw, run, running
+from websocket_test_harness import (
+    CONFIG,
+    UNLIMITED_RATE,
+    WAIT_TIMEOUT_S,
+    RawClient,
+    WebSocketDeployment,
+    results_of,
+    run_test,
+    running_websocket_proxy,
+)
 
 from harness.clients import DEFAULT_CLASSES
 from harness.event_loop import until
 from harness.websocket_clients import WebSocketClientPool
 
 STOCK, RESERVA, CANJE = DEFAULT_CLASSES
-FREE = CONFIG + "messages_per_s = 10000.0\nburst = 10000.0\nopen_messages = 1000\n"
+UNLIMITED = UNLIMITED_RATE + "open_messages = 1000\n"
+
+
+async def open_session(
+    deployment: WebSocketDeployment, query: str = "", headers: str = ""
+) -> tuple[RawClient, Any]:
+    client = await deployment.connect("/pantalla" + query, headers)
+    return client, await client.read_json()
 
 
-async def talk(made: Made, more: str = "", headers: str = "") -> tuple[Raw, Any]:
-    raw = await made.opened("/pantalla" + more, headers)
-    return raw, await raw.said()
+def resume_query(greeting: Any, seen: int) -> str:
+    return f"?session={greeting['session']}&seen={seen}"
 
 
-def say(raw: Raw, id: str, cls: str = "stock", **more: Any) -> None:
-    raw.send(json.dumps({"id": id, "class": cls, **more}))
+def send_request(client: RawClient, id: str, cls: str = "stock", **fields: Any) -> None:
+    client.send(json.dumps({"id": id, "class": cls, **fields}))
 
 
-def attempts(made: Made, call: str) -> list[tuple[str, bool]]:
-    return [(a.endpoint, a.executed) for a in made.ledger.attempts if a.request_id == call]
+def attempts(deployment: WebSocketDeployment, message_id: str) -> list[tuple[str, bool]]:
+    return [(a.endpoint, a.executed) for a in deployment.recorder.attempts if a.request_id == message_id]
 
 
-def test_each_class_is_a_call_as_the_protocol_has_it() -> None:
+def test_a_message_of_each_class_becomes_a_request() -> None:
     async def test() -> None:
-        async with running() as made:
-            raw, hello = await talk(made, headers="X-Caller: acme\r\n")
-            assert hello["resumed"] is False and hello["open"] == [] and hello["resume_ms"] == 10_000
-            say(raw, "a", "stock", path="/estacion/7?x=1", subject="s1", budget_ms=900)
-            say(raw, "b", "reserva", key="k1", body="ñ")
-            say(raw, "c", "canje", body="x", again=True)
-            found = {(one := await raw.said())["id"]: one for _ in range(3)}
-            assert {id: one["outcome"] for id, one in found.items()} == dict.fromkeys("abc", "served")
-            assert sorted(one["n"] for one in found.values()) == [1, 2, 3]
-            assert found["b"]["body"] == "done b"
-            assert Counter(a.request_id for a in made.ledger.attempts) == {"a": 1, "b": 1, "c": 1}
-            assert [a.key for a in made.ledger.attempts if a.request_id == "b"] == ["k1"]
-
-    run(test())
+        async with running_websocket_proxy() as deployment:
+            client, opened = await open_session(deployment, headers="X-Caller: acme\r\n")
+            assert opened["resumed"] is False and opened["open"] == [] and opened["resume_ms"] == 10_000
+            send_request(client, "a", "stock", path="/estacion/7?x=1", subject="s1", budget_ms=900)
+            send_request(client, "b", "reserva", key="k1", body="ñ")
+            send_request(client, "c", "canje", body="x", again=True)
+            outcomes = await client.read_outcomes(3)
+            assert results_of(outcomes) == dict.fromkeys("abc", "served")
+            assert sorted(outcome["n"] for outcome in outcomes.values()) == [1, 2, 3]
+            assert outcomes["b"]["body"] == "done b"
+            assert Counter(a.request_id for a in deployment.recorder.attempts) == {"a": 1, "b": 1, "c": 1}
+            assert [a.key for a in deployment.recorder.attempts if a.request_id == "b"] == ["k1"]
+
+    run_test(test())
 
 
 @pytest.mark.parametrize(
@@ -60,313 +75,323 @@
         ({"cls": "stock", "body": "x"}, 400),
     ],
 )
-def test_a_message_that_no_call_can_be_made_of_fails_at_once(fields: dict[str, Any], code: int) -> None:
+def test_a_message_that_cannot_become_a_request_fails_at_once(fields: dict[str, Any], code: int) -> None:
     async def test() -> None:
-        async with running() as made:
-            raw, _ = await talk(made)
-            say(raw, "a", **fields)
-            said = await raw.said()
-            assert (said["id"], said["outcome"], said["code"]) == ("a", "failed", code)
-            assert not made.ledger.attempts
+        async with running_websocket_proxy() as deployment:
+            client, _ = await open_session(deployment)
+            send_request(client, "a", **fields)
+            reply = await client.read_json()
+            assert (reply["id"], reply["outcome"], reply["code"]) == ("a", "failed", code)
+            assert not deployment.recorder.attempts
 
-    run(test())
+    run_test(test())
 
 
-def test_malformed_messages_are_told_so_and_too_many_close() -> None:
+def test_malformed_messages_are_answered_with_an_error_and_too_many_close_the_session() -> None:
     async def test() -> None:
-        async with running() as made:
-            raw, _ = await talk(made)
+        async with running_websocket_proxy() as deployment:
+            client, _ = await open_session(deployment)
             for _ in range(8):
-                raw.send('{"id":"a","class":"stock","nope":1}')
-                said = await raw.said()
-                assert said["id"] == "a" and "nope" in said["error"] and "n" not in said
-            assert (await raw.closed())[0] == 1008
-            other, _ = await talk(made)
+                client.send('{"id":"a","class":"stock","nope":1}')
+                reply = await client.read_json()
+                assert reply["id"] == "a" and "nope" in reply["error"] and "n" not in reply
+            assert (await client.read_close())[0] == 1008
+            other, _ = await open_session(deployment)
             other.send(b"\x00")
-            assert (await other.closed())[0] == 1003
+            assert (await other.read_close())[0] == 1003
 
-    run(test())
+    run_test(test())
 
 
 def test_a_repeat_of_an_id_is_the_same_message() -> None:
-    """While it is open, and after: one call, and the outcome under one number."""
+    """While it is open, and after: one request, and the outcome under one number."""
 
     async def test() -> None:
-        async with running(service=0.3) as made:
-            raw, _ = await talk(made)
+        async with running_websocket_proxy(service_time=0.3) as deployment:
+            client, _ = await open_session(deployment)
             for _ in range(3):
-                say(raw, "a", "canje")
-            first = await raw.said()
-            say(raw, "a", "canje")
-            assert await raw.said() == first and first["outcome"] == "served"
-            say(raw, "b")
-            assert (await raw.said())["id"] == "b"  # nothing else was told of a
-            assert len(attempts(made, "a")) == 1
+                send_request(client, "a", "canje")
+            first = await client.read_json()
+            send_request(client, "a", "canje")
+            assert await client.read_json() == first and first["outcome"] == "served"
+            send_request(client, "b")
+            assert (await client.read_json())["id"] == "b"  # no second outcome of a
+            assert len(attempts(deployment, "a")) == 1
 
-    run(test())
+    run_test(test())
 
 
-def test_too_fast_and_too_many_are_refused_at_once_with_a_wait() -> None:
+def test_messages_over_the_rate_or_the_open_limit_are_refused_at_once_with_a_retry_time() -> None:
     async def test() -> None:
         config = CONFIG + "messages_per_s = 0.5\nburst = 4.0\nopen_messages = 2\n"
-        async with running(config=config, service=0.5) as made:
-            raw, _ = await talk(made)
+        async with running_websocket_proxy(config=config, service_time=0.5) as deployment:
+            client, _ = await open_session(deployment)
             for n in range(6):
-                say(raw, f"m{n}", "reserva", key=f"k{n}")
-            found = {(one := await raw.said())["id"]: one for _ in range(6)}
-            assert [found[f"m{n}"]["outcome"] for n in range(6)] == ["served"] * 2 + ["refused"] * 4
-            assert found["m2"]["retry_ms"] == 1000 and 0 < found["m5"]["retry_ms"] <= 2000
-            assert {a.request_id for a in made.ledger.attempts} == {"m0", "m1"}
+                send_request(client, f"m{n}", "reserva", key=f"k{n}")
+            outcomes = await client.read_outcomes(6)
+            assert [outcomes[f"m{n}"]["outcome"] for n in range(6)] == ["served"] * 2 + ["refused"] * 4
+            assert outcomes["m2"]["retry_ms"] == 1000 and 0 < outcomes["m5"]["retry_ms"] <= 2000
+            assert {a.request_id for a in deployment.recorder.attempts} == {"m0", "m1"}
 
-    run(test())
+    run_test(test())
 
 
-def test_a_node_that_drains_is_unseen() -> None:
+def test_clients_of_message_mode_do_not_see_an_endpoint_drain() -> None:
     async def test() -> None:
-        async with running(nodes=2, config=FREE, service=0.02) as made:
+        async with running_websocket_proxy(
+            endpoint_count=2, config=UNLIMITED, service_time=0.02
+        ) as deployment:
             for n in range(20):
-                await made.kiosks.add(f"k{n}").connect()
-            await until(lambda: made.kiosks.connected_count == 20, "all are up")
-            sending = asyncio.create_task(keep_sending(made.kiosks, 2.5))
+                await deployment.client_pool.add(f"k{n}").connect()
+            await until(lambda: deployment.client_pool.connected_count == 20, "all are connected")
+            sending = asyncio.create_task(keep_sending(deployment.client_pool, 2.5))
             await asyncio.sleep(0.3)
-            at = await made.told(made.nodes[0], "Terminating")
+            notified_at = await deployment.notify_status(deployment.endpoints[0], "Terminating")
             await sending
-            await until(lambda: not made.kiosks.open_message_count, "the last outcomes")
-            assert made.kiosks.outcomes["served"] > 100 and not made.kiosks.close_codes
-            assert set(made.kiosks.outcomes) <= {"served", "refused"}
-            assert max(a.first_byte_at for a in made.ledger.attempts if a.endpoint == "n-0") < at + 2.0
-            assert made.audited() == []
-
-    run(test())
-
-
-async def keep_sending(kiosks: WebSocketClientPool, seconds: float) -> None:
-    """The usual mix, one message after another over all kiosks."""
-    due = time.monotonic() + seconds
-    while time.monotonic() < due:
-        for kiosk in kiosks.clients:
-            kiosk.send(kiosks.random.choice(DEFAULT_CLASSES))
+            await until(lambda: not deployment.client_pool.open_message_count, "the last outcomes")
+            assert deployment.client_pool.outcomes["served"] > 100 and not deployment.client_pool.close_codes
+            assert set(deployment.client_pool.outcomes) <= {"served", "refused"}
+            drained = [a for a in deployment.recorder.attempts if a.endpoint == "n-0"]
+            assert max(attempt.first_byte_at for attempt in drained) < notified_at + 2.0
+            assert deployment.violations() == []
+
+    run_test(test())
+
+
+async def keep_sending(client_pool: WebSocketClientPool, seconds: float) -> None:
+    """Send the usual mix of classes, one message after another over all clients."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
+        for client in client_pool.clients:
+            client.send(client_pool.random.choice(DEFAULT_CLASSES))
         await asyncio.sleep(0.1)
 
 
-def test_an_unsafe_message_whose_node_dies_fails_once() -> None:
+def test_an_unsafe_message_whose_endpoint_dies_fails_once() -> None:
     async def test() -> None:
-        async with running(nodes=2, config=FREE, service=5.0) as made:
-            raw, _ = await talk(made)
-            say(raw, "a", "canje")
-            await until(lambda: attempts(made, "a"), "it runs")
-            server = attempts(made, "a")[0][0]
-            next(node for node in made.nodes if node.name == server).stop()
-            said = await raw.said()
-            assert said["outcome"] == "failed" and len(attempts(made, "a")) == 1
+        async with running_websocket_proxy(
+            endpoint_count=2, config=UNLIMITED, service_time=5.0
+        ) as deployment:
+            client, _ = await open_session(deployment)
+            send_request(client, "a", "canje")
+            await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
+            name = attempts(deployment, "a")[0][0]
+            deployment.endpoint_named(name).stop()
+            reply = await client.read_json()
+            assert reply["outcome"] == "failed" and len(attempts(deployment, "a")) == 1
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(1.0):
-                    await raw.said()
-            assert len(attempts(made, "a")) == 1
+                    await client.read_json()
+            assert len(attempts(deployment, "a")) == 1
 
-    run(test())
+    run_test(test())
 
 
-def test_a_keyed_message_whose_node_dies_goes_again_within_its_group() -> None:
+def test_a_keyed_message_whose_endpoint_dies_is_retried_in_its_zone_alone() -> None:
     async def test() -> None:
-        async with running(nodes=3, config=FREE, service=0.6) as made:
+        async with running_websocket_proxy(
+            endpoint_count=3, config=UNLIMITED, service_time=0.6
+        ) as deployment:
             zones = {"n-0": "a", "n-1": "a", "n-2": "b"}
-            for node in made.nodes:
-                node.zone = zones[node.name]
-                made.registry.put(made.entry(node, zone=zones[node.name]))
-            raw, _ = await talk(made)
+            for endpoint in deployment.endpoints:
+                endpoint.zone = zones[endpoint.name]
+                deployment.registry.put(deployment.entry(endpoint, zone=zones[endpoint.name]))
+            client, _ = await open_session(deployment)
             await until(
-                lambda: len([t for t in made.ledger.notifications if t.state == "ready"]) >= 3,
-                "zones are told",
+                lambda: sum(n.state == "ready" for n in deployment.recorder.notifications) >= 3,
+                "the proxy is notified of the zones",
             )
             await asyncio.sleep(0.1)
-            say(raw, "a", "reserva", key="k")
-            await until(lambda: attempts(made, "a"), "it runs")
-            first = attempts(made, "a")[0][0]
-            next(node for node in made.nodes if node.name == first).stop()
-            said = await raw.said()
-            where = [server for server, _ in attempts(made, "a")]
+            send_request(client, "a", "reserva", key="k")
+            await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
+            first = attempts(deployment, "a")[0][0]
+            deployment.endpoint_named(first).stop()
+            reply = await client.read_json()
+            attempted = [name for name, _ in attempts(deployment, "a")]
             if zones[first] == "a":
-                assert said["outcome"] == "served" and where in (["n-0", "n-1"], ["n-1", "n-0"])
+                assert reply["outcome"] == "served" and attempted in (["n-0", "n-1"], ["n-1", "n-0"])
             else:
-                assert said["outcome"] == "failed" and where == ["n-2"]
-            assert made.audited() == []
+                assert reply["outcome"] == "failed" and attempted == ["n-2"]
+            assert deployment.violations() == []
 
-    run(test())
+    run_test(test())
 
 
-def test_an_outcome_is_owed_to_the_session_and_told_on_its_next_connection() -> None:
-    """The first connection ends without a word while the message is worked on."""
+def test_an_outcome_pending_at_a_disconnect_is_sent_on_the_sessions_next_connection() -> None:
+    """The first connection is reset while the endpoint works on the message."""
 
     async def test() -> None:
-        async with running(config=FREE, service=0.4) as made:
-            raw, hello = await talk(made)
-            say(raw, "a", "canje")
-            await until(lambda: attempts(made, "a"), "it runs")
-            raw.writer.transport.abort()
-            again, back = await talk(made, f"?session={hello['session']}&seen=0")
-            assert back["resumed"] is True and back["open"] == ["a"] and back["session"] == hello["session"]
-            said = await again.said()
-            assert (said["n"], said["id"], said["outcome"]) == (1, "a", "served")
-            assert len(attempts(made, "a")) == 1
-
-    run(test())
-
-
-def test_an_outcome_that_came_while_nobody_was_there_is_told_once_to_who_has_not_seen_it() -> None:
+        async with running_websocket_proxy(config=UNLIMITED, service_time=0.4) as deployment:
+            client, opened = await open_session(deployment)
+            send_request(client, "a", "canje")
+            await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
+            client.abort()
+            resumed, greeting = await open_session(deployment, resume_query(opened, 0))
+            assert greeting["resumed"] is True
+            assert greeting["open"] == ["a"] and greeting["session"] == opened["session"]
+            reply = await resumed.read_json()
+            assert (reply["n"], reply["id"], reply["outcome"]) == (1, "a", "served")
+            assert len(attempts(deployment, "a")) == 1
+
+    run_test(test())
+
+
+def test_an_outcome_stored_while_disconnected_is_sent_until_it_is_acknowledged() -> None:
     async def test() -> None:
-        async with running(config=FREE, service=0.1) as made:
-            raw, hello = await talk(made)
-            say(raw, "a", "canje")
-            say(raw, "b", "canje")
-            await until(lambda: attempts(made, "b"), "both run")
-            raw.writer.transport.abort()
-            await until(lambda: all(a.ended_at < 1e9 for a in made.ledger.attempts), "both are over")
+        async with running_websocket_proxy(config=UNLIMITED, service_time=0.1) as deployment:
+            client, opened = await open_session(deployment)
+            send_request(client, "a", "canje")
+            send_request(client, "b", "canje")
+            await until(lambda: attempts(deployment, "b"), "the endpoint has both requests")
+            client.abort()
+            await until(
+                lambda: all(a.ended_at < 1e9 for a in deployment.recorder.attempts), "both have ended"
+            )
             await asyncio.sleep(0.1)
-            one, back = await talk(made, f"?session={hello['session']}&seen=0")
-            assert back["open"] == [] and back["lost"] == 0
-            assert [(await one.said())["n"] for _ in range(2)] == [1, 2]
-            one.writer.transport.abort()
-            two, back = await talk(made, f"?session={hello['session']}&seen=1")
-            assert (await two.said())["n"] == 2
-            three, back = await talk(made, f"?session={hello['session']}&seen=2")
-            assert (await two.closed())[0] == 1008  # its session is on another connection
-            say(three, "c")
-            assert (await three.said())["id"] == "c"  # nothing was told again
+            one, greeting = await open_session(deployment, resume_query(opened, 0))
+            assert greeting["open"] == [] and greeting["lost"] == 0
+            assert [(await one.read_json())["n"] for _ in range(2)] == [1, 2]
+            one.abort()
+            two, greeting = await open_session(deployment, resume_query(opened, 1))
+            assert (await two.read_json())["n"] == 2
+            three, greeting = await open_session(deployment, resume_query(opened, 2))
+            assert (await two.read_close())[0] == 1008  # its session is on another connection
+            send_request(three, "c")
+            assert (await three.read_json())["id"] == "c"  # no outcome was sent again
 
-    run(test())
+    run_test(test())
 
 
-def test_a_session_that_nobody_comes_back_to_is_over_and_says_so() -> None:
+def test_a_session_that_is_not_resumed_in_time_expires() -> None:
     async def test() -> None:
-        config = FREE + "resume_within = 0.3\n"
-        async with running(config=config, service=1.0) as made:
-            raw, hello = await talk(made)
-            say(raw, "a", "canje")
-            await until(lambda: attempts(made, "a"), "it runs")
-            raw.writer.transport.abort()
-            await asyncio.sleep(0.9)  # 0.3 s, and 0.25 s between looks
-            again, back = await talk(made, f"?session={hello['session']}&seen=0")
-            assert back["resumed"] is False and back["session"] != hello["session"] and back["open"] == []
+        config = UNLIMITED + "resume_within = 0.3\n"
+        async with running_websocket_proxy(config=config, service_time=1.0) as deployment:
+            client, opened = await open_session(deployment)
+            send_request(client, "a", "canje")
+            await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
+            client.abort()
+            await asyncio.sleep(0.9)  # 0.3 s, and 0.25 s between checks
+            resumed, greeting = await open_session(deployment, resume_query(opened, 0))
+            assert greeting["resumed"] is False
+            assert greeting["session"] != opened["session"] and greeting["open"] == []
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(1.0):
-                    await again.said()
-            assert len(attempts(made, "a")) == 1
+                    await resumed.read_json()
+            assert len(attempts(deployment, "a")) == 1
 
-    run(test())
+    run_test(test())
 
 
-def test_a_goodbye_ends_a_session_and_what_is_open_in_it() -> None:
+def test_a_normal_close_ends_the_session_and_its_open_messages() -> None:
     async def test() -> None:
-        async with running(config=FREE, service=0.5) as made:
-            raw, hello = await talk(made)
-            say(raw, "a", "canje")
-            await until(lambda: attempts(made, "a"), "it runs")
-            raw.raw(bytes(raw.frames.close(1000, "")))
-            assert await raw.closed() == (1000, "")
-            _, back = await talk(made, f"?session={hello['session']}&seen=0")
-            assert back["resumed"] is False
-            assert len(attempts(made, "a")) == 1
+        async with running_websocket_proxy(config=UNLIMITED, service_time=0.5) as deployment:
+            client, opened = await open_session(deployment)
+            send_request(client, "a", "canje")
+            await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
+            client.send_close(1000)
+            assert await client.read_close() == (1000, "")
+            _, greeting = await open_session(deployment, resume_query(opened, 0))
+            assert greeting["resumed"] is False
+            assert len(attempts(deployment, "a")) == 1
 
-    run(test())
+    run_test(test())
 
 
-def test_another_tenant_can_not_take_a_session_over() -> None:
+def test_another_tenant_can_not_resume_a_session() -> None:
     async def test() -> None:
-        async with running() as made:
-            raw, hello = await talk(made, headers="X-Caller: acme\r\n")
-            _, back = await talk(made, f"?session={hello['session']}&seen=0", "X-Caller: other\r\n")
-            assert back["resumed"] is False
-            say(raw, "a")
-            assert (await raw.said())["outcome"] == "served"
+        async with running_websocket_proxy() as deployment:
+            client, opened = await open_session(deployment, headers="X-Caller: acme\r\n")
+            _, greeting = await open_session(deployment, resume_query(opened, 0), "X-Caller: other\r\n")
+            assert greeting["resumed"] is False
+            send_request(client, "a")
+            assert (await client.read_json())["outcome"] == "served"
 
-    run(test())
+    run_test(test())
 
 
-def test_who_reads_no_outcomes_holds_up_nobody() -> None:
+def test_a_client_that_reads_no_outcomes_delays_no_other() -> None:
     async def test() -> None:
-        async with running(config=FREE, nodes=2) as made:
-            slow, _ = await talk(made)
-            quick, _ = await talk(made)
-            slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            before = made.program.resident_mb()
+        async with running_websocket_proxy(config=UNLIMITED, endpoint_count=2) as deployment:
+            slow, _ = await open_session(deployment)
+            quick, _ = await open_session(deployment)
+            slow.pause_reading()
+            resident_before = deployment.proxy.resident_mb()
 
             async def flood() -> None:
                 for n in range(20_000):
-                    say(slow, f"{n}", "nada")  # fails at once
+                    send_request(slow, f"{n}", "nada")  # fails at once
                     if n % 50 == 0:
                         await slow.writer.drain()
                         await asyncio.sleep(0)
 
             flooding = asyncio.create_task(flood())
             for n in range(50):
-                say(quick, f"q{n}")
-                assert (await quick.said())["outcome"] == "served"
-            assert made.program.resident_mb() - before < 12.0  # MB
+                send_request(quick, f"q{n}")
+                assert (await quick.read_json())["outcome"] == "served"
+            assert deployment.proxy.resident_mb() - resident_before < 12.0  # MB
             await flooding
 
-    run(test())
+    run_test(test())
 
 
-def test_at_sigterm_what_was_taken_is_told_before_the_close() -> None:
+def test_at_sigterm_outcomes_of_accepted_messages_are_sent_before_the_close() -> None:
     async def test() -> None:
-        async with running(config=FREE, service=0.5) as made:
-            raw, _ = await talk(made)
-            idle, _ = await talk(made)
-            say(raw, "a", "canje")
-            await until(lambda: attempts(made, "a"), "it runs")
-            made.program.process.terminate()
-            code, reason = await idle.closed()
+        async with running_websocket_proxy(config=UNLIMITED, service_time=0.5) as deployment:
+            client, _ = await open_session(deployment)
+            idle, _ = await open_session(deployment)
+            send_request(client, "a", "canje")
+            await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
+            deployment.proxy.process.terminate()
+            code, reason = await idle.read_close()
             assert code == 1001 and re.fullmatch(r"reconnect in \d+\.\d\d s", reason)
-            say(raw, "b", "canje")
-            found = {(one := await raw.said())["id"]: one["outcome"] for _ in range(2)}
-            assert found == {"a": "served", "b": "refused"}
-            assert (await raw.closed())[0] == 1001
-            assert not attempts(made, "b")
-            async with asyncio.timeout(PATIENCE):
-                assert await made.program.process.wait() == 0
+            send_request(client, "b", "canje")
+            assert await client.read_results(2) == {"a": "served", "b": "refused"}
+            assert (await client.read_close())[0] == 1001
+            assert not attempts(deployment, "b")
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
+                assert await deployment.proxy.process.wait() == 0
 
-    run(test())
+    run_test(test())
 
 
-def test_sigterm_with_2000_sessions_ends_all_of_them_with_spread_returns() -> None:
+def test_sigterm_closes_2000_sessions_with_spread_reconnect_delays() -> None:
     async def test() -> None:
         config = CONFIG.replace("sessions = 64", "sessions = 2100")
         limits = {"cores": 1.0, "memory_mb": 512, "sockets": 6000}
-        async with running(config=config, more={"limits": limits}) as made:
+        async with running_websocket_proxy(config=config, overrides={"limits": limits}) as deployment:
+            pool = deployment.client_pool
             for first in range(0, 2000, 100):
-                await asyncio.gather(
-                    *(made.kiosks.add(f"k{n}", reconnects=False).connect() for n in range(first, first + 100))
-                )
-                await until(lambda: made.kiosks.connected_count == len(made.kiosks.clients), "they are up")
-            made.program.process.terminate()
-            async with asyncio.timeout(PATIENCE):
-                assert await made.program.process.wait() == 0
-            await until(lambda: not made.kiosks.connected_count, "all are closed")
-            assert made.kiosks.close_codes == {1001: 2000}
-            waits = sorted(kiosk.reconnect_wait or 0.0 for kiosk in made.kiosks.clients)
-            most = max(sum(1 for w in waits[n : n + 200] if w < waits[n] + 0.1) for n in range(0, 2000, 10))
-            assert most <= 2000 * 0.1 / 5.0 * 1.1 + 3
-
-    run(test())
-
-
-def test_new_limits_are_taken_with_sighup_and_a_bad_file_changes_nothing() -> None:
+                clients = [pool.add(f"k{n}", reconnects=False) for n in range(first, first + 100)]
+                await asyncio.gather(*(client.connect() for client in clients))
+                await until(lambda: pool.connected_count == len(pool.clients), "they are connected")
+            deployment.proxy.process.terminate()
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
+                assert await deployment.proxy.process.wait() == 0
+            await until(lambda: not pool.connected_count, "all are closed")
+            assert pool.close_codes == {1001: 2000}
+            delays = sorted(client.reconnect_wait or 0.0 for client in pool.clients)
+            windows = (delays[n : n + 200] for n in range(0, 2000, 10))
+            busiest = max(sum(1 for delay in window if delay < window[0] + 0.1) for window in windows)
+            assert busiest <= 2000 * 0.1 / 5.0 * 1.1 + 3
+
+    run_test(test())
+
+
+def test_sighup_applies_new_limits_and_an_invalid_file_changes_nothing() -> None:
     async def test() -> None:
-        async with running(config=CONFIG) as made:
-            raw, _ = await talk(made)
-            await made.reread(CONFIG + "messages_per_s = 0.01\nburst = 1.0\n")
-            say(raw, "a")
-            say(raw, "b")
-            found = {(one := await raw.said())["id"]: one["outcome"] for _ in range(2)}
-            assert found == {"a": "served", "b": "refused"}
-            await made.reread(CONFIG.replace("sessions = 64", "sessions = 65"))
+        async with running_websocket_proxy(config=CONFIG) as deployment:
+            client, _ = await open_session(deployment)
+            await deployment.reload(CONFIG + "messages_per_s = 0.01\nburst = 1.0\n")
+            send_request(client, "a")
+            send_request(client, "b")
+            assert await client.read_results(2) == {"a": "served", "b": "refused"}
+            await deployment.reload(CONFIG.replace("sessions = 64", "sessions = 65"))
             assert (
-                "S109" in made.program.log_file.read_text()
-                and "sessions" in made.program.log_file.read_text()
+                "S109" in deployment.proxy.log_file.read_text()
+                and "sessions" in deployment.proxy.log_file.read_text()
             )
-            await made.reread(CONFIG + "ping_every = -1.0\n")
-            say(raw, "c")
-            assert (await raw.said())["outcome"] == "refused"  # the limits are those of before
+            await deployment.reload(CONFIG + "ping_every = -1.0\n")
+            send_request(client, "c")
+            assert (await client.read_json())["outcome"] == "refused"  # the limits are those of before
 
-    run(test())
+    run_test(test())
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -1,4 +1,4 @@
-"""Tunnels through the program itself: both ways, closes, drains, silence, limits; audited by the ledger."""
+"""Tunnels through a running proxy: directions, closes, drains, silence and limits; audited."""
 
 from __future__ import annotations
 
@@ -8,80 +8,88 @@
 import time
 
 import pytest
-from wskit import CONFIG, PATIENCE, Made, Raw, run, running
+from websocket_test_harness import (
+    CONFIG,
+    UNLIMITED_RATE,
+    WAIT_TIMEOUT_S,
+    RawClient,
+    WebSocketDeployment,
+    max_in_100_ms,
+    run_test,
+    running_websocket_proxy,
+)
 from wsproto.frame_protocol import Opcode
 
 from harness.event_loop import until
 from harness.websocket_endpoint import ScriptedFault
 from harness.websocket_frames import frame
 
-WAIT = re.compile(r"reconnect in \d+\.\d\d s")
-QUICK = CONFIG + "ping_every = 0.4\nping_timeout = 0.4\n"
-FREE = CONFIG + "messages_per_s = 10000.0\nburst = 10000.0\n"
+RECONNECT_REASON = re.compile(r"reconnect in \d+\.\d\d s")
+FAST_PINGS = CONFIG + "ping_every = 0.4\nping_timeout = 0.4\n"
 
 
-def test_messages_pass_both_ways_whole_in_pieces_and_long() -> None:
+def test_messages_pass_in_both_directions_unfragmented_fragmented_and_long() -> None:
     async def test() -> None:
-        async with running(config=FREE) as made:
-            raw = await made.opened()
+        async with running_websocket_proxy(config=UNLIMITED_RATE) as deployment:
+            client = await deployment.connect()
             for text in ("hola", "ñ" * 1000, "x" * 60_000):
-                raw.send(text)
-                assert await raw.text() == "n-0 " + text
-            raw.send("en ", False)
-            raw.raw(bytes(raw.frames.ping(b"p")))
-            raw.send("dos", True)
-            found = [await raw.frame(), await raw.frame()]
-            assert Opcode.PONG in [f.opcode for f in found]
-            assert made.nodes[0].messages[-1] == "en dos"
-            raw.raw(frame(2, b"\x00\xff", False) + frame(0, b"\x01"))
-            await until(lambda: made.nodes[0].messages[-1] == b"\x00\xff\x01", "a binary message")
-            assert made.audited() == []
-
-    run(test())
-
-
-def test_what_a_node_sends_right_behind_its_101_arrives() -> None:
+                client.send(text)
+                assert await client.read_text() == "n-0 " + text
+            client.send("en ", False)
+            client.send_bytes(bytes(client.frames.ping(b"p")))
+            client.send("dos", True)
+            frames = [await client.read_frame(), await client.read_frame()]
+            assert Opcode.PONG in [f.opcode for f in frames]
+            assert deployment.endpoints[0].messages[-1] == "en dos"
+            client.send_bytes(frame(2, b"\x00\xff", False) + frame(0, b"\x01"))
+            await until(lambda: deployment.endpoints[0].messages[-1] == b"\x00\xff\x01", "a binary message")
+            assert deployment.violations() == []
+
+    run_test(test())
+
+
+def test_frames_directly_behind_an_endpoints_101_arrive() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("behind"),)) as made:
-            raw = await made.opened()
-            assert await raw.text() == "behind"
+        async with running_websocket_proxy((ScriptedFault("behind"),)) as deployment:
+            client = await deployment.connect()
+            assert await client.read_text() == "behind"
 
-    run(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize("code", [1000, 1001, 3999, 4321])
-def test_a_close_goes_to_the_other_end_with_its_code(code: int) -> None:
+def test_a_close_frame_is_forwarded_with_its_code(code: int) -> None:
     async def test() -> None:
-        async with running((ScriptedFault("close", session=2, after=1),)) as made:
-            raw = await made.opened()
-            raw.raw(bytes(raw.frames.close(code, "adios")))
-            assert (await raw.closed())[0] == code and await raw.ended()
-            await until(lambda: made.nodes[0].close_codes[code] == 1, "the node's close")
-            other = await made.opened()
+        async with running_websocket_proxy((ScriptedFault("close", session=2, after=1),)) as deployment:
+            client = await deployment.connect()
+            client.send_close(code, "adios")
+            assert (await client.read_close())[0] == code and await client.is_closed()
+            await until(lambda: deployment.endpoints[0].close_codes[code] == 1, "the endpoint's close")
+            other = await deployment.connect()
             other.send("x")
-            assert await other.closed() == (4321, "scripted")
-            assert made.audited() == []
+            assert await other.read_close() == (4321, "scripted")
+            assert deployment.violations() == []
 
-    run(test())
+    run_test(test())
 
 
-def test_closes_that_cross_end_both_sides() -> None:
-    """The node closes at the message behind which the client's own close comes."""
+def test_close_frames_that_cross_end_both_sides() -> None:
+    """The endpoint closes at the message that the client's own close frame follows."""
 
     async def test() -> None:
-        async with running((ScriptedFault("close", after=1),)) as made:
+        async with running_websocket_proxy((ScriptedFault("close", after=1),)) as deployment:
             for _ in range(10):
-                raw = await made.opened()
-                raw.raw(bytes(raw.frames.send_data("x")) + bytes(raw.frames.close(1000, "")))
-                assert (await raw.closed())[0] in (1000, 4321)
-                assert await raw.ended()
-            await until(lambda: not made.nodes[0].open_sessions, "no session is left at the node")
+                client = await deployment.connect()
+                client.send_bytes(bytes(client.frames.send_data("x")) + bytes(client.frames.close(1000, "")))
+                assert (await client.read_close())[0] in (1000, 4321)
+                assert await client.is_closed()
+            await until(lambda: not deployment.endpoints[0].open_sessions, "no session at the endpoint")
 
-    run(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize(
-    ("what", "code"),
+    ("kind", "code"),
     [
         ("masked", 1011),
         ("reserved", 1011),
@@ -93,18 +101,19 @@
         ("reset", 1012),
     ],
 )
-def test_a_node_that_breaks_the_protocol_or_is_lost_is_told_to_its_client_alone(what: str, code: int) -> None:
+def test_an_endpoints_protocol_violation_or_loss_closes_its_own_client_alone(kind: str, code: int) -> None:
     async def test() -> None:
-        async with running((ScriptedFault(what, session=1, after=1),)) as made:
-            raw = await made.opened()
-            other = await made.opened()
-            raw.send("x")
-            found, said = await raw.closed()
-            assert found == code and (code != 1012 or WAIT.fullmatch(said)), (found, said)
+        async with running_websocket_proxy((ScriptedFault(kind, session=1, after=1),)) as deployment:
+            client = await deployment.connect()
+            other = await deployment.connect()
+            client.send("x")
+            close_code, reason = await client.read_close()
+            assert close_code == code, reason
+            assert code != 1012 or RECONNECT_REASON.fullmatch(reason), reason
             other.send("y")
-            assert await other.text() == "n-0 y"
+            assert await other.read_text() == "n-0 y"
 
-    run(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize(
@@ -122,281 +131,303 @@
         (frame(1, b"x") * 300, 1008),
     ],
 )
-def test_a_client_that_breaks_the_protocol_or_a_limit_is_closed_with_its_code(data: bytes, code: int) -> None:
+def test_a_client_that_violates_the_protocol_or_a_limit_is_closed_with_its_code(
+    data: bytes, code: int
+) -> None:
     async def test() -> None:
-        async with running() as made:
-            raw = await made.opened()
-            other = await made.opened()
-            raw.raw(data)
-            assert (await raw.closed())[0] == code and await raw.ended()
+        async with running_websocket_proxy() as deployment:
+            client = await deployment.connect()
+            other = await deployment.connect()
+            client.send_bytes(data)
+            assert (await client.read_close())[0] == code and await client.is_closed()
             other.send("y")
-            assert await other.text() == "n-0 y"
-            await until(lambda: len(made.nodes[0].open_sessions) == 1, "the node is left")
+            assert await other.read_text() == "n-0 y"
+            await deployment.wait_for_session_count(1)
 
-    run(test())
+    run_test(test())
 
 
 def test_one_byte_fragments_arrive_as_one_message() -> None:
     async def test() -> None:
-        async with running() as made:
-            raw = await made.opened()
+        async with running_websocket_proxy() as deployment:
+            client = await deployment.connect()
             text = "reserva" * 100
-            raw.raw(
+            client.send_bytes(
                 b"".join(frame(1 if not n else 0, c.encode(), fin=False) for n, c in enumerate(text))
                 + frame(0)
             )
-            assert await raw.text() == "n-0 " + text
+            assert await client.read_text() == "n-0 " + text
 
-    run(test())
+    run_test(test())
 
 
-async def drained(made: Made, told_at: float, raw: Raw) -> None:
-    """The client is told 1012 with a wait, and the node holds no session 2 s after it was told."""
-    code, said = await raw.closed()
-    assert code == 1012 and WAIT.fullmatch(said)
-    await until(lambda: not made.nodes[0].open_sessions, "the node is left")
-    assert time.monotonic() < told_at + 2.0
-    assert made.audited() == []
+async def assert_drained(deployment: WebSocketDeployment, notified_at: float, client: RawClient) -> None:
+    """Assert that the client is closed with 1012 and the endpoint has no session in time."""
+    code, reason = await client.read_close()
+    assert code == 1012 and RECONNECT_REASON.fullmatch(reason)
+    await deployment.wait_for_no_session()
+    assert time.monotonic() < notified_at + 2.0
+    assert deployment.violations() == []
 
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
 @pytest.mark.parametrize(
     "when", ["idle", "in a message", "in a fragmented message", "in the closing handshake"]
 )
-def test_a_drain_ends_a_session_wherever_it_is(when: str, state: str) -> None:
+def test_a_drain_closes_a_session_in_any_state(when: str, state: str) -> None:
     async def test() -> None:
-        async with running(nodes=1) as made:
-            raw = await made.opened()
-            raw.send("x")
-            await raw.text()
+        async with running_websocket_proxy(endpoint_count=1) as deployment:
+            client = await deployment.connect()
+            client.send("x")
+            await client.read_text()
             if when == "in a message":
-                raw.raw(frame(1, b"half of it")[:-4])
+                client.send_bytes(frame(1, b"half of it")[:-4])
             elif when == "in a fragmented message":
-                raw.send("half", False)
+                client.send("half", False)
             elif when == "in the closing handshake":
-                made.nodes[0].answers_closes = False
-                raw.raw(bytes(raw.frames.close(1000, "")))
-            at = await made.told(made.nodes[0], state)
+                deployment.endpoints[0].answers_closes = False
+                client.send_close(1000)
+            notified_at = await deployment.notify_status(deployment.endpoints[0], state)
             if when == "in the closing handshake":
-                assert (await raw.closed())[0] in (1000, 1012)
-                await until(lambda: not made.nodes[0].open_sessions, "the node is left")
-                assert time.monotonic() < at + 2.0
+                assert (await client.read_close())[0] in (1000, 1012)
+                await deployment.wait_for_no_session()
+                assert time.monotonic() < notified_at + 2.0
                 return
-            await drained(made, at, raw)
+            await assert_drained(deployment, notified_at, client)
 
-    run(test())
+    run_test(test())
 
 
-def test_a_drain_that_is_told_while_the_handshake_goes_on_leaves_no_session_there() -> None:
+def test_a_drain_during_the_handshake_leaves_no_session_at_the_endpoint() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("no-answer"),), (), nodes=2) as made:
-            raw = [await made.client() for _ in range(6)]
-            await until(lambda: made.nodes[0].session_count and made.nodes[1].session_count, "both are asked")
-            at = await made.told(made.nodes[0], "Terminating")
-            heads = [await one.head() for one in raw]
+        async with running_websocket_proxy((ScriptedFault("no-answer"),), (), endpoint_count=2) as deployment:
+            clients = [await deployment.start_handshake() for _ in range(6)]
+            await until(
+                lambda: deployment.endpoints[0].session_count and deployment.endpoints[1].session_count,
+                "both have a request",
+            )
+            notified_at = await deployment.notify_status(deployment.endpoints[0], "Terminating")
+            heads = [await client.read_head() for client in clients]
             assert any(" 101 " in head for head in heads)
-            await until(lambda: not made.nodes[0].open_sessions, "no session there")
-            assert all(a.first_byte_at < at + 2.0 for a in made.ledger.attempts if a.endpoint == "n-0")
-            assert made.audited() == []
+            await deployment.wait_for_no_session()
+            assert all(
+                a.first_byte_at < notified_at + 2.0
+                for a in deployment.recorder.attempts
+                if a.endpoint == "n-0"
+            )
+            assert deployment.violations() == []
 
-    run(test())
+    run_test(test())
 
 
-def test_a_101_that_comes_after_the_drain_was_told_opens_nothing_for_long() -> None:
+def test_a_101_after_the_drain_opens_no_session_beyond_the_drain_time() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("late"),)) as made:
-            for _ in range(20):  # until the drain is told while a handshake goes on
-                raw = await made.client()
-                await until(lambda: any(a.ended_at > 1e9 for a in made.ledger.attempts), "it is asked")
-                at = await made.told(made.nodes[0], "Terminating")
-                if " 101 " in await raw.head():
-                    assert (await raw.closed())[0] == 1012
-                    await until(lambda: not made.nodes[0].open_sessions, "the node is left")
-                    assert time.monotonic() < at + 2.0
-                    assert made.audited() == []
+        async with running_websocket_proxy((ScriptedFault("late"),)) as deployment:
+            for _ in range(20):  # until the notification arrives during a handshake
+                client = await deployment.start_handshake()
+                await until(
+                    lambda: any(a.ended_at > 1e9 for a in deployment.recorder.attempts), "it has a request"
+                )
+                notified_at = await deployment.notify_status(deployment.endpoints[0], "Terminating")
+                if " 101 " in await client.read_head():
+                    assert (await client.read_close())[0] == 1012
+                    await deployment.wait_for_no_session()
+                    assert time.monotonic() < notified_at + 2.0
+                    assert deployment.violations() == []
                     return
-                made.tell(made.nodes[0], "Ready")
+                deployment.set_status(deployment.endpoints[0], "Ready")
             raise AssertionError("no 101 ever came after the drain")
 
-    run(test())
+    run_test(test())
 
 
-def test_a_node_that_is_another_one_by_now_is_left() -> None:
-    """The same name, begun anew: what was pinned to the old one is not the new one's."""
+def test_sessions_of_a_restarted_endpoint_are_closed() -> None:
+    """The same name, started again: sessions of the old process are not the new one's."""
 
     async def test() -> None:
-        async with running() as made:
-            raw = await made.opened()
-            made.registry.put(made.entry(made.nodes[0], since_ms=int(time.time() * 1000) + 1000))
-            code, said = await raw.closed()
-            assert code == 1012 and WAIT.fullmatch(said)
-            await until(lambda: not made.nodes[0].open_sessions, "the old one is left")
+        async with running_websocket_proxy() as deployment:
+            client = await deployment.connect()
+            deployment.registry.put(
+                deployment.entry(deployment.endpoints[0], since_ms=int(time.time() * 1000) + 1000)
+            )
+            code, reason = await client.read_close()
+            assert code == 1012 and RECONNECT_REASON.fullmatch(reason)
+            await deployment.wait_for_no_session()
 
-    run(test())
+    run_test(test())
 
 
-def test_sessions_of_a_drained_node_are_told_different_waits_and_come_back_elsewhere() -> None:
+def test_sessions_of_a_drained_endpoint_reconnect_elsewhere_after_different_delays() -> None:
     async def test() -> None:
-        config = FREE + "reconnect_spread = 1.0\n"
-        async with running(nodes=2, config=config) as made:
+        config = UNLIMITED_RATE + "reconnect_spread = 1.0\n"
+        async with running_websocket_proxy(endpoint_count=2, config=config) as deployment:
             for n in range(40):
-                await made.kiosks.add(f"k{n}", "/vigia").connect()
-            await until(lambda: made.kiosks.connected_count == 40, "all are up")
-            leaving = len(made.nodes[0].open_sessions)
-            assert 5 <= leaving <= 35
-            at = await made.told(made.nodes[0], "Terminating")
-            await until(lambda: not made.nodes[0].open_sessions, "the node is left")
-            assert time.monotonic() < at + 2.0
+                await deployment.client_pool.add(f"k{n}", "/vigia").connect()
+            await until(lambda: deployment.client_pool.connected_count == 40, "all are connected")
+            moved_count = len(deployment.endpoints[0].open_sessions)
+            assert 5 <= moved_count <= 35
+            notified_at = await deployment.notify_status(deployment.endpoints[0], "Terminating")
+            await deployment.wait_for_no_session()
+            assert time.monotonic() < notified_at + 2.0
             await until(
-                lambda: made.kiosks.connected_count == 40 and len(made.nodes[1].open_sessions) == 40,
-                "all are back",
+                lambda: deployment.client_pool.connected_count == 40
+                and len(deployment.endpoints[1].open_sessions) == 40,
+                "all are connected again",
             )
-            assert made.kiosks.close_codes == {1012: leaving}
-            back = sorted(made.kiosks.connect_times)[40:]
-            assert len(back) == leaving
-            assert max(sum(1 for b in back if a <= b < a + 0.1) for a in back) <= 4 + leaving * 0.3
-            assert made.audited() == []
+            assert deployment.client_pool.close_codes == {1012: moved_count}
+            reconnects = sorted(deployment.client_pool.connect_times)[40:]
+            assert len(reconnects) == moved_count
+            assert max_in_100_ms(reconnects) <= 4 + moved_count * 0.3
+            assert deployment.violations() == []
 
-    run(test())
+    run_test(test())
 
 
-def test_a_node_that_goes_silent_after_its_101_is_left() -> None:
+def test_an_endpoint_that_goes_silent_after_its_101_times_out() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("silent", session=1, after=0),), config=QUICK) as made:
-            raw = await made.opened()
-            begun = time.monotonic()
-            code, said = await raw.closed()
-            assert code == 1012 and WAIT.fullmatch(said)
-            # 0.4 s to the ping, 0.4 s for its pong, 0.25 s between looks, and a busy machine.
-            assert 0.75 < time.monotonic() - begun < 4.0
-            await until(lambda: not made.nodes[0].open_sessions, "its connection ends")
+        async with running_websocket_proxy(
+            (ScriptedFault("silent", session=1, after=0),), config=FAST_PINGS
+        ) as deployment:
+            client = await deployment.connect()
+            started_at = time.monotonic()
+            code, reason = await client.read_close()
+            assert code == 1012 and RECONNECT_REASON.fullmatch(reason)
+            # 0.4 s to the ping, 0.4 s for its pong, 0.25 s between checks, and a busy machine.
+            assert 0.75 < time.monotonic() - started_at < 4.0
+            await deployment.wait_for_no_session()
 
-    run(test())
+    run_test(test())
 
 
-def test_a_node_that_reads_but_answers_no_ping_is_left() -> None:
+def test_an_endpoint_that_answers_no_ping_times_out() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("mute", session=1, after=0),), config=QUICK) as made:
-            assert (await (await made.opened()).closed())[0] == 1012
+        async with running_websocket_proxy(
+            (ScriptedFault("mute", session=1, after=0),), config=FAST_PINGS
+        ) as deployment:
+            assert (await (await deployment.connect()).read_close())[0] == 1012
 
-    run(test())
+    run_test(test())
 
 
-def test_a_client_that_answers_no_ping_ends_and_so_does_its_node() -> None:
+def test_a_client_that_answers_no_ping_ends_the_tunnel_on_both_sides() -> None:
     async def test() -> None:
-        async with running(config=QUICK) as made:
-            raw = await made.opened()
-            await until(lambda: len(made.nodes[0].open_sessions) == 1, "the session")
-            raw.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await until(lambda: not made.nodes[0].open_sessions, "the node is left")
-            assert made.nodes[0].close_codes[1001] + made.nodes[0].close_codes[1006] == 1
+        async with running_websocket_proxy(config=FAST_PINGS) as deployment:
+            client = await deployment.connect()
+            await deployment.wait_for_session_count(1)
+            client.pause_reading()
+            await deployment.wait_for_no_session()
+            assert deployment.endpoints[0].close_codes[1001] + deployment.endpoints[0].close_codes[1006] == 1
 
-    run(test())
+    run_test(test())
 
 
-def test_a_session_that_is_quiet_and_answers_pings_stays() -> None:
+def test_an_idle_session_that_answers_pings_stays_open() -> None:
     async def test() -> None:
-        async with running(config=QUICK) as made:
-            raw = await made.opened()
+        async with running_websocket_proxy(config=FAST_PINGS) as deployment:
+            client = await deployment.connect()
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(2.0):
-                    await raw.frame()
-            raw.send("still here")
-            assert await raw.text() == "n-0 still here"
+                    await client.read_frame()
+            client.send("still here")
+            assert await client.read_text() == "n-0 still here"
 
-    run(test())
+    run_test(test())
 
 
-def test_a_slow_kiosk_delays_nobody_and_is_closed_at_its_bound() -> None:
-    """It reads nothing of what it asks for: the proxy holds a bounded part, the others go on meanwhile."""
+def test_a_slow_client_delays_no_other_and_is_closed_at_its_limit() -> None:
+    """It reads no reply: the proxy buffers a bounded part, and the others are served meanwhile."""
 
     async def test() -> None:
-        async with running(config=FREE) as made:
-            slow = await made.opened()
-            quick = await made.opened()
-            transport = slow.writer.transport
-            transport.pause_reading()  # type: ignore[attr-defined]
-            before = made.program.resident_mb()
+        async with running_websocket_proxy(config=UNLIMITED_RATE) as deployment:
+            slow = await deployment.connect()
+            quick = await deployment.connect()
+            slow.pause_reading()
+            resident_before = deployment.proxy.resident_mb()
             data = bytes(slow.frames.send_data("x" * 60_000))
-            longest = 0.0
+            max_latency = 0.0
 
             async def flood() -> None:
-                for _ in range(400):  # 24 MB, and as much back
-                    slow.raw(data)
+                for _ in range(400):  # 24 MB, and as much echoed
+                    slow.send_bytes(data)
                     await slow.writer.drain()
 
             flooding = asyncio.create_task(flood())
             for _ in range(100):
-                at = time.monotonic()
+                sent_at = time.monotonic()
                 quick.send("y")
-                assert await quick.text() == "n-0 y"
-                longest = max(longest, time.monotonic() - at)
+                assert await quick.read_text() == "n-0 y"
+                max_latency = max(max_latency, time.monotonic() - sent_at)
                 await asyncio.sleep(0.01)
-            assert longest < 1.0
-            assert made.program.resident_mb() - before < 12.0  # MB
-            await until(lambda: len(made.nodes[0].open_sessions) == 1, "its node is left")
-            transport.resume_reading()  # type: ignore[attr-defined]
-            assert (await slow.closed())[0] == 1008
+            assert max_latency < 1.0
+            assert deployment.proxy.resident_mb() - resident_before < 12.0  # MB
+            await deployment.wait_for_session_count(1)
+            slow.resume_reading()
+            assert (await slow.read_close())[0] == 1008
             flooding.cancel()
             await asyncio.gather(flooding, return_exceptions=True)
 
-    run(test())
+    run_test(test())
 
 
-def test_a_slow_node_holds_its_client_back_and_nothing_is_lost() -> None:
+def test_a_slow_endpoint_applies_backpressure_and_nothing_is_lost() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("slow", session=1, after=1),), config=FREE) as made:
-            raw = await made.opened()
+        async with running_websocket_proxy(
+            (ScriptedFault("slow", session=1, after=1),), config=UNLIMITED_RATE
+        ) as deployment:
+            client = await deployment.connect()
             texts = [f"{n:04d}" + "x" * 20_000 for n in range(100)]
 
             async def send() -> None:
                 for text in texts:
-                    raw.send(text)
-                    await raw.writer.drain()
+                    client.send(text)
+                    await client.writer.drain()
 
             sending = asyncio.create_task(send())
-            for text in texts[1:]:  # the first one made it slow
-                assert await raw.text() == "n-0 " + text
+            for text in texts[1:]:  # the first one makes it slow
+                assert await client.read_text() == "n-0 " + text
             await sending
-            assert made.nodes[0].messages == texts
+            assert deployment.endpoints[0].messages == texts
 
-    run(test())
+    run_test(test())
 
 
-def test_subprotocols_are_chosen_by_the_node() -> None:
+def test_the_endpoint_chooses_the_subprotocol_of_a_tunnel() -> None:
     async def test() -> None:
-        async with running() as made:
-            raw = await made.client("/vigia", "Sec-WebSocket-Protocol: cambio.v1, cambio.v2\r\n")
-            assert "sec-websocket-protocol: cambio.v1\r\n" in await raw.head()
+        async with running_websocket_proxy() as deployment:
+            client = await deployment.start_handshake(
+                "/vigia", "Sec-WebSocket-Protocol: cambio.v1, cambio.v2\r\n"
+            )
+            assert "sec-websocket-protocol: cambio.v1\r\n" in await client.read_head()
 
-    run(test())
+    run_test(test())
 
 
-def test_at_sigterm_tunnels_are_told_1001_with_a_wait_and_the_program_ends() -> None:
+def test_at_sigterm_tunnels_are_closed_with_1001_and_a_delay_and_the_process_ends() -> None:
     async def test() -> None:
-        async with running(nodes=2) as made:
-            raws = [await made.opened() for _ in range(20)]
-            made.program.process.terminate()
-            said = [await raw.closed() for raw in raws]
-            assert {code for code, _ in said} == {1001}
-            assert len({reason for _, reason in said}) > 15 and all(WAIT.fullmatch(r) for _, r in said)
-            async with asyncio.timeout(PATIENCE):
-                assert await made.program.process.wait() == 0
+        async with running_websocket_proxy(endpoint_count=2) as deployment:
+            clients = [await deployment.connect() for _ in range(20)]
+            deployment.proxy.process.terminate()
+            closes = [await client.read_close() for client in clients]
+            assert {code for code, _ in closes} == {1001}
+            assert len({reason for _, reason in closes}) > 15
+            assert all(RECONNECT_REASON.fullmatch(reason) for _, reason in closes)
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
+                assert await deployment.proxy.process.wait() == 0
 
-    run(test())
+    run_test(test())
 
 
-def test_a_node_that_dies_in_mid_session_is_told_and_the_next_one_serves() -> None:
+def test_the_loss_of_an_endpoint_closes_the_session_and_another_endpoint_serves() -> None:
     async def test() -> None:
-        async with running(nodes=2) as made:
-            raw = await made.opened()
-            raw.send("x")
-            first = int((await raw.text())[2])
-            made.nodes[first].stop()
-            assert (await raw.closed())[0] == 1012
+        async with running_websocket_proxy(endpoint_count=2) as deployment:
+            client = await deployment.connect()
+            client.send("x")
+            lost = int((await client.read_text())[2])
+            deployment.endpoints[lost].stop()
+            assert (await client.read_close())[0] == 1012
             for _ in range(4):
-                again = await made.opened()
+                again = await deployment.connect()
                 again.send("y")
-                assert await again.text() == f"n-{1 - first} y"
+                assert await again.read_text() == f"n-{1 - lost} y"
 
-    run(test())
+    run_test(test())
--- a/tests/websocket/test_upgrade.py
+++ b/tests/websocket/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades at the proxy's listener: who is let in, who is turned away, and that nothing hides behind one."""
+"""Opening handshakes at the proxy's listener: accepted, rejected, and no request smuggled behind one."""
 
 from __future__ import annotations
 
@@ -7,27 +7,29 @@
 
 import pytest
 from net_harness import idle_proxy_loads
-from wskit import CONFIG, Raw, run, running
+from websocket_test_harness import CONFIG, WAIT_TIMEOUT_S, RawClient, run_test, running_websocket_proxy
 
 from harness.event_loop import until
 from harness.websocket_endpoint import ScriptedFault
 
+SMUGGLED_REQUEST = b"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: smuggled\r\nX-Budget: 500m\r\n\r\n"
 
-def test_without_its_table_an_upgrade_is_answered_400_as_ever() -> None:
+
+def test_without_the_websocket_table_an_upgrade_is_answered_400() -> None:
     async def test() -> None:
-        async with running(config="") as made:
-            raw = await made.client("/stock")
-            head = await raw.head()
+        async with running_websocket_proxy(config="") as deployment:
+            client = await deployment.start_handshake("/stock")
+            head = await client.read_head()
             assert (
                 head.lower() == "http/1.1 400 bad request\r\ncontent-length: 12\r\nconnection: close\r\n\r\n"
             )
-            assert await raw.reader.read() == b"no upgrades\n"
-            assert made.nodes[0].session_count == 0
+            assert await client.reader.read() == b"no upgrades\n"
+            assert deployment.endpoints[0].session_count == 0
 
-    run(test())
+    run_test(test())
 
 
-def test_a_part_that_is_off_is_not_imported() -> None:
+def test_a_subsystem_that_is_off_is_not_imported() -> None:
     assert not idle_proxy_loads("service_proxy.websocket", "wsproto", "h11")
 
 
@@ -45,148 +47,150 @@
         ("/vigia", "Connection: x-budget\r\nX-Budget: 1000m\r\n", 400),
     ],
 )
-def test_what_is_no_good_opening_is_answered_and_ends(path: str, headers: str, code: int) -> None:
+def test_an_invalid_opening_handshake_is_answered_and_closed(path: str, headers: str, code: int) -> None:
     async def test() -> None:
-        async with running(config=CONFIG + 'origins = ["https://kiosk.example"]\n') as made:
-            raw = await made.client(path, headers)
+        async with running_websocket_proxy(
+            config=CONFIG + 'origins = ["https://kiosk.example"]\n'
+        ) as deployment:
+            client = await deployment.start_handshake(path, headers)
             if "Content-Length" in headers:
-                raw.raw(b"abcd")
+                client.send_bytes(b"abcd")
             if "chunked" in headers:
-                raw.raw(b"0\r\n\r\n")
-            assert (await raw.head()).split(" ")[1] == str(code)
-            assert await raw.ended()
-            assert made.nodes[0].session_count == 0
-            good = await made.client("/vigia", "Origin: https://kiosk.example\r\n")
-            assert " 101 " in await good.head()
+                client.send_bytes(b"0\r\n\r\n")
+            assert (await client.read_head()).split(" ")[1] == str(code)
+            assert await client.is_closed()
+            assert deployment.endpoints[0].session_count == 0
+            accepted = await deployment.start_handshake("/vigia", "Origin: https://kiosk.example\r\n")
+            assert " 101 " in await accepted.read_head()
 
-    run(test())
+    run_test(test())
 
 
 @pytest.mark.parametrize("path", ["/pantalla", "/vigia"])
-def test_frames_before_the_101_are_no_session(path: str) -> None:
-    """Right behind the request, in one piece with it; and while a node has not answered yet."""
+def test_frames_before_the_101_open_no_session(path: str) -> None:
+    """Directly behind the request, in the same segment; and while an endpoint has not answered yet."""
 
     async def test() -> None:
-        async with running((ScriptedFault("no-answer"),)) as made:
-            raw = Raw(*await asyncio.open_connection(*made.program.address))
+        async with running_websocket_proxy((ScriptedFault("no-answer"),)) as deployment:
+            client = RawClient(*await asyncio.open_connection(*deployment.proxy.address))
             head = (
                 f"GET {path} HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
                 "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n"
             )
-            raw.raw(head.encode() + b"\x81\x85aaaa\x00\x00\x00\x00\x00")
-            assert (await raw.head()).startswith("HTTP/1.1 400 ")
-            assert await raw.ended() and made.nodes[0].session_count == 0
+            client.send_bytes(head.encode() + b"\x81\x85aaaa\x00\x00\x00\x00\x00")
+            assert (await client.read_head()).startswith("HTTP/1.1 400 ")
+            assert await client.is_closed() and deployment.endpoints[0].session_count == 0
             if path == "/vigia":
-                slow = await made.client(path)
-                await until(lambda: made.nodes[0].session_count == 1, "the node is asked")
-                slow.raw(b"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: smuggled\r\nX-Budget: 500m\r\n\r\n")
-                assert (await slow.head()).startswith("HTTP/1.1 400 ")
-                assert await slow.ended()
-            assert not any(a.request_id == "smuggled" for a in made.ledger.attempts)
+                slow = await deployment.start_handshake(path)
+                await until(
+                    lambda: deployment.endpoints[0].session_count == 1, "the endpoint has the request"
+                )
+                slow.send_bytes(SMUGGLED_REQUEST)
+                assert (await slow.read_head()).startswith("HTTP/1.1 400 ")
+                assert await slow.is_closed()
+            assert not any(a.request_id == "smuggled" for a in deployment.recorder.attempts)
 
-    run(test())
+    run_test(test())
 
 
-@pytest.mark.parametrize("what", ["decline", "plain", "wrong-key", "extension", "reject"])
-def test_a_node_that_declines_leaves_no_tunnel(what: str) -> None:
-    """Not even where the client goes on as if there were one."""
+@pytest.mark.parametrize("kind", ["decline", "plain", "wrong-key", "extension", "reject"])
+def test_an_endpoint_that_declines_leaves_no_tunnel(kind: str) -> None:
+    """Not even where the client sends on as if there were one."""
 
     async def test() -> None:
-        async with running((ScriptedFault(what),)) as made:
-            raw = await made.client("/vigia")
-            head = await raw.head()
+        async with running_websocket_proxy((ScriptedFault(kind),)) as deployment:
+            client = await deployment.start_handshake("/vigia")
+            head = await client.read_head()
             assert head.split(" ")[1] in ("502", "503", "504"), head
-            raw.raw(b"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: smuggled\r\nX-Budget: 500m\r\n\r\n")
-            assert await raw.ended()
-            assert not any(a.request_id == "smuggled" for a in made.ledger.attempts)
-            again = await made.client("/vigia")  # and its place is free again
-            assert " 101 " not in await again.head()
+            client.send_bytes(SMUGGLED_REQUEST)
+            assert await client.is_closed()
+            assert not any(a.request_id == "smuggled" for a in deployment.recorder.attempts)
+            again = await deployment.start_handshake("/vigia")  # its session is free again
+            assert " 101 " not in await again.read_head()
 
-    run(test())
+    run_test(test())
 
 
-def test_a_node_that_declines_is_no_reason_to_fail_where_another_accepts() -> None:
+def test_an_endpoint_that_rejects_is_retried_at_another_that_accepts() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("reject"),), (), nodes=2) as made:
+        async with running_websocket_proxy((ScriptedFault("reject"),), (), endpoint_count=2) as deployment:
             for _ in range(6):
-                raw = await made.opened("/vigia")
-                raw.send("hola")
-                assert await raw.text() == "n-1 hola"
-            assert made.nodes[1].session_count == 6
+                client = await deployment.connect("/vigia")
+                client.send("hola")
+                assert await client.read_text() == "n-1 hola"
+            assert deployment.endpoints[1].session_count == 6
 
-    run(test())
+    run_test(test())
 
 
-def test_sessions_are_bounded_by_proxy_and_tenant_and_their_places_come_back() -> None:
+def test_sessions_are_limited_by_proxy_and_tenant_and_freed_when_they_end() -> None:
     async def test() -> None:
         config = CONFIG.replace("sessions = 64", "sessions = 3\nsessions_per_tenant = 2")
-        async with running(config=config) as made:
+        async with running_websocket_proxy(config=config) as deployment:
             tenant = "X-Caller: acme\r\n"
-            first = await made.opened("/pantalla", tenant)
-            second = await made.opened("/vigia", tenant)
-            over = await (await made.client("/pantalla", tenant)).head()
-            assert over.startswith("HTTP/1.1 429 ") and "retry-after: " in over
-            third = await made.opened("/pantalla")
-            over = await (await made.client("/vigia")).head()
-            assert over.startswith("HTTP/1.1 503 ") and "retry-after: " in over
+            first = await deployment.connect("/pantalla", tenant)
+            second = await deployment.connect("/vigia", tenant)
+            rejection = await deployment.handshake_response("/pantalla", tenant)
+            assert rejection.startswith("HTTP/1.1 429 ") and "retry-after: " in rejection
+            third = await deployment.connect("/pantalla")
+            rejection = await deployment.handshake_response("/vigia")
+            assert rejection.startswith("HTTP/1.1 503 ") and "retry-after: " in rejection
             first.close()
-            for kept in (second, third):  # they stay as they are
-                assert not kept.writer.is_closing()
-            async with asyncio.timeout(20):
-                while not (await (await made.client("/pantalla", tenant)).head()).startswith("HTTP/1.1 101 "):
-                    await asyncio.sleep(0.02)
+            for client in (second, third):  # they stay open
+                assert not client.writer.is_closing()
+            await deployment.wait_for_free_session(tenant)
 
-    run(test())
+    run_test(test())
 
 
-def test_a_client_that_leaves_in_the_handshake_gives_its_place_back() -> None:
+def test_a_client_that_disconnects_in_the_handshake_frees_its_session() -> None:
     async def test() -> None:
-        async with running((ScriptedFault("no-answer"),), config=CONFIG.replace("64", "1")) as made:
-            raw = await made.client("/vigia")
-            await until(lambda: made.nodes[0].session_count == 1, "the node is asked")
-            assert (await (await made.client("/pantalla")).head()).startswith("HTTP/1.1 503 ")
-            raw.writer.transport.abort()
-            async with asyncio.timeout(20):
-                while not (await (await made.client("/pantalla")).head()).startswith("HTTP/1.1 101 "):
-                    await asyncio.sleep(0.02)
+        async with running_websocket_proxy(
+            (ScriptedFault("no-answer"),), config=CONFIG.replace("64", "1")
+        ) as deployment:
+            client = await deployment.start_handshake("/vigia")
+            await until(lambda: deployment.endpoints[0].session_count == 1, "the endpoint has the request")
+            assert (await deployment.handshake_response("/pantalla")).startswith("HTTP/1.1 503 ")
+            client.abort()
+            await deployment.wait_for_free_session()
 
-    run(test())
+    run_test(test())
 
 
-def test_descriptors_that_run_out_take_nothing_from_sessions_or_from_callers() -> None:
-    """Sessions have descriptors of their own; connections that say nothing use up the rest."""
+def test_exhausted_descriptors_affect_neither_sessions_nor_requests() -> None:
+    """Sessions have descriptors of their own; idle connections use up the rest."""
 
     async def test() -> None:
         config = CONFIG.replace("sessions = 64", "sessions = 40")
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 160}
-        async with running(config=config, more={"limits": limits}) as made:
-            kept = [await made.opened("/vigia") for _ in range(30)]
-            idle = [await asyncio.open_connection(*made.program.address) for _ in range(120)]
-            for number, raw in enumerate(kept):
-                raw.send(f"x{number}")
-                assert await raw.text() == f"n-0 x{number}"
-            async with asyncio.timeout(20):
-                while True:  # the oldest that say nothing make room from 0.3 s on
+        async with running_websocket_proxy(config=config, overrides={"limits": limits}) as deployment:
+            tunnels = [await deployment.connect("/vigia") for _ in range(30)]
+            idle = [await asyncio.open_connection(*deployment.proxy.address) for _ in range(120)]
+            for number, client in enumerate(tunnels):
+                client.send(f"x{number}")
+                assert await client.read_text() == f"n-0 x{number}"
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
+                while True:  # the oldest idle connections are closed from 0.3 s on
                     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                        talk = await made.opened("/pantalla")
+                        messages = await deployment.connect("/pantalla")
                         break
                     await asyncio.sleep(0.05)
-            assert "session" in await talk.said()
-            talk.send('{"id":"a","class":"stock"}')
-            assert (await talk.said())["outcome"] == "served"
+            assert "session" in await messages.read_json()
+            messages.send('{"id":"a","class":"stock"}')
+            assert (await messages.read_json())["outcome"] == "served"
             for _, writer in idle:
                 writer.close()
 
-    run(test())
+    run_test(test())
 
 
-def test_a_bound_that_the_process_can_not_hold_is_refused_with_one_that_it_can() -> None:
+def test_a_session_limit_over_the_descriptors_is_rejected_with_one_that_fits() -> None:
     async def test() -> None:
         with pytest.raises(RuntimeError, match="write sessions = 480 or less"):
-            async with running(config=CONFIG.replace("sessions = 64", "sessions = 100000")):
+            async with running_websocket_proxy(config=CONFIG.replace("sessions = 64", "sessions = 100000")):
                 pass
         with pytest.raises(RuntimeError, match="canje is no repeatable class"):
-            async with running(config=CONFIG.replace("vigia", "canje")):
+            async with running_websocket_proxy(config=CONFIG.replace("vigia", "canje")):
                 pass
 
-    run(test())
+    run_test(test())
