--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -29,7 +29,7 @@
 from harness.recorder import Idempotency, Recorder
 from harness.websocket_clients import WebSocketClient, WebSocketClientPool
 from harness.websocket_endpoint import WebSocketEndpoint
-from harness.websocket_frames import stream
+from harness.websocket_frames import random_frames
 from service_proxy.websocket.frame_codec import FrameCodec, ProtocolViolationError
 from service_proxy.websocket.session_registry import MessageStatus, Outcome, SessionRegistry
 
@@ -222,7 +222,7 @@
     draw = Random(seed)
     found = Found()
     for _ in range(count):
-        data = stream(draw)
+        data = random_frames(draw)
         codec = FrameCodec(False, 4096)
         place = 0
         try:
--- a/harness/websocket_clients.py
+++ b/harness/websocket_clients.py
@@ -1,7 +1,7 @@
-"""Kiosks: many WebSocket sessions of clients from one process, each message and each outcome in the ledger.
+"""WebSocket clients: many sessions from one process, each message and each outcome recorded.
 
-A kiosk of message mode sends envelopes and reads outcomes, and comes back to its session when its connection
-ends, after the wait that the close frame told it; one of a tunnel sends texts and reads what a node echoes.
+A client of message mode sends messages and reads outcomes. When its connection ends, it resumes its session
+after the delay of the close frame. A client of a tunnel sends texts and reads what the endpoint echoes.
 """
 
 from __future__ import annotations
@@ -26,23 +26,25 @@
 
 RECONNECT_WAIT = re.compile(r"reconnect in ([0-9.]+) s")
 STATUS_BY_OUTCOME = {"served": 200, "refused": 503, "failed": 502}
-GIVE_UP_MARGIN_S = 0.25  # s beyond a message's budget after which one without an outcome is written off
+GIVE_UP_MARGIN_S = 0.25  # after a message's budget; one without an outcome counts as given up then
 MESSAGE_ROUTE = "/pantalla"  # the route of message mode; any other is a tunnel
-MAX_DEFAULT_WAIT_S = 1.0  # s, at the most, before it comes back where nobody told it how long
+MAX_DEFAULT_WAIT_S = 1.0  # before it reconnects where no close frame had a delay
 
 
 class WebSocketClientPool:
     """All WebSocket clients of one process."""
 
     def __init__(self, recorder: Recorder, proxies: list[tuple[str, int]], seed: int = 0) -> None:
-        self.recorder, self.proxies, self.random = recorder, proxies, Random(seed)
+        self.recorder = recorder
+        self.proxies = proxies
+        self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
         self.clients: list[WebSocketClient] = []
-        self.close_codes: Counter[int] = Counter()  # codes that came; 1006: the connection just ended
-        self.connect_times: list[float] = []  # when each connection was begun
-        self.rejected_handshakes: Counter[int] = (
+        self.close_codes: Counter[int] = (
             Counter()
-        )  # handshakes that were answered with something else
+        )  # received; 1006: the connection ended without a close frame
+        self.connect_times: list[float] = []  # start of each connection attempt
+        self.rejected_handshakes: Counter[int] = Counter()  # by status code; 0: no connection
         self.outcomes: Counter[str] = Counter()
         self.echo_count = 0
 
@@ -55,17 +57,17 @@
     @property
     def connected_count(self) -> int:
         """Count the clients with a session."""
-        return sum(kiosk.is_connected for kiosk in self.clients)
+        return sum(client.is_connected for client in self.clients)
 
     @property
     def open_message_count(self) -> int:
         """Count the messages without an outcome."""
-        return sum(len(kiosk.open_messages) for kiosk in self.clients)
+        return sum(len(client.open_messages) for client in self.clients)
 
     def close(self) -> None:
         """Close all clients."""
-        for kiosk in self.clients:
-            kiosk.close()
+        for client in self.clients:
+            client.close()
 
 
 class WebSocketClient(asyncio.Protocol):
@@ -84,16 +86,14 @@
         self.seen = 0
         self.message_count = 0
         self.open_messages: dict[str, asyncio.TimerHandle] = {}
-        # in frames; wanted no more
         self.is_connected = False
         self.is_closed = False
         self.parts: list[str] = []
-        self.texts: list[str] = []  # what a tunnel brought
-        self.served_count = 0  # outcomes that were
-        self.received = asyncio.Event()  # something has come
-        self.reconnect_wait: float | None = None  # the wait of the last close frame
+        self.texts: list[str] = []  # received through a tunnel
+        self.served_count = 0  # outcomes of served messages
+        self.received = asyncio.Event()  # set when a message is received
+        self.reconnect_wait: float | None = None  # delay of the last close frame, s
         self.close_code = 1006
-        self.busy = False  # its next connection is on its way
 
     # connections
     async def connect(self) -> None:
@@ -117,14 +117,13 @@
         if self.session:
             path += f"?session={quote(self.session)}&seen={self.seen}"
         key = base64.b64encode(os.urandom(16)).decode()
-        more = ""
         transport.write(
             f"GET {path} HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-            f"Sec-WebSocket-Key: {key}\r\nSec-WebSocket-Version: 13\r\n{more}\r\n".encode()
+            f"Sec-WebSocket-Key: {key}\r\nSec-WebSocket-Version: 13\r\n\r\n".encode()
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count the close, and come back after the wait."""
+        """Count the close, and reconnect after the delay."""
         if self.is_connected:
             self.pool.close_codes[self.close_code] += 1
         self.transport = None
@@ -136,11 +135,9 @@
     def _schedule_reconnect(self) -> None:
         if self.is_closed or not self.reconnects:
             return
-        wait = (
-            self.reconnect_wait
-            if self.reconnect_wait is not None
-            else self.pool.random.uniform(0, MAX_DEFAULT_WAIT_S)
-        )
+        wait = self.reconnect_wait
+        if wait is None:
+            wait = self.pool.random.uniform(0, MAX_DEFAULT_WAIT_S)
         self.pool.loop.call_later(wait, self._reconnect)
 
     def _reconnect(self) -> None:
@@ -148,7 +145,7 @@
             self.pool.loop.create_task(self.connect())
 
     def data_received(self, data: bytes) -> None:
-        """Read the handshake's answer, then frames."""
+        """Read the response of the handshake, then frames."""
         if self.frames is None:
             surplus = self._read_handshake(data)
             if surplus is None:
@@ -160,16 +157,16 @@
             self._on_frame(self.frames, frame)
 
     def _read_handshake(self, data: bytes) -> bytes | None:
-        """Return what came behind a 101, or None where there was none yet."""
+        """Return the bytes behind a 101; None where there was no 101 yet."""
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade as end:
+        except httptools.HttpParserUpgrade as upgrade:
             if self.parser.get_status_code() != HTTPStatus.SWITCHING_PROTOCOLS:
                 return None
             self.frames = FrameProtocol(client=True, extensions=[])
             if not self.is_message_mode:
                 self.is_connected = True
-            return data[end.args[0] :]
+            return data[upgrade.args[0] :]
         return None
 
     def _on_frame(self, frames: FrameProtocol, frame: Frame) -> None:
@@ -187,15 +184,15 @@
     def _on_close(self, frames: FrameProtocol, frame: Frame) -> None:
         assert isinstance(frame.payload, tuple)
         self.close_code = int(frame.payload[0])
-        found = RECONNECT_WAIT.search(frame.payload[1])
-        self.reconnect_wait = float(found[1]) if found else None
+        match = RECONNECT_WAIT.search(frame.payload[1])
+        self.reconnect_wait = float(match[1]) if match else None
         has_code = frame.payload[0] != CloseReason.NO_STATUS_RCVD
         self._write(bytes(frames.close(frame.payload[0] if has_code else None)))
         if self.transport is not None:
             self.transport.close()
 
     def on_message_complete(self) -> None:
-        """Count a handshake that was answered with something else."""
+        """Count a rejected handshake."""
         code = self.parser.get_status_code()
         if code != HTTPStatus.SWITCHING_PROTOCOLS:
             self.pool.rejected_handshakes[code] += 1
@@ -212,27 +209,34 @@
             self.texts.append(text)
             self.pool.echo_count += 1
             return
-        said = json.loads(text)
-        if "session" in said:
-            self.session = said["session"]
-            self.is_connected = True  # what it sends now belongs to this session
-            if not said["resumed"]:  # what was open is open for nobody any more
-                for id in list(self.open_messages):
-                    self._finish(id, 502)
-            return
-        if "error" in said:
-            if said["id"] in self.open_messages:
-                self._finish(said["id"], 502)
-            return
-        self.seen = max(self.seen, said["n"])
-        self.pool.outcomes[said["outcome"]] += 1
-        self.served_count += said["outcome"] == "served"
-        if said["id"] in self.open_messages:
-            self._finish(said["id"], STATUS_BY_OUTCOME[said["outcome"]])
-        else:  # the audit is to find it
-            self.pool.recorder.answers.append(
-                ReceivedAnswer(said["id"], time.monotonic(), STATUS_BY_OUTCOME[said["outcome"]])
-            )
+        message = json.loads(text)
+        if "session" in message:
+            self._on_session(message)
+        elif "error" in message:
+            if message["id"] in self.open_messages:
+                self._finish(message["id"], HTTPStatus.BAD_GATEWAY)
+        else:
+            self._on_outcome(message)
+
+    def _on_session(self, message: dict[str, Any]) -> None:
+        """Note the session of this connection; messages of one that ended get no outcome any more."""
+        self.session = message["session"]
+        self.is_connected = True  # from here on, what it sends belongs to this session
+        if not message["resumed"]:
+            for id in list(self.open_messages):
+                self._finish(id, HTTPStatus.BAD_GATEWAY)
+
+    def _on_outcome(self, message: dict[str, Any]) -> None:
+        id = message["id"]
+        result = message["outcome"]
+        self.seen = max(self.seen, message["n"])
+        self.pool.outcomes[result] += 1
+        self.served_count += result == "served"
+        if id in self.open_messages:
+            self._finish(id, STATUS_BY_OUTCOME[result])
+        else:  # the audit finds it as an answer too many
+            answer = ReceivedAnswer(id, time.monotonic(), STATUS_BY_OUTCOME[result])
+            self.pool.recorder.answers.append(answer)
 
     def _finish(self, id: str, code: int) -> None:
         self.open_messages.pop(id).cancel()
@@ -249,16 +253,16 @@
         fields: dict[str, Any] = {"id": id, "class": cls.name, "budget_ms": budget * 1e3, "seen": self.seen}
         if cls.idempotency.kind == "by_key":
             fields["key"] = key or id
-        self.pool.recorder.requests.append(SentRequest(id, cls.name, now, now + budget, key or id, "kiosks"))
-        self.open_messages[id] = self.pool.loop.call_later(
-            budget + GIVE_UP_MARGIN_S, self._give_up, id, now + budget
-        )
+        deadline = now + budget
+        self.pool.recorder.requests.append(SentRequest(id, cls.name, now, deadline, key or id, "kiosks"))
+        timer = self.pool.loop.call_later(budget + GIVE_UP_MARGIN_S, self._give_up, id, deadline)
+        self.open_messages[id] = timer
         self.send_text(json.dumps(fields))
         return id
 
-    def _give_up(self, id: str, due: float) -> None:
+    def _give_up(self, id: str, deadline: float) -> None:
         self.open_messages.pop(id)
-        self.pool.recorder.answers.append(ReceivedAnswer(id, due, 0, client_gave_up=True))
+        self.pool.recorder.answers.append(ReceivedAnswer(id, deadline, 0, client_gave_up=True))
 
     def send_text(self, text: str) -> None:
         """Send one text message."""
--- a/harness/websocket_endpoint.py
+++ b/harness/websocket_endpoint.py
@@ -1,10 +1,10 @@
-"""A stand-in for an endpoint that speaks WebSocket and serves requests, with scripted faults.
+"""A test endpoint that speaks WebSocket and serves requests, with scripted faults.
 
     python -m harness.websocket_endpoint --listen 127.0.0.1:0 [--script FILE]
 
-It echoes each message, begun with its own name. The script is JSON, `{"faults": [{"session": 3, "after": 2,
+It echoes each message with its own name in front. The script is JSON, `{"faults": [{"session": 3, "after": 2,
 "what": "silent"}]}`: what it does in its nth session (0: in each) after so many messages. `what` is one of
-FAULTS. Every opening is logged as an attempt in the ledger, every message as `name text` on request.
+FAULT_KINDS. Each opening handshake and each request is recorded as an attempt.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 MAX_HEAD_BYTES = 16 * 1024
 FAULT_KINDS = (
-    "silent",  # nothing more is looked at or said, the connection stays
-    "mute",  # reads on, answers nothing, not even pings
-    "slow",  # reads nothing for a while, so that the sender's buffers fill
+    "silent",  # reads and sends nothing more; the connection stays open
+    "mute",  # reads, answers nothing, not even pings
+    "slow",  # reads nothing for SLOW_S, so that the sender's buffers fill
     "reset",
     "close",
     "masked",
@@ -44,7 +44,7 @@
     "long",
     "unasked",
     "close-1",
-    # Of the handshake, whatever `after` says:
+    # In the handshake; `after` has no effect:
     "decline",
     "reject",
     "wrong-key",
@@ -57,8 +57,13 @@
 HANDSHAKE_FAULT_KINDS = frozenset(
     ("decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late")
 )
-SLOW_S = 0.5  # for which it reads nothing, or answers late
+SLOW_S = 0.5  # without reading, or before a late response
 SCRIPTED_CLOSE_CODE = 4321
+DECLINING_RESPONSES = {
+    "decline": b"HTTP/1.1 403 Forbidden\r\nContent-Length: 2\r\n\r\nno",
+    "reject": b"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno",
+    "plain": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno",
+}
 INVALID_FRAMES = {
     "close-1": b"\x88\x01x",  # a close frame of one byte
     "masked": b"\x81\x81abcdx",
@@ -66,7 +71,7 @@
     "opcode": b"\x83\x01x",
     "utf8": b"\x81\x02\xc3\x28",
     "long": b"\x82\x7f" + struct.pack("!Q", 1 << 40),  # a length of 1 TiB
-    "unasked": b"\x80\x01x",  # a continuation of nothing
+    "unasked": b"\x80\x01x",  # a continuation frame without a message
 }
 
 
@@ -81,32 +86,32 @@
 
 def line_of(text: str, number: int) -> int:
     """Return the line of the nth entry of the list, each of which begins with a brace."""
-    place = text.find("[")
+    position = text.find("[")
     for _ in range(number + 1):
-        place = max(place, text.find("{", place + 1))
-    return 1 + text.count("\n", 0, place)
+        position = max(position, text.find("{", position + 1))
+    return 1 + text.count("\n", 0, position)
 
 
 def read_script(text: str, file: str = "script") -> list[ScriptedFault]:
     """Read a script of faults. Raises ValueError with file and line."""
     try:
         raw = json.loads(text)
-    except ValueError as fault:
-        raise ValueError(f"{file}:{getattr(fault, 'lineno', 1)}: no JSON: {fault}") from None
-    found = []
+    except ValueError as error:
+        raise ValueError(f"{file}:{getattr(error, 'lineno', 1)}: no JSON: {error}") from None
+    faults = []
     entries = raw.get("faults") if isinstance(raw, dict) else None
     if not isinstance(entries, list):
         raise ValueError(f'{file}:1: write {{"faults": [...]}}')  # noqa: TRY004 - a fault of the file
     for number, entry in enumerate(entries):
-        at = f"{file}:{line_of(text, number)}: fault {number + 1}"
+        place = f"{file}:{line_of(text, number)}: fault {number + 1}"
         try:
-            made = ScriptedFault(**{"kind" if key == "what" else key: value for key, value in entry.items()})
-        except TypeError as fault:
-            raise ValueError(f"{at}: {fault}") from None
-        if made.kind not in FAULT_KINDS:
-            raise ValueError(f"{at}: what must be one of {', '.join(FAULT_KINDS)}")
-        found.append(made)
-    return found
+            fault = ScriptedFault(**{"kind" if key == "what" else key: value for key, value in entry.items()})
+        except TypeError as error:
+            raise ValueError(f"{place}: {error}") from None
+        if fault.kind not in FAULT_KINDS:
+            raise ValueError(f"{place}: what must be one of {', '.join(FAULT_KINDS)}")
+        faults.append(fault)
+    return faults
 
 
 class WebSocketEndpoint:
@@ -131,17 +136,17 @@
         self.connections: set[_EndpointConnection] = set()
         self.session_count = 0
         self.answers_closes = True
-        self.open_sessions: set[_EndpointConnection] = set()  # sessions
-        self.close_codes: Counter[int] = Counter()  # codes that came; 1006: none did
-        self.messages: list[str | bytes] = []  # messages
+        self.open_sessions: set[_EndpointConnection] = set()
+        self.close_codes: Counter[int] = Counter()  # received; 1006: no close frame
+        self.messages: list[str | bytes] = []
 
     async def start(self) -> str:
-        """Listen where it did before, if it did; return the address."""
+        """Listen, on the same address as before if it was started before; return the address."""
         self.server, self.address = await listen(lambda: _EndpointConnection(self), self.address, 1024)
         return self.address
 
     def stop(self) -> None:
-        """End as a process that dies."""
+        """Abort all connections, as a process that is killed."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -151,13 +156,13 @@
 
 
 class _EndpointConnection(asyncio.Protocol):
-    def __init__(self, node: WebSocketEndpoint) -> None:
-        self.endpoint = node
+    def __init__(self, endpoint: WebSocketEndpoint) -> None:
+        self.endpoint = endpoint
         self.transport: Any = None
-        self.head = bytearray()
+        self.buffered = bytearray()
         self.frames: FrameProtocol | None = None
         self.number = 0
-        self.messages = 0
+        self.message_count = 0
         self.parts: list[Any] = []
         self.is_mute = False
         self.is_silent = False
@@ -181,101 +186,113 @@
         if self.is_silent:
             return
         if self.frames is not None:
-            self._frames(data)
+            self._receive_frames(data)
             return
-        self.head += data
-        while not self.is_silent and self.frames is None and (end := self.head.find(b"\r\n\r\n")) >= 0:
-            head = bytes(self.head[:end])
-            fields = {}
-            line, *rest = head.split(b"\r\n")
-            for field in rest:
-                name, _, value = field.partition(b":")
-                fields[name.lower()] = value.strip()
-            length = int(fields.get(b"content-length", b"0"))
-            if len(self.head) < end + 4 + length:
+        self.buffered += data
+        while not self.is_silent and self.frames is None:
+            request = self._next_request()
+            if request is None:
                 return
-            del self.head[: end + 4 + length]
-            self._request(line, fields)
-        if self.frames is not None and self.head:
-            behind = bytes(self.head)
-            self.head.clear()
-            self._frames(behind)
-
-    def _request(self, line: bytes, fields: dict[bytes, bytes]) -> None:
-        _, target, _ = line.split(b" ")
+            self._on_request(*request)
+        if self.frames is not None and self.buffered:
+            surplus = bytes(self.buffered)
+            self.buffered.clear()
+            self._receive_frames(surplus)
+
+    def _next_request(self) -> tuple[bytes, dict[bytes, bytes]] | None:
+        """Take the next complete request from the buffer: its request line and headers."""
+        head, separator, rest = bytes(self.buffered).partition(b"\r\n\r\n")
+        if not separator:
+            return None
+        request_line, *lines = head.split(b"\r\n")
+        headers = {}
+        for line in lines:
+            name, _, value = line.partition(b":")
+            headers[name.lower()] = value.strip()
+        body_bytes = int(headers.get(b"content-length", b"0"))
+        if len(rest) < body_bytes:
+            return None
+        del self.buffered[: len(head) + len(separator) + body_bytes]
+        return request_line, headers
+
+    def _on_request(self, request_line: bytes, headers: dict[bytes, bytes]) -> None:
+        _, target, _ = request_line.split(b" ")
         if target in (b"/load", b"/healthz"):
             self.transport.write(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(LOAD_REPORT), LOAD_REPORT)
             )
             return
         now = time.monotonic()
-        call = fields.get(b"x-call-id", b"").decode()
-        key = fields.get(b"idempotency-key", b"").decode()
-        via = fields.get(b"x-via", b"").decode()
+        request_id = headers.get(b"x-call-id", b"").decode()
+        key = headers.get(b"idempotency-key", b"").decode()
+        proxy = headers.get(b"x-via", b"").decode()
         self.attempt = attempt = self.endpoint.recorder.attempt(
-            call, self.endpoint.name, self.endpoint.zone, now, key=key, proxy=via, last_byte_at=now
+            request_id, self.endpoint.name, self.endpoint.zone, now, key=key, proxy=proxy, last_byte_at=now
         )
-        if fields.get(b"upgrade", b"").lower() == b"websocket":
-            self._upgrade(fields, attempt)
+        if headers.get(b"upgrade", b"").lower() == b"websocket":
+            self._upgrade(headers, attempt)
             return
         attempt.executed = True
         attempt.executed_at = now
-        self.endpoint.loop.call_later(self.endpoint.service_time, self._served, attempt)
+        self.endpoint.loop.call_later(self.endpoint.service_time, self._respond, attempt)
 
-    def _served(self, attempt: RecordedAttempt) -> None:
+    def _respond(self, attempt: RecordedAttempt) -> None:
         if self.transport is not None and not self.is_silent:
             attempt.ended_at = time.monotonic()
             body = b"done " + attempt.request_id.encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
-    def _fault(self, handshake: bool) -> str:
+    def _scripted_fault(self, is_handshake: bool) -> str:
+        """Return the kind of the fault that is due in this session, "" if none is."""
         for fault in self.endpoint.faults:
-            mine = fault.session in (0, self.number) and (fault.kind in HANDSHAKE_FAULT_KINDS) is handshake
-            if mine and (handshake or fault.after == self.messages):
+            if fault.session not in (0, self.number):
+                continue
+            if (fault.kind in HANDSHAKE_FAULT_KINDS) is not is_handshake:
+                continue
+            if is_handshake or fault.after == self.message_count:
                 return fault.kind
         return ""
 
-    def _upgrade(self, fields: dict[bytes, bytes], attempt: RecordedAttempt) -> None:
-        node = self.endpoint
-        node.session_count += 1
-        self.number = node.session_count
-        what = self._fault(True)
-        accept = base64.b64encode(hashlib.sha1(fields[b"sec-websocket-key"] + GUID).digest())
-        offered = fields.get(b"sec-websocket-protocol", b"")
-        more = b"Sec-WebSocket-Protocol: %s\r\n" % offered.split(b",")[0].strip() if offered else b""
-        if what == "no-answer":
+    def _upgrade(self, headers: dict[bytes, bytes], attempt: RecordedAttempt) -> None:
+        self.endpoint.session_count += 1
+        self.number = self.endpoint.session_count
+        fault = self._scripted_fault(is_handshake=True)
+        if fault == "no-answer":
             self.is_silent = True
             return
-        if what in ("decline", "reject", "plain"):
-            line = {"decline": b"403 Forbidden", "reject": b"503 Full", "plain": b"200 OK"}[what]
-            mark = b"X-Rejected: 1\r\n" if what == "reject" else b""
-            attempt.rejected = what == "reject"
-            self.transport.write(b"HTTP/1.1 " + line + b"\r\n" + mark + b"Content-Length: 2\r\n\r\nno")
+        if fault in DECLINING_RESPONSES:
+            attempt.rejected = fault == "reject"
+            self.transport.write(DECLINING_RESPONSES[fault])
             attempt.ended_at = time.monotonic()
             return
-        if what == "wrong-key":
+        accept = base64.b64encode(hashlib.sha1(headers[b"sec-websocket-key"] + GUID).digest())
+        if fault == "wrong-key":
             accept = base64.b64encode(b"x" * 20)
-        if what == "extension":
-            more += b"Sec-WebSocket-Extensions: permessage-deflate\r\n"
-        if what == "late":
-            node.loop.call_later(SLOW_S, self._accept, accept, more, "")
+        extra_headers = b""
+        offered = headers.get(b"sec-websocket-protocol", b"")
+        if offered:
+            extra_headers += b"Sec-WebSocket-Protocol: %s\r\n" % offered.split(b",")[0].strip()
+        if fault == "extension":
+            extra_headers += b"Sec-WebSocket-Extensions: permessage-deflate\r\n"
+        if fault == "late":
+            self.endpoint.loop.call_later(SLOW_S, self._accept, accept, extra_headers, "")
         else:
-            self._accept(accept, more, what)
+            self._accept(accept, extra_headers, fault)
 
-    def _accept(self, accept: bytes, more: bytes, what: str) -> None:
+    def _accept(self, accept: bytes, extra_headers: bytes, fault: str) -> None:
         if self.transport is None:
             return
         self.frames = FrameProtocol(client=False, extensions=[])
         head = (
             b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-            b"Sec-WebSocket-Accept: " + accept + b"\r\n" + more + b"\r\n"
+            b"Sec-WebSocket-Accept: " + accept + b"\r\n" + extra_headers + b"\r\n"
         )
-        behind = bytes(self.frames.send_data("behind")) if what == "behind" else b""
-        self.transport.write(head + behind)
+        first_frame = bytes(self.frames.send_data("behind")) if fault == "behind" else b""
+        self.transport.write(head + first_frame)
         self.endpoint.open_sessions.add(self)
-        self._inject(self._fault(False))
+        self._inject(self._scripted_fault(is_handshake=False))
 
-    def _frames(self, data: bytes) -> None:
+    def _receive_frames(self, data: bytes) -> None:
         assert self.frames is not None
         self.frames.receive_bytes(data)
         try:
@@ -303,22 +320,23 @@
             if frame.message_finished and frame.frame_finished:
                 parts = self.parts
                 self.parts = []
-                self._message(("" if isinstance(frame.payload, str) else b"").join(parts))
+                self._on_message(("" if isinstance(frame.payload, str) else b"").join(parts))
 
-    def _message(self, message: str | bytes) -> None:
+    def _on_message(self, message: str | bytes) -> None:
         assert self.frames is not None
-        self.messages += 1
+        self.message_count += 1
         self.endpoint.messages.append(message)
-        fault = self._fault(False)
+        fault = self._scripted_fault(is_handshake=False)
         if fault:
             self._inject(fault)
             return
         if not self.is_mute:
-            own = f"{self.endpoint.name} " if isinstance(message, str) else self.endpoint.name.encode() + b" "
-            self.transport.write(bytes(self.frames.send_data(own + message)))  # type: ignore[operator]
+            prefix = f"{self.endpoint.name} "
+            echo = prefix + message if isinstance(message, str) else prefix.encode() + message
+            self.transport.write(bytes(self.frames.send_data(echo)))
 
     def _inject(self, fault: str) -> None:
-        """Do what a fault of FAULT_KINDS says; "" is none."""
+        """Inject a fault of FAULT_KINDS; "" is none."""
         if fault == "silent":
             self.is_silent = True
         elif fault == "mute":
@@ -340,13 +358,14 @@
 
 
 async def serve(listen: str, faults: list[ScriptedFault], seconds: float) -> None:
-    """Run one endpoint for so long, then print what it saw."""
-    node = WebSocketEndpoint(Recorder(), "wsnode", tuple(faults))
-    node.address = listen
-    print(f"listening {await node.start()}", flush=True)
+    """Run one endpoint for so long, then print what it received."""
+    endpoint = WebSocketEndpoint(Recorder(), "wsnode", tuple(faults))
+    endpoint.address = listen
+    print(f"listening {await endpoint.start()}", flush=True)
     await asyncio.sleep(seconds)
-    node.stop()
-    print(f"sessions {node.session_count}, messages {len(node.messages)}, closes {dict(node.close_codes)}")
+    endpoint.stop()
+    closes = dict(endpoint.close_codes)
+    print(f"sessions {endpoint.session_count}, messages {len(endpoint.messages)}, closes {closes}")
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -364,8 +383,8 @@
     if options.script is not None:
         try:
             faults = read_script(options.script.read_text(), str(options.script))
-        except (OSError, ValueError) as fault:
-            print(fault, file=sys.stderr)
+        except (OSError, ValueError) as error:
+            print(error, file=sys.stderr)
             return 2
     asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(options.listen, faults, options.seconds))
     return 0
--- a/harness/websocket_frames.py
+++ b/harness/websocket_frames.py
@@ -1,4 +1,4 @@
-"""WebSocket frames as a client sends them, also those that it must not, and seeded streams of them."""
+"""WebSocket frames as a client sends them, also those that it must not, and seeded sequences of them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def frame(
     opcode: int, data: bytes = b"", fin: bool = True, rsv: int = 0, mask: bool = True, length: bytes = b""
 ) -> bytes:
-    """Build one frame; `length`: the bytes of the length, in place of the right ones."""
+    """Build one frame; `length`: the bytes of its length field, in place of the correct ones."""
     if not length:
         size = len(data)
         length = bytes([size]) if size < 126 else b"\x7e" + struct.pack("!H", size)
@@ -24,16 +24,16 @@
     return head + bytes([length[0] | 0x80]) + length[1:] + MASK + masked
 
 
-def stream(draw: Random) -> bytes:
-    """Draw up to five frames, most of them good."""
+def random_frames(random: Random) -> bytes:
+    """Draw up to five frames, most of them valid."""
     return b"".join(
         frame(
-            draw.choice((1, 2, 2, 9, 10)) if draw.random() < 0.9 else draw.randrange(16),
-            draw.randbytes(draw.choice((0, 1, 2, 5, 130))) if draw.random() < 0.1 else b"texto",
-            draw.random() < 0.95,
-            0 if draw.random() < 0.97 else draw.randrange(8),
-            draw.random() < 0.98,
-            b"" if draw.random() < 0.98 else bytes([draw.randrange(128)]) + draw.randbytes(8),
+            random.choice((1, 2, 2, 9, 10)) if random.random() < 0.9 else random.randrange(16),
+            random.randbytes(random.choice((0, 1, 2, 5, 130))) if random.random() < 0.1 else b"texto",
+            random.random() < 0.95,
+            0 if random.random() < 0.97 else random.randrange(8),
+            random.random() < 0.98,
+            b"" if random.random() < 0.98 else bytes([random.randrange(128)]) + random.randbytes(8),
         )
-        for _ in range(draw.randrange(1, 6))
+        for _ in range(random.randrange(1, 6))
     )
