--- a/benchmarks/recovery_stores.py
+++ b/benchmarks/recovery_stores.py
@@ -49,7 +49,7 @@
     """Each record as text, and whether the store says that it is whole."""
 
     records: dict[str, str]
-    is_whole: bool
+    is_complete: bool
 
 
 class CountingDirectory(StoreDirectory):
@@ -160,8 +160,8 @@
         """Read records as text."""
         database = sqlite3.connect(path / "facts.db")
         try:
-            is_whole = database.execute("PRAGMA integrity_check").fetchone() == ("ok",)
-            return StoredRecords(dict(database.execute("SELECT place, said FROM facts")), is_whole)
+            is_complete = database.execute("PRAGMA integrity_check").fetchone() == ("ok",)
+            return StoredRecords(dict(database.execute("SELECT place, said FROM facts")), is_complete)
         except sqlite3.DatabaseError:
             return StoredRecords({}, False)
         finally:
@@ -201,7 +201,7 @@
         store.load(path)
         reading = time.monotonic() - started_at
         stored = store.read(path)
-        assert stored.is_whole
+        assert stored.is_complete
         assert len(stored.records) == len(records)
         size = sum(file.stat().st_size for file in path.iterdir())
     return {
@@ -297,7 +297,7 @@
             shares = result.share_after_cut if is_cut else result.share_after_bit_flip
             shares.append(right / len(written))
             result.invented += len(found.records) - right
-            result.undetected += found.is_whole and right < len(written) and not is_cut
+            result.undetected += found.is_complete and right < len(written) and not is_cut
     return result
 
 
--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -143,13 +143,13 @@
             raise InvalidRecordError("not a record of maintenance")
         in_maintenance = _read_times(raw.get("out"))
         reinstated_at = _read_times(raw.get("back"))
-        taken_out = [name for name in in_maintenance if name not in self.in_maintenance]
-        put_back = [name for name, at in reinstated_at.items() if self.reinstated_at.get(name) != at]
+        out_of_service = [name for name in in_maintenance if name not in self.in_maintenance]
+        reinstated = [name for name, at in reinstated_at.items() if self.reinstated_at.get(name) != at]
         self.in_maintenance = in_maintenance
         self.reinstated_at = reinstated_at
         self.awaiting_reinstatement -= in_maintenance.keys()
-        self.awaiting_reinstatement.update(put_back)
-        return self._update([*taken_out, *put_back])
+        self.awaiting_reinstatement.update(reinstated)
+        return self._update([*out_of_service, *reinstated])
 
 
 def _read_times(raw: Any) -> dict[str, float]:
--- a/service_proxy/admin/settings_update.py
+++ b/service_proxy/admin/settings_update.py
@@ -76,8 +76,8 @@
         item_path = f"{path}.{index}"
         if not isinstance(item, Mapping):
             raise InvalidSettingsUpdateError("is no object", item_path)
-        same_kind = [before for before in running if before.get("effect") == item.get("effect")] or running
-        required = set.intersection(*(set(before) for before in same_kind))
+        same_effect = [before for before in running if before.get("effect") == item.get("effect")] or running
+        required = set.intersection(*(set(before) for before in same_effect))
         missing = sorted(required - set(item))
         if missing:
             raise InvalidSettingsUpdateError("is missing", f"{item_path}.{missing[0]}")
--- a/service_proxy/deadlines/request_budget.py
+++ b/service_proxy/deadlines/request_budget.py
@@ -15,19 +15,19 @@
 LATE_WEIGHT_SHARE = 0.05  # of its priority weight that a request has after its latency objective
 
 
-def child_allowance(available: int, calls_to_come: int) -> int:
+def child_allowance(available: int, remaining_calls: int) -> int:
     """Return the attempts for the next of so many calls: an equal share, rounded up; the last gets all."""
-    return -(-available // max(1, calls_to_come))
+    return -(-available // max(1, remaining_calls))
 
 
-def downstream_allowance(available: int, attempts_to_come: int) -> int:
+def downstream_allowance(available: int, remaining_attempts: int) -> int:
     """Return the attempts that travel with the next of so many attempts.
 
     They are half of what is left after it, since what isn't used is returned with its answer, and the other
     half is enough for one more attempt that is lost; the last one gets all.
     """
     rest = available - 1
-    return rest if attempts_to_come <= 1 else -(-rest // 2)
+    return rest if remaining_attempts <= 1 else -(-rest // 2)
 
 
 def completion_factor(calls_expected: int, calls_before: int) -> float:
--- a/service_proxy/ephemeral_nodes/children_reader.py
+++ b/service_proxy/ephemeral_nodes/children_reader.py
@@ -49,7 +49,7 @@
         self.on_complete = on_complete
         self.lacks_persistent_watches = False  # of the service
         self.may_have_missed_changes = True  # of data, while nothing was watched
-        self.reads_done = 0
+        self.read_count = 0
         self.children_read = 0  # times that all names were read
         self._is_names_read_due = False
         self._read_needed = asyncio.Event()
@@ -155,7 +155,7 @@
             self.children.pending_reads.setdefault(name)
             raise
         else:
-            self.reads_done += 1
+            self.read_count += 1
             self.on_changes(self.children.on_data(name, data, stat))
 
 
--- a/service_proxy/ephemeral_nodes/merge_rules.py
+++ b/service_proxy/ephemeral_nodes/merge_rules.py
@@ -82,7 +82,7 @@
         if any(report.is_loss_withheld for _, report in reports):
             decision.reason = "its loss is held to be the source's fault (rule 4)"
     entry.started_at = max(report.started_at for _, report in reports)
-    _resolve_places(decision, reports, bool(ends))
+    _resolve_locations(decision, reports, bool(ends))
     if decision.is_serving:
         substitute = _find_ended_namesake(index, name, first) or _find_preferred(index, decision)
         if substitute is not None:
@@ -101,7 +101,7 @@
         decision.reason = "its session is lost"
 
 
-def _resolve_places(decision: Decision, reports: CurrentReports, has_ended: bool) -> None:
+def _resolve_locations(decision: Decision, reports: CurrentReports, has_ended: bool) -> None:
     """Rules 5 and 6: the sources may give other addresses, zones and groups."""
     entry = decision.endpoint.entry
     if not has_ended and len({report.endpoint.address for _, report in reports}) > 1:
--- a/service_proxy/ephemeral_nodes/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -47,7 +47,7 @@
         self.serving_count = 0  # endpoints that are given out as serving
         self.loss_windows: deque[tuple[float, str]] = deque()  # when a loss's window ends
         self.tombstones: dict[str, float] = {}  # names that are gone, and until when that is remembered
-        self.notes: list[str] = []  # log lines, taken by `take_notes`
+        self.notes: list[str] = []  # log lines, taken by `drain_notes`
         self.last_notes: dict[str, str] = {}  # by name: the last disagreement that was noted
 
     # What sources report
@@ -131,7 +131,7 @@
         others = [
             other
             for other in self.sources.values()
-            if other is not source and other.health is SourceHealth.FRESH
+            if other is not source and other.health is SourceHealth.UP_TO_DATE
         ]
         ready = sum(any(_is_ready_by(other, name) for other in others) for name in names)
         return ready * 2 > len(names)
@@ -147,7 +147,7 @@
             del self.tombstones[name]
             self._forget(name)
         for source in self.sources.values():
-            if source.withheld_count and source.health is SourceHealth.FRESH:
+            if source.withheld_count and source.health is SourceHealth.UP_TO_DATE:
                 self._accept_withheld(source, now)
 
     def _accept_withheld(self, source: SourceView, now: float) -> None:
@@ -242,7 +242,7 @@
         """Return all that is in force, by name."""
         return [self.decisions[name].endpoint for name in sorted(self.decisions)]
 
-    def take_notes(self) -> list[str]:
+    def drain_notes(self) -> list[str]:
         """Return the log lines since the last call."""
         notes = self.notes
         self.notes = []
--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -103,7 +103,7 @@
         discovery = self.consumer.discovery
         discovery.on_list = self._on_discovery_list
         discovery.on_failed = self._on_discovery_failed
-        self._give_out(now)
+        self._publish_changes(now)
         self.session.start()
         self._spawn(self._tick_forever())
 
@@ -180,12 +180,12 @@
     def _on_discovery_list(self, endpoint_list: EndpointList) -> None:
         now = time.monotonic()
         self.discovery_failed_at = None
-        self.merger.set_health(DISCOVERY, SourceHealth.FRESH)
+        self.merger.set_health(DISCOVERY, SourceHealth.UP_TO_DATE)
         if endpoint_list.is_snapshot:
             self.merger.replace_all(DISCOVERY, endpoint_list.endpoints, now)
         else:
             self.merger.update(DISCOVERY, endpoint_list.endpoints, now)
-        if not self._give_out(now):
+        if not self._publish_changes(now):
             # The policy waits for an answer, also for one without changes.
             self.consumer.apply_endpoint_list(EndpointList(self.merger.version, False, []))
 
@@ -229,7 +229,7 @@
 
     # What changes by it
     def _on_read_complete(self) -> None:
-        self.merger.set_health(MEMBERSHIP, SourceHealth.FRESH)
+        self.merger.set_health(MEMBERSHIP, SourceHealth.UP_TO_DATE)
         self._schedule_flush()
 
     def _apply_changes(self, changes: ChildChanges) -> None:
@@ -263,9 +263,9 @@
             losses = self.pending_losses
             self.pending_losses = {}
             self.merger.report_ended(MEMBERSHIP, losses, now, ReportedStatus.LOST)
-        self._give_out(now)
+        self._publish_changes(now)
 
-    def _give_out(self, now: float) -> bool:
+    def _publish_changes(self, now: float) -> bool:
         """Hand on what is new in force; return whether anything is."""
         before = self.merger.serving_count
         endpoint_list = self.merger.take_changes(now)
@@ -277,7 +277,7 @@
         return endpoint_list is not None
 
     def _log_notes(self) -> None:
-        for note in self.merger.take_notes():
+        for note in self.merger.drain_notes():
             log.info("%s", note)
 
     async def _tick_forever(self) -> None:
@@ -287,7 +287,7 @@
             failed_at = self.discovery_failed_at
             if failed_at is not None and now >= failed_at + DISCOVERY_TIMEOUT_S:
                 self.merger.set_health(DISCOVERY, SourceHealth.UNREACHABLE)
-            self._give_out(now)
+            self._publish_changes(now)
             if self.is_snapshot_due and now >= self.snapshot_written_at + SNAPSHOT_INTERVAL_S:
                 await self._write_due_snapshot(now)
 
--- a/service_proxy/ephemeral_nodes/source_reports.py
+++ b/service_proxy/ephemeral_nodes/source_reports.py
@@ -15,7 +15,7 @@
 DISCOVERY = "discovery"
 SOURCE_ORDER = (MEMBERSHIP, DISCOVERY)  # who is believed first where none is fresher
 HEALTH_ORDER = (
-    SourceHealth.FRESH,
+    SourceHealth.UP_TO_DATE,
     SourceHealth.STALE,
     SourceHealth.UNREACHABLE,
     SourceHealth.NEVER_RECEIVED,
--- a/service_proxy/fleet/failure_detector.py
+++ b/service_proxy/fleet/failure_detector.py
@@ -194,7 +194,7 @@
         writer = self._start_reply(message)
         origin = message.first_value(Section.ORIGIN)
         if origin is not None:
-            hears_origin = self._heard_recently(origin[:KEY_BYTES])
+            hears_origin = self._has_recent_contact(origin[:KEY_BYTES])
             writer.add_section(Section.HEARS_ORIGIN, bytes((hears_origin,)))
             asker = self.table.entries.get(origin[:KEY_BYTES])
             if asker is not None:  # whether it hears this member is seen by a datagram straight to it
@@ -228,14 +228,10 @@
                 self._record_path(probe.target, "")
         elif message.sender in probe.helpers:
             del self.probes[number]
-            heard_recently = self._heard_recently(probe.target)
+            has_recent_contact = self._has_recent_contact(probe.target)
             hears_us = message.first_value(Section.HEARS_ORIGIN) == b"\x01"
-            self._record_path(
-                probe.target,
-                PATH_DESCRIPTIONS[
-                    1 if heard_recently and hears_us else 2 if hears_us else 3 if heard_recently else 4
-                ],
-            )
+            path_number = _path_number(has_recent_contact, hears_us)
+            self._record_path(probe.target, PATH_DESCRIPTIONS[path_number])
             self._record_liveness(probe.target)
 
     def _on_nack(self, message: Datagram, _source: Address) -> None:
@@ -317,3 +313,10 @@
         suspicion = self.table.suspicions.get(key)
         if suspicion is not None:
             suspicion.last_contact_at = self.now
+
+
+def _path_number(has_recent_contact: bool, hears_us: bool) -> int:
+    """Return the index in PATH_DESCRIPTIONS for a member that answers no direct probe."""
+    if hears_us:
+        return 1 if has_recent_contact else 2
+    return 3 if has_recent_contact else 4
--- a/service_proxy/fleet/member_base.py
+++ b/service_proxy/fleet/member_base.py
@@ -406,7 +406,7 @@
         phase = self.phase if phase is None else phase
         return make_entry(self.key, self.incarnation, claim, self.record, phase, self.metadata)
 
-    def _heard_recently(self, key: MemberKey) -> bool:
+    def _has_recent_contact(self, key: MemberKey) -> bool:
         contact = self.last_contacts.get(key)
         return (
             contact is not None
--- a/service_proxy/fleet/name_ownership.py
+++ b/service_proxy/fleet/name_ownership.py
@@ -71,10 +71,10 @@
 
         `departed`: it left, or is dead to the member that sent it.
         """
-        is_same_place = address == self.record.address
-        if self._is_outranked(challenger, departed or is_same_place):
+        is_same_address = address == self.record.address
+        if self._is_outranked(challenger, departed or is_same_address):
             return ChallengeOutcome.NONE
-        if departed or is_same_place:
+        if departed or is_same_address:
             return self._outrank(challenger)
         if challenger.generation > self.outranked.get(challenger.nonce, MAX_GENERATION):
             # It has denied what outranked it, so it lives.
--- a/service_proxy/fleet/protocol.py
+++ b/service_proxy/fleet/protocol.py
@@ -204,21 +204,21 @@
         elif message_type is MessageType.JOIN:
             self._answer_join(message, source)
         else:
-            self._take_in_sender(message)
-            self._take_in_updates(message, source)
+            self._apply_sender(message)
+            self._apply_updates(message, source)
             handler = self._handlers_by_type.get(message_type)
             if handler is not None:
                 handler(message, source)
             if message_type in COMPARING_TYPES:
                 self._maybe_start_sync(message.sender, source, message.digest)
 
-    def _take_in_sender(self, message: Datagram) -> None:
+    def _apply_sender(self, message: Datagram) -> None:
         known = self.table.entries.get(message.sender)
         if known is not None and known.incarnation.process == message.incarnation.process:
             self._record_contact(message)
             self._record_liveness(message.sender)
 
-    def _take_in_updates(self, message: Datagram, source: Address) -> None:
+    def _apply_updates(self, message: Datagram, source: Address) -> None:
         for section, value in message.sections:
             if section == Section.UPDATE:
                 self._on_update(wire.unpack_update(value), message, source)
--- a/service_proxy/net/endpoint_sources.py
+++ b/service_proxy/net/endpoint_sources.py
@@ -16,7 +16,7 @@
     """What is known of a source itself; the values stand in its reports."""
 
     NEVER_RECEIVED = "never heard"
-    FRESH = "fresh"  # its last list is its list now, but for its usual delay
+    UP_TO_DATE = "fresh"  # its last list is its list now, but for its usual delay
     STALE = "stale"  # its connection or watch broke a moment ago; its list may be behind
     UNREACHABLE = "unreachable"  # for longer than its session or timeout: its list is not trusted
 
--- a/service_proxy/recovery/async_store_writer.py
+++ b/service_proxy/recovery/async_store_writer.py
@@ -135,7 +135,7 @@
         except OSError as error:
             self._set_failing(error)
             return
-        is_writable = self._take_lock()
+        is_writable = self._acquire_lock()
         known_damage = self.contents.damage
         try:
             self.contents = read_store(self.directory, self.owner)
@@ -151,7 +151,7 @@
         if is_writable:
             self._set_health(StoreHealth.OPEN, "")
 
-    def _take_lock(self) -> bool:
+    def _acquire_lock(self) -> bool:
         """Return whether this process holds the lock now."""
         if self.directory.is_locked:
             return True
--- a/service_proxy/recovery/member_survey.py
+++ b/service_proxy/recovery/member_survey.py
@@ -43,9 +43,9 @@
         self.recovered_together: set[tuple[str, tuple[int, ...]]] = set()  # name and process of a member
         channel.receive(PORT, self._on_datagram)
 
-    def ask(self) -> None:
-        """Ask some of those that have not answered this process yet, or are not steady."""
-        silent = [member for member in self.view.members() if self._is_to_be_asked(member)]
+    def query(self) -> None:
+        """Query some of the members that have not answered this process yet, or are not steady."""
+        silent = [member for member in self.view.members() if self._needs_query(member)]
         zone = self.zone()
         local = [member for member in silent if member.zone == zone]
         remote = [member for member in silent if member.zone != zone]
@@ -55,7 +55,7 @@
                 member = members[(self.next_member + offset) % len(members)]
                 self.channel.send(PORT, QUESTION + self.own_status(), member.key)
 
-    def _is_to_be_asked(self, member: FleetMember) -> bool:
+    def _needs_query(self, member: FleetMember) -> bool:
         if member.state != "alive" or member.key == self.view.own_key:
             return False
         answer = self.answers.get(member.key)
@@ -91,6 +91,6 @@
         if status is not None and status.phase is not RecoveryPhase.STEADY:
             self.recovered_together.add(process)
         elif status is not None and process in self.recovered_together:
-            status = RecoveryStatus(RecoveryPhase.RAMP, status.machine_kept_power, status.outage_at)
+            status = RecoveryStatus(RecoveryPhase.RAMP, status.machine_stayed_up, status.outage_at)
         is_alive = member.state in ("alive", "suspect") and member.phase != "leaving"
         return Peer(member.name, member.zone, is_alive, status)
--- a/service_proxy/recovery/peer_survey.py
+++ b/service_proxy/recovery/peer_survey.py
@@ -33,7 +33,7 @@
 VERSION_SHIFT = 4
 PHASE_MASK = 0x0F
 MAX_UINT32 = 0xFFFFFFFF
-MACHINE_KEPT_POWER_BIT = 0x01  # since the process before
+MACHINE_STAYED_UP_BIT = 0x01  # since the process before
 MACHINE_POWER_KNOWN_BIT = 0x02  # whether the member can tell
 
 
@@ -50,22 +50,22 @@
 
     Attributes:
         phase: in which it is.
-        machine_kept_power: since its process before; None: it can't tell.
+        machine_stayed_up: since its process before; None: it can't tell.
         outage_at: wall time at which it found that the fleet had lost power, s; 0: it did not.
     """
 
     phase: RecoveryPhase
-    machine_kept_power: bool | None = None
+    machine_stayed_up: bool | None = None
     outage_at: int = 0
 
 
 def encode_status(status: RecoveryStatus) -> bytes:
     """Encode a status as it travels in member metadata and in survey datagrams."""
     flags = 0
-    if status.machine_kept_power is not None:
+    if status.machine_stayed_up is not None:
         flags |= MACHINE_POWER_KNOWN_BIT
-        if status.machine_kept_power:
-            flags |= MACHINE_KEPT_POWER_BIT
+        if status.machine_stayed_up:
+            flags |= MACHINE_STAYED_UP_BIT
     version_and_phase = STATUS_VERSION << VERSION_SHIFT | status.phase
     return STATUS_LAYOUT.pack(version_and_phase, flags, status.outage_at & MAX_UINT32)
 
@@ -78,8 +78,8 @@
     phase = version_and_phase & PHASE_MASK
     if version_and_phase >> VERSION_SHIFT != STATUS_VERSION or phase > RecoveryPhase.STEADY:
         return None
-    kept_power = bool(flags & MACHINE_KEPT_POWER_BIT) if flags & MACHINE_POWER_KNOWN_BIT else None
-    return RecoveryStatus(RecoveryPhase(phase), kept_power, outage_at)
+    stayed_up = bool(flags & MACHINE_STAYED_UP_BIT) if flags & MACHINE_POWER_KNOWN_BIT else None
+    return RecoveryStatus(RecoveryPhase(phase), stayed_up, outage_at)
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +144,7 @@
 
 def determine_outage(
     zone: str,
-    machine_kept_power: bool | None,
+    machine_stayed_up: bool | None,
     peers: Collection[Peer],
     known_before: Collection[KnownMember],
     expected_proxies: int,
@@ -154,7 +154,7 @@
 
     Args:
         zone: of this proxy.
-        machine_kept_power: since the process before this one; None: it can't tell.
+        machine_stayed_up: since the process before this one; None: it can't tell.
         peers: all others that the membership view knows.
         known_before: others that a store or the view knew.
         expected_proxies: in all, by the settings or as known before, this one among them.
@@ -162,13 +162,13 @@
     """
     survivors = [peer for peer in peers if peer.is_survivor]
     if survivors:
-        return _outage_with_survivors(zone, machine_kept_power, peers, survivors[0], known_before, elapsed)
-    return _outage_without_survivors(machine_kept_power, peers, known_before, expected_proxies, elapsed)
+        return _outage_with_survivors(zone, machine_stayed_up, peers, survivors[0], known_before, elapsed)
+    return _outage_without_survivors(machine_stayed_up, peers, known_before, expected_proxies, elapsed)
 
 
 def _outage_with_survivors(
     zone: str,
-    machine_kept_power: bool | None,
+    machine_stayed_up: bool | None,
     peers: Collection[Peer],
     survivor: Peer,
     known_before: Collection[KnownMember],
@@ -179,8 +179,8 @@
     has_local_members = any(peer.zone == zone for peer in peers) or any(
         member.zone == zone for member in known_before
     )
-    if machine_kept_power or has_local_survivor or not has_local_members:
-        scope = OutageScope.MACHINE if machine_kept_power is False else OutageScope.PROCESS
+    if machine_stayed_up or has_local_survivor or not has_local_members:
+        scope = OutageScope.MACHINE if machine_stayed_up is False else OutageScope.PROCESS
         return OutageFinding(scope, affected - {zone}, f"{survivor.name} was up all the while")
     silent = [peer.name for peer in peers if peer.zone == zone and peer.is_silent]
     if silent and elapsed < MAX_SURVEY_S:
@@ -190,7 +190,7 @@
 
 
 def _outage_without_survivors(
-    machine_kept_power: bool | None,
+    machine_stayed_up: bool | None,
     peers: Collection[Peer],
     known_before: Collection[KnownMember],
     expected_proxies: int,
@@ -199,15 +199,15 @@
     recovering = [peer for peer in peers if peer.is_recovering]
     returned = len(recovering) + 1
     if recovering and 2 * returned > max(expected_proxies, len(known_before) + 1):
-        kept_power = [peer.status.machine_kept_power for peer in recovering if peer.status is not None]
-        if machine_kept_power and all(kept_power):
+        stayed_up = [peer.status.machine_stayed_up for peer in recovering if peer.status is not None]
+        if machine_stayed_up and all(stayed_up):
             return OutageFinding(OutageScope.PROCESS, frozenset(), "all proxies ended, and no machine did")
         reason = f"{returned} are recovering, and nobody was up before"
         return OutageFinding(OutageScope.FLEET, None, reason)
     if elapsed < MAX_SURVEY_S:
         reason = f"{returned} of {expected_proxies} have answered, and nobody was up before"
         return OutageFinding(OutageScope.UNKNOWN, None, reason)
-    if machine_kept_power and not recovering:
+    if machine_stayed_up and not recovering:
         reason = "nobody answers, and this machine kept its power"
         return OutageFinding(OutageScope.PROCESS, frozenset(), reason)
     reason = f"nobody was up before within {MAX_SURVEY_S:.0f} s: the worst is assumed"
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -98,7 +98,7 @@
         self.phase_since = self.started_at
         self.finding = OutageFinding(OutageScope.UNKNOWN, None, "nobody was asked yet")
         self.outage_at = 0  # wall time at which this process found that the fleet had lost power, s
-        self.machine_kept_power = _machine_kept_power(self.contents.state, boot_id)
+        self.machine_stayed_up = _machine_stayed_up(self.contents.state, boot_id)
         self.latest_known_time = self.contents.state.latest_time
         self.restored = restore_state(self.contents.state, self.restart_context())
         self.in_maintenance = self.restored.in_maintenance
@@ -160,7 +160,7 @@
         self.metadata = metadata
         if view is not None and channel is not None:
             self.survey = MemberSurvey(view, channel, lambda: self.filter.settings.zone, self._status)
-        if view is None and self.machine_kept_power is not False:
+        if view is None and self.machine_stayed_up is not False:
             # Nobody to ask, and nothing says that more ended than this process: service goes on.
             self._enter(RecoveryPhase.STEADY, "there is nobody to ask")
 
@@ -261,12 +261,12 @@
         peers = []
         expected_proxies = 1
         if self.survey is not None:
-            self.survey.ask()
+            self.survey.query()
             peers = self.survey.peers()
             expected_proxies = max(settings.proxy_count, len(known_before) + 1)
         finding = determine_outage(
             settings.zone,
-            self.machine_kept_power,
+            self.machine_stayed_up,
             peers,
             known_before,
             expected_proxies,
@@ -357,7 +357,7 @@
             self.metadata.publish(PORT, status)
 
     def _status(self) -> bytes:
-        return encode_status(RecoveryStatus(self.phase, self.machine_kept_power, self.outage_at))
+        return encode_status(RecoveryStatus(self.phase, self.machine_stayed_up, self.outage_at))
 
     def _record(self, recorder: StateRecorder) -> None:
         """Record what has changed since the round before."""
@@ -375,7 +375,7 @@
             recorder.record_maintenance(self.current_maintenance())
 
 
-def _machine_kept_power(state: PersistedState, boot_id: str) -> bool | None:
+def _machine_stayed_up(state: PersistedState, boot_id: str) -> bool | None:
     """Return whether the machine was not booted since the process before; None if that can't be told."""
     if state.boot is None or not state.boot.boot_id or not boot_id:
         return None
--- a/service_proxy/recovery/store.py
+++ b/service_proxy/recovery/store.py
@@ -196,8 +196,9 @@
         data = self.directory.read(name, MAX_FILE_BYTES)
         scan = scan_lines(data, generation)
         header = _check_header(scan, name, SNAPSHOT, self.owner)
-        is_whole = header is not None and scan.records[-1].get("end") == len(scan.records) - FRAMING_RECORDS
-        if header is not None and is_whole:
+        record_count = len(scan.records) - FRAMING_RECORDS
+        is_complete = header is not None and scan.records[-1].get("end") == record_count
+        if header is not None and is_complete:
             contents.state = PersistedState()
             contents.owner = StoreOwner(str(header.get("name", "")), str(header.get("machine", "")))
             contents.snapshot_bytes = len(data)
@@ -212,7 +213,7 @@
             self._apply_records(scan.records[1:] if header is not None else [], header or {}, name)
         if has_log:
             self._replay_log(generation)
-        return is_whole
+        return is_complete
 
     def _replay_log(self, generation: int) -> None:
         contents = self.contents
@@ -330,7 +331,7 @@
             return
         data = b"".join(lines)
         # Without its log until the batch is known to be durable: a failed write or fsync poisons the file.
-        log = self._take_log()
+        log = self._detach_log()
         try:
             self._append_and_sync(log, data)
         except OSError:
@@ -436,7 +437,7 @@
             "at": now,
         }
 
-    def _take_log(self) -> Any:
+    def _detach_log(self) -> Any:
         log = self.log
         self.log = None
         return log
@@ -444,7 +445,7 @@
     def close(self) -> None:
         """Close the log; nothing more can be appended to this generation."""
         if self.log is not None:
-            self.directory.close(self._take_log())
+            self.directory.close(self._detach_log())
 
 
 def operation_count(state: PersistedState) -> int:
--- a/service_proxy/recovery/validity_rules.py
+++ b/service_proxy/recovery/validity_rules.py
@@ -189,13 +189,13 @@
     """Return how far a record counts now."""
     rule = VALIDITY_RULES[record.KIND]
     age = context.now - record.recorded_at
-    always_holds = rule.for_scope(OutageScope.FLEET) is Validity.TRUSTED
-    if context.is_old_copy and not always_holds:
+    is_always_trusted = rule.for_scope(OutageScope.FLEET) is Validity.TRUSTED
+    if context.is_old_copy and not is_always_trusted:
         is_performance = record.KIND == PerformanceRecord.KIND
         return Assessment(Validity.IGNORED if is_performance else Validity.HINT, "the store is an old copy")
     if age < -MAX_CLOCK_SKEW_S:
         return Assessment(rule.when_in_future, f"its time lies {-age:.0f} s ahead of the clock")
-    if context.clock_went_backward and not always_holds:
+    if context.clock_went_backward and not is_always_trusted:
         validity = Validity.HINT if rule.when_in_future is Validity.TRUSTED else rule.when_in_future
         return Assessment(validity, "the clock went back, so its age is not known")
     if age > rule.max_age_s:
--- a/service_proxy/websocket/connection.py
+++ b/service_proxy/websocket/connection.py
@@ -206,10 +206,10 @@
     def _update_reading(self) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        is_wanted = self.state is ClosingState.CLOSED or not (self.is_paused or self.is_read_scheduled)
-        if is_wanted and not self.transport.is_reading():
+        should_read = self.state is ClosingState.CLOSED or not (self.is_paused or self.is_read_scheduled)
+        if should_read and not self.transport.is_reading():
             self.transport.resume_reading()
-        elif not is_wanted and self.transport.is_reading():
+        elif not should_read and self.transport.is_reading():
             self.transport.pause_reading()
 
     # Sending.
--- a/service_proxy/websocket/frame_codec.py
+++ b/service_proxy/websocket/frame_codec.py
@@ -91,9 +91,9 @@
 
     name = "bounds"
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes of a message
-        # of the message that comes now
+    def __init__(self, max_message_bytes: int) -> None:
+        self.max_message_bytes = max_message_bytes
+        # Of the message that is being received:
         self.announced = 0
         self.frames = 0
         self.fault: ProtocolViolationError | None = None
@@ -108,8 +108,8 @@
             self.frames = 0
         self.announced += payload_length
         self.frames += 1
-        if self.announced > self.most:
-            self.fault = ProtocolViolationError(1009, f"a message of over {self.most} bytes")
+        if self.announced > self.max_message_bytes:
+            self.fault = ProtocolViolationError(1009, f"a message of over {self.max_message_bytes} bytes")
             return CloseReason.MESSAGE_TOO_BIG
         if self.frames > MAX_FRAGMENTS:
             self.fault = ProtocolViolationError(1008, f"a message in over {MAX_FRAGMENTS} frames")
--- a/service_proxy/websocket/listener.py
+++ b/service_proxy/websocket/listener.py
@@ -51,7 +51,7 @@
 MAX_NUMBER_DIGITS = 15  # of an outcome's number in the query
 SWEEP_INTERVAL_S = 0.25  # s between looks at all sessions
 MAX_STALL_S = 5.0  # s in which who takes nothing of what waits for it is closed with 1008
-DRAIN_SPAN_S = 0.8  # s over which the sessions of a node that drains are closed; rule 3 has 2 s for all
+DRAIN_SPAN_S = 0.8  # s over which the sessions of a draining endpoint are closed; rule 3 has 2 s for all
 MAX_CLOSES_PER_TURN = 64  # sessions that are closed in one turn
 DRAIN_STEP_S = 0.02  # s between such turns, at the most
 SESSION_MEMORY_MB = 0.024  # MB that a session may cost at rest, both sides of a tunnel
@@ -99,7 +99,7 @@
     """
 
     def __init__(
-        self, settings: WebSocket, config: ProxyConfig, driver: RequestDispatcher, server: HttpServer
+        self, settings: WebSocket, config: ProxyConfig, dispatcher: RequestDispatcher, server: HttpServer
     ) -> None:
         """`config`: of the whole process.
 
@@ -107,10 +107,10 @@
             ConfigError: a tunnel's class is not idempotent or unknown.
         """
         self.settings = settings
-        self.dispatcher = driver
+        self.dispatcher = dispatcher
         self.server = server
         for cls in settings.tunnels:
-            if driver.idempotency_by_class.get(cls) is not Idempotency.IDEMPOTENT:
+            if dispatcher.idempotency_by_class.get(cls) is not Idempotency.IDEMPOTENT:
                 raise ConfigError(f"[websocket] tunnels: {cls} is no repeatable class of the settings")
         self.loop = asyncio.get_running_loop()
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
@@ -126,10 +126,10 @@
         self.is_draining = False
         self.drain_deadline = 0.0
         self.sweep_timer: asyncio.TimerHandle | None = None
-        driver.upgraded_connection_allowance = settings.sessions if settings.tunnels else 0
-        driver.set_resource_share(1.0)
+        dispatcher.upgraded_connection_allowance = settings.sessions if settings.tunnels else 0
+        self.dispatcher.set_resource_share(1.0)
         server.upgrade_handler = self
-        driver.cluster.on_endpoint_leaving = self.on_endpoint_leaving
+        dispatcher.cluster.on_endpoint_leaving = self.on_endpoint_leaving
 
     # net.endpoint_sources.Subsystem
 
@@ -202,13 +202,18 @@
 
     def _check_limits(self, client: str, tenant: str) -> None:
         settings = self.settings
-        most = settings.sessions
-        whose = self.limits.exceeded_scope(
-            client, tenant, most, settings.sessions_per_client or most, settings.sessions_per_tenant or most
+        max_sessions = settings.sessions
+        exceeded_scope = self.limits.exceeded_scope(
+            client,
+            tenant,
+            max_sessions,
+            settings.sessions_per_client or max_sessions,
+            settings.sessions_per_tenant or max_sessions,
         )
-        if whose is not None:
-            code = 503 if whose == "proxy" else 429
-            raise HandshakeRejectedError(code, f"too many sessions of this {whose}", self._retry_after())
+        if exceeded_scope is not None:
+            code = 503 if exceeded_scope == "proxy" else 429
+            message = f"too many sessions of this {exceeded_scope}"
+            raise HandshakeRejectedError(code, message, self._retry_after())
 
     def accept_connection(
         self,
@@ -222,15 +227,15 @@
         extensions = []
         settings = self.settings
         if settings.deflate:
-            agreed = negotiate(opening.extensions, settings.deflate_window_bits)
-            if agreed is not None:
-                extension = agreed.response_value()
-                extensions = [PerMessageDeflate(agreed, settings.message_bytes, settings.deflate_ratio)]
+            parameters = negotiate(opening.extensions, settings.deflate_window_bits)
+            if parameters is not None:
+                extension = parameters.response_value()
+                extensions = [PerMessageDeflate(parameters, settings.message_bytes, settings.deflate_ratio)]
         transport = connection.detach(encode_response(opening, protocol, extension))
         codec = FrameCodec(False, settings.message_bytes, extensions)
-        peer = WebSocketConnection(transport, codec, owner, self.read_buffer, is_server=True)
-        self.connections[peer] = None
-        return peer
+        accepted = WebSocketConnection(transport, codec, owner, self.read_buffer, is_server=True)
+        self.connections[accepted] = None
+        return accepted
 
     def _open_message_session(
         self,
@@ -241,28 +246,29 @@
         tenant: str,
     ) -> None:
         token = query.get("session", [""])[0]
-        seen = query.get("seen", ["0"])[0]
-        if not seen.isascii() or not seen.isdecimal() or len(seen) > MAX_NUMBER_DIGITS:
+        last_seen = query.get("seen", ["0"])[0]
+        if not last_seen.isascii() or not last_seen.isdecimal() or len(last_seen) > MAX_NUMBER_DIGITS:
             raise HandshakeRejectedError(400, "seen must be the number of an outcome")
-        book = self.registry
+        registry = self.registry
         now = time.monotonic()
         protocol = choose_subprotocol(opening, self.settings.subprotocols)
-        found = book.resume(token, tenant, None) if token else None
-        if found is None:
-            while len(book.sessions) >= 2 * self.settings.sessions and self.message_sessions.evict_detached():
-                pass  # those that wait for their client are bounded, too
-            session = book.create(secrets.token_urlsafe(16), tenant, None)
-            before = None
+        resumed = registry.resume(token, tenant, None) if token else None
+        if resumed is None:
+            max_sessions = 2 * self.settings.sessions
+            while len(registry.sessions) >= max_sessions and self.message_sessions.evict_detached():
+                pass  # detached sessions are bounded, too
+            session = registry.create(secrets.token_urlsafe(16), tenant, None)
+            previous = None
         else:
-            session, before = found
+            session, previous = resumed
         self.limits.add(client, tenant)
-        talk = MessageConnection(self.message_sessions, session, client, now)
-        session.connection = talk
-        if isinstance(before, MessageConnection) and before.connection is not None:
-            before.connection.close(1008, "its session is on another connection")
-            before.connection.abort()
-        talk.connection = self.accept_connection(connection, opening, protocol, talk)
-        self.message_sessions.start(talk, found is not None, int(seen))
+        current = MessageConnection(self.message_sessions, session, client, now)
+        session.connection = current
+        if isinstance(previous, MessageConnection) and previous.connection is not None:
+            previous.connection.close(1008, "its session is on another connection")
+            previous.connection.abort()
+        current.connection = self.accept_connection(connection, opening, protocol, current)
+        self.message_sessions.start(current, resumed is not None, int(last_seen))
 
     def _open_tunnel(
         self,
@@ -279,28 +285,27 @@
             headers.append((b"x-call-id", b"ws-" + secrets.token_hex(8).encode()))
         if b"x-budget" not in names:
             headers.append((b"x-budget", b"%dm" % int(self.dispatcher.deadline_by_class[cls] * 1e3)))
-        driver = self.dispatcher
         request = parse_request(
             b"GET",
             upgrade.target,
             headers,
             RequestBody.of(b""),
             time.monotonic(),
-            driver.idempotency_by_class,
-            driver.consumed_headers,
+            self.dispatcher.idempotency_by_class,
+            self.dispatcher.consumed_headers,
         )
         self.limits.add(client, tenant)
         tunnel = Tunnel(self, connection, opening, client, tenant)
         request.upgrade = tunnel
-        return driver.start_request(request, tunnel)
+        return self.dispatcher.start_request(request, tunnel)
 
     def add_tunnel(self, tunnel: Tunnel) -> None:
         """Note a tunnel that is open from now on."""
         upstream = tunnel.upstream
-        node = tunnel.endpoint_side.connection
+        upstream_connection = tunnel.endpoint_side.connection
         assert upstream is not None
-        assert node is not None
-        self.connections[node] = None
+        assert upstream_connection is not None
+        self.connections[upstream_connection] = None
         self.tunnels.setdefault(upstream, {})[tunnel] = None
         if not upstream.is_serving:  # it was told to drain while the handshake went on
             self.on_endpoint_leaving(upstream)
@@ -320,19 +325,19 @@
     # Unread bytes.
 
     def on_write(self, peer: WebSocketConnection) -> None:
-        """Note a write; where all together leave too much unread, the one that leaves the most is closed."""
+        """Note a write; over the limit on unread bytes of all, the connection with the most is closed."""
         self._update_unread(peer)
         while self.unread_bytes > self.max_unread_bytes and self.unread_by_connection:
-            heaviest = max(self.unread_by_connection, key=self.unread_by_connection.__getitem__)
-            heaviest.fail(1008, "what it was sent is not read, and there is no room for more")
-            heaviest.abort()
-            self._forget_unread(heaviest)
+            largest = max(self.unread_by_connection, key=self.unread_by_connection.__getitem__)
+            largest.fail(1008, "what it was sent is not read, and there is no room for more")
+            largest.abort()
+            self._forget_unread(largest)
 
     def _update_unread(self, peer: WebSocketConnection) -> None:
-        now = peer.buffered_bytes
-        self.unread_bytes += now - self.unread_by_connection.get(peer, 0)
-        if now:
-            self.unread_by_connection[peer] = now
+        unread_bytes = peer.buffered_bytes
+        self.unread_bytes += unread_bytes - self.unread_by_connection.get(peer, 0)
+        if unread_bytes:
+            self.unread_by_connection[peer] = unread_bytes
         else:
             self.unread_by_connection.pop(peer, None)
 
@@ -361,42 +366,40 @@
 
     def on_endpoint_leaving(self, upstream: ConnectionPool) -> None:
         """Close the tunnels of an endpoint that drains, is gone or was replaced, spread over DRAIN_SPAN_S."""
-        here = list(self.tunnels.get(upstream, ()))
-        if not here:
+        tunnels = list(self.tunnels.get(upstream, ()))
+        if not tunnels:
             return
-        log.info("tunnels_closing tunnels=%d endpoint=%s:%d", len(here), *upstream.address)
-        for number, tunnel in enumerate(here):
-            self.loop.call_later(DRAIN_SPAN_S * number / len(here), tunnel.close_for_drain, 1012)
+        log.info("tunnels_closing tunnels=%d endpoint=%s:%d", len(tunnels), *upstream.address)
+        for number, tunnel in enumerate(tunnels):
+            self.loop.call_later(DRAIN_SPAN_S * number / len(tunnels), tunnel.close_for_drain, 1012)
 
-    def drain(self, end_by: float) -> None:
+    def drain(self, deadline: float) -> None:
         """Stop: close tunnels over the time that there is, and a message session once it has all outcomes."""
         if self.is_draining:
             return
         self.is_draining = True
-        self.drain_deadline = end_by
-        span = max(0.0, min(DRAIN_SPAN_S, end_by - time.monotonic() - 2 * DRAIN_STEP_S))
-        tunnels = [tunnel for here in self.tunnels.values() for tunnel in here]
+        self.drain_deadline = deadline
+        span = max(0.0, min(DRAIN_SPAN_S, deadline - time.monotonic() - 2 * DRAIN_STEP_S))
+        tunnels = [tunnel for of_endpoint in self.tunnels.values() for tunnel in of_endpoint]
         for number, tunnel in enumerate(tunnels):
             self.loop.call_later(span * number / len(tunnels), tunnel.close_for_drain, 1001)
         self._close_idle_sessions()
 
     def _close_idle_sessions(self) -> None:
         """Close sessions without pending messages, some at a time, until all are closed."""
-        last = time.monotonic() > self.drain_deadline - 2 * DRAIN_STEP_S
-        left = MAX_CLOSES_PER_TURN
-        waiting = False
+        is_last_turn = time.monotonic() > self.drain_deadline - 2 * DRAIN_STEP_S
+        closes = 0
+        has_open_sessions = False
         for session in list(self.registry.sessions.values()):
-            talk = session.connection
-            if talk is None or talk.connection is None:
+            current = session.connection
+            if current is None or current.connection is None:
                 continue
-            if session.pending and not last:
-                waiting = True
-            elif left or last:
-                left -= 1
-                talk.connection.close(1001, close_reason(self.spread.next_delay()))
+            if is_last_turn or (not session.pending and closes < MAX_CLOSES_PER_TURN):
+                closes += 1
+                current.connection.close(1001, close_reason(self.spread.next_delay()))
             else:
-                waiting = True
-        if waiting:
+                has_open_sessions = True
+        if has_open_sessions:
             self.loop.call_later(DRAIN_STEP_S, self._close_idle_sessions)
 
     @property
--- a/service_proxy/websocket/message_framing.py
+++ b/service_proxy/websocket/message_framing.py
@@ -178,7 +178,7 @@
     fields: dict[str, object] = {
         "n": number,
         "id": message_id,
-        "outcome": _outcome_kind(status_code),
+        "outcome": _outcome_of(status_code),
         "code": status_code,
     }
     if retry_after > 0:
@@ -193,7 +193,7 @@
     return _json(fields)
 
 
-def _outcome_kind(status_code: int) -> str:
+def _outcome_of(status_code: int) -> str:
     if status_code == OK:
         return "served"
     return "refused" if status_code in REJECTED_CODES else "failed"
--- a/service_proxy/websocket/opening_handshake.py
+++ b/service_proxy/websocket/opening_handshake.py
@@ -144,7 +144,7 @@
     __slots__ = ("key", "protocols")
 
     def __init__(self, protocols: tuple[bytes, ...]) -> None:
-        self.protocols = protocols  # that the node may choose from
+        self.protocols = protocols  # that the endpoint may choose from
         self.key = b""
 
     def request_headers(self, nonce: bytes) -> bytes:
--- a/service_proxy/websocket/permessage_deflate.py
+++ b/service_proxy/websocket/permessage_deflate.py
@@ -170,8 +170,8 @@
         self, _proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, data: bytes, fin: bool
     ) -> tuple[RsvBits, bytes]:
         """Compress a message that is sent in one frame and long enough."""
-        is_whole_message = fin and opcode in (Opcode.TEXT, Opcode.BINARY)
-        if not is_whole_message or len(data) < MIN_COMPRESSED_BYTES:
+        is_unfragmented = fin and opcode in (Opcode.TEXT, Opcode.BINARY)
+        if not is_unfragmented or len(data) < MIN_COMPRESSED_BYTES:
             return rsv, data
         bits = self.parameters.server_window_bits
         level = min(MAX_MEMORY_LEVEL, bits - BITS_BEYOND_LEVEL)
--- a/service_proxy/websocket/session_registry.py
+++ b/service_proxy/websocket/session_registry.py
@@ -13,8 +13,8 @@
 from enum import Enum
 from typing import Any
 
-MAX_KEPT_OUTCOMES = 32  # of a session
-MAX_KEPT_BYTES = 8 * 1024  # of a session's outcomes together, but for the last one
+MAX_STORED_OUTCOMES = 32  # of a session
+MAX_STORED_BYTES = 8 * 1024  # of a session's outcomes together, but for the last one
 MAX_OUTCOME_BYTES = 64 * 1024  # of one that is stored with its body
 
 
@@ -116,8 +116,8 @@
         return self.stored_bytes - before
 
     def _exceeds_limits(self, max_bytes: int) -> bool:
-        is_over_own = len(self.outcomes) > MAX_KEPT_OUTCOMES or self.stored_bytes > MAX_KEPT_BYTES
-        return is_over_own or self.stored_bytes > max_bytes
+        exceeds_count = len(self.outcomes) > MAX_STORED_OUTCOMES
+        return exceeds_count or self.stored_bytes > min(MAX_STORED_BYTES, max_bytes)
 
     def _forget(self, number: int) -> int:
         size = len(self.outcomes.pop(number).text)
--- a/tests/ephemeral_nodes/source_harness.py
+++ b/tests/ephemeral_nodes/source_harness.py
@@ -128,7 +128,7 @@
 
     async def wait_until_fresh(self) -> None:
         """Wait until the source's health is FRESH."""
-        await until(lambda: self.health() is SourceHealth.FRESH, "fresh")
+        await until(lambda: self.health() is SourceHealth.UP_TO_DATE, "fresh")
 
     async def wait_until_withheld(self, count: int) -> None:
         """Wait until so many losses are withheld."""
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -46,7 +46,7 @@
         self.now = 0.0
         self.in_force: dict[str, Endpoint] = {}
         for source in (MEMBERSHIP, DISCOVERY):
-            self.merger.set_health(source, SourceHealth.FRESH)
+            self.merger.set_health(source, SourceHealth.UP_TO_DATE)
         self.merger.update(MEMBERSHIP, [entry(name) for name in names], self.now)
         if both:
             self.merger.update(DISCOVERY, [entry(name) for name in names], self.now)
@@ -93,7 +93,7 @@
         pair.merger.update(DISCOVERY, [entry("s-1"), entry("s-2"), entry("s-3")], pair.now)
         pair.take_changes(10.0)
         assert pair.states()["s-1"] is DRAINING
-    notes = [note for note in pair.merger.take_notes() if "s-1" in note]
+    notes = [note for note in pair.merger.drain_notes() if "s-1" in note]
     assert len(notes) == 1 and "source=membership reason=lost, which beats ready" in notes[0]
 
 
@@ -238,7 +238,7 @@
     pair.take_changes()
     pair.take_changes(WITHHOLD_S * 3)
     assert pair.serving() == set(names)
-    assert sum("mass_loss_withheld" in note for note in pair.merger.take_notes()) == 1
+    assert sum("mass_loss_withheld" in note for note in pair.merger.drain_notes()) == 1
 
 
 def test_a_trickle_takes_no_more_than_the_share_within_the_time() -> None:
@@ -366,11 +366,11 @@
 
 def test_which_source_decided_is_noted_where_they_disagree() -> None:
     pair = MergerWithConsumer("s-1", "s-2", "s-3")
-    pair.merger.take_notes()
+    pair.merger.drain_notes()
     pair.update(DISCOVERY, entry("s-1", DRAINING))
     pair.update(DISCOVERY, entry("s-2", zone="b"))
     pair.update(DISCOVERY, entry("s-3", port=9))
-    assert pair.merger.take_notes() == [
+    assert pair.merger.drain_notes() == [
         "endpoint_decided endpoint=s-1 state=draining source=discovery "
         "reason=draining, which beats ready (rule 2)",
         "endpoint_decided endpoint=s-2 state=serving source=membership "
--- a/tests/ephemeral_nodes/test_source_losses.py
+++ b/tests/ephemeral_nodes/test_source_losses.py
@@ -163,7 +163,7 @@
             accepted = accepted_connections(service)
             await until(lambda: accepted_connections(service) > accepted + 3, "connection attempts")
             assert proxy.consumer.serving() == set(NAMES) - {"s-1"}
-            assert proxy.health() is not SourceHealth.FRESH
+            assert proxy.health() is not SourceHealth.UP_TO_DATE
             file = operator_file(tmp_path, proxy.source.settings)
             proxy.source.reload(str(file))
             await proxy.wait_until_fresh()
--- a/tests/recovery/test_endpoint_override.py
+++ b/tests/recovery/test_endpoint_override.py
@@ -15,7 +15,7 @@
 
 
 def finding(
-    own_zone: str, phases: dict[str, RecoveryPhase], machine_kept_power: bool | None = None
+    own_zone: str, phases: dict[str, RecoveryPhase], machine_stayed_up: bool | None = None
 ) -> OutageFinding:
     """What a survey finds where all members of each zone are in one phase."""
     peers = [
@@ -23,7 +23,7 @@
         for zone, phase in phases.items()
         for number in range(2)
     ]
-    return determine_outage(own_zone, machine_kept_power, peers, (), len(peers) + 1, 1.0)
+    return determine_outage(own_zone, machine_stayed_up, peers, (), len(peers) + 1, 1.0)
 
 
 def zones_warming_up(affected_zones: frozenset[str] | None) -> tuple[bool, ...]:
@@ -46,7 +46,7 @@
     zone_a_recovers = {"a": surveying, "b": steady}
     findings = {
         OutageScope.PROCESS: finding("b", zone_a_recovers),
-        OutageScope.MACHINE: finding("b", zone_a_recovers, machine_kept_power=False),
+        OutageScope.MACHINE: finding("b", zone_a_recovers, machine_stayed_up=False),
         OutageScope.ZONE: finding("a", zone_a_recovers),
         OutageScope.FLEET: finding("a", {"a": surveying, "b": surveying}),
         OutageScope.UNKNOWN: finding("a", {}),
--- a/tests/recovery/test_peer_survey.py
+++ b/tests/recovery/test_peer_survey.py
@@ -24,17 +24,17 @@
 
 
 def peer(
-    number: int, phase: RecoveryPhase | None, is_alive: bool = True, kept_power: bool | None = None
+    number: int, phase: RecoveryPhase | None, is_alive: bool = True, stayed_up: bool | None = None
 ) -> Peer:
-    status = RecoveryStatus(phase, kept_power) if phase is not None else None
+    status = RecoveryStatus(phase, stayed_up) if phase is not None else None
     return Peer(f"p{number}", "abc"[number % 3], is_alive, status)
 
 
 def found(
-    peers: list[Peer], kept_power: bool | None = None, elapsed: float = 1.0, known: bool = True
+    peers: list[Peer], stayed_up: bool | None = None, elapsed: float = 1.0, known: bool = True
 ) -> OutageFinding:
     """What p0 of 24, in zone a, finds."""
-    return determine_outage("a", kept_power, peers, ALL_MEMBERS if known else [], 24, elapsed)
+    return determine_outage("a", stayed_up, peers, ALL_MEMBERS if known else [], 24, elapsed)
 
 
 def scope_and_zones(finding: OutageFinding) -> tuple[OutageScope, frozenset[str] | None]:
@@ -44,7 +44,7 @@
 def test_outages_of_one_process_a_zone_and_the_fleet_are_told_apart() -> None:
     steady = [peer(number, STEADY) for number in range(1, 24)]
     assert found(steady) == OutageFinding(OutageScope.PROCESS, frozenset(), "p1 was up all the while")
-    assert found(steady, kept_power=False).scope is OutageScope.MACHINE
+    assert found(steady, stayed_up=False).scope is OutageScope.MACHINE
     zone = [peer(number, RECOVERING if number % 3 == 0 else STEADY) for number in range(1, 24)]
     for known in (True, False):
         assert scope_and_zones(found(zone, known=known)) == (OutageScope.ZONE, frozenset("a"))
@@ -52,7 +52,7 @@
     silent = [peer(number, None if number % 3 == 0 else STEADY) for number in range(1, 24)]
     assert found(silent).scope is OutageScope.UNKNOWN
     assert found(silent, elapsed=MAX_SURVEY_S).scope is OutageScope.ZONE
-    assert found(silent, kept_power=True).scope is OutageScope.PROCESS
+    assert found(silent, stayed_up=True).scope is OutageScope.PROCESS
     dead = [peer(number, STEADY, is_alive=number % 3 != 0) for number in range(1, 24)]
     assert found(dead).scope is OutageScope.ZONE  # the first of its zone to be back
     other = [peer(number, RECOVERING if number % 3 == 1 else STEADY) for number in range(1, 24)]
@@ -60,10 +60,10 @@
     everybody = [peer(number, RECOVERING) for number in range(1, 24)]
     assert scope_and_zones(found(everybody)) == (OutageScope.FLEET, None)
     # All proxies ended, and no machine did; one that can't tell is enough to assume the worst.
-    kept_power = [peer(number, RECOVERING, kept_power=True) for number in range(1, 24)]
+    stayed_up = [peer(number, RECOVERING, stayed_up=True) for number in range(1, 24)]
     assert (
-        found(kept_power, kept_power=True).scope is OutageScope.PROCESS
-        and found(kept_power).scope is OutageScope.FLEET
+        found(stayed_up, stayed_up=True).scope is OutageScope.PROCESS
+        and found(stayed_up).scope is OutageScope.FLEET
     )
 
 
@@ -72,7 +72,7 @@
     for peers in (half, []):
         assert found(peers).scope is OutageScope.UNKNOWN
         assert found(peers, elapsed=MAX_SURVEY_S).scope is OutageScope.FLEET
-    assert found([], kept_power=True, elapsed=MAX_SURVEY_S).scope is OutageScope.PROCESS
+    assert found([], stayed_up=True, elapsed=MAX_SURVEY_S).scope is OutageScope.PROCESS
     assert found([*half, peer(12, RECOVERING)]).scope is OutageScope.FLEET
     # In a rolling restart some proxy is steady at each moment.
     for restarting in range(1, 23):
@@ -93,9 +93,9 @@
     st.binary(),
 )
 def test_status_is_decoded_as_it_was_encoded(
-    phase: RecoveryPhase, kept_power: bool | None, outage_at: int, noise: bytes
+    phase: RecoveryPhase, stayed_up: bool | None, outage_at: int, noise: bytes
 ) -> None:
-    status = RecoveryStatus(phase, kept_power, outage_at)
+    status = RecoveryStatus(phase, stayed_up, outage_at)
     assert decode_status(encode_status(status) + b"of a newer version") == status
     decode_status(noise)
     assert decode_status(None) is None and decode_status(b"\xf0" + encode_status(status)[1:]) is None
--- a/tests/websocket/test_sessions.py
+++ b/tests/websocket/test_sessions.py
@@ -14,8 +14,8 @@
 from service_proxy.websocket.reconnect_spread import ReconnectSpread, close_reason
 from service_proxy.websocket.session_limits import SessionLimits, TokenBucket
 from service_proxy.websocket.session_registry import (
-    MAX_KEPT_BYTES,
-    MAX_KEPT_OUTCOMES,
+    MAX_STORED_BYTES,
+    MAX_STORED_OUTCOMES,
     MessageStatus,
     Outcome,
     SessionRegistry,
@@ -117,31 +117,31 @@
 def test_unacknowledged_outcomes_are_stored_up_to_the_limit_and_the_rest_counted_as_lost() -> None:
     registry = SessionRegistry(1 << 20)
     session = registry.create("t", "", None)
-    for n in range(1, MAX_KEPT_OUTCOMES + 11):
+    for n in range(1, MAX_STORED_OUTCOMES + 11):
         session.pending[str(n)] = None
         registry.store(session, make_outcome(session.settle(str(n)), str(n), 10))
     unacknowledged, lost = session.unacknowledged(5)
-    assert [o.number for o in unacknowledged] == list(range(11, MAX_KEPT_OUTCOMES + 11)) and lost == 5
+    assert [o.number for o in unacknowledged] == list(range(11, MAX_STORED_OUTCOMES + 11)) and lost == 5
     registry.acknowledge(session, 20)
     unacknowledged, lost = session.unacknowledged(20)
-    assert [o.number for o in unacknowledged] == list(range(21, MAX_KEPT_OUTCOMES + 11)) and lost == 0
+    assert [o.number for o in unacknowledged] == list(range(21, MAX_STORED_OUTCOMES + 11)) and lost == 0
     assert registry.stored_bytes == session.stored_bytes == 10 * len(unacknowledged)
 
 
 def test_a_long_outcome_is_stored_alone_and_none_over_the_total_limit() -> None:
-    registry = SessionRegistry(MAX_KEPT_BYTES * 4)
+    registry = SessionRegistry(MAX_STORED_BYTES * 4)
     session = registry.create("t", "", None)
-    for n, size in ((1, 100), (2, MAX_KEPT_BYTES * 3)):
+    for n, size in ((1, 100), (2, MAX_STORED_BYTES * 3)):
         session.pending[str(n)] = None
         registry.store(session, make_outcome(session.settle(str(n)), str(n), size))
     assert list(session.outcomes) == [2] and session.last_lost == 1
     other = registry.create("u", "", None)
     other.pending["a"] = None
-    registry.store(other, make_outcome(other.settle("a"), "a", MAX_KEPT_BYTES * 2))
+    registry.store(other, make_outcome(other.settle("a"), "a", MAX_STORED_BYTES * 2))
     assert (
         not other.outcomes
         and other.unacknowledged(0) == ([], 1)
-        and registry.stored_bytes == MAX_KEPT_BYTES * 3
+        and registry.stored_bytes == MAX_STORED_BYTES * 3
     )
     registry.end(session)
     assert registry.stored_bytes == 0
@@ -208,8 +208,8 @@
         assert registry.stored_bytes == sum(s.stored_bytes for s in registry.sessions.values()) <= 20_000
         for s in registry.sessions.values():
             assert s.stored_bytes == sum(len(o.text) for o in s.outcomes.values())
-            assert len(s.outcomes) <= MAX_KEPT_OUTCOMES and (
-                len(s.outcomes) <= 1 or s.stored_bytes <= MAX_KEPT_BYTES
+            assert len(s.outcomes) <= MAX_STORED_OUTCOMES and (
+                len(s.outcomes) <= 1 or s.stored_bytes <= MAX_STORED_BYTES
             )
             assert set(s.pending).isdisjoint(o.message_id for o in s.outcomes.values())
             assert s.connection is None or s not in registry.detached
