--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -156,4 +156,7 @@
     """Read times by name; there are no more of them than endpoints may be in maintenance."""
     if not isinstance(raw, Mapping) or len(raw) > MAX_ENDPOINTS_IN_MAINTENANCE:
         raise InvalidRecordError("not a record of maintenance")
-    return {str(name): float(at) for name, at in raw.items()}
+    try:
+        return {str(name): float(at) for name, at in raw.items()}
+    except (TypeError, OverflowError) as error:
+        raise InvalidRecordError(f"not a record of maintenance: {error}") from None
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -125,7 +125,20 @@
     assert json.loads(old.encode_record(2024.1))["back"] == {}  # warm by now
 
 
-@pytest.mark.parametrize("text", ["", "{}", "[]", '{"version":1}', '{"version":1,"out":{"a":"x"},"back":{}}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{}",
+        "[]",
+        '{"version":1}',
+        '{"version":1,"out":{"a":"x"},"back":{}}',
+        '{"version":1,"out":{"b":null},"back":{}}',
+        '{"version":1,"out":{},"back":{"a":null}}',
+        '{"version":1,"out":{"b":[2000.0]},"back":{}}',
+        pytest.param('{"version":1,"out":{"b":1' + "0" * 400 + '},"back":{}}', id="too large for a float"),
+    ],
+)
 def test_an_invalid_record_changes_nothing(text: str) -> None:
     made = overlay_of("a")
     made.start_maintenance("a", 2000.0)
