--- a/service_proxy/recovery/__main__.py
+++ b/service_proxy/recovery/__main__.py
@@ -37,7 +37,9 @@
 MAX_ROWS_PER_KIND = 20  # that `show` prints without --all
 OUTAGES_BY_FLAG = {outage.name.lower(): outage for outage in OutageScope}
 UNITS_S = (("d", 86_400), ("h", 3_600), ("min", 60))
-UNNAMED_FIELDS = ("trust", "why", "at")  # of a row, which `show` prints in columns of their own
+COLUMNS = ("trust", "why", "at")  # of a row, which `show` prints in columns of their own
+# Output names of stored fields whose own names the output uses: a record's kind, and why it counts so.
+OUTPUT_NAMES = {"kind": "server_kind", "why": "reason"}
 
 
 class CommandError(RecoveryError):
@@ -74,7 +76,7 @@
     for kind, table in contents.state.tables.items():
         for name, record in table.items():
             assessment = assess(record, context)
-            fields = stored_fields(record)
+            fields = {OUTPUT_NAMES.get(key, key): value for key, value in stored_fields(record).items()}
             fields["trust"] = assessment.validity.value
             fields["why"] = assessment.reason
             if isinstance(record, KeyedRequestRecord):
@@ -132,7 +134,7 @@
 
 def print_row(row: Row, now: float) -> None:
     """Print one record and, on a line of its own, why it counts as it does."""
-    rest = {name: value for name, value in row.fields.items() if name not in UNNAMED_FIELDS}
+    rest = {name: value for name, value in row.fields.items() if name not in COLUMNS}
     details = " ".join(f"{name}={value}" for name, value in rest.items() if value not in ("", 0, False))
     age = format_age(row.fields["at"], now)
     print(f"{row.kind:<12}{row.name or '-':<20}{row.fields['trust']:<9}{age:<16}{details}")
--- a/tests/recovery/test_stored_format.py
+++ b/tests/recovery/test_stored_format.py
@@ -31,6 +31,7 @@
 )
 from service_proxy.recovery.store import Store, StoreContents, StoreOwner, read_store
 from service_proxy.recovery.store_directory import StoreDirectory
+from service_proxy.recovery.validity_rules import VALIDITY_RULES
 
 FIXTURE = Path(__file__).parent / "store_format_1"
 OWNER = StoreOwner("p0", "0123456789abcdef0123456789abcdef")
@@ -143,9 +144,40 @@
     assert [list(fact) for fact in facts] == [
         [*fields[0], "count", "at", "machine", "boot", "ended", *fields[1]],
         [*fields[0], "version", "at", *fields[1]],
-        *[[*fields[0], "address", "zone", "group", "weight", "draining", "since", "at", *fields[1]]] * 2,
-        [*fields[0], "at", "why", "back", "trust"],
+        *[
+            [
+                *fields[0],
+                "address",
+                "zone",
+                "server_kind",
+                "group",
+                "weight",
+                "draining",
+                "since",
+                "at",
+                *fields[1],
+            ]
+        ]
+        * 2,
+        [*fields[0], "at", "reason", "back", *fields[1]],
         *[[*fields[0], "tier", "zone", "run", "life", "at", *fields[1]]] * 2,
         *[[*fields[0], "pace", "window", "at", *fields[1]]] * 2,
         *[[*fields[0], "cls", "group", "at", "until", *fields[1], "repeat"]] * 2,
     ]
+    assert [(fact["kind"], fact["name"]) for fact in facts] == [
+        (kind, name) for kind, table in expected_state().tables.items() for name in table
+    ]
+    assert [fact["server_kind"] for fact in facts if fact["kind"] == "server"] == ["m2", ""]
+
+
+def test_command_shows_the_reason_of_a_maintenance_beside_that_of_its_validity(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    assert main(["show", str(FIXTURE), "--json"], WRITTEN_AT) == 0
+    facts = json.loads(capsys.readouterr().out)["facts"]
+    (fact,) = (fact for fact in facts if fact["kind"] == "maintenance")
+    assert fact["reason"] == "fan é"
+    assert fact["why"] == VALIDITY_RULES["maintenance"].reason
+    assert main(["show", str(FIXTURE)], WRITTEN_AT) == 0
+    text = capsys.readouterr().out
+    assert "reason=fan é" in text and "server_kind=m2" in text
