--- a/service_proxy/recovery/keyed_requests.py
+++ b/service_proxy/recovery/keyed_requests.py
@@ -17,7 +17,7 @@
 from service_proxy.recovery.validity_rules import ALL_ENDPOINTS
 
 DIGEST_BYTES = 16
-NO_SCOPE = ""  # no endpoint drops a duplicate
+NO_SCOPE = ""  # no endpoint is known to drop a duplicate
 
 
 class RecordWriter(Protocol):
@@ -64,13 +64,23 @@
         if request_class is None:
             return
         now = self.clock.wall_time()
-        scope = NO_SCOPE
-        if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            scope = self.zone if request_class.idempotency_scope is IdempotencyScope.ZONE else ALL_ENDPOINTS
         lifetime = request_class.deadline + request_class.idempotency_window
+        scope = self._deduplication_scope(request_class)
         self.writer.put(key, KeyedRequestRecord(class_name, scope, now, now + lifetime))
         self.expiries.append((time.monotonic() + lifetime, key))
 
+    def _deduplication_scope(self, request_class: RequestClass) -> str:
+        """Return which endpoints drop a duplicate, as a record has it.
+
+        A request is recorded before its first attempt, when the cell that this will reach isn't known. So no
+        endpoint is known to drop a duplicate where only those of one cell do.
+        """
+        if request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            return NO_SCOPE
+        if request_class.idempotency_scope is IdempotencyScope.ALL:
+            return ALL_ENDPOINTS
+        return self.zone if request_class.idempotency_scope is IdempotencyScope.ZONE else NO_SCOPE
+
     def forget(self, key: str) -> None:
         """Remove the record of a request that was never executed."""
         self.writer.drop(KeyedRequestRecord.KIND, key)
--- a/service_proxy/recovery/persisted_records.py
+++ b/service_proxy/recovery/persisted_records.py
@@ -131,7 +131,8 @@
     """A request that must not take effect twice, and that may have been executed.
 
     Attributes:
-        deduplication_scope: which endpoints drop a duplicate: the name of a zone or cell, or "all"; "": none.
+        deduplication_scope: which endpoints drop a duplicate: the name of a zone, or "all"; "": none is
+            known to, also where those of one cell do (for these, earlier versions wrote "all").
         expires_at: wall time until which a client may retry it, s.
     """
 
--- a/tests/recovery/test_keyed_requests.py
+++ b/tests/recovery/test_keyed_requests.py
@@ -4,11 +4,19 @@
 
 import time
 
+import pytest
+
 from service_proxy.clock import Clock
 from service_proxy.policy.events import AttemptStatus
 from service_proxy.policy.settings_types import Idempotency, IdempotencyScope, RequestClass, Settings
 from service_proxy.recovery.keyed_requests import KeyedRequestLog, KeyedRequestTracker
 from service_proxy.recovery.persisted_records import KeyedRequestRecord, PersistedRecord, PersistedState
+from service_proxy.recovery.validity_rules import (
+    OutageScope,
+    RestartContext,
+    RetryPermission,
+    retry_permission,
+)
 
 
 class RecordingWriter:
@@ -42,6 +50,13 @@
                 idempotency_scope=IdempotencyScope.ZONE,
                 idempotency_window=2.0,
             ),
+            request_class(
+                "cell",
+                3.0,
+                idempotency=by_key,
+                idempotency_scope=IdempotencyScope.CELL,
+                idempotency_window=4.0,
+            ),
         ],
         zone="a",
     )
@@ -67,7 +82,7 @@
 def test_record_has_the_scope_and_lifetime_of_its_class() -> None:
     writer = RecordingWriter()
     requests = request_log(writer)
-    expected = {"long": ("", 100.0), "short": ("all", 4.0), "local": ("a", 5.0)}
+    expected = {"long": ("", 100.0), "short": ("all", 4.0), "local": ("a", 5.0), "cell": ("", 7.0)}
     for class_name in expected:
         requests.record(class_name, class_name)
     requests.record("of a class that the settings don't have", "other")
@@ -79,6 +94,17 @@
     assert found == expected
 
 
+@pytest.mark.parametrize("outage", OutageScope)
+def test_request_whose_key_one_cell_remembers_is_not_retried_after_a_restart(outage: OutageScope) -> None:
+    """The record is written before the first attempt, so the cell that remembers the key is not known."""
+    writer = RecordingWriter()
+    request_log(writer).record("k1", "cell")
+    record = writer.records["k1"]
+    assert isinstance(record, KeyedRequestRecord)
+    context = RestartContext(record.recorded_at + 1.0, outage)
+    assert retry_permission(record, context) is RetryPermission.NEVER
+
+
 def test_settings_update_counts_for_the_next_request() -> None:
     writer = RecordingWriter()
     requests = request_log(writer)
