--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -261,8 +261,8 @@
     report.check(is_less_abandoned, "no less work was done for nobody with budgets on")
     is_less_wasted = over_on.wasted_work < over_off.wasted_work
     report.check(is_less_wasted, "no less work was wasted with budgets on")
-    is_calm_kept = calm_on.timely_share >= calm_off.timely_share - MAX_CALM_LOSS
-    report.check(is_calm_kept, "the calm half lost worth with budgets on")
+    is_calm_unchanged = calm_on.timely_share >= calm_off.timely_share - MAX_CALM_LOSS
+    report.check(is_calm_unchanged, "the calm half lost worth with budgets on")
     is_more_timely = over_on.timely_share > over_off.timely_share
     report.check(is_more_timely, "the overloaded half gained no worth with budgets on")
     attempts = max(calm_on.max_attempts, over_on.max_attempts)
--- a/service_proxy/fleet/join.py
+++ b/service_proxy/fleet/join.py
@@ -239,14 +239,14 @@
         """Collect the addresses of the dead, and seeds nobody was heard at, in a random order."""
         in_use = {entry.record.address for entry in self.table.entries.values()}
         dead: list[Address] = []
-        left: set[Address] = set()
+        departed: set[Address] = set()
         for tombstone in self.table.tombstones.values():
             address = tombstone.entry.record.address
             if tombstone.state is MemberState.DEAD:
                 dead.append(address)
             else:
-                left.add(address)
-        unheard = [address for address in self.seeds if address not in left]
+                departed.add(address)
+        unheard = [address for address in self.seeds if address not in departed]
         candidates = dict.fromkeys([*dead, *unheard])
         self.reconnect_candidates = [address for address in candidates if address not in in_use]
         self.random.shuffle(self.reconnect_candidates)
--- a/service_proxy/fleet/view_query.py
+++ b/service_proxy/fleet/view_query.py
@@ -119,14 +119,14 @@
         or len(total) < wire.VIEW_SUMMARY_LAYOUT.size
     ):
         raise MalformedDatagramError("no page of a view")
-    rows, living, dead, left, changes, bits, instances = wire.VIEW_SUMMARY_LAYOUT.unpack_from(total)
+    rows, living, dead, departed, changes, bits, instances = wire.VIEW_SUMMARY_LAYOUT.unpack_from(total)
     return ViewPage(
         int.from_bytes(page[2:4], "big"),
         total[wire.VIEW_SUMMARY_LAYOUT.size :].decode(errors="replace"),
         rows,
         living,
         dead,
-        left,
+        departed,
         changes,
         bool(bits & 1),
         bool(bits & 2),
--- a/service_proxy/policy/attempt_end.py
+++ b/service_proxy/policy/attempt_end.py
@@ -59,9 +59,9 @@
             self.guard.cancel_attempts(request)
 
     def _retry_or_answer(self, request: RequestState, status: int, now: float) -> None:
-        left = request.useful_until - now
+        useful_time = request.useful_until - now
         cost = self.retry_budget.retry_cost(status)
-        is_in_time = left > request.request_class.mean_latency.value
+        is_in_time = useful_time > request.request_class.mean_latency.value
         if self.guard.can_retry(request) and is_in_time and self.retry_budget.can_spend(cost):
             self.retry_budget.spend(cost)
             self.queue.add(request)
--- a/service_proxy/policy/request_queue.py
+++ b/service_proxy/policy/request_queue.py
@@ -43,16 +43,16 @@
         remaining: list[RequestState] = []
         removed: list[RequestState] = []
         for request in self.requests:
-            left = request.useful_until - now
+            useful_time = request.useful_until - now
             latency = request.request_class.mean_latency.value
             wait = (len(remaining) + 1) * wait_per_position
-            fits = not remaining or wait + TAIL_LATENCIES * latency <= left
+            fits = not remaining or wait + TAIL_LATENCIES * latency <= useful_time
             # One that waits for its candidates' load reports goes out or comes back here before its deadline.
             # With less than a mean latency left it would be wasted work, most of all on crowded endpoints.
             has_time = request.deadline - now > ANSWER_MARGIN_S or (
-                left > latency and request.awaits_reports(now)
+                useful_time > latency and request.awaits_reports(now)
             )
-            if fits and has_time and left > 0:
+            if fits and has_time and useful_time > 0:
                 remaining.append(request)
             else:
                 request.is_queued = False
--- a/service_proxy/recovery/phases.py
+++ b/service_proxy/recovery/phases.py
@@ -102,18 +102,20 @@
 WIDE_OUTAGES = (OutageScope.ZONE, OutageScope.FLEET)
 
 _CONDITIONS: dict[TransitionGuard, Callable[[Observation], bool]] = {
-    TransitionGuard.TIME_LIMIT: lambda seen: seen.elapsed >= seen.max_duration,
-    TransitionGuard.NO_ENDPOINTS: lambda seen: not seen.responding_endpoints,
-    TransitionGuard.ENDPOINT_RESPONDS: lambda seen: seen.responding_endpoints > 0,
-    TransitionGuard.LOCAL_OUTAGE: lambda seen: seen.outage in LOCAL_OUTAGES,
-    TransitionGuard.WIDE_OUTAGE: lambda seen: seen.outage in WIDE_OUTAGES,
-    TransitionGuard.SURVEY_TIMEOUT: lambda seen: seen.elapsed >= MAX_SURVEY_S,
-    TransitionGuard.VIEW_AND_LIST_READY: lambda seen: (
-        seen.is_view_settled and seen.is_list_current and seen.outage is not OutageScope.UNKNOWN
+    TransitionGuard.TIME_LIMIT: lambda observation: observation.elapsed >= observation.max_duration,
+    TransitionGuard.NO_ENDPOINTS: lambda observation: not observation.responding_endpoints,
+    TransitionGuard.ENDPOINT_RESPONDS: lambda observation: observation.responding_endpoints > 0,
+    TransitionGuard.LOCAL_OUTAGE: lambda observation: observation.outage in LOCAL_OUTAGES,
+    TransitionGuard.WIDE_OUTAGE: lambda observation: observation.outage in WIDE_OUTAGES,
+    TransitionGuard.SURVEY_TIMEOUT: lambda observation: observation.elapsed >= MAX_SURVEY_S,
+    TransitionGuard.VIEW_AND_LIST_READY: lambda observation: (
+        observation.is_view_settled
+        and observation.is_list_current
+        and observation.outage is not OutageScope.UNKNOWN
     ),
-    TransitionGuard.LIST_TIMEOUT: lambda seen: seen.elapsed >= MAX_SURVEY_S + MAX_LIST_WAIT_S,
-    TransitionGuard.ENDPOINTS_FAILED: lambda seen: seen.has_recent_failures,
-    TransitionGuard.ENDPOINTS_WARM: lambda seen: seen.is_warm,
+    TransitionGuard.LIST_TIMEOUT: lambda observation: observation.elapsed >= MAX_SURVEY_S + MAX_LIST_WAIT_S,
+    TransitionGuard.ENDPOINTS_FAILED: lambda observation: observation.has_recent_failures,
+    TransitionGuard.ENDPOINTS_WARM: lambda observation: observation.is_warm,
 }
 
 
--- a/tests/websocket/test_codec.py
+++ b/tests/websocket/test_codec.py
@@ -86,7 +86,7 @@
     assert text == "añ" and PingFrame(b"p") in events and PongFrame(b"q") in events
 
 
-def test_events_that_were_not_consumed_are_kept() -> None:
+def test_unconsumed_events_are_returned_by_the_next_call() -> None:
     codec = FrameCodec(False, 1000)
     codec.receive(frame(1, b"a") * 5)
     assert [event for event, _ in zip(codec.events(), range(2), strict=False)] == [
--- a/tests/websocket/test_listener.py
+++ b/tests/websocket/test_listener.py
@@ -51,7 +51,7 @@
         return True
 
 
-def test_over_the_total_limit_the_connection_that_buffers_most_is_closed() -> None:
+def test_over_the_total_limit_the_connection_with_the_largest_buffer_is_closed() -> None:
     listener: Any = object.__new__(WebSocketListener)
     listener.max_unread_bytes = 1000
     listener.unread_bytes = 0
