--- a/tests/websocket/test_codec.py
+++ b/tests/websocket/test_codec.py
@@ -83,7 +83,9 @@
     codec.receive(frame(1, b"a\xc3", fin=False) + frame(9, b"p") + frame(0, b"\xb1") + frame(10, b"q"))
     events = list(codec.events())
     text = "".join(str(event.data) for event in events if isinstance(event, MessageFragment))
-    assert text == "añ" and PingFrame(b"p") in events and PongFrame(b"q") in events
+    assert text == "añ"
+    assert PingFrame(b"p") in events
+    assert PongFrame(b"q") in events
 
 
 def test_unconsumed_events_are_returned_by_the_next_call() -> None:
@@ -195,7 +197,8 @@
     codec.receive(frame(1, data[:10], fin=False, rsv=4) + frame(9) + frame(0, data[10:]))
     assert "".join(str(event.data) for event in codec.events() if isinstance(event, MessageFragment)) == text
     sent = codec.encode_fragment(text)
-    assert sent[0] & 0x40 and len(sent) < len(text) / 4
+    assert sent[0] & 0x40
+    assert len(sent) < len(text) / 4
     decompressed = zlib.decompressobj(-11).decompress(sent[2:] + b"\x00\x00\xff\xff")
     assert decompressed == text.encode()
     assert not codec.encode_fragment("short")[0] & 0x40
@@ -237,7 +240,9 @@
 
 def test_fuzzed_frames_end_in_events_or_protocol_violations_alone() -> None:
     result = fuzz_frames(1, 2000)
-    assert 200 < result.violations < 1800 and result.events > 2000 and not result.wrong
+    assert 200 < result.violations < 1800
+    assert result.events > 2000
+    assert not result.wrong
 
 
 def test_masking_keys_of_a_client_differ() -> None:
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -105,7 +105,8 @@
 
 def test_the_subprotocol_is_the_clients_first_that_is_configured() -> None:
     opening = parse_opening(b"GET", "1.1", headers_with(sec_websocket_protocol=b"a, b, c"), False)
-    assert choose_subprotocol(opening, ["c", "b"]) == b"b" and choose_subprotocol(opening, ["z"]) == b""
+    assert choose_subprotocol(opening, ["c", "b"]) == b"b"
+    assert choose_subprotocol(opening, ["z"]) == b""
     assert b"\r\nsec-websocket-protocol: b\r\n" in encode_response(opening, b"b")
     assert b"protocol" not in encode_response(opening, b"")
     assert b"extensions" not in encode_response(opening, b"")
@@ -125,7 +126,8 @@
     handshake = ClientHandshake((b"a",))
     lines = handshake.request_headers(b"n" * 16)
     assert b"sec-websocket-key: " + base64.b64encode(b"n" * 16) + b"\r\n" in lines
-    assert b"sec-websocket-protocol: a\r\n" in lines and b"extensions" not in lines
+    assert b"sec-websocket-protocol: a\r\n" in lines
+    assert b"extensions" not in lines
     assert handshake.verify_response(response_headers(handshake)) is None
     assert handshake.verify_response(response_headers(handshake, sec_websocket_protocol=b"a")) is None
     for wrong in (
--- a/tests/websocket/test_listener.py
+++ b/tests/websocket/test_listener.py
@@ -59,7 +59,8 @@
     connections = [BufferingConnection(size) for size in (300, 400, 200)]
     for connection in connections:
         listener.on_write(connection)
-    assert listener.unread_bytes == 900 and not any(connection.close_code for connection in connections)
+    assert listener.unread_bytes == 900
+    assert not any(connection.close_code for connection in connections)
     connections[0].buffered_bytes = 350
     listener.on_write(connections[0])
     assert listener.unread_bytes == 950
@@ -69,7 +70,8 @@
     assert listener.unread_bytes == 610
     connections[0].buffered_bytes = 0
     listener.on_write(connections[0])
-    assert listener.unread_bytes == 260 and set(listener.unread_by_connection) == {connections[2]}
+    assert listener.unread_bytes == 260
+    assert set(listener.unread_by_connection) == {connections[2]}
 
 
 def test_a_session_over_its_unread_limit_is_closed_and_sent_nothing_more() -> None:
@@ -81,7 +83,8 @@
     message_connection = MessageConnection(sessions, MessageSession("t", ""), "127.0.0.1", 0.0)
     message_connection.connection = connection  # type: ignore[assignment]
     results = [(message_connection.send(text), connection.close_code) for text in ("x" * 1024, "x", "y")]
-    assert results == [(True, 0), (True, 1008), (False, 1008)] and connection.unsent_bytes == 1025
+    assert results == [(True, 0), (True, 1008), (False, 1008)]
+    assert connection.unsent_bytes == 1025
 
 
 def test_an_endpoint_that_answers_no_close_frame_is_aborted() -> None:
@@ -185,7 +188,8 @@
             stdout=asyncio.subprocess.PIPE,
         )
         output, _ = await process.communicate()
-        assert process.returncode == 0 and output.startswith(b"listening 127.0.0.1:")
+        assert process.returncode == 0
+        assert output.startswith(b"listening 127.0.0.1:")
         assert b"sessions 0" in output
 
     run_test(test())
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -52,7 +52,9 @@
     async def test() -> None:
         async with running_websocket_proxy() as deployment:
             client, opened = await open_session(deployment, headers="X-Caller: acme\r\n")
-            assert opened["resumed"] is False and opened["open"] == [] and opened["resume_ms"] == 10_000
+            assert opened["resumed"] is False
+            assert opened["open"] == []
+            assert opened["resume_ms"] == 10_000
             send_request(client, "a", "stock", path="/estacion/7?x=1", subject="s1", budget_ms=900)
             send_request(client, "b", "reserva", key="k1", body="ñ")
             send_request(client, "c", "canje", body="x", again=True)
@@ -94,7 +96,9 @@
             for _ in range(8):
                 client.send('{"id":"a","class":"stock","nope":1}')
                 reply = await client.read_json()
-                assert reply["id"] == "a" and "nope" in reply["error"] and "n" not in reply
+                assert reply["id"] == "a"
+                assert "nope" in reply["error"]
+                assert "n" not in reply
             assert (await client.read_close())[0] == 1008
             other, _ = await open_session(deployment)
             other.send(b"\x00")
@@ -113,7 +117,8 @@
                 send_request(client, "a", "canje")
             first = await client.read_json()
             send_request(client, "a", "canje")
-            assert await client.read_json() == first and first["outcome"] == "served"
+            assert await client.read_json() == first
+            assert first["outcome"] == "served"
             send_request(client, "b")
             assert (await client.read_json())["id"] == "b"  # no second outcome of a
             assert len(attempts(deployment, "a")) == 1
@@ -130,7 +135,8 @@
                 send_request(client, f"m{n}", "reserva", key=f"k{n}")
             outcomes = await client.read_outcomes(6)
             assert [outcomes[f"m{n}"]["outcome"] for n in range(6)] == ["served"] * 2 + ["refused"] * 4
-            assert outcomes["m2"]["retry_ms"] == 1000 and 0 < outcomes["m5"]["retry_ms"] <= 2000
+            assert outcomes["m2"]["retry_ms"] == 1000
+            assert 0 < outcomes["m5"]["retry_ms"] <= 2000
             assert {a.request_id for a in deployment.recorder.attempts} == {"m0", "m1"}
 
     run_test(test())
@@ -149,7 +155,8 @@
             notified_at = await deployment.notify_status(deployment.endpoints[0], "Terminating")
             await sending
             await until(lambda: not deployment.client_pool.open_message_count, "the last outcomes")
-            assert deployment.client_pool.outcomes["served"] > 100 and not deployment.client_pool.close_codes
+            assert deployment.client_pool.outcomes["served"] > 100
+            assert not deployment.client_pool.close_codes
             assert set(deployment.client_pool.outcomes) <= {"served", "refused"}
             drained = [a for a in deployment.recorder.attempts if a.endpoint == "n-0"]
             assert max(attempt.first_byte_at for attempt in drained) < notified_at + 2.0
@@ -178,7 +185,8 @@
             name = attempts(deployment, "a")[0][0]
             deployment.endpoint_named(name).stop()
             reply = await client.read_json()
-            assert reply["outcome"] == "failed" and len(attempts(deployment, "a")) == 1
+            assert reply["outcome"] == "failed"
+            assert len(attempts(deployment, "a")) == 1
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await client.read_json()
@@ -209,9 +217,11 @@
             reply = await client.read_json()
             attempted = [name for name, _ in attempts(deployment, "a")]
             if zones[first] == "a":
-                assert reply["outcome"] == "served" and attempted in (["n-0", "n-1"], ["n-1", "n-0"])
+                assert reply["outcome"] == "served"
+                assert attempted in (["n-0", "n-1"], ["n-1", "n-0"])
             else:
-                assert reply["outcome"] == "failed" and attempted == ["n-2"]
+                assert reply["outcome"] == "failed"
+                assert attempted == ["n-2"]
             assert deployment.violations() == []
 
     run_test(test())
@@ -228,7 +238,8 @@
             client.abort()
             resumed, greeting = await open_session(deployment, resume_query(opened, 0))
             assert greeting["resumed"] is True
-            assert greeting["open"] == ["a"] and greeting["session"] == opened["session"]
+            assert greeting["open"] == ["a"]
+            assert greeting["session"] == opened["session"]
             reply = await resumed.read_json()
             assert (reply["n"], reply["id"], reply["outcome"]) == (1, "a", "served")
             assert len(attempts(deployment, "a")) == 1
@@ -249,7 +260,8 @@
             )
             await asyncio.sleep(0.1)
             one, greeting = await open_session(deployment, resume_query(opened, 0))
-            assert greeting["open"] == [] and greeting["lost"] == 0
+            assert greeting["open"] == []
+            assert greeting["lost"] == 0
             assert [(await one.read_json())["n"] for _ in range(2)] == [1, 2]
             one.abort()
             two, greeting = await open_session(deployment, resume_query(opened, 1))
@@ -273,7 +285,8 @@
             await asyncio.sleep(0.9)  # 0.3 s, and 0.25 s between checks
             resumed, greeting = await open_session(deployment, resume_query(opened, 0))
             assert greeting["resumed"] is False
-            assert greeting["session"] != opened["session"] and greeting["open"] == []
+            assert greeting["session"] != opened["session"]
+            assert greeting["open"] == []
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await resumed.read_json()
@@ -343,7 +356,8 @@
             await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
             deployment.proxy.process.terminate()
             code, reason = await idle.read_close()
-            assert code == 1001 and re.fullmatch(r"reconnect in \d+\.\d\d s", reason)
+            assert code == 1001
+            assert re.fullmatch(r"reconnect in \d+\.\d\d s", reason)
             send_request(client, "b", "canje")
             assert await client.read_results(2) == {"a": "served", "b": "refused"}
             assert (await client.read_close())[0] == 1001
@@ -386,10 +400,8 @@
             send_request(client, "b")
             assert await client.read_results(2) == {"a": "served", "b": "refused"}
             await deployment.reload(CONFIG.replace("sessions = 64", "sessions = 65"))
-            assert (
-                "S109" in deployment.proxy.log_file.read_text()
-                and "sessions" in deployment.proxy.log_file.read_text()
-            )
+            assert "S109" in deployment.proxy.log_file.read_text()
+            assert "sessions" in deployment.proxy.log_file.read_text()
             await deployment.reload(CONFIG + "ping_every = -1.0\n")
             send_request(client, "c")
             assert (await client.read_json())["outcome"] == "refused"  # the limits are those of before
--- a/tests/websocket/test_sessions.py
+++ b/tests/websocket/test_sessions.py
@@ -67,7 +67,8 @@
 def test_a_malformed_message_raises_an_error_with_its_id_where_it_has_one(text: str, id: str) -> None:
     with pytest.raises(message_framing.MalformedMessageError) as error:
         message_framing.parse_message(text)
-    assert error.value.message_id == id and json.loads(message_framing.encode_error(error.value))["id"] == id
+    assert error.value.message_id == id
+    assert json.loads(message_framing.encode_error(error.value))["id"] == id
 
 
 @pytest.mark.parametrize(
@@ -77,7 +78,8 @@
 def test_an_outcome_states_the_result_of_its_message(code: int, result: str) -> None:
     outcome = json.loads(message_framing.encode_outcome(4, "a", code, b"body", 0.25))
     assert (outcome["n"], outcome["id"], outcome["outcome"], outcome["code"]) == (4, "a", result, code)
-    assert outcome["retry_ms"] == 250 and outcome["body"] == "body"
+    assert outcome["retry_ms"] == 250
+    assert outcome["body"] == "body"
     assert json.loads(message_framing.encode_outcome(4, "a", 200, b"\xff"))["body64"] == "/w=="
     assert "body" not in json.loads(message_framing.encode_outcome(4, "a", 200, b"x", is_body_dropped=True))
 
@@ -95,7 +97,9 @@
     assert session.settle("a") == 1
     registry.store(session, make_outcome(1, "a"))
     status, stored = session.status_of("a")
-    assert status is MessageStatus.ANSWERED and stored is not None and stored.number == 1
+    assert status is MessageStatus.ANSWERED
+    assert stored is not None
+    assert stored.number == 1
     with pytest.raises(KeyError):
         session.settle("a")
 
@@ -103,15 +107,19 @@
 def test_a_session_is_resumed_by_its_own_tenant_alone() -> None:
     registry = SessionRegistry(1 << 20)
     session = registry.create("t", "acme", "one")
-    assert registry.resume("t", "other", "two") is None and registry.resume("nope", "acme", "two") is None
+    assert registry.resume("t", "other", "two") is None
+    assert registry.resume("nope", "acme", "two") is None
     assert session.connection == "one"
-    assert registry.resume("t", "acme", "two") == (session, "one") and session.connection == "two"
+    assert registry.resume("t", "acme", "two") == (session, "one")
+    assert session.connection == "two"
     registry.detach(session, 5.0)
-    assert list(registry.expired(14.9, 10.0)) == [] and list(registry.expired(15.0, 10.0)) == [session]
+    assert list(registry.expired(14.9, 10.0)) == []
+    assert list(registry.expired(15.0, 10.0)) == [session]
     assert registry.resume("t", "acme", "three") == (session, None)
     assert list(registry.expired(99.0, 10.0)) == []
     session.pending["a"] = "work"
-    assert registry.end(session) == ["work"] and registry.resume("t", "acme", "four") is None
+    assert registry.end(session) == ["work"]
+    assert registry.resume("t", "acme", "four") is None
 
 
 def test_unacknowledged_outcomes_are_stored_up_to_the_limit_and_the_rest_counted_as_lost() -> None:
@@ -121,10 +129,12 @@
         session.pending[str(n)] = None
         registry.store(session, make_outcome(session.settle(str(n)), str(n), 10))
     unacknowledged, lost = session.unacknowledged(5)
-    assert [o.number for o in unacknowledged] == list(range(11, MAX_STORED_OUTCOMES + 11)) and lost == 5
+    assert [o.number for o in unacknowledged] == list(range(11, MAX_STORED_OUTCOMES + 11))
+    assert lost == 5
     registry.acknowledge(session, 20)
     unacknowledged, lost = session.unacknowledged(20)
-    assert [o.number for o in unacknowledged] == list(range(21, MAX_STORED_OUTCOMES + 11)) and lost == 0
+    assert [o.number for o in unacknowledged] == list(range(21, MAX_STORED_OUTCOMES + 11))
+    assert lost == 0
     assert registry.stored_bytes == session.stored_bytes == 10 * len(unacknowledged)
 
 
@@ -134,15 +144,14 @@
     for n, size in ((1, 100), (2, MAX_STORED_BYTES * 3)):
         session.pending[str(n)] = None
         registry.store(session, make_outcome(session.settle(str(n)), str(n), size))
-    assert list(session.outcomes) == [2] and session.last_lost == 1
+    assert list(session.outcomes) == [2]
+    assert session.last_lost == 1
     other = registry.create("u", "", None)
     other.pending["a"] = None
     registry.store(other, make_outcome(other.settle("a"), "a", MAX_STORED_BYTES * 2))
-    assert (
-        not other.outcomes
-        and other.unacknowledged(0) == ([], 1)
-        and registry.stored_bytes == MAX_STORED_BYTES * 3
-    )
+    assert not other.outcomes
+    assert other.unacknowledged(0) == ([], 1)
+    assert registry.stored_bytes == MAX_STORED_BYTES * 3
     registry.end(session)
     assert registry.stored_bytes == 0
 
@@ -181,13 +190,15 @@
             continue
         elif event == "resume":
             previous = session.connection
-            assert registry.resume(token, "", "q") == (session, previous) and session.connection == "q"
+            assert registry.resume(token, "", "q") == (session, previous)
+            assert session.connection == "q"
         elif event == "receive":
             status, stored = session.status_of(id)
             if status is MessageStatus.NEW:
                 session.pending[id] = size
             elif status is MessageStatus.ANSWERED:
-                assert stored is not None and stored.number in numbers[incarnations[token], id]
+                assert stored is not None
+                assert stored.number in numbers[incarnations[token], id]
         elif event == "settle" and id in session.pending:
             n = session.settle(id)
             seen = numbers.setdefault((incarnations[token], id), set())
@@ -208,9 +219,8 @@
         assert registry.stored_bytes == sum(s.stored_bytes for s in registry.sessions.values()) <= 20_000
         for s in registry.sessions.values():
             assert s.stored_bytes == sum(len(o.text) for o in s.outcomes.values())
-            assert len(s.outcomes) <= MAX_STORED_OUTCOMES and (
-                len(s.outcomes) <= 1 or s.stored_bytes <= MAX_STORED_BYTES
-            )
+            assert len(s.outcomes) <= MAX_STORED_OUTCOMES
+            assert len(s.outcomes) <= 1 or s.stored_bytes <= MAX_STORED_BYTES
             assert set(s.pending).isdisjoint(o.message_id for o in s.outcomes.values())
             assert s.connection is None or s not in registry.detached
 
@@ -219,7 +229,8 @@
     bucket = TokenBucket(5.0, 100.0)
     assert [bucket.take(100.0, 2.0, 5.0) for _ in range(6)] == [True] * 5 + [False]
     assert math.isclose(bucket.time_until_token(2.0), 0.5)
-    assert bucket.take(100.5, 2.0, 5.0) and not bucket.take(100.5, 2.0, 5.0)
+    assert bucket.take(100.5, 2.0, 5.0)
+    assert not bucket.take(100.5, 2.0, 5.0)
     assert not bucket.take(50.0, 2.0, 5.0)  # a clock that steps back
     assert sum(bucket.take(1000.0, 2.0, 5.0) for _ in range(20)) == 5
 
@@ -229,14 +240,14 @@
     for client, tenant in (("a", "x"), ("a", "y"), ("b", "x")):
         assert limits.exceeded_scope(client, tenant, 10, 2, 2) is None
         limits.add(client, tenant)
-    assert (
-        limits.exceeded_scope("a", "z", 10, 2, 2) == "client"
-        and limits.exceeded_scope("c", "x", 10, 2, 2) == "tenant"
-    )
+    assert limits.exceeded_scope("a", "z", 10, 2, 2) == "client"
+    assert limits.exceeded_scope("c", "x", 10, 2, 2) == "tenant"
     assert limits.exceeded_scope("c", "z", 3, 2, 2) == "proxy"
     for client, tenant in (("a", "x"), ("a", "y"), ("b", "x")):
         limits.remove(client, tenant)
-    assert limits.open_count == 0 and not limits.count_by_client and not limits.count_by_tenant
+    assert limits.open_count == 0
+    assert not limits.count_by_client
+    assert not limits.count_by_tenant
 
 
 @pytest.mark.parametrize("count", [10, 250, 2000])
@@ -246,10 +257,12 @@
     spread = ReconnectSpread(seed, span)
     delays = sorted(spread.next_delay() for _ in range(count))
     busiest = max_in_100_ms(delays)
-    assert delays[0] >= 0 and delays[-1] < span
+    assert delays[0] >= 0
+    assert delays[-1] < span
     assert busiest <= count * 0.1 / span * 1.1 + 3
 
 
 def test_two_proxies_draw_different_reconnect_delays() -> None:
     first = [ReconnectSpread(1, 5.0).next_delay(), ReconnectSpread(2, 5.0).next_delay()]
-    assert abs(first[0] - first[1]) > 0.01 and close_reason(1.234) == "reconnect in 1.23 s"
+    assert abs(first[0] - first[1]) > 0.01
+    assert close_reason(1.234) == "reconnect in 1.23 s"
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -63,7 +63,8 @@
         async with running_websocket_proxy((ScriptedFault("close", session=2, after=1),)) as deployment:
             client = await deployment.connect()
             client.send_close(code, "adios")
-            assert (await client.read_close())[0] == code and await client.is_closed()
+            assert (await client.read_close())[0] == code
+            assert await client.is_closed()
             await until(lambda: deployment.endpoints[0].close_codes[code] == 1, "the endpoint's close")
             other = await deployment.connect()
             other.send("x")
@@ -139,7 +140,8 @@
             client = await deployment.connect()
             other = await deployment.connect()
             client.send_bytes(data)
-            assert (await client.read_close())[0] == code and await client.is_closed()
+            assert (await client.read_close())[0] == code
+            assert await client.is_closed()
             other.send("y")
             assert await other.read_text() == "n-0 y"
             await deployment.wait_for_session_count(1)
@@ -164,7 +166,8 @@
 async def assert_drained(deployment: WebSocketDeployment, notified_at: float, client: RawClient) -> None:
     """Assert that the client is closed with 1012 and the endpoint has no session in time."""
     code, reason = await client.read_close()
-    assert code == 1012 and RECONNECT_REASON.fullmatch(reason)
+    assert code == 1012
+    assert RECONNECT_REASON.fullmatch(reason)
     await deployment.wait_for_no_session()
     assert time.monotonic() < notified_at + 2.0
     assert deployment.violations() == []
@@ -251,7 +254,8 @@
                 deployment.entry(deployment.endpoints[0], since_ms=int(time.time() * 1000) + 1000)
             )
             code, reason = await client.read_close()
-            assert code == 1012 and RECONNECT_REASON.fullmatch(reason)
+            assert code == 1012
+            assert RECONNECT_REASON.fullmatch(reason)
             await deployment.wait_for_no_session()
 
     run_test(test())
@@ -291,7 +295,8 @@
             client = await deployment.connect()
             started_at = time.monotonic()
             code, reason = await client.read_close()
-            assert code == 1012 and RECONNECT_REASON.fullmatch(reason)
+            assert code == 1012
+            assert RECONNECT_REASON.fullmatch(reason)
             # 0.4 s to the ping, 0.4 s for its pong, 0.25 s between checks, and a busy machine.
             assert 0.75 < time.monotonic() - started_at < 4.0
             await deployment.wait_for_no_session()
--- a/tests/websocket/test_upgrade.py
+++ b/tests/websocket/test_upgrade.py
@@ -79,7 +79,8 @@
             )
             client.send_bytes(head.encode() + b"\x81\x85aaaa\x00\x00\x00\x00\x00")
             assert (await client.read_head()).startswith("HTTP/1.1 400 ")
-            assert await client.is_closed() and deployment.endpoints[0].session_count == 0
+            assert await client.is_closed()
+            assert deployment.endpoints[0].session_count == 0
             if path == "/vigia":
                 slow = await deployment.start_handshake(path)
                 await until(
@@ -131,10 +132,12 @@
             first = await deployment.connect("/pantalla", tenant)
             second = await deployment.connect("/vigia", tenant)
             rejection = await deployment.handshake_response("/pantalla", tenant)
-            assert rejection.startswith("HTTP/1.1 429 ") and "retry-after: " in rejection
+            assert rejection.startswith("HTTP/1.1 429 ")
+            assert "retry-after: " in rejection
             third = await deployment.connect("/pantalla")
             rejection = await deployment.handshake_response("/vigia")
-            assert rejection.startswith("HTTP/1.1 503 ") and "retry-after: " in rejection
+            assert rejection.startswith("HTTP/1.1 503 ")
+            assert "retry-after: " in rejection
             first.close()
             for client in (second, third):  # they stay open
                 assert not client.writer.is_closing()
--- a/tests/websocket/test_websockets_library.py
+++ b/tests/websocket/test_websockets_library.py
@@ -60,7 +60,8 @@
             with pytest.raises(ConnectionClosed) as closed:
                 await client.send("\0" * 60_000)  # 60 kB in 70 bytes
                 await client.recv()
-            assert closed.value.rcvd is not None and closed.value.rcvd.code == 1009
+            assert closed.value.rcvd is not None
+            assert closed.value.rcvd.code == 1009
 
     run_test(test())
 
