--- a/tests/net/test_discovery_polling.py
+++ b/tests/net/test_discovery_polling.py
@@ -12,12 +12,14 @@
 
 import pytest
 from net_harness import (
+    PATIENT_BUDGET,
     TEST_TIMEOUT_S,
     EndpointServer,
     ProxyUnderTest,
     Unreachable,
     endpoint_entry,
     endpoint_list,
+    patient_settings,
     proxy_under_test,
     read_message,
     response,
@@ -331,7 +333,7 @@
 async def only_the_other_serves(proxy: ProxyUnderTest, leaves: EndpointServer, stays: EndpointServer) -> None:
     client = await proxy.connect()
     for number in range(20):
-        assert (await client.request("stock", f"{number:016x}")).status_code == 200
+        assert (await client.request("stock", f"{number:016x}", budget=PATIENT_BUDGET)).status_code == 200
     assert (leaves.received_count, stays.received_count) == (0, 20)
 
 
@@ -343,7 +345,9 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await agent.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as proxy:
+        async with proxy_under_test(
+            {"s-1": leaves, "s-2": stays}, agent, discovery="push", **patient_settings()
+        ) as proxy:
             assert "from=1&" in await agent.call()
             await agent.tell(endpoint_entry("s-1", leaves.address, "Terminating"))
             await goes_to_the_other(proxy, agent, leaves, stays)
@@ -357,7 +361,9 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await agent.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, agent, discovery="push") as proxy:
+        async with proxy_under_test(
+            {"s-1": leaves, "s-2": stays}, agent, discovery="push", **patient_settings()
+        ) as proxy:
             await agent.call()
             agent.down = True
             await agent.tell(endpoint_entry("s-1", leaves.address, "Gone"))
@@ -438,7 +444,7 @@
         leaves = EndpointServer()
         stays = EndpointServer()
         await new.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, old) as proxy:
+        async with proxy_under_test({"s-1": leaves, "s-2": stays}, old, **patient_settings()) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=1&" in await old.polls.get()  # and it says nothing
             new.version, new.entries = 7, [endpoint_entry("s-2", stays.address)]
