--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -7,10 +7,12 @@
 from __future__ import annotations
 
 import logging
+import math
 import time
 from collections.abc import Callable, Mapping
 
 import service_proxy as api
+from service_proxy.net.attempt_start import AttemptStart
 from service_proxy.net.cached_endpoints import cached_endpoint_list
 from service_proxy.net.config import ProxyConfig
 from service_proxy.net.discovery import DiscoveryClient
@@ -372,12 +374,15 @@
         if not body.is_complete:
             timeout = STALL_TIMEOUT_S  # without a step forward; its own time begins later
 
-        def can_start() -> bool:
-            if not (open_request.is_open and pool.is_serving):
-                return False
-            if not body.is_replayable:  # what is sent of it is gone: there is no second attempt
-                self.enqueue_event(api.StreamStarted(open_request.request_id, attempt_number, endpoint_id))
-            return True
+        can_start = AttemptStart(
+            open_request,
+            attempt_number,
+            endpoint_id,
+            pool,
+            math.inf,
+            self.enqueue_event,
+            self.table.client_disconnected,
+        )
 
         def on_end(attempt: UpstreamAttempt) -> None:
             self._on_attempt_end(open_request, attempt_number, endpoint_id, attempt)
--- a/service_proxy/net/downstream/connection.py
+++ b/service_proxy/net/downstream/connection.py
@@ -25,7 +25,7 @@
 from service_proxy.net.http_status import BAD_GATEWAY, BODILESS, OK, REASON_PHRASES
 from service_proxy.net.protocols import ResponseSource
 from service_proxy.net.request_body import RequestBody, encode_chunk
-from service_proxy.net.socket_polling import has_input
+from service_proxy.net.socket_polling import has_ended, has_input
 
 log = logging.getLogger(__name__)
 
@@ -301,6 +301,11 @@
         transport.write(b"".join(parts))
         self._response_ended(status_code)
 
+    def has_client_left(self) -> bool:
+        """Tell whether the client has closed, or its side of the connection."""
+        transport = self.transport
+        return transport is None or transport.is_closing() or has_ended(transport)
+
     def _decide_last_response(self) -> None:
         """Decide whether the response that begins now is the last one here."""
         if self.current_request is not None and not self.current_request.body.is_complete:
--- a/service_proxy/net/downstream/request.py
+++ b/service_proxy/net/downstream/request.py
@@ -55,6 +55,9 @@
     def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
         """Write a 200 of this length as it comes; None: it ends when it ends."""
 
+    def has_client_left(self) -> bool:
+        """Tell whether the client has closed, be it that its end has not been read yet."""
+
 
 class RequestHandler(Protocol):
     """What the downstream side asks of the dispatcher."""
--- a/service_proxy/net/socket_polling.py
+++ b/service_proxy/net/socket_polling.py
@@ -19,6 +19,13 @@
     return bool(poll.poll(0))
 
 
+def has_ended(transport: asyncio.BaseTransport) -> bool:
+    """Tell whether its peer sends no more, whatever bytes lie before its end."""
+    poll = select.poll()
+    poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+    return bool(poll.poll(0))
+
+
 def ended_by_peer(transports: Iterable[asyncio.BaseTransport]) -> list[asyncio.BaseTransport]:
     """Return those whose peer sends no more, whatever bytes lie before its end."""
     poll = select.poll()
--- a/service_proxy/websocket/message_session.py
+++ b/service_proxy/websocket/message_session.py
@@ -74,6 +74,10 @@
         if length is not None and length > MAX_OUTCOME_BYTES:
             self._reject_length()
 
+    def has_client_left(self) -> bool:
+        """Tell that it is waited for: a message's outcome outlives the connection that it came on."""
+        return False
+
     def write(self, data: bytes) -> None:
         """Collect a part of the answer."""
         if self.source is None:
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -123,6 +123,10 @@
         source.discard()
         self.respond(BAD_GATEWAY, (), b"the node answered with no WebSocket\n")
 
+    def has_client_left(self) -> bool:
+        """Tell whether the client has closed before the 101."""
+        return self.downstream is not None and bool(self.downstream.has_client_left())
+
     # net.protocols.UpgradeNegotiation
 
     def request_headers(self) -> bytes:
--- /dev/null
+++ b/tests/net/test_attempt_start.py
@@ -0,0 +1,211 @@
+"""The last look before an attempt's first byte: what changed since it was decided on is seen there."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import signal
+import socket
+from collections.abc import AsyncIterator, Callable
+from typing import Any
+
+import pytest
+import uvloop
+from net_harness import (
+    SETTINGS,
+    TEST_TIMEOUT_S,
+    DiscoveryServer,
+    EndpointServer,
+    ReceivedRequest,
+    config,
+    endpoint_entry,
+    endpoint_list,
+    get_request,
+    next_request,
+    proxy_under_test,
+    reset_on_close,
+    response,
+    run_async,
+)
+
+from service_proxy.composition import Proxy
+from service_proxy.net.config import parse_config
+from service_proxy.net.upstream import UpstreamAttempt
+
+SETTLED_S = 0.3  # in which what was going to be sent has come
+
+
+def fin(raw: socket.socket) -> None:
+    raw.close()
+
+
+def half_close(raw: socket.socket) -> None:
+    raw.shutdown(socket.SHUT_WR)
+
+
+def reset(raw: socket.socket) -> None:
+    reset_on_close(raw)
+    raw.close()
+
+
+BEHIND = {"nothing": b"", "a request": get_request("9"), "many": b"".join(map(get_request, "34567890" * 99))}
+
+
+@contextlib.asynccontextmanager
+async def proxy_in_this_loop(
+    *endpoints: EndpointServer, **policy_limits: Any
+) -> AsyncIterator[tuple[Proxy, tuple[str, int]]]:
+    """A proxy that the test can hold between two lines: nothing is read meanwhile, as in a stall."""
+    discovery = await DiscoveryServer().start()
+    for endpoint in endpoints:
+        await endpoint.start()
+    known = endpoint_list(1, *(endpoint_entry(f"s-{n}", each.address) for n, each in enumerate(endpoints)))
+    limits = {**SETTINGS["policy_limits"], "probes": False, **policy_limits}
+    raw = config(discovery.address, known, "127.0.0.1:0", policy_limits=limits)
+    proxy = Proxy(parse_config(raw, {}), None)
+    await proxy.start()
+    assert proxy.server.listener is not None
+    try:
+        yield proxy, proxy.server.listener.sockets[0].getsockname()[:2]
+    finally:
+        proxy.stop()
+        proxy.server.stop_listening()
+        for endpoint in endpoints:
+            await endpoint.stop()
+
+
+def connect(address: tuple[str, int]) -> socket.socket:
+    raw = socket.create_connection(address)
+    raw.setblocking(False)
+    return raw
+
+
+async def warm_up(proxy: Proxy, connections: int) -> None:
+    """Leave connections to the endpoint that the next attempts begin on at once."""
+    cluster = proxy.dispatcher.cluster
+    (pool,) = cluster.pools.values()
+    ended: asyncio.Queue[UpstreamAttempt] = asyncio.Queue()
+    for number in range(connections):
+        cluster.start_attempt(
+            UpstreamAttempt(pool, get_request(f"e{number}"), 5.0, lambda: True, ended.put_nowait)
+        )
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        for _ in range(connections):
+            assert (await ended.get()).status_code == 200
+    await asyncio.sleep(0.01)
+    assert len(pool.idle) == connections
+
+
+async def until_open(proxy: Proxy, count: int) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while len(proxy.dispatcher.open_requests) < count:
+            await asyncio.sleep(0)
+
+
+@pytest.mark.parametrize("behind", BEHIND)
+@pytest.mark.parametrize("end", [fin, half_close, reset])
+def test_a_first_attempt_decided_before_the_clients_end_is_read_is_not_sent(
+    end: Callable[[socket.socket], None], behind: str
+) -> None:
+    async def test() -> None:
+        endpoint = EndpointServer()
+        async with proxy_in_this_loop(endpoint) as (proxy, address):
+            await warm_up(proxy, 1)
+            await next_request(endpoint)
+            raw = connect(address)
+            flush = proxy.dispatcher.policy.flush
+            proxy.dispatcher.policy.flush = lambda: None  # type: ignore[method-assign]  # the batch is late
+            raw.send(get_request("2") + BEHIND[behind])
+            await until_open(proxy, 1)
+            end(raw)
+            proxy.dispatcher.policy.flush = flush  # type: ignore[method-assign]
+            flush()
+            await asyncio.sleep(SETTLED_S)
+            assert endpoint.received.empty()
+            assert not proxy.dispatcher.open_requests and not proxy.server.connections
+            raw.close()
+
+    uvloop.run(test())
+
+
+@pytest.mark.parametrize("leaves", [True, False], ids=["its client leaves", "its client stays"])
+def test_a_retry_decided_before_the_clients_end_is_read_is_not_sent(leaves: bool) -> None:
+    """The attempt fails and its client closes in one turn of the loop, as behind a stall."""
+
+    async def test() -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if "e" in received.headers["x-call-id"]:
+                writer.write(response(200))
+
+        endpoint = EndpointServer(respond)
+        async with proxy_in_this_loop(endpoint) as (proxy, address):
+            await warm_up(proxy, 2)
+            raw = connect(address)
+            raw.send(get_request("2"))
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while endpoint.received_count < 3:
+                    await asyncio.sleep(0)
+            (attempt,) = proxy.dispatcher.table.attempts_in_flight.values()
+            if leaves:
+                raw.close()
+            attempt.on_response(500, [], b"")  # as if read now
+            proxy.dispatcher.policy.flush()
+            await asyncio.sleep(SETTLED_S)
+            assert endpoint.received_count == (3 if leaves else 4)
+            raw.close()
+
+    uvloop.run(test())
+
+
+@pytest.mark.parametrize("end", [fin, half_close, reset])
+def test_hundreds_that_leave_during_a_stall_at_full_load_are_not_forwarded(
+    end: Callable[[socket.socket], None],
+) -> None:
+    """What they wait for is free as the stall ends, and timers come before sockets."""
+
+    async def test() -> None:
+        held: list[asyncio.StreamWriter] = []
+        is_free = False
+
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if is_free:
+                writer.write(response(200))
+            else:
+                held.append(writer)
+
+        endpoint = EndpointServer(respond)
+        async with proxy_under_test({"s-1": endpoint}) as proxy:
+            first = [await proxy.connect() for _ in range(12)]
+            for number, client in enumerate(first):
+                client.send("canje", f"c{number:015d}", budget="5000m")
+            await next_request(endpoint)
+            leaving = [connect(proxy.address) for _ in range(300)]
+            for number, raw in enumerate(leaving):
+                raw.send(get_request(f"a{number}") + get_request(f"b{number}") * (number % 3))
+            assert (
+                await (await proxy.connect()).send_raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+            ).status_code == 200
+            await asyncio.sleep(0.1)
+            proxy.process.send_signal(signal.SIGSTOP)
+            is_free = True
+            for writer in held:
+                writer.write(response(200))
+            for raw in leaving:
+                end(raw)
+            await asyncio.sleep(0.15)
+            seen = endpoint.received_count
+            proxy.process.send_signal(signal.SIGCONT)
+            stays = await proxy.connect()
+            async with asyncio.timeout(TEST_TIMEOUT_S):  # it is shed at first: the load was full
+                number = 0
+                while (await stays.request("stock", f"d{number:015d}")).status_code != 200:
+                    number += 1
+            await asyncio.sleep(SETTLED_S)
+            ids = [
+                endpoint.received.get_nowait().headers["x-call-id"] for _ in range(endpoint.received.qsize())
+            ]
+            assert not [id for id in ids[seen - 1 :] if "a" in id or "b" in id]
+            for raw in leaving:
+                raw.close()
+
+    run_async(test())
--- a/tests/sidecar/inbound_harness.py
+++ b/tests/sidecar/inbound_harness.py
@@ -164,6 +164,10 @@
         """Fail: an application's response is buffered until it is complete."""
         raise AssertionError("the response was streamed")
 
+    def has_client_left(self) -> bool:
+        """Tell that the client stays."""
+        return False
+
 
 def create_request(request_id: bytes, budget: float, class_name: str = "canje") -> Request:
     """Return a parsed request, received now."""
