--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -7,12 +7,11 @@
 from __future__ import annotations
 
 import logging
-import math
 import time
 from collections.abc import Callable, Mapping
 
 import service_proxy as api
-from service_proxy.net.attempt_start import AttemptStart
+from service_proxy.net.attempt_start import AttemptStart, create_attempt
 from service_proxy.net.cached_endpoints import cached_endpoint_list
 from service_proxy.net.config import ProxyConfig
 from service_proxy.net.discovery import DiscoveryClient
@@ -26,16 +25,13 @@
 from service_proxy.net.open_request_table import MIN_DEADLINE_MARGIN_S, OpenRequestTable
 from service_proxy.net.policy_runner import PolicyRunner
 from service_proxy.net.poll_schedule import poll_schedule_of
-from service_proxy.net.request_body import RequestBody
 from service_proxy.net.request_filters import Rejection, RequestFilter, apply_filters, headers_consumed_by
 from service_proxy.net.upstream import (
-    EndpointConnectionPool,
     UpgradeAttempt,
     UpstreamAttempt,
     UpstreamCluster,
 )
 from service_proxy.net.upstream.cluster import IDLE_TIMEOUT_SHARE
-from service_proxy.net.upstream.connection import STALL_TIMEOUT_S
 from service_proxy.policy.balancer import Balancer
 from service_proxy.policy.settings_types import LoadReportSource
 
@@ -44,7 +40,6 @@
 MAX_DEADLINE_MARGIN_S = 0.15  # as MIN_DEADLINE_MARGIN_S, where this loop is late
 POLICY_MARGIN_S = 0.02  # by which the policy's deadline lies before the dispatcher's own
 DEFAULT_MAX_OPEN_REQUESTS = 1000  # at once, as the measure of a load where the settings name none
-MAX_JOINED_BODY_BYTES = 64 * 1024  # of a body that is joined to its head; a longer one is not copied
 REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report", b"x-rejected"}
 READY = LocalResponse(200, b"ok\n")
 NOT_READY = LocalResponse(503, b"not ready\n")
@@ -322,14 +317,16 @@
                 log.error("second_attempt_refused request=%d reason=attempt_in_flight", action.request_id)
             self._attempt_not_sent(open_request, attempt_number, endpoint_id)
             return
-        timeout = min(action.timeout, open_request.deadline - time.monotonic())
-        extra_headers = self._attempt_headers(open_request, timeout)
+        start = AttemptStart(self, open_request, attempt_number, endpoint_id, pool, action.timeout)
+        extra_headers = self._attempt_headers(open_request, start.timeout)
         if extra_headers is None:  # nothing is left for it
             self._attempt_not_sent(open_request, attempt_number, endpoint_id)
             return
-        attempt = self._create_attempt(
-            open_request, attempt_number, endpoint_id, pool, timeout, extra_headers
-        )
+
+        def on_end(attempt: UpstreamAttempt) -> None:
+            self._on_attempt_end(open_request, attempt_number, endpoint_id, attempt)
+
+        attempt = create_attempt(start, extra_headers, on_end)
         open_request.attempt = self.table.attempts_in_flight[open_request.request_id] = attempt
         self.cluster.start_attempt(attempt)
 
@@ -354,46 +351,6 @@
             extra_headers += upgrade.request_headers()
         return extra_headers
 
-    def _create_attempt(
-        self,
-        open_request: OpenRequest,
-        attempt_number: int,
-        endpoint_id: int,
-        pool: EndpointConnectionPool,
-        timeout: float,
-        extra_headers: bytes,
-    ) -> UpstreamAttempt:
-        request = open_request.request
-        body = request.body
-        head = request.head + extra_headers + b"x-budget: %du\r\n\r\n" % max(1, int(timeout * 1e6))
-        separate_body: RequestBody | None = None
-        if body.received_bytes <= MAX_JOINED_BODY_BYTES and body.is_complete and body.is_replayable:
-            head = b"".join([head, *body.parts])
-        else:
-            separate_body = body
-        if not body.is_complete:
-            timeout = STALL_TIMEOUT_S  # without a step forward; its own time begins later
-
-        can_start = AttemptStart(
-            open_request,
-            attempt_number,
-            endpoint_id,
-            pool,
-            math.inf,
-            self.enqueue_event,
-            self.table.client_disconnected,
-        )
-
-        def on_end(attempt: UpstreamAttempt) -> None:
-            self._on_attempt_end(open_request, attempt_number, endpoint_id, attempt)
-
-        timeout = max(0.0, timeout)
-        if request.upgrade is not None:
-            return UpgradeAttempt(pool, head, timeout, can_start, on_end, request.upgrade)
-        return UpstreamAttempt(
-            pool, head, timeout, can_start, on_end, serves_request=True, request_body=separate_body
-        )
-
     def _on_attempt_end(
         self, open_request: OpenRequest, attempt_number: int, endpoint_id: int, attempt: UpstreamAttempt
     ) -> None:
--- a/service_proxy/net/upstream/attempt.py
+++ b/service_proxy/net/upstream/attempt.py
@@ -9,7 +9,7 @@
 import logging
 import math
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Protocol
 
 from service_proxy.net.endpoint_list import Address
@@ -71,7 +71,8 @@
 
     Args:
         pool: of the endpoint.
-        request_head: all that is written first: the head, and a short body.
+        request_head: all that is written first: the head, and a short body; where the endpoint is told its
+            time, the head but for the line that says so, without the empty line.
         timeout: s until the attempt ends as timed out.
         can_start: asked right before the first byte goes out, also after a slow connect: meanwhile the
             request may have ended or the endpoint begun to drain.
@@ -79,6 +80,8 @@
         serves_request: it is an attempt of a client's request, not a health check; its response may be
             streamed: then `response_source` is set with OK, and whoever is called gives it a sink.
         request_body: the body behind `request_head`, where it is not part of that.
+        time_left: returns the time (s) that the endpoint is told; None: it is told none.
+        short_body: what follows the line that tells the time.
 
     Attributes:
         sent: the last byte of the request has left for the endpoint, so the request may be executed;
@@ -102,9 +105,11 @@
         "response_source",
         "sent",
         "serves_request",
+        "short_body",
         "started_at",
         "status",
         "status_code",
+        "time_left",
         "timeout_timer",
     )
 
@@ -117,11 +122,15 @@
         on_end: Callable[[UpstreamAttempt], None],
         serves_request: bool = False,
         request_body: RequestBody | None = None,
+        time_left: Callable[[], float] | None = None,
+        short_body: Sequence[bytes] = (),
     ) -> None:
         self.pool = pool
         self.request_head = request_head
         self.serves_request = serves_request
         self.request_body = request_body
+        self.time_left = time_left
+        self.short_body = short_body
         self.response_source: ResponseSource | None = None
         self.response_length: int | None = None
         self.can_start = can_start
@@ -186,6 +195,12 @@
             connection.release()
             self.end(AttemptStatus.NOT_SENT)
             return
+        if self.time_left is not None:
+            # Of this moment: a connect may have taken more than a second of it.
+            left = max(1, int(self.time_left() * 1e6))
+            self.request_head = b"".join(
+                (self.request_head, b"x-budget: %du\r\n\r\n" % left, *self.short_body)
+            )
         self.connection = connection
         connection.start_attempt(self)
 
@@ -239,8 +254,11 @@
         can_start: Callable[[], bool],
         on_end: Callable[[UpstreamAttempt], None],
         negotiation: UpgradeNegotiation,
+        time_left: Callable[[], float],
     ) -> None:
-        super().__init__(pool, request_head, timeout, can_start, on_end, serves_request=True)
+        super().__init__(
+            pool, request_head, timeout, can_start, on_end, serves_request=True, time_left=time_left
+        )
         self.negotiation = negotiation
         self.upgraded_connection: AttemptConnection | None = None
         self.surplus = b""
--- a/tests/net/test_attempt_start.py
+++ b/tests/net/test_attempt_start.py
@@ -4,8 +4,10 @@
 
 import asyncio
 import contextlib
+import copy
 import signal
 import socket
+import time
 from collections.abc import AsyncIterator, Callable
 from typing import Any
 
@@ -17,6 +19,7 @@
     DiscoveryServer,
     EndpointServer,
     ReceivedRequest,
+    Unreachable,
     config,
     endpoint_entry,
     endpoint_list,
@@ -32,6 +35,8 @@
 from service_proxy.net.config import parse_config
 from service_proxy.net.upstream import UpstreamAttempt
 
+STALL_S = 0.15  # for which the operators' page lets a proxy be held up between its clock and a write
+CLOCKS_S = 0.05  # of this test's own delay behind the write
 SETTLED_S = 0.3  # in which what was going to be sent has come
 
 
@@ -51,6 +56,14 @@
 BEHIND = {"nothing": b"", "a request": get_request("9"), "many": b"".join(map(get_request, "34567890" * 99))}
 
 
+def patient_classes() -> list[dict[str, Any]]:
+    """All classes with an aim as long as their deadline, so that an attempt has all the client's time."""
+    made: list[dict[str, Any]] = copy.deepcopy(SETTINGS["grades"])
+    for grade in made:
+        grade["objective"] = grade["deadline"] = 9.0
+    return made
+
+
 @contextlib.asynccontextmanager
 async def proxy_in_this_loop(
     *endpoints: EndpointServer, **policy_limits: Any
@@ -61,7 +74,7 @@
         await endpoint.start()
     known = endpoint_list(1, *(endpoint_entry(f"s-{n}", each.address) for n, each in enumerate(endpoints)))
     limits = {**SETTINGS["policy_limits"], "probes": False, **policy_limits}
-    raw = config(discovery.address, known, "127.0.0.1:0", policy_limits=limits)
+    raw = config(discovery.address, known, "127.0.0.1:0", policy_limits=limits, grades=patient_classes())
     proxy = Proxy(parse_config(raw, {}), None)
     await proxy.start()
     assert proxy.server.listener is not None
@@ -192,7 +205,7 @@
                 writer.write(response(200))
             for raw in leaving:
                 end(raw)
-            await asyncio.sleep(0.15)
+            await asyncio.sleep(STALL_S)
             seen = endpoint.received_count
             proxy.process.send_signal(signal.SIGCONT)
             stays = await proxy.connect()
@@ -209,3 +222,103 @@
                 raw.close()
 
     run_async(test())
+
+
+def told_s(received: bytes) -> float:
+    """What a request as it was written tells its endpoint of the time left."""
+    (line,) = [line for line in received.lower().split(b"\r\n") if line.startswith(b"x-budget:")]
+    number = line.split(b":")[1].strip()
+    assert number.endswith(b"u")
+    return int(number[:-1]) / 1e6
+
+
+def test_the_time_told_after_a_slow_connect_is_what_is_left_to_the_client() -> None:
+    """The connect takes about a second; the line is written when the attempt begins."""
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        discovery = await DiscoveryServer().start()
+        late = Unreachable()
+        known = endpoint_list(1, endpoint_entry("s-1", late.address))
+        limits = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
+        raw = config(discovery.address, known, "127.0.0.1:0", policy_limits=limits, grades=patient_classes())
+        proxy = Proxy(parse_config(raw, {}), None)
+        await proxy.start()
+        assert proxy.server.listener is not None
+        client = connect(proxy.server.listener.sockets[0].getsockname()[:2])
+        sent_at = time.monotonic()
+        client.send(get_request("2"))  # with 5 s
+        await late.tried(1)
+        received = await late.first()
+        waited = time.monotonic() - sent_at
+        assert waited > 0.5 and told_s(received) <= 5.0 - waited + CLOCKS_S
+        proxy.stop()
+        proxy.server.stop_listening()
+        client.close()
+        late.close()
+        loop.call_soon(discovery.server.close)  # type: ignore[union-attr]
+
+    uvloop.run(test())
+
+
+@pytest.mark.parametrize("attempt", [1, 2], ids=["first attempt", "retry"])
+def test_the_time_told_behind_a_stall_is_what_is_left_to_the_client(attempt: int) -> None:
+    """0.15 s pass between the clock that decided on the attempt and its first byte."""
+
+    async def test() -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(response(200 if "e" in received.headers["x-call-id"] else 500))
+
+        endpoint = EndpointServer(respond)
+        async with proxy_in_this_loop(endpoint) as (proxy, address):
+            await warm_up(proxy, 2)
+            for _ in range(2):
+                await next_request(endpoint)
+            raw = connect(address)
+            raw.send(get_request("2"))
+            sent_at = time.monotonic()
+            await until_open(proxy, 1)
+            if attempt == 2:
+                await next_request(endpoint)
+            cluster = proxy.dispatcher.cluster
+            start_attempt = cluster.start_attempt
+            begun_at = 0.0
+
+            def start_late(attempt: UpstreamAttempt) -> None:
+                nonlocal begun_at
+                time.sleep(STALL_S)
+                begun_at = time.monotonic()
+                start_attempt(attempt)
+
+            cluster.start_attempt = start_late  # type: ignore[method-assign]
+            received = await next_request(endpoint)
+            left = 5.0 - (begun_at - sent_at)
+            told = int(received.headers["x-budget"].removesuffix("u")) / 1e6
+            assert begun_at and told <= left
+            raw.close()
+
+    uvloop.run(test())
+
+
+def test_an_attempt_whose_time_has_passed_before_its_first_byte_is_not_sent() -> None:
+    async def test() -> None:
+        endpoint = EndpointServer()
+        async with proxy_in_this_loop(endpoint) as (proxy, address):
+            await warm_up(proxy, 1)
+            await next_request(endpoint)
+            start_attempt = proxy.dispatcher.cluster.start_attempt
+
+            def start_late(attempt: UpstreamAttempt) -> None:
+                time.sleep(STALL_S)
+                start_attempt(attempt)
+
+            proxy.dispatcher.cluster.start_attempt = start_late  # type: ignore[method-assign]
+            raw = connect(address)
+            raw.send(get_request("2").replace(b"5000m", b"%dm" % (1000 * STALL_S)))
+            answer = await asyncio.get_running_loop().sock_recv(raw, 1000)
+            assert answer.startswith(b"HTTP/1.1 503")
+            await asyncio.sleep(SETTLED_S)
+            assert endpoint.received.empty()
+            raw.close()
+
+    uvloop.run(test())
