--- a/service_proxy/net/attempt_start.py
+++ b/service_proxy/net/attempt_start.py
@@ -34,11 +34,12 @@
         owner: of all open requests.
         open_request: that it is an attempt of.
         attempt_number: of its attempts.
-        endpoint_id: of the endpoint that it goes to, with its `pool`.
-        timeout: s that the policy gives it.
+        pool: of the endpoint that it goes to.
+        action: of the policy, that decided on it.
 
     Attributes:
-        timeout: the same, as far as the request has time.
+        send_by: no later than then (monotonic, s): the policy's window for it ends.
+        timeout: s that the policy gives it, as far as the request has time.
         ends_at: when that is over (monotonic, s).
         is_streamed: the request's time begins with the last byte of its body, which has not come yet.
     """
@@ -51,6 +52,7 @@
         "open_request",
         "owner",
         "pool",
+        "send_by",
         "timeout",
     )
 
@@ -59,24 +61,26 @@
         owner: AttemptOwner,
         open_request: OpenRequest,
         attempt_number: int,
-        endpoint_id: int,
+        action: api.StartAttempt,
         pool: EndpointConnectionPool,
-        timeout: float,
     ) -> None:
         now = time.monotonic()
         self.owner = owner
         self.open_request = open_request
         self.attempt_number = attempt_number
-        self.endpoint_id = endpoint_id
+        self.endpoint_id = action.endpoint_id
         self.pool = pool
-        self.timeout = min(timeout, open_request.deadline - now)
+        self.send_by = action.send_by
+        self.timeout = min(action.timeout, open_request.deadline - now)
         self.ends_at = now + self.timeout
         self.is_streamed = not open_request.request.body.is_complete
 
     def __call__(self) -> bool:
         """Tell whether the first byte may go out now."""
         open_request = self.open_request
-        if not (open_request.is_open and self.pool.is_serving) or self.time_left() <= 0:
+        if not (open_request.is_open and self.pool.is_serving):
+            return False
+        if self.time_left() <= 0 or time.monotonic() >= self.send_by:
             return False
         if open_request.writer.has_client_left():
             self.owner.client_disconnected(open_request)
--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -317,7 +317,7 @@
                 log.error("second_attempt_refused request=%d reason=attempt_in_flight", action.request_id)
             self._attempt_not_sent(open_request, attempt_number, endpoint_id)
             return
-        start = AttemptStart(self, open_request, attempt_number, endpoint_id, pool, action.timeout)
+        start = AttemptStart(self, open_request, attempt_number, action, pool)
         extra_headers = self._attempt_headers(open_request, start.timeout)
         if extra_headers is None:  # nothing is left for it
             self._attempt_not_sent(open_request, attempt_number, endpoint_id)
--- a/service_proxy/policy/actions.py
+++ b/service_proxy/policy/actions.py
@@ -2,16 +2,21 @@
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send an attempt of a request to an endpoint; it ends after `timeout` seconds at the latest."""
+    """Send an attempt of a request to an endpoint; it ends after `timeout` seconds at the latest.
+
+    `send_by`: on the clock of `handle`; its first byte leaves before that or not at all.
+    """
 
     request_id: int
     endpoint_id: int
     timeout: float
+    send_by: float = math.inf
 
 
 @dataclass(slots=True)
--- a/service_proxy/policy/retry_guard.py
+++ b/service_proxy/policy/retry_guard.py
@@ -7,6 +7,8 @@
 
 from __future__ import annotations
 
+import math
+
 from service_proxy.policy.actions import Action, CancelAttempt, Fail, Reject, StartAttempt
 from service_proxy.policy.endpoint import TrackedEndpoint
 from service_proxy.policy.events import NEVER_EXECUTED, EndpointState
@@ -20,6 +22,11 @@
 MIN_ATTEMPT_TIMEOUT_S = CONTROL_INTERVAL_S / 10  # a shorter timeout would be below what timers can tell apart
 
 
+# Before a window's end: the operators' page lets a proxy be held up for 0.15 s between its clock and its
+# write, and gives each limit 0.05 s more; the rest is the way.
+WINDOW_MARGIN_S = 0.12
+
+
 class RetryGuard(SettingsUser):
     """Open requests and what may still be done with each."""
 
@@ -57,16 +64,21 @@
         return self._can_repeat_at(request, endpoint, now)
 
     def _can_repeat_at(self, request: RequestState, endpoint: TrackedEndpoint, now: float) -> bool:
-        request_class = request.request_class
         first = self.first_possible_execution(request)
         if first is None:
             return True
-        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+        if request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
-        return (
-            self._same_scope(request_class, first.endpoint, endpoint)
-            and now - first.sent_at < request_class.idempotency_window
-        )
+        same_scope = self._same_scope(request.request_class, first.endpoint, endpoint)
+        return same_scope and now < self._send_by(request)
+
+    def _send_by(self, request: RequestState) -> float:
+        """Return the time by which a further attempt must have begun: endpoints forget its key."""
+        request_class = request.request_class
+        first = self.first_possible_execution(request)
+        if first is None or request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            return math.inf
+        return first.sent_at + request_class.idempotency_window - WINDOW_MARGIN_S
 
     @staticmethod
     def _same_scope(request_class: RequestClassState, first: TrackedEndpoint, other: TrackedEndpoint) -> bool:
@@ -101,11 +113,12 @@
         """Send an attempt if the rules allow it, and return it."""
         if not self.can_send(request, endpoint, now):
             return None
+        send_by = self._send_by(request)
         attempt = AttemptState(request, len(request.attempts), endpoint, now, load)
         request.attempts.append(attempt)
         request.in_flight += 1
         allowed = max(MIN_ATTEMPT_TIMEOUT_S, min(timeout, request.deadline - now))
-        self.actions.append(StartAttempt(request.request_id, endpoint.endpoint_id, allowed))
+        self.actions.append(StartAttempt(request.request_id, endpoint.endpoint_id, allowed, send_by))
         return attempt
 
     def answer(self, request: RequestState, retry_after: float = 0.0) -> None:
--- a/tests/net/test_attempt_start.py
+++ b/tests/net/test_attempt_start.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import copy
+import math
 import signal
 import socket
 import time
@@ -32,10 +33,13 @@
 )
 
 from service_proxy.composition import Proxy
+from service_proxy.net.attempt_start import AttemptStart
 from service_proxy.net.config import parse_config
 from service_proxy.net.upstream import UpstreamAttempt
 
 STALL_S = 0.15  # for which the operators' page lets a proxy be held up between its clock and a write
+KEY_WINDOW_S = 0.6
+PAGE_SLACK_S = 0.05  # that it adds to each time limit on sockets
 CLOCKS_S = 0.05  # of this test's own delay behind the write
 SETTLED_S = 0.3  # in which what was going to be sent has come
 
@@ -61,6 +65,8 @@
     made: list[dict[str, Any]] = copy.deepcopy(SETTINGS["grades"])
     for grade in made:
         grade["objective"] = grade["deadline"] = 9.0
+        if grade["effect"] == "by_key":
+            grade["window"] = KEY_WINDOW_S
     return made
 
 
@@ -322,3 +328,48 @@
             raw.close()
 
     uvloop.run(test())
+
+
+@pytest.mark.parametrize("when", ["the look is late", "the look is in time, the write late"])
+def test_a_keyed_retry_leaves_within_its_window_or_not_at_all(when: str) -> None:
+    """A connect, or a stall of 0.15 s behind the last look, may carry it over the end of the window."""
+
+    async def test() -> None:
+        received_at: list[float] = []
+
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if "e" in received.headers["x-call-id"]:
+                writer.write(response(200))
+                return
+            received_at.append(time.monotonic())
+            writer.write(response(500))
+
+        endpoint = EndpointServer(respond)
+        async with proxy_in_this_loop(endpoint) as (proxy, address):
+            await warm_up(proxy, 2)
+            start_attempt = proxy.dispatcher.cluster.start_attempt
+
+            def start_late(attempt: UpstreamAttempt) -> None:
+                start = attempt.can_start
+                assert isinstance(start, AttemptStart)
+                if math.isfinite(start.send_by):
+                    is_late = when == "the look is late"
+                    time.sleep(start.send_by - time.monotonic() + (0.005 if is_late else -0.005))
+                    # It is asked behind the look, right before the write.
+                    attempt.time_left = lambda: time.sleep(STALL_S) or 5.0  # type: ignore[func-returns-value]
+                start_attempt(attempt)
+
+            proxy.dispatcher.cluster.start_attempt = start_late  # type: ignore[method-assign]
+            raw = connect(address)
+            raw.send(
+                b"POST /reserva HTTP/1.1\r\nHost: x\r\nX-Call-Id: 2222222222222222\r\nX-Budget: 5000m\r\n"
+                b"Idempotency-Key: 1\r\nContent-Length: 0\r\n\r\n"
+            )
+            answer = await asyncio.get_running_loop().sock_recv(raw, 1000)
+            assert answer.startswith(b"HTTP/1.1 50")
+            await asyncio.sleep(SETTLED_S)
+            assert len(received_at) == (1 if when == "the look is late" else 2)
+            assert received_at[-1] - received_at[0] <= KEY_WINDOW_S + PAGE_SLACK_S
+            raw.close()
+
+    uvloop.run(test())
--- a/tests/policy/test_policy_properties.py
+++ b/tests/policy/test_policy_properties.py
@@ -35,6 +35,7 @@
     StartAttempt,
     TimerFired,
 )
+from service_proxy.policy.retry_guard import WINDOW_MARGIN_S
 
 NEVER_EXECUTED = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 BY_NAME = {request_class.name: request_class for request_class in CLASSES}
@@ -132,7 +133,7 @@
             request_class = request.request_class
             assert request_class.idempotency is not Idempotency.NOT_IDEMPOTENT, "may be executed twice"
             if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-                assert self.now - first.sent_at < request_class.idempotency_window
+                assert self.now - first.sent_at < request_class.idempotency_window - WINDOW_MARGIN_S + 1e-9
                 assert (
                     request_class.idempotency_scope is IdempotencyScope.ALL
                     or ZONES[first.endpoint_id] == ZONES[action.endpoint_id]
--- a/tests/policy/test_retry_guard.py
+++ b/tests/policy/test_retry_guard.py
@@ -2,16 +2,17 @@
 
 from __future__ import annotations
 
+import math
 from dataclasses import replace
 
 import pytest
 from balancer_driver import CLASSES, BalancerDriver, attempts, entries, settings, state_change
 
-from service_proxy import AttemptStatus, EndpointState, Fail, IdempotencyScope, Reject
+from service_proxy import AttemptStatus, EndpointState, Fail, IdempotencyScope, Reject, StartAttempt
 from service_proxy.policy.endpoint import TrackedEndpoint
 from service_proxy.policy.request import RequestState
 from service_proxy.policy.request_class import RequestClassState
-from service_proxy.policy.retry_guard import RetryGuard
+from service_proxy.policy.retry_guard import WINDOW_MARGIN_S, RetryGuard
 
 NEVER_EXECUTED = [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT]
 
@@ -63,12 +64,13 @@
     guard, request = guard_with("once", status)
     assert not guard.can_send(request, endpoint(1), 100.1) and not guard.can_reject(request)
     guard, request = guard_with("zoned", status)
-    assert guard.can_send(request, endpoint(2), 100.49) and not guard.can_reject(request)
+    last = 100.5 - WINDOW_MARGIN_S  # its bytes may leave later than it is decided
+    assert guard.can_send(request, endpoint(2), last - 0.01) and not guard.can_reject(request)
     assert not guard.can_send(request, endpoint(2, zone="b"), 100.1)
-    assert not guard.can_send(request, endpoint(2), 100.5)
+    assert not guard.can_send(request, endpoint(2), last)
     guard, request = guard_with("keyed", status)
-    assert guard.can_send(request, endpoint(2, zone="b"), 100.49) and guard.can_reject(request)
-    assert not guard.can_send(request, endpoint(2), 100.5)
+    assert guard.can_send(request, endpoint(2, zone="b"), last - 0.01) and guard.can_reject(request)
+    assert not guard.can_send(request, endpoint(2), last)
 
 
 def test_idempotency_window_runs_from_the_first_attempt_that_may_have_been_executed() -> None:
@@ -76,8 +78,23 @@
     second = guard.start_attempt(request, endpoint(2), 100.3, 1.0, 0.0)
     assert second is not None
     guard.end_attempt(second, AttemptStatus.ERROR, False)
-    assert guard.can_send(request, endpoint(3), 100.79)
-    assert not guard.can_send(request, endpoint(3), 100.8)
+    last = 100.8 - WINDOW_MARGIN_S
+    assert guard.can_send(request, endpoint(3), last - 0.01)
+    assert not guard.can_send(request, endpoint(3), last)
+
+
+def test_a_repeat_says_by_when_it_has_to_begin() -> None:
+    """Who sends it looks at the clock again: a connect takes its time."""
+    for class_name, send_by in (("zoned", 100.5 - WINDOW_MARGIN_S), ("safe", math.inf)):
+        guard, request = guard_with(class_name, AttemptStatus.ERROR)
+        assert guard.start_attempt(request, endpoint(2), 100.1, 1.0, 0.0) is not None
+        first, repeat = guard.actions
+        assert isinstance(first, StartAttempt) and isinstance(repeat, StartAttempt)
+        assert (first.send_by, repeat.send_by) == (math.inf, send_by)
+    guard, request = guard_with("zoned", AttemptStatus.REJECTED)  # it never ran: there is no window
+    assert guard.start_attempt(request, endpoint(2), 100.1, 1.0, 0.0) is not None
+    repeat = guard.actions[-1]
+    assert isinstance(repeat, StartAttempt) and repeat.send_by == math.inf
 
 
 def test_idempotency_scope_of_a_cell() -> None:
