--- a/service_proxy/net/downstream/connection.py
+++ b/service_proxy/net/downstream/connection.py
@@ -252,8 +252,8 @@
             elif isinstance(request, BadRequestError):
                 self.respond(request.status_code, NO_HEADERS, f"{request}\n".encode())
             elif self.over_limit:
-                # Never sent, so a rejection is harmless.
-                self.keep_alive = False
+                # Never sent, so a rejection is harmless; what was read with it is owed one as well.
+                self.keep_alive = self.keep_alive and bool(self.pending_requests)
                 headers = ((b"retry-after", b"1"), *self.server.rejection_headers)
                 self.respond(503, headers, b"too many connections\n")
             else:
@@ -292,6 +292,8 @@
             self.response_due = False
             return
         self._decide_last_response()
+        if self.server.is_draining and not self._has_more_input():
+            self.is_last_response = True
         parts = [b"HTTP/1.1 %d %s\r\n" % (status_code, REASON_PHRASES.get(status_code, b"Status"))]
         parts += [name + b": " + value + b"\r\n" for name, value in headers]
         if status_code not in BODILESS:
@@ -307,11 +309,19 @@
         return transport is None or transport.is_closing() or has_ended(transport)
 
     def _decide_last_response(self) -> None:
-        """Decide whether the response that begins now is the last one here."""
+        """Decide whether the response that begins now is the last one here by what its request is.
+
+        Where the process ends, a complete response says so, unless more was read or lies unread: that is owed
+        its own. One that is streamed doesn't, since more may come meanwhile; then it is closed as idle.
+        """
         if self.current_request is not None and not self.current_request.body.is_complete:
             self.keep_alive = False  # the rest of its body would be read as the next request
             self.discarding_input = True
-        self.is_last_response = not self.keep_alive or self.server.is_draining
+        self.is_last_response = not self.keep_alive
+
+    def _has_more_input(self) -> bool:
+        """Tell whether anything follows the open request, be it that it was not read yet."""
+        return bool(self.pending_requests) or self.in_message or self.has_unread_input
 
     def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
         """Write the head of a 200 whose body comes from `source`.
--- a/service_proxy/net/downstream/http_server.py
+++ b/service_proxy/net/downstream/http_server.py
@@ -58,7 +58,7 @@
         awaiting_request: connections that owe a complete request.
         idle: connections that were answered and ask nothing.
         closing: connections that have had their last response.
-        is_draining: each response is the last on its connection.
+        is_draining: a response is the last on its connection, unless more was read there or lies unread.
     """
 
     def __init__(
