--- a/service_proxy/net/downstream/connection.py
+++ b/service_proxy/net/downstream/connection.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import logging
+import time
 from typing import Any, Protocol, cast
 
 import httptools
@@ -23,6 +24,7 @@
     RequestReader,
 )
 from service_proxy.net.http_status import BAD_GATEWAY, BODILESS, OK, REASON_PHRASES
+from service_proxy.net.limits import LOOP_TURN_S
 from service_proxy.net.protocols import ResponseSource
 from service_proxy.net.request_body import RequestBody, encode_chunk
 from service_proxy.net.socket_polling import has_ended, has_input
@@ -39,6 +41,7 @@
     handler: RequestHandler
     request_counter: RequestCounter | None
     rejection_headers: tuple[tuple[bytes, bytes], ...]
+    request_timeout: float
     is_draining: bool
     connections: set[DownstreamConnection]
     awaiting_request: dict[DownstreamConnection, None]
@@ -162,6 +165,8 @@
         if self.upgrade_pending:
             self._reject_early_frames()
             return
+        if not self.raw_bytes and not self.in_message:
+            self.progress_at = time.monotonic()
         self.raw_bytes += nbytes
         try:
             self.parser.feed_data(self.server.read_buffer[:nbytes])
@@ -397,8 +402,25 @@
             self.close()
         elif self.pending_requests:
             self.server.loop.call_soon(self._dispatch_next)
+        elif self.in_message:
+            self.server.set_state(self, self.server.awaiting_request)
+            self._await_rest()
         else:
-            self.server.set_state(self, self.server.awaiting_request if self.in_message else self.server.idle)
+            self.server.set_state(self, self.server.idle)
+
+    def _await_rest(self) -> None:
+        """Time what has begun to come behind an open request from its own last step on."""
+        wait = self.progress_at + self.server.request_timeout - time.monotonic()
+        self.server.loop.call_later(max(0.0, wait), self._on_rest_timeout, self.progress_at)
+
+    def _on_rest_timeout(self, progress_at: float) -> None:
+        if self.is_closing or self.response_due or not self.in_message or self.progress_at != progress_at:
+            return
+        if self.has_unread_input and not self.read_paused:
+            # After a stall of this process timers come before sockets: the rest may be here.
+            self.server.loop.call_later(LOOP_TURN_S, self._on_rest_timeout, progress_at)
+        else:
+            self.on_request_timeout()
 
     # the connection's end
     def close(self) -> None:
@@ -437,7 +459,7 @@
         """No complete request has come in time: half of one gets a response that says so."""
         if self.read_paused and self.early_request is not None:
             self.server.set_state(self, self.state_table)  # who takes it is slow, not who sends it
-        elif self.raw_bytes:
+        elif self.raw_bytes or self.in_message:
             self._reject_input(BadRequestError(408, "the request did not end"))
             self._dispatch_next()
         else:
--- a/service_proxy/net/downstream/http_server.py
+++ b/service_proxy/net/downstream/http_server.py
@@ -16,7 +16,8 @@
 from service_proxy.policy.settings_types import Idempotency
 
 READ_BUFFER_BYTES = 64 * 1024  # that are read at once
-# From the connect, or a further request's first byte, to a complete head; then for each BODY_PROGRESS_BYTES.
+# From the connect, or a further request's first byte, to a complete head; then, where that came quickly, for
+# each BODY_PROGRESS_BYTES.
 REQUEST_TIMEOUT_S = 2.2
 KEEP_ALIVE_TIMEOUT_S = 5.0  # after a response, for which a connection that asks nothing more is kept
 LINGER_TIMEOUT_S = 2.0  # in which some of a last response must have been taken; what still comes is dropped
@@ -52,6 +53,7 @@
         max_body_bytes: of a request; a body longer than MAX_BUFFERED_BODY_BYTES may be streamed.
 
     Attributes:
+        request_timeout: REQUEST_TIMEOUT_S, of what begins to come behind an open request.
         upgrade_handler: takes requests to leave HTTP; None: they are refused.
         read_buffer: all that is read goes through it at once.
         pooled_bytes: of buffered bodies, of `pool_bytes` at most.
@@ -82,6 +84,7 @@
         self.consumed_headers = consumed_headers
         self.request_counter = request_counter
         self.max_body_bytes = max_body_bytes
+        self.request_timeout = REQUEST_TIMEOUT_S
         self.upgrade_handler: UpgradeHandler | None = None
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.pooled_bytes = 0
--- a/service_proxy/net/downstream/request_reader.py
+++ b/service_proxy/net/downstream/request_reader.py
@@ -33,6 +33,10 @@
     4 << 20
 )  # of a body that is buffered, while the pool has room, where it may be streamed
 BODY_PROGRESS_BYTES = 64 * 1024  # of a body, each with the time that a head has
+# From a request's first byte, within which its head must be complete for its body to have a time of its own:
+# both together stay under the 3 s of the operators' page. Behind a slower head so much of the body begins it.
+MAX_QUICK_HEAD_S = 0.5
+SLOW_HEAD_PROGRESS_BYTES = 8 * 1024
 
 PendingRequest = Request | BadRequestError | LocalResponse | UpgradeRequest
 
@@ -67,7 +71,8 @@
         in_message: a request has begun to come; `head_done`: its head is complete.
         raw_bytes: as they came, since the last complete request.
         head_size: bytes of the head so far.
-        body_progress: how many times BODY_PROGRESS_BYTES of the body have come.
+        next_step_bytes: of the body, with which its time begins anew.
+        progress_at: when the request that comes now began, or made its last step (monotonic, s).
         early_request: the one that comes now, handed on before its end.
         pooled_bytes: of the server's pool that the body takes.
         pending_requests: each with whether the connection may be kept after its response.
@@ -77,15 +82,16 @@
 
     __slots__ = (
         "body",
-        "body_progress",
         "early_request",
         "head_done",
         "head_size",
         "headers",
         "in_message",
+        "next_step_bytes",
         "parser",
         "pending_requests",
         "pooled_bytes",
+        "progress_at",
         "raw_bytes",
         "response_due",
         "state_table",
@@ -101,11 +107,12 @@
         self.target = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = RequestBody()
-        self.body_progress = 0
+        self.next_step_bytes = BODY_PROGRESS_BYTES
         self.early_request: Request | None = None
         self.pooled_bytes = 0
         self.head_size = 0
         self.raw_bytes = 0
+        self.progress_at = 0.0
         self.in_message = False
         self.head_done = False
         self.pending_requests: deque[tuple[PendingRequest, bool]] = deque()
@@ -125,7 +132,7 @@
         self.body = RequestBody()
         self.early_request = None
         self.head_size = 0
-        self.body_progress = 0
+        self.next_step_bytes = BODY_PROGRESS_BYTES
 
     def on_url(self, part: bytes) -> None:
         """Collect the target."""
@@ -149,8 +156,13 @@
         validate_head(self.parser.get_http_version(), self.headers, self.server.max_body_bytes)
         lengths = [value for name, value in self.headers if name == b"content-length"]
         self.body.length = int(lengths[0]) if lengths else None
-        if self.state_table is not None:
-            self.server.set_state(self, self.state_table)  # its body has its own time
+        now = time.monotonic()
+        if now - self.progress_at < MAX_QUICK_HEAD_S:  # its body has its own time
+            self.progress_at = now
+            if self.state_table is not None:
+                self.server.set_state(self, self.state_table)
+        else:
+            self.next_step_bytes = SLOW_HEAD_PROGRESS_BYTES
         expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
         if expects and self.transport is not None and not self.response_due and not self.pending_requests:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -172,8 +184,9 @@
             else:
                 self._dispatch_early()
         body.append(chunk)
-        if body.received_bytes // BODY_PROGRESS_BYTES > self.body_progress:
-            self.body_progress = body.received_bytes // BODY_PROGRESS_BYTES
+        if body.received_bytes >= self.next_step_bytes:
+            self.next_step_bytes = (body.received_bytes // BODY_PROGRESS_BYTES + 1) * BODY_PROGRESS_BYTES
+            self.progress_at = time.monotonic()
             if self.state_table is not None:
                 server.set_state(self, self.state_table)
 
@@ -209,6 +222,7 @@
         self.in_message = False
         self.head_done = False
         self.raw_bytes = 0
+        self.progress_at = time.monotonic()  # of what follows in the same read
         body = self.body
         if self.early_request is not None:
             self.early_request.received_at = time.monotonic()
