--- a/tests/net/test_idle_ends.py
+++ b/tests/net/test_idle_ends.py
@@ -125,6 +125,40 @@
     uvloop.run(test())
 
 
+@pytest.mark.parametrize("is_aborted", [False, True], ids=["closed", "aborted"])
+def test_a_request_that_crosses_the_close_itself_is_never_read(is_aborted: bool) -> None:
+    """It came behind the last look: the close resets the connection, and the response before it has left."""
+
+    async def test() -> None:
+        handler = Answering()
+        handler.release.set()
+        server = HttpServer({"stock": Idempotency.IDEMPOTENT}, handler, 256, 64, {})
+        port = await server.listen("127.0.0.1", 0)
+        raw = socket.create_connection(("127.0.0.1", port))
+        raw.setblocking(False)
+        raw.send(get_request("1"))
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while not server.idle:
+                await asyncio.sleep(0)
+        (connection,) = server.connections
+        raw.send(get_request("2"))
+        if is_aborted:
+            connection.abort()
+        else:
+            connection.close()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while server.connections:
+                await asyncio.sleep(0)
+        assert raw.recv(1000).endswith(b"1".rjust(16, b"0"))
+        with pytest.raises(ConnectionResetError):
+            raw.recv(1000)
+        assert handler.taken == ["1".rjust(16, "0")]
+        raw.close()
+        server.stop_listening()
+
+    uvloop.run(test())
+
+
 def test_a_client_connection_has_tcp_nodelay() -> None:
     """Else small responses that the system holds back go with a close over unread bytes."""
 
