--- a/service_proxy/policy/endpoint.py
+++ b/service_proxy/policy/endpoint.py
@@ -39,6 +39,7 @@
         "on_trial",
         "reported_at",
         "reported_load",
+        "sequence",
         "slow_start_at",
         "slow_start_tokens",
         "started_at",
@@ -48,8 +49,10 @@
         "zone",
     )
 
-    def __init__(self, entry: EndpointEntry, slow_start_tokens: float) -> None:
+    def __init__(self, entry: EndpointEntry, slow_start_tokens: float, sequence: int = 0) -> None:
+        """`sequence`: of the endpoints in the order in which they were listed first."""
         self.endpoint_id = entry.endpoint_id
+        self.sequence = sequence
         self.slow_start_tokens = slow_start_tokens
         self.apply_entry(entry)
         self.in_flight = 0  # own attempts
--- a/service_proxy/policy/health_checks.py
+++ b/service_proxy/policy/health_checks.py
@@ -10,7 +10,7 @@
 from service_proxy.policy.endpoint_load import EndpointLoads
 from service_proxy.policy.endpoint_pool import EndpointPool
 from service_proxy.policy.endpoint_watch import EndpointWatch
-from service_proxy.policy.events import AttemptStatus, EndpointState, HealthCheckEnded
+from service_proxy.policy.events import AttemptStatus, HealthCheckEnded
 from service_proxy.policy.outlier_detection import OutlierDetector
 from service_proxy.policy.request import RequestState
 from service_proxy.policy.selection import EndpointSelector
@@ -74,9 +74,8 @@
         if not self.settings.can_check_health or not self.pool.members:
             return
         self.tokens = max(self.tokens, min(MAX_SAVED_CHECKS, self.tokens + self._rate() * span))
-        for endpoint in self.pool.known.values():
-            is_due = endpoint.ejected_until and now >= endpoint.ejected_until
-            if is_due and not endpoint.health_check_pending and endpoint.state is EndpointState.SERVING:
+        for endpoint in self.pool.ejected:
+            if now >= endpoint.ejected_until and not endpoint.health_check_pending:
                 self._send(endpoint, now)
         while self.tokens >= 1 and not self.checks_candidates:
             idle = [e for e in self.pool.members if not e.health_check_pending and not e.ejected_until]
--- a/service_proxy/policy/outlier_detection.py
+++ b/service_proxy/policy/outlier_detection.py
@@ -113,9 +113,8 @@
                 return False
         length = ejection_length(endpoint.ejection_count)
         endpoint.ejection_count += 1
-        endpoint.ejected_until = now + length * (
-            MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * self.random.random()
-        )
+        jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * self.random.random()
+        self.pool.set_ejection(endpoint, now + length * jitter)
         endpoint.on_trial = False
         self.in_flight.release_endpoint(endpoint)
         self.pool.rebuild()
@@ -129,7 +128,7 @@
 
     def readmit(self, endpoint: TrackedEndpoint) -> None:
         """Take an ejected endpoint back, on trial."""
-        endpoint.ejected_until = 0.0
+        self.pool.set_ejection(endpoint, 0.0)
         endpoint.on_trial = True
         endpoint.error_share = 0.0
         endpoint.consecutive_slow = 0
