--- a/service_proxy/net/upstream/cluster.py
+++ b/service_proxy/net/upstream/cluster.py
@@ -7,8 +7,9 @@
 import logging
 import time
 from collections.abc import Callable
+from itertools import takewhile
 
-from service_proxy.net.endpoint_list import EndpointList
+from service_proxy.net.endpoint_list import Endpoint, EndpointList
 from service_proxy.net.upstream.attempt import UpstreamAttempt
 from service_proxy.net.upstream.connection import STALL_TIMEOUT_S, UpstreamConnection
 from service_proxy.net.upstream.endpoint_pool import REUSE_DELAY_S, EndpointConnectionPool
@@ -37,6 +38,7 @@
         streaming_connections: whose response is streamed.
         attempts_sent: attempts of clients' requests whose last byte was handed to a connection.
         pools: by endpoint id.
+        idle_connections: of all pools, those that have been idle the longest first.
         on_endpoint_leaving: called with the pool of each endpoint that must be left.
     """
 
@@ -51,6 +53,7 @@
         self.streaming_connections: set[UpstreamConnection] = set()
         self.attempts_sent = 0
         self.pools: dict[int, EndpointConnectionPool] = {}
+        self.idle_connections: dict[UpstreamConnection, None] = {}
         self.on_endpoint_leaving: Callable[[EndpointConnectionPool], None] | None = None
         self._connects: set[asyncio.Task[None]] = set()
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -66,31 +69,43 @@
         return any(pool.is_serving for pool in self.pools.values())
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Take over the addresses and states of a list that is in force from now on."""
-        listed_ids = set()
+        """Take over the addresses and states of a list that is in force from now on.
+
+        Only what the list names is looked at: changes come often, and most pools have no part in them.
+        """
         for endpoint in endpoint_list.endpoints:
-            entry = endpoint.entry
-            listed_ids.add(entry.endpoint_id)
-            pool = self.pools.get(entry.endpoint_id)
-            if pool is None:
+            self._apply_endpoint(endpoint)
+        if endpoint_list.is_snapshot:
+            listed_ids = {endpoint.entry.endpoint_id for endpoint in endpoint_list.endpoints}
+            for endpoint_id in [i for i in self.pools if i not in listed_ids]:
+                self.pools[endpoint_id].state = EndpointState.REMOVED
+                self._leave(endpoint_id)
+
+    def _apply_endpoint(self, endpoint: Endpoint) -> None:
+        entry = endpoint.entry
+        pool = self.pools.get(entry.endpoint_id)
+        if pool is None:
+            if entry.state is not EndpointState.REMOVED:
                 self.pools[entry.endpoint_id] = EndpointConnectionPool(
                     self, endpoint.address, entry.started_at, entry.state
                 )
-                continue
-            if pool.address != endpoint.address or entry.started_at > pool.started_at:
-                pool.replace_process()
-                self._notify_leaving(pool)
-            pool.address = endpoint.address
-            pool.started_at = entry.started_at
-            pool.state = entry.state
-        for endpoint_id, pool in list(self.pools.items()):
-            if endpoint_list.is_snapshot and endpoint_id not in listed_ids:
-                pool.state = EndpointState.REMOVED
-            if not pool.is_serving:
-                pool.close_idle()
-                self._notify_leaving(pool)
-            if pool.state is EndpointState.REMOVED:
-                del self.pools[endpoint_id]  # what is in flight on it ends by itself
+            return
+        if pool.address != endpoint.address or entry.started_at > pool.started_at:
+            pool.replace_process()
+            self._notify_leaving(pool)
+        pool.address = endpoint.address
+        pool.started_at = entry.started_at
+        pool.state = entry.state
+        if not pool.is_serving:
+            self._leave(entry.endpoint_id)
+
+    def _leave(self, endpoint_id: int) -> None:
+        """Let go of an endpoint that is not serving; what is in flight on it ends by itself."""
+        pool = self.pools[endpoint_id]
+        pool.close_idle()
+        self._notify_leaving(pool)
+        if pool.state is EndpointState.REMOVED:
+            del self.pools[endpoint_id]
 
     def _notify_leaving(self, pool: EndpointConnectionPool) -> None:
         if self.on_endpoint_leaving is not None:
@@ -147,17 +162,17 @@
 
     def _evict_idle(self) -> bool:
         """At the bound, let the connection that is idle the longest make room."""
-        idle = [c for pool in self.pools.values() for c in pool.idle[:1]]
-        if not idle:
+        connection = next(iter(self.idle_connections), None)
+        if connection is None:
             return False
-        min(idle, key=lambda c: c.idle_since).abort()
+        connection.abort()
         return True
 
     def _sweep(self) -> None:
         """Close connections that are idle for too long, and give up streams that stand still."""
         oldest = time.monotonic() - self.idle_timeout
-        for pool in self.pools.values():
-            pool.close_idle(oldest)
+        for connection in list(takewhile(lambda c: c.idle_since <= oldest, self.idle_connections)):
+            connection.abort()
         stalled = time.monotonic() - STALL_TIMEOUT_S
         for connection in [c for c in self.streaming_connections if c.last_progress_at < stalled]:
             log.warning(
--- a/service_proxy/net/upstream/endpoint_pool.py
+++ b/service_proxy/net/upstream/endpoint_pool.py
@@ -18,6 +18,7 @@
     """What a pool uses of the upstream cluster."""
 
     idle_timeout: float
+    idle_connections: dict[UpstreamConnection, None]
 
 
 class EndpointConnectionPool:
@@ -63,6 +64,7 @@
             if self.idle[index].idle_since > settled_before:
                 index = -1
             connection = self.idle.pop(index)
+            del self.cluster.idle_connections[connection]
             if connection.transport is not None and not connection.transport.is_closing():
                 if connection.idle_since > oldest:
                     return connection
@@ -76,11 +78,13 @@
             return
         connection.idle_since = time.monotonic()
         self.idle.append(connection)
+        self.cluster.idle_connections[connection] = None
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
         """Forget a connection that can't be used again."""
         if connection in self.idle:
             self.idle.remove(connection)
+            del self.cluster.idle_connections[connection]
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has ended."""
