--- /dev/null
+++ b/benchmarks/scale.py
@@ -0,0 +1,323 @@
+"""What one proxy needs before fleets with up to sixteen times the endpoints, against the usual 200.
+
+    python -m benchmarks.scale [--short] [--seed N] [--json FILE] [--turns N] [--sizes N ...] [--rate N]
+
+The program itself, as a process, is driven with the same traffic before 200, 800, 1,600 and 3,200 endpoints
+(--short: 200 and 3,200). What is assumed of the fleet:
+
+- 200 proxies share the endpoints, in three zones; this process is one of them, and the only one that runs.
+- The capacity of all endpoints together stays the same: `SLOTS` requests at a time at 200, in proportion
+  fewer at each endpoint of a larger fleet, `SERVICE_TIME_S` each.
+- Changes come in proportion to the fleet, evenly over the run: three in ten endpoints drain and are replaced
+  by new ones, one in ten dies and is back after 0.3 s, cold.
+
+Then the proxy is a busy one, with several times the mean traffic, before the smallest and the largest fleet:
+judged is the share that it serves.
+
+Each bound is the standing test's. Counts (connections, descriptors, bytes, served) are judged as they are;
+of CPU and peak memory the cheapest turn is judged, and the spread over the turns is printed as their noise.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import contextlib
+import sys
+import time
+from dataclasses import asdict, dataclass
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from benchmarks.per_call import cpu_seconds
+from benchmarks.report import BenchmarkReport, run_benchmark
+from harness.clients import ClientPool
+from harness.endpoint_fleet import EndpointFleet, FleetEndpoint
+from harness.endpoint_registry import EndpointRegistry, Entry, entry
+from harness.proxy_process import running_proxy
+from harness.recorder import Recorder
+from service_proxy.net.http_status import OK
+
+BASE = 200  # endpoints at the usual size
+SIZES = (200, 800, 1600, 3200)
+SIZES_SHORT = (200, 3200)
+SECONDS = 20.0
+SECONDS_SHORT = 7.0
+TURNS = 3
+TURNS_SHORT = 1
+RATE = 30.0  # requests a second
+BUSY_RATE = 120.0  # the same of a busy proxy
+BUSY_SERVICE_TIME_S = 0.25  # of its requests: it needs twice its fair share of the capacity
+BUSY_SECONDS = 15.0
+BUSY_SECONDS_SHORT = 4.0
+PROXIES = 200
+PROXY_INDEX = 7
+ZONES = ("a", "b", "c")
+SLOTS = 16  # requests that an endpoint executes at a time at the usual size
+SERVICE_TIME_S = 0.05
+REPLACED_SHARE = 0.3  # of the endpoints, over the run
+RESTARTED_SHARE = 0.1
+DRAIN_S = 1.0  # from an endpoint's drain to its end
+DOWN_S = 0.3  # of a restart
+SAMPLE_INTERVAL_S = 0.05  # between two counts of the descriptors
+MIN_SERVED = 0.85  # of the share served at the usual size
+
+# The standing test's bounds: so many times the figure at the usual size, so much more, and so much for each
+# 1,000 endpoints.
+BOUNDS = {
+    "cpu": (1.4, 0.02, 0.12),
+    "peak_memory": (1.5, 8.0, 4.0),
+    "descriptors": (2.0, 40.0, 0.0),
+    "connections": (2.5, 40.0, 0.0),
+    "list_bytes": (2.0, 64.0, 500.0),
+}
+UNITS = {
+    "cpu": "s",
+    "peak_memory": "MB",
+    "descriptors": "at most at a time",
+    "connections": "made",
+    "list_bytes": "KB",
+    "served": "share",
+    "requests": "sent",
+    "health_checks": "sent",
+    "endpoints_used": "endpoints that got a request",
+    "lists": "lists that came",
+}
+NOISY = ("cpu", "peak_memory")  # judged by their cheapest turn
+
+
+@dataclass(frozen=True, slots=True)
+class Cost:
+    """What one run cost."""
+
+    cpu: float  # s
+    peak_memory: float  # MB
+    descriptors: int
+    connections: int
+    list_bytes: float  # KB
+    served: float  # share of the requests
+    requests: int
+    health_checks: int
+    endpoints_used: int
+    lists: int
+
+
+@dataclass(frozen=True, slots=True)
+class Load:
+    """What one run consists of."""
+
+    endpoints: int
+    seconds: float
+    rate: float  # requests a second
+    seed: int
+    root: Path | None = None  # another checkout of the program
+    service_time: float = SERVICE_TIME_S
+
+
+class CountingRegistry(EndpointRegistry):
+    """Discovery that counts what it sends."""
+
+    sent_bytes = 0
+    sent_lists = 0
+
+    def encode_list(self, since: int | None) -> bytes:
+        """Return what is sent, and count it."""
+        body = super().encode_list(since)
+        self.sent_bytes += len(body)
+        self.sent_lists += 1
+        return body
+
+
+class Churn:
+    """Restarts and replacements, evenly over the run and in proportion to the fleet."""
+
+    def __init__(self, fleet: EndpointFleet, registry: EndpointRegistry, seed: int) -> None:
+        self.fleet = fleet
+        self.registry = registry
+        self.random = Random(seed)
+        self.settled = sorted(fleet.names())  # that nothing has happened to
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    async def run(self, seconds: float) -> None:
+        """Let everything happen within so many seconds."""
+        loop = asyncio.get_running_loop()
+        count = len(self.settled)
+        replaced = round(REPLACED_SHARE * count)
+        kinds = [True] * replaced + [False] * round(RESTARTED_SHARE * count)
+        self.random.shuffle(kinds)
+        started_at = loop.time()
+        for number, is_replaced in enumerate(kinds):
+            await asyncio.sleep(max(0.0, started_at + seconds * number / len(kinds) - loop.time()))
+            name = self.settled.pop(self.random.randrange(len(self.settled)))
+            task = loop.create_task(self._replace(name) if is_replaced else self._restart(name))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
+
+    async def _replace(self, name: str) -> None:
+        new = await self.fleet.add()
+        self.registry.put(listed(new, time.time()))
+        old = self.fleet.endpoints[name]
+        self.registry.put(listed(old, status="Terminating"))
+        await asyncio.sleep(DRAIN_S)
+        self.registry.put(listed(old, status="Gone"))
+        self.fleet.remove(name)
+
+    async def _restart(self, name: str) -> None:
+        endpoint = self.fleet.endpoints[name]
+        endpoint.stop()
+        await asyncio.sleep(DOWN_S)
+        await endpoint.start()
+        self.registry.put(listed(endpoint, time.time()))
+
+    async def stop(self) -> None:
+        """End what is still going on."""
+        for task in list(self.tasks):
+            task.cancel()
+        await asyncio.gather(*self.tasks, return_exceptions=True)
+
+
+def listed(endpoint: FleetEndpoint, started_at: float = 0.0, status: str = "Ready") -> Entry:
+    """Return an endpoint as discovery lists it."""
+    number = int(endpoint.name.removeprefix("s-"), 16)
+    address = f"{endpoint.host}:{endpoint.port}"
+    zone = ZONES[number % len(ZONES)]
+    return entry(endpoint.name, address, zone=zone, status=status, since_ms=int(started_at * 1000))
+
+
+def peak_memory_mb(pid: int) -> float:
+    """Return the peak of a process's resident memory in MB (proc(5), VmHWM)."""
+    for line in Path(f"/proc/{pid}/status").read_text().splitlines():
+        if line.startswith("VmHWM:"):
+            return int(line.split()[1]) / 1024
+    return 0.0
+
+
+async def sample_descriptors(pid: int, counts: list[int]) -> None:
+    """Count a process's descriptors again and again, until cancelled."""
+    while True:
+        counts.append(sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir()))
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+
+
+async def run_once(load: Load) -> Cost:
+    """Start a fleet, its discovery and one proxy, drive them and return what the proxy cost."""
+    registry = CountingRegistry(Recorder(), load.seed)
+    await registry.start()
+    fleet = EndpointFleet(max(1, SLOTS * BASE // load.endpoints), load.service_time)
+    for _ in range(load.endpoints):
+        registry.put(listed(await fleet.add()))
+    known = {"index": registry.index, "snapshot": True, "endpoints": list(registry.entries.values())}
+    more: dict[str, Any] = {"overrides": {"known": known}, "balancers": PROXIES, "me": PROXY_INDEX}
+    if load.root is not None:
+        more["root"] = load.root
+    counts = [0]
+    churn = Churn(fleet, registry, load.seed)
+    async with contextlib.AsyncExitStack() as stack:
+        proxy = await stack.enter_async_context(running_proxy("scale", registry.address, [], **more))
+        pid = proxy.process.pid
+        clients = ClientPool(Recorder(), proxy.address, "c", load.seed)
+        tasks = [asyncio.create_task(sample_descriptors(pid, counts))]
+        tasks.append(asyncio.create_task(churn.run(load.seconds)))
+        await clients.run(load.seconds, load.rate)
+        cost = _cost(pid, max(counts), clients, registry, fleet)
+        for task in tasks:
+            task.cancel()
+        await churn.stop()
+    registry.stop()
+    fleet.stop()
+    await asyncio.sleep(0)
+    return cost
+
+
+def _cost(
+    pid: int, descriptors: int, clients: ClientPool, registry: CountingRegistry, fleet: EndpointFleet
+) -> Cost:
+    return Cost(
+        cpu_seconds(pid),
+        peak_memory_mb(pid),
+        descriptors,
+        fleet.counters.connections,
+        registry.sent_bytes / 1000,
+        clients.status_codes[OK] / max(1, clients.request_count),
+        clients.request_count,
+        fleet.counters.health_checks,
+        len(fleet.counters.requested_endpoints),
+        registry.sent_lists,
+    )
+
+
+def judged(costs: list[Cost], name: str) -> float:
+    """Return the figure of a size that is judged: the cheapest where there is noise, else the worst."""
+    values = [float(getattr(cost, name)) for cost in costs]
+    return min(values) if name in NOISY or name == "served" else max(values)
+
+
+def bound(name: str, usual: float, endpoints: int) -> float:
+    """Return the most that a figure may be before so many endpoints."""
+    times, more, per_thousand = BOUNDS[name]
+    return times * usual + more + per_thousand * endpoints / 1000
+
+
+def judge(report: BenchmarkReport, by_size: dict[int, list[Cost]]) -> None:
+    """Record the figures of all sizes, and check them against those of the smallest."""
+    base = min(by_size)
+    for endpoints, costs in by_size.items():
+        for name, unit in UNITS.items():
+            value = judged(costs, name)
+            report.record(f"{name}_{endpoints}", value, unit)
+            if name in NOISY:
+                values = [float(getattr(cost, name)) for cost in costs]
+                report.record(f"{name}_{endpoints}_noise", max(values) - min(values), unit)
+            if endpoints == base:
+                continue
+            usual = judged(by_size[base], name)
+            if name == "served":
+                least = MIN_SERVED * usual
+                report.check(value >= least, f"served_{endpoints}: {value:.3f}, at least {least:.3f}")
+            elif name in BOUNDS:
+                most = bound(name, usual, endpoints)
+                report.record(f"{name}_{endpoints}_bound", most, unit)
+                report.check(value <= most, f"{name}_{endpoints}: {value:.4g}, at most {most:.4g} {unit}")
+
+
+def judge_busy(report: BenchmarkReport, served: dict[int, float]) -> None:
+    """Record the shares that a busy proxy serves, and check them against that of the smallest size."""
+    least = MIN_SERVED * served[min(served)]
+    for size, value in served.items():
+        report.record(f"busy_served_{size}", value, "share")
+        report.check(value >= least, f"busy_served_{size}: {value:.3f}, at least {least:.3f}")
+
+
+async def measure(report: BenchmarkReport, options: argparse.Namespace) -> None:
+    """Run all sizes, turn by turn, and judge them."""
+    sizes = options.sizes or (SIZES_SHORT if report.short else SIZES)
+    seconds = options.seconds or (SECONDS_SHORT if report.short else SECONDS)
+    root = options.root.resolve() if options.root else None
+    by_size: dict[int, list[Cost]] = {size: [] for size in sizes}
+    for turn in range(options.turns or (TURNS_SHORT if report.short else TURNS)):
+        for size in sizes:
+            cost = await run_once(Load(size, seconds, options.rate, report.seed + turn, root))
+            by_size[size].append(cost)
+            shown = " ".join(f"{name}={value:.4g}" for name, value in asdict(cost).items())
+            print(f"turn {turn + 1} endpoints {size}: {shown}", flush=True)
+    judge(report, by_size)
+    seconds = BUSY_SECONDS_SHORT if report.short else BUSY_SECONDS
+    busy = {}
+    for size in (min(sizes), max(sizes)):
+        cost = await run_once(Load(size, seconds, BUSY_RATE, report.seed, root, BUSY_SERVICE_TIME_S))
+        busy[size] = cost.served
+    judge_busy(report, busy)
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Add this benchmark's own arguments."""
+    parser.add_argument("--turns", type=int, help="runs of each size")
+    parser.add_argument("--sizes", type=int, nargs="+", help="endpoints; the smallest is the usual size")
+    parser.add_argument("--seconds", type=float, help="of traffic in each run")
+    parser.add_argument("--rate", type=float, default=RATE, help="requests a second")
+    parser.add_argument("--root", type=Path, metavar="CHECKOUT", help="another checkout of the program")
+
+
+if __name__ == "__main__":
+    sys.exit(run_benchmark("scale", measure, add_arguments=add_arguments))
