--- a/service_proxy/net/upstream/endpoint_pool.py
+++ b/service_proxy/net/upstream/endpoint_pool.py
@@ -64,7 +64,7 @@
             if self.idle[index].idle_since > settled_before:
                 index = -1
             connection = self.idle.pop(index)
-            del self.cluster.idle_connections[connection]
+            self.cluster.idle_connections.pop(connection, None)
             if connection.transport is not None and not connection.transport.is_closing():
                 if connection.idle_since > oldest:
                     return connection
@@ -84,7 +84,7 @@
         """Forget a connection that can't be used again."""
         if connection in self.idle:
             self.idle.remove(connection)
-            del self.cluster.idle_connections[connection]
+            self.cluster.idle_connections.pop(connection, None)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has ended."""
--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -12,6 +12,9 @@
 
 MAX_POOL_LOCAL = 10  # endpoints of the own zone that a proxy uses
 MAX_POOL = 16  # endpoints that a proxy uses in all
+MAX_LARGE_POOL = 48  # the same where endpoints are many and small
+FAIR_SHARES = 3.0  # of the endpoints among the proxies, that a pool holds: some get several times the mean
+ENDPOINTS_PER_MEMBER = 50  # serving, for each endpoint of the pool, before it grows: up to 800 it does not
 GOLDEN_RATIO_FRACTION = 0.6180339887498949  # multiples of it, modulo 1, spread evenly however many there are
 
 
@@ -111,21 +114,34 @@
         Each zone's endpoints form a ring; the proxies start at places spread evenly by their index. Ejected
         endpoints come last in their ring.
         """
+        size = self._size()
         pool: list[TrackedEndpoint] = []
         remote: list[list[TrackedEndpoint]] = []
         for zone in sorted(self._rings):
             if zone == self.settings.zone:
-                pool = self._first_of_ring(zone, MAX_POOL_LOCAL)
+                pool = self._first_of_ring(zone, size * MAX_POOL_LOCAL // MAX_POOL)
             else:
-                remote.append(self._first_of_ring(zone, MAX_POOL))
+                remote.append(self._first_of_ring(zone, size))
         position = 0
-        while len(pool) < MAX_POOL and any(len(ring) > position for ring in remote):
+        while len(pool) < size and any(len(ring) > position for ring in remote):
             for ring in remote:
-                if len(ring) > position and len(pool) < MAX_POOL:
+                if len(ring) > position and len(pool) < size:
                     pool.append(ring[position])
             position += 1
         self.members = pool
 
+    def _size(self) -> int:
+        """Return how many endpoints this proxy uses at most.
+
+        Where more endpoints share the same work, each does less of it, and sixteen of them may be less than
+        one proxy needs. Guards against proxies with several times the mean traffic that reject requests
+        before idle endpoints. Cost: more connections and health checks.
+        """
+        serving = sum(map(len, self._rings.values()))
+        fair = FAIR_SHARES * serving / self.settings.proxy_count
+        size = min(fair, serving / ENDPOINTS_PER_MEMBER, MAX_LARGE_POOL)
+        return max(MAX_POOL, int(size))
+
     def _first_of_ring(self, zone: str, count: int) -> list[TrackedEndpoint]:
         """Return the serving endpoints of a zone that this proxy uses first, at most `count`."""
         ring = self._rings[zone]
