--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -115,20 +115,21 @@
         endpoints come last in their ring.
         """
         size = self._size()
-        pool: list[TrackedEndpoint] = []
+        local: list[TrackedEndpoint] = []
         remote: list[list[TrackedEndpoint]] = []
         for zone in sorted(self._rings):
             if zone == self.settings.zone:
-                pool = self._first_of_ring(zone, size * MAX_POOL_LOCAL // MAX_POOL)
+                local = self._first_of_ring(zone, size * MAX_POOL_LOCAL // MAX_POOL)
             else:
                 remote.append(self._first_of_ring(zone, size))
-        position = 0
-        while len(pool) < size and any(len(ring) > position for ring in remote):
-            for ring in remote:
-                if len(ring) > position and len(pool) < size:
-                    pool.append(ring[position])
-            position += 1
-        self.members = pool
+        pool = local[:MAX_POOL_LOCAL]
+        others = [ring[position] for position in range(size) for ring in remote if position < len(ring)]
+        first_others = MAX_POOL - len(
+            pool
+        )  # the first MAX_POOL members are those of a pool of the usual size
+        pool += others[:first_others]
+        pool += local[MAX_POOL_LOCAL:]
+        self.members = pool + others[first_others : first_others + size - len(pool)]
 
     def _size(self) -> int:
         """Return how many endpoints this proxy uses at most.
--- a/service_proxy/policy/health_checks.py
+++ b/service_proxy/policy/health_checks.py
@@ -8,7 +8,7 @@
 from service_proxy.policy.concurrency_limit import ConcurrencyLimiter
 from service_proxy.policy.endpoint import TrackedEndpoint
 from service_proxy.policy.endpoint_load import EndpointLoads
-from service_proxy.policy.endpoint_pool import EndpointPool
+from service_proxy.policy.endpoint_pool import MAX_POOL, EndpointPool
 from service_proxy.policy.endpoint_watch import EndpointWatch
 from service_proxy.policy.events import AttemptStatus, HealthCheckEnded
 from service_proxy.policy.outlier_detection import OutlierDetector
@@ -27,6 +27,9 @@
 CANDIDATES_TOKEN = 2  # of the timer that ends the wait
 MIN_BUDGET_IN_WAITS = 3  # waits that a request must have left to be worth one
 MIN_LATENCY_IN_WAITS = 2  # waits that a mean latency must take to be worth one
+CHECKED_PER_IN_FLIGHT = (
+    3.0  # endpoints of a large pool that are checked, for each request in flight in the mean
+)
 SENT_AT_JITTER_S = 1e-3  # so that checks of one moment have an order
 MAX_FAILED_CHECKS = 2  # failed health checks, from which an endpoint without success is ejected
 
@@ -78,7 +81,8 @@
             if now >= endpoint.ejected_until and not endpoint.health_check_pending:
                 self._send(endpoint, now)
         while self.tokens >= 1 and not self.checks_candidates:
-            idle = [e for e in self.pool.members if not e.health_check_pending and not e.ejected_until]
+            members = self._checked_members(now)
+            idle = [e for e in members if not e.health_check_pending and not e.ejected_until]
             if not idle:
                 break
             self.tokens -= 1
@@ -113,7 +117,8 @@
         usable = [e for e in self.pool.members if self.selector.is_usable(e, now)]
         connected = [e for e in usable if self.selector.connections.is_open(e, now)]
         candidates = self.random.sample(connected, min(CANDIDATES - 1, len(connected)))
-        others = [e for e in usable if e not in candidates]
+        checked = {e.endpoint_id for e in self._checked_members(now)}
+        others = [e for e in usable if e.endpoint_id in checked and e not in candidates]
         candidates += self.random.sample(others, min(CANDIDATES - len(candidates), len(others)))
         request.candidates = candidates
         for endpoint in candidates:
@@ -122,6 +127,20 @@
         request.candidates_until = now + CANDIDATES_WAIT_S
         self.actions.append(SetTimer(CANDIDATES_WAIT_S, CANDIDATES_TOKEN))
 
+    def _checked_members(self, now: float) -> list[TrackedEndpoint]:
+        """Return the endpoints of the pool that are checked.
+
+        Of a pool that is larger than usual, the rest is for requests that the first ones have no room for: a
+        check would open a connection to each. Guards against connections of proxies with little traffic to
+        endpoints that they don't need. Cost: nothing but their zone's load is known of the rest at first.
+        """
+        members = self.pool.members
+        if len(members) <= MAX_POOL:
+            return members
+        in_flight = self.limiter.arrival_rate * self.loads.mean_latency
+        count = max(MAX_POOL, int(CHECKED_PER_IN_FLIGHT * in_flight))
+        return members[:count] + [e for e in members[count:] if self.selector.connections.is_open(e, now)]
+
     def _send(self, endpoint: TrackedEndpoint, now: float) -> None:
         endpoint.health_check_pending = True
         endpoint.health_checked_at = now + self.random.random() * SENT_AT_JITTER_S
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -114,15 +114,35 @@
     assert work(action, LARGE, USUAL) <= MAX_GROWTH_WITH_POOL * few
 
 
-def test_health_checks_and_requests_reach_no_more_endpoints_in_a_large_fleet() -> None:
-    driver = fleet_driver(LARGE)
+def serve_one_by_one(driver: BalancerDriver) -> None:
     for step in range(400):
         answer_checks(driver, driver.advance(0.05))
         for attempt in attempts(driver.arrive(3000 + step)):
             driver.end_attempt(attempt, AttemptStatus.OK)
+
+
+@pytest.mark.parametrize("price_probe", [0.001, 0.01], ids=["checks for requests", "steady checks"])
+def test_requests_and_health_checks_of_a_proxy_with_little_traffic_keep_to_few_endpoints(
+    price_probe: float,
+) -> None:
+    # Found with sixteen times the endpoints: checks of a pool of 48 made 132 connections, of 165 allowed,
+    # where a pool of 16 made 50.
+    setup = settings(can_check_health=True, price_probe=price_probe, proxy_count=200, proxy_index=7)
+    driver = BalancerDriver(setup, endpoints=[item(number) for number in range(LARGE)])
+    serve_one_by_one(driver)
     reached = {action.endpoint_id for action in driver.actions if isinstance(action, CheckHealth)}
     reached |= {attempt.endpoint_id for attempt in attempts(driver.actions)}
-    assert len(reached) <= MAX_LARGE_POOL
+    assert len(driver.balancer.endpoints.members) == MAX_LARGE_POOL
+    assert 3 < len(reached) <= 1.5 * MAX_POOL  # a request may go beyond the core
+
+
+def test_requests_that_the_core_of_a_pool_has_no_room_for_go_beyond_it() -> None:
+    driver = fleet_driver(LARGE)
+    driver.balancer.limiter.limit = 200.0
+    for number in range(80):
+        driver.arrive(5000 + number)
+    started = {attempt.endpoint_id for attempt in attempts(driver.actions) if attempt.request_id >= 5000}
+    assert len(started) == MAX_LARGE_POOL
 
 
 def test_state_of_an_endpoint_is_small() -> None:
