--- a/harness/event_loop.py
+++ b/harness/event_loop.py
@@ -12,6 +12,8 @@
 DEFAULT_TIMEOUT_S = 20.0  # what takes longer has failed
 POLL_INTERVAL_S = 0.005
 PAUSE_SAMPLE_S = 0.01
+STALL_CHECK_INTERVAL_S = 0.005  # between two looks whether the loop stood still
+MIN_STALL_S = 0.005  # beyond the interval
 
 T = TypeVar("T")
 
@@ -39,6 +41,37 @@
     return server, f"{host}:{port}"
 
 
+class StallMonitor:
+    """Tells when the running loop stood still: what happened meanwhile is seen, and recorded, late.
+
+    Args:
+        on_stall: called with the begin and the end of each stall (monotonic, s).
+    """
+
+    def __init__(self, on_stall: Callable[[float, float], None]) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._on_stall = on_stall
+        self._timer: asyncio.TimerHandle | None = None
+        self._expected_at = 0.0
+
+    def start(self) -> None:
+        """Look from now on."""
+        self._expected_at = time.monotonic() + STALL_CHECK_INTERVAL_S
+        self._timer = self._loop.call_later(STALL_CHECK_INTERVAL_S, self._check)
+
+    def stop(self) -> None:
+        """Look no more."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _check(self) -> None:
+        now = time.monotonic()
+        if now > self._expected_at + MIN_STALL_S:
+            self._on_stall(self._expected_at, now)
+        self.start()
+
+
 class LoopThread:
     """An event loop in a thread of its own, for harnesses beside clients that block."""
 
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -19,7 +19,7 @@
 from harness.clients import IDEMPOTENCY_BY_CLASS, ClientPool
 from harness.clock_skew import OFFSETS
 from harness.endpoint_registry import EndpointRegistry, entry
-from harness.event_loop import until
+from harness.event_loop import StallMonitor, until
 from harness.fleet.fault_relay import DatagramRelay, TcpRelay, loopback_address
 from harness.fleet.network import Network
 from harness.fleet.observer import FLEET_KEY, FleetObserver
@@ -73,6 +73,7 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.random = Random(options.seed)
         self.observer = FleetObserver(self)
+        self.stall_monitor = StallMonitor(self.ledger.add_stall)
         self.starting = 0
 
     @property
@@ -88,6 +89,7 @@
     # start
     async def start_all(self) -> None:
         """Start the relay, the endpoints, all proxies unless a script does, the observer and the clients."""
+        self.stall_monitor.start()
         await self.relay.start()
         for endpoint in self.endpoints:
             await endpoint.start()
@@ -320,6 +322,7 @@
         for task in list(self.tasks):
             task.cancel()
         self.observer.stop()
+        self.stall_monitor.stop()
         for slot in self.slots:
             if slot.process is not None and slot.process.returncode is None:
                 if slot.suspended:
--- a/harness/recorder.py
+++ b/harness/recorder.py
@@ -103,6 +103,14 @@
     capacity: float
 
 
+@dataclass(slots=True)
+class RecorderStall:
+    """A time in which the process that records stood still: what came meanwhile is recorded at its end."""
+
+    began_at: float
+    ended_at: float
+
+
 @dataclass(frozen=True, slots=True)
 class Violation:
     """A rule that was broken."""
@@ -124,6 +132,7 @@
     attempts: list[RecordedAttempt] = field(default_factory=list)
     notifications: list[Notification] = field(default_factory=list)
     starts: list[EndpointStart] = field(default_factory=list)
+    stalls: list[RecorderStall] = field(default_factory=list)
     excused_requests: set[str] = field(default_factory=set)  # whose proxy was killed or stopped under them
 
     def attempt(
@@ -152,6 +161,14 @@
         self.attempts.append(entry)
         return entry
 
+    def add_stall(self, began_at: float, ended_at: float) -> None:
+        """Record that this process stood still."""
+        self.stalls.append(RecorderStall(began_at, ended_at))
+
+    def stalled_time(self, since: float, until: float) -> float:
+        """Return for how long of this span the process that recorded stood still."""
+        return sum(max(0.0, min(stall.ended_at, until) - max(stall.began_at, since)) for stall in self.stalls)
+
     def write(self, path: Path) -> None:
         """Write one JSON object a line: its kind and its fields."""
         with path.open("w", encoding="utf-8") as sink:
@@ -239,12 +256,13 @@
             else:
                 yield from self._check_idempotency_key(request, attempts, idempotency, rules)
 
-    @staticmethod
     def _check_no_overlap(
-        request: SentRequest, attempts: list[RecordedAttempt], rules: Rules
+        self, request: SentRequest, attempts: list[RecordedAttempt], rules: Rules
     ) -> Iterable[Violation]:
         for earlier, later in pairwise(attempts):
-            if later.first_byte_at + rules.slack < earlier.ended_at:
+            # The end of a connection passes more turns of the recorder's loop than a request on another one.
+            stalled = self.stalled_time(later.first_byte_at, earlier.ended_at)
+            if later.first_byte_at + stalled + rules.slack < earlier.ended_at:
                 text = f"call {request.request_id}: a second attempt while one is out"
                 yield Violation(2, text, later.first_byte_at)
 
@@ -351,4 +369,5 @@
     "attempts": RecordedAttempt,
     "notifications": Notification,
     "starts": EndpointStart,
+    "stalls": RecorderStall,
 }
--- a/tests/harness/test_recorder.py
+++ b/tests/harness/test_recorder.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
+import asyncio
+import time
 from collections.abc import Callable
 from pathlib import Path
 
 import pytest
 
+from harness.event_loop import StallMonitor, until
 from harness.recorder import (
     EndpointStart,
     Idempotency,
@@ -74,7 +77,18 @@
 
 def overlap(ledger: Recorder) -> None:
     ledger.requests[0].class_name = "stock"
-    again(ledger, 1.05)
+    again(ledger, 1.05)  # 0.15 s before the end of the first
+
+
+def overlap_beyond_a_stall_of_the_recorder(ledger: Recorder) -> None:
+    overlap(ledger)
+    ledger.add_stall(1.11, 1.2)  # explains 0.09 s of it; the slack is 0.05 s
+
+
+def overlap_after_a_stall_of_the_recorder(ledger: Recorder) -> None:
+    overlap(ledger)
+    ledger.add_stall(0.9, 1.05)
+    ledger.add_stall(1.2, 1.5)
 
 
 def may_have_run(ledger: Recorder) -> None:
@@ -125,6 +139,8 @@
     (1, nobodys),
     (2, twice),
     (2, overlap),
+    (2, overlap_beyond_a_stall_of_the_recorder),
+    (2, overlap_after_a_stall_of_the_recorder),
     (2, may_have_run),
     (2, refused_after_it_ran),
     (2, other_group),
@@ -147,6 +163,32 @@
         assert clean(cls).audit(EFFECTS) == []
 
 
+def test_an_end_that_a_stall_of_the_recorder_hid_is_no_overlap() -> None:
+    """Found in CI: the end of a connection reached a harness that stood still after the next attempt did."""
+    ledger = clean("stock")
+    again(ledger, 1.05)
+    ledger.add_stall(1.08, 1.19)
+    assert ledger.audit(EFFECTS) == []
+
+
+def test_a_stall_of_the_loop_is_recorded() -> None:
+    async def test() -> Recorder:
+        ledger = Recorder()
+        monitor = StallMonitor(ledger.add_stall)
+        monitor.start()
+        await asyncio.sleep(0)
+        began_at = time.monotonic()
+        time.sleep(0.2)  # the stall itself
+        ended_at = time.monotonic()
+        await until(lambda: ledger.stalls)
+        monitor.stop()
+        assert ledger.stalled_time(began_at, ended_at) >= 0.15
+        return ledger
+
+    ledger = asyncio.run(test())
+    assert ledger.stalled_time(0.0, ledger.stalls[0].began_at) == 0.0
+
+
 def test_what_is_allowed_is_no_breach() -> None:
     ledger = clean("reserva")
     again(ledger, 1.25, group="a")  # within group and window
