--- a/service_proxy/policy/endpoint_watch.py
+++ b/service_proxy/policy/endpoint_watch.py
@@ -9,10 +9,18 @@
 from service_proxy.policy.events import ListScope
 from service_proxy.policy.settings_types import Settings
 from service_proxy.policy.settings_user import SettingsUser
+from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
 MAX_FIRST_DELAY_S = 2.0  # discovery is small and all proxies may start at once: the first watch is spread out
 FIRST_DELAY_SHARE = 1 / 4  # of the longest poll interval, that the first watch is delayed by at most
-FIRST_BACKOFF_S = 1.0  # doubles with each failure up to the longest poll interval
+# After a poll that failed, a change counts as notified so long after discovery had it and could be reached,
+# whether or not it came (STANDING).
+FAILED_POLL_NOTIFIED_S = 6.0
+POLL_ANSWER_S = (
+    0.5  # of it, for the answer to the next poll: discovery works through the polls of all in turn
+)
+MAX_POLL_FAILURE_S = 2.0  # that a poll waits for discovery at most before it fails
+MIN_BACKOFF_SHARE = 0.8  # of the longest backoff, from the second failure on
 RECHECK_SPREAD_S = 2.0  # over which proxies ask again where endpoints contradict the list: all see it at once
 RECHECK_INTERVAL_S = 8.0  # since the list was asked for or came, within which it is not doubted
 
@@ -40,13 +48,28 @@
         if scope is ListScope.FAILED:
             self.is_watching = False
             self.failures += 1
-            longest = min(FIRST_BACKOFF_S * 2**self.failures, self.settings.max_poll_interval)
-            self.next_watch_at = now + longest * (0.5 + 0.5 * self.random.random())
+            self.next_watch_at = now + self._draw_backoff(now)
         elif scope is not ListScope.CACHED:
             self.failures = 0
             self.last_update_at = now
             self.recheck_at = math.inf
 
+    def _draw_backoff(self, now: float) -> float:
+        """Return the seconds until the next watch after one that failed.
+
+        It is answered in time for the drain grace, should discovery have come back right after the failed
+        poll began. So there is no room for a backoff that doubles: what keeps the proxies, which fail
+        together, from crowding discovery at its return is that their polls are few and lie evenly apart. The
+        first backoff is spread over all of the time, and further ones over its end, which keeps them apart.
+        """
+        failed_for = now - self.last_update_at
+        if failed_for > MAX_POLL_FAILURE_S + CONTROL_INTERVAL_S:
+            failed_for = 0.0  # this was a watch, in order until now
+        longest = FAILED_POLL_NOTIFIED_S + self.settings.drain_grace - POLL_ANSWER_S - failed_for
+        longest = min(longest, self.settings.max_poll_interval)
+        shortest = 0.0 if self.failures == 1 else MIN_BACKOFF_SHARE * longest
+        return self.random.uniform(shortest, longest)
+
     def run(self, now: float) -> None:
         """Start a watch if one is due."""
         if (not self.is_watching and now >= self.next_watch_at) or now >= self.recheck_at:
