--- a/service_proxy/net/config.py
+++ b/service_proxy/net/config.py
@@ -5,7 +5,7 @@
 import json
 import resource
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any, TypeVar
 
@@ -171,6 +171,15 @@
         raise config_error(error) from None
 
 
+def _read_policy_settings(raw: object) -> Settings:
+    """Read the platform's settings for a proxy on sockets, which sends one attempt of a request at a time.
+
+    Where hedging is not allowed, the policy cancels an overdue attempt and retries it. Allowed but not done,
+    it would leave the request to an endpoint that hangs.
+    """
+    return replace(read_settings(flatten_settings(raw)), can_hedge=False)
+
+
 def parse_config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> ProxyConfig:
     """Read the configuration from the JSON's object.
 
@@ -202,7 +211,7 @@
         max_descriptors=max_descriptors,
         memory_mb=memory_mb,
         cached_endpoints=cached_endpoints,
-        settings=read_settings(flatten_settings(raw["settings"])),
+        settings=_read_policy_settings(raw["settings"]),
         admin_address=_parse_value("console (EDGE_CONSOLE)", admin_address, parse_address, ADDRESS_FORM)
         if admin_address
         else None,
--- a/tests/net/test_attempt_endings.py
+++ b/tests/net/test_attempt_endings.py
@@ -6,7 +6,7 @@
 import socket
 from pathlib import Path
 
-from net_harness import EndpointServer, ReceivedRequest, proxy_under_test, response, run_async
+from net_harness import SETTINGS, EndpointServer, ReceivedRequest, proxy_under_test, response, run_async
 
 ESTABLISHED = "01"  # in /proc/net/tcp
 
@@ -50,3 +50,30 @@
         assert (retried, overlapping) == (3, 0)
 
     run_async(test())
+
+
+def test_an_overdue_attempt_is_retried_where_settings_allow_two_attempts_at_once() -> None:
+    """Found on herd+mass: the hedged request was refused, and the other one waited for a hung endpoint."""
+
+    async def test() -> None:
+        hangs = False
+
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            nonlocal hangs
+            if hangs:
+                hangs = False
+                return
+            writer.write(response(200, b"done"))
+
+        endpoints = {"s-1": EndpointServer(respond), "s-2": EndpointServer(respond)}
+        limits = {**SETTINGS["policy_limits"], "may_duplicate": True, "may_cancel": True}
+        async with proxy_under_test(endpoints, policy_limits=limits) as proxy:
+            client = await proxy.connect()
+            for number in range(30):
+                assert (await client.request("stock", f"{number:016x}", "3000m")).status_code == 200
+            hangs = True
+            answer = await client.request("stock", "f" * 16, "3000m")
+            assert answer.status_code == 200 and not hangs
+        assert sum(endpoint.received_count for endpoint in endpoints.values()) == 32
+
+    run_async(test())
