--- a/service_proxy/net/discovery.py
+++ b/service_proxy/net/discovery.py
@@ -17,7 +17,7 @@
 from service_proxy.net.discovery_connection import DiscoveryConnection
 from service_proxy.net.endpoint_list import Address, EndpointList, parse_endpoint_list
 from service_proxy.net.http_status import OK
-from service_proxy.net.poll_schedule import PollSchedule, WatchPacing
+from service_proxy.net.poll_schedule import PollSchedule
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,6 @@
         self.on_failed = on_failed
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_tasks: set[asyncio.Task[None]] = set()
-        self._pacing = WatchPacing()
 
     def start(self) -> None:
         """Begin to watch, where lists are pushed: they count from the first moment, whoever asks for them."""
@@ -124,8 +123,7 @@
                     can_wait = True
                     retry_until = -math.inf
                     failures = 0
-                    pause = self._pacing.pause_after_answer(schedule, loop.time(), self.random.random())
-                    await asyncio.sleep(max(pause, started_at + MIN_WATCH_SPACING_S - loop.time()))
+                    await asyncio.sleep(max(0.0, started_at + MIN_WATCH_SPACING_S - loop.time()))
                     continue
                 timed_out = isinstance(error, TimeoutError)
                 if timed_out and can_wait and self.version is not None:
@@ -134,7 +132,6 @@
                     retry_until = loop.time() + schedule.retry_window
                 can_wait = False
                 if schedule.is_pushed or loop.time() >= retry_until:
-                    self._pacing.on_failed()
                     self.on_failed()
                     if not schedule.is_pushed:
                         return
--- a/service_proxy/net/poll_schedule.py
+++ b/service_proxy/net/poll_schedule.py
@@ -8,7 +8,6 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass
 
 from service_proxy.policy.settings_types import Settings
@@ -17,11 +16,6 @@
 ADDRESS_CHANGE_NOTIFIED_S = 4.0  # after SIGHUP: what the new address lists counts as notified
 WATCH_WAIT_S = 20.0  # that a watch waits where discovery is one service for all: three polls a minute
 WATCH_WAIT_SPREAD = 0.5  # of WATCH_WAIT_S, round it: polls that one change ended together come apart again
-# After an outage: for so long after the first answer, watches that changes end are not renewed at once. Each
-# costs discovery as much as the first poll of a proxy that has no list yet, and that one is owed its answer.
-RECOVERY_WINDOW_S = 6.0
-MAX_RECOVERY_PAUSE_S = 6.0  # before a watch is renewed within it
-RECOVERY_PAUSE_SHARE = 0.6  # of the longest poll interval, that such a pause takes at most
 RETRY_SPACING_S = 0.2  # between the first polls while an answer is owed
 MAX_BACKOFF_DOUBLINGS = 10  # of RETRY_SPACING_S: more is beyond every longest backoff
 MAX_CONNECT_TIMEOUT_S = 1.0  # for a connection to discovery
@@ -47,7 +41,6 @@
     connect_timeout: float
     address_change_window: float  # after a new address is given, within which polls follow one another
     first_list_timeout: float  # for the answer to such a poll
-    max_recovery_pause: float  # after an answer, before the next watch, where discovery was out lately
 
     def draw_watch_wait(self, fraction: float) -> float:
         """Return the wait of one poll; `fraction`: drawn from 0 to 1."""
@@ -65,42 +58,13 @@
         return min(self.max_backoff, backoff) * (0.5 + 0.5 * fraction)
 
 
-class WatchPacing:
-    """Whether an outage of discovery is so recent that watches are renewed with a pause.
-
-    Attributes:
-        recovery_ends_at: when they are renewed at once again (any clock, s); inf: polls fail.
-    """
-
-    def __init__(self) -> None:
-        self.recovery_ends_at = -math.inf
-
-    def on_failed(self) -> None:
-        """Take in that polls failed, and that nothing answers for now."""
-        self.recovery_ends_at = math.inf
-
-    def pause_after_answer(self, schedule: PollSchedule, now: float, fraction: float) -> float:
-        """Return the seconds between an answer and the next poll; `fraction`: drawn from 0 to 1."""
-        if self.recovery_ends_at == math.inf:
-            self.recovery_ends_at = now + RECOVERY_WINDOW_S
-        if now >= self.recovery_ends_at:
-            return 0.0
-        return schedule.max_recovery_pause * (0.5 + 0.5 * fraction)
-
-
 def poll_schedule_of(settings: Settings) -> PollSchedule:
     """Return how discovery is polled under these settings."""
-    return poll_schedule(settings.polls_discovery, settings.drain_grace, settings.max_poll_interval)
-
+    return poll_schedule(settings.polls_discovery, settings.drain_grace)
 
-def poll_schedule(is_polled: bool, drain_grace: float, max_poll_interval: float) -> PollSchedule:
-    """Return the times that follow from the settings.
 
-    Args:
-        is_polled: whether lists are polled for, and not pushed.
-        drain_grace: of the settings, s.
-        max_poll_interval: s since its last poll, for which a proxy without a watch is held to its list.
-    """
+def poll_schedule(is_polled: bool, drain_grace: float) -> PollSchedule:
+    """Return the times that follow from how lists come and from the settings' drain_grace (s)."""
     address_change_window = ADDRESS_CHANGE_NOTIFIED_S + drain_grace
     if not is_polled:
         wait = max(MIN_PUSH_WAIT_S, min(MAX_PUSH_WAIT_S, PUSH_GRACE_SHARE * drain_grace))
@@ -116,7 +80,6 @@
             connect_timeout=wait / 2,
             address_change_window=address_change_window,
             first_list_timeout=wait,
-            max_recovery_pause=0.0,
         )
     silence_timeout = SILENT_CALL_NOTIFIED_S / 2
     retry_window = SILENT_CALL_NOTIFIED_S - silence_timeout + drain_grace
@@ -134,5 +97,4 @@
         connect_timeout=min(MAX_CONNECT_TIMEOUT_S, call_timeout / 2),
         address_change_window=address_change_window,
         first_list_timeout=first_list_timeout,
-        max_recovery_pause=min(MAX_RECOVERY_PAUSE_S, RECOVERY_PAUSE_SHARE * max_poll_interval),
     )
