--- a/harness/event_loop.py
+++ b/harness/event_loop.py
@@ -11,7 +11,6 @@
 
 DEFAULT_TIMEOUT_S = 20.0  # what takes longer has failed
 POLL_INTERVAL_S = 0.005
-PAUSE_SAMPLE_S = 0.01
 STALL_CHECK_INTERVAL_S = 0.005  # between two looks whether the loop stood still
 MIN_STALL_S = 0.005  # beyond the interval
 
@@ -99,32 +98,29 @@
         self.loop.close()
 
 
-class PauseMeter:
-    """Measures for how long the event loop of this process stood still at most, beside what runs on it.
+class LongestStall:
+    """The longest stall of a loop in a block.
 
     Attributes:
-        longest: s.
+        duration: s.
     """
 
     def __init__(self) -> None:
-        self.longest = 0.0
+        self.duration = 0.0
 
-    async def run(self) -> None:
-        """Measure until cancelled."""
-        loop = asyncio.get_running_loop()
-        while True:
-            due = loop.time() + PAUSE_SAMPLE_S
-            await asyncio.sleep(PAUSE_SAMPLE_S)
-            self.longest = max(self.longest, loop.time() - due)
+    def on_stall(self, began_at: float, ended_at: float) -> None:
+        """Take in a stall."""
+        self.duration = max(self.duration, ended_at - began_at)
 
 
 @contextlib.asynccontextmanager
-async def measured_pauses() -> AsyncIterator[PauseMeter]:
-    """Measure the pauses of this process in a block."""
-    meter = PauseMeter()
-    task = asyncio.get_running_loop().create_task(meter.run())
+async def measured_stalls() -> AsyncIterator[LongestStall]:
+    """Measure the stalls of the running loop in a block."""
+    longest = LongestStall()
+    monitor = StallMonitor(longest.on_stall)
+    monitor.start()
     try:
-        yield meter
+        yield longest
     finally:
-        await asyncio.sleep(2 * PAUSE_SAMPLE_S)  # a pause that has just ended is measured, too
-        task.cancel()
+        await asyncio.sleep(2 * STALL_CHECK_INTERVAL_S)  # a stall that has just ended is measured, too
+        monitor.stop()
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -6,24 +6,20 @@
 import contextlib
 import signal
 import time
-import warnings
 from collections import Counter
-from collections.abc import Callable, Coroutine
+from collections.abc import Coroutine
 from dataclasses import replace
 from typing import Any
 
 import pytest
 
 from harness.deployment import ApplicationProfile, SidecarHost
-from harness.event_loop import measured_pauses, until
+from harness.event_loop import until
 from harness.proxy_process import ProxyProcess
 from harness.stub_endpoint import IncomingRequest
 from harness.tier_chain import ATTEMPTS_PER_TREE, CLASSES, Chain, running_chain
 from service_proxy.net.endpoint_list import parse_address
 
-MAX_PAUSE_S = 0.1  # of the test's own process, above which a failure says nothing
-MAX_RUNS = 4  # of a test that failed beside such pauses
-
 PROFILE = ApplicationProfile(
     propagates_deadline=False,
     copies_budget_header=True,
@@ -39,31 +35,6 @@
     asyncio.run(bounded())
 
 
-def run_timed(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test of times, and again where it failed while this process stood still.
-
-    The clients and the applications are in it, so that times are not what the test made them. Without a pause
-    a failure counts, and a broken rule of requests counts in any case.
-    """
-
-    async def bounded(is_last: bool) -> bool:
-        async with asyncio.timeout(60), measured_pauses() as pauses:
-            try:
-                await test()
-            except AssertionError as error:
-                failure = error
-            else:
-                return True
-        if is_last or pauses.longest < MAX_PAUSE_S:
-            raise failure
-        warnings.warn(f"repeated after a pause of {pauses.longest:.2f} s: {failure}", stacklevel=2)
-        return False
-
-    for number in range(MAX_RUNS):
-        if asyncio.run(bounded(number == MAX_RUNS - 1)):
-            return
-
-
 def host(chain: Chain, tier: str, number: int = 0) -> SidecarHost:
     return [host for host in chain.deployment.hosts if host.sidecar.tier == tier][number]
 
@@ -80,12 +51,6 @@
     return [str(violation) for violation in chain.deployment.recorder.audit(effects)]
 
 
-def check_rules(chain: Chain) -> None:
-    """Fail where a rule of requests is broken; this is no AssertionError, so no run is repeated for it."""
-    if broken := violations(chain):
-        pytest.fail("; ".join(broken))
-
-
 def executions(chain: Chain) -> Counter[tuple[str, str]]:
     """Return how often each tier executed each outermost request."""
     return Counter(
@@ -111,9 +76,9 @@
 
             inner.handler = look
             assert await call(chain, budget=0.5) == 200 and 0.0 < deadlines[0] < 0.5
-            check_rules(chain)
+            assert violations(chain) == []
 
-    run_timed(test)
+    run(test())
 
 
 def test_call_without_header_and_with_ids_of_its_own_is_as_without_budgets() -> None:
@@ -128,7 +93,7 @@
             host(chain, "nucleo").application.handler = look
             assert await call(chain, budget=0.5) == 200 and 0.5 < deadlines[0] < CLASSES["canje"].deadline
 
-    run_timed(test)
+    run(test())
 
 
 @pytest.mark.parametrize("older", ["nucleo", "portal"])
@@ -136,9 +101,9 @@
     async def test() -> None:
         async with running_chain(2, 1, profile=PROFILE, tiers_without_budgets=frozenset((older,))) as chain:
             assert [await call(chain, cls) for cls in CLASSES for _ in range(4)] == [200] * 12
-            check_rules(chain)
+            assert violations(chain) == []
 
-    run_timed(test)
+    run(test())
 
 
 def test_call_whose_deadline_passes_in_the_queue_is_never_started() -> None:
@@ -159,9 +124,9 @@
                     if a.executed and a.endpoint.startswith("portal")
                 ]
             )
-            check_rules(chain)
+            assert violations(chain) == []
 
-    run_timed(test)
+    run(test())
 
 
 def test_client_that_leaves_ends_the_attempts_below_it() -> None:
@@ -227,7 +192,7 @@
             assert len(chain.deployment.recorder.attempts) == attempts and chain.late_attempts(0.02) == []
             assert chain.attempts_by_root()["edge-00000001"] <= ATTEMPTS_PER_TREE
 
-    run_timed(test)
+    run(test())
 
 
 def test_second_of_two_sequential_calls_has_what_the_first_left() -> None:
@@ -246,7 +211,7 @@
             assert await call(chain, budget=1.0) == 200
             assert deadlines[0] - deadlines[1] >= 0.25 and deadlines[0] < 0.76
 
-    run_timed(test)
+    run(test())
 
 
 @pytest.mark.parametrize("tiers", [1, 2, 3])
@@ -271,10 +236,9 @@
             codes: list[int] = []
             while time.monotonic() < started_at + 2.5:  # the step comes after 2 s
                 codes += await asyncio.gather(*(call(chain, cls) for cls in CLASSES))
-            assert set(codes) == {200}
-            check_rules(chain)
+            assert set(codes) == {200} and violations(chain) == []
 
-    run_timed(test)
+    run(test())
 
 
 def test_keys_are_rotated_while_calls_go_on() -> None:
--- a/tests/net/test_overload.py
+++ b/tests/net/test_overload.py
@@ -19,7 +19,7 @@
     run_async,
 )
 
-from harness.event_loop import measured_pauses
+from harness.event_loop import measured_stalls
 
 
 def test_one_fault_at_the_start_does_not_keep_the_concurrency_limit_low() -> None:
@@ -81,7 +81,7 @@
     # s of a server's slot; worth 2 and 3
     slots = 4
     service_times = {"reserva": 0.05, "canje": 0.2}
-    max_pause = 0.1
+    max_stall = 0.1
 
     async def set_up(attempt_number: int) -> bool:
         codes: dict[str, Counter[int]] = {name: Counter() for name in service_times}
@@ -113,11 +113,11 @@
                 for index, class_name in enumerate(service_times)
                 for number in range(40)
             ]
-            async with asyncio.timeout(TEST_TIMEOUT_S), measured_pauses() as pauses:
+            async with asyncio.timeout(TEST_TIMEOUT_S), measured_stalls() as longest_stall:
                 await all_sent.wait()
             for task in client_tasks:
                 task.cancel()
-        if pauses.longest > max_pause:
+        if longest_stall.duration > max_stall:
             return False
         shares = {name: codes[name][200] / codes[name].total() for name in service_times}
         assert codes["canje"][503] > 300, codes  # there was too much of it all
