--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -243,8 +243,11 @@
             asyncio.get_running_loop().call_later(kill_after, self._kill)
 
     def _kill(self) -> None:
-        if self.process.returncode is None:
-            self.process.kill()
+        if (
+            self.process.returncode is None
+        ):  # Popen.kill would reap one that has ended, and lose its exit code
+            with contextlib.suppress(ProcessLookupError):
+                os.kill(self.process.pid, signal.SIGKILL)
 
     async def exit_code(self) -> int:
         async with asyncio.timeout(TEST_TIMEOUT_S):
