--- a/service_proxy/policy/endpoint_watch.py
+++ b/service_proxy/policy/endpoint_watch.py
@@ -11,8 +11,9 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-MAX_FIRST_DELAY_S = 2.0  # discovery is small and all proxies may start at once: the first watch is spread out
-FIRST_DELAY_SHARE = 1 / 4  # of the longest poll interval, that the first watch is delayed by at most
+# Discovery is small and all proxies may start at once, so the first watch is spread out; until then a proxy is
+# held to the list that it was started with.
+FIRST_DELAY_SHARE = 1 / 2  # of the longest poll interval, that the first watch is delayed by at most
 # After a poll that failed, a change counts as notified so long after discovery had it and could be reached,
 # whether or not it came (STANDING).
 FAILED_POLL_NOTIFIED_S = 6.0
@@ -40,7 +41,7 @@
 
     def start(self, now: float) -> None:
         """Plan the first watch."""
-        longest = min(MAX_FIRST_DELAY_S, self.settings.max_poll_interval * FIRST_DELAY_SHARE)
+        longest = FIRST_DELAY_SHARE * self.settings.max_poll_interval
         self.next_watch_at = now + self.random.random() * longest
 
     def on_update(self, scope: ListScope, now: float) -> None:
