--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -39,8 +39,9 @@
 log = logging.getLogger("service_proxy")
 
 DRAIN_POLL_INTERVAL_S = 0.01  # between looks whether all requests are answered
-# For the last responses to be read; with __main__.KILL_MARGIN_S it stays ahead of the SIGKILL.
-LAST_BYTES_GRACE_S = 0.3
+# For the last responses to be read. With __main__.KILL_MARGIN_S it stays ahead of the SIGKILL, also where the
+# process is held up for the operators' 0.15 s.
+LAST_BYTES_GRACE_S = 0.2
 # Objects allocated before a collection of the youngest generation, and collections of each generation before
 # one of the next: few, since what lives long is frozen.
 GC_THRESHOLDS = (50_000, 20, 50)
