--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -228,7 +228,6 @@
         one = EndpointServer()
         two = EndpointServer()
         async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as node:
-            caller = await node.connect()
             assert (await node.admin("POST /backends/s-9/maint")).status_code == 404
             for _ in range(2):
                 assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
@@ -238,6 +237,7 @@
             )
             while "?from=2&hold_ms=" not in await discovery.polls.get():
                 pass
+            caller = await node.connect()  # not idle for as long as the first poll may take
             for n in range(20):
                 assert (await caller.request("canje", f"a{n}", budget=PATIENT_BUDGET)).status_code == 200
             assert one.received_count == before and (await node.metrics())["hosts_down"] == 1
