--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -124,9 +124,8 @@
                 remote.append(self._first_of_ring(zone, size))
         pool = local[:MAX_POOL_LOCAL]
         others = [ring[position] for position in range(size) for ring in remote if position < len(ring)]
-        first_others = MAX_POOL - len(
-            pool
-        )  # the first MAX_POOL members are those of a pool of the usual size
+        # The first MAX_POOL members are those of a pool of the usual size.
+        first_others = MAX_POOL - len(pool)
         pool += others[:first_others]
         pool += local[MAX_POOL_LOCAL:]
         self.members = pool + others[first_others : first_others + size - len(pool)]
