--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -35,7 +35,7 @@
 from harness.clients import ClientPool
 from harness.endpoint_fleet import EndpointFleet, FleetEndpoint
 from harness.endpoint_registry import EndpointRegistry, Entry, entry
-from harness.proxy_process import running_proxy
+from harness.proxy_process import ProxyProcess, running_proxy
 from harness.recorder import Recorder
 from service_proxy.net.http_status import OK
 
@@ -185,14 +185,6 @@
     return entry(endpoint.name, address, zone=zone, status=status, since_ms=int(started_at * 1000))
 
 
-def peak_memory_mb(pid: int) -> float:
-    """Return the peak of a process's resident memory in MB (proc(5), VmHWM)."""
-    for line in Path(f"/proc/{pid}/status").read_text().splitlines():
-        if line.startswith("VmHWM:"):
-            return int(line.split()[1]) / 1024
-    return 0.0
-
-
 async def sample_descriptors(pid: int, counts: list[int]) -> None:
     """Count a process's descriptors again and again, until cancelled."""
     while True:
@@ -215,12 +207,11 @@
     churn = Churn(fleet, registry, load.seed)
     async with contextlib.AsyncExitStack() as stack:
         proxy = await stack.enter_async_context(running_proxy("scale", registry.address, [], **more))
-        pid = proxy.process.pid
         clients = ClientPool(Recorder(), proxy.address, "c", load.seed)
-        tasks = [asyncio.create_task(sample_descriptors(pid, counts))]
+        tasks = [asyncio.create_task(sample_descriptors(proxy.process.pid, counts))]
         tasks.append(asyncio.create_task(churn.run(load.seconds)))
         await clients.run(load.seconds, load.rate)
-        cost = _cost(pid, max(counts), clients, registry, fleet)
+        cost = _cost(proxy, max(counts), clients, registry, fleet)
         for task in tasks:
             task.cancel()
         await churn.stop()
@@ -231,11 +222,15 @@
 
 
 def _cost(
-    pid: int, descriptors: int, clients: ClientPool, registry: CountingRegistry, fleet: EndpointFleet
+    proxy: ProxyProcess,
+    descriptors: int,
+    clients: ClientPool,
+    registry: CountingRegistry,
+    fleet: EndpointFleet,
 ) -> Cost:
     return Cost(
-        cpu_seconds(pid),
-        peak_memory_mb(pid),
+        cpu_seconds(proxy.process.pid),
+        proxy.peak_memory_mb(),
         descriptors,
         fleet.counters.connections,
         registry.sent_bytes / 1000,
--- a/harness/endpoint_fleet.py
+++ b/harness/endpoint_fleet.py
@@ -22,7 +22,7 @@
 BACKLOG = 16
 
 
-def loopback_address(number: int) -> str:
+def endpoint_host(number: int) -> str:
     """Return the loopback address of the endpoint with this number."""
     return f"127.{FIRST_NETWORK + (number >> 16)}.{(number >> 8) & 255}.{number & 255}"
 
@@ -152,7 +152,7 @@
         """Start a further endpoint."""
         number = self._next_number
         self._next_number += 1
-        host = loopback_address(number)
+        host = endpoint_host(number)
         endpoint = FleetEndpoint(
             self.counters, f"s-{number:06x}", host, self.port, self.slots, self.service_time
         )
--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -108,6 +108,12 @@
     return port_allocator().next()
 
 
+def process_memory_mb(pid: int, field: str) -> float:
+    """Return a field of a live process's memory in MB (proc(5), status)."""
+    status = Path(f"/proc/{pid}/status").read_text()
+    return int(status.partition(f"{field}:")[2].split()[0]) / 1024
+
+
 class ProxyProcess:
     """A running proxy."""
 
@@ -116,17 +122,13 @@
         self.address = address
         self.log_file = log
 
-    def cpu_seconds(self) -> float:
-        """Return the CPU seconds that it has used (proc(5), utime and stime)."""
-        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-
     def resident_mb(self) -> float:
-        """Return the resident memory in MB (proc(5), VmRSS)."""
-        for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
-            if line.startswith("VmRSS:"):
-                return int(line.split()[1]) / 1024
-        return 0.0
+        """Return the resident memory in MB."""
+        return process_memory_mb(self.process.pid, "VmRSS")
+
+    def peak_memory_mb(self) -> float:
+        """Return the peak of the resident memory in MB."""
+        return process_memory_mb(self.process.pid, "VmHWM")
 
     def is_ready(self) -> bool:
         """Tell whether its health check answers 200."""
--- a/service_proxy/net/downstream/request_reader.py
+++ b/service_proxy/net/downstream/request_reader.py
@@ -29,9 +29,7 @@
 
 MAX_HEAD_BYTES = 32 * 1024  # of a request's target and headers
 MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES  # beyond 8 times its chunks' content
-MAX_POOLED_BODY_BYTES = (
-    4 << 20
-)  # of a body that is buffered, while the pool has room, where it may be streamed
+MAX_POOLED_BODY_BYTES = 4 << 20  # of a body that is buffered and not streamed, while the pool has room
 BODY_PROGRESS_BYTES = 64 * 1024  # of a body, each with the time that a head has
 # From a request's first byte, within which its head must be complete for its body to have a time of its own:
 # both together stay under the 3 s of the operators' page. Behind a slower head so much of the body begins it.
--- a/service_proxy/net/socket_polling.py
+++ b/service_proxy/net/socket_polling.py
@@ -14,15 +14,17 @@
 
 def is_readable(descriptor: int) -> bool:
     """Tell whether something is to be read from this descriptor; from a listening one, a connection."""
-    poll = select.poll()
-    poll.register(descriptor, select.POLLIN)
-    return bool(poll.poll(0))
+    return _has_event(descriptor, select.POLLIN)
 
 
 def has_ended(transport: asyncio.BaseTransport) -> bool:
     """Tell whether its peer sends no more, whatever bytes lie before its end."""
+    return _has_event(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+
+
+def _has_event(descriptor: int, event: int) -> bool:
     poll = select.poll()
-    poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+    poll.register(descriptor, event)
     return bool(poll.poll(0))
 
 
--- a/service_proxy/policy/health_checks.py
+++ b/service_proxy/policy/health_checks.py
@@ -27,9 +27,7 @@
 CANDIDATES_TOKEN = 2  # of the timer that ends the wait
 MIN_BUDGET_IN_WAITS = 3  # waits that a request must have left to be worth one
 MIN_LATENCY_IN_WAITS = 2  # waits that a mean latency must take to be worth one
-CHECKED_PER_IN_FLIGHT = (
-    3.0  # endpoints of a large pool that are checked, for each request in flight in the mean
-)
+CHECKED_PER_IN_FLIGHT = 3.0  # endpoints of a large pool that are checked, for each request in flight
 SENT_AT_JITTER_S = 1e-3  # so that checks of one moment have an order
 MAX_FAILED_CHECKS = 2  # failed health checks, from which an endpoint without success is ejected
 
--- a/service_proxy/policy/request_queue.py
+++ b/service_proxy/policy/request_queue.py
@@ -7,9 +7,7 @@
 from service_proxy.policy.request import RequestState
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-ANSWER_MARGIN_S = (
-    2 * CONTROL_INTERVAL_S
-)  # before a client's deadline, when a queued request is answered at last
+ANSWER_MARGIN_S = 2 * CONTROL_INTERVAL_S  # before a client's deadline, when a queued request is answered
 TAIL_LATENCIES = 2.0  # mean latencies that a queued request should have left at its turn: tails are long
 
 
--- a/service_proxy/policy/retry_guard.py
+++ b/service_proxy/policy/retry_guard.py
@@ -20,8 +20,6 @@
 
 FINISHED_REQUESTS_REMEMBERED = 1000  # ids of finished requests that are still known, so that none runs twice
 MIN_ATTEMPT_TIMEOUT_S = CONTROL_INTERVAL_S / 10  # a shorter timeout would be below what timers can tell apart
-
-
 # Before a window's end: the operators' page lets a proxy be held up for 0.15 s between its clock and its
 # write, and gives each limit 0.05 s more; the rest is the way.
 WINDOW_MARGIN_S = 0.12
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -13,7 +13,7 @@
 
 from service_proxy.operator_file.reader import Duration, between, key
 from service_proxy.operator_file.schema import Budgets, Membership, Registration
-from service_proxy.operator_file.value_checks import find_address_problem
+from service_proxy.operator_file.value_checks import find_address_problem, find_optional_address_problem
 
 FORMAT = 2
 NAME = re.compile(r"[a-z][a-z0-9_-]{0,62}")
@@ -49,10 +49,6 @@
     return problem or ("names one thing twice" if len(set(value)) != len(value) else None)
 
 
-def _find_optional_address_problem(value: str) -> str | None:
-    return find_address_problem(value) if value else None
-
-
 def _find_health_path_problem(value: str) -> str | None:
     is_valid = value.startswith("/") and value.isascii() and value.isprintable() and " " not in value
     return None if is_valid else 'must be a path such as "/healthz"'
@@ -106,7 +102,7 @@
     push: float = key(float, "2.0", 2.0, between(0.01, 1000))
     # Where a sidecar learns of its nodes: the padron (this one, else the description's), and beside it
     # ephemeral nodes, in the terms of the operator's file.
-    padron: str = key(str, '"10.2.0.1:8500"', "", _find_optional_address_problem)
+    padron: str = key(str, '"10.2.0.1:8500"', "", find_optional_address_problem)
     membership: Membership | None = key(Membership, "", None)
 
 
@@ -161,7 +157,7 @@
     application: str = key(str, '"canjes"', check=find_name_problem)
     include: tuple[str, ...] = key(tuple, '["base.toml"]', ())
     variables: tuple[str, ...] = key(tuple, '["ZONE"]', ())
-    padron: str = key(str, '"10.2.0.1:8500"', "", _find_optional_address_problem)
+    padron: str = key(str, '"10.2.0.1:8500"', "", find_optional_address_problem)
     attempts_over_tiers: int = key(int, "12", 12, between(1, 10_000))
 
 
--- a/tests/harness/test_scale_benchmark.py
+++ b/tests/harness/test_scale_benchmark.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks import report, scale
-from harness.endpoint_fleet import loopback_address
+from harness.endpoint_fleet import endpoint_host
 
 USUAL = scale.Cost(
     cpu=1.0,
@@ -87,5 +87,5 @@
 
 
 def test_each_endpoint_has_an_address_of_its_own() -> None:
-    addresses = {loopback_address(number) for number in range(1, 70_000)}
+    addresses = {endpoint_host(number) for number in range(1, 70_000)}
     assert len(addresses) == 69_999 and all(one.startswith("127.") for one in addresses)
--- a/tests/net/long_messages.py
+++ b/tests/net/long_messages.py
@@ -6,7 +6,6 @@
 import contextlib
 import hashlib
 from collections.abc import Awaitable, Callable
-from pathlib import Path
 
 from net_harness import (
     Client,
@@ -16,6 +15,8 @@
     response,
 )
 
+from harness.proxy_process import process_memory_mb
+
 MB = 1 << 20
 LONG_BYTES = 32 * MB  # the longest message that the operators have seen
 PIECE = bytes(range(256)) * 256  # 64 KiB
@@ -28,9 +29,8 @@
 
 
 def resident_mb(proxy: ProxyUnderTest) -> float:
-    """Return the resident memory of a proxy (proc(5), VmRSS)."""
-    status = Path(f"/proc/{proxy.process.pid}/status").read_text()
-    return int(status.partition("VmRSS:")[2].split()[0]) / 1024
+    """Return the resident memory of a proxy in MB."""
+    return process_memory_mb(proxy.process.pid, "VmRSS")
 
 
 def post_head(id: str, length: int | None, target: str = "canje", budget: str = "6000m") -> bytes:
--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -8,8 +8,6 @@
 import json
 import os
 import signal
-import socket
-import struct
 import subprocess
 import sys
 import tempfile
@@ -363,11 +361,6 @@
                 own.server.close()
 
 
-def reset_on_close(raw: socket.socket) -> None:
-    """socket(7), SO_LINGER with no time: what is closed from now on is reset."""
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-
-
 def get_request(id: str) -> bytes:
     """A call of a class that is safe, as its bytes."""
     return f"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id:>016}\r\nX-Budget: 5000m\r\n\r\n".encode()
@@ -420,81 +413,3 @@
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
             await asyncio.sleep(0)
-
-
-def ports_of(writer: asyncio.StreamWriter) -> tuple[int, int]:
-    """The ports of a connection, this side's first."""
-    return writer.get_extra_info("sockname")[1], writer.get_extra_info("peername")[1]
-
-
-def unread_bytes(ports: tuple[int, int]) -> int | None:
-    """Bytes that the process behind the second port has not read of what came from the first, by the kernel's
-    table (proc(5), net/tcp); None once that connection is no more."""
-    port, peer_port = ports
-    for row in map(str.split, Path("/proc/net/tcp").read_text().splitlines()[1:]):
-        if row[1].endswith(f":{peer_port:04X}") and row[2].endswith(f":{port:04X}"):
-            return int(row[4].partition(":")[2], 16)
-    return None
-
-
-SYN_SENT = "02"  # in /proc/net/tcp
-
-
-class Unreachable:
-    """Listens with no room for a connection, so that a connect comes up about a second late."""
-
-    def __init__(self) -> None:
-        self.listener = socket.create_server(("127.0.0.1", 0), backlog=3)
-        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.blocking = [socket.socket() for _ in range(5)]  # one more than it holds
-        for each in self.blocking:
-            each.setblocking(False)
-            each.connect_ex(self.listener.getsockname())
-
-    def close(self) -> None:
-        for each in (self.listener, *self.blocking):
-            each.close()
-
-    async def tried(self, count: int) -> None:
-        """Until so many connects of the proxy are on their way, by the kernel's table."""
-        port = self.listener.getsockname()[1]
-        async with asyncio.timeout(TEST_TIMEOUT_S):
-            while True:
-                rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
-                if sum(row[2].endswith(f":{port:04X}") and row[3] == SYN_SENT for row in rows) > count:
-                    return
-                await asyncio.sleep(0.01)
-
-    async def up(self, count: int) -> list[socket.socket]:
-        """So many connections of the proxy, from now on."""
-        loop = asyncio.get_running_loop()
-        self.listener.setblocking(False)
-        own = {each.getsockname() for each in self.blocking}
-        came: list[socket.socket] = []
-        while len(came) < count:
-            connection, peer = await loop.sock_accept(self.listener)
-            if peer not in own:
-                came.append(connection)
-        return came
-
-    async def first(self) -> bytes:
-        """What the proxy's connection brings up to its end, or at first."""
-        async with asyncio.timeout(TEST_TIMEOUT_S):
-            (connection,) = await self.up(1)
-            with contextlib.suppress(ConnectionError):
-                return await asyncio.get_running_loop().sock_recv(connection, 65536)
-            return b""
-
-    async def calls(self) -> tuple[list[bytes], list[socket.socket]]:
-        """What two connections of the proxy have brought once they are up and one of them has a call, which
-        is answered."""
-        loop = asyncio.get_running_loop()
-        async with asyncio.timeout(TEST_TIMEOUT_S):
-            came = await self.up(2)
-            reads = {loop.create_task(loop.sock_recv(each, 65536)): each for each in came}
-            done, waiting = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
-            for task in done:
-                await loop.sock_sendall(reads[task], response(200, b"done"))
-            for task in waiting:
-                task.cancel()
-        return [task.result() for task in done], [reads[task] for task in waiting]
--- a/tests/net/test_attempt_endings.py
+++ b/tests/net/test_attempt_endings.py
@@ -3,22 +3,9 @@
 from __future__ import annotations
 
 import asyncio
-import socket
-from pathlib import Path
 
 from net_harness import SETTINGS, EndpointServer, ReceivedRequest, proxy_under_test, response, run_async
-
-ESTABLISHED = "01"  # in /proc/net/tcp
-
-
-def is_established(local_port: int, peer_port: int) -> bool:
-    """Tell whether the connection stands in both directions, by the kernel's table (proc(5), net/tcp)."""
-    rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
-    return any(
-        row[1].endswith(f":{local_port:04X}") and row[2].endswith(f":{peer_port:04X}")
-        for row in rows
-        if row[3] == ESTABLISHED
-    )
+from socket_helpers import is_established, ports_of
 
 
 def test_a_retry_reaches_its_endpoint_after_the_end_of_the_attempt_before_it() -> None:
@@ -31,13 +18,12 @@
 
         async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             nonlocal overlapping, retried
-            raw: socket.socket = writer.get_extra_info("socket")
             if not given_up:
-                given_up.append((raw.getsockname()[1], raw.getpeername()[1]))
+                given_up.append(ports_of(writer))
                 writer.write(b"nonsense\r\n\r\n")
                 return
             retried += 1
-            overlapping += any(is_established(*ports) for ports in given_up)
+            overlapping += any(map(is_established, given_up))
             given_up.clear()
             writer.write(response(200, b"done"))
 
--- a/tests/net/test_attempt_start.py
+++ b/tests/net/test_attempt_start.py
@@ -20,17 +20,16 @@
     DiscoveryServer,
     EndpointServer,
     ReceivedRequest,
-    Unreachable,
     config,
     endpoint_entry,
     endpoint_list,
     get_request,
     next_request,
     proxy_under_test,
-    reset_on_close,
     response,
     run_async,
 )
+from socket_helpers import Unreachable, fin, half_close, reset
 
 from service_proxy.composition import Proxy
 from service_proxy.net.attempt_start import AttemptStart
@@ -45,19 +44,6 @@
 SETTLED_S = 0.3  # in which what was going to be sent has come
 
 
-def fin(raw: socket.socket) -> None:
-    raw.close()
-
-
-def half_close(raw: socket.socket) -> None:
-    raw.shutdown(socket.SHUT_WR)
-
-
-def reset(raw: socket.socket) -> None:
-    reset_on_close(raw)
-    raw.close()
-
-
 BEHIND = {"nothing": b"", "a request": get_request("9"), "many": b"".join(map(get_request, "34567890" * 99))}
 
 
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -16,35 +16,20 @@
     EndpointServer,
     ProxyUnderTest,
     ReceivedRequest,
-    Unreachable,
     endpoint_entry,
     get_request,
     next_request,
     proxy_under_test,
-    reset_on_close,
     response,
     run_async,
 )
 from net_harness import DiscoveryServer as DiscoveryServer
+from socket_helpers import Unreachable, fin, half_close, reset, reset_on_close
 
 from service_proxy.net.downstream import HttpServer
 from service_proxy.net.limits import MAX_MESSAGE_BYTES
 from service_proxy.policy.settings_types import Idempotency
 
-
-def fin(raw: socket.socket) -> None:
-    raw.close()
-
-
-def half_close(raw: socket.socket) -> None:
-    raw.shutdown(socket.SHUT_WR)
-
-
-def reset(raw: socket.socket) -> None:
-    reset_on_close(raw)
-    raw.close()
-
-
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 ENDS = [fin, half_close, reset]
 
--- a/tests/net/test_discovery_polling.py
+++ b/tests/net/test_discovery_polling.py
@@ -16,7 +16,6 @@
     TEST_TIMEOUT_S,
     EndpointServer,
     ProxyUnderTest,
-    Unreachable,
     endpoint_entry,
     endpoint_list,
     patient_settings,
@@ -26,6 +25,7 @@
     run_async,
 )
 from net_harness import DiscoveryServer as SilentDiscovery
+from socket_helpers import Unreachable
 
 from service_proxy.net.discovery import DiscoveryClient
 from service_proxy.net.endpoint_list import EndpointList
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -29,15 +29,13 @@
     buffering_for,
     next_request,
     patient_settings,
-    ports_of,
     proxy_under_test,
     repeat_until_timely,
-    reset_on_close,
     response,
     run_async,
     suspend,
-    unread_bytes,
 )
+from socket_helpers import ports_of, reset_on_close, unread_bytes
 
 
 @pytest.mark.parametrize(
