--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -50,7 +50,8 @@
         fields.pop()
     if len(fields) != FIELD_COUNT or not all(fields):
         raise KnownRedError(f"{FILE_NAME}:{number}: write {FORM}, not {line!r}")
-    return KnownRed(*fields, is_intermittent=is_intermittent)
+    test, command, seed, seen, issue = fields
+    return KnownRed(test, command, seed, seen, issue, is_intermittent)
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
