--- a/service_proxy/policy/__init__.py
+++ b/service_proxy/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: events in, actions out; no I/O, no clock."""
+"""Decision module of the proxy: turns events into actions without I/O and without a clock."""
--- a/service_proxy/policy/actions.py
+++ b/service_proxy/policy/actions.py
@@ -1,4 +1,4 @@
-"""What a Balancer returns: the actions that its user carries out, in their order."""
+"""Actions that a Balancer returns and that its caller executes in order."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send an attempt of a request to an endpoint; it ends after `timeout` seconds at the latest.
+    """Start an attempt of a request at an endpoint; the attempt ends after at most `timeout` seconds.
 
-    `send_by`: on the clock of `handle`; its first byte leaves before that or not at all.
+    `send_by` is a time on the clock of `Balancer.handle`. The attempt is not sent if its first byte
+    can't leave before `send_by`.
     """
 
     request_id: int
@@ -21,7 +22,10 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Answer the client that the request was not executed; `retry_after` in seconds, 0: not said."""
+    """Answer the client that the request was not executed.
+
+    `retry_after` is in seconds; 0 means that the answer contains no retry time.
+    """
 
     request_id: int
     retry_after: float = 0.0
@@ -29,14 +33,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Answer the client that the request failed; it may have been executed."""
+    """Answer the client that the request failed and may have been executed."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Give up an attempt that is in flight."""
+    """Cancel an attempt that is in flight."""
 
     request_id: int
     attempt_number: int
@@ -44,14 +48,14 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask an endpoint for its health and load."""
+    """Send a health check to an endpoint to get its health and load."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Start a watch on the endpoint list, or end it."""
+    """Start or end the watch on the endpoint list."""
 
     enabled: bool = True
 
@@ -63,7 +67,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send TimerFired with the token after `delay` seconds."""
+    """Deliver TimerFired with `token` after `delay` seconds."""
 
     delay: float
     token: int
@@ -71,22 +75,22 @@
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the connections to an endpoint that are not in use."""
+    """Close the idle connections to an endpoint."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to another proxy, or to all; only where `Settings.can_message_peers`."""
+    """Send a message to one proxy or to all proxies; allowed only if `Settings.can_message_peers` is set."""
 
     data: bytes
-    peer: int | None = None  # None: to all
+    peer: int | None = None  # None addresses all proxies.
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """Write a line into the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/service_proxy/policy/admission.py
+++ b/service_proxy/policy/admission.py
@@ -17,11 +17,11 @@
 from service_proxy.policy.tenant_quotas import TenantQuotas
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-RETRY_AFTER_LATENCIES = 0.25  # mean latencies for which a rejected client is told to stay away
+RETRY_AFTER_LATENCIES = 0.25  # Retry-after time of a rejected client, in mean latencies.
 
 
 class RequestAdmission(SettingsUser):
-    """Opens arriving requests and decides whether they are served."""
+    """Admission control that opens arriving requests and queues or rejects them."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.retry_budget = retry_budget
 
     def open_request(self, event: RequestArrived, now: float) -> RequestState | None:
-        """Open a request, or return None if it is known already or can't be served."""
+        """Open a request; return None if its id is already known or if the request can't be served."""
         if self.guard.is_known(event.request_id):
             return None
         request_class = self.request_classes.get(event.class_name)
@@ -52,12 +52,14 @@
             self.guard.reject_invalid(event.request_id)
             return None
         weight = self._weight(event, request_class)
-        useful = self.remaining_objective(
+        useful_time = self.remaining_objective(
             request_class, event.stated_budget or event.time_budget, event.is_retry
         )
-        useful = event.time_budget if request_class.accepts_late_answers else min(event.time_budget, useful)
+        useful_time = (
+            event.time_budget if request_class.accepts_late_answers else min(event.time_budget, useful_time)
+        )
         request = RequestState(
-            event.request_id, request_class, weight, now, now + event.time_budget, now + useful
+            event.request_id, request_class, weight, now, now + event.time_budget, now + useful_time
         )
         if event.max_attempts:
             request.max_attempts = min(event.max_attempts, request_class.max_attempts)
@@ -76,25 +78,27 @@
         return weight
 
     def remaining_objective(self, request_class: RequestClassState, budget: float, is_retry: bool) -> float:
-        """Return the seconds that are left of the latency objective.
+        """Return the seconds that remain of the latency objective.
 
-        An inner request's budget is what the proxy above left it: its useful time. At the first tier a budget
-        below the typical one shows that the client's whole time runs out, and so how long it has waited over
-        its earlier attempts. Guards against work for answers that come too late, and (the median, not the
-        longest) against a few odd budgets making every first attempt look late. Where clients mark their
-        retries, one that is not marked has not waited, however short its budget. Cost: a client that forgets
-        the mark gets work that comes too late.
+        At an inner tier, the time budget of a request is the useful time that the proxy of the tier above
+        left. At the first tier, a budget below the typical budget means that the client waited during
+        earlier attempts, and the difference to the deadline is the time that the client waited. The
+        subtraction of this time prevents work on answers that arrive too late. The typical budget is the
+        median, not the maximum, because a few unusually long budgets would otherwise make every first
+        attempt look late. If clients mark their retries, an unmarked request has not waited, however short
+        its budget is. Cost: if a client doesn't mark a retry, the proxy does work for an answer that
+        arrives too late.
         """
         is_first = self.settings.clients_flag_retries and not is_retry
-        typical = request_class.observe_budget(budget)  # also learned from first attempts
+        typical = request_class.observe_budget(budget)  # First attempts also update the typical budget.
         if self.settings.tier_index or is_first or budget >= typical - CONTROL_INTERVAL_S:
             return request_class.latency_objective
         return request_class.latency_objective - (request_class.deadline - budget)
 
     def admit(self, request: RequestState, now: float) -> None:
         """Queue a request that was just opened, or reject it."""
-        # The limit grows only while it limits: a shed threshold that kept it from filling would stay in
-        # force.
+        # The limit grows only while it is reached. A shed threshold that kept requests from filling the limit
+        # would therefore stay in force.
         has_slack = self.limiter.has_slack(self.in_flight.counted + len(self.queue.requests) + 1)
         if (has_slack or self.limiter.admits(request.weight)) and request.useful_until > now:
             self.queue.add(request)
@@ -102,14 +106,14 @@
             self.reject(request)
 
     def reject(self, request: RequestState) -> None:
-        """Give a request up."""
+        """Give a request its final answer: a rejection, or a failure if a repeat could be harmful."""
         self.guard.answer(request, self._retry_after())
 
     def _retry_after(self) -> float:
-        """Return the seconds after which a rejected client should come back.
+        """Return the seconds after which a rejected client should retry.
 
-        By then the requests that fill the limit now have been answered. A client that is not told comes back
-        sooner, into the same crowd.
+        By then the requests that fill the limit now have been answered. A client without a retry-after
+        time retries sooner, while the limit is still full.
         """
         if not self.settings.can_send_retry_after:
             return 0.0
--- a/service_proxy/policy/attempt_end.py
+++ b/service_proxy/policy/attempt_end.py
@@ -1,4 +1,4 @@
-"""The end of an attempt: accounting, learning, and then a retry, the final answer or nothing."""
+"""Handling of an ended attempt: accounting, feedback, and then a retry, the final answer or no action."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptEndHandler:
-    """Takes in the ends of attempts."""
+    """Handler of ended attempts."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.retry_budget = retry_budget
 
     def handle(self, event: AttemptEnded, now: float) -> None:
-        """Take in how an attempt ended."""
+        """Process the end of an attempt."""
         counted = self.in_flight.counted
         attempt = self.in_flight.pop(event.request_id, event.attempt_number)
         if attempt is None:
--- a/service_proxy/policy/attempt_feedback.py
+++ b/service_proxy/policy/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: the concurrency limit, the endpoint's capacity and its health."""
+"""Feedback of ended attempts to the concurrency limit and to the capacity and health of endpoints."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 from service_proxy.policy.outlier_detection import OutlierDetector
 from service_proxy.policy.request import AttemptState
 
-MIN_LATENCY_S = 1e-4  # no answer counts as quicker, so that means stay above 0
-CLASS_LATENCY_SAMPLES = 50  # attempts over which a class's latency is averaged
-MAX_LATENCIES = 8.0  # mean latencies that an attempt counts as at most, and a failed one in any case
-SLOW_CONNECT_LATENCIES = 0.1  # mean latencies from which a failed connect says what opening one costs
-MAX_CONSECUTIVE_TIMEOUTS = 3  # timeouts, without success between, from which an endpoint is taken to hang
+MIN_LATENCY_S = 1e-4  # Lower bound of a recorded latency, which keeps mean latencies above 0.
+CLASS_LATENCY_SAMPLES = 50  # Attempts over which the latency of a class is averaged.
+# Upper bound of a recorded latency, in mean latencies; a failed attempt is always recorded with this value.
+MAX_LATENCIES = 8.0
+# Mean latencies above which a failed connect counts as a sample of the cost of a new connection.
+SLOW_CONNECT_LATENCIES = 0.1
+# Timeouts without a success in between after which an endpoint counts as hanging.
+MAX_CONSECUTIVE_TIMEOUTS = 3
 
 
 class AttemptFeedback:
-    """Spreads what the end of an attempt says to all that learn from it."""
+    """Feedback of ended attempts to the limiter, load estimates, outlier detector and connection tracker."""
 
     def __init__(
         self,
@@ -30,10 +33,10 @@
         self.loads = loads
         self.outliers = outliers
         self.connections = connections
-        self.is_stalled = False  # this batch of events comes after a pause of the proxy's own
+        self.is_stalled = False  # True if this batch of events follows a pause of the proxy itself.
 
     def record(self, attempt: AttemptState, status: int, elapsed: float, in_flight: int, now: float) -> None:
-        """Learn from an attempt that took `elapsed` seconds while `in_flight` counted to the limit."""
+        """Record an attempt that took `elapsed` seconds while `in_flight` attempts counted to the limit."""
         if status in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
             return
         endpoint = attempt.endpoint
@@ -42,9 +45,10 @@
                 self.outliers.record_response(endpoint, now)
             return
         if self.is_stalled and status in (AttemptStatus.OK, AttemptStatus.TIMEOUT):
-            # The proxy stood still: what looks slow or overdue was answered long ago. Guards against reading
-            # one's own pause as slow endpoints, closing the limit and ejecting them. Cost: what was slow
-            # meanwhile is learned a batch later.
+            # After a pause of the proxy, answers that look slow or overdue may have arrived long before.
+            # Without this check, the proxy would treat its own pause as slow endpoints, lower the limit and
+            # eject the endpoints. Cost: an endpoint that was slow during the pause is detected one batch
+            # later.
             if status == AttemptStatus.OK:
                 endpoint.last_success_at = now
                 self.outliers.record_response(endpoint, now)
@@ -55,17 +59,17 @@
             self.outliers.record_response(endpoint, now)
             self.outliers.record_class_result(endpoint, class_name, status != AttemptStatus.OK, now)
         is_broken = status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
-        is_excused = is_broken and self._is_excused(attempt, status, now)
+        is_connection_fault = is_broken and self._is_connection_fault(attempt, status, now)
         elapsed = max(elapsed, MIN_LATENCY_S)
         self._update_limit(attempt, status, elapsed, in_flight, fails_class)
-        self._update_capacity(attempt, status, elapsed, is_excused)
-        self._update_health(attempt, status, is_broken, is_excused, now)
+        self._update_capacity(attempt, status, elapsed, is_connection_fault)
+        self._update_health(attempt, status, is_broken, is_connection_fault, now)
 
-    def _is_excused(self, attempt: AttemptState, status: int, now: float) -> bool:
-        """Count a broken connection, and tell whether it says nothing of the endpoint."""
+    def _is_connection_fault(self, attempt: AttemptState, status: int, now: float) -> bool:
+        """Count a broken connection and return whether the fault is that of the connection alone."""
         attempt.endpoint.consecutive_broken += 1
-        is_lost = status == AttemptStatus.RESET and self.connections.lost_while_idle(attempt)
-        return is_lost or self.outliers.is_alive(attempt.endpoint, now)
+        is_idle_loss = status == AttemptStatus.RESET and self.connections.detect_idle_loss(attempt)
+        return is_idle_loss or self.outliers.is_alive(attempt.endpoint, now)
 
     def _update_limit(
         self, attempt: AttemptState, status: int, elapsed: float, in_flight: int, fails_class: bool
@@ -82,30 +86,32 @@
         if status == AttemptStatus.ERROR:
             shows_overload = not self.outliers.has_excess_errors(attempt.endpoint)
         elif status == AttemptStatus.REJECTED and fails_class:
-            shows_overload = False  # the endpoint's own fault
+            shows_overload = False  # The endpoint itself is at fault, because it fails the class.
         else:
             is_answer = is_ok or is_timeout or status == AttemptStatus.REJECTED
             shows_overload = is_answer and attempt.counts_to_limit and not attempt.is_late
         if shows_overload:
             self.limiter.on_late_answer()
 
-    def _update_capacity(self, attempt: AttemptState, status: int, elapsed: float, is_excused: bool) -> None:
-        """Learn the endpoint's capacity: its load against its latency in units of the class's mean."""
+    def _update_capacity(
+        self, attempt: AttemptState, status: int, elapsed: float, is_connection_fault: bool
+    ) -> None:
+        """Record a capacity sample: load of the endpoint, and latency in units of the class's mean."""
         is_ok = status == AttemptStatus.OK
         mean_latency = attempt.request.request_class.mean_latency.value
         latency = elapsed / mean_latency
         is_slow_connect = elapsed > SLOW_CONNECT_LATENCIES * mean_latency
         if is_ok or (status == AttemptStatus.CONNECT_FAILED and is_slow_connect):
             self.connections.record_latency(attempt, min(MAX_LATENCIES, latency + (not is_ok)))
-        # What was only the connection's fault says nothing of its endpoint's pace.
-        if status in (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED) or is_excused:
+        # A fault of the connection alone contains no information about the speed of the endpoint.
+        if status in (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED) or is_connection_fault:
             return
-        # An endpoint that fails fast looks idle: a failure counts as a slow answer.
+        # An endpoint that fails fast looks idle, so a failure is recorded as a slow answer.
         latency = min(latency, MAX_LATENCIES) if is_ok else MAX_LATENCIES
         self.loads.record_sample(attempt.endpoint, attempt.load, latency)
 
     def _update_health(
-        self, attempt: AttemptState, status: int, is_broken: bool, is_excused: bool, now: float
+        self, attempt: AttemptState, status: int, is_broken: bool, is_connection_fault: bool, now: float
     ) -> None:
         endpoint = attempt.endpoint
         outliers = self.outliers
@@ -115,12 +121,12 @@
                 endpoint.failed_connects = 0
             outliers.record_success(endpoint, now)
         elif is_broken:
-            if not is_excused:
+            if not is_connection_fault:
                 outliers.eject(endpoint, now, is_certain=True)
             elif status == AttemptStatus.CONNECT_FAILED:
                 self.connections.record_failed_connect(endpoint, now)
         elif status == AttemptStatus.TIMEOUT:
-            self.connections.lost_while_idle(attempt)
+            self.connections.detect_idle_loss(attempt)
             endpoint.consecutive_slow += 1
             is_hanging = (
                 endpoint.consecutive_slow >= MAX_CONSECUTIVE_TIMEOUTS
--- a/service_proxy/policy/balancer.py
+++ b/service_proxy/policy/balancer.py
@@ -1,8 +1,8 @@
-"""The decision module: events (`policy/events.py`) in, actions (`policy/actions.py`) out.
+"""Decision module: processes events (`policy/events.py`) and returns actions (`policy/actions.py`).
 
-`Balancer` only puts the parts together and routes events to them; each decision has a module of its own.
-Times are in seconds. There is no I/O, no clock and no global state; random numbers come from a generator
-seeded by the user.
+`Balancer` builds the parts of the policy and routes each event to its part; each kind of decision
+has its own module. Times are in seconds. The module performs no I/O, reads no clock and has no
+global state; random numbers come from a generator that the caller seeds.
 """
 
 from __future__ import annotations
@@ -50,14 +50,15 @@
 from service_proxy.policy.tenant_quotas import TenantQuotas
 from service_proxy.policy.timing import CONTROL_INTERVAL_S, TIME_TOLERANCE_S
 
-STALL_S = 4 * CONTROL_INTERVAL_S  # without a control step after which what comes tells of this proxy itself
-CONTROL_TOKEN = 1  # of the timer that keeps control steps coming
+STALL_S = 4 * CONTROL_INTERVAL_S  # A longer time between control steps means that the proxy itself stalled.
+CONTROL_TOKEN = 1  # Token of the timer that triggers the next control step.
 
 
 class Balancer:
-    """The policy of one proxy.
+    """Load-balancing policy of one proxy.
 
-    `handle` takes in all events of a batch, then queues what arrived, then sends the requests of most weight.
+    `handle` first processes all events of a batch, then queues or rejects the requests that arrived in
+    the batch, and then sends queued requests in order of decreasing weight.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -66,12 +67,12 @@
         self.actions: list[Action] = []
         self.request_classes: dict[str, RequestClassState] = {}
         self._load_request_classes()
-        self.proxy_count = settings.proxy_count  # proxies before these endpoints
-        self._proxy_count_is_known = False  # by an event rather than the settings
-        self._capacity = 0.0  # of the endpoints in use, as the concurrency limit knows it
-        self._last_step_at = -1.0  # below 0: no control step yet
+        self.proxy_count = settings.proxy_count  # Number of proxies that share the endpoints.
+        self._proxy_count_is_known = False  # True after an event replaced the count of the settings.
+        self._capacity = 0.0  # Capacity of the endpoints in use to which the limit was last scaled.
+        self._last_step_at = -1.0  # Time of the last control step; negative before the first step.
         self._timer_is_set = False
-        self._arrived: list[RequestState] = []  # in this batch
+        self._arrived: list[RequestState] = []  # Requests that arrived in the present batch.
         self._build_endpoint_parts()
         self._build_request_parts()
         self._build_attempt_parts()
@@ -186,7 +187,7 @@
         return self.endpoints.avoided
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Take in a batch of events at the time `now` and return what to do, in order."""
+        """Process a batch of events at the time `now` and return the resulting actions in order."""
         self.feedback.is_stalled = 0 <= self._last_step_at < now - STALL_S
         self.actions.clear()
         self._arrived.clear()
@@ -201,11 +202,11 @@
         elif now - self._last_step_at >= CONTROL_INTERVAL_S - TIME_TOLERANCE_S:
             self._run_control_step(now)
         for request in self._arrived:
-            if not request.has_ended:  # the client may leave within the batch in which its request came
+            if not request.has_ended:  # A client can abandon a request in the batch of its arrival.
                 self.admission.admit(request, now)
         if self.queue.requests:
             self.scheduler.run(now)
-            self.scheduler.reject_hopeless(now)
+            self.scheduler.reject_infeasible(now)
         if not self._timer_is_set:
             self._timer_is_set = True
             self.actions.append(SetTimer(CONTROL_INTERVAL_S, CONTROL_TOKEN))
@@ -241,7 +242,7 @@
             self.in_flight.release(attempt)
 
     def _on_settings_updated(self, event: SettingsUpdated, _now: float) -> None:
-        """Put new settings in force; open requests keep the class state and so the rules they came under."""
+        """Apply new settings; open requests keep the class state and the rules that they arrived with."""
         settings = event.settings
         self.settings = settings
         for part in self._settings_users:
@@ -249,30 +250,34 @@
         if not self._proxy_count_is_known:
             self.proxy_count = settings.proxy_count
         self._load_request_classes()
-        self._share_among_proxies()
+        self._update_allowances()
 
     def _on_proxy_count_updated(self, event: ProxyCountUpdated, _now: float) -> None:
-        """Share the endpoints with fewer proxies, so that each may do more of what all may; or with more."""
+        """Set the number of proxies that share the endpoints and adapt the allowances of this proxy.
+
+        With fewer proxies, each proxy may use a larger part of what all proxies may use together. With
+        more proxies, the part is smaller.
+        """
         self.proxy_count = max(1, event.count)
         self._proxy_count_is_known = True
-        self._share_among_proxies()
+        self._update_allowances()
         self.limiter.update_min_limit(len(self.endpoints.known), self.proxy_count)
 
-    def _share_among_proxies(self) -> None:
+    def _update_allowances(self) -> None:
         allowance = self.settings.proxy_count / self.proxy_count
         self.slow_start.allowance = allowance
         self.health_checks.allowance = allowance
         self.quotas.update(self.proxy_count)
 
     def _load_request_classes(self) -> None:
-        """Make the state of the settings' classes anew, with what was learned of those that stay."""
+        """Rebuild the class states from the settings; classes that remain keep their statistics."""
         settings = self.settings
         previous = dict(self.request_classes)
         self.request_classes.clear()
         for class_settings in settings.classes:
             state = RequestClassState(class_settings, settings.tier_index, settings.max_attempts)
             if state.name in previous:
-                state.inherit(previous[state.name])
+                state.copy_statistics(previous[state.name])
             self.request_classes[state.name] = state
 
     def _run_control_step(self, now: float) -> None:
@@ -290,14 +295,14 @@
         if self.limiter.latency.count:
             self.loads.update_mean_latency(self.limiter.latency.value)
         self.slow_start.refill_tokens(now, span)
-        self.loads.fade_samples(span)
-        self.connections.recover_reuse(span)
+        self.loads.decay_samples(span)
+        self.connections.raise_max_reuse_idle(span)
         self.health_checks.run(now, span)
         self._rescale_limit(now)
         self.limiter.update_shed_threshold()
 
     def _rescale_limit(self, now: float) -> None:
-        """Let the concurrency limit follow the capacity of the endpoints in use."""
+        """Scale the concurrency limit with the capacity of the endpoints in use."""
         capacity = self.slow_start.total_capacity(now)
         if capacity > 0:
             if self._capacity > 0:
--- a/service_proxy/policy/concurrency_limit.py
+++ b/service_proxy/policy/concurrency_limit.py
@@ -1,7 +1,8 @@
-"""The concurrency limit and the shed rate that follows from it.
+"""Concurrency limit, and the shed rate that is derived from the limit.
 
-The paper's symbols: the limit is W, the mean latency procQ, the history of weights H, the shed rate `drop`,
-the shed threshold `cut`, and the throughput that the limit supports ST = W / procQ.
+The paper uses these symbols: W for the limit, procQ for the mean latency, H for the history of
+weights, `drop` for the shed rate, `cut` for the shed threshold, and ST = W / procQ for the
+throughput that the limit supports.
 """
 
 from __future__ import annotations
@@ -12,86 +13,97 @@
 
 from service_proxy.policy.running_mean import RunningMean
 
-RATE_MEMORY_S = 2.0  # of arrival rate and mean latency: long against a request, short against a fault
-MIN_SAMPLES = 10  # requests, below which mean latency and weights say nothing and nothing is shed
-WEIGHT_HISTORY = 300  # weights remembered: the shed threshold's error is then about 3 points of 100
-LIMIT_SLACK = 0.8  # share of the limit up to which nothing is shed for its weight; the limit grows beyond it
-LATE_SHARE = 0.2  # share of answers past their target at which the limit stands still
-INITIAL_LIMIT = 4.0  # requests, before anything is known
-MIN_LIMIT = 2.0  # requests; the limit does not recover well from less
-MIN_LIMIT_PER_ENDPOINT = 2.0  # requests per endpoint that first-tier proxies share, if that is less
-MAX_ADJUSTMENT = 0.3  # share of the limit that one answer moves it by at most
-START_ADJUSTMENT = 0.5  # requests that each answer raises the limit by at the start: by half a round
-CONFIDENT_STREAK = 16  # answers in time in a row that show the limit too low: 3 of 100 rows by chance
-AGE_WEIGHT = 0.5  # of the mean age of attempts in flight in the mean latency: on average they are half done
-UPPER_TIER_WORK = 0.5  # added to the supported rate per tier above: a rejection here loses work there
-MIN_LATENCY_S = 1e-6  # the mean latency counts as at least this when the limit is divided by it
-SHARE_TOLERANCE = 1e-12  # rounding of the shares of weights that are added up
+# Averaging time of arrival rate and mean latency: long compared with a request, short compared with a fault.
+RATE_MEMORY_S = 2.0
+MIN_SAMPLES = 10  # Requests that are required before mean latency and weights are used and requests are shed.
+# Number of stored weights; the error of the shed threshold is then about 3 percentage points.
+WEIGHT_HISTORY = 300
+# Share of the limit up to which no request is shed by weight; the limit grows only above this share.
+LIMIT_SLACK = 0.8
+LATE_SHARE = 0.2  # Share of answers past their target at which the limit stays constant.
+INITIAL_LIMIT = 4.0  # Limit in requests before the first measurement.
+MIN_LIMIT = 2.0  # Lowest limit in requests; the limit recovers poorly from lower values.
+# Requests per endpoint whose even split among first-tier proxies replaces MIN_LIMIT, if it is lower.
+MIN_LIMIT_PER_ENDPOINT = 2.0
+MAX_ADJUSTMENT = 0.3  # Upper bound of the change by one answer, as a share of the limit.
+# Requests that each answer adds to the limit in the start phase, so that the limit grows by half each round.
+START_ADJUSTMENT = 0.5
+# Consecutive timely answers that show that the limit is too low; chance alone causes 3 of 100 such streaks.
+CONFIDENT_STREAK = 16
+# Weight of the mean age of attempts in flight in the mean latency, because attempts are half done on average.
+AGE_WEIGHT = 0.5
+# Increase of the supported rate per tier above, because a rejection wastes the work of that tier.
+UPPER_TIER_WORK = 0.5
+MIN_LATENCY_S = 1e-6  # Lower bound of the mean latency when the limit is divided by it.
+SHARE_TOLERANCE = 1e-12  # Rounding error of the sum of weight shares.
 
 
 class ConcurrencyLimiter:
-    """How many requests may be in flight, and which arriving requests are shed when that is not enough."""
+    """Limit of the requests in flight, and choice of the requests that are shed at the limit."""
 
     def __init__(self, tier_index: int, random: Random) -> None:
         self.tier_index = tier_index
         self.random = random
         self.latency = RunningMean(0.0)
-        self.in_flight_age = 0.0  # mean age of the attempts in flight, in seconds
-        self.arrivals = 0  # requests since the last control step
+        self.in_flight_age = 0.0  # Mean age of the attempts in flight, in seconds.
+        self.arrivals = 0  # Requests that arrived since the last control step.
         self.arrival_rate = 0.0  # requests per second
-        self.rate_span = 0.0  # seconds that the arrival rate is known for
+        self.rate_span = 0.0  # Seconds that the arrival rate covers.
         self.weights: deque[float] = deque(maxlen=WEIGHT_HISTORY)
         self.limit = INITIAL_LIMIT
         self.min_limit = MIN_LIMIT
-        self.is_starting = True  # the limit grows by half each round until the first late answer
-        self.timely_streak = 0  # answers in time in a row while the limit was what limited
+        # True until the first late answer; the limit grows by half each round in this phase.
+        self.is_starting = True
+        self.timely_streak = 0  # Consecutive timely answers while the limit was reached.
         self.shed_threshold = -math.inf  # weight below which requests are shed
-        self.threshold_shed_share = 0.0  # share of the requests at the threshold that are shed, too
+        # Share of the requests with exactly the threshold weight that are shed.
+        self.threshold_shed_share = 0.0
 
     @property
     def mean_latency(self) -> float:
-        """Mean latency in seconds (procQ); an endpoint that hangs shows by the ages of what is in flight."""
+        """Mean latency in seconds (procQ); the ages of attempts in flight reveal endpoints that hang."""
         return max(self.latency.value, AGE_WEIGHT * self.in_flight_age)
 
     def record_arrival(self, weight: float) -> None:
-        """Take in a request that arrived, with its weight."""
+        """Record a request that arrived, with its weight."""
         self.arrivals += 1
         self.weights.append(weight)
 
     def update_arrival_rate(self, span: float) -> None:
-        """Close a control step of `span` seconds."""
+        """Update the arrival rate after a control step of `span` seconds."""
         self.rate_span = min(self.rate_span + span, RATE_MEMORY_S)
         self.arrival_rate += (self.arrivals / span - self.arrival_rate) * min(1.0, span / self.rate_span)
         self.arrivals = 0
 
     def observe_latency(self, latency: float) -> None:
-        """Take in the latency of an attempt, in seconds."""
+        """Record the latency of an attempt, in seconds."""
         self.latency.add(latency, max(MIN_SAMPLES, self.arrival_rate * RATE_MEMORY_S))
 
     def update_min_limit(self, endpoint_count: int, proxy_count: int) -> None:
-        """Set the lowest limit for so many endpoints shared by so many proxies.
+        """Set the lowest limit for the given numbers of endpoints and proxies.
 
-        With more proxies than endpoints, two requests of each proxy would crowd every endpoint. Inner tiers
-        keep the minimum: a rejection there loses the work done above.
+        With more proxies than endpoints, two requests in flight from each proxy would overload every
+        endpoint. Inner tiers keep MIN_LIMIT, because a rejection there wastes the work of the tiers above.
         """
         if self.tier_index == 0:
             self.min_limit = min(MIN_LIMIT, max(1.0, MIN_LIMIT_PER_ENDPOINT * endpoint_count / proxy_count))
 
     def has_slack(self, load: int) -> bool:
-        """Tell whether `load` requests stay within the share of the limit that is never shed by weight."""
+        """Return whether `load` requests fit into the share of the limit that is never shed by weight."""
         return load <= LIMIT_SLACK * self.limit
 
     def _adjustment(self) -> float:
         return min(MAX_ADJUSTMENT * self.limit, 1 / math.sqrt(self.limit))
 
     def on_timely_answer(self, in_flight: float) -> None:
-        """Raise the limit for an answer within its target, if the limit is what limits.
-
-        A long row of these shows that the limit is far below where it would settle: it grows as at the start,
-        until the next late answer. Guards against one late answer in the first seconds of a proxy that gets
-        several times the others' requests: at under a request a round the limit would need minutes, and
-        meanwhile all but the heaviest requests are shed. Cost: by chance the limit rises by some requests too
-        many now and then.
+        """Raise the limit after an answer within its target, if the limit is nearly reached.
+
+        A long streak of timely answers shows that the limit is far below its equilibrium. The limit then
+        grows as in the start phase, until the next late answer. Without this rule, a proxy with several
+        times the mean traffic that gets one late answer in its first seconds would need minutes to raise
+        the limit, because the limit would grow by less than one request per round. Meanwhile all but the
+        heaviest requests would be shed. Cost: by chance the limit occasionally rises a few requests too
+        high.
         """
         if in_flight + 1 >= LIMIT_SLACK * self.limit:
             self.timely_streak += 1
@@ -101,7 +113,7 @@
             )
 
     def on_late_answer(self) -> None:
-        """Lower the limit for an answer past its target or an overload error."""
+        """Lower the limit after an answer past its target or an overload error."""
         self.is_starting = False
         self.timely_streak = 0
         self.limit = max(self.min_limit, self.limit - self._adjustment())
@@ -109,10 +121,10 @@
     def rescale(self, ratio: float) -> None:
         """Scale the limit with the capacity of the endpoints in use.
 
-        Guards against a limit that has shrunk to the few endpoints of a release and grows back by a tenth of
-        a request at a time, while all but the heaviest requests are shed. Cost: an endpoint that is listed
-        before it is as good as its weight says gets its part of the requests for as long as the limit takes
-        to shrink.
+        During a release the limit shrinks to the few endpoints that remain. Without this rule it would
+        grow back by a tenth of a request at a time, and meanwhile all but the heaviest requests would be
+        shed. Cost: an endpoint that is listed before it reaches the capacity of its weight receives its
+        share of requests until the limit has shrunk.
         """
         self.limit = max(self.min_limit, self.limit * ratio)
 
@@ -140,14 +152,15 @@
         for weight in sorted(counts):
             share = counts[weight] / count
             if share_below + share >= target - SHARE_TOLERANCE:
-                # Weights have few levels: those at the threshold are shed by chance, up to the target.
+                # Weights have few distinct values, so requests with the threshold weight are shed at random,
+                # up to the target.
                 self.shed_threshold = weight
                 self.threshold_shed_share = (target - share_below) / share
                 return
             share_below += share
 
     def admits(self, weight: float) -> bool:
-        """Tell whether a request of this weight is admitted while the limit is filled."""
+        """Return whether a request of this weight is admitted while the limit is reached."""
         if weight == self.shed_threshold:
             return self.random.random() >= self.threshold_shed_share
         return weight > self.shed_threshold
--- a/service_proxy/policy/endpoint.py
+++ b/service_proxy/policy/endpoint.py
@@ -1,4 +1,4 @@
-"""State of one endpoint: what the endpoint list says of it and what this proxy has seen of it."""
+"""State of one endpoint: its entry in the endpoint list and the observations of this proxy."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from service_proxy.policy.events import EndpointEntry
 
-MIN_WEIGHT = 1e-3  # a listed weight counts as at least this, so that loads can be divided by it
+MIN_WEIGHT = 1e-3  # Lower bound of a listed weight, so that loads can be divided by the weight.
 
 
 class TrackedEndpoint:
-    """An endpoint of the list with its load, latency and health as seen by this proxy. Times in seconds."""
+    """Listed endpoint with its load, latency and health as observed by this proxy. Times are in seconds."""
 
     __slots__ = (
         "awaits_first_request",
@@ -50,22 +50,22 @@
     )
 
     def __init__(self, entry: EndpointEntry, slow_start_tokens: float, sequence: int = 0) -> None:
-        """`sequence`: of the endpoints in the order in which they were listed first."""
+        """Create the state of a listed endpoint; `sequence` is its number in the order of first listing."""
         self.endpoint_id = entry.endpoint_id
         self.sequence = sequence
         self.slow_start_tokens = slow_start_tokens
         self.apply_entry(entry)
-        self.in_flight = 0  # own attempts
-        self.ejected_until = 0.0  # 0: not ejected
+        self.in_flight = 0  # Attempts of this proxy that are in flight.
+        self.ejected_until = 0.0  # Time when the ejection ends; 0 if not ejected.
         self.ejection_count = 0
-        self.on_trial = False  # readmitted after an ejection: one request at a time
+        self.on_trial = False  # True after a readmission; the endpoint receives one request at a time.
         self.last_success_at = 0.0
         self.health_check_pending = False
         self.health_checked_at = -math.inf
-        self.forget_process()
+        self.reset_process_state()
 
     def apply_entry(self, entry: EndpointEntry) -> None:
-        """Take over what the endpoint list says."""
+        """Apply an entry of the endpoint list."""
         self.zone = entry.zone
         self.cell = entry.cell
         self.state = entry.state
@@ -75,22 +75,26 @@
         self.awaits_first_request = entry.reinstated
         self.not_before = entry.not_before
 
-    def forget_process(self) -> None:
-        """Forget what was learned: another process serves at this address."""
-        self.last_response_at = -math.inf  # to a request or a health check, whatever the response was
-        self.consecutive_broken = 0  # connections refused or reset since that response
-        self.load_sum = 0.0  # faded sum of the loads at which attempts were sent, in requests
-        self.latency_sum = 0.0  # faded sum of their latencies, in mean latencies of their classes
+    def reset_process_state(self) -> None:
+        """Reset the observations, because another process serves at this address."""
+        # Time of the last response of any kind to a request or a health check.
+        self.last_response_at = -math.inf
+        self.consecutive_broken = 0  # Connections refused or reset since the last response.
+        self.load_sum = 0.0  # Decaying sum of the loads at which attempts were sent, in requests.
+        # Decaying sum of the latencies of attempts, in mean latencies of their classes.
+        self.latency_sum = 0.0
         self.error_share = 0.0
-        self.failure_shares: dict[str, tuple[float, float]] = {}  # by class: share not served, as of when
+        # By class: share of requests failed or rejected, and the time of the last update.
+        self.failure_shares: dict[str, tuple[float, float]] = {}
         self.typical_load = 0.0
         self.reported_load = 0.0
         self.reported_at = -math.inf
-        self.load_change = 0  # own attempts sent less own attempts ended since the load report
-        self.consecutive_slow = 0  # attempts that timed out or are overdue
-        self.last_used_at = -math.inf  # the last attempt sent or answered
-        # While the endpoint takes no further connections:
+        self.load_change = 0  # Own attempts sent minus own attempts ended since the last load report.
+        self.consecutive_slow = 0  # Consecutive attempts that timed out or are overdue.
+        self.last_used_at = -math.inf  # Time of the last attempt that was sent or answered.
+        # Limit of connections, and the time when it expires, after the endpoint accepted no further
+        # connections.
         self.connection_limit = 0
         self.connection_limit_until = 0.0
-        self.failed_connects = 0  # since a connection that served
+        self.failed_connects = 0  # Failed connects since the last new connection that served a request.
         self.failed_health_checks = 0
--- a/service_proxy/policy/endpoint_load.py
+++ b/service_proxy/policy/endpoint_load.py
@@ -1,4 +1,4 @@
-"""Load and latency of endpoints: load reports, estimates between them, and capacity from own attempts."""
+"""Load and capacity of endpoints, estimated from load reports and the latencies of own attempts."""
 
 from __future__ import annotations
 
@@ -9,32 +9,36 @@
 from service_proxy.policy.running_mean import RunningMean
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-BUSY_REQUESTS_FIELD = "busy_reqs"  # field of a load report: requests that the endpoint is executing
-TYPICAL_LOAD_WEIGHT = 0.3  # of a new load report in an endpoint's typical load
-TYPICAL_LOAD_FADES = 10.0  # fades of a load report after which an endpoint's typical load is half forgotten
-ZONE_REPORTS = 10  # reports over which a zone's load is averaged: a few seconds at a request a second
-SAMPLE_FADE = 0.9  # weight of an endpoint's older samples at each new one
-SAMPLE_MEMORY_S = 30.0  # in which samples fade without new ones, so that a slow endpoint is tried again
-MEAN_LOAD_SAMPLES = 100  # attempts over which the load of all endpoints is averaged
-INITIAL_LATENCY_S = 0.1  # mean latency of a request before any is known
-MIN_MEAN_LATENCY_S = 1e-3  # the mean latency counts as at least this, so that reports don't fade at once
+# Field of a load report: number of requests that the endpoint is executing.
+BUSY_REQUESTS_FIELD = "busy_reqs"
+TYPICAL_LOAD_WEIGHT = 0.3  # Weight of a new load report in the typical load of an endpoint.
+TYPICAL_LOAD_DECAY_FACTOR = (
+    10.0  # Decay time of the typical load of an endpoint, in decay times of a load report.
+)
+# Reports over which the load of a zone is averaged: a few seconds at one request per second.
+ZONE_REPORTS = 10
+SAMPLE_DECAY = 0.9  # Factor that reduces the older samples of an endpoint at each new sample.
+SAMPLE_MEMORY_S = 30.0  # Decay time of samples without new ones, after which a slow endpoint is tried again.
+MEAN_LOAD_SAMPLES = 100  # Attempts over which the load of all endpoints is averaged.
+INITIAL_LATENCY_S = 0.1  # Mean latency of a request before the first measurement.
+MIN_MEAN_LATENCY_S = 1e-3  # Lower bound of the mean latency, so that load reports don't decay at once.
 
 
 class EndpointLoads:
-    """What endpoints are taken to be executing, and how fast they do it."""
+    """Load estimates of the endpoints, and samples of their latency under load."""
 
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
-        self.mean_load = RunningMean(1.0)  # requests
-        self.zone_loads: dict[str, RunningMean] = {}  # reported requests per unit of weight
-        self.mean_latency = INITIAL_LATENCY_S  # of a request, in seconds
+        self.mean_load = RunningMean(1.0)  # Mean load of an endpoint, in requests.
+        self.zone_loads: dict[str, RunningMean] = {}  # Reported requests per unit of weight, by zone.
+        self.mean_latency = INITIAL_LATENCY_S  # Mean latency of a request, in seconds.
 
     def update_mean_latency(self, latency: float) -> None:
         """Set the mean latency of a request, in seconds."""
         self.mean_latency = max(latency, MIN_MEAN_LATENCY_S)
 
     def record_report(self, endpoint: TrackedEndpoint, report: dict[str, float] | None, now: float) -> None:
-        """Take in a load report; one without a usable number of busy requests changes nothing."""
+        """Record a load report; ignore a report without a usable number of busy requests."""
         busy = report.get(BUSY_REQUESTS_FIELD) if report else None
         if busy is None or not 0 <= busy < math.inf:
             return
@@ -47,36 +51,39 @@
         endpoint.load_change = 0
 
     def estimate(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the requests that an endpoint is taken to be executing.
+        """Return the estimated number of requests that an endpoint is executing.
 
-        What is not known of an endpoint, or known no more, is taken from its zone. Guards against a crowd on
-        endpoints that look idle because nobody checked them, where requests and so load reports are few.
-        Cost: one busy endpoint makes its unchecked neighbours look busy too.
+        Without a load report, and as the last report ages, the estimate follows the load of the zone. If
+        requests and therefore load reports are few, requests would otherwise concentrate on endpoints that
+        look idle because no health check reached them. Cost: one busy endpoint makes the unchecked
+        endpoints of its zone look busy.
         """
-        fade = 2 * self.mean_latency + CONTROL_INTERVAL_S
+        decay_time = 2 * self.mean_latency + CONTROL_INTERVAL_S
         zone = self.zone_loads.get(endpoint.zone)
         typical = endpoint.typical_load
         if zone is not None:
             age = endpoint.reported_at - now
             typical = zone.value * endpoint.weight
-            typical += (endpoint.typical_load - typical) * math.exp(age / (TYPICAL_LOAD_FADES * fade))
+            typical += (endpoint.typical_load - typical) * math.exp(
+                age / (TYPICAL_LOAD_DECAY_FACTOR * decay_time)
+            )
         load = typical + endpoint.load_change
         if endpoint.reported_load != typical:
-            load += (endpoint.reported_load - typical) * math.exp((endpoint.reported_at - now) / fade)
+            load += (endpoint.reported_load - typical) * math.exp((endpoint.reported_at - now) / decay_time)
         return max(load, endpoint.in_flight)
 
     def record_sample(self, endpoint: TrackedEndpoint, load: float, latency: float) -> None:
-        """Take in an attempt that was sent at this load and took `latency` mean latencies."""
-        endpoint.latency_sum = endpoint.latency_sum * SAMPLE_FADE + latency
-        endpoint.load_sum = endpoint.load_sum * SAMPLE_FADE + load + 1
+        """Record an attempt that was sent at this load and took `latency` mean latencies."""
+        endpoint.latency_sum = endpoint.latency_sum * SAMPLE_DECAY + latency
+        endpoint.load_sum = endpoint.load_sum * SAMPLE_DECAY + load + 1
         self.mean_load.add(load + 1, MEAN_LOAD_SAMPLES)
 
-    def fade_samples(self, span: float) -> None:
-        """Let samples fade for `span` seconds.
+    def decay_samples(self, span: float) -> None:
+        """Decay the samples of all endpoints for `span` elapsed seconds.
 
-        What is believed of an endpoint that gets no requests must not leave it without requests. Guards
-        against a few slow answers, whatever their cause, that stay an endpoint's last ones. Cost: a slow
-        endpoint gets a request now and then.
+        An endpoint without requests gets no new samples. Without the decay, a few slow answers, whatever
+        their cause, would remain its last samples and keep the endpoint without requests. Cost: a slow
+        endpoint receives a request now and then.
         """
         share = math.exp(-span / SAMPLE_MEMORY_S)
         for endpoint in self.pool.members:
--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""All listed endpoints, and the pool of them that this proxy uses."""
+"""All listed endpoints, and the pool of endpoints that this proxy uses."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 from service_proxy.policy.settings_types import Settings
 from service_proxy.policy.settings_user import SettingsUser
 
-MAX_POOL_LOCAL = 10  # endpoints of the own zone that a proxy uses
-MAX_POOL = 16  # endpoints that a proxy uses in all
-MAX_LARGE_POOL = 48  # the same where endpoints are many and small
-FAIR_SHARES = 3.0  # of the endpoints among the proxies, that a pool holds: some get several times the mean
-ENDPOINTS_PER_MEMBER = 50  # serving, for each endpoint of the pool, before it grows: up to 800 it does not
-GOLDEN_RATIO_FRACTION = 0.6180339887498949  # multiples of it, modulo 1, spread evenly however many there are
+MAX_POOL_LOCAL = 10  # Endpoints of the proxy's own zone among the first MAX_POOL members of the pool.
+MAX_POOL = 16  # Endpoints that a proxy uses, unless the pool is enlarged.
+MAX_LARGE_POOL = 48  # Endpoints that a proxy uses at most if endpoints are many and small.
+# Even shares of the endpoints per proxy in a pool, because some proxies get several times the mean traffic.
+FAIR_SHARES = 3.0
+ENDPOINTS_PER_MEMBER = 50  # Serving endpoints per member of the pool; the pool grows above 800 endpoints.
+# Multiples of this number modulo 1 are evenly spread, whatever their count.
+GOLDEN_RATIO_FRACTION = 0.6180339887498949
 
 
 class EndpointPool(SettingsUser):
-    """The endpoint list as it is known, and the bounded pool that requests go to.
+    """Endpoint list as last received, and the bounded pool that requests are sent to.
 
-    The pool is bounded so that health checks and connections don't grow as proxies times endpoints. Nothing
-    here looks at all known endpoints but a whole list: the serving ones are kept in order, and the ejected
-    and removed ones apart.
+    The bound keeps health checks and connections from growing with the product of proxies and
+    endpoints. Only a complete list causes a loop over all known endpoints: the serving endpoints are
+    kept in order, and the ejected and the removed endpoints are kept separately.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -31,13 +33,14 @@
         self.random = random
         self.known: dict[int, TrackedEndpoint] = {}
         self.members: list[TrackedEndpoint] = []
-        self._listed_count = 0  # endpoints ever listed
-        self._rings: dict[str, list[int]] = {}  # by zone: the ids of its serving endpoints, ascending
+        self._listed_count = 0  # Number of endpoints that were ever listed.
+        self._rings: dict[str, list[int]] = {}  # Ids of the serving endpoints in ascending order, by zone.
         self._ejected: dict[int, TrackedEndpoint] = {}
-        self._removed: dict[int, TrackedEndpoint] = {}  # still known for their attempts in flight
+        # Removed endpoints that still have attempts in flight.
+        self._removed: dict[int, TrackedEndpoint] = {}
 
     def apply_update(self, update: EndpointListUpdate) -> None:
-        """Take over an endpoint list, or the part of it that changed."""
+        """Apply a complete endpoint list or the changed entries of a list."""
         for entry in update.entries:
             self._apply_entry(entry)
         if update.scope is not ListScope.INCREMENTAL:
@@ -64,13 +67,15 @@
             return
         has_restarted = entry.started_at > endpoint.started_at
         slow_start_at = endpoint.slow_start_at
-        awaited = endpoint.awaits_first_request
+        was_awaiting_first_request = endpoint.awaits_first_request
         self._leave_ring(endpoint)
         endpoint.apply_entry(entry)
         self._enter_ring(endpoint)
-        endpoint.awaits_first_request |= awaited and endpoint.state is EndpointState.SERVING
+        endpoint.awaits_first_request |= (
+            was_awaiting_first_request and endpoint.state is EndpointState.SERVING
+        )
         if has_restarted:
-            endpoint.forget_process()
+            endpoint.reset_process_state()
             endpoint.slow_start_tokens = 1.0 if endpoint.awaits_first_request else self.random.random()
             self.set_ejection(endpoint, 0.0)
             endpoint.on_trial = False
@@ -78,14 +83,14 @@
             endpoint.slow_start_at = max(slow_start_at, entry.started_at)
 
     def _enter_ring(self, endpoint: TrackedEndpoint) -> None:
-        """Note an endpoint's zone and state, as they are from now on."""
+        """Add an endpoint to the ring of its zone if it serves, or to the removed endpoints."""
         if endpoint.state is EndpointState.SERVING:
             insort(self._rings.setdefault(endpoint.zone, []), endpoint.endpoint_id)
         elif endpoint.state is EndpointState.REMOVED:
             self._removed[endpoint.endpoint_id] = endpoint
 
     def _leave_ring(self, endpoint: TrackedEndpoint) -> None:
-        """Forget an endpoint's zone and state, which are about to change."""
+        """Remove an endpoint from its ring or from the removed endpoints, before its entry changes."""
         if endpoint.state is EndpointState.SERVING:
             ring = self._rings[endpoint.zone]
             del ring[bisect_left(ring, endpoint.endpoint_id)]
@@ -95,7 +100,7 @@
             self._removed.pop(endpoint.endpoint_id, None)
 
     def set_ejection(self, endpoint: TrackedEndpoint, until: float) -> None:
-        """Eject an endpoint until that time; 0: it is not ejected."""
+        """Eject an endpoint until the given time, or end its ejection if the time is 0."""
         endpoint.ejected_until = until
         if until:
             self._ejected[endpoint.endpoint_id] = endpoint
@@ -104,15 +109,15 @@
 
     @property
     def ejected(self) -> list[TrackedEndpoint]:
-        """All ejected endpoints that are listed as serving, in the order in which they were listed first."""
+        """All ejected endpoints that are listed as serving, in the order of their first listing."""
         serving = [e for e in self._ejected.values() if e.state is EndpointState.SERVING]
         return sorted(serving, key=lambda endpoint: endpoint.sequence)
 
     def rebuild(self) -> None:
-        """Choose the pool anew.
+        """Choose the members of the pool.
 
-        Each zone's endpoints form a ring; the proxies start at places spread evenly by their index. Ejected
-        endpoints come last in their ring.
+        The endpoints of each zone form a ring. The start positions of the proxies are spread evenly by
+        proxy index. Ejected endpoints are last in their ring.
         """
         size = self._size()
         local: list[TrackedEndpoint] = []
@@ -131,25 +136,25 @@
         self.members = pool + others[first_others : first_others + size - len(pool)]
 
     def _size(self) -> int:
-        """Return how many endpoints this proxy uses at most.
+        """Return the largest number of endpoints that this proxy uses.
 
-        Where more endpoints share the same work, each does less of it, and sixteen of them may be less than
-        one proxy needs. Guards against proxies with several times the mean traffic that reject requests
-        before idle endpoints. Cost: more connections and health checks.
+        If more endpoints share the same work, each endpoint does less, and sixteen endpoints may be too
+        few for one proxy. With a fixed size, proxies with several times the mean traffic would reject
+        requests while other endpoints are idle. Cost: more connections and health checks.
         """
         serving = sum(map(len, self._rings.values()))
-        fair = FAIR_SHARES * serving / self.settings.proxy_count
-        size = min(fair, serving / ENDPOINTS_PER_MEMBER, MAX_LARGE_POOL)
+        fair_size = FAIR_SHARES * serving / self.settings.proxy_count
+        size = min(fair_size, serving / ENDPOINTS_PER_MEMBER, MAX_LARGE_POOL)
         return max(MAX_POOL, int(size))
 
     def _first_of_ring(self, zone: str, count: int) -> list[TrackedEndpoint]:
-        """Return the serving endpoints of a zone that this proxy uses first, at most `count`."""
+        """Return at most `count` serving endpoints of a zone, in the order in which this proxy uses them."""
         ring = self._rings[zone]
         position = self.settings.proxy_index * GOLDEN_RATIO_FRACTION % 1.0
         start = int(position * len(ring))
         first: list[TrackedEndpoint] = []
         ejected: list[TrackedEndpoint] = []
-        for index in range(start - len(ring), start):  # from `start` on, and round to it
+        for index in range(start - len(ring), start):  # Starts at `start` and wraps around the ring.
             endpoint = self.known[ring[index]]
             if endpoint.ejected_until:
                 ejected.append(endpoint)
@@ -161,7 +166,7 @@
 
     @property
     def mean_weight(self) -> float:
-        """Mean listed weight of the pool, which must not be empty."""
+        """Mean listed weight of the members; the pool must not be empty."""
         return sum(endpoint.weight for endpoint in self.members) / len(self.members)
 
     @property
--- a/service_proxy/policy/endpoint_watch.py
+++ b/service_proxy/policy/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""When to ask discovery for the endpoint list: watches, backoff after failures, and doubts about the list."""
+"""Schedule of the watches on the endpoint list: first start, backoff after failures, and rechecks."""
 
 from __future__ import annotations
 
@@ -11,21 +11,25 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-# Discovery is small and all proxies may start at once, so the first watch is spread out; until then a proxy
-# is held to the list that it was started with.
-FIRST_DELAY_SHARE = 1 / 2  # of the longest poll interval, that the first watch is delayed by at most
-# After a poll that failed, a change counts as notified so long after discovery had it and could be reached,
-# whether or not it came (STANDING).
+# Discovery has little capacity and all proxies may start at once, so the first watches are spread over time.
+# Until its first watch, a proxy is only required to follow the list that it was started with.
+FIRST_DELAY_SHARE = 1 / 2  # Longest delay of the first watch, as a share of the longest poll interval.
+# After a failed poll, a change counts as notified this long after discovery had the change and was reachable,
+# whether or not the change arrived (operators' page STANDING).
 FAILED_POLL_NOTIFIED_S = 6.0
-POLL_ANSWER_S = 0.5  # of it, for the answer to the next poll: discovery answers the polls of all in turn
-MAX_POLL_FAILURE_S = 2.0  # that a poll waits for discovery at most before it fails
-MIN_BACKOFF_SHARE = 0.8  # of the longest backoff, from the second failure on
-RECHECK_SPREAD_S = 2.0  # over which proxies ask again where endpoints contradict the list: all see it at once
-RECHECK_INTERVAL_S = 8.0  # since the list was asked for or came, within which it is not doubted
+# Part of FAILED_POLL_NOTIFIED_S for the answer to the next poll, because discovery answers one poll after
+# another.
+POLL_ANSWER_S = 0.5
+MAX_POLL_FAILURE_S = 2.0  # Longest time that a poll waits for discovery before the poll fails.
+MIN_BACKOFF_SHARE = 0.8  # Shortest backoff from the second failure on, as a share of the longest backoff.
+# Time over which proxies spread their rechecks, because all proxies see a contradiction at once.
+RECHECK_SPREAD_S = 2.0
+# Time after a request for the list, or after its arrival, within which no recheck starts.
+RECHECK_INTERVAL_S = 8.0
 
 
 class EndpointWatch(SettingsUser):
-    """The watch on the endpoint list; where discovery pushes, there is nothing to ask for."""
+    """Watch on the endpoint list; the watch is always active if discovery pushes the list."""
 
     def __init__(self, settings: Settings, actions: list[Action], random: Random) -> None:
         super().__init__(settings)
@@ -33,17 +37,17 @@
         self.random = random
         self.is_watching = not settings.polls_discovery
         self.next_watch_at = -1.0
-        self.failures = 0  # in a row
-        self.last_update_at = 0.0  # the last list, or the start of a watch
-        self.recheck_at = math.inf  # when to start a new watch although one is on
+        self.failures = 0  # Consecutive failures.
+        self.last_update_at = 0.0  # Time of the last list or of the last start of a watch.
+        self.recheck_at = math.inf  # Time to start a new watch although one is active.
 
     def start(self, now: float) -> None:
-        """Plan the first watch."""
+        """Schedule the first watch."""
         longest = FIRST_DELAY_SHARE * self.settings.max_poll_interval
         self.next_watch_at = now + self.random.random() * longest
 
     def on_update(self, scope: ListScope, now: float) -> None:
-        """Take in that a list came, or that a watch failed."""
+        """Record the arrival of a list or the failure of a watch."""
         if scope is ListScope.FAILED:
             self.is_watching = False
             self.failures += 1
@@ -54,16 +58,17 @@
             self.recheck_at = math.inf
 
     def _draw_backoff(self, now: float) -> float:
-        """Return the seconds until the next watch after one that failed.
+        """Return the seconds until the next watch after a failed one.
 
-        It is answered in time for the drain grace, should discovery have come back right after the failed
-        poll began. So there is no room for a backoff that doubles: what keeps the proxies, which fail
-        together, from crowding discovery at its return is that their polls are few and lie evenly apart. The
-        first backoff is spread over all of the time, and further ones over its end, which keeps them apart.
+        The next watch must be answered within the drain grace, even if discovery recovered right after the
+        failed poll began. This leaves no time for an exponential backoff. All proxies fail together, but
+        discovery is not overloaded when it recovers, because their polls are few and evenly spaced. The
+        first backoff is spread over the whole time, and later backoffs over the end of the time, which
+        preserves the spacing.
         """
         failed_for = now - self.last_update_at
         if failed_for > MAX_POLL_FAILURE_S + CONTROL_INTERVAL_S:
-            failed_for = 0.0  # this was a watch, in order until now
+            failed_for = 0.0  # The failed watch had worked until now, so no time is subtracted.
         longest = FAILED_POLL_NOTIFIED_S + self.settings.drain_grace - POLL_ANSWER_S - failed_for
         longest = min(longest, self.settings.max_poll_interval)
         shortest = 0.0 if self.failures == 1 else MIN_BACKOFF_SHARE * longest
@@ -78,11 +83,12 @@
             self.actions.append(WatchEndpoints(True))
 
     def schedule_recheck(self, now: float) -> None:
-        """Plan a new watch because an endpoint contradicts the list: it is listed and goes on refusing.
+        """Schedule a new watch because a listed endpoint keeps refusing connections.
 
-        The watch may be held by what no longer answers; a new one brings at once what was missed. Guards
-        against watches that hang or are lost unseen, and lists that are late. Cost: where endpoints crash,
-        each proxy that sees it asks once more in RECHECK_INTERVAL_S, spread out.
+        The present watch may depend on a peer that no longer answers, and a new watch returns the missed
+        changes at once. This limits the effect of watches that hang or are lost without notice, and of
+        late lists. Cost: if endpoints crash, each proxy that detects the contradiction sends one more
+        request per RECHECK_INTERVAL_S. These requests are spread over time.
         """
         if self.settings.polls_discovery and self.is_watching and math.isinf(self.recheck_at):
             earliest = max(now, self.last_update_at + RECHECK_INTERVAL_S)
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -1,4 +1,4 @@
-"""What a Balancer takes in: events, the endpoint list and the ends of attempts."""
+"""Events that a Balancer processes, with the endpoint list and the results of attempts."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 
 class AttemptStatus(IntEnum):
-    """How an attempt or a health check ended. The numbers are those of the simulator's wire."""
+    """Result of an attempt or a health check. The numbers are those of the simulator's protocol."""
 
     OK = 0
-    ERROR = 1  # the endpoint answered with an error; it may have executed the request
-    REJECTED = 2  # the endpoint rejected it unseen: never executed
+    ERROR = 1  # The endpoint answered with an error and may have executed the request.
+    REJECTED = 2  # The endpoint rejected the request without executing it.
     TIMEOUT = 3
-    CONNECT_FAILED = 4  # never executed
+    CONNECT_FAILED = 4  # No connection was opened, so the request was never executed.
     RESET = 5
     CANCELLED = 6
-    NOT_SENT = 7  # given up before it was sent
+    NOT_SENT = 7  # The attempt was abandoned before it was sent.
 
 
 NEVER_EXECUTED = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint in the endpoint list."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # finishes what it has and gets nothing new
+    DRAINING = "draining"  # The endpoint finishes its open requests and receives no new ones.
     REMOVED = "gone"
 
 
 class ListScope(Enum):
-    """What an endpoint list update holds."""
+    """Content of an endpoint list update."""
 
-    CACHED = "cached"  # the whole list as last known, maybe out of date
+    CACHED = "cached"  # Complete list as last known, possibly out of date.
     FULL = "full"
-    INCREMENTAL = "incremental"  # only what changed
-    FAILED = "failed"  # nothing: a watch or fetch failed, or the watch broke
+    INCREMENTAL = "incremental"  # Only the entries that changed.
+    FAILED = "failed"  # No list, because a watch or a fetch failed or the watch was interrupted.
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One endpoint of the list. Times are in seconds."""
+    """Entry of one endpoint in the endpoint list. Times are in seconds."""
 
     endpoint_id: int
     zone: str = ""
@@ -51,14 +51,14 @@
     cell: int = 0
     state: EndpointState = EndpointState.SERVING
     weight: float = 1.0
-    started_at: float = 0.0  # 0: long ago
-    reinstated: bool = False  # an operator put it back and waits to see it in use
-    not_before: float = 0.0  # nothing is sent to it before
+    started_at: float = 0.0  # 0 means that the endpoint started long ago.
+    reinstated: bool = False  # True if an operator reinstated the endpoint and waits for its first request.
+    not_before: float = 0.0  # Time before which no request is sent to the endpoint.
 
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """The endpoint list, or what changed of it."""
+    """Endpoint list, or the entries of the list that changed."""
 
     scope: ListScope
     entries: list[EndpointEntry] = field(default_factory=list)
@@ -67,37 +67,39 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request came in."""
+    """Arrival of a client's request."""
 
     request_id: int
     class_name: str
-    time_budget: float  # seconds until the client gives this attempt up
+    time_budget: float  # Seconds until the client abandons this attempt.
     tenant: str = ""
-    expected_work: float = 0.0  # in core seconds; 0: unknown
+    expected_work: float = 0.0  # Expected work in core seconds; 0 means unknown.
     is_retry: bool = False
     is_write: bool = False
-    affinity_key: str = ""  # the subject of the request, where it has one
-    max_attempts: int = 0  # that it may have, if fewer than its class; 0: as many
-    weight_share: float = 1.0  # of its class's priority weight
-    stated_budget: float = 0.0  # seconds given by the client, before this proxy's margins; 0: `time_budget`
+    affinity_key: str = ""  # Subject of the request; empty if the request has none.
+    # Upper bound of the attempts, if lower than that of the class; 0 means that of the class.
+    max_attempts: int = 0
+    weight_share: float = 1.0  # Share of the priority weight of the class.
+    # Seconds stated by the client, before the margins of this proxy; 0 means `time_budget`.
+    stated_budget: float = 0.0
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; `elapsed` in seconds since it was started."""
+    """End of an attempt; `elapsed` is in seconds since the start of the attempt."""
 
     request_id: int
     attempt_number: int
     endpoint_id: int
-    status: int  # of AttemptStatus
+    status: int  # Value of AttemptStatus.
     elapsed: float
-    is_final: bool  # its response went to the client
+    is_final: bool  # True if the response of the attempt went to the client.
     load_report: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """An attempt's response goes on as a stream: it is never repeated and takes no place in the limit."""
+    """Start of a streamed response: the attempt is never repeated and doesn't count toward the limit."""
 
     request_id: int
     attempt_number: int
@@ -107,14 +109,17 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The client left, or its time ran out: it gets no answer any more."""
+    """End of the client's interest in a request, because the client left or its time budget ran out.
+
+    The request gets no answer.
+    """
 
     request_id: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check ended; `elapsed` in seconds since it was started."""
+    """End of a health check; `elapsed` is in seconds since the start of the health check."""
 
     endpoint_id: int
     status: int
@@ -124,14 +129,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set with this token is due."""
+    """Expiry of a timer that was set with this token."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message from another proxy."""
+    """Message from another proxy."""
 
     sender: int
     data: bytes
@@ -139,16 +144,17 @@
 
 @dataclass(slots=True)
 class SettingsUpdated:
-    """Settings in force from now on. Requests that have arrived keep the class with which they came."""
+    """New settings, which apply from now on. Open requests keep the class that they arrived with."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class ProxyCountUpdated:
-    """How many proxies share the endpoints, as seen; until it comes, `Settings.proxy_count` holds.
+    """Observed number of proxies that share the endpoints.
 
-    Who sends it bounds it: the allowances of all proxies by it, added up, stay under 1.5.
+    `Settings.proxy_count` applies until the first of these events. The sender bounds the count, so
+    that the allowances that all proxies derive from their counts add up to less than 1.5.
     """
 
     count: int
--- a/service_proxy/policy/health_checks.py
+++ b/service_proxy/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: which endpoints to check when, for their health and their load reports."""
+"""Health checks: choice of the endpoints to check, and of the time, for their health and load reports."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 from service_proxy.policy.settings_types import Settings
 from service_proxy.policy.settings_user import SettingsUser
 
-CHECKS_PER_REQUEST = 0.15  # per arriving request
-MIN_CHECKS_PER_S = 0.3  # so that an idle proxy still knows its endpoints
-INITIAL_CHECKS = 8.0  # at the start, over all zones: a proxy that knows no load follows the herd
-MAX_SAVED_CHECKS = 2.0  # that collect while none is due
-CANDIDATES_BUDGET = 0.006  # points of price per request that may go to checks for that request alone
-CANDIDATES = 3  # endpoints checked for one request; more gains little over three fresh load reports
-CANDIDATES_WAIT_S = 0.01  # for which a request waits for their load reports
-CANDIDATES_TOKEN = 2  # of the timer that ends the wait
-MIN_BUDGET_IN_WAITS = 3  # waits that a request must have left to be worth one
-MIN_LATENCY_IN_WAITS = 2  # waits that a mean latency must take to be worth one
-CHECKED_PER_IN_FLIGHT = 3.0  # endpoints of a large pool that are checked, for each request in flight
-SENT_AT_JITTER_S = 1e-3  # so that checks of one moment have an order
-MAX_FAILED_CHECKS = 2  # failed health checks, from which an endpoint without success is ejected
+CHECKS_PER_REQUEST = 0.15  # Health checks per arriving request.
+# Lowest rate of health checks, so that an idle proxy has recent data about its endpoints.
+MIN_CHECKS_PER_S = 0.3
+# Health checks at the start over all zones, because proxies without load data all choose the same endpoints.
+INITIAL_CHECKS = 8.0
+MAX_SAVED_CHECKS = 2.0  # Upper bound of the health checks that accumulate while none is due.
+CANDIDATES_BUDGET = 0.006  # Price points per request that health checks for a single request may cost.
+# Endpoints checked for one request; more than three recent load reports improve the choice little.
+CANDIDATE_COUNT = 3
+CANDIDATES_WAIT_S = 0.01  # Time for which a request waits for the load reports of its candidates.
+CANDIDATES_TOKEN = 2  # Token of the timer that ends the wait.
+MIN_BUDGET_IN_WAITS = 3  # Shortest time, in multiples of the wait, that a request must have left to wait.
+MIN_LATENCY_IN_WAITS = 2  # Shortest mean latency, in multiples of the wait, at which requests wait.
+CHECKED_PER_IN_FLIGHT = 3.0  # Checked endpoints of a large pool per request in flight.
+SENT_AT_JITTER_S = 1e-3  # Range of a random offset that puts checks sent at the same time in an order.
+MAX_FAILED_CHECKS = 2  # Failed health checks after which an endpoint without a success is ejected.
 
 
 class HealthChecker(SettingsUser):
-    """Sends health checks and takes in what they say."""
+    """Sender of health checks and handler of their results."""
 
     def __init__(
         self,
@@ -56,18 +59,18 @@
         self.outliers = outliers
         self.limiter = limiter
         self.watch = watch
-        self.allowance = 1.0  # of what a proxy may do by the settings: less or more where proxies come or go
+        self.allowance = 1.0  # Factor on the configured rate, which follows the number of proxies.
         self.tokens = INITIAL_CHECKS
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put new settings in force."""
+        """Apply new settings."""
         super().apply_settings(settings)
-        # Whether health checks are cheap enough to be sent for single requests.
-        is_cheap = CANDIDATES * settings.price_probe <= CANDIDATES_BUDGET
+        # Health checks for single requests are sent only if they are cheap.
+        is_cheap = CANDIDATE_COUNT * settings.price_probe <= CANDIDATES_BUDGET
         self.checks_candidates = settings.can_check_health and is_cheap
 
     def _rate(self) -> float:
-        """Return the health checks per second that are sent steadily."""
+        """Return the regular rate of health checks per second."""
         return max(MIN_CHECKS_PER_S * self.allowance, CHECKS_PER_REQUEST * self.limiter.arrival_rate)
 
     def run(self, now: float, span: float) -> None:
@@ -87,12 +90,13 @@
             oldest = min(endpoint.health_checked_at for endpoint in idle)
             self._send(self.random.choice([e for e in idle if e.health_checked_at == oldest]), now)
 
-    def must_wait(self, request: RequestState, now: float) -> bool:
-        """Tell whether a request waits for its candidates' load reports, and check them if it has to.
+    def must_wait_for_reports(self, request: RequestState, now: float) -> bool:
+        """Return whether a request waits for load reports, after health checks of its candidates if needed.
 
-        Where requests are so few that steady load reports are older than a request's latency, and health
-        checks are cheap, a request's candidates are checked before it is sent. Guards against selection by
-        outdated load reports when many proxies share few requests.
+        If requests are so rare that regular load reports are older than the latency of a request, and if
+        health checks are cheap, the candidates of a request are checked before the request is sent.
+        Otherwise, if many proxies share few requests, endpoints would be selected by outdated load
+        reports.
         """
         if request.candidates is None:
             request.candidates = []
@@ -114,10 +118,10 @@
     def _check_candidates(self, request: RequestState, now: float) -> None:
         usable = [e for e in self.pool.members if self.selector.is_usable(e, now)]
         connected = [e for e in usable if self.selector.connections.is_open(e, now)]
-        candidates = self.random.sample(connected, min(CANDIDATES - 1, len(connected)))
+        candidates = self.random.sample(connected, min(CANDIDATE_COUNT - 1, len(connected)))
         checked = {e.endpoint_id for e in self._checked_members(now)}
         others = [e for e in usable if e.endpoint_id in checked and e not in candidates]
-        candidates += self.random.sample(others, min(CANDIDATES - len(candidates), len(others)))
+        candidates += self.random.sample(others, min(CANDIDATE_COUNT - len(candidates), len(others)))
         request.candidates = candidates
         for endpoint in candidates:
             if not endpoint.health_check_pending:
@@ -126,11 +130,12 @@
         self.actions.append(SetTimer(CANDIDATES_WAIT_S, CANDIDATES_TOKEN))
 
     def _checked_members(self, now: float) -> list[TrackedEndpoint]:
-        """Return the endpoints of the pool that are checked.
+        """Return the members of the pool that are checked.
 
-        Of a pool that is larger than usual, the rest is for requests that the first ones have no room for: a
-        check would open a connection to each. Guards against connections of proxies with little traffic to
-        endpoints that they don't need. Cost: nothing but their zone's load is known of the rest at first.
+        In a pool above the usual size, the later members serve the requests that exceed the capacity of
+        the first members, and a health check would open a connection to each later member. Without this
+        rule, proxies with little traffic would open connections to endpoints that they don't need. Cost:
+        for the later members, only the load of their zone is known at first.
         """
         members = self.pool.members
         if len(members) <= MAX_POOL:
@@ -145,7 +150,7 @@
         self.actions.append(CheckHealth(endpoint.endpoint_id))
 
     def on_result(self, event: HealthCheckEnded, now: float) -> None:
-        """Take in how a health check ended."""
+        """Process the result of a health check."""
         endpoint = self.pool.known.get(event.endpoint_id)
         if endpoint is None:
             return
--- a/service_proxy/policy/hedging.py
+++ b/service_proxy/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Overdue attempts: they show endpoints that hang, and their requests are hedged."""
+"""Overdue attempts: detection of endpoints that hang, and hedging of the affected requests."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from service_proxy.policy.settings_types import Idempotency, Settings
 from service_proxy.policy.settings_user import SettingsUser
 
-OVERDUE_LATENCIES = 4.0  # mean latencies after which an attempt is overdue
-MAX_CONSECUTIVE_OVERDUE = 2  # slow attempts, without success between, from which an endpoint is taken to hang
-HEDGE_COST = 1.0  # tokens of the retry budget
+OVERDUE_LATENCIES = 4.0  # Age from which an attempt is overdue, in mean latencies.
+# Slow attempts without a success in between after which an endpoint counts as hanging.
+MAX_CONSECUTIVE_OVERDUE = 2
+HEDGE_COST = 1.0  # Tokens of the retry budget per hedge.
 
 
 class OverdueAttemptMonitor(SettingsUser):
-    """Looks at the ages of the attempts in flight: an endpoint that hangs ends none."""
+    """Monitor of the ages of attempts in flight, because attempts at a hanging endpoint don't end."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         self.outliers = outliers
 
     def run(self, now: float) -> None:
-        """Take in the ages of all attempts in flight and act on those that are overdue."""
+        """Record the ages of all attempts in flight and handle the overdue attempts."""
         for attempt in self._observe_ages(now):
             endpoint = attempt.endpoint
             if endpoint.last_success_at < attempt.sent_at and not endpoint.ejected_until:
@@ -53,13 +54,13 @@
             self._hedge(attempt, now)
 
     def _observe_ages(self, now: float) -> list[AttemptState]:
-        """Tell the concurrency limit what is late, and return the attempts that have become overdue."""
+        """Report late attempts to the concurrency limiter and return the newly overdue attempts."""
         total_age = 0.0
         count = 0.0
         overdue: list[AttemptState] = []
         for attempt in self.in_flight.attempts.values():
             if attempt.request.is_streaming:
-                continue  # how long a stream takes is its peers' matter
+                continue  # The client and the endpoint determine the duration of a stream.
             age = now - attempt.sent_at
             request_class = attempt.request.request_class
             if attempt.counts_to_limit:
@@ -74,7 +75,7 @@
         return overdue
 
     def _hedge(self, attempt: AttemptState, now: float) -> None:
-        """Start a further attempt of a request whose attempt is overdue, where its class allows it."""
+        """Hedge an overdue attempt, or cancel it, if the request's class allows a repeat."""
         request = attempt.request
         if request.has_ended or request.is_streaming or request.is_queued or request.in_flight > 1:
             return
--- a/service_proxy/policy/in_flight.py
+++ b/service_proxy/policy/in_flight.py
@@ -1,4 +1,4 @@
-"""The attempts in flight and how many of them count to the concurrency limit."""
+"""Attempts in flight, and the number of attempts that count toward the concurrency limit."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
     def __init__(self) -> None:
         self.attempts: dict[tuple[int, int], AttemptState] = {}
-        self.counted = 0  # attempts that occupy the concurrency limit
+        self.counted = 0  # Attempts that count toward the concurrency limit.
 
     def add(self, attempt: AttemptState) -> None:
-        """Take in an attempt that was just sent; it counts to the limit."""
+        """Add an attempt that was just sent; the attempt counts toward the limit."""
         self.attempts[(attempt.request.request_id, attempt.number)] = attempt
         self.counted += 1
 
     def pop(self, request_id: int, number: int) -> AttemptState | None:
-        """Remove an attempt that ended and return it, if it is known."""
+        """Remove an attempt that ended and return it, or return None if the attempt is unknown."""
         attempt = self.attempts.pop((request_id, number), None)
         if attempt is not None and attempt.counts_to_limit:
             self.counted -= 1
         return attempt
 
     def release(self, attempt: AttemptState) -> None:
-        """Let an attempt that is still in flight count to the limit no longer."""
+        """Stop counting an attempt toward the limit while it is still in flight."""
         if attempt.counts_to_limit:
             attempt.counts_to_limit = False
             self.counted -= 1
 
     def release_endpoint(self, endpoint: TrackedEndpoint) -> None:
-        """Let all attempts at an endpoint count to the limit no longer."""
+        """Stop counting all attempts at an endpoint toward the limit."""
         for attempt in self.attempts.values():
             if attempt.endpoint is endpoint:
                 self.release(attempt)
--- a/service_proxy/policy/outlier_detection.py
+++ b/service_proxy/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that break, hang or fail more than the others are ejected for a while."""
+"""Outlier detection: endpoints that break, hang or fail more than other endpoints are ejected temporarily."""
 
 from __future__ import annotations
 
@@ -10,46 +10,53 @@
 from service_proxy.policy.in_flight import InFlightAttempts
 from service_proxy.policy.running_mean import RunningMean
 
-FIRST_EJECTION_S = 0.5  # doubles up to MAX_EJECTION_S
+# Length of the first ejection; each further ejection is twice as long, up to MAX_EJECTION_S.
+FIRST_EJECTION_S = 0.5
 MAX_EJECTION_S = 8.0
-MIN_EJECTION_JITTER = 0.75  # of an ejection's length, so that endpoints don't all come back at once
-EJECTION_JITTER_RANGE = 0.5  # of an ejection's length
-MAX_EJECTION_EXPONENT = 6  # doublings that further failed health checks count up to
-MAX_EJECTED_SHARE = 0.34  # of the pool by uncertain signs: if more look at fault, the cause lies elsewhere
-ALIVE_S = 1.0  # since its last response, of any kind, within which an endpoint is not taken to be dead
-MAX_CONSECUTIVE_BROKEN = 3  # broken connections in a row, without a response, after which it is all the same
-MAX_ERROR_EXCESS = 0.35  # error share above the pool's from which an endpoint is an outlier
-OVERLOAD_ERROR_EXCESS = 0.1  # error share above the pool's from which errors say nothing about overload
-ERROR_WEIGHT = 0.2  # of the newest attempt in an endpoint's error share
-POOL_ERROR_SAMPLES = 100  # attempts over which the pool's error share is averaged
-FAILURE_WEIGHT = 0.3  # of the newest response in the share of a class's requests that an endpoint fails
-FAILURE_MEMORY_S = 5.0  # in which such a share fades, so that the endpoint is tried again
+# Smallest random factor on the length of an ejection; the jitter keeps ejections from ending together.
+MIN_EJECTION_JITTER = 0.75
+EJECTION_JITTER_RANGE = 0.5  # Range of the random factor on the length of an ejection.
+MAX_EJECTION_EXPONENT = 6  # Upper bound of the doublings that failed health checks add.
+# Share of the pool that uncertain signs may eject; if more endpoints look faulty, the cause is elsewhere.
+MAX_EJECTED_SHARE = 0.34
+ALIVE_S = 1.0  # Time after a response of any kind within which an endpoint counts as alive.
+# Consecutive broken connections without a response after which an endpoint no longer counts as alive.
+MAX_CONSECUTIVE_BROKEN = 3
+MAX_ERROR_EXCESS = 0.35  # Excess over the error share of the pool above which an endpoint is an outlier.
+# Excess over the error share of the pool above which errors don't indicate overload.
+OVERLOAD_ERROR_EXCESS = 0.1
+ERROR_WEIGHT = 0.2  # Weight of the newest attempt in the error share of an endpoint.
+POOL_ERROR_SAMPLES = 100  # Attempts over which the error share of the pool is averaged.
+# Weight of the newest response in the share of a class's requests that an endpoint fails.
+FAILURE_WEIGHT = 0.3
+FAILURE_MEMORY_S = 5.0  # Decay time of the failure share of a class, so that the endpoint is tried again.
 
 
 class OutlierDetector:
-    """Health of the endpoints by their responses, and ejection of the outliers."""
+    """Health of the endpoints as shown by their responses, and ejection of the outliers."""
 
     def __init__(self, pool: EndpointPool, in_flight: InFlightAttempts, random: Random) -> None:
         self.pool = pool
         self.in_flight = in_flight
         self.random = random
-        self.error_share = RunningMean(0.0)  # of the whole pool
+        self.error_share = RunningMean(0.0)  # Error share of the whole pool.
 
     @staticmethod
     def record_response(endpoint: TrackedEndpoint, now: float) -> None:
-        """Note that the endpoint responded, whatever the response was."""
+        """Record a response of any kind from an endpoint."""
         endpoint.last_response_at = now
         endpoint.consecutive_broken = 0
 
     @staticmethod
     def is_alive(endpoint: TrackedEndpoint, now: float) -> bool:
-        """Tell whether a broken connection says nothing of an endpoint, since it has just answered on others.
-
-        Guards against resets that strike connections one by one (a network that drops them, a middlebox, a
-        worker or a listener that restarts behind the address): taken for deaths they emptied the pool, while
-        all that was sent was answered. A process that died breaks several at once and answers none: it is
-        ejected at the third. Cost: one that dies with few requests in flight gets up to two more, which fail
-        at once.
+        """Return whether recent responses show that an endpoint works despite a broken connection.
+
+        A network that drops connections, a middlebox, or a worker or listener that restarts behind the
+        address can reset single connections. Without this check, each reset ejected an endpoint until the
+        pool was empty, although the endpoints answered all requests that were sent. A failed process
+        breaks several connections at once and answers on none, so its endpoint is ejected at the third
+        broken connection. Cost: an endpoint that fails with few requests in flight receives up to two more
+        requests, which fail at once.
         """
         return (
             now - endpoint.last_response_at < ALIVE_S and endpoint.consecutive_broken < MAX_CONSECUTIVE_BROKEN
@@ -58,7 +65,7 @@
     def record_class_result(
         self, endpoint: TrackedEndpoint, class_name: str, has_failed: bool, now: float
     ) -> None:
-        """Take in whether the endpoint served a request of a class."""
+        """Record whether the endpoint served a request of a class."""
         share = self.failure_share(endpoint, class_name, now)
         endpoint.failure_shares[class_name] = share + (has_failed - share) * FAILURE_WEIGHT, now
 
@@ -71,10 +78,11 @@
     def pool_failure_share(self, class_name: str, now: float) -> float:
         """Return the share of a class's requests that the pool fails or rejects.
 
-        An endpoint that fails more may serve other classes well, and so looks idle and quick. Guards against
-        endpoints that reject or fail one kind of request (a bad version, a limit or a store of its own that
-        is down), at once or slowly. Cost: under overload chance makes some endpoints look worse; what all
-        fail counts against none.
+        An endpoint that fails more requests of one class than the pool may serve other classes well, and
+        therefore looks idle and fast. The comparison with the pool detects endpoints that reject or fail
+        one kind of request, at once or slowly, because of a bad version, a limit of the endpoint or an
+        unavailable data store of the endpoint. Cost: under overload, some endpoints look worse by chance.
+        Failures that all endpoints share count against no endpoint.
         """
         members = self.pool.members
         recorded = [e.failure_shares[class_name] for e in members if class_name in e.failure_shares]
@@ -82,27 +90,28 @@
         return sum(shares) / max(1, len(members))
 
     def fails_class(self, endpoint: TrackedEndpoint, class_name: str, now: float) -> bool:
-        """Tell whether the endpoint fails a class far more than the pool does."""
+        """Return whether the endpoint fails a class far more often than the pool does."""
         share = self.failure_share(endpoint, class_name, now)
         return share > self.pool_failure_share(class_name, now) + MAX_ERROR_EXCESS
 
     def record_error(self, endpoint: TrackedEndpoint, has_failed: bool) -> None:
-        """Take in whether an attempt ended in an error or a reset."""
+        """Record whether an attempt ended in an error or a reset."""
         endpoint.error_share += (has_failed - endpoint.error_share) * ERROR_WEIGHT
         self.error_share.add(float(has_failed), POOL_ERROR_SAMPLES)
 
     def has_excess_errors(self, endpoint: TrackedEndpoint) -> bool:
-        """Tell whether the endpoint's errors are its own fault rather than a sign of overload."""
+        """Return whether the errors of an endpoint are its own fault rather than a sign of overload."""
         return endpoint.error_share > self.error_share.value + OVERLOAD_ERROR_EXCESS
 
     def is_outlier(self, endpoint: TrackedEndpoint) -> bool:
-        """Tell whether the endpoint, after a failed attempt, has to be ejected for its errors."""
+        """Return whether an endpoint must be ejected for its errors after a failed attempt."""
         return endpoint.on_trial or endpoint.error_share > self.error_share.value + MAX_ERROR_EXCESS
 
     def eject(self, endpoint: TrackedEndpoint, now: float, is_certain: bool) -> bool:
-        """Send the endpoint nothing for a while and tell whether that is so.
+        """Eject an endpoint temporarily and return whether the ejection took place.
 
-        By uncertain signs only few are ejected: when everything is slow, no endpoint is at fault.
+        Uncertain signs eject only a limited share of the pool, because no endpoint is at fault if all
+        endpoints are slow.
         """
         if endpoint.ejected_until:
             return False
@@ -122,12 +131,12 @@
 
     @staticmethod
     def extend_ejection(endpoint: TrackedEndpoint, now: float) -> None:
-        """Leave an endpoint ejected after a health check that it failed."""
+        """Extend the ejection of an endpoint after a failed health check."""
         endpoint.ejected_until = now + ejection_length(endpoint.ejection_count)
         endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_EJECTION_EXPONENT)
 
     def readmit(self, endpoint: TrackedEndpoint) -> None:
-        """Take an ejected endpoint back, on trial."""
+        """Readmit an ejected endpoint on trial."""
         self.pool.set_ejection(endpoint, 0.0)
         endpoint.on_trial = True
         endpoint.error_share = 0.0
@@ -138,7 +147,7 @@
 
     @staticmethod
     def record_success(endpoint: TrackedEndpoint, now: float) -> None:
-        """Take in an attempt that succeeded: a trial is passed, and past ejections are forgotten after it."""
+        """Record a successful attempt, which ends a trial; the next success resets the ejection count."""
         endpoint.last_success_at = now
         endpoint.consecutive_slow = 0
         endpoint.failed_health_checks = 0
@@ -149,6 +158,6 @@
 
 
 def ejection_length(ejection_count: int) -> float:
-    """Return the length in seconds of an ejection after so many earlier ones."""
+    """Return the length of an ejection in seconds after the given number of earlier ejections."""
     length: float = FIRST_EJECTION_S * 2**ejection_count
     return min(MAX_EJECTION_S, length)
--- a/service_proxy/policy/request.py
+++ b/service_proxy/policy/request.py
@@ -6,7 +6,7 @@
 from service_proxy.policy.request_class import RequestClassState
 from service_proxy.policy.timing import TIME_TOLERANCE_S
 
-STATUS_IN_FLIGHT = -1  # status of an attempt that has not ended; all of AttemptStatus are 0 or more
+STATUS_IN_FLIGHT = -1  # Status of an attempt that has not ended; all values of AttemptStatus are 0 or more.
 
 
 class AttemptState:
@@ -33,13 +33,15 @@
         self.number = number
         self.endpoint = endpoint
         self.sent_at = sent_at
-        self.load = load  # of the endpoint when the attempt was sent, in requests
+        self.load = load  # Estimated load of the endpoint when the attempt was sent, in requests.
         self.status = STATUS_IN_FLIGHT
-        self.counts_to_limit = True  # occupies the concurrency limit
-        self.is_late = False  # was counted as late
-        self.idle_time = 0.0  # for which its connection had not been used; 0: in use or new
+        self.counts_to_limit = True  # True while the attempt counts toward the concurrency limit.
+        self.is_late = False  # True after the attempt was reported to the concurrency limiter as late.
+        # Idle time of the connection before the attempt; 0 if the connection was in use or new.
+        self.idle_time = 0.0
         self.on_new_connection = False
-        self.overdue_handled = False  # was taken for overdue, and hedged where its class allows it
+        # True after the attempt was counted as overdue, or hedged because its class allows a repeat.
+        self.overdue_handled = False
 
 
 class RequestState:
@@ -77,19 +79,21 @@
         self.weight = weight
         self.arrived_at = arrived_at
         self.deadline = deadline
-        self.useful_until = useful_until  # an answer after it is of no use to the client
+        self.useful_until = useful_until  # Time after which an answer is of no use to the client.
         self.queue_key = (-weight, arrived_at, request_id)
         self.max_attempts = request_class.max_attempts
         self.attempts: list[AttemptState] = []
-        self.in_flight = 0  # attempts
+        self.in_flight = 0  # Attempts in flight.
         self.has_ended = False
         self.is_streaming = False
         self.is_queued = False
-        self.candidates: list[TrackedEndpoint] | None = None  # health-checked for this request alone
-        self.candidates_until = 0.0  # until then the request waits for their load reports
+        # Endpoints that get a health check for this request alone; None before the choice.
+        self.candidates: list[TrackedEndpoint] | None = None
+        # Time until which the request waits for the load reports of its candidates.
+        self.candidates_until = 0.0
 
     def awaits_reports(self, now: float) -> bool:
-        """Tell whether there is still time for the load reports of the candidates."""
+        """Return whether the request may still wait for the load reports of its candidates."""
         return now < self.candidates_until - TIME_TOLERANCE_S
 
     def __lt__(self, other: RequestState) -> bool:
--- a/service_proxy/policy/request_class.py
+++ b/service_proxy/policy/request_class.py
@@ -1,4 +1,4 @@
-"""State of a request class: its settings together with what its traffic has taught."""
+"""State of a request class: its settings and the statistics of its traffic."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 from service_proxy.policy.running_mean import RunningMean
 from service_proxy.policy.settings_types import RequestClass
 
-TARGET_SHARE = 0.35  # share of the latency objective that most answers should take
-MAX_TARGET_SHARE = 0.9  # share of the latency objective that the target stays within, and where it starts
-BASELINE_RATIO = 1.75  # baseline latencies that the target is at least: a long tail passes less
-MIN_BASELINE_SAMPLES = 20  # answers before the baseline latency is taken from them
-BASELINE_MEMORY_S = 60.0  # in which the baseline latency follows a lasting rise
-BUDGET_HISTORY = 64  # time budgets that are remembered to know the typical one
-BUDGET_REFRESH = BUDGET_HISTORY // 4  # budgets after which the typical one is computed anew
+TARGET_SHARE = 0.35  # Share of the latency objective that most answers should take at most.
+# Upper bound and first value of the latency target, as a share of the latency objective.
+MAX_TARGET_SHARE = 0.9
+# Lower bound of the latency target in baseline latencies; a long tail exceeds smaller multiples.
+BASELINE_RATIO = 1.75
+MIN_BASELINE_SAMPLES = 20  # Answers required before the baseline latency is derived.
+BASELINE_MEMORY_S = 60.0  # Time in which the baseline latency follows a lasting rise.
+BUDGET_HISTORY = 64  # Number of stored time budgets from which the typical budget is computed.
+BUDGET_REFRESH = BUDGET_HISTORY // 4  # Number of time budgets between two computations of the typical budget.
 
 
 class RequestClassState:
-    """A class of requests with its settings and what was learned of it. Times are in seconds."""
+    """Request class with its settings and the statistics of its traffic. Times are in seconds."""
 
     __slots__ = (
         "accepts_late_answers",
@@ -51,34 +53,37 @@
         self.idempotency_scope = settings.idempotency_scope
         self.idempotency_window = settings.idempotency_window
         self.accepts_late_answers = settings.late_weight_share > 0
-        # At an inner tier the target is smaller: a service makes about two requests in sequence at each tier.
+        # At an inner tier the target is smaller, because a service makes about two requests in sequence at
+        # each tier.
         self.min_latency_target = TARGET_SHARE * settings.latency_objective / 2**tier_index
-        # Until the baseline is known the target is the loosest: at one request a second, a baseline that was
-        # guessed too low would close the concurrency limit on a quiet day and keep it shut.
+        # Until the baseline latency is known, the target has its upper bound. At one request per second, a
+        # baseline that was estimated too low would close the concurrency limit under light traffic and keep
+        # the limit closed.
         self.latency_target = MAX_TARGET_SHARE * settings.latency_objective
-        self.baseline_latency = math.inf  # mean latency without congestion
+        self.baseline_latency = math.inf  # Mean latency without congestion.
         self.mean_latency = RunningMean(self.min_latency_target / 2)
         self.recent_budgets: deque[float] = deque(maxlen=BUDGET_HISTORY)
         self.typical_budget = 0.0
         self.budgets_since_refresh = 0
         self.shedding_weight = (
             settings.priority_weight
-        )  # position in the shedding order: the lowest goes first
+        )  # Position in the shedding order; the class with the lowest value is shed first.
 
-    def inherit(self, previous: RequestClassState) -> None:
-        """Take over what was learned of the class under its previous settings."""
+    def copy_statistics(self, previous: RequestClassState) -> None:
+        """Copy the statistics that were collected under the previous settings of the class."""
         self.baseline_latency = previous.baseline_latency
         self.mean_latency = previous.mean_latency
         self.recent_budgets = previous.recent_budgets
         self.typical_budget = previous.typical_budget
 
     def update_shedding_weight(self, classes: Iterable[RequestClassState]) -> None:
-        """Place the class in the shedding order.
+        """Set the position of the class in the shedding order.
 
-        A class is shed before another only if its requests weigh less both by the request and by the time for
-        which they occupy the concurrency limit; if the two disagree, both count as the heavier one. Guards
-        against a light and quick class that gets nothing from a busy proxy, for no gain in weight served.
-        Cost: a wrong mean latency makes two classes share what one of them should bear.
+        A class is shed before another class only if its requests weigh less both per request and per time
+        in the concurrency limit. If the two measures disagree, both classes have the higher weight.
+        Otherwise a light and fast class could get nothing from a busy proxy, without a gain in served
+        weight. Cost: because of a wrong mean latency, two classes can share the shedding that should
+        affect only one of them.
         """
         heavier = (
             other.priority_weight
@@ -90,10 +95,10 @@
         self.shedding_weight = max(heavier, default=self.priority_weight)
 
     def update_latency_target(self, span: float) -> None:
-        """Follow the baseline latency over the last `span` seconds.
+        """Update the latency target from the baseline latency over the last `span` seconds.
 
-        A target below what a request takes without congestion would close the concurrency limit on a quiet
-        day.
+        A target below the latency of a request without congestion would close the concurrency limit under
+        light traffic.
         """
         mean = self.mean_latency
         if mean.count >= MIN_BASELINE_SAMPLES:
@@ -106,7 +111,10 @@
             )
 
     def observe_budget(self, budget: float) -> float:
-        """Take in a request's time budget and return the typical one: the median, refreshed now and then."""
+        """Record the time budget of a request and return the typical budget.
+
+        The typical budget is the median, which is recomputed after every BUDGET_REFRESH budgets.
+        """
         self.recent_budgets.append(budget)
         self.budgets_since_refresh += 1
         if self.budgets_since_refresh >= BUDGET_REFRESH or len(self.recent_budgets) < BUDGET_REFRESH:
--- a/service_proxy/policy/retry_budget.py
+++ b/service_proxy/policy/retry_budget.py
@@ -1,12 +1,12 @@
-"""The retry budget: it keeps retries and hedges from multiplying the load through the tiers."""
+"""Retry budget, which keeps retries and hedges from multiplying the load across the tiers."""
 
 from __future__ import annotations
 
 from service_proxy.policy.events import NEVER_EXECUTED
 
-RETRIES_PER_REQUEST = 0.15  # tokens that each arriving request adds
-MAX_RETRY_TOKENS = 5.0  # further attempts that may come at once
-UNEXECUTED_RETRY_COST = 0.25  # tokens for a retry after an attempt that was never executed
+RETRIES_PER_REQUEST = 0.15  # Tokens that each arriving request adds.
+MAX_RETRY_TOKENS = 5.0  # Capacity of the token bucket: retries and hedges that may start at once.
+UNEXECUTED_RETRY_COST = 0.25  # Tokens for a retry after an attempt that was never executed.
 
 
 class RetryBudget:
@@ -16,21 +16,22 @@
         self.tokens = MAX_RETRY_TOKENS
 
     def on_request(self) -> None:
-        """Add what one arriving request allows."""
+        """Add the tokens of one arriving request."""
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRIES_PER_REQUEST)
 
     @staticmethod
     def retry_cost(status: int) -> float:
-        """Return the tokens for a retry after an attempt that ended so.
+        """Return the tokens for a retry after an attempt that ended with this status.
 
-        What was never executed has multiplied no work; in an inner tier giving it up wastes the work above.
+        An attempt that was never executed has not multiplied any work, and at an inner tier an abandoned
+        request wastes the work of the tiers above.
         """
         return UNEXECUTED_RETRY_COST if status in NEVER_EXECUTED else 1.0
 
     def can_spend(self, cost: float) -> bool:
-        """Tell whether the budget allows a further attempt of this cost."""
+        """Return whether the budget allows a further attempt of this cost."""
         return self.tokens >= cost
 
     def spend(self, cost: float) -> None:
-        """Take the tokens of a further attempt."""
+        """Remove the tokens of a further attempt."""
         self.tokens -= cost
--- a/service_proxy/policy/retry_guard.py
+++ b/service_proxy/policy/retry_guard.py
@@ -1,8 +1,8 @@
-"""The idempotency and retry guard: the one gate for every attempt and every final answer.
+"""Idempotency and retry guard: the only gate for attempts and final answers.
 
-Whatever the heuristics of the other modules want, these rules hold: one final answer for each request, no
-second execution with an effect, nothing sent to an endpoint that drains, nothing sent past the client's
-deadline.
+The guard enforces four rules regardless of the heuristics of the other modules. Each request gets
+one final answer. No request with an effect is executed twice. No attempt is sent to a draining
+endpoint. No attempt is sent after the client's deadline.
 """
 
 from __future__ import annotations
@@ -18,36 +18,39 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-FINISHED_REQUESTS_REMEMBERED = 1000  # ids of finished requests that are still known, so that none runs twice
-MIN_ATTEMPT_TIMEOUT_S = CONTROL_INTERVAL_S / 10  # a shorter timeout would be below what timers can tell apart
-# Before a window's end: the operators' page lets a proxy be held up for 0.15 s between its clock and its
-# write, and gives each limit 0.05 s more; the rest is the way.
+# Number of stored ids of finished requests, so that no finished request is executed again.
+MAX_FINISHED_REQUESTS = 1000
+# Lower bound of a timeout; timers can't distinguish shorter ones.
+MIN_ATTEMPT_TIMEOUT_S = CONTROL_INTERVAL_S / 10
+# Margin before the end of an idempotency window. The operators' page allows a delay of the proxy of 0.15 s
+# between reading the clock and writing, and a tolerance of 0.05 s for each limit. The rest is for the
+# transmission.
 WINDOW_MARGIN_S = 0.12
 
 
 class RetryGuard(SettingsUser):
-    """Open requests and what may still be done with each."""
+    """Guard that tracks open requests and decides which attempts and answers are allowed."""
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         super().__init__(settings)
         self.actions = actions
         self.requests: dict[int, RequestState] = {}
-        self.finished: dict[int, None] = {}  # ids, in the order in which they finished
+        self.finished: dict[int, None] = {}  # Ids of finished requests in the order of their end.
 
     def is_known(self, request_id: int) -> bool:
-        """Tell whether a request with this id is open or finished lately."""
+        """Return whether a request with this id is open or has finished recently."""
         return request_id in self.requests or request_id in self.finished
 
     @staticmethod
     def first_possible_execution(request: RequestState) -> AttemptState | None:
-        """Return the earliest attempt that was executed, may have been or may still be."""
+        """Return the earliest attempt that was executed, may have been executed or may still be executed."""
         for attempt in request.attempts:
             if attempt.status not in NEVER_EXECUTED:
                 return attempt
         return None
 
     def can_send(self, request: RequestState, endpoint: TrackedEndpoint, now: float) -> bool:
-        """Tell whether an attempt of the request may go to the endpoint now."""
+        """Return whether an attempt of the request may be sent to the endpoint now."""
         is_open = not request.has_ended and not request.is_streaming and now < request.deadline
         if not is_open or endpoint.state is not EndpointState.SERVING:
             return False
@@ -71,7 +74,7 @@
         return same_scope and now < self._send_by(request)
 
     def _send_by(self, request: RequestState) -> float:
-        """Return the time by which a further attempt must have begun: endpoints forget its key."""
+        """Return the time by which a further attempt must be sent; later, endpoints discard its key."""
         request_class = request.request_class
         first = self.first_possible_execution(request)
         if first is None or request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
@@ -80,7 +83,7 @@
 
     @staticmethod
     def _same_scope(request_class: RequestClassState, first: TrackedEndpoint, other: TrackedEndpoint) -> bool:
-        """Tell whether `other` would recognise the idempotency key of a request that `first` executed."""
+        """Return whether `other` would recognise the idempotency key of a request that `first` executed."""
         if request_class.idempotency_scope is IdempotencyScope.ALL:
             return True
         if request_class.idempotency_scope is IdempotencyScope.ZONE:
@@ -88,7 +91,7 @@
         return first.zone == other.zone and first.cell == other.cell
 
     def can_reject(self, request: RequestState) -> bool:
-        """Tell whether the client may be told that sending the request again is harmless."""
+        """Return whether a rejection is allowed, because the client can safely send the request again."""
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -98,7 +101,7 @@
         return self.first_possible_execution(request) is None
 
     def can_retry(self, request: RequestState) -> bool:
-        """Tell whether some further attempt could still be allowed."""
+        """Return whether a further attempt could still be allowed."""
         if request.has_ended or request.is_streaming or len(request.attempts) >= request.max_attempts:
             return False
         if request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT:
@@ -108,7 +111,7 @@
     def start_attempt(
         self, request: RequestState, endpoint: TrackedEndpoint, now: float, timeout: float, load: float
     ) -> AttemptState | None:
-        """Send an attempt if the rules allow it, and return it."""
+        """Send an attempt and return it, or return None if the rules forbid the attempt."""
         if not self.can_send(request, endpoint, now):
             return None
         send_by = self._send_by(request)
@@ -120,7 +123,7 @@
         return attempt
 
     def answer(self, request: RequestState, retry_after: float = 0.0) -> None:
-        """Give the final answer: a rejection where sending it again is harmless, else a failure."""
+        """Send the final answer: a rejection if the client can safely repeat the request, else a failure."""
         if request.has_ended:
             return
         if self.can_reject(request):
@@ -130,38 +133,38 @@
         self.end(request)
 
     def cancel_attempts(self, request: RequestState) -> None:
-        """Cancel what is in flight of a request that needs no further answer, where cancelling is allowed."""
+        """Cancel the attempts in flight of a request that needs no answer, if cancelling is allowed."""
         if request.in_flight and self.settings.can_cancel and not request.is_streaming:
             for attempt in request.attempts:
                 if attempt.status == STATUS_IN_FLIGHT:
                     self.actions.append(CancelAttempt(request.request_id, attempt.number))
 
     def reject_invalid(self, request_id: int) -> None:
-        """Give the one answer to what can't be served: its class is unknown or its time has run out."""
+        """Reject an invalid request once: its class is unknown or its time budget has run out."""
         self.actions.append(Reject(request_id))
-        self._remember(request_id)
+        self._record_finished(request_id)
 
     def end(self, request: RequestState) -> None:
-        """Note that the client gets no further answer."""
+        """Mark a request as ended, so that the client gets no further answer."""
         request.has_ended = True
-        self._forget_if_finished(request)
+        self._discard_if_finished(request)
 
     def end_attempt(self, attempt: AttemptState, status: int, is_final: bool) -> None:
-        """Note how an attempt ended; `is_final`: its response went to the client."""
+        """Record the end of an attempt; `is_final` means that its response went to the client."""
         request = attempt.request
         if attempt.status == STATUS_IN_FLIGHT:
             request.in_flight -= 1
         attempt.status = status
         if is_final:
             request.has_ended = True
-        self._forget_if_finished(request)
+        self._discard_if_finished(request)
 
-    def _forget_if_finished(self, request: RequestState) -> None:
+    def _discard_if_finished(self, request: RequestState) -> None:
         if request.has_ended and not request.in_flight:
             self.requests.pop(request.request_id, None)
-            self._remember(request.request_id)
+            self._record_finished(request.request_id)
 
-    def _remember(self, request_id: int) -> None:
+    def _record_finished(self, request_id: int) -> None:
         self.finished[request_id] = None
-        if len(self.finished) > FINISHED_REQUESTS_REMEMBERED:
+        if len(self.finished) > MAX_FINISHED_REQUESTS:
             del self.finished[next(iter(self.finished))]
--- a/service_proxy/policy/running_mean.py
+++ b/service_proxy/policy/running_mean.py
@@ -1,10 +1,10 @@
-"""A running mean, the one statistic that most of the policy's estimates are made of."""
+"""Running mean, the statistic behind most estimates of the policy."""
 
 from __future__ import annotations
 
 
 class RunningMean:
-    """A running mean over about the last `memory` samples; a prior stands until the first one."""
+    """Running mean over about the last `memory` samples, with a prior value before the first sample."""
 
     __slots__ = ("count", "value")
 
@@ -13,6 +13,6 @@
         self.count = 0.0
 
     def add(self, sample: float, memory: float) -> None:
-        """Take in one sample; each weighs at least 1/memory."""
+        """Add a sample with a weight of at least 1/memory."""
         self.count = min(self.count + 1, memory)
         self.value += (sample - self.value) / self.count
--- a/service_proxy/policy/scheduling.py
+++ b/service_proxy/policy/scheduling.py
@@ -1,4 +1,4 @@
-"""Scheduling: attempts of queued requests are sent as far as the concurrency limit allows."""
+"""Scheduling: queued requests are sent as attempts within the concurrency limit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AttemptScheduler:
-    """Sends the queued requests, the heaviest first, and rejects those that have become hopeless."""
+    """Scheduler that sends the heaviest queued requests first and rejects those without enough time."""
 
     def __init__(
         self,
@@ -41,15 +41,17 @@
         self.connections = connections
 
     def run(self, now: float) -> None:
-        """Send what the concurrency limit allows."""
+        """Send the queued requests that the concurrency limit allows."""
         position = 0
         requests = self.queue.requests
         while position < len(requests) and self.in_flight.counted + 1 <= self.limiter.limit:
             request = requests[position]
-            if self._is_hopeless(request, now):
+            if self._is_infeasible(request, now):
                 self.queue.remove_at(position)
                 self.admission.reject(request)
-            elif self.health_checks.checks_candidates and self.health_checks.must_wait(request, now):
+            elif self.health_checks.checks_candidates and self.health_checks.must_wait_for_reports(
+                request, now
+            ):
                 position += 1
             else:
                 selection = self.selector.select(request, self.guard, now)
@@ -59,13 +61,14 @@
                 elif request.attempts:
                     position += 1
                 else:
-                    return  # no endpoint for a first attempt: there is none for the requests behind it
+                    # Without an endpoint for a first attempt, there is none for the next requests either.
+                    return
 
-    def _is_hopeless(self, request: RequestState, now: float) -> bool:
-        """Tell whether the answer would most likely come too late.
+    def _is_infeasible(self, request: RequestState, now: float) -> bool:
+        """Return whether the answer would probably arrive too late.
 
-        With nothing else in flight the request is sent all the same, so that a mean latency that rose too far
-        can fall again.
+        If no other attempt is in flight, the request is sent anyway, so that a mean latency that rose too
+        far can fall again.
         """
         return (
             request.useful_until - now < request.request_class.mean_latency.value
@@ -76,12 +79,12 @@
     def _start_attempt(self, request: RequestState, selection: Selection, now: float) -> None:
         endpoint = selection.endpoint
         if request.request_class.accepts_late_answers:
-            until = request.deadline
+            latest_end = request.deadline
         else:
-            until = max(request.useful_until, now + CONTROL_INTERVAL_S)
-        idle_time = self.connections.prepare(endpoint, now)
-        on_new_connection = self.connections.needs_new(endpoint, now)
-        attempt = self.guard.start_attempt(request, endpoint, now, until - now, selection.load)
+            latest_end = max(request.useful_until, now + CONTROL_INTERVAL_S)
+        idle_time = self.connections.prepare_connection(endpoint, now)
+        on_new_connection = self.connections.needs_new_connection(endpoint, now)
+        attempt = self.guard.start_attempt(request, endpoint, now, latest_end - now, selection.load)
         if attempt is None:
             return
         attempt.idle_time = idle_time
@@ -93,9 +96,9 @@
         self.slow_start.record_send(endpoint, now)
         self.in_flight.add(attempt)
 
-    def reject_hopeless(self, now: float) -> None:
-        """Reject the queued requests whose wait does not fit into what is left of their usefulness."""
+    def reject_infeasible(self, now: float) -> None:
+        """Reject the queued requests whose wait would exceed their remaining useful time."""
         wait_per_position = self.limiter.mean_latency / self.limiter.limit
-        for request in self.queue.remove_hopeless(now, wait_per_position):
+        for request in self.queue.remove_infeasible(now, wait_per_position):
             if not request.in_flight:
                 self.admission.reject(request)
--- a/service_proxy/policy/selection.py
+++ b/service_proxy/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection of the endpoint for an attempt: the one at which it is expected to cost least."""
+"""Selection of the endpoint with the lowest expected cost for an attempt."""
 
 from __future__ import annotations
 
@@ -18,23 +18,26 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.slow_start import SlowStart
 
-PRIOR_SAMPLES = 8.0  # samples that the prior of an endpoint's capacity weighs
-CROSS_ZONE_OBJECTIVES = 3.0  # latency objectives that one full cross-zone price is worth in a comparison
-FAILURE_COST = 8.0  # mean latencies that an attempt costs which surely fails, or repeats where one has failed
-TIE_BREAK_SHARE = 0.01  # random share of the cost, so that proxies don't all choose the same of equals
+PRIOR_SAMPLES = 8.0  # Weight of the prior capacity of an endpoint, in samples.
+# Latency objectives that equal one full cross-zone price in the comparison of costs.
+CROSS_ZONE_OBJECTIVES = 3.0
+# Cost, in mean latencies, of an attempt that certainly fails or that returns to an endpoint tried before.
+FAILURE_COST = 8.0
+TIE_BREAK_SHARE = 0.01  # Random share of the cost, so that proxies choose differently among equal endpoints.
 
 
 class Selection(NamedTuple):
-    """The endpoint for an attempt, with the requests that it is taken to be executing."""
+    """Selected endpoint, with the estimated number of requests that the endpoint is executing."""
 
     endpoint: TrackedEndpoint
     load: float
 
 
 class EndpointSelector(SettingsUser):
-    """Compares the endpoints of the pool for a request.
+    """Selector that compares the endpoints of the pool for a request.
 
-    `select` runs over the whole pool for each attempt, so it looks up once what its loop uses.
+    `select` loops over the whole pool for each attempt, so values that the loop uses are looked up
+    before the loop.
     """
 
     def __init__(
@@ -56,12 +59,12 @@
         self.random = random
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put new settings in force."""
+        """Apply new settings."""
         super().apply_settings(settings)
         self._max_objective = max(request_class.latency_objective for request_class in settings.classes)
 
     def is_usable(self, endpoint: TrackedEndpoint, now: float) -> bool:
-        """Tell whether the endpoint may get an attempt, whatever the request."""
+        """Return whether the endpoint may receive an attempt of any request."""
         if endpoint.state is not EndpointState.SERVING or endpoint.ejected_until:
             return False
         if now < endpoint.not_before:
@@ -74,7 +77,7 @@
         return endpoint.slow_start_tokens >= 1 or self.slow_start.capacity_share(endpoint, now) >= 1
 
     def select(self, request: RequestState, guard: RetryGuard, now: float) -> Selection | None:
-        """Return the endpoint that the guard allows with the lowest cost, in mean latencies of a request."""
+        """Return the endpoint of lowest cost, in mean latencies, that the guard allows; None without one."""
         estimate_load = self.loads.estimate
         random = self.random.random
         zone = self.settings.zone
@@ -105,7 +108,7 @@
                 cost += FAILURE_COST * max(0.0, excess)
             cost *= 1 + TIE_BREAK_SHARE * random()
             if endpoint.awaits_first_request:
-                cost = 0.0  # warming up, it would get nothing, and who reinstated it would think it lost
+                cost = 0.0  # Slow start would withhold requests, and the operator would assume a failure.
             if cost < best_cost and guard.can_send(request, endpoint, now):
                 best = endpoint
                 best_cost = cost
@@ -113,11 +116,11 @@
         return None if best is None else Selection(best, best_load)
 
     def _prior_load(self) -> float:
-        """Return the load per unit of weight that an endpoint without samples is taken to carry."""
+        """Return the load sum per unit of weight that is assumed for an endpoint without samples."""
         mean_weight = self.pool.mean_weight if self.pool.members else 1.0
         return PRIOR_SAMPLES * self.loads.mean_load.value / mean_weight
 
     def _cross_zone_cost(self) -> float:
-        """Return what an endpoint of another zone costs more, in mean latencies."""
+        """Return the additional cost of an endpoint in another zone, in mean latencies."""
         price = CROSS_ZONE_OBJECTIVES * self.settings.price_cross_zone
         return price * self._max_objective / self.loads.mean_latency
--- a/service_proxy/policy/settings_types.py
+++ b/service_proxy/policy/settings_types.py
@@ -1,4 +1,4 @@
-"""Settings of a Balancer: request classes, tenants and the rest, checked when they are made."""
+"""Settings of a Balancer: request classes, tenants and all other values, validated at construction."""
 
 from __future__ import annotations
 
@@ -8,31 +8,32 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Effect of a second execution of a request."""
 
-    IDEMPOTENT = "idempotent"  # harmless anywhere
-    IDEMPOTENT_WITH_KEY = "idempotent with a key"  # dropped by the endpoints of one scope, for a while
-    NOT_IDEMPOTENT = "not idempotent"  # harmful
+    IDEMPOTENT = "idempotent"  # A second execution is harmless at any endpoint.
+    # The endpoints of one scope drop a second execution for a limited time.
+    IDEMPOTENT_WITH_KEY = "idempotent with a key"
+    NOT_IDEMPOTENT = "not idempotent"  # A second execution is harmful.
 
 
 class IdempotencyScope(StrEnum):
-    """Which endpoints recognise the idempotency key of a request that one of them executed."""
+    """Endpoints that recognise the idempotency key of a request that one of them executed."""
 
     ALL = "all"
-    ZONE = "zone"  # those of its zone
-    CELL = "cell"  # those of its cell in its zone
+    ZONE = "zone"  # All endpoints of the same zone.
+    CELL = "cell"  # All endpoints of the same cell in the same zone.
 
 
 class LoadReportSource(StrEnum):
-    """Where load reports come from."""
+    """Source of the load reports."""
 
-    ANSWER = "answer"  # answers to requests, and health checks, too
+    ANSWER = "answer"  # Answers to requests, and health checks as well.
     HEALTH_CHECK = "probe"
     NONE = "none"
 
 
 class WeightMeaning(StrEnum):
-    """What the weight of an endpoint in the endpoint list means."""
+    """Meaning of the weight of an endpoint in the endpoint list."""
 
     NONE = "none"
     NOMINAL = "nominal"
@@ -41,13 +42,13 @@
 
 
 class InvalidSettingError(ValueError):
-    """A setting is out of range.
+    """Error for a setting that is out of range.
 
     Attributes:
-        owner: What the field belongs to: "", "class NAME" or "tenant NAME".
-        field: The name of the field.
-        value: Its value.
-        remedy: What to write instead.
+        owner: Object that the field belongs to: "", "class NAME" or "tenant NAME".
+        field: Name of the field.
+        value: Value of the field.
+        remedy: Values to write instead.
     """
 
     def __init__(self, owner: str, field: str, value: object, remedy: str) -> None:
@@ -60,7 +61,7 @@
 
 
 class _Checker:
-    """Checks the fields of one object of the settings; a bad one raises InvalidSettingError."""
+    """Checker for the fields of one settings object; an invalid field raises InvalidSettingError."""
 
     def __init__(self, checked: object, owner: str = "") -> None:
         self._checked = checked
@@ -96,19 +97,22 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests. Times are in seconds."""
+    """Settings of a request class. Times are in seconds."""
 
     name: str
-    priority_weight: float  # what serving one of its requests is worth
-    latency_objective: float  # an answer within it keeps the whole weight
-    deadline: float  # how long a client waits over all its attempts
-    late_weight_share: float = 0.0  # of the weight, that an answer between objective and deadline keeps
+    priority_weight: float  # Value of serving one request of the class.
+    latency_objective: float  # An answer within this time keeps the whole weight.
+    deadline: float  # Time that a client waits over all its attempts.
+    late_weight_share: float = 0.0  # Share of the weight that an answer between objective and deadline keeps.
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL  # with a key
-    idempotency_window: float = 0.0  # with a key: for how long endpoints recognise it
+    # Used only for requests with an idempotency key.
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_window: float = 0.0  # Time for which endpoints recognise an idempotency key.
     stream: bool = False
-    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
-    max_attempts: int = 0  # of a request of the class, if fewer than of any; 0: as many
+    # Multiple of the request's own work that is added to the latency objective.
+    objective_stretch: float = 0.0
+    # Attempts per request of the class, if lower than Settings.max_attempts; 0 means the same.
+    max_attempts: int = 0
 
     def __post_init__(self) -> None:
         check = _Checker(self, f"class {self.name}")
@@ -122,11 +126,11 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant of the service."""
+    """Tenant of the service, with its quota."""
 
     name: str
-    quota_per_s: float  # requests, over all proxies of the tier
-    share: float = 0.0  # of the service
+    quota_per_s: float  # Requests per second over all proxies of the tier.
+    share: float = 0.0  # Share of the service.
 
     def __post_init__(self) -> None:
         _Checker(self, f"tenant {self.name}").not_negative("quota_per_s", "share")
@@ -134,50 +138,55 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a proxy is told when it starts. Times are in seconds, prices in points per unit."""
+    """Settings that a proxy receives when it starts. Times are in seconds, prices in points per unit."""
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     zone: str = ""
-    proxy_index: int = 0  # this proxy's number among `proxy_count`
+    proxy_index: int = 0  # Index of this proxy among `proxy_count` proxies.
     proxy_count: int = 1
-    tier_index: int = 0  # 0: takes clients' requests; more: takes requests of services
+    # 0 if the proxy receives requests of clients; higher if it receives requests of services.
+    tier_index: int = 0
     tier_count: int = 1
     zones: tuple[str, ...] = ()
-    endpoint_types: tuple[str, ...] = ()  # of endpoints
-    quantum: float = 0.0  # events come no more often than this
+    endpoint_types: tuple[str, ...] = ()
+    quantum: float = 0.0  # Lower bound of the time between two events.
     polls_discovery: bool = False
     max_poll_interval: float = 10.0
-    max_attempts: int = 1  # of one request
+    max_attempts: int = 1  # Upper bound of the attempts of one request.
     can_hedge: bool = False
     can_cancel: bool = False
     can_check_health: bool = False
     can_message_peers: bool = False
-    max_open_requests: int = 0  # 0: no limit
+    max_open_requests: int = 0  # 0 means no limit.
     clients_flag_retries: bool = False
     can_send_retry_after: bool = False
     max_retry_after: float = 0.0
-    over_quota_weight_share: float = 1.0  # of the weight, that requests over their tenant's quota keep
-    weight_by_work: bool = False  # the priority weight is that of a second of work, not of a request
+    # Share of the weight that requests over the quota of their tenant keep.
+    over_quota_weight_share: float = 1.0
+    # True if the priority weight is that of one second of work instead of one request.
+    weight_by_work: bool = False
     propagates_deadline: bool = False
-    load_report_fields: tuple[str, ...] = ()  # of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps
+    # Any of busy_reqs, pending, cpu_share, svc_ms, served_ps and failed_ps.
+    load_report_fields: tuple[str, ...] = ()
     load_report_source: LoadReportSource = LoadReportSource.HEALTH_CHECK
     weight_meaning: WeightMeaning = WeightMeaning.NOMINAL
     connection_idle_timeout: float = 15.0
     connect_timeout: float = 0.25
-    requests_per_connection: int = 1  # at a time
-    cpu_per_s: float = 0.0  # CPU seconds of a proxy each second; 0: no limit
-    cpu_per_request: float = 0.0  # CPU seconds
-    goal_overall: float = 1.0  # weights of the parts of the result
+    requests_per_connection: int = 1  # Requests that one connection carries at a time.
+    cpu_per_s: float = 0.0  # CPU seconds of a proxy per second; 0 means no limit.
+    cpu_per_request: float = 0.0  # CPU seconds of a proxy per request.
+    # Weights of the parts of the result: overall, worst window, worst class and worst tenant.
+    goal_overall: float = 1.0
     goal_window: float = 0.0
     goal_class: float = 0.0
     goal_tenant: float = 0.0
     deadline_slack: float = 0.0
     drain_grace: float = 0.0
-    slow_start_initial_share: float = 1.0  # of its capacity, that a starting endpoint has
-    slow_start_window: float = 0.0  # after its start, in which an endpoint warms up
-    overload_multiple: float = 1.0  # of its capacity, from which a warming endpoint fails
-    overload_window: float = 1.0  # over which that is counted
+    slow_start_initial_share: float = 1.0  # Share of its capacity that a starting endpoint has.
+    slow_start_window: float = 0.0  # Time after its start in which an endpoint warms up.
+    overload_multiple: float = 1.0  # Multiple of its capacity from which a warming endpoint fails.
+    overload_window: float = 1.0  # Time over which the load of a warming endpoint is counted.
     price_cross_zone: float = 0.0
     price_probe: float = 0.0
     price_handshake: float = 0.0
@@ -196,17 +205,17 @@
         self._check_amounts(check)
 
     def _check_counts(self, check: _Checker) -> None:
-        check.require(bool(self.classes), "classes", "one class at least")
+        check.require(bool(self.classes), "classes", "at least one class")
         names = [request_class.name for request_class in self.classes]
         if len(set(names)) != len(names):
-            raise InvalidSettingError("", "classes", names, "each name once")
+            raise InvalidSettingError("", "classes", names, "each class name once")
         check.at_least_1("proxy_count")
         check.not_negative("proxy_index", "tier_index", "max_open_requests")
         check.at_least_1("max_attempts", "tier_count", "requests_per_connection")
 
     def _check_amounts(self, check: _Checker) -> None:
         is_share = 0 < self.slow_start_initial_share <= 1
-        check.require(is_share, "slow_start_initial_share", "a share over 0, up to 1")
+        check.require(is_share, "slow_start_initial_share", "a share above 0, up to 1")
         check.positive("max_poll_interval", "overload_multiple", "overload_window", "connect_timeout")
         check.not_negative(
             "max_retry_after",
--- a/service_proxy/policy/settings_user.py
+++ b/service_proxy/policy/settings_user.py
@@ -1,4 +1,4 @@
-"""Base of the parts of the policy that follow settings updates."""
+"""Base class of the policy parts that follow settings updates."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SettingsUser:
-    """A part of the policy that reads the settings in force."""
+    """Part of the policy that reads the settings in force."""
 
     settings: Settings
 
@@ -14,5 +14,5 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put new settings in force."""
+        """Apply new settings."""
         self.settings = settings
--- a/service_proxy/policy/slow_start.py
+++ b/service_proxy/policy/slow_start.py
@@ -1,6 +1,6 @@
-"""Slow start: endpoints that are warming up get a share of the requests that grows with their age.
+"""Slow start: an endpoint that is warming up gets a share of the requests that grows with its age.
 
-The share that one proxy may send is held by a token bucket for each endpoint.
+A token bucket per endpoint limits the attempts of one proxy to its share.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-OVERLOAD_SHARE = 0.5  # share of a warming endpoint's allowed overload that all proxies together may use
-PEAK_RATE_MEMORY_S = 60.0  # memory of a proxy's highest send rate: long against a slow-start window
+OVERLOAD_SHARE = 0.5  # Share of the allowed overload of a warming endpoint that all proxies together may use.
+# Decay time of the highest send rate of a proxy: long compared with a slow-start window.
+PEAK_RATE_MEMORY_S = 60.0
 
 
 class SlowStart(SettingsUser):
-    """Capacity of warming endpoints, and the token buckets that keep all proxies together below it."""
+    """Capacity of warming endpoints, and token buckets that keep all proxies together below it."""
 
     def __init__(self, settings: Settings, pool: EndpointPool) -> None:
         super().__init__(settings)
         self.pool = pool
-        self.allowance = 1.0  # of what a proxy may do by the settings: less or more where proxies come or go
+        # Factor on the configured share of a proxy, which follows the number of proxies.
+        self.allowance = 1.0
         self.sends = 0  # attempts since the last control step
         self.send_rate = 0.0  # attempts per second
         self.peak_send_rate = 0.0
 
     def capacity_share(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the share of its capacity that an endpoint surely has: it warms no slower than evenly."""
+        """Return the share of its capacity that an endpoint has at least; warm-up is linear or faster."""
         window = self.settings.slow_start_window
         age = now - endpoint.slow_start_at
         if endpoint.slow_start_at <= 0 or age >= window:
@@ -37,30 +39,31 @@
         return initial_share + (1 - initial_share) * max(0.0, age) / window
 
     def total_capacity(self, now: float) -> float:
-        """Return the capacity of the pool by weights and warmth; ejected endpoints count, too."""
+        """Return the capacity of the pool by weight and warm-up state; ejected endpoints count as well."""
         return sum(endpoint.weight * self.capacity_share(endpoint, now) for endpoint in self.pool.members)
 
     def record_send(self, endpoint: TrackedEndpoint, now: float) -> None:
-        """Count an attempt, and take its token if the endpoint is warming up."""
+        """Count an attempt, and remove a token if the endpoint is warming up."""
         self.sends += 1
         if self.capacity_share(endpoint, now) < 1:
             endpoint.slow_start_tokens -= 1
 
     def update_send_rate(self, span: float) -> None:
-        """Close a control step of `span` seconds."""
+        """Update the send rate after a control step of `span` seconds."""
         self.send_rate += (self.sends / span - self.send_rate) * min(1.0, span / RATE_MEMORY_S)
         self.sends = 0
 
     def refill_tokens(self, now: float, span: float) -> None:
         """Refill the token buckets of warming endpoints for the last `span` seconds.
 
-        A warming endpoint looks idle to every proxy at once: each may send no more than its fair share of
-        what the endpoint can do by now, so that all together stay under the budget of any window.
+        A warming endpoint looks idle to all proxies at once. Each proxy may send at most its fair share of
+        the present capacity of the endpoint, so that all proxies together stay within the overload budget
+        of any window.
         """
         total_weight = sum(endpoint.weight for endpoint in self.pool.members)
         share = OVERLOAD_SHARE * self.settings.overload_multiple * self.allowance
-        # The peak, not the present rate: else few sends allow fewer still, and a fleet in a rollout stays
-        # cold.
+        # The peak rate is used because a low present rate would allow even fewer attempts, and a fleet in a
+        # rollout would not warm up.
         self.peak_send_rate = max(self.send_rate, self.peak_send_rate * (1 - span / PEAK_RATE_MEMORY_S))
         for endpoint in self.pool.members:
             capacity_share = self.capacity_share(endpoint, now)
--- a/service_proxy/policy/tenant_quotas.py
+++ b/service_proxy/policy/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: requests of a tenant over its quota keep only a share of their weight."""
+"""Tenant quotas: requests over the quota of their tenant keep only a share of their weight."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class TenantQuotas(SettingsUser):
-    """This proxy's part of each tenant's quota, as token buckets of one second's worth."""
+    """This proxy's part of each tenant's quota, as token buckets with a capacity of one second."""
 
     def __init__(self, settings: Settings, proxy_count: int) -> None:
         super().__init__(settings)
-        self.rates: dict[str, float] = {}  # requests per second
-        self.remaining: dict[str, float] = {}  # requests
+        self.rates: dict[str, float] = {}  # Quota in requests per second, by tenant.
+        self.remaining: dict[str, float] = {}  # Remaining quota in requests, by tenant.
         self.update(proxy_count)
 
     def update(self, proxy_count: int) -> None:
-        """Share the quotas of the settings among so many proxies; what tenants have left stays."""
+        """Divide the quotas of the settings among the given number of proxies; remaining quotas stay."""
         self.rates = {tenant.name: tenant.quota_per_s / proxy_count for tenant in self.settings.tenants}
         self.remaining = {name: self.remaining.get(name, rate) for name, rate in self.rates.items()}
 
     def refill(self, span: float) -> None:
-        """Refill the buckets for `span` seconds."""
+        """Refill the token buckets for `span` seconds."""
         for name, rate in self.rates.items():
             self.remaining[name] = min(max(1.0, rate), self.remaining[name] + rate * span)
 
     def weight_share(self, tenant: str) -> float:
-        """Take a request from a tenant's quota and return the share of its weight that it keeps.
+        """Take a request from a tenant's quota and return the share of its weight that the request keeps.
 
-        Only the first tier knows whose requests they are.
+        Only the first tier receives the tenant of a request.
         """
         if self.settings.tier_index != 0:
             return 1.0
--- a/service_proxy/policy/timing.py
+++ b/service_proxy/policy/timing.py
@@ -1,6 +1,7 @@
-"""The rhythm of the policy's control loop."""
+"""Timing of the control loop of the policy."""
 
 from __future__ import annotations
 
-CONTROL_INTERVAL_S = 0.05  # a few control steps fit into the shortest request worth steering
-TIME_TOLERANCE_S = 1e-9  # rounding of times that are compared
+# Short enough for a few control steps within the shortest request that control can affect.
+CONTROL_INTERVAL_S = 0.05
+TIME_TOLERANCE_S = 1e-9  # Rounding error of compared times.
