--- a/tests/policy/balancer_driver.py
+++ b/tests/policy/balancer_driver.py
@@ -1,4 +1,4 @@
-"""Builders and a driver of the Balancer that the policy's tests share."""
+"""Builders for policy tests, and a driver that feeds events to a Balancer."""
 
 from __future__ import annotations
 
@@ -65,14 +65,14 @@
 
 
 def entries(*endpoint_ids: int, zone: str = "a", **changes: Any) -> list[EndpointEntry]:
-    """Entries of an endpoint list, in two cells of one zone."""
+    """Build entries of an endpoint list, in two cells of one zone."""
     return [
         EndpointEntry(endpoint_id, zone=zone, cell=endpoint_id % 2, **changes) for endpoint_id in endpoint_ids
     ]
 
 
 class BalancerDriver:
-    """Feeds a Balancer and records its actions; `advance` delivers the timers that are due."""
+    """Driver that feeds a Balancer and records its actions; `advance` delivers the timers that are due."""
 
     def __init__(self, setup: Settings, seed: int = 1, endpoints: list[EndpointEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
@@ -83,7 +83,7 @@
         self.feed(EndpointListUpdate(ListScope.CACHED, listed))
 
     def feed(self, *events: Event) -> list[Action]:
-        """Deliver events in one batch now."""
+        """Deliver events in one batch at the present time."""
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, SetTimer):
@@ -92,7 +92,7 @@
         return actions
 
     def advance(self, span: float) -> list[Action]:
-        """Let `span` seconds pass."""
+        """Advance the clock by `span` seconds."""
         end = self.now + span
         actions: list[Action] = []
         while self.timers and min(self.timers)[0] <= end:
@@ -117,7 +117,7 @@
         elapsed: float = 0.05,
         final: bool | None = None,
     ) -> list[Action]:
-        """Deliver the end of an attempt; it is final if it succeeded, unless said otherwise."""
+        """Deliver the end of an attempt; by default, only a successful attempt is final."""
         is_final = status is AttemptStatus.OK if final is None else final
         return self.feed(
             AttemptEnded(attempt.request_id, number, attempt.endpoint_id, status, elapsed, is_final)
@@ -125,16 +125,16 @@
 
 
 def attempts(actions: list[Action], request_id: int | None = None) -> list[StartAttempt]:
-    """The attempts among actions, of one request or of all."""
+    """Return the attempts among actions, of one request or of all requests."""
     return [a for a in actions if isinstance(a, StartAttempt) and request_id in (None, a.request_id)]
 
 
 def only_attempt(actions: list[Action]) -> StartAttempt:
-    """The one attempt among actions."""
+    """Return the only attempt among actions."""
     (attempt,) = attempts(actions)
     return attempt
 
 
 def state_change(endpoint_id: int, state: EndpointState) -> EndpointListUpdate:
-    """A list update after which an endpoint has another state."""
+    """Build a list update that gives an endpoint another state."""
     return EndpointListUpdate(ListScope.INCREMENTAL, entries(endpoint_id, state=state))
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""Events through the complete Balancer."""
+"""Sequences of events against the complete Balancer."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 )
 
 
-def test_without_endpoints_a_request_is_queued_and_rejected_in_time() -> None:
+def test_request_without_endpoints_is_queued_and_rejected_in_time() -> None:
     driver = BalancerDriver(settings(), endpoints=[])
     assert not attempts(driver.arrive(1, "once", budget=0.8))
     actions = driver.advance(0.8)
     assert Reject(1) in actions and not attempts(actions)
 
 
-def test_queued_request_is_sent_once_an_endpoint_comes() -> None:
+def test_queued_request_is_sent_when_an_endpoint_is_listed() -> None:
     driver = BalancerDriver(settings(), endpoints=[])
     driver.arrive(1)
     assert only_attempt(driver.feed(EndpointListUpdate(ListScope.FULL, entries(5)))).endpoint_id == 5
@@ -41,15 +41,16 @@
     assert Fail(1) in driver.end_attempt(attempt, AttemptStatus.TIMEOUT, elapsed=0.9)
 
 
-def test_client_that_leaves_within_the_batch_of_its_request_gets_nothing() -> None:
-    # Found on an overloaded day: arrivals were opened after all other events, so the leave was overlooked.
+def test_request_abandoned_in_its_arrival_batch_gets_no_action() -> None:
+    # Guards against an abandoned request that still gets an action: arrivals were opened after all other
+    # events of their batch, so the abandonment had no effect.
     driver = BalancerDriver(settings())
     actions = driver.feed(RequestArrived(9, "safe", 2.0), RequestAbandoned(9))
     actions += driver.advance(3.0)
     assert not any(isinstance(a, Reject | Fail) or attempts([a]) for a in actions)
 
 
-def test_unknown_ids_and_outdated_events_change_nothing() -> None:
+def test_events_of_ended_or_unknown_requests_cause_no_action() -> None:
     driver = BalancerDriver(settings())
     attempt = only_attempt(driver.arrive(1))
     driver.end_attempt(attempt, AttemptStatus.OK)
@@ -63,7 +64,7 @@
     ]
 
 
-def test_started_stream_gets_no_further_action() -> None:
+def test_started_stream_causes_no_further_action() -> None:
     driver = BalancerDriver(settings(can_cancel=True))
     attempt = only_attempt(driver.arrive(1))
     driver.feed(StreamStarted(1, 0, attempt.endpoint_id))
@@ -82,7 +83,7 @@
     assert answers == [Reject(5)]
 
 
-def test_odd_events_change_nothing() -> None:
+def test_events_with_unknown_ids_or_invalid_values_change_nothing() -> None:
     driver = BalancerDriver(settings(can_check_health=True))
     driver.feed(
         HealthCheckEnded(77, AttemptStatus.OK, 0.1, {"busy_reqs": 1.0}),
@@ -93,21 +94,23 @@
         HealthCheckEnded(1, AttemptStatus.OK, 0.1, {"busy_reqs": float("nan")}),
         EndpointListUpdate(ListScope.FULL, entries(1)),
     )
-    for _ in range(3):  # the clock stands still
+    for _ in range(3):  # The clock does not advance.
         driver.feed(TimerFired(1))
     assert only_attempt(driver.arrive(1)).endpoint_id == 1
 
 
 def test_a_stream_is_never_retried_and_does_not_count_to_the_limit() -> None:
     driver = BalancerDriver(settings(can_cancel=True))
-    out = [only_attempt(driver.arrive(n)) for n in (1, 2)]
-    latency = driver.balancer.limiter.latency.count
-    for attempt in out:
+    sent_attempts = [only_attempt(driver.arrive(n)) for n in (1, 2)]
+    latency_count = driver.balancer.limiter.latency.count
+    for attempt in sent_attempts:
         driver.feed(StreamStarted(attempt.request_id, 0, attempt.endpoint_id))
     assert driver.balancer.in_flight.counted == 0
-    driver.advance(1.5)  # many times the usual latency
+    driver.advance(1.5)  # Many times the mean latency.
     assert driver.balancer.avoided == []
-    actions = driver.feed(AttemptEnded(1, 0, out[0].endpoint_id, AttemptStatus.CONNECT_FAILED, 1.5, False))
+    actions = driver.feed(
+        AttemptEnded(1, 0, sent_attempts[0].endpoint_id, AttemptStatus.CONNECT_FAILED, 1.5, False)
+    )
     assert not attempts(actions) and [a for a in actions if isinstance(a, Reject)]
-    driver.end_attempt(out[1], AttemptStatus.OK, elapsed=1.5)
-    assert driver.balancer.limiter.latency.count == latency
+    driver.end_attempt(sent_attempts[1], AttemptStatus.OK, elapsed=1.5)
+    assert driver.balancer.limiter.latency.count == latency_count
--- a/tests/policy/test_endpoint_load.py
+++ b/tests/policy/test_endpoint_load.py
@@ -9,9 +9,9 @@
 from service_proxy.policy.endpoint_load import SAMPLE_MEMORY_S
 
 
-def test_a_connections_fault_adds_no_sample_and_old_samples_fade() -> None:
-    # Found on wide+reset+stale days of central-santiago: resets counted as 8 latencies; an endpoint that got
-    # no requests kept its last samples for 16 s.
+def test_connection_failure_adds_no_sample_and_old_samples_decay() -> None:
+    # Guards against resets that count as samples of 8 mean latencies, and against the last samples of an
+    # endpoint without requests, which remained for 16 s.
     driver = BalancerDriver(settings(), endpoints=entries(1))
     driver.end_attempt(only_attempt(driver.arrive(1, "once")), AttemptStatus.OK)
     endpoint = driver.balancer.endpoints.known[1]
--- a/tests/policy/test_endpoint_pool.py
+++ b/tests/policy/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and the pool that is made of them."""
+"""Endpoint lists and the pool that is built from them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert min(counts.values()) >= 5 and max(counts.values()) <= 16
 
 
-def test_absence_from_a_full_list_is_removal() -> None:
+def test_endpoint_missing_from_a_full_list_is_removed() -> None:
     driver = BalancerDriver(settings(), endpoints=entries(1, 2))
     driver.feed(EndpointListUpdate(ListScope.FULL, entries(2)))
     assert {
@@ -32,13 +32,14 @@
     driver = BalancerDriver(settings())
     driver.balancer.endpoints.known[3].ejected_until = driver.now + 60
     driver.feed(state_change(3, EndpointState.DRAINING))
-    back = entries(3, started_at=driver.now, reinstated=True)
-    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, back))
+    updated_entries = entries(3, started_at=driver.now, reinstated=True)
+    driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, updated_entries))
     assert only_attempt(driver.arrive(1)).endpoint_id == 3
-    assert only_attempt(driver.arrive(2)).endpoint_id != 3  # it had its request, and is warming
+    # The endpoint has received its first request and is warming up.
+    assert only_attempt(driver.arrive(2)).endpoint_id != 3
 
 
-def test_a_reinstated_endpoint_that_drains_again_gets_nothing() -> None:
+def test_a_reinstated_endpoint_that_drains_again_gets_no_request() -> None:
     driver = BalancerDriver(settings())
     driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(3, started_at=driver.now, reinstated=True)))
     driver.feed(state_change(3, EndpointState.DRAINING))
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks and the load reports that they bring."""
+"""Health checks and their load reports."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from service_proxy import AttemptStatus, CheckHealth, HealthCheckEnded, Reject
 
 
-def test_few_requests_and_cheap_health_checks_check_candidates_before_sending() -> None:
-    # Found on karachi-main: with one request in two seconds a proxy, steady reports are always stale.
+def test_candidates_are_checked_before_sending_if_requests_are_few_and_checks_cheap() -> None:
+    # At one request in two seconds per proxy, regular load reports are always out of date.
     driver = BalancerDriver(
         settings(can_check_health=True, price_probe=0.001), endpoints=entries(1, 2, 3, 4, 5)
     )
@@ -18,11 +18,13 @@
     driver.feed(
         *[HealthCheckEnded(endpoint, AttemptStatus.OK, 0.001, {"busy_reqs": 4.0}) for endpoint in checked[:2]]
     )
-    idle = driver.feed(HealthCheckEnded(checked[2], AttemptStatus.OK, 0.001, {"busy_reqs": 0.0}))
-    assert only_attempt(idle).endpoint_id not in checked[:2]
+    actions_after_reports = driver.feed(
+        HealthCheckEnded(checked[2], AttemptStatus.OK, 0.001, {"busy_reqs": 0.0})
+    )
+    assert only_attempt(actions_after_reports).endpoint_id not in checked[:2]
 
 
-def test_request_that_waits_for_candidates_is_sent_without_reports_after_a_while() -> None:
+def test_request_is_sent_without_load_reports_after_the_wait() -> None:
     driver = BalancerDriver(
         settings(can_check_health=True, price_probe=0.001), endpoints=entries(1, 2, 3, 4, 5)
     )
@@ -31,26 +33,26 @@
 
 
 def test_idle_proxy_sends_few_health_checks() -> None:
-    # Found at full size: two health checks a second cost several health checks a request where a request a
-    # second comes.
+    # Guards against several health checks per request: two checks per second were sent while one request per
+    # second arrived.
     driver = BalancerDriver(settings(can_check_health=True))
     first = [a for a in driver.advance(1.0) if isinstance(a, CheckHealth)]
     driver.feed(
         *[HealthCheckEnded(a.endpoint_id, AttemptStatus.OK, 0.001, {"busy_reqs": 0.0}) for a in first]
     )
-    probes = 0
+    check_count = 0
     for _ in range(200):
         checked = [a for a in driver.advance(0.1) if isinstance(a, CheckHealth)]
-        probes += len(checked)
+        check_count += len(checked)
         driver.feed(
             *[HealthCheckEnded(a.endpoint_id, AttemptStatus.OK, 0.001, {"busy_reqs": 0.0}) for a in checked]
         )
-    assert 2 <= probes <= 12
+    assert 2 <= check_count <= 12
 
 
 def test_new_proxy_checks_endpoints_of_all_zones_first() -> None:
-    # Found at full size of riga-orders: for ten seconds every proxy of the crowded room knew nothing of
-    # the loads and sent to its own endpoints; the retries that followed kept them crowded.
+    # Guards against proxies without load data at the start. For ten seconds the proxies of an overloaded zone
+    # sent only to endpoints of this zone, and the retries that followed kept these endpoints overloaded.
     listed = [entry for n, zone in enumerate("abc") for entry in entries(*range(n * 8, n * 8 + 8), zone=zone)]
     driver = BalancerDriver(settings(can_check_health=True), endpoints=listed)
     checked = [a.endpoint_id for a in driver.advance(0.3) if isinstance(a, CheckHealth)]
@@ -58,9 +60,9 @@
     assert any(endpoint >= 8 for endpoint in checked)
 
 
-def test_request_with_little_time_is_sent_once_its_candidates_are_checked() -> None:
-    # Found on the quiet day of pratiche-nord: inner requests with less than 0.1 s left were rejected while
-    # they waited a hundredth for their health checks.
+def test_request_with_little_time_is_sent_after_the_wait_for_its_candidates() -> None:
+    # Guards against the rejection of inner requests with less than 0.1 s left while they wait 0.01 s for
+    # health checks of their candidates.
     driver = BalancerDriver(
         settings(can_check_health=True, price_probe=0.001), endpoints=entries(1, 2, 3, 4, 5)
     )
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -1,6 +1,7 @@
-"""Work and state do not grow with the fleet: what is counted at 3,200 endpoints is what is counted at 200.
+"""Work and state don't grow with the fleet: counts at 3,200 endpoints are compared with counts at 200.
 
-Counted are the byte codes that run, so that no clock takes part: any loop over all endpoints shows.
+The tests count executed byte codes, so that the result doesn't depend on a clock and any loop over
+all endpoints increases the count.
 """
 
 from __future__ import annotations
@@ -32,22 +33,22 @@
     EndpointPool,
 )
 
-USUAL = 200
-LARGE = 3200
-MAX_GROWTH = 1.5  # of what is counted, from the usual size to the large one
-MAX_GROWTH_WITH_POOL = 1.1 * MAX_LARGE_POOL / MAX_POOL  # where the pool grows as well
-MAX_STATE_BYTES = 1200  # of the policy for each endpoint
+USUAL_FLEET = 200
+LARGE_FLEET = 3200
+MAX_GROWTH = 1.5  # Allowed growth of a count from the usual fleet to the large one.
+MAX_GROWTH_WITH_POOL = 1.1 * MAX_LARGE_POOL / MAX_POOL  # Allowed growth of a count if the pool grows as well.
+MAX_STATE_BYTES = 1200  # Bytes of policy state per endpoint.
 ZONES = "abc"
 
 
-def item(number: int, **changes: Any) -> EndpointEntry:
+def listed_entry(number: int, **changes: Any) -> EndpointEntry:
     return EndpointEntry(number * 7919 % 1_000_003, zone=ZONES[number % 3], cell=number % 3, **changes)
 
 
-def fleet_driver(size: int, proxies: int = USUAL) -> BalancerDriver:
-    """A policy before so many endpoints that has served some requests and checked some endpoints."""
-    setup = settings(can_check_health=True, proxy_count=proxies, proxy_index=7)
-    driver = BalancerDriver(setup, endpoints=[item(number) for number in range(size)])
+def fleet_driver(size: int, proxies: int = USUAL_FLEET) -> BalancerDriver:
+    """Build a policy for this many endpoints that has served some requests and checked some endpoints."""
+    proxy_settings = settings(can_check_health=True, proxy_count=proxies, proxy_index=7)
+    driver = BalancerDriver(proxy_settings, endpoints=[listed_entry(number) for number in range(size)])
     for request_id in range(40):
         answer_checks(driver, driver.advance(0.05))
         for attempt in attempts(driver.arrive(request_id)):
@@ -71,19 +72,19 @@
             driver.end_attempt(attempt, AttemptStatus.OK)
 
 
-def change_the_list(driver: BalancerDriver) -> None:
-    """One endpoint drains, one goes and one comes, again and again."""
+def update_list(driver: BalancerDriver) -> None:
+    """Apply list updates, each with one endpoint that drains, one that is removed and one that is added."""
     for number in range(10):
         entries = [
-            item(number, state=EndpointState.DRAINING),
-            item(50 + number, state=EndpointState.REMOVED),
-            item(100_000 + number),
+            listed_entry(number, state=EndpointState.DRAINING),
+            listed_entry(50 + number, state=EndpointState.REMOVED),
+            listed_entry(100_000 + number),
         ]
         driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries))
 
 
-def break_and_recover(driver: BalancerDriver) -> None:
-    """Endpoints are ejected and readmitted."""
+def eject_and_readmit(driver: BalancerDriver) -> None:
+    """Eject and readmit endpoints."""
     for request_id in range(2000, 2006):
         for attempt in attempts(driver.arrive(request_id, "once")):
             for _ in range(3):
@@ -95,23 +96,24 @@
         answer_checks(driver, driver.advance(0.05))
 
 
-def work(action: Callable[[BalancerDriver], None], endpoints: int, proxies: int) -> int:
+def count_work(action: Callable[[BalancerDriver], None], endpoints: int, proxies: int) -> int:
     driver = fleet_driver(endpoints, proxies)
     return count_opcodes(lambda: action(driver))
 
 
 @pytest.mark.parametrize(
     "action",
-    [run_control_steps, serve_requests, change_the_list, break_and_recover],
+    [run_control_steps, serve_requests, update_list, eject_and_readmit],
     ids=lambda action: action.__name__,
 )
 def test_work_does_not_grow_with_the_fleet(action: Callable[[BalancerDriver], None]) -> None:
-    # Found with sixteen times the endpoints: each change of the list and each ejection sorted and walked all
-    # known endpoints (3.2 ms at 3,200), and each control step walked them for those that are ejected.
-    few = work(action, USUAL, USUAL)
-    assert few > 1000, "nothing was counted"
-    assert work(action, LARGE, LARGE) <= MAX_GROWTH * few  # with as many proxies, and so the same pool
-    assert work(action, LARGE, USUAL) <= MAX_GROWTH_WITH_POOL * few
+    # Guards against work for all known endpoints. Each list update and each ejection sorted all of them (3.2
+    # ms at 3,200 endpoints), and each control step searched all of them for ejected ones.
+    usual_work = count_work(action, USUAL_FLEET, USUAL_FLEET)
+    assert usual_work > 1000, "nothing was counted"
+    # The number of proxies grows as well, so the pool keeps its size.
+    assert count_work(action, LARGE_FLEET, LARGE_FLEET) <= MAX_GROWTH * usual_work
+    assert count_work(action, LARGE_FLEET, USUAL_FLEET) <= MAX_GROWTH_WITH_POOL * usual_work
 
 
 def serve_one_by_one(driver: BalancerDriver) -> None:
@@ -122,22 +124,23 @@
 
 
 @pytest.mark.parametrize("price_probe", [0.001, 0.01], ids=["checks for requests", "steady checks"])
-def test_requests_and_health_checks_of_a_proxy_with_little_traffic_keep_to_few_endpoints(
+def test_requests_and_health_checks_of_a_proxy_with_little_traffic_reach_few_endpoints(
     price_probe: float,
 ) -> None:
-    # Found with sixteen times the endpoints: checks of a pool of 48 made 132 connections, of 165 allowed,
-    # where a pool of 16 made 50.
-    setup = settings(can_check_health=True, price_probe=price_probe, proxy_count=200, proxy_index=7)
-    driver = BalancerDriver(setup, endpoints=[item(number) for number in range(LARGE)])
+    # Guards against needless connections at 3,200 endpoints: health checks of a pool of 48 opened 132 of the
+    # 165 allowed connections, and those of a pool of 16 opened 50.
+    proxy_settings = settings(can_check_health=True, price_probe=price_probe, proxy_count=200, proxy_index=7)
+    driver = BalancerDriver(proxy_settings, endpoints=[listed_entry(number) for number in range(LARGE_FLEET)])
     serve_one_by_one(driver)
     reached = {action.endpoint_id for action in driver.actions if isinstance(action, CheckHealth)}
     reached |= {attempt.endpoint_id for attempt in attempts(driver.actions)}
     assert len(driver.balancer.endpoints.members) == MAX_LARGE_POOL
-    assert 3 < len(reached) <= 1.5 * MAX_POOL  # a request may go beyond the core
+    # A request may use an endpoint beyond the first MAX_POOL members.
+    assert 3 < len(reached) <= 1.5 * MAX_POOL
 
 
-def test_requests_that_the_core_of_a_pool_has_no_room_for_go_beyond_it() -> None:
-    driver = fleet_driver(LARGE)
+def test_requests_over_the_capacity_of_the_first_members_use_the_whole_large_pool() -> None:
+    driver = fleet_driver(LARGE_FLEET)
     driver.balancer.limiter.limit = 200.0
     for number in range(80):
         driver.arrive(5000 + number)
@@ -149,13 +152,13 @@
     tracemalloc.start()
     try:
         driver = BalancerDriver(settings(), endpoints=[])
-        entries = [item(number) for number in range(LARGE)]
+        entries = [listed_entry(number) for number in range(LARGE_FLEET)]
         before = tracemalloc.get_traced_memory()[0]
         driver.feed(EndpointListUpdate(ListScope.FULL, entries))
         used = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
-    assert used / LARGE <= MAX_STATE_BYTES
+    assert used / LARGE_FLEET <= MAX_STATE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -171,16 +174,17 @@
     ],
 )
 def test_a_pool_holds_several_fair_shares_of_the_endpoints(endpoints: int, proxies: int, size: int) -> None:
-    # Found with sixteen times the endpoints, each with a sixteenth of the capacity: a proxy with three times
-    # the mean traffic served 0.48 of its requests from sixteen of them, where it served 0.91 at 200.
-    setup = settings(proxy_count=proxies)
-    driver = BalancerDriver(setup, endpoints=[item(number) for number in range(endpoints)])
+    # Guards against a pool that is too small for 3,200 endpoints with a sixteenth of the usual capacity each.
+    # A proxy with three times the mean traffic served 0.48 of its requests from 16 endpoints, compared with
+    # 0.91 in a fleet of 200 endpoints.
+    proxy_settings = settings(proxy_count=proxies)
+    driver = BalancerDriver(proxy_settings, endpoints=[listed_entry(number) for number in range(endpoints)])
     assert len(driver.balancer.endpoints.members) == size
 
 
 def test_the_pools_of_a_large_fleet_cover_it_evenly() -> None:
     counts: dict[int, int] = {}
-    entries = [item(number) for number in range(LARGE)]
+    entries = [listed_entry(number) for number in range(LARGE_FLEET)]
     for proxy_index in range(200):
         pool = EndpointPool(settings(proxy_index=proxy_index, proxy_count=200, zone="a"), Random(1))
         pool.apply_update(EndpointListUpdate(ListScope.FULL, entries))
@@ -191,35 +195,35 @@
     assert len(counts) == in_zone and max(counts.values()) <= 3 * 200 * 30 / in_zone
 
 
-def plain_members(pool: EndpointPool, setup: Settings) -> list[int]:
-    """The pool by its definition: all rings in full, sorted anew."""
+def expected_members(pool: EndpointPool, proxy_settings: Settings) -> list[int]:
+    """Return the pool by its definition, from complete rings that are sorted for each call."""
     zones: dict[str, list[int]] = {}
     for endpoint_id in sorted(pool.known):
         if pool.known[endpoint_id].state is EndpointState.SERVING:
             zones.setdefault(pool.known[endpoint_id].zone, []).append(endpoint_id)
     rings = {}
     for zone, ring in sorted(zones.items()):
-        start = int(setup.proxy_index * GOLDEN_RATIO_FRACTION % 1.0 * len(ring))
-        turned = ring[start:] + ring[:start]
-        rings[zone] = sorted(turned, key=lambda one: bool(pool.known[one].ejected_until))
-    members = rings.pop(setup.zone, [])[:MAX_POOL_LOCAL]
+        start = int(proxy_settings.proxy_index * GOLDEN_RATIO_FRACTION % 1.0 * len(ring))
+        rotated = ring[start:] + ring[:start]
+        rings[zone] = sorted(rotated, key=lambda one: bool(pool.known[one].ejected_until))
+    members = rings.pop(proxy_settings.zone, [])[:MAX_POOL_LOCAL]
     for position in range(MAX_POOL):
         members += [ring[position] for ring in rings.values() if position < len(ring)]
     return members[:MAX_POOL]
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_pool_is_what_its_definition_says_after_any_changes(seed: int) -> None:
+def test_pool_matches_its_definition_after_random_changes(seed: int) -> None:
     random = Random(seed)
     size = random.choice([1, 4, 12, 30, 90])
-    setup = settings(proxy_index=random.randrange(200), zone=random.choice("abcx"))
-    driver = BalancerDriver(setup, endpoints=[item(number) for number in range(size)])
+    proxy_settings = settings(proxy_index=random.randrange(200), zone=random.choice("abcx"))
+    driver = BalancerDriver(proxy_settings, endpoints=[listed_entry(number) for number in range(size)])
     balancer = driver.balancer
     for _ in range(120):
         driver.now += 0.3
         numbers = [random.randrange(size + 4) for _ in range(random.randrange(4))]
         entries = [
-            item(
+            listed_entry(
                 number, state=random.choice(list(EndpointState)), started_at=random.choice([0.0, driver.now])
             )
             for number in numbers
@@ -227,7 +231,9 @@
         if random.random() < 0.1:
             full = {entry.endpoint_id: entry for entry in entries}
             full |= {
-                item(number).endpoint_id: item(number) for number in range(size) if random.random() < 0.7
+                listed_entry(number).endpoint_id: listed_entry(number)
+                for number in range(size)
+                if random.random() < 0.7
             }
             driver.feed(EndpointListUpdate(ListScope.FULL, list(full.values())))
         else:
@@ -238,6 +244,8 @@
         for endpoint in [e for e in balancer.endpoints.known.values() if e.ejected_until]:
             if random.random() < 0.2:
                 balancer.outliers.readmit(endpoint)
-        assert [e.endpoint_id for e in balancer.endpoints.members] == plain_members(balancer.endpoints, setup)
+        assert [e.endpoint_id for e in balancer.endpoints.members] == expected_members(
+            balancer.endpoints, proxy_settings
+        )
         serving = [e for e in balancer.endpoints.known.values() if e.state is EndpointState.SERVING]
         assert balancer.avoided == [e.endpoint_id for e in serving if e.ejected_until]
--- a/tests/policy/test_module_limits.py
+++ b/tests/policy/test_module_limits.py
@@ -1,4 +1,4 @@
-"""Limits that keep the decision module readable: short modules and functions, no I/O, none left out."""
+"""Limits that keep the decision module readable and free of I/O, and completeness of the deploy file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 MAX_MODULE_LINES = 499
 MAX_FUNCTION_LINES = 39
 MAX_LINE_LENGTH = 110
-# All of the standard library that decisions may use: nothing of it performs I/O or reads a clock.
+# Modules of the standard library that the policy may import, because they perform no I/O and read no clock.
 PURE_MODULES = {"__future__", "bisect", "collections", "dataclasses", "enum", "math", "random", "typing"}
 
 
@@ -44,9 +44,10 @@
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     listed = [ROOT / name for name in deploy["node"] + deploy["policy"]]
     assert all(path.exists() for path in listed)
-    beside = {"__init__.py", "simulator_adapter.py"}  # the public API, and what only the simulator starts
+    # The public API, and the adapter that only the simulator starts.
+    unlisted = {"__init__.py", "simulator_adapter.py"}
     for path in sorted((ROOT / "service_proxy").rglob("*.py")):
-        assert path.relative_to(ROOT / "service_proxy").as_posix() in beside or any(
+        assert path.relative_to(ROOT / "service_proxy").as_posix() in unlisted or any(
             path == one or one in path.parents for one in [*listed, ROOT / "service_proxy" / "sidecar"]
         ), f"{path} is not listed"
 
@@ -75,11 +76,11 @@
 
 
 @pytest.mark.parametrize("module", MODULES, ids=lambda module: module.name)
-def test_policy_module_says_what_it_does(module: Path) -> None:
+def test_policy_module_has_a_docstring(module: Path) -> None:
     documentation = ast.get_docstring(tree_of(module))
     assert documentation and len(documentation.splitlines()[0]) >= 30
 
 
-def test_balancer_names_its_interface_at_the_top() -> None:
+def test_docstring_of_the_balancer_names_its_interface_modules() -> None:
     first_line = (POLICY / "balancer.py").read_text("utf-8").split("\n")[0]
     assert "policy/events.py" in first_line and "policy/actions.py" in first_line
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of outliers and their return."""
+"""Ejection and readmission of outliers."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     assert not driver.balancer.endpoints.known[attempt.endpoint_id].ejected_until
 
 
-def test_ejections_by_uncertain_signs_are_capped() -> None:
-    # When everything is slow, no endpoint is at fault.
+def test_ejections_by_uncertain_signs_are_limited() -> None:
+    # If all endpoints are slow, no endpoint is at fault.
     driver = BalancerDriver(settings(), endpoints=entries(*range(1, 7)))
     outliers = driver.balancer.outliers
     endpoints = driver.balancer.endpoints.known.values()
@@ -41,26 +41,28 @@
                 to_hanging += 1
             else:
                 driver.end_attempt(attempt, AttemptStatus.OK)
-    assert to_hanging <= 8  # of the 20 that an even share would be
+    assert to_hanging <= 8  # An even share would be 20 attempts.
 
 
 def test_endpoint_that_fails_fast_is_ejected() -> None:
     driver = BalancerDriver(settings(max_attempts=1), endpoints=entries(1, 2, 3))
-    failing = 0
+    failing_attempts = 0
     for request_id in range(200):
         driver.advance(0.02)
         for attempt in attempts(driver.arrive(request_id, "once")):
-            failing += attempt.endpoint_id == 1
-            bad = attempt.endpoint_id == 1
+            failing_attempts += attempt.endpoint_id == 1
+            is_failing = attempt.endpoint_id == 1
             driver.end_attempt(
-                attempt, AttemptStatus.ERROR if bad else AttemptStatus.OK, elapsed=0.001 if bad else 0.05
+                attempt,
+                AttemptStatus.ERROR if is_failing else AttemptStatus.OK,
+                elapsed=0.001 if is_failing else 0.05,
             )
-    assert failing <= 30  # an even share would be 66, and it looks idle
+    assert failing_attempts <= 30  # An even share would be 66 attempts, and the endpoint looks idle.
 
 
-def test_resets_eject_without_a_recent_answer_or_three_in_a_row() -> None:
-    # Found on a wide+reset+stale day of central-santiago: each reset ejected an endpoint that had answered
-    # others milliseconds before, until none was left.
+def test_resets_eject_only_without_a_recent_answer_or_after_three_in_a_row() -> None:
+    # Guards against an ejection at each reset, although the endpoint had answered other requests milliseconds
+    # before. The resets ejected endpoints until none was left.
     driver = BalancerDriver(settings(), endpoints=entries(1, 2))
     first_failed = only_attempt(driver.arrive(1, "once"))
     driver.end_attempt(first_failed, AttemptStatus.RESET)
@@ -76,14 +78,16 @@
         assert attempt.endpoint_id == other.endpoint_id and not other.ejected_until
     driver.advance(CONNECTION_LIMIT_S + 0.1)
     driver.end_attempt(only_attempt(driver.arrive(7, "once")), AttemptStatus.OK)
-    out = [only_attempt(driver.arrive(request_id, "once")) for request_id in (8, 9, 10)]
-    for broken, attempt in enumerate(out, 1):  # a process that dies breaks all that it has
+    sent_attempts = [only_attempt(driver.arrive(request_id, "once")) for request_id in (8, 9, 10)]
+    for broken, attempt in enumerate(
+        sent_attempts, 1
+    ):  # A process that terminates breaks all its connections.
         driver.end_attempt(attempt, AttemptStatus.RESET)
         assert bool(other.ejected_until) == (broken >= 3)
 
 
-def test_failure_share_is_of_one_class_and_fades() -> None:
-    # Found on wide+reset+stale days of central-santiago: endpoints rejected one class, after 354 ms each.
+def test_failure_share_is_kept_per_class_and_decays() -> None:
+    # Guards against endpoints that reject only one class, each request after 354 ms.
     driver = BalancerDriver(settings(), endpoints=entries(1, 2))
     outliers = driver.balancer.outliers
     attempt = only_attempt(driver.arrive(1, "once"))
@@ -96,24 +100,28 @@
         only_attempt(driver.arrive(request_id, "once")).endpoint_id != failed.endpoint_id
         for request_id in (2, 3)
     )
-    faded = outliers.failure_share(failed, "once", driver.now + FAILURE_MEMORY_S)
-    assert faded == pytest.approx(0.3 / 2.71828, rel=1e-3)
+    decayed = outliers.failure_share(failed, "once", driver.now + FAILURE_MEMORY_S)
+    assert decayed == pytest.approx(0.3 / 2.71828, rel=1e-3)
 
 
-def test_a_stall_of_the_proxy_is_not_read_as_slow_endpoints() -> None:
-    # Found in incident i309b5f: proxies that stood still for two seconds closed their limits and ejected
-    # endpoints for answers that had long been there.
+def test_stall_of_the_proxy_does_not_count_as_slow_endpoints() -> None:
+    # Guards against a pause of the proxy that is recorded as slow endpoints. After a pause of two seconds,
+    # proxies lowered their limits and ejected endpoints because of answers that had arrived during the pause.
     driver = BalancerDriver(settings(can_check_health=False), endpoints=entries(1, 2, 3))
-    out = [only_attempt(driver.arrive(request_id)) for request_id in range(3)]
+    sent_attempts = [only_attempt(driver.arrive(request_id)) for request_id in range(3)]
     limiter = driver.balancer.limiter
-    before = (limiter.limit, limiter.mean_latency)
+    before_stall = (limiter.limit, limiter.mean_latency)
     driver.now += 1.9
     actions = driver.feed(
         *[
             AttemptEnded(attempt.request_id, 0, attempt.endpoint_id, AttemptStatus.OK, 1.9, True)
-            for attempt in out[:2]
+            for attempt in sent_attempts[:2]
         ],
-        AttemptEnded(out[2].request_id, 0, out[2].endpoint_id, AttemptStatus.TIMEOUT, 1.9, False),
+        AttemptEnded(
+            sent_attempts[2].request_id, 0, sent_attempts[2].endpoint_id, AttemptStatus.TIMEOUT, 1.9, False
+        ),
     )
-    assert (limiter.limit, limiter.mean_latency) == before and Reject(out[2].request_id) in actions
+    assert (limiter.limit, limiter.mean_latency) == before_stall and Reject(
+        sent_attempts[2].request_id
+    ) in actions
     assert not any(endpoint.ejected_until for endpoint in driver.balancer.endpoints.known.values())
--- a/tests/policy/test_policy_properties.py
+++ b/tests/policy/test_policy_properties.py
@@ -1,4 +1,4 @@
-"""Legal events in arbitrary order: the guard's rules are asserted on the actions alone."""
+"""Valid events in arbitrary order; the rules of the retry guard are asserted on the actions alone."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from balancer_driver import CLASSES, BalancerDriver, attempts, entries, settings
 from hypothesis import HealthCheck, given
-from hypothesis import settings as checks
+from hypothesis import settings as hypothesis_settings
 
 from service_proxy import (
     Action,
@@ -38,26 +38,26 @@
 from service_proxy.policy.retry_guard import WINDOW_MARGIN_S
 
 NEVER_EXECUTED = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
-BY_NAME = {request_class.name: request_class for request_class in CLASSES}
+CLASSES_BY_NAME = {request_class.name: request_class for request_class in CLASSES}
 
 
-ZONES = {1: "a", 2: "a", 3: "b", 4: "b"}  # of the endpoints
+ZONES = {1: "a", 2: "a", 3: "b", 4: "b"}  # Zone of each endpoint.
 EVENT_TYPES = ["arrive", "arrive", "end attempt", "end attempt", "abandon", "list", "end health check"]
-TIMER_SLACK_S = 0.3  # the longest step of the clock here, by which an answer may be late
+TIMER_SLACK_S = 0.3  # Longest step of the clock in these tests, by which an answer may be late.
 
 
 @dataclass
 class SentAttempt:
-    """An attempt as its endpoint sees it."""
+    """Attempt from the point of view of its endpoint."""
 
     endpoint_id: int
     sent_at: float
-    status: AttemptStatus | None = None  # None: in flight
+    status: AttemptStatus | None = None  # None while the attempt is in flight.
 
 
 @dataclass
 class ClientRequest:
-    """What the other side knows of one request."""
+    """State of one request from the point of view of its client."""
 
     request_class: RequestClass
     deadline: float
@@ -68,13 +68,13 @@
         return next((a for a in self.attempts if a.status not in NEVER_EXECUTED), None)
 
 
-class RandomWorld:
-    """Clients, endpoints and a clock whose events are drawn; each action is checked against the rules."""
+class RandomEnvironment:
+    """Random environment of clients, endpoints and a clock; checks each action against the rules."""
 
-    def __init__(self, data: st.DataObject, setup: Settings, seed: int) -> None:
+    def __init__(self, data: st.DataObject, policy_settings: Settings, seed: int) -> None:
         self.data = data
-        self.setup = setup
-        self.balancer = Balancer(setup, seed)
+        self.policy_settings = policy_settings
+        self.balancer = Balancer(policy_settings, seed)
         self.now = 50.0
         self.requests: dict[int, ClientRequest] = {}
         self.states = dict.fromkeys(ZONES, EndpointState.SERVING)
@@ -98,7 +98,7 @@
             self._draw_event()
         if not self.events:
             self.events = [TimerFired(99)]
-        # A queued request is answered in time: none without an attempt outlives its deadline.
+        # A queued request is answered in time: no request without an attempt stays open past its deadline.
         late = [
             request_id
             for request_id, request in self.requests.items()
@@ -112,10 +112,10 @@
         elif isinstance(action, Reject | Fail):
             self._check_answer(action, ended_now)
         elif isinstance(action, CancelAttempt):
-            assert self.setup.can_cancel
+            assert self.policy_settings.can_cancel
             assert self.requests[action.request_id].attempts[action.attempt_number]
         elif isinstance(action, CheckHealth):
-            assert self.setup.can_check_health
+            assert self.policy_settings.can_check_health
             self.health_checks.append(action.endpoint_id)
         elif isinstance(action, SetTimer):
             self.timers.append((self.now + action.delay, action.token))
@@ -124,9 +124,9 @@
         request = self.requests[action.request_id]
         assert not request.has_ended and self.now < request.deadline
         assert self.states[action.endpoint_id] is EndpointState.SERVING
-        assert len(request.attempts) < self.setup.max_attempts
+        assert len(request.attempts) < self.policy_settings.max_attempts
         assert 0 < action.timeout <= request.deadline - self.now + 0.006
-        if not self.setup.can_hedge:
+        if not self.policy_settings.can_hedge:
             assert all(attempt.status is not None for attempt in request.attempts)
         first = request.first_possible_execution()
         if first is not None:
@@ -142,9 +142,10 @@
 
     def _check_answer(self, action: Reject | Fail, ended_now: set[int]) -> None:
         request = self.requests[action.request_id]
-        # In the batch that ends a request it may still be answered on an earlier event: that is ignored.
+        # In the batch that ends a request, the answer to an earlier event of the batch may still come and is
+        # ignored.
         assert not request.has_ended or action.request_id in ended_now
-        assert self.now <= request.deadline + self.setup.deadline_slack
+        assert self.now <= request.deadline + self.policy_settings.deadline_slack
         assert all(attempt.status is not None for attempt in request.attempts)
         if isinstance(action, Reject) and request.first_possible_execution() is not None:
             request_class = request.request_class
@@ -156,7 +157,7 @@
         request.has_ended = True
 
     def _advance_clock(self) -> None:
-        """Advance by a drawn step, but not past a timer or the deadline of a client."""
+        """Advance the clock by a drawn step, but at most to the next timer or client deadline."""
         due = [due for due, _ in self.timers]
         due += [request.deadline for request in self.requests.values() if not request.has_ended]
         step = self.data.draw(st.sampled_from([0.0, 0.005, 0.05, 0.3]))
@@ -201,8 +202,8 @@
     def _draw_arrival(self) -> None:
         request_id = len(self.requests) + 1
         budget = self.data.draw(st.sampled_from([0.01, 0.3, 1.0, 2.0]))
-        class_name = self.data.draw(st.sampled_from(sorted(BY_NAME)))
-        self.requests[request_id] = ClientRequest(BY_NAME[class_name], self.now + budget)
+        class_name = self.data.draw(st.sampled_from(sorted(CLASSES_BY_NAME)))
+        self.requests[request_id] = ClientRequest(CLASSES_BY_NAME[class_name], self.now + budget)
         self.events.append(RequestArrived(request_id, class_name, budget))
 
     def _draw_attempt_end(self) -> None:
@@ -232,7 +233,9 @@
         self.events.append(EndpointListUpdate(ListScope.INCREMENTAL, entry))
 
 
-@checks(max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@hypothesis_settings(
+    max_examples=100, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 @given(
     data=st.data(),
     can_hedge=st.booleans(),
@@ -240,21 +243,23 @@
     can_check_health=st.booleans(),
     seed=st.integers(0, 99),
 )
-def test_the_guards_rules_hold_on_any_events(
+def test_retry_guard_rules_hold_for_arbitrary_events(
     data: st.DataObject, can_hedge: bool, can_cancel: bool, can_check_health: bool, seed: int
 ) -> None:
-    setup = settings(
+    policy_settings = settings(
         can_hedge=can_hedge,
         can_cancel=can_cancel,
         can_check_health=can_check_health,
         polls_discovery=seed % 2 == 0,
     )
-    world = RandomWorld(data, setup, seed)
+    environment = RandomEnvironment(data, policy_settings, seed)
     for _ in range(data.draw(st.integers(5, 40))):
-        world.run_step()
+        environment.run_step()
 
 
-@checks(max_examples=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@hypothesis_settings(
+    max_examples=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 @given(
     endpoints=st.integers(3, 8),
     rate=st.sampled_from([4, 15, 50]),
@@ -265,22 +270,25 @@
 def test_warming_endpoint_is_sent_no_more_than_one_proxys_share(
     endpoints: int, rate: int, warm_up: float, latency: float, seed: int
 ) -> None:
-    """Judged by a proxy's own traffic alone, whatever the others do: what
-    it sends in any window stays under multiple x capacity x window, with capacity its share of a warm one."""
-    setup = settings(
+    """Check that the attempts of one proxy in any window stay under multiple x capacity x window.
+
+    The check uses only the traffic of this proxy, whatever the other proxies send. The capacity is the
+    proxy's share of the capacity of a warm endpoint.
+    """
+    policy_settings = settings(
         overload_multiple=3.0,
         overload_window=1.5,
         slow_start_initial_share=0.2,
         slow_start_window=10.0,
         can_check_health=True,
     )
-    driver = BalancerDriver(setup, seed, entries(*range(1, endpoints + 1)))
+    driver = BalancerDriver(policy_settings, seed, entries(*range(1, endpoints + 1)))
     driver.balancer.limiter.limit = 50.0
-    chance = Random(seed)
+    random = Random(seed)
     request_id = 0
     first = driver.now
-    out = list[tuple[float, StartAttempt]]()
-    warming = list[float]()
+    sent_attempts = list[tuple[float, StartAttempt]]()
+    warming_sends = list[float]()
     restarted = False
     while driver.now - first < warm_up + 8.0:
         if not restarted and driver.now - first >= warm_up:
@@ -288,38 +296,41 @@
             start_time = driver.now
             driver.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(1, started_at=driver.now)))
         request_id += 1
-        actions = driver.advance(chance.expovariate(rate))
+        actions = driver.advance(random.expovariate(rate))
         for health_check in [
             a for a in actions if isinstance(a, CheckHealth)
-        ]:  # the warming one looks idle, as it does to all
+        ]:  # The warming endpoint looks idle to all proxies.
             busy = 0.0 if health_check.endpoint_id == 1 and restarted else 30.0
             driver.feed(
                 HealthCheckEnded(health_check.endpoint_id, AttemptStatus.OK, 0.001, {"busy_reqs": busy})
             )
         for attempt in [a for a in driver.arrive(request_id) if isinstance(a, StartAttempt)]:
-            out.append((driver.now + latency, attempt))
+            sent_attempts.append((driver.now + latency, attempt))
             if restarted and attempt.endpoint_id == 1:
-                warming.append(driver.now - start_time)
-        while out and out[0][0] <= driver.now:
-            driver.end_attempt(out.pop(0)[1], AttemptStatus.OK, elapsed=latency)
-    share = rate / endpoints  # requests a second of a warm endpoint that are this proxy's
-    for start in warming:
-        sent = sum(1 for t in warming if start <= t < start + 1.5)
-        capacity = (0.2 + 0.8 * min(1.0, start / 10.0)) * share * 1.5
+                warming_sends.append(driver.now - start_time)
+        while sent_attempts and sent_attempts[0][0] <= driver.now:
+            driver.end_attempt(sent_attempts.pop(0)[1], AttemptStatus.OK, elapsed=latency)
+    fair_rate = rate / endpoints  # Requests per second that this proxy would send to a warm endpoint.
+    for start in warming_sends:
+        sent = sum(1 for t in warming_sends if start <= t < start + 1.5)
+        capacity = (0.2 + 0.8 * min(1.0, start / 10.0)) * fair_rate * 1.5
         assert sent <= 3.0 * capacity + 2, (start, sent, capacity)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_proxies_together_stay_below_what_overloads_a_warming_endpoint(seed: int) -> None:
-    """By the platform's own figure: N + 3 root N + 3 requests in the time that the settings name, N being
-    what they allow it then. Sixty proxies hear of the restart in one moment, and each has few requests."""
-    # requests a second, of all together
+    """Check the platform's bound of N + 3 * sqrt(N) + 3 requests within the overload window.
+
+    N is the number of requests that the settings allow the endpoint in this time. Sixty proxies are
+    notified of the restart at the same moment, and each has few requests.
+    """
+    # `rate` counts the requests per second of all proxies together.
     proxies = 60
     endpoints = 3
     rate = 240.0
     window = 1.5
     multiple = 1.5
-    setup = settings(
+    policy_settings = settings(
         overload_multiple=multiple,
         overload_window=window,
         slow_start_initial_share=0.2,
@@ -328,17 +339,18 @@
         can_check_health=True,
     )
     fleet = [
-        BalancerDriver(setup, seed * 1000 + n, entries(*range(1, endpoints + 1))) for n in range(proxies)
+        BalancerDriver(policy_settings, seed * 1000 + n, entries(*range(1, endpoints + 1)))
+        for n in range(proxies)
     ]
-    chance = Random(seed)
+    random = Random(seed)
     now = start_time = fleet[0].now
     request_id = 0
     restarted = 0.0
-    warming = list[float]()
-    out: list[tuple[float, BalancerDriver, StartAttempt]] = []
+    warming_sends = list[float]()
+    sent_attempts: list[tuple[float, BalancerDriver, StartAttempt]] = []
 
-    def until(driver: BalancerDriver, due_at: float) -> None:
-        """Each health check finds the warming one idle, and all others busy."""
+    def advance_to(driver: BalancerDriver, due_at: float) -> None:
+        """Advance a proxy; its health checks find the warming endpoint idle and all other endpoints busy."""
         for health_check in driver.advance(max(0.0, due_at - driver.now)):
             if isinstance(health_check, CheckHealth):
                 busy = 0.0 if restarted and health_check.endpoint_id == 1 else 30.0
@@ -347,25 +359,25 @@
                 )
 
     while now < start_time + 12.0:
-        now += chance.expovariate(rate)
+        now += random.expovariate(rate)
         if not restarted and now > start_time + 6.0:
             restarted = now
             for proxy in fleet:
-                until(proxy, now)
+                advance_to(proxy, now)
                 proxy.feed(EndpointListUpdate(ListScope.INCREMENTAL, entries(1, started_at=now)))
-        while out and out[0][0] <= now:
-            due, owner, attempt = out.pop(0)
-            until(owner, due)
+        while sent_attempts and sent_attempts[0][0] <= now:
+            due, owner, attempt = sent_attempts.pop(0)
+            advance_to(owner, due)
             owner.end_attempt(attempt, AttemptStatus.OK, elapsed=0.1)
-        driver = chance.choice(fleet)
-        until(driver, now)
+        driver = random.choice(fleet)
+        advance_to(driver, now)
         request_id += 1
         for attempt in attempts(driver.arrive(request_id)):
-            out.append((now + 0.1, driver, attempt))
+            sent_attempts.append((now + 0.1, driver, attempt))
             if restarted and attempt.endpoint_id == 1:
-                warming.append(now - restarted)
-    assert len(warming) > 10
-    for start in warming:
-        sent = sum(1 for at in warming if start <= at < start + window)
+                warming_sends.append(now - restarted)
+    assert len(warming_sends) > 10
+    for start in warming_sends:
+        sent = sum(1 for at in warming_sends if start <= at < start + window)
         allowed = multiple * (0.2 + 0.8 * start / 30.0) * rate / endpoints * window
         assert sent <= allowed + 3 * allowed**0.5 + 3, (start, sent, allowed)
--- a/tests/policy/test_request_admission.py
+++ b/tests/policy/test_request_admission.py
@@ -26,8 +26,8 @@
     assert [request.weight for request in driver.balancer.queue.requests] == [10.0, 10.0, 1.0, 1.0]
 
 
-def test_late_attempts_are_recognised_by_their_budget() -> None:
-    # Found in incident i37a472: a few long budgets made every first attempt look late.
+def test_late_attempts_are_detected_by_their_budget() -> None:
+    # Guards against a few long budgets that make every first attempt look late.
     driver = BalancerDriver(settings())
     state = driver.balancer.request_classes["safe"]
     for _ in range(40):
@@ -44,16 +44,21 @@
 
 
 def test_a_first_attempt_with_a_short_budget_is_not_late_where_clients_flag_retries() -> None:
-    # Found on seed 7001: a quarter of the requests was rejected as useless while endpoints stood idle.
-    for marked, resent, sent in ((True, False, True), (True, True, False), (False, False, False)):
-        driver = BalancerDriver(settings(clients_flag_retries=marked))
+    # Guards against the rejection of first attempts with a short budget as useless: a quarter of the requests
+    # was rejected while endpoints were idle.
+    for flags_retries, marked_as_retry, is_sent in (
+        (True, False, True),
+        (True, True, False),
+        (False, False, False),
+    ):
+        driver = BalancerDriver(settings(clients_flag_retries=flags_retries))
         for request_id in range(20):
             driver.end_attempt(only_attempt(driver.arrive(request_id)), AttemptStatus.OK)
-        assert bool(attempts(driver.arrive(99, budget=0.9, is_retry=resent))) == sent
+        assert bool(attempts(driver.arrive(99, budget=0.9, is_retry=marked_as_retry))) == is_sent
 
 
 def test_nothing_is_shed_by_weight_while_the_limit_is_not_filled() -> None:
-    """A threshold in force must not keep the limit from filling, and so from growing."""
+    """Check that a shed threshold doesn't keep requests from filling the limit, so that it can grow."""
     balancer = Balancer(settings(classes=[SAFE, ONCE]), 1)
     balancer.handle(100.0, [EndpointListUpdate(ListScope.CACHED, entries(1, 2, 3, 4))])
     balancer.limiter.shed_threshold = 1.0
--- a/tests/policy/test_request_class.py
+++ b/tests/policy/test_request_class.py
@@ -10,7 +10,7 @@
 
 
 def test_shedding_order_follows_weight_unless_weight_by_time_disagrees() -> None:
-    def ranks(*weights_and_means: tuple[float, float]) -> list[float]:
+    def shedding_weights(*weights_and_means: tuple[float, float]) -> list[float]:
         states = []
         for weight, mean in weights_and_means:
             state = RequestClassState(RequestClass("x", weight, 1.0, 2.0), 0, 3)
@@ -20,29 +20,28 @@
             state.update_shedding_weight(states)
         return [state.shedding_weight for state in states]
 
-    assert ranks((12, 0.1), (1, 0.4), (1, 0.9)) == [12, 1, 1]
-    assert ranks((2, 0.45), (3, 0.8), (5, 1.0)) == [3, 3, 5]
-    assert ranks((2, 0.6), (3, 0.8), (5, 1.0)) == [2, 3, 5]
-    assert ranks((2, 0.3), (3, 0.8), (5, 1.0)) == [5, 3, 5]
+    assert shedding_weights((12, 0.1), (1, 0.4), (1, 0.9)) == [12, 1, 1]
+    assert shedding_weights((2, 0.45), (3, 0.8), (5, 1.0)) == [3, 3, 5]
+    assert shedding_weights((2, 0.6), (3, 0.8), (5, 1.0)) == [2, 3, 5]
+    assert shedding_weights((2, 0.3), (3, 0.8), (5, 1.0)) == [5, 3, 5]
 
 
 def test_latency_target_of_inner_tiers_is_smaller() -> None:
-    class_name = settings().classes[0]
-    assert RequestClassState(class_name, 1, 3).min_latency_target == pytest.approx(
-        RequestClassState(class_name, 0, 3).min_latency_target / 2
+    request_class = settings().classes[0]
+    assert RequestClassState(request_class, 1, 3).min_latency_target == pytest.approx(
+        RequestClassState(request_class, 0, 3).min_latency_target / 2
     )
 
 
 def test_answer_without_elapsed_time_keeps_the_mean_latency_positive() -> None:
-    # Found by the property test: a mean latency of 0 divided.
+    # Guards against a division by a mean latency of 0.
     driver = BalancerDriver(settings())
     driver.end_attempt(only_attempt(driver.arrive(1)), AttemptStatus.OK, elapsed=0.0)
     assert driver.balancer.request_classes["safe"].mean_latency.value > 0
 
 
 def test_latency_target_is_never_below_the_baseline_latency() -> None:
-    # Found on a quiet day of wa-payments: the baseline latency was near the target and the limit closed to
-    # 5.
+    # Guards against a latency target near the baseline latency, which lowered the limit to 5 at light load.
     state = RequestClassState(settings().classes[0], 0, 3)
     minimum = state.min_latency_target
     for _ in range(30):
@@ -52,4 +51,4 @@
     for _ in range(300):
         state.mean_latency.add(0.9, 50)
     state.update_latency_target(0.05)
-    assert state.latency_target < 0.54  # a crowd does not raise it at once
+    assert state.latency_target < 0.54  # A short congestion does not raise the target at once.
--- a/tests/policy/test_request_queue.py
+++ b/tests/policy/test_request_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait for an attempt."""
+"""Queue of requests that wait for an attempt."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 def fill_limit(driver: BalancerDriver) -> None:
-    """Fills the window with requests, so that the next ones are held."""
+    """Fill the limit with requests, so that the next requests are queued."""
     driver.balancer.limiter.limit = 2.0
     driver.arrive(1001)
     driver.arrive(1002)
 
 
-def test_queue_holds_what_its_wait_allows_and_rejects_the_lightest() -> None:
+def test_queue_keeps_requests_with_enough_time_and_rejects_the_lightest() -> None:
     light = RequestClass("cheap", priority_weight=1, latency_objective=1.0, deadline=2.0)
     heavy = RequestClass("dear", priority_weight=9, latency_objective=1.0, deadline=2.0)
     driver = BalancerDriver(settings(classes=[light, heavy, *settings().classes]))
     fill_limit(driver)
     limiter = driver.balancer.limiter
-    # a place waits 0.4 / 2 = 0.2 s
+    # The wait per position is 0.4 / 2 = 0.2 s.
     limiter.latency.value = 0.4
     limiter.latency.count = 0.0
     for state in driver.balancer.request_classes.values():
         state.mean_latency.value = 0.2
-    # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
+    # With a latency objective of 1 s, 0.2 n + 2 x 0.2 <= 1 allows three positions.
     actions = driver.feed(*[RequestArrived(request_id, "cheap", 2.0) for request_id in (1, 2, 3, 4)])
     assert [a for a in actions if isinstance(a, Reject)] == [Reject(4)]
-    # A worthier newcomer displaces the lowest held request and goes first.
+    # A heavier request displaces the lightest queued request and is sent first.
     actions = driver.arrive(5, "dear")
     assert [a for a in actions if isinstance(a, Reject)] == [Reject(3)]
     assert [request.request_id for request in driver.balancer.queue.requests] == [5, 1, 2]
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget."""
+"""Retry budget of retries and hedges."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     attempt_count = 0
     for request_id in range(200):
         driver.advance(0.02)
-        todo = [(attempt, 0) for attempt in attempts(driver.arrive(request_id))]
-        while todo:
-            attempt, number = todo.pop()
+        pending = [(attempt, 0) for attempt in attempts(driver.arrive(request_id))]
+        while pending:
+            attempt, number = pending.pop()
             attempt_count += 1
-            todo += [
+            pending += [
                 (retry, number + 1)
                 for retry in attempts(
                     driver.end_attempt(attempt, AttemptStatus.ERROR, number), attempt.request_id
@@ -26,9 +26,9 @@
     assert attempt_count <= 200 * 1.15 + 5
 
 
-def test_retry_of_what_was_never_executed_costs_less() -> None:
-    # Found on wide+reset+stale days of central-santiago: the retry budget of inner tiers went to requests
-    # rejected; each lost its caller.
+def test_retry_of_an_attempt_that_was_never_executed_costs_less() -> None:
+    # Guards against a retry budget of inner tiers that is spent on rejected requests: each request that was
+    # then not retried failed the request of its caller.
     driver = BalancerDriver(settings())
     driver.balancer.retry_budget.tokens = UNEXECUTED_RETRY_COST
     first = only_attempt(driver.arrive(1))
--- a/tests/policy/test_retry_guard.py
+++ b/tests/policy/test_retry_guard.py
@@ -1,4 +1,4 @@
-"""The idempotency and retry guard at its boundaries."""
+"""Idempotency and retry guard at the boundaries of its rules."""
 
 from __future__ import annotations
 
@@ -23,14 +23,19 @@
 def guard_with(
     class_name: str,
     status: AttemptStatus | None,
-    duplicate: bool = False,
-    limit: int = 3,
-    class_limit: int = 0,
+    allow_hedging: bool = False,
+    attempt_limit: int = 3,
+    class_attempt_limit: int = 0,
 ) -> tuple[RetryGuard, RequestState]:
-    """A guard and a request with one earlier attempt on endpoint 1, sent at 100.0; status None: still out."""
-    guard = RetryGuard(settings(can_hedge=duplicate, max_attempts=limit), [])
+    """Build a guard and a request with one earlier attempt on endpoint 1, sent at 100.0.
+
+    `status` is the result of this attempt; None leaves the attempt in flight.
+    """
+    guard = RetryGuard(settings(can_hedge=allow_hedging, max_attempts=attempt_limit), [])
     request_class = RequestClassState(
-        replace(next(c for c in CLASSES if c.name == class_name), max_attempts=class_limit), 0, limit
+        replace(next(c for c in CLASSES if c.name == class_name), max_attempts=class_attempt_limit),
+        0,
+        attempt_limit,
     )
     request = RequestState(7, request_class, 1.0, 100.0, 102.0, 101.0)
     guard.requests[7] = request
@@ -51,20 +56,22 @@
 
 @pytest.mark.parametrize("status", NEVER_EXECUTED)
 @pytest.mark.parametrize("class_name", ["safe", "once", "zoned", "keyed"])
-def test_what_was_never_executed_can_be_sent_and_rejected(class_name: str, status: AttemptStatus) -> None:
+def test_request_that_was_never_executed_can_be_sent_and_rejected(
+    class_name: str, status: AttemptStatus
+) -> None:
     guard, request = guard_with(class_name, status)
     assert guard.can_send(request, endpoint(2, zone="b"), 100.6)
     assert guard.can_reject(request)
 
 
 @pytest.mark.parametrize("status", MAYBE_EXECUTED)
-def test_what_may_have_been_executed_follows_its_class(status: AttemptStatus) -> None:
+def test_request_that_may_have_been_executed_follows_its_idempotency(status: AttemptStatus) -> None:
     guard, request = guard_with("safe", status)
     assert guard.can_send(request, endpoint(2, zone="b"), 101.9) and guard.can_reject(request)
     guard, request = guard_with("once", status)
     assert not guard.can_send(request, endpoint(1), 100.1) and not guard.can_reject(request)
     guard, request = guard_with("zoned", status)
-    last = 100.5 - WINDOW_MARGIN_S  # its bytes may leave later than it is decided
+    last = 100.5 - WINDOW_MARGIN_S  # The first byte may leave later than the time of the decision.
     assert guard.can_send(request, endpoint(2), last - 0.01) and not guard.can_reject(request)
     assert not guard.can_send(request, endpoint(2, zone="b"), 100.1)
     assert not guard.can_send(request, endpoint(2), last)
@@ -83,18 +90,19 @@
     assert not guard.can_send(request, endpoint(3), last)
 
 
-def test_a_repeat_says_by_when_it_has_to_begin() -> None:
-    """Who sends it looks at the clock again: a connect takes its time."""
+def test_retry_with_a_key_states_its_latest_send_time() -> None:
+    """Check `send_by`: the sender reads the clock again, because a connect takes time."""
     for class_name, send_by in (("zoned", 100.5 - WINDOW_MARGIN_S), ("safe", math.inf)):
         guard, request = guard_with(class_name, AttemptStatus.ERROR)
         assert guard.start_attempt(request, endpoint(2), 100.1, 1.0, 0.0) is not None
-        first, repeat = guard.actions
-        assert isinstance(first, StartAttempt) and isinstance(repeat, StartAttempt)
-        assert (first.send_by, repeat.send_by) == (math.inf, send_by)
-    guard, request = guard_with("zoned", AttemptStatus.REJECTED)  # it never ran: there is no window
+        first, retry = guard.actions
+        assert isinstance(first, StartAttempt) and isinstance(retry, StartAttempt)
+        assert (first.send_by, retry.send_by) == (math.inf, send_by)
+    # The first attempt was never executed, so there is no window.
+    guard, request = guard_with("zoned", AttemptStatus.REJECTED)
     assert guard.start_attempt(request, endpoint(2), 100.1, 1.0, 0.0) is not None
-    repeat = guard.actions[-1]
-    assert isinstance(repeat, StartAttempt) and repeat.send_by == math.inf
+    retry = guard.actions[-1]
+    assert isinstance(retry, StartAttempt) and retry.send_by == math.inf
 
 
 def test_idempotency_scope_of_a_cell() -> None:
@@ -107,14 +115,14 @@
 def test_two_attempts_in_flight_only_where_hedging_is_allowed() -> None:
     guard, request = guard_with("safe", None)
     assert not guard.can_send(request, endpoint(2), 100.1)
-    guard, request = guard_with("safe", None, duplicate=True)
+    guard, request = guard_with("safe", None, allow_hedging=True)
     assert guard.can_send(request, endpoint(2), 100.1)
-    guard, request = guard_with("once", None, duplicate=True)
+    guard, request = guard_with("once", None, allow_hedging=True)
     assert not guard.can_send(request, endpoint(2), 100.1) and not guard.can_reject(request)
 
 
 def test_attempt_limit_deadline_end_and_endpoint_state_forbid_an_attempt() -> None:
-    guard, request = guard_with("safe", AttemptStatus.ERROR, limit=1)
+    guard, request = guard_with("safe", AttemptStatus.ERROR, attempt_limit=1)
     assert not guard.can_send(request, endpoint(2), 100.1)
     guard, request = guard_with("safe", AttemptStatus.ERROR)
     assert guard.can_send(request, endpoint(2), 101.999) and not guard.can_send(request, endpoint(2), 102.0)
@@ -130,15 +138,17 @@
 @pytest.mark.parametrize(
     ("class_limit", "limit", "retry"), [(0, 3, True), (1, 3, False), (2, 3, True), (5, 1, False)]
 )
-def test_a_class_may_have_fewer_attempts_than_others_and_never_more(
+def test_class_can_lower_the_attempt_limit_but_not_raise_it(
     class_limit: int, limit: int, retry: bool
 ) -> None:
-    guard, request = guard_with("safe", AttemptStatus.REJECTED, limit=limit, class_limit=class_limit)
+    guard, request = guard_with(
+        "safe", AttemptStatus.REJECTED, attempt_limit=limit, class_attempt_limit=class_limit
+    )
     assert guard.can_send(request, endpoint(2), 100.1) is retry and guard.can_retry(request) is retry
 
 
 def test_answer_is_a_rejection_only_where_sending_again_is_harmless() -> None:
-    for class_name, status, event_kind in (
+    for class_name, status, answer_type in (
         ("once", AttemptStatus.ERROR, Fail),
         ("once", AttemptStatus.REJECTED, Reject),
         ("safe", AttemptStatus.ERROR, Reject),
@@ -147,10 +157,10 @@
     ):
         guard, request = guard_with(class_name, status)
         guard.answer(request)
-        assert type(guard.actions[-1]) is event_kind
+        assert type(guard.actions[-1]) is answer_type
 
 
-def test_draining_endpoints_get_nothing_new() -> None:
+def test_draining_and_removed_endpoints_get_no_attempts() -> None:
     for state in (EndpointState.DRAINING, EndpointState.REMOVED):
         driver = BalancerDriver(settings(), endpoints=entries(1, 2))
         driver.feed(state_change(1, state))
--- a/tests/policy/test_scheduling.py
+++ b/tests/policy/test_scheduling.py
@@ -8,7 +8,7 @@
 from service_proxy import AttemptStatus, Fail, Idempotency, Reject, RequestArrived, RequestClass
 
 
-def test_all_events_of_a_batch_are_taken_in_before_the_heaviest_request_is_sent() -> None:
+def test_all_events_of_a_batch_are_processed_before_the_heaviest_request_is_sent() -> None:
     driver = BalancerDriver(settings())
     driver.balancer.limiter.limit = 1.0
     actions = driver.feed(RequestArrived(1, "once", 2.0), RequestArrived(2, "safe", 2.0))
@@ -33,8 +33,8 @@
     assert Fail(1) in driver.end_attempt(attempt, AttemptStatus.TIMEOUT, elapsed=2.0)
 
 
-def test_hopeless_request_is_not_sent_while_others_are_in_flight() -> None:
-    # Found in incident i37a472: requests with less than a mean latency left were sent and ended too late.
+def test_request_with_too_little_time_is_not_sent_while_others_are_in_flight() -> None:
+    # Guards against attempts with less than a mean latency left, whose answers came too late.
     driver = BalancerDriver(settings())
     driver.balancer.request_classes["safe"].mean_latency.value = 0.4
     only_attempt(driver.arrive(1))
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -7,16 +7,17 @@
 from service_proxy import AttemptStatus, CheckHealth, EndpointEntry, HealthCheckEnded
 
 
-def test_selection_takes_the_fewest_in_flight_counting_own_attempts() -> None:
+def test_selection_prefers_the_lowest_load_including_own_attempts() -> None:
     driver = BalancerDriver(settings(can_check_health=True), endpoints=entries(1, 2))
     driver.feed(
         HealthCheckEnded(1, AttemptStatus.OK, 0.001, {"busy_reqs": 5.0}),
         HealthCheckEnded(2, AttemptStatus.OK, 0.001, {"busy_reqs": 3.0}),
     )
     endpoints = [only_attempt(driver.arrive(request_id)).endpoint_id for request_id in (1, 2)]
-    assert endpoints == [2, 2]  # 3, then 4 of its own against 5
-    more = {only_attempt(driver.arrive(request_id)).endpoint_id for request_id in (3, 4)}
-    assert 1 in more
+    # The load of endpoint 2 is 3 and then, with an own attempt, 4, compared with 5.
+    assert endpoints == [2, 2]
+    next_endpoints = {only_attempt(driver.arrive(request_id)).endpoint_id for request_id in (3, 4)}
+    assert 1 in next_endpoints
 
 
 def test_selection_without_health_checks_uses_own_attempts_alone() -> None:
@@ -39,9 +40,9 @@
     assert {only_attempt(driver.arrive(request_id)).endpoint_id for request_id in range(4)} == {1}
 
 
-def test_unchecked_endpoint_is_as_loaded_as_its_zone() -> None:
-    # Found on the first full-size day of riga-orders: the room with most traffic kept to its own endpoints,
-    # since those that no health check had reached looked idle, while other rooms stood idle.
+def test_unchecked_endpoint_is_assumed_as_loaded_as_its_zone() -> None:
+    # Guards against endpoints that look idle because no health check reached them. The zone with the most
+    # traffic sent only to its own unchecked endpoints while other zones were idle.
     listed = entries(1, 2, 3, zone="a") + entries(4, 5, zone="b")
     driver = BalancerDriver(settings(can_check_health=True, price_cross_zone=0.04), endpoints=listed)
     reports = {1: 9.0, 2: 9.0, 4: 0.0}
--- a/tests/policy/test_settings_updates.py
+++ b/tests/policy/test_settings_updates.py
@@ -8,8 +8,8 @@
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
 
-def test_a_request_keeps_the_class_it_came_with_and_the_next_has_the_new_one() -> None:
-    """Its effect has become stricter meanwhile, and its attempts fewer: that binds the next request alone."""
+def test_open_request_keeps_its_class_settings_and_the_next_request_gets_the_new_ones() -> None:
+    """Check that stricter idempotency and fewer attempts apply only to the next request."""
     driver = BalancerDriver(settings())
     first = only_attempt(driver.arrive(1))
     strict = RequestClass(
@@ -22,7 +22,7 @@
     driver.feed(SettingsUpdated(settings(classes=[strict], max_attempts=1)))
     assert attempts(
         driver.end_attempt(first, AttemptStatus.RESET) + driver.advance(CONTROL_INTERVAL_S), 1
-    )  # repeated, as it may be
+    )  # The first request may still be retried.
     second = only_attempt(driver.arrive(2))
     actions = driver.end_attempt(second, AttemptStatus.RESET) + driver.advance(CONTROL_INTERVAL_S)
     assert not attempts(actions, 2)
@@ -45,8 +45,8 @@
 def test_class_statistics_and_remaining_quotas_survive_new_settings() -> None:
     driver = BalancerDriver(settings(tenants=[Tenant("t", 10.0)]))
     driver.end_attempt(only_attempt(driver.arrive(1, tenant="t")), AttemptStatus.OK, elapsed=0.4)
-    learned = driver.balancer.request_classes["safe"].mean_latency.value
+    mean_latency = driver.balancer.request_classes["safe"].mean_latency.value
     remaining = driver.balancer.quotas.remaining["t"]
     driver.feed(SettingsUpdated(settings(tenants=[Tenant("t", 20.0), Tenant("u", 5.0)])))
-    assert driver.balancer.request_classes["safe"].mean_latency.value == learned
+    assert driver.balancer.request_classes["safe"].mean_latency.value == mean_latency
     assert driver.balancer.quotas.remaining == {"t": remaining, "u": 5.0}
