--- a/service_proxy/policy/concurrency_limit.py
+++ b/service_proxy/policy/concurrency_limit.py
@@ -47,7 +47,7 @@
         self.latency = RunningMean(0.0)
         self.in_flight_age = 0.0  # Mean age of the attempts in flight, in seconds.
         self.arrivals = 0  # Requests that arrived since the last control step.
-        self.arrival_rate = 0.0  # requests per second
+        self.arrival_rate = 0.0  # Requests per second.
         self.rate_span = 0.0  # Seconds that the arrival rate covers.
         self.weights: deque[float] = deque(maxlen=WEIGHT_HISTORY)
         self.limit = INITIAL_LIMIT
@@ -55,7 +55,7 @@
         # True until the first late answer; the limit grows by half each round in this phase.
         self.is_starting = True
         self.timely_streak = 0  # Consecutive timely answers while the limit was reached.
-        self.shed_threshold = -math.inf  # weight below which requests are shed
+        self.shed_threshold = -math.inf  # Weight below which requests are shed.
         # Share of the requests with exactly the threshold weight that are shed.
         self.threshold_shed_share = 0.0
 
--- a/service_proxy/policy/connections.py
+++ b/service_proxy/policy/connections.py
@@ -33,9 +33,8 @@
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         super().__init__(settings)
         self.actions = actions
-        self.max_reuse_idle = (
-            settings.connection_idle_timeout
-        )  # Longest idle time of a reused connection, in seconds.
+        # Longest idle time of a reused connection, in seconds.
+        self.max_reuse_idle = settings.connection_idle_timeout
         # Mean latency of requests on open connections, in mean latencies of their classes.
         self.open_latency = RunningMean(1.0)
         # Mean latency of requests on new connections, in mean latencies of their classes.
--- a/service_proxy/policy/endpoint_load.py
+++ b/service_proxy/policy/endpoint_load.py
@@ -12,9 +12,8 @@
 # Field of a load report: number of requests that the endpoint is executing.
 BUSY_REQUESTS_FIELD = "busy_reqs"
 TYPICAL_LOAD_WEIGHT = 0.3  # Weight of a new load report in the typical load of an endpoint.
-TYPICAL_LOAD_DECAY_FACTOR = (
-    10.0  # Decay time of the typical load of an endpoint, in decay times of a load report.
-)
+# Decay time of the typical load of an endpoint, in decay times of a load report.
+TYPICAL_LOAD_DECAY_FACTOR = 10.0
 # Reports over which the load of a zone is averaged: a few seconds at one request per second.
 ZONE_REPORTS = 10
 SAMPLE_DECAY = 0.9  # Factor that reduces the older samples of an endpoint at each new sample.
--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -11,7 +11,7 @@
 from service_proxy.policy.settings_user import SettingsUser
 
 MAX_POOL_LOCAL = 10  # Endpoints of the proxy's own zone among the first MAX_POOL members of the pool.
-MAX_POOL = 16  # Endpoints that a proxy uses, unless the pool is enlarged.
+MAX_POOL = 16  # Endpoints that a proxy uses at most, unless the pool is enlarged.
 MAX_LARGE_POOL = 48  # Endpoints that a proxy uses at most if endpoints are many and small.
 # Even shares of the endpoints per proxy in a pool, because some proxies get several times the mean traffic.
 FAIR_SHARES = 3.0
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -77,7 +77,7 @@
     is_retry: bool = False
     is_write: bool = False
     affinity_key: str = ""  # Subject of the request; empty if the request has none.
-    # Upper bound of the attempts, if lower than that of the class; 0 means that of the class.
+    # Upper bound of the attempts; 0 or a value above that of the class has no effect.
     max_attempts: int = 0
     weight_share: float = 1.0  # Share of the priority weight of the class.
     # Seconds stated by the client, before the margins of this proxy; 0 means `time_budget`.
@@ -109,10 +109,7 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """End of the client's interest in a request, because the client left or its time budget ran out.
-
-    The request gets no answer.
-    """
+    """Abandonment of a request: the client left or its time budget ran out, so no answer is sent."""
 
     request_id: int
 
--- a/service_proxy/policy/outlier_detection.py
+++ b/service_proxy/policy/outlier_detection.py
@@ -52,8 +52,8 @@
         """Return whether recent responses show that an endpoint works despite a broken connection.
 
         A network that drops connections, a middlebox, or a worker or listener that restarts behind the
-        address can reset single connections. Without this check, each reset ejected an endpoint until the
-        pool was empty, although the endpoints answered all requests that were sent. A failed process
+        address can reset single connections. Without this check, each reset would eject an endpoint, until
+        the pool is empty although the endpoints answer all requests that are sent. A failed process
         breaks several connections at once and answers on none, so its endpoint is ejected at the third
         broken connection. Cost: an endpoint that fails with few requests in flight receives up to two more
         requests, which fail at once.
--- a/service_proxy/policy/request_class.py
+++ b/service_proxy/policy/request_class.py
@@ -65,9 +65,8 @@
         self.recent_budgets: deque[float] = deque(maxlen=BUDGET_HISTORY)
         self.typical_budget = 0.0
         self.budgets_since_refresh = 0
-        self.shedding_weight = (
-            settings.priority_weight
-        )  # Position in the shedding order; the class with the lowest value is shed first.
+        # Position in the shedding order; the class with the lowest value is shed first.
+        self.shedding_weight = settings.priority_weight
 
     def copy_statistics(self, previous: RequestClassState) -> None:
         """Copy the statistics that were collected under the previous settings of the class."""
--- a/service_proxy/policy/request_queue.py
+++ b/service_proxy/policy/request_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait for an attempt, ordered by weight and arrival."""
+"""Queue of the requests that wait for an attempt, ordered by weight and arrival."""
 
 from __future__ import annotations
 
--- a/service_proxy/policy/settings_types.py
+++ b/service_proxy/policy/settings_types.py
@@ -111,7 +111,7 @@
     stream: bool = False
     # Multiple of the request's own work that is added to the latency objective.
     objective_stretch: float = 0.0
-    # Attempts per request of the class, if lower than Settings.max_attempts; 0 means the same.
+    # Upper bound of the attempts per request; 0 or a value above Settings.max_attempts has no effect.
     max_attempts: int = 0
 
     def __post_init__(self) -> None:
--- a/service_proxy/policy/slow_start.py
+++ b/service_proxy/policy/slow_start.py
@@ -25,8 +25,8 @@
         self.pool = pool
         # Factor on the configured share of a proxy, which follows the number of proxies.
         self.allowance = 1.0
-        self.sends = 0  # attempts since the last control step
-        self.send_rate = 0.0  # attempts per second
+        self.sends = 0  # Attempts since the last control step.
+        self.send_rate = 0.0  # Attempts per second.
         self.peak_send_rate = 0.0
 
     def capacity_share(self, endpoint: TrackedEndpoint, now: float) -> float:
