--- a/service_proxy/net/__init__.py
+++ b/service_proxy/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and time: downstream connections, upstream pools, discovery, and the dispatcher between them."""
+"""Network side of the proxy: downstream connections, upstream pools, discovery and the request dispatcher."""
--- a/service_proxy/net/attempt_start.py
+++ b/service_proxy/net/attempt_start.py
@@ -1,4 +1,4 @@
-"""An attempt up to its first byte: the last look whether it may begin, and the time that it is told."""
+"""Start of an attempt: the final check before its first byte is sent, and the time limit of the attempt."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from service_proxy.net.upstream import EndpointConnectionPool, UpgradeAttempt, UpstreamAttempt
 from service_proxy.net.upstream.connection import STALL_TIMEOUT_S
 
-MAX_JOINED_BODY_BYTES = 64 * 1024  # of a body that is joined to its head; a longer one is not copied
+# Longest request body that is copied into one buffer with its head; a longer body is sent separately.
+MAX_JOINED_BODY_BYTES = 64 * 1024
 
 
 class AttemptOwner(Protocol):
-    """What the start of an attempt uses of the dispatcher."""
+    """Operations of the dispatcher that the start of an attempt uses."""
 
     def enqueue_event(self, event: api.Event) -> None:
         """Queue an event for the policy."""
 
     def client_disconnected(self, open_request: OpenRequest) -> None:
-        """End a request whose client has left."""
+        """End a request whose client has disconnected."""
 
 
 class AttemptStart:
-    """Tells whether an attempt may begin, asked right before its first byte goes out.
+    """Callable check that decides, right before the first byte is sent, whether an attempt may begin.
 
-    What was so when it was decided may have changed: a connect takes its time, and after a stall of this
-    process timers come before sockets.
+    The conditions may have changed since the policy decided on the attempt: establishing a connection takes
+    time, and after a stall of this process the event loop runs expired timers before it reads the sockets.
 
     Args:
-        owner: of all open requests.
-        open_request: that it is an attempt of.
-        attempt_number: of its attempts.
-        pool: of the endpoint that it goes to.
-        action: of the policy, that decided on it.
+        owner: The dispatcher of the open requests.
+        open_request: The request that the attempt belongs to.
+        attempt_number: Number of the attempt among the attempts of the request.
+        pool: Connection pool of the endpoint that receives the attempt.
+        action: The policy's action that starts the attempt.
 
     Attributes:
-        send_by: no later than then (monotonic, s): the policy's window for it ends.
-        timeout: s that the policy gives it, as far as the request has time.
-        ends_at: when that is over (monotonic, s).
-        is_streamed: the request's time begins with the last byte of its body, which has not come yet.
+        send_by: Latest time of the first byte (monotonic, s); the policy's window for the attempt ends then.
+        timeout: Time limit of the attempt (s): the policy's value, at most the time left to the request.
+        ends_at: Time at which the time limit expires (monotonic, s).
+        is_streamed: True if the request body is incomplete; the request's time budget then starts with
+            the last byte of the body.
     """
 
     __slots__ = (
@@ -76,7 +78,7 @@
         self.is_streamed = not open_request.request.body.is_complete
 
     def __call__(self) -> bool:
-        """Tell whether the first byte may go out now."""
+        """Return True if the first byte may be sent now."""
         open_request = self.open_request
         if not (open_request.is_open and self.pool.is_serving):
             return False
@@ -85,14 +87,15 @@
         if open_request.writer.has_client_left():
             self.owner.client_disconnected(open_request)
             return False
-        if not open_request.request.body.is_replayable:  # what is sent of it is gone: no second attempt
+        # Sent parts of the body are discarded, so no second attempt is possible.
+        if not open_request.request.body.is_replayable:
             self.owner.enqueue_event(
                 api.StreamStarted(open_request.request_id, self.attempt_number, self.endpoint_id)
             )
         return True
 
     def time_left(self) -> float:
-        """Return the time (s) that the endpoint has from now on."""
+        """Return the time (s) that remains for the endpoint's response."""
         now = time.monotonic()
         return min(self.timeout, self.open_request.deadline - now) if self.is_streamed else self.ends_at - now
 
@@ -100,11 +103,12 @@
 def create_attempt(
     start: AttemptStart, extra_headers: bytes, on_end: Callable[[UpstreamAttempt], None]
 ) -> UpstreamAttempt:
-    """Return the attempt, with these header lines beside the request's own."""
+    """Return the attempt, with these header lines added to the request's own."""
     request = start.open_request.request
     body = request.body
     head = request.head + extra_headers
-    # A body that still comes has this long without a step forward; its own time begins later.
+    # Time limit without progress while the body is incomplete; the time budget starts with the body's last
+    # byte.
     timeout = STALL_TIMEOUT_S if start.is_streamed else max(0.0, start.timeout)
     if request.upgrade is not None:
         return UpgradeAttempt(start.pool, head, timeout, start, on_end, request.upgrade, start.time_left)
--- a/service_proxy/net/cached_endpoints.py
+++ b/service_proxy/net/cached_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list that the configuration brings, as last known: it serves until discovery answers."""
+"""Cached endpoint list of the configuration, which is used until discovery responds."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def cached_endpoint_list(config: ProxyConfig) -> EndpointList:
-    """Read the endpoint list that the configuration brings, for the time before discovery answers.
+    """Return the cached endpoint list of the configuration, which is used until discovery responds.
 
     Raises:
-        ConfigError: it can't be used.
+        ConfigError: The cached endpoint list is invalid.
     """
     if not config.cached_endpoints:
         return EndpointList(0, True, [])
--- a/service_proxy/net/config.py
+++ b/service_proxy/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one proxy: EDGE_* variables and the JSON file, read into one typed object."""
+"""Configuration of one proxy: EDGE_* variables and the JSON file, parsed into one typed object."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
 
 T = TypeVar("T")
 ADDRESS_FORM = "host:port, with the host as a number"
-DEFAULT_MEMORY_MB = 192  # where the file names none
+DEFAULT_MEMORY_MB = 192  # Default if the file sets no limits.memory_mb.
 MAX_MEMORY_MB = 1 << 30
-MAX_DESCRIPTORS = 1 << 20  # where the system names no limit
+MAX_DESCRIPTORS = 1 << 20  # Default if the system sets no limit.
 
 
 class ConfigError(NetError):
-    """The configuration can't be used; the message is one line."""
+    """The configuration is invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyConfig:
-    """What one proxy is configured with.
+    """Configuration of one proxy.
 
     Attributes:
-        seed: of all that is drawn at random.
-        max_descriptors: that the process may open.
-        cached_endpoints: the endpoint list as last known, in discovery's form.
-        request_idempotency: what requests of a class look like, where the policy treats them as another's.
-        admin_address: of the admin service; None: it is off.
-        raw: the file, to compare a new one with.
+        seed: Seed of all random draws.
+        max_descriptors: Maximum number of file descriptors that the process may open.
+        cached_endpoints: The last known endpoint list, in the JSON form of discovery.
+        request_idempotency: Idempotency of a class's requests, where it differs from the policy's idempotency
+            of the class.
+        admin_address: Address of the admin service; None if the service is off.
+        raw: Parsed JSON file, kept for the comparison with a reloaded file.
     """
 
     name: str
@@ -53,17 +54,17 @@
 
     @property
     def peers(self) -> PeerAddresses:
-        """Read the addresses of other proxies.
+        """Return the parsed addresses of the other proxies.
 
-        Read only where they are used: a proxy that speaks to no peer does not mind what stands there.
+        The addresses are parsed only on use, so a proxy that contacts no peer accepts an invalid value.
 
         Raises:
-            ValueError: one can't be used.
+            ValueError: An address is invalid.
         """
         listen = self.raw.get("peer_listen")
         members = self.raw.get("peers") or []
         if not isinstance(members, list):
-            raise ValueError("peers is no list")  # noqa: TRY004 - a wrong value of a file
+            raise ValueError("peers is not a list; write a list of host:port")  # noqa: TRY004 - file content
         broadcast = self.raw.get("peers_all")
         return PeerAddresses(
             parse_address(listen) if listen else None,
@@ -73,7 +74,7 @@
 
     @property
     def tier_name(self) -> str:
-        """Return the name of the tier that the proxy stands before."""
+        """Return the name of the tier whose endpoints the proxy serves."""
         names = (self.raw.get("settings") or {}).get("stages") or []
         stage = self.settings.tier_index
         return str(names[stage]) if isinstance(names, list) and stage < len(names) else f"tier{stage}"
@@ -81,19 +82,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where other proxies may be reached, as PROTOCOL has it; all empty where the platform names none."""
+    """Addresses of the other proxies, as PROTOCOL defines them; empty if the platform configures none."""
 
     listen: Address | None
-    members: tuple[Address, ...]  # one for each proxy of the tier, its own among them
-    broadcast: Address | None = None  # one that reaches all of these
+    members: tuple[Address, ...]  # One address for each proxy of the tier, including this one.
+    broadcast: Address | None = None  # Broadcast address that reaches all members.
 
 
 def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
-    """Return the settings object as the simulator's flat path=value pairs, so that both have one reader."""
+    """Return the settings as flat path=value pairs, the simulator's form, so that both share one parser."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         if not value and path:
-            pairs[path] = "{}"  # no value, and not left out either
+            pairs[path] = "{}"  # An empty object has no value, but the key is present.
         for key, item in value.items():
             flatten_settings(item, f"{path}.{key}" if path else str(key), pairs)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
@@ -112,10 +113,10 @@
 
 
 def _parse_value(key: str, value: object, parse: Callable[[Any], T], expected: str) -> T:
-    """Parse a value of the file.
+    """Return the parsed value of a configuration key.
 
     Raises:
-        ValueError: it can't be used; the message names the key and what to write.
+        ValueError: The value is invalid; the message names the key and the expected form.
     """
     try:
         return parse(value)
@@ -132,38 +133,38 @@
 
 
 def read_config_text(environ: Mapping[str, str]) -> str:
-    """Read the file that EDGE_CONFIG names, as it is now.
+    """Return the present content of the file that EDGE_CONFIG names.
 
     Raises:
-        OSError, ValueError: it can't be read.
+        OSError, ValueError: The file can't be read.
     """
     path = environ.get("EDGE_CONFIG")
     if not path:
-        raise ValueError("EDGE_CONFIG is not set")
+        raise ValueError("EDGE_CONFIG is not set; set it to the path of the configuration file")
     return Path(path).read_text(encoding="utf-8")
 
 
 def _read_json(environ: Mapping[str, str]) -> dict[str, Any]:
     raw = json.loads(read_config_text(environ))
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ValueError("the file holds no settings object")  # noqa: TRY004 - as above
+        raise ValueError("the file contains no settings object")  # noqa: TRY004 - file content
     return raw
 
 
-# Of a file and what stands in it.
+# Exceptions raised by reading or parsing an invalid configuration file.
 CONFIG_READ_ERRORS = (OSError, ValueError, TypeError, AttributeError, RecursionError)
 
 
 def config_error(error: Exception) -> ConfigError:
-    """Return what went wrong as a ConfigError of one line."""
+    """Return a ConfigError with a one-line message for the error."""
     return ConfigError(" ".join(f"bad configuration: {error}".split()))
 
 
 def load_config(environ: Mapping[str, str]) -> ProxyConfig:
-    """Read the file that EDGE_CONFIG names; the other variables override what it says.
+    """Return the configuration of the file that EDGE_CONFIG names; other EDGE_* variables override it.
 
     Raises:
-        ConfigError: it can't be used.
+        ConfigError: The configuration is invalid.
     """
     try:
         return parse_config(_read_json(environ), environ)
@@ -172,24 +173,24 @@
 
 
 def _read_policy_settings(raw: object) -> Settings:
-    """Read the platform's settings for a proxy on sockets, which sends one attempt of a request at a time.
+    """Return the platform's settings with hedging disabled, because a proxy sends one attempt at a time.
 
-    Where hedging is not allowed, the policy cancels an overdue attempt and retries it. Allowed but not done,
-    it would leave the request to an endpoint that hangs.
+    If hedging is not allowed, the policy cancels an overdue attempt and retries it. If hedging were allowed
+    without being performed, the request would stay with an endpoint that hangs.
     """
     return replace(read_settings(flatten_settings(raw)), can_hedge=False)
 
 
 def parse_config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> ProxyConfig:
-    """Read the configuration from the JSON's object.
+    """Return the configuration of the parsed JSON object and the EDGE_* variables.
 
     Raises:
-        ValueError, TypeError, AttributeError, RecursionError: it can't be used.
+        ValueError, TypeError, AttributeError, RecursionError: The configuration is invalid.
     """
     cached_endpoints = raw.get("known") or {}
     limits = raw.get("limits") or {}
     if not isinstance(cached_endpoints, dict) or not isinstance(limits, dict):
-        raise ValueError(  # noqa: TRY004 - as above
+        raise ValueError(  # noqa: TRY004 - file content
             "known and limits can't be used; write an object of each, or leave it out"
         )
     max_descriptors = _parse_max_descriptors(limits)
@@ -231,18 +232,18 @@
     )
     max_descriptors = min(configured, descriptor_limit)
     if max_descriptors < MIN_DESCRIPTORS:
-        raise ValueError(f"limits.sockets is too little: {max_descriptors}; write {MIN_DESCRIPTORS} or more")
+        raise ValueError(f"limits.sockets is too small: {max_descriptors}; write {MIN_DESCRIPTORS} or more")
     return max_descriptors
 
 
 def reload_discovery_address(environ: Mapping[str, str]) -> Address:
-    """Return the address of discovery as the file has it now.
+    """Return the discovery address of the present configuration file.
 
-    EDGE_DISCOVERY does not override it: a process keeps the variables it was started with, so a reload could
-    never change anything.
+    EDGE_DISCOVERY does not override the address here: the variables of a running process don't change, so a
+    reload could never change the address.
 
     Raises:
-        ConfigError: the file or the address can't be used.
+        ConfigError: The file or the address is invalid.
     """
     try:
         return _parse_value("discovery", _read_json(environ).get("discovery"), parse_address, ADDRESS_FORM)
--- a/service_proxy/net/discovery.py
+++ b/service_proxy/net/discovery.py
@@ -1,7 +1,8 @@
-"""The discovery client: polls for endpoint lists (fetch) or for what changed (watch).
+"""Discovery client: polls for complete endpoint lists (fetch) or for changes (watch).
 
-A watch is a poll that the service answers at a change, or after the wait that the poll names. One that falls
-silent is followed by polls that name no wait, until one is answered or the policy has to know.
+A watch is a poll that the service answers at a change, or after the wait that the poll names. After a watch
+times out, the client sends polls without a wait until one is answered or the failure is reported to the
+policy.
 """
 
 from __future__ import annotations
@@ -21,27 +22,28 @@
 
 log = logging.getLogger(__name__)
 
-MIN_WATCH_SPACING_S = 0.05  # between two watches, should discovery answer each at once
+# Minimum time between the starts of two watch polls, in case discovery answers each at once.
+MIN_WATCH_SPACING_S = 0.05
 MAX_LOGGED_ERROR_CHARS = 200
 LIST_PATH = "/v1/servers"
 
-# Wall less monotonic time, taken once: the same since_ms must give the same figure in every list, or a step
-# of the wall clock would look like a restart of every endpoint.
+# Difference between wall clock and monotonic clock, read once: an unchanged since_ms must yield the same
+# start time in every list, otherwise a step of the wall clock would appear as a restart of every endpoint.
 WALL_CLOCK_OFFSET_S = time.time() - time.monotonic()
 
 
 class DiscoveryClient:
-    """Polls as the policy says, or all the time where lists are pushed.
+    """Discovery client that polls on request of the policy, or continuously if lists are pushed.
 
-    By itself it polls for what a watch brings next, and again where an answer is owed.
+    A watch sends its next poll without the policy, and repeats failed polls while a retry window is open.
 
     Args:
-        address: of the service.
-        version: of the list that is known; None: nothing is known of this service's versions yet.
-        schedule: the waits and timeouts.
-        seed: of the random share of each wait.
-        on_list: called with each list.
-        on_failed: called where polls failed.
+        address: Address of the discovery service.
+        version: Version of the known list; None if no version of this service is known yet.
+        schedule: Waits and timeouts of the polls.
+        seed: Seed of the random share of each wait.
+        on_list: Called with each received list.
+        on_failed: Called when a failure of polling is reported to the policy.
     """
 
     def __init__(
@@ -63,19 +65,19 @@
         self._fetch_tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Begin to watch, where lists are pushed: they count from the first moment, whoever asks for them."""
+        """Start the watch if lists are pushed, because a pushed list counts as notified at once."""
         if self.schedule.is_pushed:
             self.watch(True)
 
     def update_schedule(self, schedule: PollSchedule) -> None:
-        """Put other waits and timeouts in force, from the next poll on."""
+        """Replace the waits and timeouts, from the next poll on."""
         previous = self.schedule
         self.schedule = schedule
         if not previous.is_pushed:
             self.start()
 
     def watch(self, enabled: bool) -> None:
-        """Begin a watch anew, or end it."""
+        """Restart the watch if enabled, otherwise cancel it."""
         if self._watch_task is not None:
             self._watch_task.cancel()
             self._watch_task = None
@@ -85,8 +87,8 @@
     def change_address(self, address: Address) -> None:
         """Poll another service from now on.
 
-        What the old one may still say is ignored, and its versions tell nothing of the new one's: the whole
-        list comes first, at once, and changes from there.
+        Responses of the old service are ignored. The versions of the two services are not comparable, so the
+        watch requests the whole list at once, and changes after that.
         """
         self.stop()
         self.address = address
@@ -94,24 +96,24 @@
         self.watch(True)
 
     def fetch(self) -> None:
-        """Poll once for the whole list."""
+        """Start one poll for the whole list."""
         task = asyncio.get_running_loop().create_task(self._run_fetch())
         self._fetch_tasks.add(task)
         task.add_done_callback(self._fetch_tasks.discard)
 
     def stop(self) -> None:
-        """End all polls."""
+        """Cancel all polls."""
         for task in (self._watch_task, *self._fetch_tasks):
             if task is not None:
                 task.cancel()
 
     async def _run_watch(self) -> None:
-        """Poll on until a poll has failed and no list is owed: then who asked for the watch decides."""
+        """Poll until a poll fails outside the retry window; the policy then decides about a new watch."""
         connection = DiscoveryConnection()
         loop = asyncio.get_running_loop()
-        can_wait = True  # the next poll may: nothing is in doubt
-        failures = 0  # in a row
-        retry_until = -math.inf  # until then a list is owed
+        can_wait = True  # Allows the next poll to wait: the previous poll was answered.
+        failures = 0  # Number of failures in a row.
+        retry_until = -math.inf  # End of the retry window (loop time, s); a list is due until then.
         if self.version is None:
             retry_until = loop.time() + self.schedule.address_change_window
         try:
@@ -127,8 +129,8 @@
                     continue
                 timed_out = isinstance(error, TimeoutError)
                 if timed_out and can_wait and self.version is not None:
-                    # What it missed will count as notified: a poll that needs no wait brings it, or tells
-                    # that there was nothing.
+                    # The changes that this poll missed will count as notified. A poll without a wait returns
+                    # these changes, or confirms that there was no change.
                     retry_until = loop.time() + schedule.retry_window
                 can_wait = False
                 if schedule.is_pushed or loop.time() >= retry_until:
@@ -144,7 +146,7 @@
     async def _poll_change(
         self, connection: DiscoveryConnection, schedule: PollSchedule, can_wait: bool
     ) -> Exception | None:
-        """Poll for what has changed since the known list, or for the whole list where none is known."""
+        """Poll for changes since the known list, or for the whole list if no version is known."""
         if self.version is None:
             return await self._poll(connection, LIST_PATH, schedule.first_list_timeout)
         wait = round(schedule.draw_watch_wait(self.random.random()), 3) if can_wait else 0.0
@@ -161,9 +163,10 @@
             connection.close()
 
     async def _poll(self, connection: DiscoveryConnection, target: str, timeout: float) -> Exception | None:
-        """Poll once, and return what went wrong.
+        """Poll once; return the error, or None on success.
 
-        That ends this poll only: a watch that ended without a word to the policy would never be renewed.
+        An error ends only this poll, because a watch that ended without notifying the policy would never be
+        renewed.
         """
         schedule = self.schedule
         try:
@@ -171,10 +174,10 @@
                 self.address, target, timeout, schedule.connect_timeout, schedule.call_timeout
             )
             if status_code != OK:
-                raise ValueError(f"status {status_code}")  # noqa: TRY301 - one way out for all
+                raise ValueError(f"status {status_code}")  # noqa: TRY301 - one error path for all failures
             endpoint_list = parse_endpoint_list(json.loads(body), WALL_CLOCK_OFFSET_S)
             self.on_list(endpoint_list)
-        except Exception as error:  # noqa: BLE001 - whatever it is, see above
+        except Exception as error:  # noqa: BLE001 - any error ends only this poll
             reason = str(error)[:MAX_LOGGED_ERROR_CHARS] or type(error).__name__
             log.warning("discovery_poll_failed address=%s:%d reason=%s", *self.address, reason)
             return error
--- a/service_proxy/net/discovery_connection.py
+++ b/service_proxy/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A kept connection to the discovery service: one HTTP GET at a time, each with its timeouts."""
+"""Persistent connection to the discovery service, with one HTTP GET at a time and timeouts for each."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from service_proxy.net.endpoint_list import Address
 
-MAX_RESPONSE_BYTES = 8 << 20  # of a response
+MAX_RESPONSE_BYTES = 8 << 20  # Maximum size of a response.
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One kept connection to discovery, with one call at a time.
+    """Persistent connection to discovery, with one call at a time.
 
     Attributes:
-        response: of the call that is in flight.
-        raw_bytes: of the response as they came.
-        completion_timeout: s for a response that has begun.
-        call_timeout: of the call that is in flight.
+        response: Future of the response to the call in flight.
+        raw_bytes: Number of received bytes of the response, before parsing.
+        completion_timeout: Time limit (s) for the rest of a response that has begun.
+        call_timeout: Timeout of the call in flight.
     """
 
     def __init__(self) -> None:
@@ -31,21 +31,21 @@
         self.completion_timeout = 0.0
         self.call_timeout: asyncio.Timeout | None = None
 
-    # asyncio.Protocol
+    # Callbacks of asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note that the connection is established."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        """Store the transport of the new connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class.
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - why does not matter
-        """Fail the call that is in flight."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the reason is not used
+        """Fail the call in flight, because the connection has ended."""
         self.transport = None
         self.parser = None
-        self._fail(ConnectionError("discovery closed the connection"))
+        self._fail(ConnectionError("discovery closed the connection before the response was complete"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; a response that has begun has its own time from then on."""
+        """Parse received data; the first bytes of a response start the completion timeout."""
         if not self.raw_bytes and self.call_timeout is not None and not self.call_timeout.expired():
-            # It waits no longer for a change: a response that trickles or stands still is a silent one.
+            # The response has begun, so the wait for a change is over. A slow or stalled response times out.
             completion_deadline = asyncio.get_running_loop().time() + self.completion_timeout
             self.call_timeout.reschedule(
                 min(completion_deadline, self.call_timeout.when() or completion_deadline)
@@ -53,21 +53,25 @@
         self.raw_bytes += len(data)
         try:
             if self.response is None or self.response.done() or self.raw_bytes > MAX_RESPONSE_BYTES:
-                raise ValueError("more than was asked for")  # noqa: TRY301 - one way out for all
+                raise ValueError("unexpected data or oversized response")  # noqa: TRY301 - one error path
             self.parser.feed_data(data)
-        except Exception as error:  # noqa: BLE001 - whatever it is, the stream can't be followed any further
-            self._fail(ValueError(f"malformed answer: {error}"))
+        except Exception as error:  # noqa: BLE001 - any error makes the rest of the stream unusable
+            self._fail(ValueError(f"malformed response: {error}"))
             self.close()
 
-    # httptools callbacks
+    # Callbacks of httptools
     def on_body(self, chunk: bytes) -> None:
-        """Collect the body."""
+        """Append a chunk to the body.
+
+        Raises:
+            ValueError: The body exceeds MAX_RESPONSE_BYTES.
+        """
         self.body += chunk
         if len(self.body) > MAX_RESPONSE_BYTES:
-            raise ValueError("the answer is too large")
+            raise ValueError("the response body exceeds the size limit")
 
     def on_message_complete(self) -> None:
-        """Return the response to the call."""
+        """Complete the call with the response."""
         if self.response is not None and not self.response.done():
             self.response.set_result((self.parser.get_status_code(), bytes(self.body)))
         if not self.parser.should_keep_alive():
@@ -78,7 +82,7 @@
             self.response.set_exception(error)
 
     def close(self) -> None:
-        """Close the connection; the next call makes a new one."""
+        """Close the connection; the next call opens a new connection."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
@@ -86,19 +90,19 @@
     async def get(
         self, address: Address, target: str, timeout: float, connect_timeout: float, completion_timeout: float
     ) -> tuple[int, bytes]:
-        """Send a GET, and return the response's status code and body.
+        """Send a GET request, and return the status code and the body of the response.
 
         Args:
-            address: of the service.
-            target: path and query.
-            timeout: s for the whole call.
-            connect_timeout: s of these for a connection.
-            completion_timeout: s once a response begins.
+            address: Address of the service.
+            target: Path and query.
+            timeout: Time limit (s) of the whole call.
+            connect_timeout: Time limit (s) of the connection attempt, within the whole call.
+            completion_timeout: Time limit (s) of the response after its first byte.
 
         Raises:
-            TimeoutError: one of the three is over.
-            OSError: there is no connection, or it ended.
-            ValueError: the response is malformed.
+            TimeoutError: One of the three timeouts expired.
+            OSError: The connection could not be established, or it ended.
+            ValueError: The response is malformed.
         """
         loop = asyncio.get_running_loop()
         try:
--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -1,7 +1,8 @@
-"""The request dispatcher: between the downstream side, the policy and the upstream side.
+"""Request dispatcher, which connects the downstream side, the policy and the upstream side.
 
-It owns the table of open requests and decides nothing: no retry, no selection, no queue. What it adds is each
-request's deadline: a response before the client gives up, whatever the policy does.
+The dispatcher owns the table of open requests. Retries, endpoint selection and queueing are decisions of the
+policy. The dispatcher adds each request's deadline: the client receives a response before its own timeout,
+whatever the policy does.
 """
 
 from __future__ import annotations
@@ -37,27 +38,29 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DEADLINE_MARGIN_S = 0.15  # as MIN_DEADLINE_MARGIN_S, where this loop is late
-POLICY_MARGIN_S = 0.02  # by which the policy's deadline lies before the dispatcher's own
-DEFAULT_MAX_OPEN_REQUESTS = 1000  # at once, as the measure of a load where the settings name none
+# Upper bound of the margin that starts at MIN_DEADLINE_MARGIN_S and grows with the lag of the event loop.
+MAX_DEADLINE_MARGIN_S = 0.15
+POLICY_MARGIN_S = 0.02  # Margin by which the policy's deadline precedes the dispatcher's deadline.
+# Number of open requests that counts as full load if the settings set no limit.
+DEFAULT_MAX_OPEN_REQUESTS = 1000
 REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report", b"x-rejected"}
 READY = LocalResponse(200, b"ok\n")
 NOT_READY = LocalResponse(503, b"not ready\n")
 
 
 class RequestDispatcher:
-    """Takes requests from listeners, runs what the policy decides, and answers each request once.
+    """Dispatcher that accepts requests, runs the policy's actions and answers each request once.
 
     Args:
-        config: of the proxy.
-        filters: see each request before the policy, in this order.
-        list_override: changes each endpoint list before it is in force.
+        config: Configuration of the proxy.
+        filters: Request filters, applied to each request in this order before the policy receives it.
+        list_override: Function that changes each endpoint list before the list is applied.
 
     Attributes:
-        table: the open requests.
-        on_attempt_outcome: called with the endpoint id at the end of attempts and health checks.
-        adjust_retry_after: changes the Retry-After (s) of a rejection.
-        upgraded_connection_allowance: further connections to endpoints that upgraded requests may have.
+        table: Table of the open requests.
+        on_attempt_outcome: Called with the endpoint id and the status of each ended attempt and health check.
+        adjust_retry_after: Function that changes the Retry-After (s) of a rejection.
+        upgraded_connection_allowance: Number of additional connections to endpoints for upgraded requests.
     """
 
     def __init__(
@@ -86,7 +89,7 @@
         self.adjust_retry_after: Callable[[float], float] | None = None
         self.upgraded_connection_allowance = 0
         self.balancer = Balancer(settings, config.seed)
-        self._connect_policy()
+        self._create_policy_runner()
         self.initial_list = cached_endpoint_list(config)
         self.discovery = DiscoveryClient(
             config.discovery,
@@ -101,14 +104,15 @@
     def _set_classes(
         self, settings: api.Settings, request_idempotency: Mapping[str, api.Idempotency]
     ) -> None:
-        self.idempotency_by_class.clear()  # the downstream side reads it as it is
+        # The downstream side holds a reference to this dict, so it is updated in place.
+        self.idempotency_by_class.clear()
         self.idempotency_by_class.update(
             {cls.name: request_idempotency.get(cls.name, cls.idempotency) for cls in settings.classes}
         )
         self.deadline_by_class = {cls.name: cls.deadline for cls in settings.classes}
 
-    def _connect_policy(self) -> None:
-        """Put the policy's runner together with all that runs its actions."""
+    def _create_policy_runner(self) -> None:
+        """Create the policy runner, and register the handlers of the policy's actions."""
         self.policy = PolicyRunner(
             self.balancer, self.settings.quantum, lambda request_id: self.table.fail(request_id)
         )
@@ -129,7 +133,7 @@
             api.WatchEndpoints: lambda action: self.discovery.watch(action.enabled),
             api.FetchEndpoints: lambda _: self.discovery.fetch(),
             api.WriteLog: lambda action: log.info("policy_message text=%s", action.text),
-            api.SendPeerMessage: lambda _: None,  # proxies don't speak to each other by the policy's messages
+            api.SendPeerMessage: lambda _: None,  # This proxy sends no peer messages for the policy.
         }
 
     def _apply_initial_list(self) -> None:
@@ -140,52 +144,52 @@
         self.policy.pending_events.append(self._endpoint_list_update(endpoint_list, api.ListScope.CACHED))
 
     def start(self) -> None:
-        """Hand the first events to the policy, and begin to poll discovery."""
+        """Pass the first events to the policy, and start polling discovery."""
         self.policy.flush()
         self.discovery.start()
 
     def stop(self) -> None:
-        """End the calls to discovery."""
+        """Cancel the polls of discovery."""
         self.discovery.stop()
 
     def set_resource_share(self, share: float) -> None:
-        """Bound the connections to endpoints by this process's share of its descriptors."""
+        """Limit the connections to endpoints to this process's share of the descriptors."""
         self.cluster.max_connections = (
             int(self.config.max_descriptors * share * UPSTREAM_DESCRIPTOR_SHARE)
             + self.upgraded_connection_allowance
         )
 
     def set_shutdown_deadline(self, shutdown_deadline: float) -> None:
-        """Answer all that is open by then (monotonic, s), too, whatever its client would wait."""
+        """Limit the deadline of every open request to the shutdown deadline (monotonic, s)."""
         self.table.set_shutdown_deadline(shutdown_deadline)
 
-    # endpoint lists and settings
+    # Endpoint lists and settings
     @staticmethod
     def _endpoint_list_update(endpoint_list: EndpointList, scope: api.ListScope) -> api.EndpointListUpdate:
         entries = [endpoint.entry for endpoint in endpoint_list.endpoints]
         return api.EndpointListUpdate(scope, entries, endpoint_list.version)
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Put a list in force, from discovery or from what merges it with others."""
+        """Apply an endpoint list from discovery or from a merger of endpoint sources."""
         self.apply_overridden_list(
             endpoint_list if self.list_override is None else self.list_override(endpoint_list)
         )
 
     def apply_overridden_list(self, endpoint_list: EndpointList) -> None:
-        """Put a list in force that `list_override` has changed already."""
+        """Apply a list that `list_override` has already changed."""
         self.cluster.apply_endpoint_list(endpoint_list)
         scope = api.ListScope.FULL if endpoint_list.is_snapshot else api.ListScope.INCREMENTAL
         self.enqueue_event(self._endpoint_list_update(endpoint_list, scope))
 
     def endpoint_list_failed(self) -> None:
-        """Tell the policy that discovery did not answer."""
-        if self.settings.polls_discovery:  # else there is nothing that the policy could do
+        """Notify the policy that discovery did not respond."""
+        if self.settings.polls_discovery:  # The policy can't act on the failure of a pushed list.
             self.enqueue_event(api.EndpointListUpdate(api.ListScope.FAILED))
 
     def update_settings(
         self, settings: api.Settings, request_idempotency: Mapping[str, api.Idempotency]
     ) -> None:
-        """Put settings in force; requests that are open keep what they came with."""
+        """Apply new settings; open requests keep the values set at their arrival."""
         self.settings = settings
         self.policy.quantum = settings.quantum
         self._set_classes(settings, request_idempotency)
@@ -199,62 +203,63 @@
         self.enqueue_event(api.SettingsUpdated(settings))
 
     def set_proxy_count(self, count: int) -> None:
-        """Tell the policy how many proxies stand before these endpoints, itself among them."""
+        """Notify the policy of the number of proxies that serve the same endpoints, including this one."""
         self.enqueue_event(api.ProxyCountUpdated(count))
 
-    # what it says of itself
+    # State and statistics
     @property
     def open_request_count(self) -> int:
-        """Count the requests that are open."""
+        """Return the number of open requests."""
         return len(self.table.requests)
 
     @property
     def load(self) -> float:
-        """Return the open requests as a share of what may be open."""
+        """Return the number of open requests as a share of the permitted maximum."""
         return len(self.table.requests) / (self.settings.max_open_requests or DEFAULT_MAX_OPEN_REQUESTS)
 
     @property
     def list_version(self) -> int:
-        """Return the version of the list that is in force, as discovery counts."""
+        """Return the discovery version of the list in use."""
         return self.discovery.version or 0
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether any endpoint is serving."""
+        """Return True if any endpoint is serving."""
         return self.cluster.is_ready
 
     @property
     def open_requests(self) -> Mapping[int, OpenRequest]:
-        """Return the open requests, by the policy's number of each."""
+        """Return the open requests by the request id of the policy."""
         return self.table.requests
 
     @property
     def shutdown_deadline(self) -> float:
-        """Return when the process is to end (monotonic, s): all is answered by then."""
+        """Return the time of the shutdown (monotonic, s); every request is answered by then."""
         return self.table.shutdown_deadline
 
     def local_responses(self) -> LocalResponses:
-        """Return what answers /healthz: whether the proxy is ready."""
+        """Return the local response of /healthz, which reports whether the proxy is ready."""
         return {b"/healthz": lambda: READY if self.cluster.is_ready else NOT_READY}
 
-    # net.downstream.RequestHandler
+    # Methods of net.downstream.RequestHandler
     def start_request(self, request: Request, writer: ResponseWriter) -> OpenRequest | None:
-        """Take a request into the table and tell the policy, or answer it at once."""
+        """Add a request to the table and notify the policy, or answer the request at once."""
         if request.id in self.table.ids_in_use:
-            # An earlier one of this id is in flight, and a second copy could run beside it.
+            # An earlier request with this id is in flight; a second copy could run at the same time.
             writer.respond(409, (), b"this X-Call-Id is in use\n")
             return None
         if self.settings.max_open_requests and len(self.table.requests) >= self.settings.max_open_requests:
             writer.respond(503, ((b"retry-after", b"1"),), b"too many calls\n")
             return None
         self.requests_accepted += 1
-        # What the budget has lost before the request was read shows only as this loop's lag.
+        # Time that the budget lost before the request was read is visible only as the lag of this event loop.
         margin = min(MAX_DEADLINE_MARGIN_S, MIN_DEADLINE_MARGIN_S + 2 * self.policy.loop_lag)
-        # No client of a class waits longer than its deadline, whatever it says.
-        stated = min(request.time_budget, self.deadline_by_class[request.class_name])
-        deadline = min(request.received_at + stated - margin, self.table.shutdown_deadline)
+        # A client of a class waits no longer than the deadline of the class, whatever budget the client
+        # states.
+        client_budget = min(request.time_budget, self.deadline_by_class[request.class_name])
+        deadline = min(request.received_at + client_budget - margin, self.table.shutdown_deadline)
         open_request = OpenRequest(self.requests_accepted, request, writer, deadline)
-        if not request.body.is_complete:  # its time begins with its last byte
+        if not request.body.is_complete:  # The time budget starts with the last byte of the body.
             open_request.deadline = self.table.shutdown_deadline
             request.body.on_complete = lambda: self.table.on_body_complete(open_request)
         limits = NO_FILTER_LIMITS
@@ -266,24 +271,24 @@
             limits = filtered
             deadline = min(deadline, open_request.deadline)
         self.table.add(open_request)
-        self._announce(open_request, stated, deadline, limits)
+        self._enqueue_arrival(open_request, client_budget, deadline, limits)
         return open_request
 
     def client_disconnected(self, open_request: OpenRequest) -> None:
-        """End a request whose client has left."""
+        """End a request whose client has disconnected."""
         self.table.client_disconnected(open_request)
 
-    def _announce(
-        self, open_request: OpenRequest, stated: float, deadline: float, limits: FilterLimits
+    def _enqueue_arrival(
+        self, open_request: OpenRequest, client_budget: float, deadline: float, limits: FilterLimits
     ) -> None:
-        """Tell the policy of a new request."""
+        """Enqueue the arrival of a new request for the policy."""
         request = open_request.request
         self.enqueue_event(
             api.RequestArrived(
                 request_id=open_request.request_id,
                 class_name=request.class_name,
                 time_budget=deadline - POLICY_MARGIN_S - time.monotonic(),
-                stated_budget=stated,
+                stated_budget=client_budget,
                 tenant=request.tenant,
                 expected_work=request.expected_work,
                 is_retry=request.is_retry,
@@ -294,18 +299,19 @@
         )
 
     def _apply_filters(self, open_request: OpenRequest) -> FilterLimits | Rejection:
-        """Hand a new request to all filters; what they leave of it goes to the policy."""
+        """Apply all filters to a new request; return the limits for the policy, or the rejection."""
         filtered = apply_filters(self.filters, open_request.request, lambda: self.table.abandon(open_request))
         if isinstance(filtered, Rejection):
             return filtered
         return open_request.limit_by_filters(filtered)
 
-    # actions
+    # Actions of the policy
     def _start_attempt(self, action: api.StartAttempt) -> None:
         endpoint_id = action.endpoint_id
         open_request = self.table.requests.get(action.request_id)
         if open_request is None:
-            # It has ended since the batch was handed over; every attempt is owed an outcome.
+            # The request ended after the batch reached the policy. The policy requires an outcome for every
+            # attempt.
             not_sent = api.AttemptStatus.NOT_SENT
             self.enqueue_event(api.AttemptEnded(action.request_id, 0, endpoint_id, not_sent, 0.0, True))
             return
@@ -319,7 +325,7 @@
             return
         start = AttemptStart(self, open_request, attempt_number, action, pool)
         extra_headers = self._attempt_headers(open_request, start.timeout)
-        if extra_headers is None:  # nothing is left for it
+        if extra_headers is None:  # A filter forbids the attempt, for example because no time is left.
             self._attempt_not_sent(open_request, attempt_number, endpoint_id)
             return
 
@@ -331,7 +337,7 @@
         self.cluster.start_attempt(attempt)
 
     def _attempt_not_sent(self, open_request: OpenRequest, attempt_number: int, endpoint_id: int) -> None:
-        """Tell the policy that an attempt could not begin."""
+        """Notify the policy that an attempt was not sent."""
         not_sent = api.AttemptStatus.NOT_SENT
         self.enqueue_event(
             api.AttemptEnded(open_request.request_id, attempt_number, endpoint_id, not_sent, 0.0, False)
@@ -339,7 +345,7 @@
 
     @staticmethod
     def _attempt_headers(open_request: OpenRequest, timeout: float) -> bytes | None:
-        """Return the header lines of filters and upgrade for an attempt; None: a filter forbids it."""
+        """Return the header lines that filters and upgrade add to an attempt; None if a filter forbids it."""
         extra_headers = b""
         for state in open_request.filter_states:
             header_lines = state.on_attempt_start(timeout)
@@ -387,21 +393,21 @@
         )
 
     def _forward_response(self, open_request: OpenRequest, attempt: UpstreamAttempt) -> None:
-        """Answer a request with an attempt's response, complete or as it comes."""
+        """Answer a request with the response of an attempt, either complete or streamed."""
         self.requests_succeeded += 1
         removed = self.removed_response_headers
         headers = [pair for pair in attempt.response_headers if pair[0] not in removed]
         if attempt.response_source is None:
             self.table.respond(open_request, 200, headers, attempt.response_body)
-        else:  # nothing is left to decide on it; the response goes on by itself
+        else:  # The policy has nothing left to decide; the response is streamed without the table.
             self.table.finish(open_request, True)
             open_request.writer.stream(headers, attempt.response_length, attempt.response_source)
 
     def _on_upgrade(
         self, open_request: OpenRequest, attempt_number: int, endpoint_id: int, attempt: UpgradeAttempt
     ) -> None:
-        """Hand an upgraded connection over; to the policy the request is a stream until its end."""
-        # nothing else of them is referred to for so long
+        """Pass the upgraded connection on; for the policy, the request is a stream until it ends."""
+        # Locals, so that the long-lived callback keeps no reference to the attempt or the request.
         started_at = attempt.started_at
         request_id = open_request.request_id
         connection = attempt.upgraded_connection
@@ -451,5 +457,5 @@
             pool.close_idle()
 
     def check_health(self, endpoint_id: int) -> None:
-        """Check an endpoint unasked by the policy, which gets the result as of any other check."""
+        """Start a health check that the policy did not request; the policy receives the result as usual."""
         self.health_checker.check(api.CheckHealth(endpoint_id))
--- a/service_proxy/net/endpoint_list.py
+++ b/service_proxy/net/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Endpoint lists as discovery has them: their shape, and how one is read.
+"""Endpoint lists of the discovery service: data types and parsing.
 
-Pure: who reads a list brings the clock's offset.
+The parser reads no clock; the caller passes the clock offset.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 from service_proxy.net.errors import NetError
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
-Address = tuple[str, int]  # host, as a number, and port
+Address = tuple[str, int]  # Numeric host and port.
 
 MAX_PORT = 65535
-MIN_STARTED_AT_S = 1e-3  # of a process whose start is known; 0 says that it is not
+# Minimum start time of a process whose start is known; 0 means that the start is unknown.
+MIN_STARTED_AT_S = 1e-3
 ENDPOINT_ID_BYTES = 6
 
-STATE_BY_STATUS = {  # by the list's `status`
+STATE_BY_STATUS = {  # Endpoint state by the `status` field of the list.
     "Ready": EndpointState.SERVING,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
@@ -27,24 +28,24 @@
 
 
 class InvalidAddressError(NetError, ValueError):
-    """A text is no address.
+    """A value is not a valid address.
 
     Attributes:
-        value: what stands in its place.
+        value: The invalid value.
     """
 
     def __init__(self, value: object) -> None:
-        super().__init__(f"not an address: {value!r}")
+        super().__init__(f"not an address of the form host:port: {value!r}")
         self.value = value
 
 
 class InvalidEndpointListError(NetError, ValueError):
-    """An endpoint list can't be used."""
+    """An endpoint list is invalid."""
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """An endpoint as a list names it: where it is, and what the policy takes of it."""
+    """One endpoint of a list: its address, its name, and the entry passed to the policy."""
 
     address: Address
     entry: EndpointEntry
@@ -53,10 +54,11 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """Endpoints at one version.
+    """Endpoints at one version of the list.
 
     Attributes:
-        is_snapshot: what is not in it is removed; else it holds only what changed.
+        is_snapshot: True if the list is complete, so that endpoints missing from it are removed; False if it
+            contains only changes.
     """
 
     version: int
@@ -65,10 +67,10 @@
 
 
 def parse_address(text: object) -> Address:
-    """Read `host:port` with a numeric host; there is no DNS.
+    """Parse `host:port` with a numeric host; host names are not resolved.
 
     Raises:
-        InvalidAddressError: it is none.
+        InvalidAddressError: The text is not a valid address.
     """
     if not isinstance(text, str):
         raise InvalidAddressError(text)
@@ -79,34 +81,34 @@
 
 
 def endpoint_id_of(name: str) -> int:
-    """Return the policy's number of an endpoint: the same at every proxy, whose hash rings must agree."""
+    """Return the endpoint id; the id is equal at every proxy, because the hash rings must agree."""
     return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
 
 def parse_endpoint_list(raw: object, wall_clock_offset: float) -> EndpointList:
-    """Read a list from its JSON object.
+    """Parse a list from its JSON object.
 
     Args:
-        raw: the object.
-        wall_clock_offset: wall less monotonic time, s.
+        raw: The decoded JSON object.
+        wall_clock_offset: Difference between wall clock and monotonic clock (s).
 
     Raises:
-        InvalidEndpointListError: it can't be used, or an endpoint in it.
+        InvalidEndpointListError: The list or one of its endpoints is invalid.
     """
     try:
         if not isinstance(raw, Mapping):
-            raise InvalidEndpointListError("not an object")
+            raise InvalidEndpointListError("the endpoint list is not a JSON object")
         endpoints = [parse_endpoint(item, wall_clock_offset) for item in raw["endpoints"]]
         return EndpointList(int(raw["index"]), bool(raw["snapshot"]), endpoints)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise InvalidEndpointListError(f"malformed list: {error!r}") from None
+        raise InvalidEndpointListError(f"malformed endpoint list: {error!r}") from None
 
 
 def parse_endpoint(item: Mapping[str, Any], wall_clock_offset: float) -> Endpoint:
-    """Read one endpoint of a list.
+    """Parse one endpoint of a list.
 
     Raises:
-        ValueError, KeyError, TypeError, AttributeError, OverflowError: it can't be used.
+        ValueError, KeyError, TypeError, AttributeError, OverflowError: The endpoint is invalid.
     """
     since_ms = float(item.get("since_ms") or 0)
     started_at = max(since_ms / 1000 - wall_clock_offset, MIN_STARTED_AT_S) if since_ms > 0 else 0.0
@@ -121,5 +123,5 @@
         started_at=started_at,
     )
     if not (entry.weight - entry.weight == 0.0 and started_at - started_at == 0.0):
-        raise InvalidEndpointListError("a figure of the list is not finite")
+        raise InvalidEndpointListError("weight or since_ms of an endpoint is not finite")
     return Endpoint(parse_address(item["address"]), entry, name)
--- a/service_proxy/net/endpoint_sources.py
+++ b/service_proxy/net/endpoint_sources.py
@@ -1,7 +1,7 @@
-"""Protocols of endpoint sources and other subsystems that the operator's file turns on.
+"""Protocols of endpoint sources and of other subsystems that the operator's file enables.
 
-A source yields endpoint lists (`net.endpoint_list`) and its own health; which source counts is decided by the
-subsystem's pure merger, never here.
+A source yields endpoint lists (`net.endpoint_list`) and its own health. The merger of the subsystem, which
+does no I/O, decides which source is used.
 """
 
 from __future__ import annotations
@@ -13,36 +13,37 @@
 
 
 class SourceHealth(Enum):
-    """What is known of a source itself; the values stand in its reports."""
+    """Health of an endpoint source; the values are written in its reports."""
 
     NEVER_RECEIVED = "never heard"
-    UP_TO_DATE = "fresh"  # its last list is its list now, but for its usual delay
-    STALE = "stale"  # its connection or watch broke a moment ago; its list may be behind
-    UNREACHABLE = "unreachable"  # for longer than its session or timeout: its list is not trusted
+    UP_TO_DATE = "fresh"  # The last received list is current, apart from the usual delay.
+    STALE = "stale"  # The connection or watch broke recently; the list may be outdated.
+    # The source is unreachable for longer than its session or timeout; its list is not trusted.
+    UNREACHABLE = "unreachable"
 
 
 class EndpointListListener(Protocol):
-    """Where merged lists go: the dispatcher."""
+    """Receiver of the merged lists, which the dispatcher implements."""
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Put a list in force."""
+        """Apply a list."""
 
     def endpoint_list_failed(self) -> None:
-        """Take note that there is no list to be had."""
+        """Record that no list is available."""
 
 
 class Subsystem(Protocol):
-    """A part that the operator's file turns on."""
+    """Subsystem that the operator's file enables."""
 
     def start(self) -> None:
-        """Begin its tasks; called once, in the running loop."""
+        """Start the tasks of the subsystem; called once, in the running loop."""
 
     def stop(self) -> None:
-        """End its tasks and sockets; called once, when the proxy ends."""
+        """Stop the tasks and close the sockets of the subsystem; called once, when the proxy ends."""
 
     def reload(self, file: str) -> None:
-        """Read its table again, after SIGHUP.
+        """Reload the subsystem's table of the operator's file after SIGHUP.
 
         Raises:
-            OperatorError: it can't be used; then nothing has changed.
+            OperatorError: The table is invalid; the present configuration remains in use.
         """
--- a/service_proxy/net/errors.py
+++ b/service_proxy/net/errors.py
@@ -1,7 +1,7 @@
-"""The base class of the errors that this package raises; each stands beside what raises it."""
+"""Base class of this package's errors; each error class is defined in the module that raises it."""
 
 from __future__ import annotations
 
 
 class NetError(Exception):
-    """Something that came in over a socket or from a file can't be used."""
+    """Data received over a socket or read from a file is invalid."""
--- a/service_proxy/net/fleet_protocols.py
+++ b/service_proxy/net/fleet_protocols.py
@@ -1,7 +1,7 @@
-"""Protocols of the fleet: what parts that need the other proxies are handed, and nothing of how it is done.
+"""Protocols of the fleet for subsystems that depend on the other proxies, independent of the implementation.
 
-Datagrams are lost, duplicated, late and in no order; what must be reliable or agreed is built above, by the
-part that needs it.
+Datagrams can be lost, duplicated, delayed and reordered. A subsystem that needs reliable delivery or
+agreement implements it on top of the datagrams.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetMember:
-    """One proxy of the fleet, as one membership view has it."""
+    """One proxy of the fleet, as described by one membership view."""
 
     key: bytes
     name: str
     tier: str
     zone: str
-    incarnation: tuple[int, ...]  # greater is later; the first two are the same for one process's time
-    state: str  # alive, suspect, dead or left
-    phase: str  # starting, serving, draining or leaving, as it says itself
-    metadata: Mapping[int, bytes]  # by the port of the part that published it
+    # A greater value is later; the first two numbers are constant while a process runs.
+    incarnation: tuple[int, ...]
+    state: str  # One of alive, suspect, dead and left.
+    phase: str  # Phase reported by the member itself: starting, serving, draining or leaving.
+    metadata: Mapping[int, bytes]  # Metadata by the port of the subsystem that published it.
 
 
 class MembershipView(Protocol):
-    """The fleet's members as this one knows them."""
+    """Members of the fleet that are known to this member."""
 
     @property
     def own_key(self) -> bytes:
@@ -34,39 +35,39 @@
 
     @property
     def revision(self) -> int:
-        """Return a number that grows with each change."""
+        """Return the revision number of the view, which grows with each change."""
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether nothing has changed lately, and all who sent anything lately see the same."""
+        """Return True if nothing changed recently and all recent senders report the same view."""
 
     @property
     def is_minority(self) -> bool:
-        """Tell whether less than half is alive of all that it knew: others may go on without it."""
+        """Return True if less than half of the known members are alive; the rest may run without this one."""
 
     def members(self) -> list[FleetMember]:
-        """Return all members that are known, this one among them."""
+        """Return all known members, including this one."""
 
     def watch(self, callback: Callable[[Any], None]) -> None:
         """Call `callback` after each change."""
 
 
 class DatagramChannel(Protocol):
-    """An unreliable datagram channel to the members; each part has a port of its own."""
+    """Unreliable datagram channel to the members; each subsystem uses its own port."""
 
     def send(self, port: int, data: bytes, to: bytes | None = None) -> bool:
-        """Send to one member, or to all; tell whether it fits in a datagram and there is somebody."""
+        """Send to one member or to all; return False if the data exceeds a datagram or no receiver exists."""
 
     def receive(self, port: int, callback: Callable[[bytes, bytes], None]) -> None:
-        """Call `callback` with the sender's key and the data of each datagram."""
+        """Call `callback` with the sender's key and the data of each received datagram."""
 
 
 class MetadataPublisher(Protocol):
-    """Publishes metadata of this member to all others."""
+    """Publisher of this member's metadata to all other members."""
 
     def publish(self, port: int, data: bytes) -> None:
-        """Publish a few bytes that travel with this member's entry.
+        """Publish a few bytes as part of this member's entry.
 
         Raises:
-            ValueError: there is no room for them.
+            ValueError: The data exceeds the free space of the entry.
         """
--- a/service_proxy/net/header_fields.py
+++ b/service_proxy/net/header_fields.py
@@ -1,4 +1,4 @@
-"""Header fields as both sides read them (RFC 9110, 9112): names, white space, what ends at a hop."""
+"""Header field rules shared by both sides (RFC 9110, 9112): names, white space and hop-by-hop fields."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def parse_field(name: bytes, value: bytes) -> tuple[bytes, bytes]:
-    """Return a field without the white space behind its value, which is no part of it (RFC 9110, 5.5).
+    """Return a field with a lower-case name and without the white space around its value (RFC 9110, 5.5).
 
-    The parser reads a coding with a tab behind it as none at all, so there a tab stays, and the message is
-    refused.
+    Tabs around a Transfer-Encoding value are kept. The parser doesn't recognize a coding that is followed by
+    a tab, so a message with such a coding has to be refused.
     """
     name = name.lower()
     return name, value.strip(b" " if name == b"transfer-encoding" else b" \t")
 
 
 def closes_connection(headers: list[tuple[bytes, bytes]]) -> bool:
-    """Tell whether Connection says that this message is the last; the parser wants no white space there."""
+    """Return True if Connection contains close; the parser doesn't accept white space around that option."""
     return any(
         name == b"connection" and b"close" in (option.strip(b" \t").lower() for option in value.split(b","))
         for name, value in headers
--- a/service_proxy/net/health_checker.py
+++ b/service_proxy/net/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints: one short GET each, whose answer may be a load report."""
+"""Health checks of endpoints: one short GET each, whose response may be a load report."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from service_proxy.net.upstream import UpstreamAttempt, UpstreamCluster
 from service_proxy.policy.settings_types import LoadReportSource
 
-MAX_HEALTH_CHECKS = 32  # at once
-HEALTH_CHECK_TIMEOUT_S = 0.2  # a load report that comes later is of no use
+MAX_HEALTH_CHECKS = 32  # Maximum number of concurrent health checks.
+HEALTH_CHECK_TIMEOUT_S = 0.2  # A later load report is outdated.
 
 
 class HealthChecker:
-    """Runs the health checks that are asked for.
+    """Health checker that runs the checks requested by the policy.
 
     Args:
-        cluster: the endpoints.
-        load_report_source: as the settings have it; NONE: there are no load reports to ask for.
-        enqueue_event: takes the result for the policy.
-        report_outcome: called with the endpoint id and the status of each check.
+        cluster: Connection pools of the endpoints.
+        load_report_source: Value of the settings; with NONE, the checks request no load reports.
+        enqueue_event: Enqueues the result for the policy.
+        report_outcome: Called with the endpoint id and the status of each check.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
         self.checks_in_flight = 0
 
     def check(self, action: api.CheckHealth) -> None:
-        """Start a health check, unless the endpoint is not serving or too many are in flight."""
+        """Start a health check, unless the endpoint is not serving or too many checks are in flight."""
         endpoint_id = action.endpoint_id
         pool = self.cluster.pools.get(endpoint_id)
         if pool is None or not pool.is_serving or self.checks_in_flight >= MAX_HEALTH_CHECKS:
-            # not the endpoint's fault
+            # The check was not sent for a reason that is unrelated to the health of the endpoint.
             self.enqueue_event(api.HealthCheckEnded(endpoint_id, api.AttemptStatus.REJECTED, 0.0))
             return
         self.checks_in_flight += 1
@@ -63,5 +63,6 @@
         report = parse_load_report(attempt.response_body) if status is api.AttemptStatus.OK else None
         self.report_outcome(endpoint_id, status)
         if status is api.AttemptStatus.NOT_SENT:
-            status = api.AttemptStatus.REJECTED  # not asked, so nothing is known against it
+            # The check was not sent, so the endpoint must not count as failed.
+            status = api.AttemptStatus.REJECTED
         self.enqueue_event(api.HealthCheckEnded(endpoint_id, status, attempt.elapsed, report))
--- a/service_proxy/net/http_status.py
+++ b/service_proxy/net/http_status.py
@@ -1,13 +1,14 @@
-"""HTTP status codes that the proxy decides by, and the phrases of those that it sends (RFC 9110, 15)."""
+"""HTTP status codes used in the proxy's decisions, and reason phrases of its own responses (RFC 9110, 15)."""
 
 from __future__ import annotations
 
 CONTINUE = 100
 SWITCHING_PROTOCOLS = 101
-OK = 200  # also the first that is no interim response
+OK = 200  # Also the lower bound of final responses; lower codes are interim responses.
 NO_CONTENT = 204
 NOT_MODIFIED = 304
-BODILESS = frozenset((NO_CONTENT, NOT_MODIFIED))  # a response of these ends with its head: RFC 9112, 6.3
+# Status codes of responses that end with the head (RFC 9112, 6.3).
+BODILESS = frozenset((NO_CONTENT, NOT_MODIFIED))
 NOT_FOUND = 404
 TOO_MANY_REQUESTS = 429
 INTERNAL_SERVER_ERROR = 500
--- a/service_proxy/net/limits.py
+++ b/service_proxy/net/limits.py
@@ -1,10 +1,13 @@
-"""Bounds that several parts share. Nothing but constants."""
+"""Limits shared by several modules of the package; this module contains only constants."""
 
 from __future__ import annotations
 
-MIN_DESCRIPTORS = 64  # with which a proxy can work
-MAX_MESSAGE_BYTES = 48 << 20  # of a message that is streamed: half as much again as the longest that is sent
-MAX_LENGTH_DIGITS = 15  # of a Content-Length that is read as a number
-UPSTREAM_DESCRIPTOR_SHARE = 0.4  # of the descriptors that a proxy may hold, for connections to endpoints
-LOOP_STALL_S = 0.01  # of delay of a timer, after which the sockets are looked at first
-LOOP_TURN_S = 0.001  # the loop reads its sockets before such a timer
+MIN_DESCRIPTORS = 64  # Minimum number of descriptors that a proxy needs to operate.
+# Maximum size of a streamed message: 1.5 times the longest message that is sent.
+MAX_MESSAGE_BYTES = 48 << 20
+MAX_LENGTH_DIGITS = 15  # Maximum number of digits of a Content-Length that is parsed as a number.
+# Share of a proxy's descriptors that is available for connections to endpoints.
+UPSTREAM_DESCRIPTOR_SHARE = 0.4
+# Delay of a timer that counts as a stall of the event loop; the sockets are then read before the timer acts.
+LOOP_STALL_S = 0.01
+LOOP_TURN_S = 0.001  # Delay of a postponed timer, in which the loop reads its sockets.
--- a/service_proxy/net/load_report.py
+++ b/service_proxy/net/load_report.py
@@ -1,9 +1,10 @@
-"""Load reports of endpoints, as they stand in X-Load-Report and in the answer to a health check."""
+"""Load reports of endpoints, as sent in X-Load-Report and in the response to a health check."""
 
 from __future__ import annotations
 
-MAX_LOAD_VALUE = 1e6  # of a report; more is no load, and would outweigh all other reports
-LOAD_REPORT_FIELDS = {  # the protocol's name, and the platform settings' own
+# Maximum value in a report; a greater value is not plausible and would outweigh all other reports.
+MAX_LOAD_VALUE = 1e6
+LOAD_REPORT_FIELDS = {  # Names in the settings by names in the protocol.
     "inflight": "busy_reqs",
     "queue": "pending",
     "util": "cpu_share",
@@ -14,7 +15,7 @@
 
 
 def parse_load_report(text: bytes) -> dict[str, float] | None:
-    """Read `inflight=7,queue=2` under the settings' names; None where it holds nothing usable."""
+    """Return the values of a report such as `inflight=7,queue=2` by settings name; None if unusable."""
     report = {}
     try:
         for pair in text.decode("ascii").strip().split(","):
@@ -22,7 +23,7 @@
             name = LOAD_REPORT_FIELDS.get(name.strip(), name.strip())
             number = float(value)
             if name in report or not 0 <= number <= MAX_LOAD_VALUE:
-                return None  # what says one thing twice, or what can't be, is trusted in nothing
+                return None  # The whole report is discarded if a name is repeated or a value is out of range.
             report[name] = number
     except ValueError:
         return None
--- a/service_proxy/net/open_request.py
+++ b/service_proxy/net/open_request.py
@@ -1,4 +1,4 @@
-"""A request that was taken and is owed its response: an entry of the dispatcher's table."""
+"""Open request: an accepted request that has no response yet, as stored in the dispatcher's table."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from service_proxy.net.request_filters import RequestFilterState
 from service_proxy.net.upstream import UpstreamAttempt
 
-NO_FILTER_STATES: list[RequestFilterState] = []  # of all requests that no filter has a state of
+NO_FILTER_STATES: list[RequestFilterState] = []  # Shared list for requests without filter states.
 
 
 class FilterLimits(NamedTuple):
-    """What the filters leave of a request's attempts and weight."""
+    """Limits that the filters set for the attempts and the priority weight of a request."""
 
-    max_attempts: int = 0  # 0: as many as its class has
+    max_attempts: int = 0  # 0: the limit of the request class applies.
     weight_share: float = 1.0
 
 
@@ -24,13 +24,13 @@
 
 
 class OpenRequest:
-    """A taken request that is owed its response.
+    """Accepted request that has no response yet.
 
     Attributes:
-        request_id: the policy's number of it; `request.id` is the client's.
-        deadline: by which it is answered, whatever the policy decides (monotonic, s).
-        maybe_executed: some attempt may have been executed.
-        attempt: the one that is in flight.
+        request_id: Request id of the policy; `request.id` is the id sent by the client.
+        deadline: Time by which the request is answered, whatever the policy decides (monotonic, s).
+        maybe_executed: True if an endpoint may have executed an attempt.
+        attempt: The attempt in flight.
     """
 
     __slots__ = (
@@ -59,7 +59,7 @@
         self.filter_states: list[RequestFilterState] = NO_FILTER_STATES
 
     def limit_by_filters(self, filter_states: list[RequestFilterState]) -> FilterLimits:
-        """Take over the filters' states, and return what they leave of attempts and weight."""
+        """Store the filters' states, and return the resulting limits of attempts and priority weight."""
         self.filter_states = filter_states
         for state in filter_states:
             self.deadline = min(self.deadline, state.deadline)
--- a/service_proxy/net/open_request_table.py
+++ b/service_proxy/net/open_request_table.py
@@ -1,6 +1,6 @@
-"""The table of open requests: their deadlines, and the one response to each.
+"""Table of the open requests, with their deadlines and the single response to each.
 
-A request leaves the table with its response, so there is no second one.
+A request leaves the table when its response is written, so a second response is impossible.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from service_proxy.net.open_request import OpenRequest
 from service_proxy.net.upstream import UpstreamAttempt
 
-MIN_DEADLINE_MARGIN_S = 0.02  # before a client's deadline, at which its response leaves at the latest
+MIN_DEADLINE_MARGIN_S = 0.02  # Minimum margin between the response and the client's deadline.
 
 
 class OpenRequestTable:
-    """All open requests.
+    """Table of all open requests.
 
     Args:
-        enqueue_event: takes events for the policy.
+        enqueue_event: Enqueues events for the policy.
 
     Attributes:
-        requests: by the policy's number of a request.
-        attempts_in_flight: by the same; also of requests whose client has left.
-        ids_in_use: X-Call-Ids of open requests, and of attempts that are still in flight.
-        deadline_by_class: s that a client of each class waits at most.
-        shutdown_deadline: when the process is to end (monotonic, s): all is answered by then.
+        requests: Open requests by the request id of the policy.
+        attempts_in_flight: Attempts by the same id, including those whose client has disconnected.
+        ids_in_use: X-Call-Ids of open requests and of attempts still in flight.
+        deadline_by_class: Longest time (s) that a client waits, by request class.
+        shutdown_deadline: Time of the shutdown (monotonic, s); every request is answered by then.
     """
 
     def __init__(self, enqueue_event: Callable[[api.Event], None]) -> None:
@@ -43,20 +43,20 @@
         self.shutdown_deadline = math.inf
 
     def add(self, open_request: OpenRequest) -> None:
-        """Take a request in, and begin its time."""
+        """Add a request, and start its deadline timer."""
         self.requests[open_request.request_id] = open_request
         self.ids_in_use.add(open_request.request.id)
         self.start_deadline_timer(open_request)
 
     def set_shutdown_deadline(self, shutdown_deadline: float) -> None:
-        """Answer all that is open by then (monotonic, s), too, whatever its client would wait."""
+        """Limit the deadline of every open request to the shutdown deadline (monotonic, s)."""
         self.shutdown_deadline = shutdown_deadline
         for open_request in self.requests.values():
             open_request.deadline = min(open_request.deadline, shutdown_deadline)
             self.start_deadline_timer(open_request)
 
     def start_deadline_timer(self, open_request: OpenRequest) -> None:
-        """Answer the request by its deadline; begun anew where that changes."""
+        """Start the timer that answers the request at its deadline; an earlier timer is replaced."""
         if open_request.deadline_timer is not None:
             open_request.deadline_timer.cancel()
         if open_request.deadline < math.inf:
@@ -64,7 +64,7 @@
             open_request.deadline_timer = self.loop.call_later(wait, self._on_deadline, open_request)
 
     def on_body_complete(self, open_request: OpenRequest) -> None:
-        """Begin the time of a request that was handed on early: its last byte has come."""
+        """Start the time budget of a streamed request, because the last byte of its body was received."""
         if not open_request.is_open:
             return
         request = open_request.request
@@ -77,12 +77,12 @@
             open_request.attempt.extend_deadline(open_request.deadline)
 
     def abandon(self, open_request: OpenRequest) -> None:
-        """End a request and its attempt: nobody waits for what it is part of."""
+        """End a request and its attempt, because no client waits for the operation that it belongs to."""
         if open_request.is_open:
             self._expire(open_request, b"its caller has gone\n", api.AttemptStatus.CANCELLED)
 
     def client_disconnected(self, open_request: OpenRequest) -> None:
-        """End a request whose client has left; its attempt goes on, unless it is of no use to anyone."""
+        """End a request whose client has disconnected; its attempt continues, unless it is useless."""
         if open_request.is_open:
             attempt = open_request.attempt
             self.finish(open_request, False)
@@ -92,16 +92,21 @@
                 request.upgrade.client_disconnected()
             cancels = any(state.cancels_on_disconnect for state in open_request.filter_states)
             if attempt is not None and (cancels or not request.body.is_complete or request.upgrade):
-                # An endpoint that reads budgets stops working for it; a body's rest never comes; nobody takes
-                # a 101.
+                # The attempt is useless in three cases: the endpoint reads time budgets and stops the work
+                # after a cancellation, the rest of the body will never arrive, or no client is left to use a
+                # 101 response.
                 attempt.cancel()
 
     def _on_deadline(self, open_request: OpenRequest, after_stall: bool = False) -> None:
-        """The policy has decided nothing in time: a failure, unless a rejection is provably harmless."""
+        """Answer a request with a failure, because the policy decided nothing in time.
+
+        The response is a rejection if no attempt can have been executed.
+        """
         if not open_request.is_open:
             return
         if not after_stall and time.monotonic() > open_request.deadline + LOOP_STALL_S:
-            # This process stood still, and timers come before sockets: the response may be here already.
+            # This process was stalled, and expired timers run before sockets are read: the response may have
+            # arrived.
             open_request.deadline_timer = self.loop.call_later(
                 LOOP_TURN_S, self._on_deadline, open_request, True
             )
@@ -109,23 +114,23 @@
         self._expire(open_request, b"out of time\n", api.AttemptStatus.TIMEOUT)
 
     def _expire(self, open_request: OpenRequest, text: bytes, status: api.AttemptStatus) -> None:
-        """Answer a request that is out of time, and end its attempt with this status."""
-        harmless = not open_request.maybe_executed and (
+        """Answer a request whose time has expired, and end its attempt with this status."""
+        never_executed = not open_request.maybe_executed and (
             open_request.attempt is None or not open_request.attempt.sent
         )
         attempt = open_request.attempt
-        self.respond(open_request, 503 if harmless else 504, (), text)
+        self.respond(open_request, 503 if never_executed else 504, (), text)
         self.enqueue_event(api.RequestAbandoned(open_request.request_id))
         if attempt is not None:
             attempt.end(status if attempt.sent else api.AttemptStatus.NOT_SENT)
 
     def respond(self, open_request: OpenRequest, status_code: int, headers: Any, body: bytes) -> None:
-        """Write the final response. The request has left the table then: there is no second one."""
+        """Write the final response after removing the request, so that a second response is impossible."""
         self.finish(open_request, True)
         open_request.writer.respond(status_code, headers, body)
 
     def finish(self, open_request: OpenRequest, was_answered: bool) -> None:
-        """Take a request out of the table."""
+        """Remove a request from the table."""
         open_request.is_open = False
         for state in open_request.filter_states:
             state.on_request_end(was_answered)
@@ -136,7 +141,7 @@
             open_request.deadline_timer.cancel()
 
     def fail(self, request_id: int) -> None:
-        """Answer a request that the policy or one of its actions failed on."""
+        """Answer a request with an internal error, because the policy or one of its actions failed."""
         open_request = self.requests.get(request_id)
         if open_request is not None:
             self.respond(open_request, 502, (), b"internal error\n")
--- a/service_proxy/net/policy_runner.py
+++ b/service_proxy/net/policy_runner.py
@@ -1,6 +1,7 @@
-"""Runs the one `Balancer`: gathers events into batches, and hands each action to its handler.
+"""Runner of the single `Balancer`: collects events into batches, and passes each action to its handler.
 
-The only caller of the policy. It keeps the policy's timers, and what the policy fails on ends here.
+This module is the only caller of the policy. The runner owns the policy's timers, and no exception of the
+policy leaves it.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 log = logging.getLogger(__name__)
 
-LOOP_LAG_DECAY = 0.995  # of the measured lag that is left at each timer
-RETRIED_TIMER_S = 0.05  # after which a timer comes again that the policy failed on
+LOOP_LAG_DECAY = 0.995  # Share of the measured loop lag that remains at each timer.
+RETRIED_TIMER_S = 0.05  # Delay before a timer event is repeated after the policy failed on it.
 
 
 class PolicyRunner:
-    """Events in, actions out, no more often than once a quantum.
+    """Runner that passes events to the policy and runs its actions, at most once per quantum.
 
     Attributes:
-        quantum: s between two batches of events.
-        action_handlers: by the type of action; filled by who runs the actions.
-        on_request_failed: called with the id of a request that an event or action of a failure belongs to.
-        loop_lag: s by which this loop's timers were late lately.
+        quantum: Time (s) between two batches of events.
+        action_handlers: Handler by action type; set by the component that runs the actions.
+        on_request_failed: Called with the id of each request whose event or action failed.
+        loop_lag: Recent delay (s) of this event loop's timers.
     """
 
     def __init__(self, balancer: Balancer, quantum: float, on_request_failed: Callable[[int], None]) -> None:
@@ -52,7 +53,7 @@
                 self.flush_handle = self.loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Hand all queued events to the policy, and run the actions that it returns."""
+        """Pass all queued events to the policy, and run the returned actions."""
         self.flush_handle = None
         now = self.last_flush_at = time.monotonic()
         events = self.pending_events
@@ -66,14 +67,14 @@
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
-            except Exception:  # one action's failure must not take the others with it
+            except Exception:  # The failure of one action must not prevent the other actions.
                 log.exception("action_failed action=%s", action)
                 request_id = getattr(action, "request_id", None)
                 if request_id is not None:
                     self.on_request_failed(request_id)
 
     def _recover(self, events: list[api.Event]) -> None:
-        """The policy failed on a batch: its requests fail, its timers come again, the rest goes on."""
+        """Fail the requests and repeat the timers of a batch on which the policy failed."""
         for event in events:
             if isinstance(event, api.RequestArrived | api.AttemptEnded):
                 self.on_request_failed(event.request_id)
--- a/service_proxy/net/poll_schedule.py
+++ b/service_proxy/net/poll_schedule.py
@@ -1,9 +1,9 @@
-"""The one time budget of polling discovery: how long a poll may wait, when it is silent, what follows.
+"""Schedule of polling discovery: wait of a poll, timeouts, and delays after a failure.
 
-What is owed: no request to an endpoint that was notified as draining for longer than the settings'
-drain_grace. The platform's pages (STANDING) say when a change counts as notified though it never arrived;
-every time here is a share of that and of the grace, less what a new poll takes. Pure: figures in, one table
-of times out.
+Requirement: no request goes to an endpoint that was notified as draining for longer than the settings'
+drain_grace. The platform's pages (STANDING) define when a change counts as notified although it never
+arrived. Every time in this module is a share of that time and of the grace, minus the duration of a new poll.
+This module does no I/O and reads no clock: it computes one table of times from the settings.
 """
 
 from __future__ import annotations
@@ -12,45 +12,52 @@
 
 from service_proxy.policy.settings_types import Settings
 
-SILENT_CALL_NOTIFIED_S = 2.0  # after the wait of a poll that fell silent: what it missed counts as notified
-ADDRESS_CHANGE_NOTIFIED_S = 4.0  # after SIGHUP: what the new address lists counts as notified
-WATCH_WAIT_S = 20.0  # that a watch waits where discovery is one service for all: three polls a minute
-WATCH_WAIT_SPREAD = 0.5  # of WATCH_WAIT_S, round it: polls that one change ended together come apart again
-RETRY_SPACING_S = 0.2  # between the first polls while an answer is owed
-MAX_BACKOFF_DOUBLINGS = 10  # of RETRY_SPACING_S: more is beyond every longest backoff
-MAX_CONNECT_TIMEOUT_S = 1.0  # for a connection to discovery
-# A pushed list costs nothing, and counts from the moment that the agent has it: one silent poll, the backoff
-# and the next poll must fit into the grace. What is left of it is the loop's own lag.
-PUSH_GRACE_SHARE = 0.25  # of the grace, for each of wait, silence and next poll
-MAX_PUSH_WAIT_S = 0.5  # of each
-MIN_PUSH_WAIT_S = 0.02  # of each: a grace near 0 must not become a busy loop
+# Time after the wait of an unanswered poll at which the changes that the poll missed count as notified.
+SILENT_CALL_NOTIFIED_S = 2.0
+ADDRESS_CHANGE_NOTIFIED_S = 4.0  # Time after SIGHUP at which the list of the new address counts as notified.
+WATCH_WAIT_S = 20.0  # Wait of a watch poll if discovery is a central service: three polls a minute.
+# Range of the waits around WATCH_WAIT_S, as a share of it; spreads polls that the same change ended.
+WATCH_WAIT_SPREAD = 0.5
+RETRY_SPACING_S = 0.2  # Time between the first polls while a list is due.
+# Maximum number of doublings of RETRY_SPACING_S; the result exceeds every max_backoff.
+MAX_BACKOFF_DOUBLINGS = 10
+MAX_CONNECT_TIMEOUT_S = 1.0  # Timeout of establishing a connection to discovery.
+# A pushed list costs nothing, and counts as notified from the moment that the agent has it. One unanswered
+# poll, the backoff and the next poll must fit into the grace; the rest of the grace covers the lag of the
+# loop.
+PUSH_GRACE_SHARE = 0.25  # Share of the grace for each of the wait, the silence timeout and the next poll.
+MAX_PUSH_WAIT_S = 0.5  # Upper bound of each of these three times.
+MIN_PUSH_WAIT_S = 0.02  # Lower bound of each of these three times; avoids a busy loop with a grace near 0.
 
 
 @dataclass(frozen=True, slots=True)
 class PollSchedule:
-    """The times of polling, all in s."""
+    """Times of polling, all in s."""
 
-    is_pushed: bool  # polls never end: each list counts as notified when the agent has it
-    watch_wait: float  # that a poll may wait, in the mean
-    watch_wait_spread: float  # within which waits lie, round the mean
-    silence_timeout: float  # beyond its wait, after which a poll has fallen silent
-    retry_window: float  # after that, within which polls follow one another until one is answered
-    call_timeout: float  # for the answer to a poll that does not wait, or for the rest of one that has begun
-    retry_spacing: float  # between polls, at first
-    max_backoff: float  # between polls, which lie further apart each time
+    # True if polls never stop, because each list counts as notified from the moment that the agent has it.
+    is_pushed: bool
+    watch_wait: float  # Mean wait of a poll.
+    watch_wait_spread: float  # Range of the waits around the mean.
+    silence_timeout: float  # Time after the wait of a poll at which the poll times out.
+    retry_window: float  # Time after a silence timeout in which polls repeat until one is answered.
+    call_timeout: float  # Timeout of a poll without a wait, and of the rest of a response that has begun.
+    retry_spacing: float  # Initial time between polls after a failure.
+    max_backoff: float  # Upper bound of the growing time between polls after failures.
     connect_timeout: float
-    address_change_window: float  # after a new address is given, within which polls follow one another
-    first_list_timeout: float  # for the answer to such a poll
+    # Time after a change of address in which polls repeat until one is answered.
+    address_change_window: float
+    first_list_timeout: float  # Timeout of a poll for a whole list.
 
     def draw_watch_wait(self, fraction: float) -> float:
-        """Return the wait of one poll; `fraction`: drawn from 0 to 1."""
+        """Return the wait of one poll; `fraction` is a random number from 0 to 1."""
         return self.watch_wait + self.watch_wait_spread * (fraction - 0.5)
 
     def draw_backoff(self, failures: int, fraction: float) -> float:
-        """Return the wait before the next poll, after so many failures in a row.
+        """Return the wait before the next poll, after this number of failures in a row.
 
-        One service for all that has no room, or is down, is not polled by all of them five times a second;
-        an agent has this proxy alone. `fraction`: drawn from 0 to 1.
+        The backoff grows so that the proxies don't poll an overloaded or failed central service five times a
+        second. An agent serves only this proxy, so its polls have a fixed spacing. `fraction` is a random
+        number from 0 to 1.
         """
         if self.is_pushed:
             return self.retry_spacing
@@ -59,12 +66,12 @@
 
 
 def poll_schedule_of(settings: Settings) -> PollSchedule:
-    """Return how discovery is polled under these settings."""
+    """Return the schedule of polling discovery under these settings."""
     return poll_schedule(settings.polls_discovery, settings.drain_grace)
 
 
 def poll_schedule(is_polled: bool, drain_grace: float) -> PollSchedule:
-    """Return the times that follow from how lists come and from the settings' drain_grace (s)."""
+    """Return the schedule for polled or pushed lists and the settings' drain_grace (s)."""
     address_change_window = ADDRESS_CHANGE_NOTIFIED_S + drain_grace
     if not is_polled:
         wait = max(MIN_PUSH_WAIT_S, min(MAX_PUSH_WAIT_S, PUSH_GRACE_SHARE * drain_grace))
@@ -83,7 +90,7 @@
         )
     silence_timeout = SILENT_CALL_NOTIFIED_S / 2
     retry_window = SILENT_CALL_NOTIFIED_S - silence_timeout + drain_grace
-    call_timeout = retry_window / 2  # two fit
+    call_timeout = retry_window / 2  # Two calls fit into the retry window.
     first_list_timeout = address_change_window / 2
     return PollSchedule(
         is_pushed=False,
--- a/service_proxy/net/protocols.py
+++ b/service_proxy/net/protocols.py
@@ -1,4 +1,4 @@
-"""What the downstream and upstream sides are to each other: neither imports the other, both know these."""
+"""Protocols between the downstream and the upstream side, so that neither side imports the other."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class ResponseSink(Protocol):
-    """Where a response goes that is streamed."""
+    """Receiver of a streamed response."""
 
     def write(self, data: bytes) -> None:
-        """Take the next piece of the body."""
+        """Write the next piece of the body."""
 
     def finish(self) -> None:
-        """Take note that the body is complete."""
+        """Record that the body is complete."""
 
     def fail(self) -> None:
-        """Take note that the body will never be complete."""
+        """Record that the body will never be complete."""
 
 
 class ResponseSource(Protocol):
-    """A response that is streamed."""
+    """Source of a streamed response."""
 
     def stream_to(self, sink: ResponseSink) -> None:
         """Write the body to this sink from now on."""
 
     def pause(self) -> None:
-        """Write no more for now: the sink has had enough."""
+        """Stop writing until `resume`, because the sink's buffer is full."""
 
     def resume(self) -> None:
-        """Write on."""
+        """Continue writing after `pause`."""
 
     def discard(self) -> None:
-        """Give up: nobody takes the rest."""
+        """Discard the rest of the body, because no client receives it."""
 
 
 class UpgradeNegotiation(Protocol):
-    """Who wants a connection to an endpoint that speaks no HTTP any more, for a request for an upgrade."""
+    """Negotiation of an upgrade request; receives the endpoint's connection after the switch from HTTP."""
 
     def request_headers(self) -> bytes:
         """Return the header lines of the next attempt."""
 
     def verify_response(self, headers: list[tuple[bytes, bytes]]) -> str | None:
-        """Return what is wrong with a 101; None: nothing."""
+        """Return the fault of a 101 response; None if it has no fault."""
 
     def upgraded(
         self,
@@ -53,7 +53,7 @@
         surplus: bytes,
         on_end: Callable[[AttemptStatus], None],
     ) -> None:
-        """Take the connection, with what came behind the 101; `on_end` is called once, at its end."""
+        """Receive the connection and the bytes after the 101; its end is reported once with `on_end`."""
 
     def client_disconnected(self) -> None:
-        """Take note that the client has left first."""
+        """Record that the client disconnected before the upgrade."""
--- a/service_proxy/net/request_body.py
+++ b/service_proxy/net/request_body.py
@@ -1,6 +1,6 @@
-"""A request's body between its client and the endpoints: buffered until complete, or streamed.
+"""Request body on its way from the client to an endpoint: buffered until complete, or streamed.
 
-No sockets here: who reads it is notified when there is more, who fills it when there is room.
+This module contains no socket code. The reader is notified of new data, and the writer of free buffer space.
 """
 
 from __future__ import annotations
@@ -8,30 +8,32 @@
 from collections.abc import Callable
 from typing import Protocol
 
-STREAM_WINDOW_BYTES = 64 * 1024  # of a streamed body that may wait here for the endpoint
+STREAM_WINDOW_BYTES = 64 * 1024  # Buffer size of a streamed body that waits for the endpoint.
 
 
 def encode_chunk(data: bytes) -> tuple[bytes, bytes, bytes]:
-    """Return the pieces of a chunk (RFC 9112, 7.1); not for no data, which would end the message."""
+    """Return the parts of a chunk (RFC 9112, 7.1); empty `data` is not allowed, it would end the message."""
     return b"%x\r\n" % len(data), data, b"\r\n"
 
 
 class BodyReader(Protocol):
-    """Who sends the body on."""
+    """Component that sends the body to an endpoint."""
 
     def on_body_progress(self) -> None:
-        """Take note that there is more of it, or that it has ended."""
+        """Process new data of the body, or its end."""
 
 
 class RequestBody:
-    """A body that may still be coming.
+    """Body that may be incomplete.
 
     Attributes:
-        length: as announced; None: it ends when it ends.
-        received_bytes: of all that have come; `buffered_bytes`: of `parts`.
-        is_replayable: all of it stays until the request has ended, so it can be sent again.
-        reader: who sends it on.
-        on_drained: called when there is room again; `on_complete`: with the last byte.
+        length: Announced length; None if the length is known only at the end of the body.
+        received_bytes: Number of bytes received so far.
+        buffered_bytes: Number of bytes in `parts`.
+        is_replayable: True if the whole body is kept until the request ends, so that a retry can send it.
+        reader: Component that sends the body to an endpoint.
+        on_drained: Called when the buffer has free space again.
+        on_complete: Called after the last byte.
     """
 
     __slots__ = (
@@ -59,7 +61,7 @@
 
     @classmethod
     def of(cls, content: bytes) -> RequestBody:
-        """Return a complete body."""
+        """Return a complete body with this content."""
         body = cls(len(content))
         if content:
             body.append(content)
@@ -67,7 +69,7 @@
         return body
 
     def append(self, part: bytes) -> None:
-        """Take a part that has come."""
+        """Append a received part."""
         self.parts.append(part)
         self.received_bytes += len(part)
         self.buffered_bytes += len(part)
@@ -75,7 +77,7 @@
             self.reader.on_body_progress()
 
     def finish(self) -> None:
-        """Take note that the last byte has come."""
+        """Record that the last byte was received."""
         self.is_complete = True
         if self.length is None and self.is_replayable:
             self.length = self.received_bytes
@@ -86,11 +88,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether who fills it should wait."""
+        """Return True if the buffer is full, so that the writer has to wait."""
         return not self.is_replayable and self.buffered_bytes > STREAM_WINDOW_BYTES
 
     def take_parts(self) -> list[bytes]:
-        """Return all that is buffered, and let go of it: the body is streamed."""
+        """Return all buffered parts of a streamed body, and remove them from the buffer."""
         parts = self.parts
         self.parts = []
         self.buffered_bytes = 0
--- a/service_proxy/net/request_filters.py
+++ b/service_proxy/net/request_filters.py
@@ -1,8 +1,8 @@
-"""Protocols of request filters, which act on a request before the policy: deadline propagation and others.
+"""Protocols of request filters, which act on a request before the policy, such as deadline propagation.
 
-A filter sees each request once as it comes: it rejects it in the policy's place, or keeps a state of it until
-its end. Filters act in the order in which the composition root names them. With none, a request costs one
-`if`.
+A filter receives each request once, at its arrival. The filter rejects the request in place of the policy, or
+keeps a state of the request until its end. Filters act in the order set by the composition root. Without
+filters, the cost per request is one `if`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A rejection before any work: the request was not executed, which only a 503 says."""
+    """Rejection before any work; only a 503 status states that the request was not executed."""
 
     body: bytes
     status_code: int = 503
@@ -29,52 +29,52 @@
 
 
 class RequestFilterState(Protocol):
-    """What a filter knows of one request, until its end. Instants are monotonic, s."""
+    """State that a filter keeps of one request until its end. Times are monotonic, in s."""
 
-    deadline: float  # by which the request has to end
-    max_attempts: int  # at the most; 0: as many as its class has
-    weight_share: float  # of its class's priority weight
-    cancels_on_disconnect: bool  # an attempt ends where its client leaves
+    deadline: float  # Time by which the request has to end.
+    max_attempts: int  # Maximum number of attempts; 0: the limit of the request class applies.
+    weight_share: float  # Share of the request class's priority weight.
+    cancels_on_disconnect: bool  # True if an attempt is cancelled when its client disconnects.
 
     def on_attempt_start(self, timeout: float) -> bytes | None:
-        """Return header lines for an attempt that starts now; None: it must not."""
+        """Return header lines for an attempt that starts now; None if the attempt must not start."""
 
     def on_attempt_end(self, attempt: UpstreamAttempt, status: AttemptStatus) -> None:
-        """Take note of an attempt's end."""
+        """Record the end of an attempt."""
 
     def response_headers(self) -> HeaderFields:
         """Return header fields of the response."""
 
     def on_request_end(self, was_answered: bool) -> None:
-        """Take note of the request's end, once: it was answered, or nobody waits for that any more."""
+        """Record the end of the request, once: answered, or abandoned because no client waits for it."""
 
 
 class RequestFilter(Protocol):
-    """Acts on requests before the policy."""
+    """Filter that acts on requests before the policy."""
 
-    consumed_headers: frozenset[bytes]  # fields of requests and responses, in lower case, that end here
+    consumed_headers: frozenset[bytes]  # Request and response fields, in lower case, that the filter removes.
 
     def on_settings_update(self, settings: Settings) -> None:
-        """Take other settings, which are in force from now on."""
+        """Apply new settings."""
 
     def on_request(
         self, request: Request, abandon: Callable[[], None]
     ) -> RequestFilterState | Rejection | None:
-        """Return a state of the request, or its rejection; None: it is of no concern here.
+        """Return the filter's state of the request, or a rejection; None if the filter ignores the request.
 
-        `abandon` ends the request at once, for want of anybody who waits for it.
+        `abandon` ends the request at once, because no client waits for its response.
         """
 
 
 def headers_consumed_by(filters: Iterable[RequestFilter]) -> frozenset[bytes]:
-    """Return the header fields that end at these filters."""
+    """Return the header fields that these filters remove."""
     return frozenset(name for request_filter in filters for name in request_filter.consumed_headers)
 
 
 def apply_filters(
     filters: Iterable[RequestFilter], request: Request, abandon: Callable[[], None]
 ) -> list[RequestFilterState] | Rejection:
-    """Return the states of all, in their order; where one rejects the request, those before it have ended."""
+    """Return the states of all filters in order, or the first rejection, which ends the earlier states."""
     states: list[RequestFilterState] = []
     for request_filter in filters:
         state = request_filter.on_request(request, abandon)
--- a/service_proxy/net/socket_polling.py
+++ b/service_proxy/net/socket_polling.py
@@ -1,4 +1,4 @@
-"""What a socket holds that the loop has not read yet, by poll(2); no event is taken away."""
+"""Queries with poll(2) for socket data that the event loop has not read yet; no event is consumed."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 def has_input(transport: asyncio.BaseTransport) -> bool:
-    """Tell whether bytes or the connection's end lie in its socket by now."""
+    """Return True if the socket has unread bytes or the end of the connection."""
     return is_readable(transport.get_extra_info("socket").fileno())
 
 
 def is_readable(descriptor: int) -> bool:
-    """Tell whether something is to be read from this descriptor; from a listening one, a connection."""
+    """Return True if the descriptor has data to read or, for a listening descriptor, a connection."""
     return _has_event(descriptor, select.POLLIN)
 
 
 def has_ended(transport: asyncio.BaseTransport) -> bool:
-    """Tell whether its peer sends no more, whatever bytes lie before its end."""
+    """Return True if the peer has closed its sending side, even if unread bytes precede the end."""
     return _has_event(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
 
 
@@ -29,7 +29,7 @@
 
 
 def ended_by_peer(transports: Iterable[asyncio.BaseTransport]) -> list[asyncio.BaseTransport]:
-    """Return those whose peer sends no more, whatever bytes lie before its end."""
+    """Return the transports whose peer has closed its sending side, even if unread bytes precede the end."""
     poll = select.poll()
     transport_by_descriptor = {}
     for transport in transports:
--- a/tests/net/test_configuration.py
+++ b/tests/net/test_configuration.py
@@ -332,7 +332,7 @@
     "a seed of other letters": ("seed", "zz", "seed can't be used: 'zz'; write a whole number, or a text"),
     "limits that are no object": ("limits", "x", "limits can't be used; write an object of each"),
     "descriptors in words": ("limits", {"sockets": "many"}, "limits.sockets can't be used: 'many'; write"),
-    "too few descriptors": ("limits", {"sockets": 8}, "limits.sockets is too little: 8; write 64 or more"),
+    "too few descriptors": ("limits", {"sockets": 8}, "limits.sockets is too small: 8; write 64 or more"),
     "no memory": ("limits", {"memory_mb": 0}, "limits.memory_mb is out of range: 0.0; write more than 0"),
     "memory of NaN": ("limits", {"memory_mb": float("nan")}, "limits.memory_mb is out of range: nan; write"),
     "forms that are no object": ("forms", "x", "forms can't be used: 'x'; write {class: repeatable"),
