--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -1,4 +1,4 @@
-"""Loopback parts for the tests of the real proxy: an endpoint, a discovery service, a client, on port 0."""
+"""Loopback helpers for tests of the proxy process: endpoint, discovery service and client on free ports."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from harness.proxy_process import free_port, platform_settings
 
 ROOT = Path(__file__).parents[2]
-TEST_TIMEOUT_S = 20.0  # s; a test that waits longer has failed
+TEST_TIMEOUT_S = 20.0  # A test that waits longer fails.
 
 SETTINGS: dict[str, Any] = platform_settings(dcs=["a", "b"])
 
 
 class ReceivedRequest:
-    """A request as an endpoint got it."""
+    """Request as received by an endpoint."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, connection: int) -> None:
         self.method, self.target, _ = line.split(" ")
@@ -36,9 +36,9 @@
 async def listen(
     handler: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]], port: int = 0
 ) -> tuple[asyncio.Server, str]:
-    """Serve connections on a loopback port; returns the server and its address.
+    """Serve connections on a loopback port, and return the server and its address.
 
-    A handler that still waits when the test's loop ends is cancelled, which is no error to report.
+    A handler that still waits at the end of the test's loop is cancelled; this cancellation is not reported.
     """
 
     async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -70,27 +70,28 @@
 Responder = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def respond_ok(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    writer.write(response(200, b"done " + seen.headers["x-call-id"].encode()))
+async def respond_ok(received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(response(200, b"done " + received_request.headers["x-call-id"].encode()))
 
 
 class EndpointServer:
-    """Answers requests by `respond`; keeps what it saw, apart from probes."""
+    """Endpoint that answers requests with `respond`, and records them except for health checks."""
 
     def __init__(self, respond: Responder = respond_ok) -> None:
         self.respond = respond
-        self.health_answer: bool | None = True  # what a probe is told; None: nothing
+        self.health_answer: bool | None = True  # Result of a health check; None: no response.
         self.health_checked = asyncio.Event()
         self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.received_count = 0
         self.connections_accepted = 0
-        self.closed_connections: asyncio.Queue[int] = asyncio.Queue()  # connections that the proxy closed
+        # Numbers of the connections that the proxy closed.
+        self.closed_connections: asyncio.Queue[int] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
         self.server: asyncio.Server | None = None
 
     async def start(self) -> EndpointServer:
-        """Listens where it did before, if it did."""
+        """Start listening; a restarted server uses its previous address."""
         port = int(self.address.rpartition(":")[2]) if self.address else 0
         self.server, self.address = await listen(self._connection, port)
         return self
@@ -101,15 +102,15 @@
         self.writers.append(writer)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                seen = ReceivedRequest(*await read_message(reader), number)
-                if seen.target in ("/load", "/healthz"):
+                received_request = ReceivedRequest(*await read_message(reader), number)
+                if received_request.target in ("/load", "/healthz"):
                     self.health_checked.set()
                     if self.health_answer is not None:
                         writer.write(response(200 if self.health_answer else 503, b"inflight=0,queue=0"))
                     continue
                 self.received_count += 1
-                self.received.put_nowait(seen)
-                await self.respond(seen, writer)
+                self.received.put_nowait(received_request)
+                await self.respond(received_request, writer)
         self.closed_connections.put_nowait(number)
         writer.close()
 
@@ -121,7 +122,7 @@
 
 
 class DiscoveryServer:
-    """Tells the list at once, then each change as it is put."""
+    """Discovery service that answers each poll with the next queued change."""
 
     def __init__(self) -> None:
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
@@ -172,7 +173,7 @@
 
 
 class Client:
-    """One client's connection."""
+    """Connection of one client."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -210,21 +211,25 @@
 
 
 class ProxyUnderTest:
-    """The program itself, as a process."""
+    """Proxy program, running as a process."""
 
     def __init__(
-        self, process: asyncio.subprocess.Process, address: tuple[str, int], path: Path, first: dict[str, Any]
+        self,
+        process: asyncio.subprocess.Process,
+        address: tuple[str, int],
+        path: Path,
+        initial_config: dict[str, Any],
     ) -> None:
         self.process = process
         self.address = address
         self.config_path = path
-        self.initial_config = first
+        self.initial_config = initial_config
 
     async def connect(self) -> Client:
         return Client(*await asyncio.open_connection(*self.address))
 
     def reload(self, **changes: Any) -> None:
-        """Replaces the file (with `text`, or with these keys changed), then sends SIGHUP."""
+        """Replace the configuration file with `text` or with changed keys, then send SIGHUP."""
         text = changes.pop("text", None)
         if text is None:
             text = json.dumps({**self.initial_config, **changes})
@@ -234,16 +239,16 @@
         self.process.send_signal(signal.SIGHUP)
 
     def terminate(self, kill_after: float | None = None) -> None:
-        """Sends SIGTERM, and SIGKILL after so long, as the platform does: whoever has to end before that has
-        exit code 0, however late this process sees it."""
+        """Send SIGTERM, and SIGKILL after `kill_after` seconds as the platform does.
+
+        A process that ended before SIGKILL keeps exit code 0, even if the test process notices the end late.
+        """
         self.process.send_signal(signal.SIGTERM)
         if kill_after is not None:
             asyncio.get_running_loop().call_later(kill_after, self._kill)
 
     def _kill(self) -> None:
-        if (
-            self.process.returncode is None
-        ):  # Popen.kill would reap one that has ended, and lose its exit code
+        if self.process.returncode is None:  # Popen.kill would reap an ended process and lose its exit code.
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, signal.SIGKILL)
 
@@ -266,8 +271,10 @@
 
 
 def idle_proxy_loads(*prefixes: str) -> bool:
-    """Whether a proxy with all off has a module loaded whose name begins so; it is put together in a process
-    of its own."""
+    """Return True if a proxy with all subsystems disabled loads a module with one of these name prefixes.
+
+    The proxy is created in a separate process.
+    """
     code = (
         "import asyncio, sys\n"
         "from service_proxy.composition import Proxy\n"
@@ -279,14 +286,18 @@
         "asyncio.run(test())\n"
         f"sys.exit(7 if any(name.startswith({prefixes!r}) for name in sys.modules) else 0)\n"
     )
-    code_of = subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=TEST_TIMEOUT_S).returncode
-    assert code_of in (0, 7)
-    return code_of == 7
+    completed_exit_code = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, timeout=TEST_TIMEOUT_S
+    ).returncode
+    assert completed_exit_code in (0, 7)
+    return completed_exit_code == 7
 
 
 def buffering_for(timeout: float) -> tuple[str, ...]:
-    """The program's command line with this BUFFERING_TIMEOUT_S, so long that a busy machine's lateness is
-    short beside it."""
+    """Return the arguments that run the program with this BUFFERING_TIMEOUT_S.
+
+    The timeout must be long compared with the delays of a busy machine.
+    """
     code = (
         "import sys\n"
         "from service_proxy import __main__\n"
@@ -335,8 +346,8 @@
     program: tuple[str, ...] = PROGRAM,
     **changes: Any,
 ) -> AsyncIterator[ProxyUnderTest]:
-    """A proxy before these endpoints, ready; ended by force if the test has not ended it."""
-    own = discovery or await DiscoveryServer().start()
+    """Run a proxy for these endpoints until it is ready; kill the process if the test has not ended it."""
+    discovery_server = discovery or await DiscoveryServer().start()
     for endpoint in endpoints.values():
         if not endpoint.address:
             await endpoint.start()
@@ -346,7 +357,7 @@
     listen = f"127.0.0.1:{free_port()}"
     host, _, port = listen.rpartition(":")
     with tempfile.TemporaryDirectory() as folder:
-        raw = config(own.address, known, listen, **changes)
+        raw = config(discovery_server.address, known, listen, **changes)
         process = await start_proxy(raw, folder, program)
         try:
             await wait_until_ready((host, int(port)))
@@ -357,12 +368,12 @@
                 await process.wait()
             for endpoint in endpoints.values():
                 await endpoint.stop()
-            if own.server is not None:
-                own.server.close()
+            if discovery_server.server is not None:
+                discovery_server.server.close()
 
 
 def get_request(id: str) -> bytes:
-    """A call of a class that is safe, as its bytes."""
+    """Return the bytes of a request of a safe class."""
     return f"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id:>016}\r\nX-Budget: 5000m\r\n\r\n".encode()
 
 
@@ -379,32 +390,34 @@
         return await endpoint.received.get()
 
 
-MAX_LATE_SETUPS = 10  # of a set-up that has to hit a moment; a test that is late more often has failed
+MAX_LATE_SETUPS = 10  # Maximum number of late set-ups in a row; a test with more fails.
 
 
 async def repeat_until_timely(set_up: Callable[[int], Awaitable[bool]]) -> None:
-    """Run a set-up, which gets its number, until it returns that it hit its moment.
+    """Run a set-up, which receives its number, until it returns True because it was on time.
 
-    A set-up returns False only where the clock shows that the test's own process, or the machine, was too
-    late for what is tested.
+    A set-up returns False only if the clock shows that the test process or the machine was too late for the
+    condition under test.
     """
     for number in range(MAX_LATE_SETUPS):
         if await set_up(number):
             return
-    raise AssertionError(f"the moment was missed {MAX_LATE_SETUPS} times in a row, so nothing was tested")
+    raise AssertionError(f"the set-up was late {MAX_LATE_SETUPS} times in a row, so nothing was tested")
 
 
 PATIENT_BUDGET = f"{TEST_TIMEOUT_S * 1000:.0f}m"
 
 
 def patient_settings() -> dict[str, Any]:
-    """Settings under which an attempt ends by what its endpoint does, and not because the test's own process,
-    in which the endpoints are, stood still on a busy machine: with PATIENT_BUDGET attempts last as long as a
-    test may wait, none that is overdue is cancelled for another, and no health check goes unanswered or, in
-    flight, makes a request open a connection of its own."""
-    patience = {"objective": TEST_TIMEOUT_S, "deadline": TEST_TIMEOUT_S}
+    """Return settings under which attempts end only by the behavior of the endpoint.
+
+    The endpoints run in the test process, which a busy machine may stall. With PATIENT_BUDGET, an attempt may
+    last as long as the test. No overdue attempt is cancelled and retried. There are no health checks, which
+    could stay unanswered, or occupy a connection so that a request opens another one.
+    """
+    long_times = {"objective": TEST_TIMEOUT_S, "deadline": TEST_TIMEOUT_S}
     limits = {**SETTINGS["policy_limits"], "probes": False, "may_cancel": False}
-    return {"grades": [{**entry, **patience} for entry in SETTINGS["grades"]], "policy_limits": limits}
+    return {"grades": [{**entry, **long_times} for entry in SETTINGS["grades"]], "policy_limits": limits}
 
 
 async def suspend(process: asyncio.subprocess.Process) -> None:
--- a/tests/net/test_deployment_commands.py
+++ b/tests/net/test_deployment_commands.py
@@ -1,5 +1,8 @@
-"""The `run` line of deploy/balancer.toml as the standing test starts it: one process, no further program, no
-socket but TCP over IPv4, nothing written outside $TMPDIR. Watched from inside (PEP 578) and from /proc."""
+"""The commands of deploy/balancer.toml, and the restrictions on the process of the `run` command.
+
+The process starts no other program, uses only TCP over IPv4 sockets and writes only to $TMPDIR. An audit hook
+in the process (PEP 578) and /proc show violations.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,8 @@
 
 from harness.proxy_process import free_port
 
-# Runs in the watched process before its first line. What the loop's own C does is not seen here: /proc tells.
+# Audit hook that is installed before the program's first line. The C code of the event loop raises no audit
+# events, so its sockets are checked in /proc.
 HOOK = """
 import os, sys
 _sink = os.open(os.environ["AUDIT_LOG"], os.O_WRONLY | os.O_APPEND | os.O_CREAT)
@@ -29,26 +33,26 @@
            "pty.spawn", "os.startfile")
 _writes = os.O_WRONLY | os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
 def _hook(event, args):
-    said = None
+    record = None
     if event in _starts:
-        said = f"program {event} {args!r}"
+        record = f"program {event} {args!r}"
     elif event == "socket.__new__":
-        said = f"socket {int(args[1])} {int(args[2])}"
+        record = f"socket {int(args[1])} {int(args[2])}"
     elif event in ("socket.bind", "socket.connect") and not isinstance(args[1], tuple):
-        said = f"unix {event} {args[1]!r}"
+        record = f"unix {event} {args[1]!r}"
     elif event == "open" and isinstance(args[2], int) and args[2] & _writes:
-        said = f"write {args[0]!r}"
+        record = f"write {args[0]!r}"
     elif event in ("os.mkdir", "os.rename", "os.remove", "os.rmdir", "os.link", "os.symlink", "os.truncate"):
-        said = f"write {args[0]!r}"
-    if said is not None:
-        os.write(_sink, said.encode() + b"\\n")
+        record = f"write {args[0]!r}"
+    if record is not None:
+        os.write(_sink, record.encode() + b"\\n")
 sys.addaudithook(_hook)
 """
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
-class Started:
-    """The `run` line in a tree that nobody may write to."""
+class ProxyProcess:
+    """Process of the `run` command in a copy of the source tree, which must stay unchanged."""
 
     def __init__(self, process: subprocess.Popen[bytes], folder: Path, listen: tuple[str, int]) -> None:
         self.process = process
@@ -59,46 +63,50 @@
     def audit(self) -> list[str]:
         return (self.folder / "audit").read_text().splitlines()
 
-    def ask(self, request: bytes) -> bytes:
+    def send(self, request: bytes) -> bytes:
         with suppress(OSError), socket.create_connection(self.listen, 1.0) as client:
             client.sendall(request)
             return client.recv(4096)
         return b""
 
     def sockets(self) -> list[str]:
-        """What its descriptors are, by the kernel's tables; the pairs that a loop makes for itself have no
-        name and are left out."""
-        mine = set()
+        """Return the socket types of the process's descriptors from the kernel's tables.
+
+        The socket pairs that the event loop creates for itself have no name and are left out.
+        """
+        own_inodes = set()
         for entry in Path(f"/proc/{self.process.pid}/fd").iterdir():
             with suppress(OSError):
                 target = os.readlink(entry)
                 if target.startswith("socket:["):
-                    mine.add(target[8:-1])
+                    own_inodes.add(target[8:-1])
         found = []
         for table in ("tcp", "tcp6", "udp", "udp6", "raw", "raw6", "packet"):
             with suppress(FileNotFoundError):
                 rows = (line.split() for line in Path(f"/proc/net/{table}").read_text().splitlines()[1:])
-                place = 8 if table == "packet" else 9
-                found += [table for row in rows if len(row) > place and row[place] in mine]
+                inode_column = 8 if table == "packet" else 9
+                found += [
+                    table for row in rows if len(row) > inode_column and row[inode_column] in own_inodes
+                ]
         for line in Path("/proc/net/unix").read_text().splitlines()[1:]:
             row = line.split()
-            if row[6] in mine and len(row) > 7:
+            if row[6] in own_inodes and len(row) > 7:
                 found.append(f"unix {row[7]}")
         return sorted(set(found))
 
 
-def until(condition: object, what: str) -> None:
-    due = time.monotonic() + TEST_TIMEOUT_S
+def wait_until(condition: object, failure: str) -> None:
+    deadline = time.monotonic() + TEST_TIMEOUT_S
     while not condition():  # type: ignore[operator]
-        assert time.monotonic() < due, what
+        assert time.monotonic() < deadline, failure
         time.sleep(0.01)
 
 
 @contextmanager
-def run_line(tmp_path: Path, command: str) -> Iterator[Started]:
+def run_command(tmp_path: Path, command: str) -> Iterator[ProxyProcess]:
     tree = tmp_path / "tree"
-    compiled = shutil.ignore_patterns("__pycache__")
-    shutil.copytree(ROOT / "service_proxy", tree / "service_proxy", ignore=compiled)
+    ignored_files = shutil.ignore_patterns("__pycache__")
+    shutil.copytree(ROOT / "service_proxy", tree / "service_proxy", ignore=ignored_files)
     (tree / ".venv").symlink_to(sys.prefix)
     hooks = tmp_path / "hooks"
     hooks.mkdir()
@@ -143,49 +151,54 @@
     }
     process = subprocess.Popen(["/bin/sh", "-c", command], cwd=tree, env=environ, stderr=subprocess.DEVNULL)
     try:
-        yield Started(process, tmp_path, listen)
+        yield ProxyProcess(process, tmp_path, listen)
     finally:
         process.kill()
         process.wait()
 
 
-def test_the_run_command_is_one_process_that_starts_nothing_and_speaks_tcp_over_ipv4_alone(
+def test_the_run_command_is_one_process_that_starts_no_program_and_uses_only_tcp_over_ipv4(
     tmp_path: Path,
 ) -> None:
-    with run_line(tmp_path, DEPLOY["run"]) as started:
-        pid = started.process.pid
+    with run_command(tmp_path, DEPLOY["run"]) as proxy:
+        pid = proxy.process.pid
         health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-        until(lambda: started.ask(health).startswith(b"HTTP/1.1 200"), "ready")
-        assert "service_proxy" in Path(f"/proc/{pid}/cmdline").read_text()  # the shell has become it
-        call = b"GET /stock/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Budget: 300m\r\n\r\n"
-        assert started.ask(call).startswith((b"HTTP/1.1 503", b"HTTP/1.1 502", b"HTTP/1.1 504"))
-        started.process.send_signal(signal.SIGHUP)
-        assert started.ask(health).startswith(b"HTTP/1.1 200")
-        assert started.sockets() == ["tcp"]
+        wait_until(lambda: proxy.send(health).startswith(b"HTTP/1.1 200"), "ready")
+        # The shell has replaced itself with the program.
+        assert "service_proxy" in Path(f"/proc/{pid}/cmdline").read_text()
+        request = b"GET /stock/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Budget: 300m\r\n\r\n"
+        assert proxy.send(request).startswith((b"HTTP/1.1 503", b"HTTP/1.1 502", b"HTTP/1.1 504"))
+        proxy.process.send_signal(signal.SIGHUP)
+        assert proxy.send(health).startswith(b"HTTP/1.1 200")
+        assert proxy.sockets() == ["tcp"]
         children = [Path(task / "children").read_text() for task in Path(f"/proc/{pid}/task").iterdir()]
         assert not any(children)
         maps = Path(f"/proc/{pid}/maps").read_text()
-        assert "libc.so" in maps or "libc-" in maps  # linked dynamically against the C library
-        started.process.send_signal(signal.SIGTERM)
-        assert started.process.wait(TEST_TIMEOUT_S) == 0
-        odd = [line for line in started.audit if not line.startswith("socket ")]
-        assert [line for line in odd if str(tmp_path / "private") not in line] == []
-        kinds = {tuple(map(int, line.split()[1:])) for line in started.audit if line.startswith("socket ")}
-        inside = (int(socket.AF_UNIX), int(socket.SOCK_STREAM))  # the loop's own pair for signals
-        assert {(family, kind & 0xF) for family, kind in kinds} - {inside} <= {
+        # The program is linked dynamically against the C library.
+        assert "libc.so" in maps or "libc-" in maps
+        proxy.process.send_signal(signal.SIGTERM)
+        assert proxy.process.wait(TEST_TIMEOUT_S) == 0
+        other_records = [line for line in proxy.audit if not line.startswith("socket ")]
+        assert [line for line in other_records if str(tmp_path / "private") not in line] == []
+        socket_types = {
+            tuple(map(int, line.split()[1:])) for line in proxy.audit if line.startswith("socket ")
+        }
+        # Socket pair that the event loop uses for signals.
+        signal_socket = (int(socket.AF_UNIX), int(socket.SOCK_STREAM))
+        assert {(family, socket_type & 0xF) for family, socket_type in socket_types} - {signal_socket} <= {
             (int(socket.AF_INET), int(socket.SOCK_STREAM))
         }
 
 
 @pytest.mark.parametrize("key", ["build", "run", "sim"])
-def test_the_commands_name_no_shell_that_stays(key: str) -> None:
+def test_the_commands_leave_no_shell_running(key: str) -> None:
     command = DEPLOY[key]
     assert key == "build" or (command.startswith("exec ") and "&" not in command and ";" not in command)
     assert "sudo" not in command and "/usr/" not in command
 
 
-def test_the_process_watch_detects_what_it_is_there_for(tmp_path: Path) -> None:
-    """A program with each of the forbidden things, watched in the same way."""
+def test_the_audit_hook_and_proc_show_each_violation(tmp_path: Path) -> None:
+    """Run a program that commits each violation, and check that the hook and /proc show all of them."""
     lines = [
         "import os, socket, subprocess, sys, time",
         "subprocess.run(['true'])",
@@ -195,10 +208,14 @@
         "open('made', 'w').close()",
         "time.sleep(60)",
     ]
-    text = "; ".join(lines)
-    with run_line(tmp_path, f'exec .venv/bin/python -c "{text}"') as started:
-        until(lambda: (tmp_path / "tree" / "made").exists(), "all of it done")
-        found = started.sockets()
+    program = "; ".join(lines)
+    with run_command(tmp_path, f'exec .venv/bin/python -c "{program}"') as proxy:
+        wait_until(lambda: (tmp_path / "tree" / "made").exists(), "the program did not commit all violations")
+        found = proxy.sockets()
         assert "udp" in found and "tcp6" in found and any(one.startswith("unix @standing") for one in found)
-        said = "\n".join(started.audit)
-        assert "program subprocess.Popen" in said and "unix socket.bind" in said and "write 'made'" in said
+        records = "\n".join(proxy.audit)
+        assert (
+            "program subprocess.Popen" in records
+            and "unix socket.bind" in records
+            and "write 'made'" in records
+        )
--- a/tests/net/test_discovery_polling.py
+++ b/tests/net/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""Being told: what a list that never arrived may cost, and that silent calls are followed in time."""
+"""Polling of discovery: schedule of the polls, and retries after a poll that was not answered."""
 
 from __future__ import annotations
 
@@ -40,57 +40,63 @@
 
 
 @pytest.mark.parametrize("grace", GRACES)
-def test_after_a_silent_watch_two_polls_fit_into_what_is_left_of_the_drain_grace(grace: float) -> None:
-    pace = poll_schedule(True, grace)
-    told = SILENT_CALL_NOTIFIED_S + grace  # after its wait, when what it missed must be in force
-    assert pace.silence_timeout + 2 * pace.call_timeout <= told + 1e-9
-    assert pace.silence_timeout + pace.retry_window <= told + 1e-9
-    assert pace.connect_timeout < pace.call_timeout
-    assert 2 * pace.first_list_timeout <= ADDRESS_CHANGE_NOTIFIED_S + grace
+def test_after_a_silent_watch_two_polls_fit_into_the_rest_of_the_drain_grace(grace: float) -> None:
+    schedule = poll_schedule(True, grace)
+    # Time after the wait of the poll at which the missed changes must be applied.
+    notified_after = SILENT_CALL_NOTIFIED_S + grace
+    assert schedule.silence_timeout + 2 * schedule.call_timeout <= notified_after + 1e-9
+    assert schedule.silence_timeout + schedule.retry_window <= notified_after + 1e-9
+    assert schedule.connect_timeout < schedule.call_timeout
+    assert 2 * schedule.first_list_timeout <= ADDRESS_CHANGE_NOTIFIED_S + grace
 
 
 @pytest.mark.parametrize("grace", [grace for grace in GRACES if grace])
-def test_a_pushed_list_that_one_silent_poll_missed_comes_within_the_drain_grace(grace: float) -> None:
-    pace = poll_schedule(False, grace)
-    assert pace.is_pushed
+def test_a_pushed_list_missed_by_one_silent_poll_arrives_within_the_drain_grace(grace: float) -> None:
+    schedule = poll_schedule(False, grace)
+    assert schedule.is_pushed
     assert (
-        pace.draw_watch_wait(1.0) + pace.silence_timeout + pace.retry_spacing + pace.call_timeout
+        schedule.draw_watch_wait(1.0)
+        + schedule.silence_timeout
+        + schedule.retry_spacing
+        + schedule.call_timeout
         <= 0.9 * grace + 1e-9
     )
 
 
-def test_a_polled_list_is_polled_three_times_a_minute_and_polls_spread_out() -> None:
-    pace = poll_schedule(True, 2.0)
-    waits = [pace.draw_watch_wait(number / 100) for number in range(101)]
+def test_a_central_service_is_polled_three_times_a_minute_at_spread_times() -> None:
+    schedule = poll_schedule(True, 2.0)
+    waits = [schedule.draw_watch_wait(number / 100) for number in range(101)]
     assert sum(waits) / len(waits) == pytest.approx(20.0)
     assert max(waits) - min(waits) == pytest.approx(10.0)
-    assert max(waits) < 60.0  # what the protocol allows
+    assert max(waits) < 60.0  # Longest wait that the protocol allows.
 
 
 @pytest.mark.parametrize("grace", GRACES)
-def test_while_a_list_is_owed_a_shared_service_is_polled_few_times_and_the_last_time_near_the_end(
+def test_retries_of_a_central_service_are_few_and_cover_the_whole_window(
     grace: float,
 ) -> None:
-    """Found on roll+mass: an address that answers 503 was asked thirty times in 6 s by each proxy."""
-    pace = poll_schedule(True, grace)
-    for span in (pace.retry_window, pace.address_change_window):
-        for chance in (0.0, 0.5, 1.0):
-            tries = [0.0]
-            while tries[-1] < span:
-                tries.append(tries[-1] + pace.draw_backoff(len(tries), chance))
-            assert len(tries) <= (14 if chance else 20) and tries[1] <= 0.2
-            assert tries[-2] >= span - pace.max_backoff  # what comes back meanwhile is asked within the time
+    """Guards against 30 polls in 6 s from each proxy to a discovery address that responds with 503."""
+    schedule = poll_schedule(True, grace)
+    for window in (schedule.retry_window, schedule.address_change_window):
+        for fraction in (0.0, 0.5, 1.0):
+            poll_times = [0.0]
+            while poll_times[-1] < window:
+                poll_times.append(poll_times[-1] + schedule.draw_backoff(len(poll_times), fraction))
+            assert len(poll_times) <= (14 if fraction else 20) and poll_times[1] <= 0.2
+            # A service that recovers in the window is polled again before the window ends.
+            assert poll_times[-2] >= window - schedule.max_backoff
 
 
-Said = Callable[[str, asyncio.StreamWriter], Awaitable[None]]
+PollHandler = Callable[[str, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Scripted:
-    """A discovery that does with each call what the script says, in order of their coming; then nothing."""
+class ScriptedDiscovery:
+    """Discovery service that handles each poll by the next step of a script, and then stops responding."""
 
-    def __init__(self, *script: Said) -> None:
+    def __init__(self, *script: PollHandler) -> None:
         self.script = list(script)
-        self.asked: asyncio.Queue[tuple[int, str]] = asyncio.Queue()  # connection, target
+        # Connection number and target of each poll.
+        self.received_polls: asyncio.Queue[tuple[int, str]] = asyncio.Queue()
         self.connections = 0
 
     async def start(self) -> tuple[str, int]:
@@ -104,43 +110,44 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 target = (await read_message(reader))[0].split(" ")[1]
-                self.asked.put_nowait((number, target))
+                self.received_polls.put_nowait((number, target))
                 if self.script:
                     await self.script.pop(0)(target, writer)
         writer.close()
 
     async def next(self) -> tuple[int, str]:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            return await self.asked.get()
+            return await self.received_polls.get()
 
 
-async def silent(target: str, writer: asyncio.StreamWriter) -> None:
+async def send_nothing(target: str, writer: asyncio.StreamWriter) -> None:
     pass
 
 
-async def busy(target: str, writer: asyncio.StreamWriter) -> None:
+async def send_503(target: str, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503))
 
 
-async def resets(target: str, writer: asyncio.StreamWriter) -> None:
+async def reset_connection(target: str, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-async def half(target: str, writer: asyncio.StreamWriter) -> None:
+async def send_partial_response(target: str, writer: asyncio.StreamWriter) -> None:
     writer.write(response(200, b'{"index": 5, "snapshot": false, "endpoints": []}')[:-9])
 
 
-def tells(index: int, snapshot: bool = False, indent: int | None = None) -> Said:
-    async def told(target: str, writer: asyncio.StreamWriter) -> None:
+def send_list(index: int, snapshot: bool = False, indent: int | None = None) -> PollHandler:
+    async def respond(target: str, writer: asyncio.StreamWriter) -> None:
         text = json.dumps(
             endpoint_list(index, endpoint_entry("s-1", "127.0.0.1:9"), snapshot=snapshot), indent=indent
         )
         writer.write(response(200, text.encode()))
 
-    return told
+    return respond
 
 
-# The asked budget, a hundredth of its waits and much of its calls: a loaded machine answers within them.
+# Schedule of a central service with far shorter waits; call_timeout and retry_window leave a busy machine
+# enough time to respond.
 QUICK = replace(
     poll_schedule(True, 2.0),
     watch_wait=0.1,
@@ -152,19 +159,19 @@
 )
 
 
-class Watched:
-    """A Discovery against a script, with what it handed on."""
+class ClientUnderTest:
+    """Discovery client of a scripted service, with the lists and failures that it reported."""
 
-    def __init__(self, pace: PollSchedule, version: int = 3) -> None:
+    def __init__(self, schedule: PollSchedule, version: int = 3) -> None:
         self.lists: asyncio.Queue[EndpointList] = asyncio.Queue()
         self.failed = asyncio.Event()
-        self.pace = pace
+        self.schedule = schedule
         self.version = version
 
-    async def against(self, server: Scripted) -> DiscoveryClient:
-        at = await server.start()
+    async def connect(self, server: ScriptedDiscovery) -> DiscoveryClient:
+        address = await server.start()
         self.discovery = DiscoveryClient(
-            at, self.version, self.pace, 1, self.lists.put_nowait, lambda: self.failed.set()
+            address, self.version, self.schedule, 1, self.lists.put_nowait, lambda: self.failed.set()
         )
         return self.discovery
 
@@ -172,112 +179,117 @@
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.lists.get()
 
-    async def failure(self) -> None:
+    async def wait_for_failure(self) -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await self.failed.wait()
 
 
-@pytest.mark.parametrize("then", [(), (busy,), (resets,), (busy, resets, busy)])
-def test_a_silent_watch_is_followed_at_once_on_a_new_connection_until_a_list_comes(
-    then: tuple[Said, ...],
+@pytest.mark.parametrize(
+    "then", [(), (send_503,), (reset_connection,), (send_503, reset_connection, send_503)]
+)
+def test_a_timed_out_watch_is_retried_at_once_on_a_new_connection_until_a_list_arrives(
+    then: tuple[PollHandler, ...],
 ) -> None:
-    """Found on calm+brink, seeds 1 to 10: the module was told of the failure and paused, while what the
-    watch had missed counted as told."""
+    """Guards against a pause after an unanswered watch, whose missed changes then count as notified."""
 
     async def test() -> None:
-        server = Scripted(silent, *then, tells(4, indent=2))
-        watched = Watched(QUICK)
-        discovery = await watched.against(server)
+        server = ScriptedDiscovery(send_nothing, *then, send_list(4, indent=2))
+        client_under_test = ClientUnderTest(QUICK)
+        discovery = await client_under_test.connect(server)
         discovery.watch(True)
         assert await server.next() == (1, "/v1/servers?from=3&hold_ms=100")
         for number in range(len(then) + 1):
             connection, target = await server.next()
-            assert target == "/v1/servers?from=3&hold_ms=0"  # answered at once, with news or without
+            # The service answers this poll at once, with or without changes.
+            assert target == "/v1/servers?from=3&hold_ms=0"
             assert connection > 1, number
-        assert (await watched.list()).version == 4
-        assert (await server.next())[1] == "/v1/servers?from=4&hold_ms=100"  # and it may wait again
-        assert not watched.failed.is_set()
+        assert (await client_under_test.list()).version == 4
+        assert (await server.next())[1] == "/v1/servers?from=4&hold_ms=100"  # The next poll may wait again.
+        assert not client_under_test.failed.is_set()
         discovery.stop()
 
     run_async(test())
 
 
-def test_a_response_that_stalls_in_its_middle_is_given_up_before_the_wait_is_over() -> None:
+def test_a_response_that_stalls_times_out_before_the_wait_of_the_poll_is_over() -> None:
     async def test() -> None:
-        server = Scripted(half, tells(4))
-        watched = Watched(replace(QUICK, watch_wait=60.0, call_timeout=0.2))
-        discovery = await watched.against(server)
+        server = ScriptedDiscovery(send_partial_response, send_list(4))
+        client_under_test = ClientUnderTest(replace(QUICK, watch_wait=60.0, call_timeout=0.2))
+        discovery = await client_under_test.connect(server)
         discovery.watch(True)
         assert (await server.next())[0] == 1
-        assert (await watched.list()).version == 4
+        assert (await client_under_test.list()).version == 4
         discovery.stop()
 
     run_async(test())
 
 
-def test_once_no_list_is_owed_the_policy_decides_when_to_poll() -> None:
+def test_after_the_retry_window_the_policy_decides_when_to_poll() -> None:
     async def test() -> None:
-        server = Scripted(silent, *[busy] * 1000)
-        watched = Watched(replace(QUICK, retry_window=0.1))
-        discovery = await watched.against(server)
+        server = ScriptedDiscovery(send_nothing, *[send_503] * 1000)
+        client_under_test = ClientUnderTest(replace(QUICK, retry_window=0.1))
+        discovery = await client_under_test.connect(server)
         discovery.watch(True)
-        await watched.failure()
-        assert 1 <= server.asked.qsize() <= 20
+        await client_under_test.wait_for_failure()
+        assert 1 <= server.received_polls.qsize() <= 20
         discovery.stop()
 
     run_async(test())
 
 
-def test_polls_while_a_list_is_owed_back_off() -> None:
+def test_polls_in_the_retry_window_back_off() -> None:
     async def test() -> None:
-        pace = replace(QUICK, retry_window=0.5, max_backoff=0.1)
-        server = Scripted(silent, *[busy] * 1000)
-        watched = Watched(pace)
-        discovery = await watched.against(server)
+        schedule = replace(QUICK, retry_window=0.5, max_backoff=0.1)
+        server = ScriptedDiscovery(send_nothing, *[send_503] * 1000)
+        client_under_test = ClientUnderTest(schedule)
+        discovery = await client_under_test.connect(server)
         discovery.watch(True)
-        await watched.failure()
-        assert 4 <= server.asked.qsize() <= 16  # at one pace of 0.01 s it would be near 50
+        await client_under_test.wait_for_failure()
+        # A fixed spacing of 0.01 s would cause about 50 polls.
+        assert 4 <= server.received_polls.qsize() <= 16
         discovery.stop()
 
     run_async(test())
 
 
-@pytest.mark.parametrize("first", [busy, resets, half, silent])
-def test_a_failed_poll_that_could_not_wait_is_left_to_the_policy_where_lists_are_polled(first: Said) -> None:
-    """Discovery is one service for all: only what a silent watch missed is asked for without a pause."""
+@pytest.mark.parametrize("first", [send_503, reset_connection, send_partial_response, send_nothing])
+def test_a_failed_poll_outside_the_retry_window_is_reported_to_the_policy(first: PollHandler) -> None:
+    """A central service is polled without a pause only for changes that a timed-out watch missed."""
 
     async def test() -> None:
-        pace = replace(QUICK, call_timeout=0.1, retry_window=0.0)
-        server = Scripted(first)
-        watched = Watched(pace)
-        discovery = await watched.against(server)
+        schedule = replace(QUICK, call_timeout=0.1, retry_window=0.0)
+        server = ScriptedDiscovery(first)
+        client_under_test = ClientUnderTest(schedule)
+        discovery = await client_under_test.connect(server)
         discovery.watch(True)
-        await watched.failure()
+        await client_under_test.wait_for_failure()
         discovery.stop()
 
     run_async(test())
 
 
-def test_a_new_discovery_address_that_is_silent_is_polled_again_within_its_window() -> None:
+def test_a_silent_new_discovery_address_is_polled_again_within_its_window() -> None:
     async def test() -> None:
-        server = Scripted(silent, busy, tells(1, snapshot=True))
-        watched = Watched(replace(QUICK, first_list_timeout=0.2, address_change_window=60.0))
-        discovery = await watched.against(Scripted())
+        server = ScriptedDiscovery(send_nothing, send_503, send_list(1, snapshot=True))
+        client_under_test = ClientUnderTest(
+            replace(QUICK, first_list_timeout=0.2, address_change_window=60.0)
+        )
+        discovery = await client_under_test.connect(ScriptedDiscovery())
         discovery.change_address(await server.start())
         for connection in (1, 2):
             assert await server.next() == (connection, "/v1/servers")
-        assert (await watched.list()).version == 1
-        assert not watched.failed.is_set()
+        assert (await client_under_test.list()).version == 1
+        assert not client_under_test.failed.is_set()
         discovery.stop()
 
     run_async(test())
 
 
-def test_a_list_version_that_goes_back_is_followed_from_where_it_is() -> None:
+def test_a_watch_continues_from_a_lower_list_version() -> None:
     async def test() -> None:
-        server = Scripted(tells(2, snapshot=True), tells(1))
-        watched = Watched(QUICK, version=900)
-        discovery = await watched.against(server)
+        server = ScriptedDiscovery(send_list(2, snapshot=True), send_list(1))
+        client_under_test = ClientUnderTest(QUICK, version=900)
+        discovery = await client_under_test.connect(server)
         discovery.watch(True)
         for version in (900, 2, 1):
             assert (await server.next())[1].startswith(f"/v1/servers?from={version}&")
@@ -286,140 +298,149 @@
     run_async(test())
 
 
-class Agent(SilentDiscovery):
-    """Answers a call at once where it has news, else when its wait is over; or not at all."""
+class DiscoveryAgent(SilentDiscovery):
+    """Agent that answers a poll at a change or after the wait of the poll, unless it is silent."""
 
     def __init__(self) -> None:
         super().__init__()
         self.version, self.entries = 1, list[dict[str, Any]]()
-        self.news = asyncio.Condition()
-        self.down = False
-        self.whole = False
+        self.list_changed = asyncio.Condition()
+        self.is_silent = False
+        self.sends_snapshots = False
 
-    async def tell(self, *entries: dict[str, Any]) -> None:
-        async with self.news:
+    async def publish_changes(self, *entries: dict[str, Any]) -> None:
+        async with self.list_changed:
             self.version, self.entries = self.version + 1, list(entries)
-            self.news.notify_all()
+            self.list_changed.notify_all()
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 target = (await read_message(reader))[0].split(" ")[1]
                 self.polls.put_nowait(target)
-                at = int(target.partition("from=")[2].partition("&")[0] or -1)  # without one: at once
+                # A poll without a version is answered at once.
+                known_version = int(target.partition("from=")[2].partition("&")[0] or -1)
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(int(target.partition("hold_ms=")[2] or 0) / 1000), self.news:
-                        while self.version <= at:
-                            await self.news.wait()
-                if not self.down:
-                    told = endpoint_list(self.version, *self.entries, snapshot=self.whole)
-                    writer.write(response(200, json.dumps(told).encode()))
+                    async with (
+                        asyncio.timeout(int(target.partition("hold_ms=")[2] or 0) / 1000),
+                        self.list_changed,
+                    ):
+                        while self.version <= known_version:
+                            await self.list_changed.wait()
+                if not self.is_silent:
+                    changes = endpoint_list(self.version, *self.entries, snapshot=self.sends_snapshots)
+                    writer.write(response(200, json.dumps(changes).encode()))
         writer.close()
 
-    async def call(self) -> str:
+    async def next_poll(self) -> str:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.polls.get()
 
 
-async def goes_to_the_other(
-    proxy: ProxyUnderTest, agent: Agent, leaves: EndpointServer, stays: EndpointServer
+async def wait_for_change_and_check(
+    proxy: ProxyUnderTest, agent: DiscoveryAgent, removed: EndpointServer, remaining: EndpointServer
 ) -> None:
-    """Once the proxy asks from the agent's second version, it has the first's change."""
-    while "from=2&" not in await agent.call():
+    """Wait for a poll from the agent's second version, which shows that the first change was applied."""
+    while "from=2&" not in await agent.next_poll():
         pass
-    await only_the_other_serves(proxy, leaves, stays)
+    await check_only_remaining_serves(proxy, removed, remaining)
 
 
-async def only_the_other_serves(proxy: ProxyUnderTest, leaves: EndpointServer, stays: EndpointServer) -> None:
+async def check_only_remaining_serves(
+    proxy: ProxyUnderTest, removed: EndpointServer, remaining: EndpointServer
+) -> None:
     client = await proxy.connect()
     for number in range(20):
         assert (await client.request("stock", f"{number:016x}", budget=PATIENT_BUDGET)).status_code == 200
-    assert (leaves.received_count, stays.received_count) == (0, 20)
+    assert (removed.received_count, remaining.received_count) == (0, 20)
 
 
-def test_where_lists_are_pushed_a_new_process_polls_at_once_and_is_notified_of_a_drain() -> None:
-    """Nothing asked an agent before: the module waits to be told where lists are pushed."""
+def test_with_pushed_lists_a_new_process_polls_at_once_and_is_notified_of_a_drain() -> None:
+    """Guards against a deadlock: with pushed lists, the policy requests no poll but waits for a list."""
 
     async def test() -> None:
-        agent = Agent()
-        leaves = EndpointServer()
-        stays = EndpointServer()
+        agent = DiscoveryAgent()
+        removed = EndpointServer()
+        remaining = EndpointServer()
         await agent.start()
         async with proxy_under_test(
-            {"s-1": leaves, "s-2": stays}, agent, discovery="push", **patient_settings()
+            {"s-1": removed, "s-2": remaining}, agent, discovery="push", **patient_settings()
         ) as proxy:
-            assert "from=1&" in await agent.call()
-            await agent.tell(endpoint_entry("s-1", leaves.address, "Terminating"))
-            await goes_to_the_other(proxy, agent, leaves, stays)
+            assert "from=1&" in await agent.next_poll()
+            await agent.publish_changes(endpoint_entry("s-1", removed.address, "Terminating"))
+            await wait_for_change_and_check(proxy, agent, removed, remaining)
 
     run_async(test())
 
 
-def test_an_agent_that_was_down_is_followed_at_its_return_though_an_earlier_poll_stays_silent() -> None:
+def test_an_agent_is_polled_after_an_outage_although_earlier_polls_stay_unanswered() -> None:
     async def test() -> None:
-        agent = Agent()
-        leaves = EndpointServer()
-        stays = EndpointServer()
+        agent = DiscoveryAgent()
+        removed = EndpointServer()
+        remaining = EndpointServer()
         await agent.start()
         async with proxy_under_test(
-            {"s-1": leaves, "s-2": stays}, agent, discovery="push", **patient_settings()
+            {"s-1": removed, "s-2": remaining}, agent, discovery="push", **patient_settings()
         ) as proxy:
-            await agent.call()
-            agent.down = True
-            await agent.tell(endpoint_entry("s-1", leaves.address, "Gone"))
+            await agent.next_poll()
+            agent.is_silent = True
+            await agent.publish_changes(endpoint_entry("s-1", removed.address, "Gone"))
             for _ in range(5):
-                assert "from=1&" in await agent.call()
-            agent.down = False
-            await goes_to_the_other(proxy, agent, leaves, stays)
+                assert "from=1&" in await agent.next_poll()
+            agent.is_silent = False
+            await wait_for_change_and_check(proxy, agent, removed, remaining)
 
     run_async(test())
 
 
-def test_an_agent_that_was_silent_is_followed_within_the_drain_grace_of_its_return() -> None:
+def test_a_list_arrives_within_the_drain_grace_after_a_silent_agent_responds_again() -> None:
     async def test() -> None:
-        pace = poll_schedule(False, 2.0)
-        server = Scripted()
-        watched = Watched(pace)
-        discovery = await watched.against(server)
+        schedule = poll_schedule(False, 2.0)
+        server = ScriptedDiscovery()
+        client_under_test = ClientUnderTest(schedule)
+        discovery = await client_under_test.connect(server)
         discovery.start()
-        for _ in range(6):  # as long as it is silent, calls follow one another, each on its own connection
+        # While the agent is silent, the polls follow one another, each on its own connection.
+        for _ in range(6):
             await server.next()
         assert server.connections >= 5
-        server.script.append(tells(9))
-        begun = time.monotonic()
-        assert (await watched.list()).version == 9
-        assert time.monotonic() - begun < 2.0
+        server.script.append(send_list(9))
+        started_at = time.monotonic()
+        assert (await client_under_test.list()).version == 9
+        assert time.monotonic() - started_at < 2.0
         discovery.stop()
 
     run_async(test())
 
 
-def test_a_pushed_list_goes_on_after_failures_of_any_kind_without_the_policy() -> None:
+def test_polls_for_pushed_lists_continue_after_any_failure_without_the_policy() -> None:
     async def test() -> None:
-        pace = replace(
+        schedule = replace(
             poll_schedule(False, 2.0),
             watch_wait=0.02,
             silence_timeout=0.05,
             call_timeout=0.05,
             retry_spacing=0.01,
         )
-        server = Scripted(*[busy, resets, silent, half] * 5, tells(4))
-        watched = Watched(pace)
-        discovery = await watched.against(server)
+        server = ScriptedDiscovery(
+            *[send_503, reset_connection, send_nothing, send_partial_response] * 5, send_list(4)
+        )
+        client_under_test = ClientUnderTest(schedule)
+        discovery = await client_under_test.connect(server)
         discovery.start()
-        assert (await watched.list()).version == 4
+        assert (await client_under_test.list()).version == 4
         discovery.stop()
 
     run_async(test())
 
 
-def test_a_connection_to_discovery_that_never_comes_up_is_given_up_within_its_timeout() -> None:
-    """Its backlog is full, so that the kernel answers no connect at all."""
+def test_a_connection_to_discovery_that_is_never_established_times_out() -> None:
+    """The backlog of the address is full, so the kernel completes no connection."""
 
     async def test() -> None:
-        full = Unreachable()
-        host, _, port = full.address.rpartition(":")
-        watched = Watched(
+        unreachable = Unreachable()
+        host, _, port = unreachable.address.rpartition(":")
+        client_under_test = ClientUnderTest(
             replace(
                 QUICK,
                 connect_timeout=0.05,
@@ -428,33 +449,36 @@
                 address_change_window=0.3,
             )
         )
-        discovery = await watched.against(Scripted())
+        discovery = await client_under_test.connect(ScriptedDiscovery())
         discovery.change_address((host, int(port)))
-        await watched.failure()  # what is left of a call's minute would be longer than PATIENCE
+        # Without the connect timeout, the 60 s of a call would exceed TEST_TIMEOUT_S.
+        await client_under_test.wait_for_failure()
         discovery.stop()
-        full.close()
+        unreachable.close()
 
     run_async(test())
 
 
 def test_after_sighup_under_a_silent_watch_the_old_address_is_ignored() -> None:
     async def test() -> None:
-        old = await SilentDiscovery().start()
-        new = Agent()
-        leaves = EndpointServer()
-        stays = EndpointServer()
-        await new.start()
-        async with proxy_under_test({"s-1": leaves, "s-2": stays}, old, **patient_settings()) as proxy:
+        old_discovery = await SilentDiscovery().start()
+        new_discovery = DiscoveryAgent()
+        removed = EndpointServer()
+        remaining = EndpointServer()
+        await new_discovery.start()
+        async with proxy_under_test(
+            {"s-1": removed, "s-2": remaining}, old_discovery, **patient_settings()
+        ) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                assert "from=1&" in await old.polls.get()  # and it says nothing
-            new.version, new.entries = 7, [endpoint_entry("s-2", stays.address)]
-            new.whole = True
-            proxy.reload(discovery=new.address)
-            while "from=7&" not in await new.call():
+                # The old address leaves this poll unanswered.
+                assert "from=1&" in await old_discovery.polls.get()
+            new_discovery.version, new_discovery.entries = 7, [endpoint_entry("s-2", remaining.address)]
+            new_discovery.sends_snapshots = True
+            proxy.reload(discovery=new_discovery.address)
+            while "from=7&" not in await new_discovery.next_poll():
                 pass
-            old.publish(
-                9, endpoint_entry("s-1", leaves.address), snapshot=True
-            )  # too late: it is heard no more
-            await only_the_other_serves(proxy, leaves, stays)
+            # The response of the old address arrives after the reload and must be ignored.
+            old_discovery.publish(9, endpoint_entry("s-1", removed.address), snapshot=True)
+            await check_only_remaining_serves(proxy, removed, remaining)
 
     run_async(test())
--- a/tests/net/test_endpoint_lists.py
+++ b/tests/net/test_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists through the program itself: watches, failures of discovery, draining and moved endpoints."""
+"""Endpoint lists in a running proxy: watches, failures of discovery, draining and replaced endpoints."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_discovery_that_is_down_is_polled_again_and_the_cached_list_stays() -> None:
+def test_discovery_is_polled_again_after_failures_and_the_cached_list_stays_in_use() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         endpoint = EndpointServer()
@@ -35,8 +35,8 @@
     run_async(test())
 
 
-def test_an_endpoint_that_contradicts_a_silent_watch_makes_the_proxy_poll_again() -> None:
-    """The first watch is taken and never answered, while an endpoint goes and another comes."""
+def test_a_failed_connect_during_a_silent_watch_makes_the_proxy_poll_again() -> None:
+    """The first watch stays unanswered while one endpoint is removed and another is added."""
 
     async def test() -> None:
         discovery = await DiscoveryServer().start()
@@ -56,12 +56,13 @@
                     await asyncio.sleep(0.02)
                 assert "from=1" in await discovery.polls.get()
             change = endpoint_entry("s-1", removed.address, "Gone"), endpoint_entry("s-3", added.address)
-            for _ in range(2):  # the first is taken by the silent connection
+            for _ in range(2):  # The connection of the unanswered watch consumes the first response.
                 discovery.publish(2, *change)
-            await remaining.stop()  # else chance decides how soon the new one is preferred to it
+            # Otherwise, the policy might prefer this endpoint to the new one for a random time.
+            await remaining.stop()
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not added.received_count:
-                    if not discovery.polls.empty():  # also where the poll before it was given up
+                    if not discovery.polls.empty():  # The previous poll may have timed out.
                         discovery.polls.get_nowait()
                         discovery.publish(2, *change)
                     number += 1
@@ -72,7 +73,7 @@
     run_async(test())
 
 
-def test_watches_follow_one_another_and_a_malformed_list_keeps_the_last_one() -> None:
+def test_a_watch_is_renewed_after_each_list_and_a_malformed_list_is_ignored() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         endpoint = EndpointServer()
@@ -90,7 +91,7 @@
     run_async(test())
 
 
-def test_a_draining_endpoint_gets_no_new_request_and_a_readdressed_one_no_old_connection() -> None:
+def test_a_draining_endpoint_gets_no_request_and_a_new_address_gets_new_connections() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         draining = EndpointServer()
@@ -105,7 +106,8 @@
                 endpoint_entry("s-2", replaced.address),
             )
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                await draining.closed_connections.get()  # told: its idle connections close
+                # The proxy closes its idle connections after it is notified of the drain.
+                await draining.closed_connections.get()
             for number in range(1, 5):
                 assert (await client.request("canje", f"{number:016x}", PATIENT_BUDGET)).status_code == 200
             assert (draining.received_count, replaced.received_count) == (1, 4)
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The process ends, or a connection makes room: what was taken, or lies unread, is still owed its answer."""
+"""Shutdown of the process and closing of connections: accepted and unread requests are still answered."""
 
 from __future__ import annotations
 
@@ -38,28 +38,29 @@
 from service_proxy.net.downstream.http_server import KEEP_ALIVE_TIMEOUT_S, REQUEST_TIMEOUT_S
 from service_proxy.policy.settings_types import Idempotency
 
-KILL = 3.0 + 0.7  # s after SIGTERM at which SIGKILL may come, where the longest deadline is 3 s or more
+# Time (s) from SIGTERM to the earliest SIGKILL if the longest deadline is 3 s or more.
+KILL_AFTER_S = 3.0 + 0.7
 
 
-async def hangs(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def never_respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
-def test_what_was_open_at_sigterm_is_answered_before_the_kill_though_all_endpoints_hang() -> None:
-    """Sent, waiting in the queue, and begun to come: only time ends them."""
+def test_requests_open_at_sigterm_are_answered_before_the_kill_although_all_endpoints_hang() -> None:
+    """Requests that are sent, queued or partly received end only at the shutdown deadline."""
 
     async def test() -> None:
-        endpoint = EndpointServer(hangs)
+        endpoint = EndpointServer(never_respond)
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
             clients = [await proxy.connect() for _ in range(12)]
             for number, client in enumerate(clients):
                 cls = ("stock", "reserva", "canje")[number % 3]
                 client.send(cls, f"{number:016x}", budget="9000m")
-            begins = await proxy.connect()
-            begins.writer.write(b"GET /stock HTTP/1.1\r\nHost: x\r\n")
+            partial_client = await proxy.connect()
+            partial_client.writer.write(b"GET /stock HTTP/1.1\r\nHost: x\r\n")
             await next_request(endpoint)
-            proxy.terminate(KILL)
-            proxy.terminate()  # a second one changes nothing
+            proxy.terminate(KILL_AFTER_S)
+            proxy.terminate()  # A second SIGTERM has no effect.
             for client in clients:
                 assert (await client.response()).status_code in (502, 503, 504)
             assert await proxy.exit_code() == 0
@@ -69,8 +70,8 @@
     run_async(test())
 
 
-class Answering:
-    """Answers each call at once."""
+class ImmediateHandler:
+    """Request handler that answers each request at once."""
 
     def start_request(self, request: Any, writer: Any) -> object:
         writer.respond(200, (), request.id)
@@ -79,7 +80,7 @@
     def client_disconnected(self, open_request: Any) -> None: ...
 
 
-def make_room(server: HttpServer) -> None:
+def evict_one(server: HttpServer) -> None:
     server._evict_one()
 
 
@@ -91,49 +92,46 @@
     server.close_idle(include_partial=True)
 
 
-def sweep(server: HttpServer) -> None:
+def run_timeouts(server: HttpServer) -> None:
     for connection in [*server.idle]:
         connection.close_unless_unread()
     for connection in [*server.awaiting_request]:
         DownstreamConnection.on_request_timeout(connection)
 
 
-@pytest.mark.parametrize("first", [True, False], ids=["a new connection", "a kept one"])
-@pytest.mark.parametrize("end", [make_room, close_idle, close_all, sweep])
+@pytest.mark.parametrize("is_new", [True, False], ids=["a new connection", "a reused connection"])
+@pytest.mark.parametrize("close", [evict_one, close_idle, close_all, run_timeouts])
 def test_an_unread_request_is_answered_and_an_idle_connection_is_closed(
-    end: Callable[[HttpServer], None], first: bool
+    close: Callable[[HttpServer], None], is_new: bool
 ) -> None:
-    """The request crosses the decision to close: its bytes are in the socket, and the loop has not read them
-    yet."""
+    """Guards against closing a connection whose next request is in the socket but not yet read."""
 
     async def test() -> None:
-        server = HttpServer({"stock": Idempotency.IDEMPOTENT}, Answering(), 256, 64, {})
+        server = HttpServer({"stock": Idempotency.IDEMPOTENT}, ImmediateHandler(), 256, 64, {})
         port = await server.listen("127.0.0.1", 0)
-        raws = []
+        sockets = []
         clients = []
         for number in range(2):
-            raws.append(socket.create_connection(("127.0.0.1", port)))
-            raws[-1].setblocking(False)
-            clients.append(Client(*await asyncio.open_connection(sock=raws[-1])))
-            if not first:
+            sockets.append(socket.create_connection(("127.0.0.1", port)))
+            sockets[-1].setblocking(False)
+            clients.append(Client(*await asyncio.open_connection(sock=sockets[-1])))
+            if not is_new:
                 assert (await clients[-1].send_raw(get_request(str(number)))).status_code == 200
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while len(server.awaiting_request if first else server.idle) < 2:
+            while len(server.awaiting_request if is_new else server.idle) < 2:
                 await asyncio.sleep(0)
         for connection in server.connections:
-            connection.state_since -= max(
-                KEEP_ALIVE_TIMEOUT_S, REQUEST_TIMEOUT_S
-            )  # as if it had stood for so long
-        asks = next(
-            iter(server.awaiting_request if first else server.idle)
-        )  # the oldest, which would go first
-        assert asks.transport is not None
-        peer = asks.transport.get_extra_info("peername")
-        asking = next(place for place, raw in enumerate(raws) if raw.getsockname() == peer)
-        raws[asking].send(get_request("9"))  # and no turn of the loop between this and the next line
-        end(server)
-        assert (await clients[asking].response()).body == b"9".rjust(16, b"0")
-        assert await clients[1 - asking].is_closed()
+            # Simulates connections that have reached both timeouts.
+            connection.state_since -= max(KEEP_ALIVE_TIMEOUT_S, REQUEST_TIMEOUT_S)
+        # The oldest connection, which would be closed first.
+        oldest = next(iter(server.awaiting_request if is_new else server.idle))
+        assert oldest.transport is not None
+        peer = oldest.transport.get_extra_info("peername")
+        oldest_index = next(index for index, raw in enumerate(sockets) if raw.getsockname() == peer)
+        sockets[oldest_index].send(get_request("9"))  # The loop does not run between this line and the next.
+        close(server)
+        assert (await clients[oldest_index].response()).body == b"9".rjust(16, b"0")
+        assert await clients[1 - oldest_index].is_closed()
         server.stop_listening()
         for client in clients:
             client.writer.close()
@@ -141,90 +139,94 @@
     uvloop.run(test())
 
 
-def test_what_comes_after_the_shutdown_deadline_is_rejected_unsent() -> None:
-    """On a kept connection clients go on sending up to the SIGKILL."""
+def test_a_request_after_the_shutdown_deadline_is_rejected_and_not_sent_to_an_endpoint() -> None:
+    """Clients may send on persistent connections until SIGKILL."""
 
     async def test() -> None:
-        endpoint = EndpointServer(hangs)
+        endpoint = EndpointServer(never_respond)
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
-            stuck = await proxy.connect()
-            late = await proxy.connect()
-            stuck.send("canje", "a" * 16, budget="9000m")
+            hanging_client = await proxy.connect()
+            late_client = await proxy.connect()
+            hanging_client.send("canje", "a" * 16, budget="9000m")
             await next_request(endpoint)
             proxy.terminate()
-            assert (await stuck.response()).status_code in (502, 504)
-            late.send("canje", "b" * 16, budget="9000m")
-            if not await late.is_closed():  # answered rather than closed unread
-                assert b" 503 " in await late.reader.readline()
+            assert (await hanging_client.response()).status_code in (502, 504)
+            late_client.send("canje", "b" * 16, budget="9000m")
+            if not await late_client.is_closed():  # A connection that stays open must answer the request.
+                assert b" 503 " in await late_client.reader.readline()
             assert await proxy.exit_code() == 0
             assert endpoint.received_count == 1
 
     run_async(test())
 
 
-@pytest.mark.parametrize("ends", [True, False], ids=["its backend goes on", "its backend stands still"])
-def test_a_response_that_is_streamed_at_sigterm_goes_on_until_the_kill_and_is_complete_or_visibly_cut(
+@pytest.mark.parametrize("ends", [True, False], ids=["the endpoint continues", "the endpoint stalls"])
+def test_a_response_streamed_at_sigterm_continues_until_the_kill_and_is_complete_or_visibly_truncated(
     ends: bool,
 ) -> None:
     async def test() -> None:
-        rest = asyncio.Event()
+        may_continue = asyncio.Event()
         half = b"a" * 100_000
 
-        async def behave(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half)
-            await rest.wait()
+            await may_continue.wait()
             writer.write(half)
 
-        endpoint = EndpointServer(behave)
+        endpoint = EndpointServer(respond)
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
             client = await proxy.connect()
-            other = await proxy.connect()
+            other_client = await proxy.connect()
             client.send("canje", "a" * 16, budget="9000m")
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await client.reader.readexactly(100_000)).startswith(b"HTTP/1.1 200 ")
-            proxy.terminate(KILL)
-            answer = await other.send_raw(get_request("404").replace(b"/stock", b"/nosuch"))
-            assert answer.status_code == 404  # it still serves after the signal
+            proxy.terminate(KILL_AFTER_S)
+            answer = await other_client.send_raw(get_request("404").replace(b"/stock", b"/nosuch"))
+            assert answer.status_code == 404  # The proxy still serves requests after the signal.
             if ends:
-                rest.set()
+                may_continue.set()
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                read = b""
+                received_bytes = b""
                 with contextlib.suppress(ConnectionError):
-                    read = await client.reader.read(-1)
-            assert (read.endswith(half)) == ends and len(read) < len(half) + 100 * (1 + ends)
+                    received_bytes = await client.reader.read(-1)
+            assert (received_bytes.endswith(half)) == ends and len(received_bytes) < len(half) + 100 * (
+                1 + ends
+            )
             assert await proxy.exit_code() == 0
-            rest.set()
+            may_continue.set()
 
     run_async(test())
 
 
-def test_responses_that_nobody_reads_do_not_keep_the_process_beyond_the_kill() -> None:
+def test_responses_that_no_client_reads_do_not_delay_the_exit_beyond_the_kill() -> None:
     async def test() -> None:
-        async def behave(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n")
             with contextlib.suppress(ConnectionError):
                 for _ in range(300):
                     writer.write(b"a" * 100_000)
                     await writer.drain()
 
-        endpoint = EndpointServer(behave)
+        endpoint = EndpointServer(respond)
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
             raw = socket.create_connection(proxy.address)
             raw.send(get_request("1").replace(b"/stock", b"/stock?"))
             await next_request(endpoint)
-            while not select.select([raw], [], [], 0)[0]:  # it has begun to come, and is not read
+            # The response has begun, and the client has not read it.
+            while not select.select([raw], [], [], 0)[0]:
                 await asyncio.sleep(0)
-            proxy.terminate(KILL)
+            proxy.terminate(KILL_AFTER_S)
             assert await proxy.exit_code() == 0
             raw.close()
 
     run_async(test())
 
 
-def test_what_waits_in_the_listen_backlog_as_the_listener_closes_is_accepted_and_answered() -> None:
-    """After a stall timers come before sockets: the listener must not close on who came meanwhile.
+def test_connections_in_the_listen_backlog_are_accepted_before_the_listener_closes() -> None:
+    """Guards against a listener that closes before it accepts connections that arrived during a stall.
 
-    The process has to be stopped before its listener has closed.
+    After a stall, expired timers run before sockets are read. The process must be stopped before its listener
+    closes.
     """
 
     async def test() -> None:
@@ -240,16 +242,16 @@
                     client = await proxy.connect()
                     assert (await client.request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
                     await suspend(proxy.process)
-                    late = await proxy.connect()  # the kernel takes it, and its request
+                    late_client = await proxy.connect()  # The kernel accepts the connection and its request.
                 except OSError:
                     assert loop.time() >= terminated_at + LISTENER_GRACE_S
                     return False
                 if loop.time() >= terminated_at + LISTENER_GRACE_S:
                     return False
-                late.send("stock", "3" * 16, PATIENT_BUDGET)
-                await asyncio.sleep(LISTENER_GRACE_S)  # the stall itself
+                late_client.send("stock", "3" * 16, PATIENT_BUDGET)
+                await asyncio.sleep(LISTENER_GRACE_S)  # Duration of the stall.
                 proxy.process.send_signal(signal.SIGCONT)
-                assert (await late.response()).status_code == 200
+                assert (await late_client.response()).status_code == 200
                 assert await proxy.exit_code() == 0
             return True
 
@@ -258,8 +260,10 @@
     run_async(test())
 
 
-@pytest.mark.parametrize("when", ["at once", "while it has no list"])
-def test_sigterm_before_it_is_ready_ends_it_without_a_traceback(when: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("when", ["at once", "before the first list"])
+def test_sigterm_before_the_proxy_is_ready_ends_the_process_without_a_traceback(
+    when: str, tmp_path: Path
+) -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         raw = config(discovery.address, endpoint_list(1), f"127.0.0.1:{free_port()}")
@@ -270,9 +274,9 @@
                 assert (await discovery.polls.get()).startswith("/v1/servers")
         process.terminate()
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            code = await process.wait()
+            exit_code = await process.wait()
             assert b"Traceback" not in await process.stderr.read()
-        # Before the loop runs nothing was taken, and the signal ends it in its own way.
-        assert code == 0 or (when == "at once" and code == -signal.SIGTERM)
+        # Before the event loop runs, SIGTERM kills the process; no request has been accepted yet.
+        assert exit_code == 0 or (when == "at once" and exit_code == -signal.SIGTERM)
 
     run_async(test())
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP and SIGTERM, through the program itself: a new address of discovery, bad files, planned restarts."""
+"""SIGHUP and SIGTERM of a running proxy: new discovery address, invalid files and planned restarts."""
 
 from __future__ import annotations
 
@@ -20,54 +20,54 @@
 )
 
 
-async def first_asked(discovery: DiscoveryServer) -> str:
+async def next_poll(discovery: DiscoveryServer) -> str:
     async with asyncio.timeout(TEST_TIMEOUT_S):
         return await discovery.polls.get()
 
 
-def test_a_reload_takes_the_complete_list_of_the_new_address_and_watches_from_there() -> None:
-    """Guards against the variable that overrides the file, and against versions of the old server."""
+def test_a_reload_fetches_the_whole_list_of_the_new_address_and_watches_from_its_version() -> None:
+    """Guards against EDGE_DISCOVERY overriding the file, and against versions of the old service."""
 
     async def test() -> None:
-        one = EndpointServer()
-        two = await EndpointServer().start()
-        async with proxy_under_test({"s-1": one}, **patient_settings()) as proxy:
+        first_endpoint = EndpointServer()
+        second_endpoint = await EndpointServer().start()
+        async with proxy_under_test({"s-1": first_endpoint}, **patient_settings()) as proxy:
             client = await proxy.connect()
             assert (await client.request("stock", "1" * 16, PATIENT_BUDGET)).status_code == 200
-            for round, endpoint in enumerate([two, one, two]):
+            for round, endpoint in enumerate([second_endpoint, first_endpoint, second_endpoint]):
                 server = await DiscoveryServer().start()
                 server.publish(round, endpoint_entry(f"s-{round}", endpoint.address), snapshot=True)
                 proxy.reload(discovery=server.address)
-                assert await first_asked(server) == "/v1/servers"
-                assert (await first_asked(server)).startswith(f"/v1/servers?from={round}&hold_ms=")
+                assert await next_poll(server) == "/v1/servers"
+                assert (await next_poll(server)).startswith(f"/v1/servers?from={round}&hold_ms=")
                 before = endpoint.received_count
                 assert (await client.request("canje", f"{round:016x}", PATIENT_BUDGET)).status_code == 200
                 assert endpoint.received_count == before + 1
-        await two.stop()
+        await second_endpoint.stop()
 
     run_async(test())
 
 
-def test_a_reload_polls_again_at_once_while_the_new_address_is_not_up_yet() -> None:
-    """What discovery tells must be in force within 4 s; the module's own pause after a failure is longer."""
+def test_a_reload_polls_a_failing_new_address_again_at_once() -> None:
+    """The new list must be applied within 4 s; the policy's pause after a failure is longer."""
 
     async def test() -> None:
-        new = DiscoveryServer()
-        await new.start()
-        two = await EndpointServer().start()
+        new_discovery = DiscoveryServer()
+        await new_discovery.start()
+        second_endpoint = await EndpointServer().start()
         async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
-            new.changes.put_nowait(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-            new.publish(9, endpoint_entry("s-2", two.address), snapshot=True)
-            begun = asyncio.get_running_loop().time()
-            proxy.reload(discovery=new.address)
-            assert await first_asked(new) == await first_asked(new) == "/v1/servers"
-            assert "from=9" in await first_asked(new)
-            assert asyncio.get_running_loop().time() - begun < 2.0
+            new_discovery.changes.put_nowait(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+            new_discovery.publish(9, endpoint_entry("s-2", second_endpoint.address), snapshot=True)
+            started_at = asyncio.get_running_loop().time()
+            proxy.reload(discovery=new_discovery.address)
+            assert await next_poll(new_discovery) == await next_poll(new_discovery) == "/v1/servers"
+            assert "from=9" in await next_poll(new_discovery)
+            assert asyncio.get_running_loop().time() - started_at < 2.0
             assert (
                 await (await proxy.connect()).request("canje", "1" * 16, PATIENT_BUDGET)
             ).status_code == 200
-            assert two.received_count == 1
-        await two.stop()
+            assert second_endpoint.received_count == 1
+        await second_endpoint.stop()
 
     run_async(test())
 
@@ -76,19 +76,19 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"settings": {}, "discovery": 3}', DEEP])
-def test_a_file_that_cannot_be_used_changes_nothing(text: str) -> None:
+def test_an_invalid_file_changes_nothing(text: str) -> None:
     async def test() -> None:
         endpoint = EndpointServer()
         discovery = await DiscoveryServer().start()
         async with proxy_under_test({"s-1": endpoint}, discovery, **patient_settings()) as proxy:
-            assert "from=1" in await first_asked(discovery)
+            assert "from=1" in await next_poll(discovery)
             proxy.reload(text=text)
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert proxy.process.stderr is not None
                 while b"reload_rejected" not in await proxy.process.stderr.readline():
                     pass
             discovery.publish(2)
-            assert "from=2" in await first_asked(discovery)  # the watch goes on
+            assert "from=2" in await next_poll(discovery)  # The watch continues.
             assert (
                 await (await proxy.connect()).request("stock", "1" * 16, PATIENT_BUDGET)
             ).status_code == 200
@@ -97,34 +97,39 @@
     run_async(test())
 
 
-def test_a_reload_while_draining_ends_nothing() -> None:
+def test_a_reload_during_shutdown_ends_no_request() -> None:
     async def test() -> None:
-        free = asyncio.Event()
+        may_respond = asyncio.Event()
 
         async def respond(received: object, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await may_respond.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         endpoint = EndpointServer(respond)
-        new = await DiscoveryServer().start()
+        new_discovery = await DiscoveryServer().start()
         async with proxy_under_test({"s-1": endpoint}) as proxy:
             client = await proxy.connect()
-            idle = await proxy.connect()
+            idle_client = await proxy.connect()
             client.send("canje", "a" * 16, budget="6000m")
             await next_request(endpoint)
             proxy.terminate()
-            assert await idle.is_closed()
-            proxy.reload(discovery=new.address)
-            assert await first_asked(new) == "/v1/servers"
-            free.set()
+            assert await idle_client.is_closed()
+            proxy.reload(discovery=new_discovery.address)
+            assert await next_poll(new_discovery) == "/v1/servers"
+            may_respond.set()
             assert (await client.response()).status_code == 200
             assert await proxy.exit_code() == 0
 
     run_async(test())
 
 
-def test_after_sigterm_idle_connections_are_served_on_and_all_is_answered_before_the_kill() -> None:
-    """The other proxies of a zone may be few, or restarting too. SIGKILL may come after 3.7 s."""
+def test_after_sigterm_persistent_connections_are_served_and_all_requests_are_answered_before_the_kill() -> (
+    None
+):
+    """Idle connections stay open because the zone may have few other proxies, or they may be restarting too.
+
+    SIGKILL may arrive after 3.7 s.
+    """
 
     async def test() -> None:
         async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -135,19 +140,19 @@
         endpoints = {f"s-{number}": EndpointServer(respond) for number in range(3)}
         async with proxy_under_test(endpoints, **patient_settings()) as proxy:
             client = await proxy.connect()
-            stuck = await proxy.connect()
+            hanging_client = await proxy.connect()
             assert (await client.request("stock", "1" * 16, PATIENT_BUDGET)).status_code == 200
-            begun = loop.time()
+            started_at = loop.time()
             proxy.terminate(kill_after=3.6)
             number = 2
-            while loop.time() < begun + 1.5:
+            while loop.time() < started_at + 1.5:
                 reply = await client.request("stock", f"{number:016x}", PATIENT_BUDGET)
                 assert reply.status_code == 200 and "connection" not in reply.headers
                 number += 1
                 if number == 3:
-                    stuck.send("canje", "a" * 16, budget=PATIENT_BUDGET)
+                    hanging_client.send("canje", "a" * 16, budget=PATIENT_BUDGET)
                 await asyncio.sleep(0.1)
-            assert (await stuck.response()).status_code in (502, 504)
+            assert (await hanging_client.response()).status_code in (502, 504)
             assert await proxy.exit_code() == 0
 
     run_async(test())
