--- a/service_proxy/net/downstream/__init__.py
+++ b/service_proxy/net/downstream/__init__.py
@@ -1,4 +1,4 @@
-"""The downstream side: the HTTP listener, its connections, and the requests that are read from them."""
+"""The downstream side: HTTP listener, client connections and request parsing."""
 
 from __future__ import annotations
 
--- a/service_proxy/net/downstream/connection.py
+++ b/service_proxy/net/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its life cycle, and the one response to each request that is read from it."""
+"""A client connection: its life cycle, and exactly one response to each request that is read from it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ConnectionServer(ReaderServer, Protocol):
-    """What a connection uses of the HTTP server."""
+    """Interface of the HTTP server that a client connection uses."""
 
     loop: asyncio.AbstractEventLoop
     handler: RequestHandler
@@ -49,24 +49,25 @@
     closing: dict[DownstreamConnection, None]
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Take a connection that has just been accepted, or abort it."""
+        """Register a newly accepted connection, or abort it if the connection limit is reached."""
 
 
 class DownstreamConnection(RequestReader):
-    """One client's connection: requests one after another, each with exactly one response.
+    """Client connection that reads requests one after another and writes exactly one response to each.
 
     Attributes:
-        open_request: what the handler calls the open request.
-        current_request: the open request, where it is one that can be taken.
-        upgrade_pending: an upgrade is being decided on.
-        response_source: of a response that is streamed; `response_chunked`: how it is written.
-        is_last_response: the connection closes behind it.
-        discarding_input: what still comes is read, so that the response arrives, and dropped.
-        is_closing: it has had its last response.
-        over_limit: it was accepted when there was no room.
-        state_since: when its state last changed (monotonic, s).
-        last_unsent_bytes: that the client had not taken at the last look.
-        write_blocked: the client does not read; `read_paused`: it is not read from.
+        open_request: the handler's object for the request that awaits its response.
+        current_request: the request that awaits its response, if it is well-formed and no upgrade request.
+        upgrade_pending: an upgrade request awaits its response.
+        response_source: source of the streamed response; `response_chunked`: chunked coding is used.
+        is_last_response: the connection closes after the current response.
+        discarding_input: further input is read and discarded, so that the client receives the response.
+        is_closing: the last response has been written, or the connection is aborted, detached or lost.
+        over_limit: the connection was accepted above the server's limit; its requests are rejected.
+        state_since: when `state_table` last changed or the timeout restarted (monotonic, s).
+        last_unsent_bytes: response bytes that the client had not read at the previous linger timeout.
+        write_blocked: the write buffer is full because the client does not read; `read_paused`: the proxy
+            has paused reading from the client.
     """
 
     __slots__ = (
@@ -109,14 +110,16 @@
 
     # asyncio.BufferedProtocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        """Create the parser and register the connection with the server."""
+        # uvloop's transport class isn't a subclass of asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
         self.parser = httptools.HttpRequestParser(self)
         self.server.add(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - why does not matter
-        """Give up what nobody waits for any more."""
-        # the parser holds this object: a cycle that would wait for gc
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the cause is not used
+        """Release the connection's resources, and abandon the open request and the streamed response."""
+        # The parser refers to this object. The reference cycle would stay in memory until a garbage
+        # collection.
         self.transport = None
         self.parser = None
         self.is_closing = True
@@ -131,35 +134,40 @@
         self._abandon_open_request()
 
     def pause_writing(self) -> None:
-        """Stop a streamed response, and reading: the client reads nothing."""
+        """Pause the streamed response and the reading of requests while the client reads nothing."""
         self.write_blocked = True
         if self.response_source is not None:
             self.response_source.pause()
         self._update_flow_control()
 
     def resume_writing(self) -> None:
-        """Go on, as the client reads again."""
+        """Resume the streamed response and the reading of requests after the client reads again."""
         self.write_blocked = False
         if self.response_source is not None:
             self.response_source.resume()
         self._update_flow_control()
 
     def _update_flow_control(self) -> None:
-        """Read nothing more from a client that reads nothing or that is ahead of its responses."""
+        """Pause or resume reading from the client.
+
+        Reading is paused while the client does not read, while requests are queued and while the body buffer
+        is full.
+        """
         if self.transport is not None and not self.is_closing:
-            # So it holds one read's worth of bodies at most.
+            # A connection therefore buffers the bodies of at most one read.
             pause = self.write_blocked or bool(self.pending_requests) or self.body.is_full
             if pause and not self.read_paused:
                 self.transport.pause_reading()
             elif self.read_paused and not pause:
                 self.transport.resume_reading()
                 if self.early_request is not None and self.state_table is not None:
-                    # that nothing came was not the client's doing
+                    # The proxy had paused reading, so the client could not send. The request timeout
+                    # restarts.
                     self.server.set_state(self, self.state_table)
             self.read_paused = pause
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parse what has come, and take the requests in it."""
+        """Parse the bytes that were read, and dispatch the requests in them."""
         if self.is_closing or self.discarding_input:
             return
         if self.upgrade_pending:
@@ -170,9 +178,10 @@
         self.raw_bytes += nbytes
         try:
             self.parser.feed_data(self.server.read_buffer[:nbytes])
-            # httptools gathers a header that does not end without a word, so what comes is counted as it is.
+            # httptools buffers an unterminated header without any callback, so the raw bytes are counted
+            # here.
             if self.raw_bytes > MAX_HEAD_BYTES and not self.head_done:
-                raise BadRequestError(431, "headers too large")  # noqa: TRY301 - one way out for all
+                raise BadRequestError(431, "headers too large")  # noqa: TRY301 - one handler for all errors
             if self.raw_bytes > MAX_RAW_REQUEST_BYTES + 8 * self.body.received_bytes:
                 raise BadRequestError(413, "the request does not end")  # noqa: TRY301
         except Exception as error:  # noqa: BLE001 - from the parser, or from a callback through it
@@ -184,27 +193,30 @@
                 cause if isinstance(cause, BadRequestError) else BadRequestError(400, "malformed HTTP")
             )
         if self.state_table is self.server.idle and not self.pending_requests:
-            self.server.set_state(self, self.server.awaiting_request)  # a further request has begun
+            self.server.set_state(self, self.server.awaiting_request)  # A further request has begun.
         self._dispatch_next()
 
     def _start_upgrade(self, has_surplus: bool) -> None:
-        """Take a request to leave HTTP; `has_surplus`: with something right behind it."""
+        """Dispatch an upgrade request; `has_surplus`: further bytes directly follow the request."""
         request, _ = self.pending_requests.pop()
         if isinstance(request, UpgradeRequest):
             request = request._replace(has_surplus=has_surplus)
         self.pending_requests.append((request, False))
-        self.discarding_input = has_surplus  # what still comes is no request
+        self.discarding_input = has_surplus  # Bytes after the upgrade request are not parsed as HTTP.
         self._dispatch_next()
 
     def _reject_early_frames(self) -> None:
-        """Refuse an upgrade whose client sent more before it was granted."""
+        """Reject an upgrade whose client sent further bytes before the 101 response."""
         self.discarding_input = True
         self._abandon_open_request()
         if self.response_due:
             self.respond(400, NO_HEADERS, b"frames before the 101\n")
 
     def detach(self, head: bytes) -> asyncio.Transport:
-        """Leave HTTP, with this 101, and return the transport; the connection counts no longer here."""
+        """Write the 101 response `head`, and return the transport to its new owner.
+
+        The server no longer counts this connection.
+        """
         transport = self.transport
         assert transport is not None
         self.server.set_state(self, None)
@@ -220,32 +232,32 @@
 
     @property
     def peername(self) -> Any:
-        """Return the client's address, as the socket has it; None once the connection is lost."""
+        """Return the client's address as the socket reports it, or None once the connection is lost."""
         return self.transport.get_extra_info("peername") if self.transport is not None else None
 
     def _reject_input(self, error: BadRequestError) -> None:
-        """Answer what can't be read any further, and read nothing more."""
+        """Respond with `error` to a request that can't be read any further, and discard further input."""
         self.discarding_input = True
         early_request = self.early_request
         if early_request is None or early_request.body.is_complete:
             self.pending_requests.append((error, False))
-        elif early_request is not self.current_request:  # it waits for its turn
+        elif early_request is not self.current_request:  # The request is still queued.
             self.pending_requests[-1] = error, False
         elif self.response_due and self.response_source is None:
-            # It is with the handler, which can't have the rest of it: nothing was executed.
+            # The handler has the request but can't receive the rest of its body, so nothing was executed.
             self._abandon_open_request()
             self.respond(error.status_code, NO_HEADERS, f"{error}\n".encode())
 
     def _abandon_open_request(self) -> None:
-        """Tell the handler that nobody waits for the open request any more."""
+        """Notify the handler that the client no longer waits for the open request."""
         open_request = self.open_request
         self.open_request = None
         if open_request is not None:
             self.server.handler.client_disconnected(open_request)
 
-    # requests, one at a time
+    # Dispatch of requests, one at a time
     def _dispatch_next(self) -> None:
-        """Take the next request that has come, unless one is open."""
+        """Dispatch the next queued requests until one awaits its response."""
         while self.pending_requests and not self.response_due and not self.is_closing:
             request, self.keep_alive = self.pending_requests.popleft()
             self.response_due = True
@@ -257,7 +269,9 @@
             elif isinstance(request, BadRequestError):
                 self.respond(request.status_code, NO_HEADERS, f"{request}\n".encode())
             elif self.over_limit:
-                # Never sent, so a rejection is harmless; what was read with it is owed one as well.
+                # The request is rejected before it is forwarded, so nothing was executed. Requests that were
+                # read together with this one get a response too, so the connection stays open until the last
+                # of them.
                 self.keep_alive = self.keep_alive and bool(self.pending_requests)
                 headers = ((b"retry-after", b"1"), *self.server.rejection_headers)
                 self.respond(503, headers, b"too many connections\n")
@@ -266,7 +280,7 @@
         self._update_flow_control()
 
     def _start_request(self, request: Request | UpgradeRequest) -> None:
-        """Hand a request to the handler; it may be answered at once."""
+        """Pass a request to its handler, which may respond immediately."""
         try:
             if isinstance(request, UpgradeRequest):
                 assert self.server.upgrade_handler is not None
@@ -286,10 +300,10 @@
         """Write the one response to the open request.
 
         Raises:
-            RuntimeError: there was one; not a byte of a second one is written.
+            RuntimeError: the request already has a response. No byte of a second response is written.
         """
         if not self.response_due:
-            raise RuntimeError("a request has one answer")
+            raise RuntimeError("the request already has a response")
         self.open_request = None
         self.upgrade_pending = False
         transport = self.transport
@@ -309,38 +323,40 @@
         self._response_ended(status_code)
 
     def has_client_left(self) -> bool:
-        """Tell whether the client has closed, or its side of the connection."""
+        """Return whether the client has closed the connection or its sending side."""
         transport = self.transport
         return transport is None or transport.is_closing() or has_ended(transport)
 
     def _decide_last_response(self) -> None:
-        """Decide whether the response that begins now is the last one here by what its request is.
+        """Set `is_last_response` from the current request.
 
-        Where the process ends, a complete response says so, unless more was read or lies unread: that is owed
-        its own. One that is streamed doesn't, since more may come meanwhile; then it is closed as idle.
+        While the server is draining, `respond` also closes the connection, unless further input was read or
+        lies unread in the socket, because a further request needs its own response. A streamed response
+        doesn't close the connection while the server is draining, because a further request may arrive during
+        the response. Such a connection is closed once it is idle.
         """
         if self.current_request is not None and not self.current_request.body.is_complete:
-            self.keep_alive = False  # the rest of its body would be read as the next request
+            self.keep_alive = False  # The rest of the body would be parsed as the next request.
             self.discarding_input = True
         self.is_last_response = not self.keep_alive
 
     def _has_more_input(self) -> bool:
-        """Tell whether anything follows the open request, be it that it was not read yet."""
+        """Return whether input follows the open request, including input that lies unread in the socket."""
         return bool(self.pending_requests) or self.in_message or self.has_unread_input
 
     def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
-        """Write the head of a 200 whose body comes from `source`.
+        """Write the head of a 200 response whose body comes from `source`.
 
         Raises:
-            RuntimeError: there was a response.
+            RuntimeError: the request already has a response.
         """
         if not self.response_due:
-            raise RuntimeError("a request has one answer")
+            raise RuntimeError("the request already has a response")
         self.open_request = None
         transport = self.transport
         if transport is None:
             return
-        # a client of HTTP/1.0 knows no chunks
+        # HTTP/1.0 has no chunked transfer coding.
         ends_at_close = length is None and self.parser.get_http_version() == "1.0"
         if ends_at_close:
             self.keep_alive = False
@@ -360,7 +376,7 @@
 
     # net.protocols.ResponseSink
     def write(self, data: bytes) -> None:
-        """Write the next piece of the response that is streamed."""
+        """Write the next piece of the streamed response."""
         if self.transport is None or not data:
             return
         if self.response_chunked:
@@ -369,7 +385,7 @@
             self.transport.write(data)
 
     def finish(self) -> None:
-        """End the response that is streamed."""
+        """End the streamed response."""
         self.response_source = None
         if self.transport is None:
             return
@@ -378,13 +394,13 @@
         self._response_ended(OK)
 
     def fail(self) -> None:
-        """Break off a streamed response: the client can tell by how its connection ends."""
+        """Abort the connection, so that the client detects that a streamed response is incomplete."""
         self.response_source = None
         self._end_request(BAD_GATEWAY)
         self.abort()
 
     def _end_request(self, status_code: int) -> None:
-        """Let go of the open request and what it takes."""
+        """Clear the open request, release its memory, and count the request."""
         request = self.current_request
         self.current_request = None
         self.response_due = False
@@ -404,30 +420,34 @@
             self.server.loop.call_soon(self._dispatch_next)
         elif self.in_message:
             self.server.set_state(self, self.server.awaiting_request)
-            self._await_rest()
+            self._schedule_partial_request_timeout()
         else:
             self.server.set_state(self, self.server.idle)
 
-    def _await_rest(self) -> None:
-        """Time what has begun to come behind an open request from its own last step on."""
+    def _schedule_partial_request_timeout(self) -> None:
+        """Schedule the timeout of a request that began to arrive while the previous request was open.
+
+        The timeout counts from the arriving request's own last progress.
+        """
         wait = self.progress_at + self.server.request_timeout - time.monotonic()
-        self.server.loop.call_later(max(0.0, wait), self._on_rest_timeout, self.progress_at)
+        self.server.loop.call_later(max(0.0, wait), self._on_partial_request_timeout, self.progress_at)
 
-    def _on_rest_timeout(self, progress_at: float) -> None:
+    def _on_partial_request_timeout(self, progress_at: float) -> None:
         if self.is_closing or self.response_due or not self.in_message or self.progress_at != progress_at:
             return
         if self.has_unread_input and not self.read_paused:
-            # After a stall of this process timers come before sockets: the rest may be here.
-            self.server.loop.call_later(LOOP_TURN_S, self._on_rest_timeout, progress_at)
+            # After a stall of this process the loop runs timers before it reads sockets. The rest of the
+            # request may already be in the socket.
+            self.server.loop.call_later(LOOP_TURN_S, self._on_partial_request_timeout, progress_at)
         else:
             self.on_request_timeout()
 
-    # the connection's end
+    # End of the connection
     def close(self) -> None:
-        """Close behind what has been written.
+        """Close the connection after all written bytes are sent.
 
-        Where the client may still be sending only this side ends at first: closing on unread bytes resets
-        the connection, which can take the response with it.
+        While the client may still be sending, only the proxy's side is closed at first. A close with unread
+        bytes in the socket would reset the connection, and the client could lose the response.
         """
         transport = self.transport
         if transport is None or self.is_closing:
@@ -444,21 +464,22 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Tell whether something lies in its socket: the next request perhaps, complete."""
+        """Return whether unread input lies in the socket, for example a complete further request."""
         return self.transport is not None and not self.transport.is_closing() and has_input(self.transport)
 
     def close_unless_unread(self) -> None:
-        """Close between two requests.
+        """Close the connection between two requests, unless unread input lies in the socket.
 
-        What has come meanwhile is read first: it may be taken, and is owed a response then.
+        The unread input may hold a request that the proxy accepts and has to respond to.
         """
         if not self.has_unread_input:
             self.close()
 
     def on_request_timeout(self) -> None:
-        """No complete request has come in time: half of one gets a response that says so."""
+        """Respond with 408 if a request is partial at its timeout; close the connection if none has begun."""
         if self.read_paused and self.early_request is not None:
-            self.server.set_state(self, self.state_table)  # who takes it is slow, not who sends it
+            # The receiver of the body is slow, not the client, so the timeout restarts.
+            self.server.set_state(self, self.state_table)
         elif self.raw_bytes or self.in_message:
             self._reject_input(BadRequestError(408, "the request did not end"))
             self._dispatch_next()
@@ -467,11 +488,14 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Count the bytes of responses that the client has not taken."""
+        """Return the number of response bytes that the client has not read."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def on_linger_timeout(self) -> None:
-        """It has had its last response for so long: abort it, unless the client takes it slowly."""
+        """Abort the connection at the linger timeout, unless the client has read some of the response.
+
+        If the client has read part of the response since the previous check, the timeout restarts.
+        """
         unsent = self.unsent_bytes
         if unsent and unsent != self.last_unsent_bytes:
             self.last_unsent_bytes = unsent
@@ -480,7 +504,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self.is_closing = True
         if self.transport is not None:
             self.transport.abort()
--- a/service_proxy/net/downstream/http_server.py
+++ b/service_proxy/net/downstream/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP listener: the clients' connections, their states and timeouts, and the bounds on their number."""
+"""HTTP listener: client connections, their states and timeouts, and the limit of their number."""
 
 from __future__ import annotations
 
@@ -15,52 +15,60 @@
 from service_proxy.net.socket_polling import ended_by_peer, is_readable
 from service_proxy.policy.settings_types import Idempotency
 
-READ_BUFFER_BYTES = 64 * 1024  # that are read at once
-# From the connect, or a further request's first byte, to a complete head; then, where that came quickly, for
-# each BODY_PROGRESS_BYTES.
+READ_BUFFER_BYTES = 64 * 1024  # Bytes that are read from a connection at once.
+# Time from the accepted connection, or from a further request's first byte, to a complete head. After a quick
+# head the timeout restarts for the body, and again for each BODY_PROGRESS_BYTES of the body.
 REQUEST_TIMEOUT_S = 2.2
-KEEP_ALIVE_TIMEOUT_S = 5.0  # after a response, for which a connection that asks nothing more is kept
-LINGER_TIMEOUT_S = 2.0  # in which some of a last response must have been taken; what still comes is dropped
-SWEEP_INTERVAL_S = 0.1  # between looks for connections whose time is up
-LISTEN_BACKLOG = 1024  # connections that wait for being accepted
-
-RESERVED_DESCRIPTORS = 24  # for the listener, discovery, the loop and the log, at 240 and more
-RESERVED_DESCRIPTOR_DIVISOR = 10  # of all descriptors, where these are fewer
-# Who makes room, in this order: who awaits a first or next request, or is idle, for so many s.
+KEEP_ALIVE_TIMEOUT_S = 5.0  # Time after a response for which an idle connection is kept.
+# Time within which the client must read some of a last response. Input is discarded meanwhile.
+LINGER_TIMEOUT_S = 2.0
+SWEEP_INTERVAL_S = 0.1  # Interval between checks for connections whose timeout has expired.
+LISTEN_BACKLOG = 1024  # Limit of connections that wait to be accepted.
+
+# Descriptors of the listener, discovery, event loop and log, if the process may open 240 or more.
+RESERVED_DESCRIPTORS = 24
+# Divisor of the process's descriptors for the reserve, if the process may open fewer than 240.
+RESERVED_DESCRIPTOR_DIVISOR = 10
+# Order in which connections are closed to make room: connections that await a first or next request, or that
+# are idle, for at least this time (s).
 EVICTION_ORDER = (("awaiting", 0.3), ("idle", 2.0), ("awaiting", 0.05), ("idle", 0.5))
-OVERFLOW_SHARE = 0.12  # of the clients' connections, where a newcomer is told that there is no room
+# Share of the client connections that is left for new clients whose requests are rejected.
+OVERFLOW_SHARE = 0.12
 MIN_CONNECTIONS = 8
-BASE_MEMORY_MB = 20  # of the process before it serves
-CONNECTION_MEMORY_MB = 0.125  # that a connection may take: a request with its copy, and a response
-# Of the memory beyond BASE_MEMORY_MB, for buffered bodies over MAX_BUFFERED_BODY_BYTES.
+BASE_MEMORY_MB = 20  # Memory use of the process before it serves requests.
+CONNECTION_MEMORY_MB = 0.125  # Memory use limit of a connection: a request with its copy, and a response.
+# Share of the memory beyond BASE_MEMORY_MB for buffered bodies longer than MAX_BUFFERED_BODY_BYTES.
 BODY_POOL_SHARE = 0.25
 
 
 class HttpServer:
-    """The listener and the clients' connections.
+    """HTTP listener and the client connections that it has accepted.
 
-    A connection without an open request stands in one table, by what it is waited for, the longest first.
+    A connection without an open request is in one state table, by what the server waits for. Each table is
+    ordered by the time of entry, with the longest wait first.
 
     Args:
-        idempotency_by_class: what requests of each class look like; read as it is at each request.
-        handler: takes the requests.
-        max_descriptors: of the process; `reserved_descriptors`: further ones that are not the clients'.
-        memory_mb: of the process.
-        local_responses: what the proxy says of itself, by path.
-        rejection_headers: by which a rejection here says that nothing was executed.
-        consumed_headers: of requests, that end here at a filter.
-        request_counter: counts what requests end in.
-        max_body_bytes: of a request; a body longer than MAX_BUFFERED_BODY_BYTES may be streamed.
+        idempotency_by_class: the idempotency of each request class; read anew for each request.
+        handler: handler of the requests.
+        max_descriptors: descriptor limit of the process; `reserved_descriptors`: additional descriptors that
+            client connections don't use.
+        memory_mb: memory limit of the process.
+        local_responses: responses of the proxy itself, by path.
+        rejection_headers: headers that mark a rejection as not executed.
+        consumed_headers: request headers that a filter of this proxy consumes.
+        request_counter: counter of requests by their outcome.
+        max_body_bytes: size limit of a request body; a body longer than MAX_BUFFERED_BODY_BYTES may be
+            streamed.
 
     Attributes:
-        request_timeout: REQUEST_TIMEOUT_S, of what begins to come behind an open request.
-        upgrade_handler: takes requests to leave HTTP; None: they are refused.
-        read_buffer: all that is read goes through it at once.
-        pooled_bytes: of buffered bodies, of `pool_bytes` at most.
-        awaiting_request: connections that owe a complete request.
-        idle: connections that were answered and ask nothing.
-        closing: connections that have had their last response.
-        is_draining: a response is the last on its connection, unless more was read there or lies unread.
+        request_timeout: REQUEST_TIMEOUT_S, for a request that begins to arrive while another one is open.
+        upgrade_handler: handler of upgrade requests; None: upgrade requests are rejected.
+        read_buffer: buffer that all connections read into, one at a time.
+        pooled_bytes: bytes of buffered bodies, at most `pool_bytes`.
+        awaiting_request: connections whose next request is not complete.
+        idle: connections that have received a response and have sent no further request.
+        closing: connections whose last response has been written.
+        is_draining: a response is the last on its connection, unless further input was read or lies unread.
     """
 
     def __init__(
@@ -100,9 +108,9 @@
         self.listener: asyncio.Server | None = None
         self.next_sweep_at = 0.0
 
-    # bounds
+    # Limits
     def set_resource_share(self, share: float) -> None:
-        """Bound the clients' connections by this process's share of its descriptors and memory."""
+        """Set the connection and memory limits from this process's share of the descriptors and memory."""
         descriptors = int(self.max_descriptors * share)
         memory_mb = self.memory_mb * share
         other_descriptors = (
@@ -120,10 +128,11 @@
         self.max_served_connections = self.max_connections - int(self.max_connections * OVERFLOW_SHARE)
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Take a connection that has just been accepted.
+        """Register a connection that has just been accepted.
 
-        Descriptors are bounded: beyond the bound, a connection that is of no use makes room. Where all are
-        of use, the newcomer's request is rejected, and in the end the newcomer itself.
+        Beyond the limit of served connections, an unused connection is closed to make room. If no connection
+        can be closed, the new connection's requests are rejected. Beyond the limit of all connections, the
+        new connection is aborted.
         """
         self.connections.add(connection)
         if len(self.connections) > self.max_served_connections and not self._evict_one():
@@ -149,11 +158,11 @@
                     return True
         return False
 
-    # states
+    # Connection states
     def set_state(
         self, connection: DownstreamConnection, state_table: dict[DownstreamConnection, None] | None
     ) -> None:
-        """Move a connection to the end of a table, by what it is waited for from now on; None: nothing."""
+        """Move a connection to the end of the table of its new state; None: to no table."""
         if connection.state_table is not None:
             del connection.state_table[connection]
         connection.state_table = state_table
@@ -163,12 +172,12 @@
 
     @property
     def requests_in_flight(self) -> int:
-        """Count the requests taken that have not ended."""
+        """Return the number of well-formed requests that await their response."""
         return sum(
             1 for connection in self.connections if connection.response_due and connection.current_request
         )
 
-    # the listener
+    # Listener
     @property
     def fileno(self) -> int:
         """Return the listening socket's descriptor."""
@@ -176,10 +185,10 @@
         return self.listener.sockets[0].fileno()
 
     async def listen(self, host: str, port: int, reuse_port: bool = False) -> int:
-        """Listen, and return the port; `reuse_port`: another process may listen there too.
+        """Listen, and return the port; `reuse_port`: another process may listen on the same port.
 
         Raises:
-            OSError: the address can't be listened at.
+            OSError: the proxy can't listen on the address.
         """
         self.listener = await self.loop.create_server(
             lambda: DownstreamConnection(self),
@@ -193,35 +202,39 @@
 
     @property
     def has_pending_accept(self) -> bool:
-        """Tell whether a newcomer is still to be accepted: to close on it would reset what it has sent."""
+        """Return whether a connection still waits to be accepted.
+
+        Closing the listener would reset that connection, and the data it has sent would be lost.
+        """
         return self.listener is not None and is_readable(self.fileno)
 
     def stop_listening(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self.listener is not None:
             self.listener.close()
 
     def close_idle(self, include_partial: bool = False) -> None:
-        """Close all that ask nothing, and on demand those whose request has only begun to come."""
+        """Close the connections without a request, and with `include_partial` those with a partial one."""
         for connection in [*self.idle, *self.awaiting_request]:
             if include_partial or not connection.raw_bytes:
                 connection.close_unless_unread()
 
     def abort_closing(self) -> None:
-        """End what a close does not: clients that never take their last response."""
+        """Abort the connections that stay open after `close` because the client reads no response."""
         for connection in list(self.closing):
             connection.abort()
 
-    # timeouts
+    # Timeouts
     def _schedule_sweep(self) -> None:
         self.next_sweep_at = time.monotonic() + SWEEP_INTERVAL_S
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        """End the connections whose time is up."""
+        """Handle the connections whose timeout has expired, and schedule the next sweep."""
         now = time.monotonic()
         if now > self.next_sweep_at + SWEEP_INTERVAL_S + LOOP_STALL_S:
-            # This process stood still, and timers come before sockets: what is missing may have come.
+            # This process stalled, and the loop runs timers before it reads sockets. The missing input may
+            # already be in the sockets.
             self.next_sweep_at = now
             self.loop.call_later(LOOP_TURN_S, self._sweep)
             return
@@ -230,20 +243,21 @@
             (self.idle, KEEP_ALIVE_TIMEOUT_S, DownstreamConnection.close_unless_unread),
             (self.closing, LINGER_TIMEOUT_S, DownstreamConnection.on_linger_timeout),
         ):
-            due = []
+            timed_out = []
             for connection in state_table:
                 if connection.state_since > now - timeout:
                     break
-                due.append(connection)
-            for connection in due:
+                timed_out.append(connection)
+            for connection in timed_out:
                 on_timeout(connection)
         self._abort_disconnected()
         self._schedule_sweep()
 
     def _abort_disconnected(self) -> None:
-        """Abort connections that are not read from and whose client has left: only the socket tells.
+        """Abort connections whose reading is paused and whose client has disconnected.
 
-        What such a client asked is not forwarded, and its place serves another.
+        While reading is paused, only the socket's state shows the disconnect. The client's requests are then
+        not forwarded, and its slot is free for another connection.
         """
         paused = (c for c in self.connections if c.read_paused and c.open_request is not None)
         connection_by_transport = {c.transport: c for c in paused if c.transport is not None}
--- a/service_proxy/net/downstream/request.py
+++ b/service_proxy/net/downstream/request.py
@@ -1,4 +1,4 @@
-"""What is read from a client's connection, and the protocols between the downstream side and its handlers."""
+"""Requests that are read from a client's connection, and the interfaces between connections and handlers."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @dataclass(slots=True)
 class Request:
-    """A well-formed request that has come complete, but for a long body's end.
+    """Well-formed request that is complete, or whose long body is still being received.
 
     Attributes:
-        id: X-Call-Id.
-        class_name: the request class, by the path's first segment.
-        time_budget: s, from when the client sent it.
-        tenant: X-Caller.
-        affinity_key: the session of its cookie.
-        expected_work: X-Call-Cost, s.
-        is_retry: X-Again: the client has sent it before.
-        head: what goes on to an endpoint, but for the last headers.
-        body: not complete yet, where it is streamed.
-        received_at: of its last byte, once it is complete (monotonic, s).
-        idempotency_key: Idempotency-Key.
-        consumed: headers that a filter consumes; they are not in `head`.
-        upgrade: it asks for an upgrade, and this is who negotiates it.
+        id: value of X-Call-Id.
+        class_name: the request class, from the first segment of the path.
+        time_budget: time budget, counted from when the client sent the request (s).
+        tenant: value of X-Caller.
+        affinity_key: session identifier from the request's cookie.
+        expected_work: value of X-Call-Cost (s).
+        is_retry: X-Again is set because the client has sent the request before.
+        head: the request head that is forwarded to an endpoint, without the last headers.
+        body: the request body; a streamed body may still be incomplete.
+        received_at: when the last byte was received, once the request is complete (monotonic, s).
+        idempotency_key: value of Idempotency-Key.
+        consumed: headers that a filter of this proxy consumes; `head` doesn't contain them.
+        upgrade: the negotiation of the upgrade that the request asks for; None: it asks for no upgrade.
     """
 
     id: bytes
@@ -47,40 +47,40 @@
 
 
 class ResponseWriter(Protocol):
-    """Where a request's one response goes: complete, or as it comes."""
+    """Writer of a request's one response, either complete or streamed."""
 
-    def respond(self, code: int, headers: Any, body: bytes) -> None:
-        """Write a complete response. Raises RuntimeError where there was one."""
+    def respond(self, status_code: int, headers: Any, body: bytes) -> None:
+        """Write a complete response, or raise RuntimeError if the request already has a response."""
 
     def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
-        """Write a 200 of this length as it comes; None: it ends when it ends."""
+        """Stream a 200 response of this length from `source`; None: the end of the stream ends the body."""
 
     def has_client_left(self) -> bool:
-        """Tell whether the client has closed, be it that its end has not been read yet."""
+        """Return whether the client has closed its side, even if the end is still unread in the socket."""
 
 
 class RequestHandler(Protocol):
-    """What the downstream side asks of the dispatcher."""
+    """Interface of the dispatcher that the downstream side calls."""
 
     def start_request(self, request: Request, writer: ResponseWriter) -> object:
-        """Take a request; whatever is returned names it in `client_disconnected`."""
+        """Start a request, and return an object that identifies the request in `client_disconnected`."""
 
     def client_disconnected(self, open_request: Any) -> None:
-        """Note that nobody waits for the response any more."""
+        """Note that the client no longer waits for the response."""
 
 
 class RequestCounter(Protocol):
-    """Counts the requests that are taken, by what they ended in."""
+    """Counter of accepted requests by the status code of their response."""
 
-    def request_ended(self, cls: str, code: int) -> None:
-        """Count a request of this class that was answered with this status code."""
+    def request_ended(self, cls: str, status_code: int) -> None:
+        """Count a request of this class whose response has this status code."""
 
 
 class UpgradeRequest(NamedTuple):
-    """A request to leave HTTP, where a handler takes these.
+    """HTTP upgrade request, which a handler may accept.
 
     Attributes:
-        has_surplus: more came right behind it.
+        has_surplus: further bytes directly follow the request.
     """
 
     method: bytes
@@ -92,20 +92,21 @@
 
 
 class LocalResponse(NamedTuple):
-    """What the proxy says of itself at a path, to a GET."""
+    """Response of the proxy itself to a GET of a local path."""
 
     status_code: int
     body: bytes
 
 
-LocalResponses = Mapping[bytes, Callable[[], LocalResponse]]  # by path
+# The functions that build local responses, by path.
+LocalResponses = Mapping[bytes, Callable[[], LocalResponse]]
 
 
 class BadRequestError(NetError):
-    """A request is refused before it reaches a handler.
+    """A request is rejected before it reaches a handler.
 
     Attributes:
-        status_code: of the response that says so; the message is its body.
+        status_code: status code of the error response, whose body is the message.
     """
 
     def __init__(self, status_code: int, text: str) -> None:
--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""Validates a request's head by RFC 9110, 9112 and the platform's protocol, and builds the `Request`."""
+"""Validation of a request's head by RFC 9110, RFC 9112 and the platform's protocol; builds the `Request`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 from service_proxy.net.request_body import RequestBody
 from service_proxy.policy.settings_types import Idempotency
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a request that is buffered until it is complete
-CONTROL_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")  # in a header's value
-TARGET_PATTERN = re.compile(rb"/[A-Za-z0-9\-._~%!$&'()*+,;=:@/?\[\]|{}]*")  # no fragment: RFC 9112 3.2.1
-HOST_PATTERN = re.compile(rb"[A-Za-z0-9\-._~%!$&'()*+,;=:\[\]]*")  # uri-host [ ":" port ], RFC 9110 7.2
-TIME_BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")  # in ms or in us
+# Size of a request body up to which the body is always buffered until it is complete.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+# Control characters that are rejected in a header's value.
+CONTROL_BYTES = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+# Request target without a fragment (RFC 9112, 3.2.1).
+TARGET_PATTERN = re.compile(rb"/[A-Za-z0-9\-._~%!$&'()*+,;=:@/?\[\]|{}]*")
+# Host value: uri-host [ ":" port ] (RFC 9110, 7.2).
+HOST_PATTERN = re.compile(rb"[A-Za-z0-9\-._~%!$&'()*+,;=:\[\]]*")
+TIME_BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")  # X-Budget value in ms (m) or us (u).
 REMOVED_REQUEST_HEADERS = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
-# What a Connection header can't take away, for it says which request this is.
+# Headers that Connection must not remove, because they identify the request.
 PROTECTED_HEADERS = frozenset(
     b"host x-call-id x-budget x-caller cookie x-again x-call-cost idempotency-key".split()
 )
@@ -27,7 +31,7 @@
 
 
 def _single_value(headers: Headers, name: bytes) -> bytes:
-    """Return the value of a field that may stand once; b"": it does not stand there."""
+    """Return the value of a field that may occur at most once, or b"" if the field is missing."""
     found: bytes | None = None
     for key, value in headers:
         if key == name:
@@ -38,26 +42,27 @@
 
 
 def validate_head(version: str, headers: Headers, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
-    """Refuse what RFC 9112 (2.3, 3.2, 6.1 to 6.3) has refused before a body is read.
+    """Raise BadRequestError if RFC 9112 (2.3, 3.2, 6.1 to 6.3) requires a rejection before a body is read.
 
     Args:
-        version: of HTTP, as the parser reads it.
-        headers: with names in lower case.
-        max_body_bytes: that a Content-Length may announce.
+        version: the HTTP version that the parser reports.
+        headers: headers with names in lower case.
+        max_body_bytes: limit of Content-Length.
 
     Raises:
-        BadRequestError: with the status code and what is wrong.
+        BadRequestError: the head is invalid; the error contains the status code and the reason.
     """
     hosts = [value for name, value in headers if name == b"host"]
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
     if version != "1.1":
-        _validate_old_version(version, codings)
+        _validate_other_version(version, codings)
     elif not hosts:
         raise BadRequestError(400, "Host is missing")
     if len(hosts) > 1 or (hosts and not HOST_PATTERN.fullmatch(hosts[0])):
         raise BadRequestError(400, "Host is given twice, or malformed")
-    # Two readings of where a body ends would let a second request hide in the first.
+    # A body whose end can be determined in two ways would allow request smuggling: an endpoint could read a
+    # second request inside the first one's body.
     if len(lengths) + len(codings) > 1 or (codings and codings[0].lower() != b"chunked"):
         raise BadRequestError(400, "no one way to tell the length")
     if lengths:
@@ -67,17 +72,17 @@
             raise BadRequestError(413, "body too large")
 
 
-def _validate_old_version(version: str, codings: list[bytes]) -> None:
+def _validate_other_version(version: str, codings: list[bytes]) -> None:
     if version == "2.0":
         raise BadRequestError(505, "HTTP/2.0 is not spoken on a connection that begins with HTTP/1")
-    if version != "1.0":  # a line without a version reads as 0.9, which has no headers
+    if version != "1.0":  # httptools reports a line without a version as 0.9, which has no headers.
         raise BadRequestError(400, "the request line has no HTTP version that has headers")
     if codings:
         raise BadRequestError(400, "HTTP/1.0 has no Transfer-Encoding")
 
 
 def connection_options(headers: Headers) -> frozenset[bytes]:
-    """Return the fields that Connection names: they end at this hop (RFC 9110, 7.6.1)."""
+    """Return the names of the fields that Connection lists, which end at this hop (RFC 9110, 7.6.1)."""
     names: set[bytes] = set()
     for name, value in headers:
         if name == b"connection" and value not in (b"keep-alive", b"close"):
@@ -94,10 +99,10 @@
     idempotency_by_class: Mapping[str, Idempotency],
     consumed_headers: frozenset[bytes] = NO_HEADER_NAMES,
 ) -> Request:
-    """Read what the platform's protocol says in a request's head; header names are in lower case.
+    """Build a `Request` from a request's head by the platform's protocol; header names are in lower case.
 
-    `body` may still be coming; `received_at` (monotonic, s) is when its last byte came, or the last so far.
-    `consumed_headers` end at this proxy's filters. Raises BadRequestError.
+    `body` may be incomplete; `received_at` (monotonic, s) is when the last byte so far was received.
+    The headers in `consumed_headers` end at this proxy's filters. Raises BadRequestError.
     """
     _validate_bytes(target, headers)
     class_name = target[1:].split(b"?", 1)[0].split(b"/", 1)[0].decode("latin-1")
@@ -109,7 +114,7 @@
     if not request_id:
         raise BadRequestError(400, "X-Call-Id is missing")
     time_budget = _time_budget(headers)
-    _validate_form(method, idempotency, idempotency_key, body)
+    _validate_class_rules(method, idempotency, idempotency_key, body)
     expected_work = _expected_work(headers)
     return Request(
         id=request_id,
@@ -128,7 +133,7 @@
 
 
 def _validate_bytes(target: bytes, headers: Headers) -> None:
-    """Refuse what an endpoint might read in another way."""
+    """Raise BadRequestError for characters that an endpoint might interpret differently."""
     if not TARGET_PATTERN.fullmatch(target):
         raise BadRequestError(400, "the target is not a path")
     if any(CONTROL_BYTES.search(value) for _, value in headers):
@@ -136,17 +141,17 @@
 
 
 def _time_budget(headers: Headers) -> float:
-    """Read X-Budget (`480m` or `480000u`) as s."""
+    """Return X-Budget (`480m` or `480000u`) in s."""
     time_budget = TIME_BUDGET_PATTERN.fullmatch(_single_value(headers, b"x-budget"))
     if time_budget is None:
         raise BadRequestError(400, "X-Budget is missing or malformed")
     return float(time_budget[1]) / (1e3 if time_budget[2] == b"m" else 1e6)
 
 
-def _validate_form(
+def _validate_class_rules(
     method: bytes, idempotency: Idempotency, idempotency_key: bytes, body: RequestBody
 ) -> None:
-    """Refuse a request that does not look as one of its class does."""
+    """Raise BadRequestError if the method, idempotency key or body doesn't fit the request class."""
     if method != (b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise BadRequestError(400, "wrong method for the class")
     if (idempotency is Idempotency.IDEMPOTENT_WITH_KEY) != bool(idempotency_key):
@@ -156,7 +161,7 @@
 
 
 def _expected_work(headers: Headers) -> float:
-    """Read X-Call-Cost (us) as s; what is not finite counts as none."""
+    """Return X-Call-Cost (us) in s, or 0 if the value is not finite."""
     try:
         expected_work = max(0.0, float(_single_value(headers, b"x-call-cost") or 0)) / 1e6
     except ValueError:
@@ -167,14 +172,16 @@
 def _forwarded_head(
     method: bytes, target: bytes, headers: Headers, body: RequestBody, consumed_headers: frozenset[bytes]
 ) -> bytes:
-    """Write the head that goes on, without what ends at this hop and without the last headers."""
-    ended_here = connection_options(headers)
-    if ended_here & PROTECTED_HEADERS:
+    """Build the forwarded head, without the headers that end at this hop and without the last headers."""
+    listed_in_connection = connection_options(headers)
+    if listed_in_connection & PROTECTED_HEADERS:
         raise BadRequestError(400, "Connection names a header that belongs to the call")
     lines = [method + b" " + target + b" HTTP/1.1"]
     removed = REMOVED_REQUEST_HEADERS | consumed_headers if consumed_headers else REMOVED_REQUEST_HEADERS
     lines += [
-        name + b": " + value for name, value in headers if name not in removed and name not in ended_here
+        name + b": " + value
+        for name, value in headers
+        if name not in removed and name not in listed_in_connection
     ]
     if method == b"POST":
         chunked = body.length is None
@@ -183,7 +190,7 @@
 
 
 def _affinity_key(headers: Headers) -> str:
-    """Read the session of the cookie, for which an endpoint is sticky."""
+    """Return the session identifier from the cookie, by which the request is routed to a sticky endpoint."""
     affinity_key = ""
     for part in _single_value(headers, b"cookie").split(b";"):
         name, _, value = part.strip().partition(b"=")
--- a/service_proxy/net/downstream/request_reader.py
+++ b/service_proxy/net/downstream/request_reader.py
@@ -1,6 +1,6 @@
-"""Reads requests from a client's connection: head and body, their bounds, and what is handed on early.
+"""Reader of requests from a client's connection, with size limits and streaming of long bodies.
 
-What is read is appended to `pending_requests`; the connection takes it from there, one at a time.
+Requests are appended to `pending_requests`. The connection dispatches them from there, one at a time.
 """
 
 from __future__ import annotations
@@ -27,12 +27,15 @@
 from service_proxy.net.request_body import RequestBody
 from service_proxy.policy.settings_types import Idempotency
 
-MAX_HEAD_BYTES = 32 * 1024  # of a request's target and headers
-MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES  # beyond 8 times its chunks' content
-MAX_POOLED_BODY_BYTES = 4 << 20  # of a body that is buffered and not streamed, while the pool has room
-BODY_PROGRESS_BYTES = 64 * 1024  # of a body, each with the time that a head has
-# From a request's first byte, within which its head must be complete for its body to have a time of its own:
-# both together stay under the 3 s of the operators' page. Behind a slower head so much of the body begins it.
+MAX_HEAD_BYTES = 32 * 1024  # Size limit of a request's target and headers together.
+# Limit of a request's bytes as received, with chunk framing, in addition to 8 times its body's content.
+MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
+# Size limit of a body that is buffered and not streamed while the body pool has room.
+MAX_POOLED_BODY_BYTES = 4 << 20
+BODY_PROGRESS_BYTES = 64 * 1024  # Body bytes for each of which the request timeout restarts.
+# Time from a request's first byte within which a complete head restarts the request timeout for the body.
+# This time and the request timeout together stay under the 3 s of the operators' page. After a slower head,
+# the timeout first restarts after SLOW_HEAD_PROGRESS_BYTES of the body.
 MAX_QUICK_HEAD_S = 0.5
 SLOW_HEAD_PROGRESS_BYTES = 8 * 1024
 
@@ -40,14 +43,14 @@
 
 
 class UpgradeHandler(Protocol):
-    """Who takes requests to leave HTTP."""
+    """Handler of HTTP upgrade requests."""
 
     def start_upgrade(self, connection: Any, upgrade: UpgradeRequest) -> object | None:
-        """Answer, or take the connection with `detach`, or return the open request that decides."""
+        """Respond, call the connection's `detach`, or return the open request that decides later."""
 
 
 class ReaderServer(Protocol):
-    """What reading requests uses of the HTTP server."""
+    """Interface of the HTTP server that a request reader uses."""
 
     read_buffer: memoryview
     max_body_bytes: int
@@ -59,23 +62,23 @@
     upgrade_handler: UpgradeHandler | None
 
     def set_state(self, connection: Any, state_table: dict[Any, None] | None) -> None:
-        """Note what a connection is waited for, from now on."""
+        """Move a connection to a state table, and restart the timeout that belongs to the table."""
 
 
 class RequestReader(asyncio.BufferedProtocol):
-    """The reading half of a client's connection: the parser's callbacks.
+    """Reading half of a client connection, with the callbacks of the HTTP parser.
 
     Attributes:
-        in_message: a request has begun to come; `head_done`: its head is complete.
-        raw_bytes: as they came, since the last complete request.
-        head_size: bytes of the head so far.
-        next_step_bytes: of the body, with which its time begins anew.
-        progress_at: when the request that comes now began, or made its last step (monotonic, s).
-        early_request: the one that comes now, handed on before its end.
-        pooled_bytes: of the server's pool that the body takes.
-        pending_requests: each with whether the connection may be kept after its response.
-        response_due: a request is open.
-        state_table: the server's table that the connection stands in, by what it is waited for.
+        in_message: a request has begun to arrive; `head_done`: the request's head is complete.
+        raw_bytes: bytes received since the last complete request, including chunk framing.
+        head_size: bytes of the arriving request's head so far.
+        next_step_bytes: body size at which the request timeout restarts.
+        progress_at: when the arriving request began or last made progress (monotonic, s).
+        early_request: the arriving request, if it was dispatched before its body was complete.
+        pooled_bytes: bytes of the server's body pool that the body uses.
+        pending_requests: queued requests, each with whether the connection may be kept after its response.
+        response_due: a request awaits its response.
+        state_table: the server's table that contains the connection, by what the server waits for.
     """
 
     __slots__ = (
@@ -121,9 +124,9 @@
         """Return the server's read buffer."""
         return self.server.read_buffer
 
-    # httptools callbacks
+    # Callbacks of httptools
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self.in_message = True
         self.target = b""
         self.headers = []
@@ -133,12 +136,12 @@
         self.next_step_bytes = BODY_PROGRESS_BYTES
 
     def on_url(self, part: bytes) -> None:
-        """Collect the target."""
+        """Append a part of the request target."""
         self.target += part
         self._count_head(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header field; a trailer is none."""
+        """Append a header field, but ignore a trailer field."""
         self._count_head(len(name) + len(value))
         if not self.head_done:
             self.headers.append(parse_field(name, value))
@@ -149,24 +152,29 @@
             raise BadRequestError(431, "headers too large")
 
     def on_headers_complete(self) -> None:
-        """Validate the head, before a body is read; ask for the body where the client waits for that."""
+        """Validate the head before a body is read, and send 100 Continue if the client waits for it."""
         self.head_done = True
         validate_head(self.parser.get_http_version(), self.headers, self.server.max_body_bytes)
         lengths = [value for name, value in self.headers if name == b"content-length"]
         self.body.length = int(lengths[0]) if lengths else None
         now = time.monotonic()
-        if now - self.progress_at < MAX_QUICK_HEAD_S:  # its body has its own time
+        if now - self.progress_at < MAX_QUICK_HEAD_S:  # The body gets a full request timeout.
             self.progress_at = now
             if self.state_table is not None:
                 self.server.set_state(self, self.state_table)
         else:
             self.next_step_bytes = SLOW_HEAD_PROGRESS_BYTES
-        expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
-        if expects and self.transport is not None and not self.response_due and not self.pending_requests:
+        expects_continue = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
+        if (
+            expects_continue
+            and self.transport is not None
+            and not self.response_due
+            and not self.pending_requests
+        ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, chunk: bytes) -> None:
-        """Buffer a piece of the body, or stream it where there is no room for it."""
+        """Buffer a piece of the body, or start to stream the body if no buffer space is left."""
         body = self.body
         server = self.server
         if body.received_bytes + len(chunk) > server.max_body_bytes:
@@ -189,9 +197,9 @@
                 server.set_state(self, self.state_table)
 
     def _dispatch_early(self) -> None:
-        """Hand on a request that is too long to be buffered: the rest of its body goes on as it comes."""
+        """Dispatch a request whose body is too long to be buffered; the rest of the body is streamed."""
         self.body.is_replayable = False
-        self._release_pool()  # what has come of it goes on at once
+        self._release_pool()  # The buffered part is forwarded immediately.
         self.early_request = self._parse_request()
         self.body.on_drained = self._update_flow_control
         self.pending_requests.append((self.early_request, self._can_keep_alive()))
@@ -200,7 +208,7 @@
         return self.parser.should_keep_alive() and not closes_connection(self.headers)
 
     def _release_pool(self) -> None:
-        """Give back what the body takes of the server's pool."""
+        """Release the body's share of the server's body pool."""
         self.server.pooled_bytes -= self.pooled_bytes
         self.pooled_bytes = 0
 
@@ -216,11 +224,11 @@
         )
 
     def on_message_complete(self) -> None:
-        """Queue the request that has come complete, or end the body of one that was handed on early."""
+        """Queue a complete request, or finish the body of a request that was dispatched early."""
         self.in_message = False
         self.head_done = False
         self.raw_bytes = 0
-        self.progress_at = time.monotonic()  # of what follows in the same read
+        self.progress_at = time.monotonic()  # Start time of a request that follows in the same read.
         body = self.body
         if self.early_request is not None:
             self.early_request.received_at = time.monotonic()
@@ -237,8 +245,10 @@
         if parser.should_upgrade():
             request = self._upgrade_request(method)
             keep_alive = False
-        elif method == b"GET" and (page := self.server.local_responses.get(self.target.split(b"?", 1)[0])):
-            request = page()
+        elif method == b"GET" and (
+            build_response := self.server.local_responses.get(self.target.split(b"?", 1)[0])
+        ):
+            request = build_response()
         else:
             try:
                 request = self._parse_request()
@@ -255,5 +265,5 @@
         return UpgradeRequest(method, self.target, version, self.headers, has_body, False)
 
     def _update_flow_control(self) -> None:
-        """Read, or read no more for now; the connection knows what else it waits for."""
+        """Pause or resume reading by the connection's buffers and requests."""
         raise NotImplementedError
