--- a/service_proxy/net/downstream/request_reader.py
+++ b/service_proxy/net/downstream/request_reader.py
@@ -32,7 +32,7 @@
 MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
 # Size limit of a body that is buffered and not streamed while the body pool has room.
 MAX_POOLED_BODY_BYTES = 4 << 20
-BODY_PROGRESS_BYTES = 64 * 1024  # Body bytes for each of which the request timeout restarts.
+BODY_PROGRESS_BYTES = 64 * 1024  # Number of body bytes after which the request timeout restarts.
 # Time from a request's first byte within which a complete head restarts the request timeout for the body.
 # This time and the request timeout together stay under the 3 s of the operators' page. After a slower head,
 # the timeout first restarts after SLOW_HEAD_PROGRESS_BYTES of the body.
--- a/tests/net/long_messages.py
+++ b/tests/net/long_messages.py
@@ -1,4 +1,4 @@
-"""Parts for the tests of long messages: endpoints and clients that stream bodies of 32 MB."""
+"""Helpers for the tests of long messages: endpoints and clients that stream bodies of 32 MB."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 from harness.proxy_process import process_memory_mb
 
 MB = 1 << 20
-LONG_BYTES = 32 * MB  # the longest message that the operators have seen
-PIECE = bytes(range(256)) * 256  # 64 KiB
-MAX_GROWTH_MB = 12.0  # resident, beside a message of 32 MB: a quarter of what holding it would take
+LONG_BYTES = 32 * MB  # Longest message that the operators report.
+PIECE = bytes(range(256)) * 256  # Body piece of 64 KiB.
+# Limit of the resident memory's growth during a 32 MB message: a quarter of what buffering takes.
+MAX_GROWTH_MB = 12.0
 LONG_DIGEST = hashlib.sha256(PIECE * (LONG_BYTES // len(PIECE))).hexdigest()
 OK = b"HTTP/1.1 200 OK\r\n"
 WITH_LENGTH = b"Content-Length: %d\r\n\r\n" % LONG_BYTES
@@ -34,7 +35,7 @@
 
 
 def post_head(id: str, length: int | None, target: str = "canje", budget: str = "6000m") -> bytes:
-    """Return the head of a POST with a body of this length, or of one in chunks."""
+    """Return the head of a POST with a body of this length; None: a chunked body."""
     framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
     head = f"POST /{target} HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id}\r\nX-Budget: {budget}\r\n"
     return head.encode() + framing + b"\r\n\r\n"
@@ -58,7 +59,7 @@
     """Return the digest and the length of a body, read to its end.
 
     Raises:
-        IncompleteReadError: it is cut off.
+        IncompleteReadError: the body is truncated.
     """
     digest = hashlib.sha256()
     size = 0
@@ -73,7 +74,7 @@
         elif remaining > 0:
             data = await reader.readexactly(min(remaining, len(PIECE)))
             remaining -= len(data)
-        else:  # its end is the end of the connection
+        else:  # The end of the connection ends the body.
             data = await reader.read(len(PIECE))
             remaining = -1 if data else 0
         digest.update(data)
@@ -83,13 +84,13 @@
 
 
 async def no_delay() -> None:
-    """Read on at once."""
+    """Return immediately."""
 
 
 def streaming_endpoint(
     framing: bytes, pieces: int = LONG_BYTES // len(PIECE), is_complete: bool = True
 ) -> EndpointServer:
-    """Return an endpoint that writes a long response in this framing, and may close in its middle."""
+    """Return an endpoint that streams a response in this framing, and closes early unless `is_complete`."""
 
     async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
@@ -107,7 +108,7 @@
 
 
 def body_endpoint(bodies: list[tuple[str, int]]) -> EndpointServer:
-    """Return an endpoint that records digest and length of each body, and answers with the length."""
+    """Return an endpoint that records the digest and length of each body, and responds with the length."""
 
     async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, b"%d" % len(received.body)))
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A client leaves while its call waits: the call is not sent on, and its place serves another."""
+"""A client disconnects while its request waits: the request is not forwarded, and its slot is free again."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     b"POST /canje HTTP/1.1\r\nHost: x\r\nX-Call-Id: 0011223344556677\r\nX-Budget: 5000m\r\n"
     b"Content-Length: 8000000\r\n\r\n" + b"a" * 8_000_000
 )
-BEHIND = {
+SENT_BYTES = {
     "nothing behind it": get_request("1"),
     "a whole request behind it": get_request("1") + get_request("2"),
     "the begin of a request behind it": get_request("1") + get_request("2")[:30],
@@ -48,66 +48,74 @@
 }
 
 
-class Holding:
-    """Takes calls and answers none."""
+class UnresponsiveHandler:
+    """Handler that starts requests and never responds."""
 
     def __init__(self) -> None:
-        self.taken: asyncio.Queue[object] = asyncio.Queue()
-        self.gone: asyncio.Queue[object] = asyncio.Queue()
+        self.started: asyncio.Queue[object] = asyncio.Queue()
+        self.disconnected: asyncio.Queue[object] = asyncio.Queue()
 
     def start_request(self, request: Any, writer: Any) -> object:
-        call = object()
-        self.taken.put_nowait(call)
-        return call
+        request_handle = object()
+        self.started.put_nowait(request_handle)
+        return request_handle
 
     def client_disconnected(self, open_request: Any) -> None:
-        self.gone.put_nowait(open_request)
+        self.disconnected.put_nowait(open_request)
 
 
-# Of an end that lies behind bytes that can't be delivered the wire tells nothing, unless it is a reset.
+# While the proxy does not read, the proxy's kernel receives the end of a connection behind undelivered bytes
+# only if the end is a reset.
 ENDED_REQUESTS = [
     pytest.param(sent, end, id=f"{name}-{end.__name__}")
-    for name, sent in BEHIND.items()
+    for name, sent in SENT_BYTES.items()
     for end in ENDS
     if sent is not LONG or end is reset
 ]
 
 
 @pytest.mark.parametrize(("sent", "end"), ENDED_REQUESTS)
-def test_a_client_that_disconnects_is_detected_whatever_lies_behind_its_request(
+def test_a_disconnect_is_detected_whatever_follows_the_request(
     sent: bytes, end: Callable[[socket.socket], None]
 ) -> None:
-    """What is not read from, since more has come than may be held, does not tell that it has ended."""
+    """Guards against a disconnect that stays undetected while reading is paused.
+
+    Reading is paused when more input has arrived than the proxy buffers. The end of the connection is then
+    not read.
+    """
 
     async def test() -> None:
-        holding = Holding()
-        effects = {"stock": Idempotency.IDEMPOTENT, "canje": Idempotency.NOT_IDEMPOTENT}
-        server = HttpServer(effects, holding, 256, 64, {}, max_body_bytes=MAX_MESSAGE_BYTES)
+        handler = UnresponsiveHandler()
+        idempotency_by_class = {"stock": Idempotency.IDEMPOTENT, "canje": Idempotency.NOT_IDEMPOTENT}
+        server = HttpServer(idempotency_by_class, handler, 256, 64, {}, max_body_bytes=MAX_MESSAGE_BYTES)
         port = await server.listen("127.0.0.1", 0)
         raw = socket.create_connection(("127.0.0.1", port))
         raw.setblocking(False)
         loop = asyncio.get_running_loop()
         writing = loop.create_task(loop.sock_sendall(raw, sent))
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            call = await holding.taken.get()
-            if sent is LONG:  # the proxy stops reading, so it is never sent whole
+            request_handle = await handler.started.get()
+            if sent is LONG:  # The proxy pauses reading, so the body is never sent completely.
                 while not any(connection.read_paused for connection in server.connections):
                     await asyncio.sleep(0)
                 writing.cancel()
             await asyncio.wait([writing])
             end(raw)
-            assert await holding.gone.get() is call
+            assert await handler.disconnected.get() is request_handle
             while server.connections:
                 await asyncio.sleep(0)
-        assert holding.gone.empty() and holding.taken.empty()
+        assert handler.disconnected.empty() and handler.started.empty()
         raw.close()
         server.stop_listening()
 
     uvloop.run(test())
 
 
-def test_hundreds_that_disconnect_from_the_queue_at_once_are_not_forwarded() -> None:
-    """Their places serve who is still there, once a server has room."""
+def test_queued_requests_of_200_disconnected_clients_are_not_forwarded() -> None:
+    """Guards against requests of disconnected clients that occupy an endpoint.
+
+    After the endpoint has room again, it serves requests of clients that are still connected.
+    """
 
     async def test() -> None:
         free = asyncio.Event()
@@ -128,11 +136,12 @@
                 client.send("stock", f"aa{number:014x}", budget="5000m")
                 if number % 2:
                     client.send("stock", f"bb{number:014x}", budget="5000m")
-            # An answer on the listener's loop, so all of these have been read.
+            # The response is written on the listener's event loop, so the requests above have been read by
+            # then.
             assert (await (await proxy.connect()).send_raw(HEALTH)).status_code == 200
             for client in leaving:
                 half_close(client.writer.get_extra_info("socket"))
-            for client in leaving:  # refused and ended, or ended
+            for client in leaving:  # Some clients receive a rejection before the connection ends.
                 async with asyncio.timeout(TEST_TIMEOUT_S):
                     await client.reader.read()
             seen = endpoint.received_count
@@ -148,14 +157,16 @@
 
 
 @contextlib.asynccontextmanager
-async def before(late: Unreachable) -> AsyncIterator[tuple[ProxyUnderTest, DiscoveryServer]]:
-    """A proxy whose list has nobody else, with time enough for a slow connect."""
+async def proxy_with_slow_endpoint(
+    slow_endpoint: Unreachable,
+) -> AsyncIterator[tuple[ProxyUnderTest, DiscoveryServer]]:
+    """Run a proxy with only this endpoint and a connect timeout that is longer than the slow connect."""
     settings = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
     discovery = await DiscoveryServer().start()
     async with proxy_under_test({"s-1": EndpointServer()}, discovery, policy_limits=settings) as proxy:
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await discovery.polls.get()
-            discovery.publish(2, endpoint_entry("s-2", late.address), snapshot=True)
+            discovery.publish(2, endpoint_entry("s-2", slow_endpoint.address), snapshot=True)
             await discovery.polls.get()
         yield proxy, discovery
 
@@ -165,14 +176,14 @@
     end: Callable[[socket.socket], None],
 ) -> None:
     async def test() -> None:
-        late = Unreachable()
-        async with before(late) as (proxy, _):
+        slow_endpoint = Unreachable()
+        async with proxy_with_slow_endpoint(slow_endpoint) as (proxy, _):
             client = await proxy.connect()
-            stays = await proxy.connect()
+            connected_client = await proxy.connect()
             client.send("canje", "a" * 16, budget="8000m")
-            await late.tried(1)
-            stays.send("canje", "b" * 16, budget="8000m")
-            await late.tried(2)
+            await slow_endpoint.tried(1)
+            connected_client.send("canje", "b" * 16, budget="8000m")
+            await slow_endpoint.tried(2)
             raw = client.writer.get_extra_info("socket")
             if end is half_close:
                 half_close(raw)
@@ -180,10 +191,15 @@
                 if end is reset:
                     reset_on_close(raw)
                 client.writer.transport.abort()
-            heard, idle = await late.calls()
-            assert len(heard) == 1 and b"b" * 16 in heard[0] and b"a" * 16 not in heard[0]
-            assert (await stays.response()).status_code == 200
-            for each in idle:  # it came up for a call that had ended, and nothing was written to it
+            request_bytes, unused_connections = await slow_endpoint.first_request()
+            assert (
+                len(request_bytes) == 1
+                and b"b" * 16 in request_bytes[0]
+                and b"a" * 16 not in request_bytes[0]
+            )
+            assert (await connected_client.response()).status_code == 200
+            # This connection was established for a request that had ended, and nothing was written to it.
+            for each in unused_connections:
                 with pytest.raises(BlockingIOError):
                     each.recv(1, socket.MSG_DONTWAIT)
 
@@ -191,24 +207,30 @@
 
 
 @pytest.mark.parametrize("status", ["Terminating", "Gone"])
-def test_an_endpoint_that_began_to_drain_during_a_slow_connect_gets_nothing(status: str) -> None:
-    """State is looked at right before the first byte, not when it is decided to send."""
+def test_an_endpoint_that_began_to_drain_during_a_slow_connect_receives_no_request(status: str) -> None:
+    """Guards against a request to an endpoint that began to drain after it was chosen.
+
+    The endpoint's state is checked right before the first byte is sent.
+    """
 
     async def test() -> None:
-        late = Unreachable()
-        stays = await EndpointServer().start()
-        async with before(late) as (proxy, discovery):
+        slow_endpoint = Unreachable()
+        other_endpoint = await EndpointServer().start()
+        async with proxy_with_slow_endpoint(slow_endpoint) as (proxy, discovery):
             client = await proxy.connect()
             client.send("canje", "a" * 16, budget="8000m")
-            await late.tried(1)
+            await slow_endpoint.tried(1)
             discovery.publish(
-                3, endpoint_entry("s-2", late.address, status), endpoint_entry("s-3", stays.address)
+                3,
+                endpoint_entry("s-2", slow_endpoint.address, status),
+                endpoint_entry("s-3", other_endpoint.address),
             )
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=3&" in await discovery.polls.get()
-            assert await late.first() == b""  # it came up, and was closed unused
-            answer = await client.response()  # sent to the other, where its time allowed: it never ran
-            assert (answer.status_code, stays.received_count) in ((200, 1), (503, 0))
-        await stays.stop()
+            assert await slow_endpoint.first() == b""  # The connection was established and closed unused.
+            # The request was never executed, so it is retried on the other endpoint if time remains.
+            answer = await client.response()
+            assert (answer.status_code, other_endpoint.received_count) in ((200, 1), (503, 0))
+        await other_endpoint.stop()
 
     run_async(test())
--- a/tests/net/test_downstream_clients.py
+++ b/tests/net/test_downstream_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send badly, slowly, too much or nothing: owed an error or a close, and no harm to others."""
+"""Clients that send malformed, slow, oversized or no requests get an error or a close; others are served."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
-async def told(client: Client) -> int:
-    """The code of the one answer, 0 for none; waits until the connection has ended behind it."""
+async def status_until_close(client: Client) -> int:
+    """Return the status code of the only response, or 0 for none, after the connection has ended."""
     code = 0
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         code = (await client.response()).status_code
@@ -45,7 +45,7 @@
     return code
 
 
-async def write_for_ever(client: Client, data: bytes, pause: float = 0.0005) -> None:
+async def write_endlessly(client: Client, data: bytes, pause: float = 0.0005) -> None:
     with contextlib.suppress(ConnectionError):
         while True:
             client.writer.write(data)
@@ -53,7 +53,7 @@
             await asyncio.sleep(pause)
 
 
-async def fine(proxy: ProxyUnderTest) -> bool:
+async def is_served(proxy: ProxyUnderTest) -> bool:
     return (await (await proxy.connect()).request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
 
 
@@ -67,42 +67,53 @@
 
 
 @pytest.mark.parametrize(("code", "begin", "more"), ENDLESS.values(), ids=ENDLESS)
-def test_a_request_without_end_is_cut_off(code: int, begin: bytes, more: bytes) -> None:
-    """At full speed, so by the bytes and before the time is up."""
+def test_an_endless_request_is_rejected(code: int, begin: bytes, more: bytes) -> None:
+    """Guards against an endless request that is only ended by the request timeout.
+
+    The client sends at full speed, so the size limit applies first.
+    """
 
     async def test() -> None:
         async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
             client = await proxy.connect()
             client.writer.write(begin)
-            writing = asyncio.create_task(write_for_ever(client, more))
+            writing = asyncio.create_task(write_endlessly(client, more))
             begun = asyncio.get_running_loop().time()
             assert (await client.response()).status_code == code
             assert asyncio.get_running_loop().time() - begun < 1.5
             writing.cancel()
-            assert await fine(proxy)
+            assert await is_served(proxy)
 
     run_async(test())
 
 
-async def nothing(client: Client) -> None:
+async def send_nothing(client: Client) -> None:
     return
 
 
-async def half(client: Client) -> None:
+async def send_partial_request(client: Client) -> None:
     client.writer.write(b"POST /canje" + HEAD + b"Content-Length: 10\r\n\r\nhalf")
 
 
-async def drip(client: Client) -> None:
+async def trickle_header(client: Client) -> None:
     client.writer.write(b"GET /stock" + HEAD + b"X-Slow: ")
-    await write_for_ever(client, b"a", 0.1)
+    await write_endlessly(client, b"a", 0.1)
 
 
-async def served_then_half(client: Client) -> None:
+async def complete_one_then_send_partial(client: Client) -> None:
     assert (await client.request("stock", "3" * 16, PATIENT_BUDGET)).status_code == 200
-    await half(client)
+    await send_partial_request(client)
 
 
-@pytest.mark.parametrize(("act", "code"), [(nothing, 0), (half, 408), (drip, 408), (served_then_half, 408)])
+@pytest.mark.parametrize(
+    ("act", "code"),
+    [
+        (send_nothing, 0),
+        (send_partial_request, 408),
+        (trickle_header, 408),
+        (complete_one_then_send_partial, 408),
+    ],
+)
 def test_a_client_that_sends_no_complete_request_gets_a_408_within_3_s(
     act: Callable[[Client], Awaitable[None]], code: int
 ) -> None:
@@ -111,17 +122,17 @@
             begun = asyncio.get_running_loop().time()
             client = await proxy.connect()
             acting = asyncio.ensure_future(act(client))
-            if act is served_then_half:
+            if act is complete_one_then_send_partial:
                 await acting
                 begun = asyncio.get_running_loop().time()
-            assert await told(client) == code
+            assert await status_until_close(client) == code
             assert 1.8 < asyncio.get_running_loop().time() - begun < 3.0
             acting.cancel()
 
     run_async(test())
 
 
-def test_a_request_that_is_being_served_is_never_closed_for_its_age() -> None:
+def test_a_request_in_flight_is_not_ended_by_the_request_timeout() -> None:
     async def test() -> None:
         free = asyncio.Event()
 
@@ -136,7 +147,7 @@
             silent = await proxy.connect()
             old.send("canje", "a" * 16, budget="6000m")
             await next_request(endpoint)
-            assert await silent.is_closed()  # the bound has passed
+            assert await silent.is_closed()  # The request timeout has passed.
             free.set()
             assert (await old.response()).status_code == 200
             assert (await old.request("canje", "b" * 16)).status_code == 200
@@ -144,12 +155,15 @@
     run_async(test())
 
 
-def test_a_crowd_of_silent_clients_leaves_room_and_descriptors() -> None:
-    """Upstreams and discovery keep their reserve of 256 descriptors, and a client that asks is served."""
+def test_many_silent_clients_leave_connections_and_descriptors_free() -> None:
+    """Guards against silent clients that use up all descriptors.
+
+    Upstreams and discovery keep their share of 256 descriptors, and a client that sends a request is served.
+    """
 
     async def test() -> None:
         async with proxy_under_test({"s-1": EndpointServer()}, sockets=256) as proxy:
-            most = 0
+            peak_descriptors = 0
             crowd = [asyncio.open_connection(*proxy.address) for _ in range(400)]
             opened = await asyncio.gather(*crowd)
             for number in range(20):
@@ -157,11 +171,11 @@
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     if (await client.request("stock", f"{number:016x}")).status_code == 200:
                         break
-                most = max(most, len(os.listdir(f"/proc/{proxy.process.pid}/fd")))
-                await asyncio.sleep(0.05)  # a second at most
+                peak_descriptors = max(peak_descriptors, len(os.listdir(f"/proc/{proxy.process.pid}/fd")))
+                await asyncio.sleep(0.05)  # The loop takes at most 1 s.
             else:
                 raise AssertionError("nobody was served")
-            assert most <= 256 * 0.6  # the upstreams' two fifths are free
+            assert peak_descriptors <= 256 * 0.6  # The upstreams' share of 0.4 stays free.
             ends = [Client(*pair).is_closed() for pair in opened]
             async with asyncio.timeout(3.0):
                 assert all(await asyncio.gather(*ends))
@@ -170,19 +184,19 @@
     run_async(test())
 
 
-def test_60_mb_get_their_response() -> None:
+def test_a_60_mb_body_is_rejected() -> None:
     async def test() -> None:
         async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
             client = await proxy.connect()
             length = 60 << 20
             client.writer.write(b"POST /canje" + HEAD + b"Content-Length: %d\r\n\r\n" % length)
-            writing = asyncio.create_task(write_for_ever(client, bytes(1 << 20), 0.0))
+            writing = asyncio.create_task(write_endlessly(client, bytes(1 << 20), 0.0))
             assert (await client.response()).status_code == 413
             async with asyncio.timeout(6.0):
                 with contextlib.suppress(ConnectionError):
                     await client.reader.read()
             writing.cancel()
-            assert await fine(proxy)
+            assert await is_served(proxy)
 
     run_async(test())
 
@@ -205,15 +219,15 @@
 
 
 @pytest.mark.parametrize("rest", SMUGGLED.values(), ids=SMUGGLED)
-def test_no_request_is_smuggled_in_a_body(rest: bytes) -> None:
+def test_a_request_hidden_in_a_body_is_not_forwarded(rest: bytes) -> None:
     async def test() -> None:
         endpoint = EndpointServer()
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
             client = await proxy.connect()
             client.writer.write(b"POST /canje" + HEAD + rest)
-            assert await told(client) == 400
-            assert await fine(proxy)
-        assert endpoint.received_count == 1  # the last one
+            assert await status_until_close(client) == 400
+            assert await is_served(proxy)
+        assert endpoint.received_count == 1  # Only the request of `is_served` was received.
 
     run_async(test())
 
@@ -223,12 +237,12 @@
         async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
             client = await proxy.connect()
             client.writer.write(b"POST /canje" + HEAD + b"Content-Length: " + b"9" * 30 + b"\r\n\r\n")
-            assert await told(client) in (400, 413)
+            assert await status_until_close(client) in (400, 413)
 
     run_async(test())
 
 
-def test_a_trailer_is_no_header() -> None:
+def test_a_trailer_field_is_not_forwarded_as_a_header() -> None:
     async def test() -> None:
         endpoint = EndpointServer()
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
@@ -244,8 +258,11 @@
 
 
 @pytest.mark.parametrize("spoil", [b"X-Note: a\x01b\r\n", b"X-Note: a\x7fb\r\n", b"X-Note: a\x00b\r\n"])
-def test_what_an_endpoint_might_not_read_is_not_forwarded(spoil: bytes) -> None:
-    """An endpoint that can't read a request closes: to the proxy that would look like its fault."""
+def test_a_header_with_a_control_byte_is_rejected(spoil: bytes) -> None:
+    """Guards against an invalid request that is counted as a failure of the endpoint.
+
+    An endpoint that can't parse a request closes the connection.
+    """
 
     async def test() -> None:
         endpoint = EndpointServer()
@@ -273,7 +290,7 @@
     run_async(test())
 
 
-def test_a_closed_downstream_connection_leaves_no_cycle_and_no_entry_behind() -> None:
+def test_a_closed_downstream_connection_leaves_no_reference_cycle_and_no_table_entry() -> None:
     async def test() -> None:
         class Handler:
             def start_request(self, request: Any, writer: Any) -> object:
@@ -299,9 +316,9 @@
     run_async(test())
 
 
-def test_a_flood_of_malformed_requests_is_no_flood_of_log_lines() -> None:
-    sparse = LogRateLimit()
+def test_log_lines_about_a_flood_of_malformed_requests_are_rate_limited() -> None:
+    rate_limit = LogRateLimit()
     record = logging.LogRecord("x", logging.WARNING, "", 0, "fault %d", (1,), None)
     other = logging.LogRecord("x", logging.WARNING, "", 0, "other", (), None)
-    assert sum(bool(sparse.filter(record)) for _ in range(10 * MAX_LOG_RECORDS)) == MAX_LOG_RECORDS
-    assert sparse.filter(other)
+    assert sum(bool(rate_limit.filter(record)) for _ in range(10 * MAX_LOG_RECORDS)) == MAX_LOG_RECORDS
+    assert rate_limit.filter(other)
--- a/tests/net/test_http_message_rules.py
+++ b/tests/net/test_http_message_rules.py
@@ -1,7 +1,7 @@
-"""What RFC 9110 and RFC 9112 have a proxy refuse, row by row, on the sockets of the program itself.
+"""Requests that RFC 9110 and RFC 9112 require a proxy to reject or accept, sent to the program's sockets.
 
-One proxy serves all rows: each row is answered with its code, its connection ends, nothing of it reaches the
-endpoint, and the next client is served. A request hidden behind the fault must not be found.
+One proxy serves all rows. Each rejected row gets its status code, its connection ends, no part of the row
+reaches the endpoint, and the next client is served. A request that is hidden after the fault is not parsed.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     run_async,
 )
 
-CALL = b"X-Call-Id: 0011223344556677\r\nX-Budget: 9000m\r\n"
+REQUIRED_HEADERS = b"X-Call-Id: 0011223344556677\r\nX-Budget: 9000m\r\n"
 HOST = b"Host: x\r\n"
 GET = b"GET /stock/1 HTTP/1.1\r\n"
 POST = b"POST /canje/1 HTTP/1.1\r\n"
 LAST = b"\r\n0\r\n\r\n"
-CHUNKED = POST + HOST + CALL + b"Transfer-Encoding: chunked\r\n\r\n"
+CHUNKED = POST + HOST + REQUIRED_HEADERS + b"Transfer-Encoding: chunked\r\n\r\n"
 HIDDEN = (
     b"POST /canje/2 HTTP/1.1\r\nHost: x\r\nX-Call-Id: 8899aabbccddeeff\r\nX-Budget: 900m\r\n"
     b"Content-Length: 0\r\n\r\n"
@@ -35,15 +35,15 @@
 
 
 def get(line: bytes, headers: bytes = HOST) -> bytes:
-    return line + headers + CALL + b"\r\n"
+    return line + headers + REQUIRED_HEADERS + b"\r\n"
 
 
 def post(framing: bytes, body: bytes = b"") -> bytes:
-    return POST + HOST + CALL + framing + b"\r\n" + body
+    return POST + HOST + REQUIRED_HEADERS + framing + b"\r\n" + body
 
 
-# name: (section, answer, bytes); 9112 unless another RFC is named
-REFUSED: dict[str, tuple[str, int, bytes]] = {
+# Name of the case: section, status code, bytes. Sections are of RFC 9112 unless another RFC is named.
+REJECTED_REQUESTS: dict[str, tuple[str, int, bytes]] = {
     "no version": ("3", 400, get(b"GET /stock/1\r\n")),
     "no version, a body's length": ("3", 400, get(b"POST /canje/1\r\n", HOST + b"Content-Length: 0\r\n")),
     "version 0.9": ("2.3", 400, get(b"GET /stock/1 HTTP/0.9\r\n")),
@@ -116,8 +116,8 @@
     "trailer with a coding": ("7.1.2", 400, CHUNKED + b"0\r\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN),
 }
 
-# What must be taken all the same.
-TAKEN: dict[str, tuple[str, bytes]] = {
+# Requests that the proxy must accept.
+ACCEPTED_REQUESTS: dict[str, tuple[str, bytes]] = {
     "an empty line before the request": ("2.2", b"\r\n" + get(GET)),
     "version 1.0 without Host": ("3.2", get(b"GET /stock/1 HTTP/1.0\r\n", b"")),
     "an empty Host": ("3.2", get(GET, b"Host:\r\n")),
@@ -129,29 +129,29 @@
 }
 
 
-async def codes(client: Client) -> list[int]:
-    """Of all answers that come before the connection ends."""
-    found = []
+async def status_codes_until_close(client: Client) -> list[int]:
+    """Return the status codes of all responses before the connection ends."""
+    status_codes = []
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         while True:
-            found.append((await client.response()).status_code)
-    return found
+            status_codes.append((await client.response()).status_code)
+    return status_codes
 
 
 def test_what_the_rfcs_reject_is_rejected_and_reaches_no_endpoint() -> None:
     async def test() -> None:
         endpoint = EndpointServer()
-        wrong = []
+        mismatches = []
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
-            for name, (section, code, data) in REFUSED.items():
+            for name, (section, code, data) in REJECTED_REQUESTS.items():
                 client = await proxy.connect()
                 client.writer.write(data)
                 client.writer.write_eof()
-                found = await codes(client)
-                if found != [code] or endpoint.received_count:
-                    wrong.append((name, section, code, found, endpoint.received_count))
+                status_codes = await status_codes_until_close(client)
+                if status_codes != [code] or endpoint.received_count:
+                    mismatches.append((name, section, code, status_codes, endpoint.received_count))
                     endpoint.received_count = 0
-            assert not wrong, wrong
+            assert not mismatches, mismatches
             assert (
                 await (await proxy.connect()).request("stock", "2" * 16, PATIENT_BUDGET)
             ).status_code == 200
@@ -163,16 +163,19 @@
     async def test() -> None:
         endpoint = EndpointServer()
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
-            for name, (_, data) in TAKEN.items():
+            for name, (_, data) in ACCEPTED_REQUESTS.items():
                 answer = await (await proxy.connect()).send_raw(data)
                 assert answer.status_code == 200, name
-        assert endpoint.received_count == len(TAKEN)
+        assert endpoint.received_count == len(ACCEPTED_REQUESTS)
 
     run_async(test())
 
 
-def test_fields_that_connection_names_end_at_this_hop() -> None:
-    """RFC 9110, 7.6.1: also where the name comes among others and in other letters."""
+def test_fields_listed_in_connection_are_not_forwarded() -> None:
+    """Guards against a forwarded field whose name Connection lists (RFC 9110, 7.6.1).
+
+    The name may be one of several and in other letter case.
+    """
 
     async def test() -> None:
         endpoint = EndpointServer()
--- a/tests/net/test_overload.py
+++ b/tests/net/test_overload.py
@@ -1,4 +1,4 @@
-"""More than the proxy may take: the concurrency limit, shedding by class, and the limit of descriptors."""
+"""Load beyond the proxy's limits: concurrency limit, shedding by request class, and descriptor limit."""
 
 from __future__ import annotations
 
@@ -23,9 +23,12 @@
 
 
 def test_one_fault_at_the_start_does_not_keep_the_concurrency_limit_low() -> None:
-    """An instance that gets several times the others' calls: after one early error it takes the calls that
-    its server bears, and does not refuse them for minutes."""
-    # s, that the server takes for each call; at once
+    """Guards against a limit that stays low for minutes after one early error.
+
+    A proxy that receives several times the load of the other proxies would then reject requests that its
+    endpoint could serve.
+    """
+    # Service time of each request (s), number of concurrent clients, and expected peak of requests in flight.
     service_time = 0.25
     client_count = 60
     target = 40
@@ -47,7 +50,7 @@
             writer.write(response(200, b"done"))
             if (
                 peak >= target or endpoint.received_count > 400
-            ):  # from 4, by a quarter call a round, it would be at 29
+            ):  # A limit that grows from 4 by a quarter request per round would only reach 29.
                 target_reached.set()
 
         async def send_requests(number: int) -> None:
@@ -73,17 +76,18 @@
 
 
 def test_a_quick_class_of_low_priority_is_not_shed_for_a_slow_one_of_high_priority() -> None:
-    """An instance with many times the calls that it may have out refuses by worth. Of two classes the cheaper
-    one may be worth more for the time that its calls take: then both have their part.
+    """Guards against an overloaded proxy that serves only the class of high priority.
 
-    A pause of the test's own process, in which the endpoint is, looks like requests that take as long.
+    A quicker class of lower priority may have the higher priority weight per service time, so both classes
+    must be served. A trial in which the test process stalls is repeated: the endpoint runs in the test
+    process, so a stall would look like slow requests.
     """
-    # s of a server's slot; worth 2 and 3
+    # Time that a request occupies an endpoint's slot (s). The priority weights are 2 and 3.
     slots = 4
     service_times = {"reserva": 0.05, "canje": 0.2}
     max_stall = 0.1
 
-    async def set_up(attempt_number: int) -> bool:
+    async def run_trial(attempt_number: int) -> bool:
         codes: dict[str, Counter[int]] = {name: Counter() for name in service_times}
         slots_free = asyncio.Semaphore(slots)
         all_sent = asyncio.Event()
@@ -120,15 +124,18 @@
         if longest_stall.duration > max_stall:
             return False
         shares = {name: codes[name][200] / codes[name].total() for name in service_times}
-        assert codes["canje"][503] > 300, codes  # there was too much of it all
+        assert codes["canje"][503] > 300, codes  # The load was too high for all requests to be served.
         assert shares["reserva"] > 0.5 * shares["canje"], codes
         return True
 
-    run_async(repeat_until_timely(set_up))
+    run_async(repeat_until_timely(run_trial))
 
 
-def test_at_the_descriptor_limit_it_sheds_load_and_goes_on() -> None:
-    """Guards against EMFILE: beyond the bound a client gets a refusal, and upstreams keep their share."""
+def test_requests_beyond_the_descriptor_limit_are_rejected_and_service_continues() -> None:
+    """Guards against EMFILE when clients use up all descriptors.
+
+    Clients beyond the connection limit get a rejection, and upstreams keep their share of the descriptors.
+    """
 
     async def test() -> None:
         release = asyncio.Event()
@@ -154,7 +161,7 @@
 
 
 def test_an_idle_connection_is_evicted_for_a_new_client() -> None:
-    """Kept connections that ask nothing must not shut others out."""
+    """Guards against idle connections that keep new clients out."""
 
     async def test() -> None:
         async with proxy_under_test({"s-1": EndpointServer()}, sockets=64, **patient_settings()) as proxy:
--- a/tests/net/test_streamed_requests.py
+++ b/tests/net/test_streamed_requests.py
@@ -1,4 +1,4 @@
-"""Long request bodies, through the program itself: passed on as they come, or buffered for a retry."""
+"""Long request bodies through the whole program: streamed, or buffered for a retry."""
 
 from __future__ import annotations
 
@@ -51,13 +51,13 @@
             assert (answer.status_code, answer.body) == (200, b"%d" % LONG_BYTES)
             assert bodies == [(LONG_DIGEST, LONG_BYTES)]
             assert peak - before < MAX_GROWTH_MB
-            again = await client.request("canje", "b" * 16, budget="6000m")
-            assert again.status_code == 200  # the connection is kept
+            second_answer = await client.request("canje", "b" * 16, budget="6000m")
+            assert second_answer.status_code == 200  # The connection is kept.
 
     run_async(test())
 
 
-def test_a_buffered_body_is_retried_on_a_second_endpoint_where_the_first_rejected_it() -> None:
+def test_a_buffered_body_is_retried_on_a_second_endpoint_if_the_first_rejects_it() -> None:
     async def test() -> None:
         bodies: list[tuple[str, int]] = []
 
@@ -67,7 +67,7 @@
         rejecting = EndpointServer(respond)
         serving = body_endpoint(bodies)
         async with proxy_under_test({"s-1": rejecting, "s-2": serving}) as proxy:
-            data = PIECE * 32  # 2 MB
+            data = PIECE * 32  # The body has 2 MB, so it is buffered.
             for n in range(20):
                 answer = await (await proxy.connect()).request(
                     "canje", f"{n:016x}", budget="3000m", body=data
@@ -79,8 +79,11 @@
     run_async(test())
 
 
-def test_a_streamed_body_is_rejected_where_its_endpoint_breaks_before_the_last_byte() -> None:
-    """It can't have run, and it is not there any more to be sent again."""
+def test_a_streamed_request_is_rejected_if_its_endpoint_disconnects_before_the_last_byte() -> None:
+    """Guards against a retry without the bytes that were already streamed.
+
+    The request can't have been executed, and its first bytes are no longer buffered, so it is rejected.
+    """
 
     async def test() -> None:
         body_begun = asyncio.Event()
@@ -110,7 +113,7 @@
     run_async(test())
 
 
-def test_a_response_before_the_body_is_complete_is_the_response() -> None:
+def test_a_response_before_the_body_is_complete_is_forwarded() -> None:
     async def test() -> None:
         async def connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while not (await reader.readuntil(b"\r\n\r\n")).startswith(b"POST"):
@@ -120,7 +123,7 @@
             with contextlib.suppress(ConnectionError):
                 while await reader.read(MB):
                     pass
-            closed.set()  # the proxy has ended it
+            closed.set()  # The proxy has closed the connection.
 
         closed = asyncio.Event()
         endpoint = EndpointServer()
@@ -140,7 +143,7 @@
     run_async(test())
 
 
-def test_a_client_that_disconnects_in_mid_body_leaves_nothing_that_could_be_executed() -> None:
+def test_a_request_whose_client_disconnects_in_mid_body_is_not_executed() -> None:
     async def test() -> None:
         bodies: list[tuple[str, int]] = []
         endpoint = body_endpoint(bodies)
@@ -158,7 +161,10 @@
 
 
 def test_a_client_that_sends_64_kb_a_second_after_a_slow_head_is_served() -> None:
-    """Its head takes 1.5 s and its body 2: together more than either may."""
+    """Guards against one common time limit for head and body.
+
+    The head takes 1.5 s and the body 2 s: each is within its limit, and the sum exceeds either limit.
+    """
 
     async def test() -> None:
         bodies: list[tuple[str, int]] = []
@@ -177,8 +183,8 @@
     run_async(test())
 
 
-def test_white_space_behind_a_field_value_is_no_part_of_it() -> None:
-    """RFC 9110, 5.5; on both sides."""
+def test_white_space_after_a_field_value_is_not_part_of_the_value() -> None:
+    """Guards against white space that is kept in a field value (RFC 9110, 5.5), in requests and responses."""
 
     async def test() -> None:
         async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -197,7 +203,7 @@
     run_async(test())
 
 
-def test_a_replayable_body_keeps_its_parts_and_a_streamed_one_lets_them_go() -> None:
+def test_a_replayable_body_keeps_its_parts_and_a_streamed_one_drops_them() -> None:
     notifications: list[str] = []
 
     class Reader:
@@ -219,11 +225,14 @@
 
 
 def test_the_deadline_of_a_streamed_body_begins_with_its_last_byte() -> None:
-    """Its upload takes longer than its budget; an endpoint that then says nothing is given just that."""
+    """Guards against a deadline that expires during the upload, which takes longer than the time budget.
+
+    After the upload, an endpoint that does not respond is given exactly the time budget.
+    """
 
     async def test() -> None:
         async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            """It has all of it, and says nothing."""
+            """Receive the whole request, and never respond."""
 
         async with proxy_under_test({"s-1": EndpointServer(respond)}) as proxy:
             client = await proxy.connect()
