--- a/service_proxy/fleet/__main__.py
+++ b/service_proxy/fleet/__main__.py
@@ -1,10 +1,11 @@
-"""The command: ask a member what it sees.
+"""Command-line tool that requests and prints the view of one fleet member.
 
     python -m service_proxy.fleet view --of HOST:PORT [--json] [--watch] [--operator FILE]
 
-Exit code 0: settled; 3: it has not settled; 1: nobody answered; 2: the call is wrong. `--operator` names the
-file with the fleet's keys, where its datagrams are sealed. HOST:PORT is a member's `listen`, from its own
-machine, or where another member reaches it.
+Exit code 0: the view has settled; 3: the view has not settled; 1: no member answered; 2: an argument or the
+operator's file is invalid. `--operator` names the file with the fleet's keys, which is required where the
+fleet authenticates its datagrams with keys. HOST:PORT is a member's `listen` address if the command runs on
+that member's machine, else an address at which another member reaches it.
 """
 
 from __future__ import annotations
@@ -32,17 +33,17 @@
 from service_proxy.operator_file.value_checks import find_address_problem
 
 ANSWER_TIMEOUT_S = 0.5
-MAX_ATTEMPTS = 4  # of one request
+MAX_ATTEMPTS = 4  # Attempts per view request.
 WATCH_INTERVAL_S = 1.0
 EXIT_SETTLED = 0
 EXIT_NO_ANSWER = 1
-EXIT_BAD_CALL = 2
+EXIT_USAGE_ERROR = 2
 EXIT_NOT_SETTLED = 3
-CLEAR_SCREEN = "\x1b[H\x1b[J"  # ECMA-48: cursor home, erase to the end
+CLEAR_SCREEN = "\x1b[H\x1b[J"  # ECMA-48 sequences: move the cursor home, then erase to the end of the screen.
 
 
 class ViewClient:
-    """Requests a member's view; one socket, and the ids of its requests. A context manager."""
+    """Client that requests a member's view over one UDP socket; a context manager."""
 
     def __init__(self, address: tuple[str, int], authenticator: MessageAuthenticator) -> None:
         self.address = address
@@ -60,12 +61,12 @@
         self.socket.close()
 
     def fetch_page(self, first_row: int) -> ViewPage:
-        """Return the page from this row on.
+        """Return the page of the view that starts at row `first_row`.
 
         Raises:
-            NoAnswerError: there was none to any of several requests.
+            NoAnswerError: no valid page arrived within MAX_ATTEMPTS requests.
         """
-        cause = "nothing came"
+        cause = "no datagram arrived"
         for _ in range(MAX_ATTEMPTS):
             self.last_request_id += 1
             deadline = time.monotonic() + ANSWER_TIMEOUT_S
@@ -80,7 +81,7 @@
                     try:
                         page = decode_view_page(self.socket.recv(MAX_DATAGRAM_BYTES), self.authenticator)
                     except MalformedDatagramError as error:
-                        cause = f"what came is of no use: {error}"
+                        cause = f"an invalid datagram arrived: {error}"
                         continue
                     if page.request_id == self.last_request_id & 0xFFFF:
                         return page
@@ -92,23 +93,24 @@
         raise NoAnswerError(self.address, cause)
 
     def fetch_view(self) -> tuple[ViewPage, list[ViewRow]]:
-        """Return the last page and all rows.
+        """Return the last page of the view and the rows of all pages.
 
-        A view that changes meanwhile may lack a row, and is not settled.
+        If the view changes between two page requests, a row may be missing, and the last page then reports
+        the view as not settled.
         """
         page = self.fetch_page(0)
         rows = list(page.rows)
         while len(rows) < page.row_count:
-            page_of_more = self.fetch_page(len(rows))
-            if not page_of_more.rows:
+            next_page = self.fetch_page(len(rows))
+            if not next_page.rows:
                 break
-            rows += page_of_more.rows
-            page = page_of_more
+            rows += next_page.rows
+            page = next_page
         return page, rows
 
 
 def format_table(page: ViewPage, rows: list[ViewRow]) -> list[str]:
-    """Return a view as lines of text, with its totals first and remarks last."""
+    """Return the view as lines of text: the totals first, then a row per member, then the findings."""
     stability = "settled" if page.settled else "not settled"
     lines = [
         f"fleet {page.fleet}: {page.alive_count} live, {page.dead_count} dead, {page.left_count} left; "
@@ -128,7 +130,7 @@
 
 
 def format_json(page: ViewPage, rows: list[ViewRow]) -> str:
-    """Return a view as JSON."""
+    """Return the view as JSON text."""
     members = [
         {
             "name": row.name,
@@ -164,10 +166,10 @@
 
 
 def create_authenticator(operator_file: str | None) -> MessageAuthenticator:
-    """Return the authenticator by the operator's file.
+    """Return the authenticator with the keys of the operator's file, or one without keys if no file is given.
 
     Raises:
-        OperatorError: the file, or the key file that it names, can't be used.
+        OperatorError: the file, or the key file that it names, can't be read or is invalid.
     """
     if operator_file is None:
         return MessageAuthenticator()
@@ -175,45 +177,45 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy.fleet",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    view = commands.add_parser("view", help="what one member sees")
+    view = commands.add_parser("view", help="print the view of one member")
     view.add_argument("--of", required=True, metavar="HOST:PORT")
     view.add_argument("--json", action="store_true")
-    view.add_argument("--watch", action="store_true", help="again each second, until Ctrl-C")
-    view.add_argument("--operator", metavar="FILE", help="the operator's file, for the fleet's keys")
+    view.add_argument("--watch", action="store_true", help="print the view every second until Ctrl-C")
+    view.add_argument("--operator", metavar="FILE", help="the operator's file that names the fleet's keys")
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command; return its exit code."""
+    """Run the command and return its exit code."""
     options = create_parser().parse_args(argv)
     problem = find_address_problem(options.of)
     if problem is not None:
         print(f"--of {problem}; write the member's `listen`, such as 10.0.0.4:7946", file=sys.stderr)
-        return EXIT_BAD_CALL
+        return EXIT_USAGE_ERROR
     host, _, port = options.of.rpartition(":")
     try:
         authenticator = create_authenticator(options.operator)
     except OperatorError as error:
         print(error, file=sys.stderr)
-        return EXIT_BAD_CALL
-    show = watch_view if options.watch else show_view
+        return EXIT_USAGE_ERROR
+    print_selected_view = watch_view if options.watch else print_view
     try:
         with ViewClient((host, int(port)), authenticator) as client:
-            return show(client, options.json)
+            return print_selected_view(client, options.json)
     except NoAnswerError as error:
-        print(f"{error}; is it up, and is this its machine or a member's?", file=sys.stderr)
+        print(f"{error}; check that the member runs and accepts datagrams from this machine", file=sys.stderr)
         return EXIT_NO_ANSWER
 
 
-def show_view(client: ViewClient, json_form: bool, prefix: str = "") -> int:
-    """Print the view once; return the exit code that it stands for."""
+def print_view(client: ViewClient, json_form: bool, prefix: str = "") -> int:
+    """Print the view once and return the exit code: EXIT_SETTLED or EXIT_NOT_SETTLED."""
     page, rows = client.fetch_view()
     text = format_json(page, rows) if json_form else "\n".join(format_table(page, rows))
     print(prefix + text, flush=True)
@@ -221,12 +223,12 @@
 
 
 def watch_view(client: ViewClient, json_form: bool) -> int:
-    """Print the view each second until Ctrl-C; return the last exit code."""
+    """Print the view every WATCH_INTERVAL_S until Ctrl-C and return the exit code of the last view."""
     code = EXIT_SETTLED
     prefix = "" if json_form or not sys.stdout.isatty() else CLEAR_SCREEN
     try:
         while True:
-            code = show_view(client, json_form, prefix)
+            code = print_view(client, json_form, prefix)
             time.sleep(WATCH_INTERVAL_S)
     except KeyboardInterrupt:
         return code
--- a/service_proxy/fleet/anti_entropy.py
+++ b/service_proxy/fleet/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Anti-entropy (push-pull sync) as one member does it: when it compares its view.
+"""Anti-entropy (push-pull sync) of one member: when it compares views, and how it answers comparisons.
 
-And what it answers. Pure.
+Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -25,11 +25,13 @@
 
 
 class AntiEntropy(MemberBase):
-    """The layer that compares this member's view with others' and makes both equal (push-pull sync).
+    """Layer that compares this member's view with those of other members and makes the views equal.
 
     Attributes:
-        sync_session: the comparison that is under way; one at a time.
-        sync_requests_left: that may be sent in this period.
+        sync_session: the comparison in progress, at most one at a time; None if there is none.
+        last_sync_at: time at which the last comparison started, s; -inf allows the next one at once.
+        sync_requests_left: sync requests that this member may still send in the current period.
+        corrections_left: corrections that this member may still send in the current period.
     """
 
     def _initialise(self) -> None:
@@ -37,7 +39,7 @@
         self.sync_session: digest_tree.SyncSession | None = None
         self.last_sync_at = float("-inf")
         self.sync_requests_left = 0
-        self.corrections_left = 0  # in this period
+        self.corrections_left = 0
 
     def _message_handlers(self) -> dict[MessageType, MessageHandler]:
         return {
@@ -58,9 +60,10 @@
     def _maybe_start_sync(
         self, partner: MemberKey, address: Address, digest: int, joining: bool = False
     ) -> None:
-        """Begin a session with a member whose digest differs, unless it will likely agree by gossip alone.
+        """Start a sync session with a member whose digest differs, unless gossip will likely make both equal.
 
-        `joining`: the partner answered a request to join; it need not be known, and there is all to learn.
+        `joining`: the partner answered a request to join. The session then starts even if the partner is not
+        in this view, and without waiting for a quiet view, because a new member lacks all entries.
         """
         if (
             digest == self.table.digest
@@ -72,16 +75,18 @@
             return
         period = self.timing.period
         if not joining and self.now - self.started_at > STARTUP_PERIODS * period:
-            quiet = self.now - self.table.changed_at >= QUIET_PERIODS * period
-            starved = self.now - self.last_sync_at >= SYNC_STARVED_PERIODS * period
-            if not (quiet or starved):
+            is_quiet = self.now - self.table.changed_at >= QUIET_PERIODS * period
+            is_overdue = self.now - self.last_sync_at >= SYNC_STARVED_PERIODS * period
+            if not (is_quiet or is_overdue):
                 return
-        known = self.table.entries.get(partner)
+        partner_entry = self.table.entries.get(partner)
         self.sync_session = digest_tree.SyncSession(
-            partner, known.record.address if known is not None else address
+            partner, partner_entry.record.address if partner_entry is not None else address
         )
         self.last_sync_at = self.now
-        self._set_timer(0.0, TimerKind.SYNC_START)  # not at once: nobody is answered with more than came
+        # The request waits for the next tick, because a reply must not be longer than the datagram that
+        # caused it.
+        self._set_timer(0.0, TimerKind.SYNC_START)
 
     def _on_sync_start(self, _number: int, _key: bytes) -> None:
         if self.sync_session is not None and not self.sync_session.request_id:
@@ -94,17 +99,21 @@
             self.sync_session = None
             return
         if self.sync_requests_left <= 0:
-            self.sync_session = None  # the rest in the next period, with whoever differs then
+            # The next period's session, with any member whose digest differs then, compares the remaining
+            # prefixes.
+            self.sync_session = None
             self.last_sync_at = float("-inf")
             return
         self.sync_requests_left -= 1
         session.current = session.pending[-1]
         session.request_id = self._next_request_id()
         writer = DatagramWriter().add_probe_id(session.request_id)
-        by_name = digest_tree.write_request(self.table, session.current, writer)
+        lists_entries = digest_tree.write_request(self.table, session.current, writer)
         self._pad_datagram(writer)
         self._send_datagram(
-            session.address, MessageType.ENTRIES_REQUEST if by_name else MessageType.DIGEST_REQUEST, writer
+            session.address,
+            MessageType.ENTRIES_REQUEST if lists_entries else MessageType.DIGEST_REQUEST,
+            writer,
         )
         self._set_timer(
             INDIRECT_PING_AT * self.timing.period * (1 + self.local_health),
@@ -140,7 +149,7 @@
         self._send_sync_request()
 
     def _send_entries(self, address: Address, missing: bytes, size: int) -> None:
-        """Send the records of the keys that a partner lacks, as far as they fit."""
+        """Send the records of the keys that the partner lacks, as many as fit in one datagram."""
         writer = DatagramWriter(size)
         for at in range(0, len(missing) - 5, 6):
             key = bytes(missing[at : at + 6])
@@ -159,11 +168,12 @@
         writer = self._start_reply(message)
         for value in message.values(Section.ENTRY_DIGESTS)[:1]:
             if digest_tree.answer_entries_request(self.table, value, self.key, writer):
-                self._pad_datagram(writer)  # so that what is wanted may come in one
+                # The padding lets the partner send the missing records in one datagram of the same size.
+                self._pad_datagram(writer)
             self._send_datagram(source, MessageType.ENTRIES_REPLY, writer)
 
     def _send_correction(self, key: MemberKey, address: Address, size: int) -> None:
-        """Tell a member that sent an outdated claim what this view holds."""
+        """Send this view's state of a member to the sender of an outdated claim about that member."""
         self.corrections_left -= 1
         if self.corrections_left < 0 or self.status is not MembershipStatus.MEMBER:
             return
--- a/service_proxy/fleet/authentication.py
+++ b/service_proxy/fleet/authentication.py
@@ -1,12 +1,14 @@
-"""Message authentication and replay protection of datagrams. Pure.
+"""Message authentication and replay protection of datagrams. Performs no I/O and reads no clock.
 
-With keys the tag is HMAC-SHA256 (RFC 2104) under a key derived from the fleet's for this one use, cut to 8
-bytes (RFC 2104, 5: no less than half of the hash is usual for long-lived data; these are of use for seconds,
-and a forger has one guess a datagram). Without keys it is a checksum, against what the network spoils.
+With keys, the tag is HMAC-SHA256 (RFC 2104) cut to 8 bytes, under a key derived from the fleet's key for this
+purpose only. RFC 2104, 5 recommends at least half of the hash for long-lived data. 8 bytes suffice here,
+because a datagram is useful for seconds only and a forger has one guess per datagram. Without keys, the tag
+is a checksum, which detects corruption in the network but not forgery.
 
-Replays: a window over the sequence numbers of each sender's process, as in RFC 4303, 3.4.3 and appendix A2.
-It is kept by receivers in memory: what is replayed to one that has just started is accepted once, and says
-nothing that the order of incarnations does not already put below what holds.
+Replay protection is a sliding window over the sequence numbers of each sender's process, as in RFC 4303,
+3.4.3 and appendix A2. Each receiver keeps the windows in memory only, so a receiver that has just started
+accepts a replayed datagram once. Such a replay is harmless: the order of incarnations already ranks its
+claims below those that are in force.
 """
 
 from __future__ import annotations
@@ -20,22 +22,25 @@
 from service_proxy.fleet.members import MemberKey
 from service_proxy.fleet.wire import AUTH_TAG_BYTES
 
-REPLAY_WINDOW = 256  # numbers that may come out of order
-MAX_SENDERS = 20_000  # processes whose numbers are remembered; the one that sent longest ago is forgotten
-# Domain separation of the MAC's key. It carries the package's former name, and stays as it is: members of the
-# former version must accept what this one signs, and the other way round.
+REPLAY_WINDOW = 256  # Sequence numbers per sender's process within which a datagram may arrive out of order.
+# Sender processes with a replay window; beyond this number the window of the process that sent longest ago is
+# discarded.
+MAX_SENDERS = 20_000
+# Domain separation of the MAC's key. The text contains the package's former name and must not change, because
+# members of the former version and of this one must accept each other's datagrams.
 PURPOSE = b"granitepoint fleet datagram 1"
 
 
 class MessageAuthenticator:
     """Appends tags to datagrams and verifies them.
 
-    `keys`: the first signs, all are accepted, so that keys can be rotated; without any: checksums.
+    `keys`: the first key signs and all keys are accepted, so that keys can be rotated. Without keys, the tags
+    are checksums.
     """
 
     def __init__(self, keys: Iterable[bytes] = ()) -> None:
         self.keys = [hmac.digest(key, PURPOSE, "sha256") for key in keys]
-        # Both pads of HMAC are hashed once: a datagram costs two short hashes.
+        # Both pads of HMAC are hashed once per key, so that each datagram costs only two short hashes.
         self.keyed_hashes = [hmac.new(key, digestmod=sha256) for key in self.keys]
 
     def _mac(self, keyed_hash: hmac.HMAC, data: bytes) -> bytes:
@@ -44,13 +49,13 @@
         return mac.digest()[:AUTH_TAG_BYTES]
 
     def seal(self, data: bytes) -> bytes:
-        """Return the datagram with its tag."""
+        """Return the datagram with its tag appended."""
         if not self.keyed_hashes:
             return data + zlib.crc32(data).to_bytes(4, "big") + bytes(4)
         return data + self._mac(self.keyed_hashes[0], data)
 
     def verify(self, data: bytes) -> bool:
-        """Return whether the datagram's tag is right under any of the keys."""
+        """Return whether the datagram's tag is valid under any key, or as a checksum without keys."""
         message = data[:-AUTH_TAG_BYTES]
         tag = data[-AUTH_TAG_BYTES:]
         if not self.keyed_hashes:
@@ -61,14 +66,14 @@
 
 
 class ReplayWindow:
-    """The sequence numbers that arrived from each sender's process, in a sliding window for each."""
+    """Sliding windows over the sequence numbers received from each sender's process."""
 
     def __init__(self, max_senders: int = MAX_SENDERS) -> None:
         self.max_senders = max_senders
         self.windows: OrderedDict[tuple[MemberKey, int, int], tuple[int, int]] = OrderedDict()
 
     def accept(self, sender: MemberKey, process: tuple[int, int], sequence_number: int) -> bool:
-        """Return whether a number arrives for the first time and not too late, and remember it."""
+        """Record a sequence number; return whether it is new and in the window of the sender's process."""
         process_key = (sender, *process)
         highest, bitmap = self.windows.get(process_key, (0, 0))
         if sequence_number > highest:
--- a/service_proxy/fleet/dissemination.py
+++ b/service_proxy/fleet/dissemination.py
@@ -1,7 +1,8 @@
-"""The updates that a member has to pass on, and how often still (SWIM, 4.1: piggybacking). Pure.
+"""Queue of updates that a member disseminates, with the transmissions left of each (SWIM, 4.1: piggybacking).
 
-Each update is sent so many times, those first that were sent least recently; a newer one about the same
-member replaces the older. Suspicions of several accusers travel side by side, for they shorten the suspicion.
+Updates that were sent least recently are sent first. A newer update about a member replaces older updates
+about that member. Suspicions of the same incarnation by different accusers stay in the queue side by side,
+because each accuser shortens the suspicion. Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,38 +13,38 @@
 from service_proxy.fleet.members import Claim, MemberKey
 from service_proxy.fleet.wire import DatagramWriter, MemberUpdate
 
-# Changes; beyond it those that were sent last are dropped: anti-entropy finds them.
+# Updates in the queue; beyond this number the update at the end of the queue is dropped, and anti-entropy
+# repairs the difference.
 MAX_PENDING_UPDATES = 1024
-MIN_UPDATE_BYTES = 24  # bytes that any change takes
-QueueKey = tuple[MemberKey, MemberKey]  # member and accuser
+MIN_UPDATE_BYTES = 24  # Lower bound of the bytes of any update in a datagram.
+QueueKey = tuple[MemberKey, MemberKey]  # The member that the update is about, and the accuser.
 
 
 class DisseminationQueue:
     """Updates that wait to be piggybacked or gossiped.
 
     Attributes:
-        pending: updates and their transmissions left, by member and accuser; the next to be sent comes first.
-        accusers: of the pending suspicions of each member.
+        pending: updates and their transmissions left, by member and accuser; the next one to send is first.
+        accusers: accusers of the pending suspicions, by suspected member.
     """
 
     def __init__(self) -> None:
-        self.pending: OrderedDict[QueueKey, tuple[MemberUpdate, int]] = (
-            OrderedDict()
-        )  # the next to be sent comes first
+        self.pending: OrderedDict[QueueKey, tuple[MemberUpdate, int]] = OrderedDict()
         self.accusers: dict[MemberKey, set[MemberKey]] = {}
 
     def __bool__(self) -> bool:
         return bool(self.pending)
 
     def enqueue(self, update: MemberUpdate, transmissions: int) -> None:
-        """Add an update that is to be sent so many times, in place of older ones."""
+        """Add an update to send `transmissions` times, in place of older updates about the same member."""
         accuser = update.accuser if update.claim is Claim.SUSPECT else b""
-        for other in list(self.accusers.get(update.key, ())):
-            queued = self.pending[update.key, other][0]
+        for queued_accuser in list(self.accusers.get(update.key, ())):
+            queued = self.pending[update.key, queued_accuser][0]
             if (queued.incarnation, queued.claim) < (update.incarnation, update.claim):
                 if queued.record is not None and update.record is None:
-                    update = replace(update, record=queued.record)  # not all have its record yet
-                self._remove((update.key, other))
+                    # Some members have not received the record of the replaced update yet.
+                    update = replace(update, record=queued.record)
+                self._remove((update.key, queued_accuser))
         self.pending[update.key, accuser] = update, transmissions
         self.pending.move_to_end((update.key, accuser), last=False)
         self.accusers.setdefault(update.key, set()).add(accuser)
@@ -58,7 +59,7 @@
             del self.accusers[queue_key[0]]
 
     def piggyback(self, writer: DatagramWriter) -> None:
-        """Add as many pending updates to a datagram as fit."""
+        """Add pending updates to a datagram until the next one does not fit."""
         for _ in range(len(self.pending)):
             if writer.remaining_bytes < MIN_UPDATE_BYTES:
                 return
--- a/service_proxy/fleet/errors.py
+++ b/service_proxy/fleet/errors.py
@@ -1,22 +1,22 @@
-"""Errors of the fleet's package."""
+"""Errors of the fleet package."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """Base class of the errors of the fleet's package."""
+    """Base class of the errors of the fleet package."""
 
 
 class MalformedDatagramError(FleetError, ValueError):
-    """What arrived is no datagram of a fleet; the message says why."""
+    """Raised when received bytes are not a valid datagram of a fleet; the message states the fault."""
 
 
 class NoAnswerError(FleetError):
-    """A member did not answer a request for its view.
+    """Raised when a member does not answer a request for its view.
 
     Attributes:
-        address: host and port that were asked.
-        cause: what came instead of an answer.
+        address: host and port to which the request was sent.
+        cause: the last error of the attempts, or the statement that no datagram arrived.
     """
 
     def __init__(self, address: tuple[str, int], cause: str) -> None:
--- a/service_proxy/fleet/failure_detector.py
+++ b/service_proxy/fleet/failure_detector.py
@@ -1,7 +1,8 @@
-"""The failure detector: probes, directly and through others, and suspicions until they run out. Pure.
+"""Failure detector: direct probes, indirect probes through other members, and suspicions until they expire.
 
-SWIM's protocol period (4.1) with Lifeguard's local health multiplier, suspicions that confirmations shorten,
-and early word to the suspect (4.1 to 4.3).
+The protocol period is SWIM's (4.1). Lifeguard adds the local health multiplier, the suspicion timeout that
+confirmations shorten, and the early notification of the suspect (4.1 to 4.3). Performs no I/O and reads no
+clock.
 """
 
 from __future__ import annotations
@@ -37,29 +38,37 @@
 )
 from service_proxy.fleet.wire import Datagram, DatagramWriter, MemberUpdate, MessageType, Section, update_of
 
-PROBE_TIMERS = frozenset(
-    (TimerKind.PING_RETRY, TimerKind.INDIRECT_PING, TimerKind.PROBE_TIMEOUT)
-)  # timers that an answer makes void
+# Timers that are obsolete after the probe has been answered.
+PROBE_TIMERS = frozenset((TimerKind.PING_RETRY, TimerKind.INDIRECT_PING, TimerKind.PROBE_TIMEOUT))
 
 
-MAX_RELAYED_PROBES = 256  # probes for others that are open at once
-STALL_HEALTH_PENALTY = 2  # added to the local health score after this process stood still
-INDIRECT_PING_BYTES = 128  # room for the answer, and for the datagram to the member that is asked about
+MAX_RELAYED_PROBES = 256  # Indirect probes in progress that this member relays for other members.
+STALL_HEALTH_PENALTY = 2  # Added to the local health score after a stall of this process.
+# Size of an INDIRECT_PING request and of the ping that it causes. A reply is never longer than its request,
+# so the size also bounds the answers.
+INDIRECT_PING_BYTES = 128
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that is under way."""
+    """A probe in progress.
+
+    Attributes:
+        target: key of the probed member.
+        process: process (generation and nonce) of the target when the probe started.
+        helpers: members that received an INDIRECT_PING for this probe.
+        nacks: helpers that reported that the target did not answer them either.
+    """
 
     target: MemberKey
     process: tuple[int, int]
-    helpers: frozenset[MemberKey] = frozenset()  # that were sent an indirect ping
+    helpers: frozenset[MemberKey] = frozenset()
     nacks: int = 0
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A ping that this member sends for another one."""
+    """A ping that this member sends on behalf of another member."""
 
     requester: Address
     probe_id: int
@@ -67,13 +76,13 @@
 
 
 class FailureDetector(AntiEntropy):
-    """The layer that probes members, directly and through others, and times suspicions.
+    """Layer that probes members, directly and through other members, and times suspicions.
 
     Attributes:
-        probes: of this member's own that are under way, by their id.
-        relays: pings for others that are under way, by their id.
+        probes: this member's own probes in progress, by request id.
+        relays: probes in progress on behalf of other members, by request id.
         probe_ring: members in the order in which they are probed; refilled and shuffled when it is empty.
-        path_statuses: of members that are not reached directly.
+        path_statuses: paths to the members that direct probes do not reach, by member key.
     """
 
     def _initialise(self) -> None:
@@ -109,7 +118,7 @@
             TimerKind.SUSPICION: self._on_suspicion_timer,
         }
 
-    def _is_timer_void(self, timer: ScheduledTimer) -> bool:
+    def _is_timer_obsolete(self, timer: ScheduledTimer) -> bool:
         return timer.kind in PROBE_TIMERS and timer.number not in self.probes
 
     def _add_to_probe_ring(self, key: MemberKey) -> None:
@@ -150,7 +159,9 @@
         if entry is None:
             return
         writer = DatagramWriter().add_probe_id(number)
-        if probe.target in self.table.suspicions:  # the suspect hears of it first (Lifeguard, 4.3: buddy)
+        # A suspect receives the suspicion with the first ping, so that it can refute the suspicion early
+        # (Lifeguard, 4.3: buddy system).
+        if probe.target in self.table.suspicions:
             writer.add_update(digest_tree.current_update(self.table, probe.target, self.key))
         self.dissemination.piggyback(writer)
         self._send_datagram(entry.record.address, MessageType.PING, writer)
@@ -179,9 +190,9 @@
         entry = self.table.entries.get(probe.target)
         if entry is None or entry.incarnation.process != probe.process:
             return
-        missing = max(0, len(probe.helpers) - probe.nacks)
-        # Helpers that say nothing, either: the fault may be here (Lifeguard, 4.1).
-        self._adjust_local_health(1 if missing or not probe.helpers else 0)
+        missing_nacks = max(0, len(probe.helpers) - probe.nacks)
+        # If helpers answer neither ACK nor NACK, the fault may be at this member (Lifeguard, 4.1).
+        self._adjust_local_health(1 if missing_nacks or not probe.helpers else 0)
         update = MemberUpdate(
             probe.target, entry.incarnation, Claim.SUSPECT, entry.phase, entry.metadata, self.key
         )
@@ -194,16 +205,20 @@
         writer = self._start_reply(message)
         origin = message.first_value(Section.ORIGIN)
         if origin is not None:
-            hears_origin = self._has_recent_contact(origin[:KEY_BYTES])
-            writer.add_section(Section.HEARS_ORIGIN, bytes((hears_origin,)))
-            asker = self.table.entries.get(origin[:KEY_BYTES])
-            if asker is not None:  # whether it hears this member is seen by a datagram straight to it
-                self._send_datagram(asker.record.address, MessageType.GOSSIP, DatagramWriter())
+            has_contact_with_origin = self._has_recent_contact(origin[:KEY_BYTES])
+            writer.add_section(Section.HEARS_ORIGIN, bytes((has_contact_with_origin,)))
+            origin_entry = self.table.entries.get(origin[:KEY_BYTES])
+            # This datagram goes directly to the requester of the probe, which thus can detect whether the
+            # direction from this member works.
+            if origin_entry is not None:
+                self._send_datagram(origin_entry.record.address, MessageType.GOSSIP, DatagramWriter())
         state = self.table.state(message.sender)
         if self.status is MembershipStatus.MEMBER:
             if state not in LIVE_STATES:
                 writer.add_update(update_of(self.table.entries[self.key]))
-            if state not in (MemberState.ALIVE, MemberState.UNKNOWN):  # let it deny it
+            # The sender can refute a suspicion, or a claim that it is dead or has left, after it has received
+            # the claim.
+            if state not in (MemberState.ALIVE, MemberState.UNKNOWN):
                 writer.add_update(digest_tree.current_update(self.table, message.sender, self.key))
             if origin is None:
                 self.dissemination.piggyback(writer)
@@ -229,8 +244,8 @@
         elif message.sender in probe.helpers:
             del self.probes[number]
             has_recent_contact = self._has_recent_contact(probe.target)
-            hears_us = message.first_value(Section.HEARS_ORIGIN) == b"\x01"
-            path_number = _path_number(has_recent_contact, hears_us)
+            outbound_works = message.first_value(Section.HEARS_ORIGIN) == b"\x01"
+            path_number = _path_number(has_recent_contact, outbound_works)
             self._record_path(probe.target, PATH_DESCRIPTIONS[path_number])
             self._record_liveness(probe.target)
 
@@ -263,7 +278,9 @@
         address = wire.unpack_address(target[KEY_BYTES:])
         entry = self.table.entries.get(key)
         if entry is None or entry.record.address != address or message.sender not in self.table.entries:
-            return  # only who is known is asked, for who is known
+            # Both the requester and the target must be in this view, with the same address for the target.
+            # Otherwise this member could be made to send datagrams to arbitrary addresses.
+            return
         relay_id = self._next_request_id()
         self.relays[relay_id] = RelayedProbe(source, number, key)
         writer = DatagramWriter(message.size).add_probe_id(relay_id)
@@ -279,15 +296,19 @@
                 relay.requester, MessageType.NACK, DatagramWriter().add_probe_id(relay.probe_id)
             )
 
-    # suspicion
+    # Suspicions.
     def _schedule_suspicion(self, key: MemberKey) -> None:
         suspicion = self.table.suspicions.get(key)
         if suspicion is not None:
-            last = suspicion.deadline - self.timing.period * (1 + self.local_health)
-            self._set_timer(max(0.0, last - self.now), TimerKind.SUSPICION, suspicion.timer_id, key)
+            final_probe_at = suspicion.deadline - self.timing.period * (1 + self.local_health)
+            self._set_timer(max(0.0, final_probe_at - self.now), TimerKind.SUSPICION, suspicion.timer_id, key)
 
     def _on_suspicion_timer(self, timer_id: int, key: bytes) -> None:
-        """Probe once more before a suspicion runs out; who was heard meanwhile is not declared dead."""
+        """Probe the suspect once more before its suspicion expires, and declare it dead after the expiry.
+
+        A suspect that was recently in contact, directly or through other members, is not declared dead, and
+        its deadline is extended.
+        """
         suspicion = self.table.suspicions.get(key)
         if suspicion is None or abs(timer_id) != suspicion.timer_id:
             return
@@ -304,7 +325,7 @@
         accusers = ", ".join(sorted(self._name_of(accuser) for accuser in suspicion.accusers)) or "others"
         span = self.now - suspicion.started_at
         self.table.declare_dead(
-            self.now, key, f"suspected by {accusers} for {span:.2f} s and not heard", self.key
+            self.now, key, f"suspected by {accusers} for {span:.2f} s without contact", self.key
         )
         self.last_contacts.pop(key, None)
         self.path_statuses.pop(key, None)
@@ -315,8 +336,8 @@
             suspicion.last_contact_at = self.now
 
 
-def _path_number(has_recent_contact: bool, hears_us: bool) -> int:
+def _path_number(has_recent_contact: bool, outbound_works: bool) -> int:
     """Return the index in PATH_DESCRIPTIONS for a member that answers no direct probe."""
-    if hears_us:
+    if outbound_works:
         return 1 if has_recent_contact else 2
     return 3 if has_recent_contact else 4
--- a/service_proxy/fleet/join.py
+++ b/service_proxy/fleet/join.py
@@ -1,4 +1,7 @@
-"""How a member comes to its name and to the others, and how it finds lost ones again. Pure."""
+"""How a member acquires its name, joins the fleet and reconnects to lost members.
+
+Performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -25,18 +28,20 @@
 )
 from service_proxy.fleet.wire import Datagram, DatagramWriter, MemberUpdate, MessageType, Section, update_of
 
-MAX_REPORTED_SOURCES = 16  # addresses that are named in the log
+MAX_REPORTED_SOURCES = 16  # Distinct source addresses that each kind of warning names in the log.
 
 
 class JoinProtocol(FailureDetector):
-    """The layer by which a member comes to its name and to the others, and finds lost ones again.
+    """Layer by which a member acquires its name, joins the fleet and reconnects to lost members.
 
     Attributes:
-        join_attempts: requests to join that were sent since the status became JOINING.
-        join_answered: whether somebody has answered one.
-        reconnect_candidates: addresses that are tried in turn: of the dead, and of seeds nobody was heard at.
-        claimants: addresses of other processes that asked for this member's name.
-        announced_at: when this member last changed what it says of itself.
+        join_attempts: join attempts since the status became JOINING.
+        join_answered: whether any member has answered a join request of these attempts.
+        reconnects_since_broadcast: reconnect attempts of an isolated member since its last broadcast.
+        reconnect_candidates: addresses that are tried one per attempt: those of dead members, and seeds
+            that are the address of no live or departed member.
+        claimants: addresses of other processes that requested this member's name.
+        announced_at: time of this member's last announcement of its own entry, s.
     """
 
     def _initialise(self) -> None:
@@ -63,20 +68,20 @@
             TimerKind.INTRODUCE: self._on_introduce_timer,
         }
 
-    # what it says of itself
+    # Announcements of this member's own entry.
     def _announce(self, reason: str) -> None:
-        """Put this member's entry as it is now into its own view, and disseminate it."""
+        """Store this member's current entry in its own view and disseminate the entry."""
         known = self.table.entries.get(self.key)
         local = self._local_entry()
         self.table.set_local_entry(self.now, local, reason)
-        new = known is None or known.incarnation.process != local.incarnation.process
+        is_new_process = known is None or known.incarnation.process != local.incarnation.process
         self.announced_at = self.now
-        self._disseminate(update_of(local, with_record=new))
+        self._disseminate(update_of(local, with_record=is_new_process))
 
     def _on_announce_timer(self, _number: int, _key: bytes) -> None:
         known = self.table.entries.get(self.key)
         if self.status is not MembershipStatus.MEMBER or known is None:
-            return  # it goes out with the first announcement
+            return  # The first announcement includes the current phase and metadata.
         if (known.phase, known.metadata) != (self.phase, self.metadata):
             self.ownership.refute(self.incarnation)
             self._announce(f"is {self.phase.name.lower()}")
@@ -87,12 +92,12 @@
         self._start_protocol()
 
     def _start_protocol(self) -> None:
-        """Start the probe timers; they go on from then."""
+        """Start the probe timers, which then renew themselves, unless they run already."""
         if not self.is_probing:
             self.is_probing = True
-            half = 0.5 * self.timing.period
-            self._set_timer(self.random.uniform(0, half), TimerKind.PROBE, 0)
-            self._set_timer(self.random.uniform(0, half) + half, TimerKind.PROBE, 1)
+            half_period = 0.5 * self.timing.period
+            self._set_timer(self.random.uniform(0, half_period), TimerKind.PROBE, 0)
+            self._set_timer(self.random.uniform(0, half_period) + half_period, TimerKind.PROBE, 1)
         self._start_reconnecting()
 
     def _start_reconnecting(self) -> None:
@@ -111,7 +116,7 @@
                 self._correct_outdated_sender(message.sender)
                 return
             self.ownership.refute(update.incarnation)
-            self._announce(f"denies what {self._name_of(update.accuser or message.sender)} says")
+            self._announce(f"refutes the claim of {self._name_of(update.accuser or message.sender)}")
             self._adjust_local_health(1)
             return
         departed = update.claim is Claim.LEFT or update.confirmed
@@ -119,7 +124,7 @@
         outcome = self.ownership.resolve_challenge(update.incarnation, address, departed)
         if outcome is ChallengeOutcome.OUTRANK:
             if self.status is MembershipStatus.MEMBER:
-                self._announce("comes after a process of its name")
+                self._announce("outranks another process with its name")
         elif outcome is ChallengeOutcome.CONTEST:
             self._set_timer(0.0, TimerKind.NAME_CONTEST, 0)
         elif outcome is ChallengeOutcome.CONFLICT:
@@ -128,9 +133,11 @@
             self._correct_outdated_sender(message.sender)
 
     def _correct_outdated_sender(self, sender: MemberKey) -> None:
-        """Send this member's record to a sender of something outdated about it.
+        """Schedule the sending of this member's record to the sender of an outdated claim about this member.
 
-        By a timer, since it may be longer than what arrived; and to where the view has the sender.
+        A timer sends the record, because a reply must not be longer than the received datagram and the record
+        may be longer. The record goes to the sender's address in this view, not to the datagram's
+        source address.
         """
         self.corrections_left -= 1
         if self.corrections_left >= 0 and sender in self.table.entries:
@@ -142,7 +149,10 @@
             self._introduce_to(entry.record.address)
 
     def _introduce_to(self, address: Address, dead: MemberKey = b"") -> None:
-        """Ping an address with this member's record, and with what the view holds of who was there."""
+        """Ping an address with this member's record and, if `dead` is given, the claim about that member.
+
+        The claim lets the process at the address refute its own death.
+        """
         writer = DatagramWriter().add_probe_id(self._next_request_id())
         if dead:
             writer.add_update(digest_tree.current_update(self.table, dead, self.key))
@@ -150,9 +160,9 @@
         self._pad_datagram(writer)
         self._send_datagram(address, MessageType.PING, writer)
 
-    # joining
+    # Joining.
     def _on_join_timer(self, _number: int, _key: bytes) -> None:
-        """Ask who is there; go on as a member once somebody has answered, or nobody does."""
+        """Send join requests; become a member after a reply, or after MAX_JOIN_ATTEMPTS without one."""
         if self.status is MembershipStatus.CONTESTING:
             self._set_timer(self.timing.period, TimerKind.JOIN)
             return
@@ -166,10 +176,9 @@
         self.join_attempts += 1
         for address in self.random.sample(self.seeds, min(JOIN_FANOUT, len(self.seeds))):
             self._send_join(address)
+        # The broadcast is the last resort, because it costs every member of the tier a datagram.
         if self.broadcast_address is not None and (not self.seeds or self.join_attempts == MAX_JOIN_ATTEMPTS):
-            self._send_join(
-                self.broadcast_address, broadcast=True
-            )  # the last resort: it costs each member a datagram
+            self._send_join(self.broadcast_address, broadcast=True)
         self._set_timer(self.timing.period * self.random.uniform(0.75, 1.25), TimerKind.JOIN)
 
     def _send_join(self, address: Address, broadcast: bool = False) -> None:
@@ -181,9 +190,10 @@
         self._send_datagram(address, MessageType.JOIN, writer)
 
     def _answer_join(self, message: Datagram, source: Address) -> None:
-        """Tell a newcomer who holds its name, who this is, and some that live. It is no member by that.
+        """Answer a join request with the entry of the requested name, this member's entry and some live ones.
 
-        Of the members that a broadcast request reaches, some answer.
+        The requester does not become a member by the request. Of the members that a broadcast request
+        reaches, only a random few reply.
         """
         if message.first_value(Section.BROADCAST) is not None:
             others = max(1, len(self.table) - 1)
@@ -206,9 +216,10 @@
         self._maybe_start_sync(message.sender, source, message.digest, joining=True)
 
     def _on_reconnect_timer(self, _number: int, _key: bytes) -> None:
-        """Try one lost member, or one seed nobody was heard at.
+        """Try to reach one dead member, or one seed that is the address of no known member.
 
-        Who was declared dead may only have been cut off, and a seed may be up by now.
+        A member that was declared dead may only have been partitioned, and a seed may have started since. In
+        a name conflict, the process instead tries to join again.
         """
         self._set_timer(
             RECONNECT_INTERVAL * self.timing.period * self.random.uniform(0.9, 1.1), TimerKind.RECONNECT
@@ -228,15 +239,15 @@
             self._refill_reconnect_candidates()
         if self.reconnect_candidates and self.status is MembershipStatus.MEMBER:
             address = self.reconnect_candidates.pop()
-            dead_there = [
+            dead_keys = [
                 tombstone.entry.key
                 for tombstone in self.table.tombstones.values()
                 if tombstone.state is MemberState.DEAD and tombstone.entry.record.address == address
             ]
-            self._introduce_to(address, dead_there[0] if dead_there else b"")
+            self._introduce_to(address, dead_keys[0] if dead_keys else b"")
 
     def _refill_reconnect_candidates(self) -> None:
-        """Collect the addresses of the dead, and seeds nobody was heard at, in a random order."""
+        """Collect the addresses of dead members and of seeds that are not in use, in random order."""
         in_use = {entry.record.address for entry in self.table.entries.values()}
         dead: list[Address] = []
         departed: set[Address] = set()
@@ -246,14 +257,18 @@
                 dead.append(address)
             else:
                 departed.add(address)
-        unheard = [address for address in self.seeds if address not in departed]
-        candidates = dict.fromkeys([*dead, *unheard])
+        remaining_seeds = [address for address in self.seeds if address not in departed]
+        candidates = dict.fromkeys([*dead, *remaining_seeds])
         self.reconnect_candidates = [address for address in candidates if address not in in_use]
         self.random.shuffle(self.reconnect_candidates)
 
-    # namesakes
-    def _on_namesake_datagram(self, message_type: MessageType, message: Datagram, source: Address) -> None:
-        """Handle a datagram of another process with this name: the holder says so to it, and both log it."""
+    # Processes with the same name.
+    def _on_same_name_datagram(self, message_type: MessageType, message: Datagram, source: Address) -> None:
+        """Handle a datagram of another process with this member's name.
+
+        The holder of the name answers the other process's request for the name, and both processes log the
+        conflict.
+        """
         if message_type is MessageType.ACK:
             if self.ownership.is_rival(message.incarnation):
                 self._enter_conflict(source)
@@ -264,20 +279,21 @@
                     self.log_lines.append(log_lines.name_requested(self.record.name, format_address(source)))
                 self._send_datagram(source, MessageType.ACK, self._start_reply(message))
         elif message_type is MessageType.JOIN:
-            # A successor, or who takes the name by mistake: it is to know that the name is taken.
+            # The sender is a successor of this process or uses the name by mistake. The reply informs it that
+            # the name is in use.
             self._answer_join(message, source)
 
     def _on_contest_timer(self, number: int, _key: bytes) -> None:
-        """Ask the holder of the name whether it lives; where it does not answer, the name is free."""
+        """Ping the process that holds this member's name; take the name over if no answer arrives."""
         if self.ownership.rival is None:
             return
         min_suspicion = self.timing.min_suspicion(len(self.table))
         rounds = max(2, int(min_suspicion / self.timing.period * 2))
         if number >= rounds:
-            self.ownership.outrank_silent_rival()
+            self.ownership.outrank_unresponsive_rival()
             self.log_lines.append(log_lines.name_taken_over(self.record.name))
             if self.status is MembershipStatus.MEMBER:
-                self._announce("comes after a process of its name")
+                self._announce("outranks another process with its name")
             return
         writer = DatagramWriter().add_probe_id(self._next_request_id())
         writer.add_section(Section.REQUESTED_NAME, self.record.name.encode())
@@ -285,12 +301,12 @@
         self._set_timer(self.timing.period / 2, TimerKind.NAME_CONTEST, number + 1)
 
     def _enter_conflict(self, address: Address | None) -> None:
-        """Give way: the name is another's, and this process says nothing more as a member."""
+        """Yield the name to the process that holds it; this process stops acting as a member."""
         if self.status is MembershipStatus.CONFLICT:
             return
         self.ownership.yield_name()
         self._start_reconnecting()
-        at = format_address(address) if address is not None else "another address"
-        if self.ownership.reported_holder != at:
-            self.ownership.reported_holder = at
-            self.log_lines.append(log_lines.name_conflict(self.record.name, at))
+        holder_address = format_address(address) if address is not None else "another address"
+        if self.ownership.reported_holder != holder_address:
+            self.ownership.reported_holder = holder_address
+            self.log_lines.append(log_lines.name_conflict(self.record.name, holder_address))
--- a/service_proxy/fleet/member_base.py
+++ b/service_proxy/fleet/member_base.py
@@ -1,15 +1,15 @@
-"""The base layer of a member: its state, its clock and timers, and how datagrams leave it. Pure.
+"""Base layer of a member: its state, its clock and timers, and the sending of datagrams.
 
-A member is built in layers, each a subclass of the one below that adds timers and answers of its own:
+A member is built in layers. Each layer is a subclass of the layer below and adds timers and message handlers:
 
     protocol.MembershipProtocol        events in, effects out; the view for operators
-    join.JoinProtocol                  its name, joining, reconnecting
+    join.JoinProtocol                  name ownership, joining, reconnecting
     failure_detector.FailureDetector   probes and suspicions (SWIM, Lifeguard)
-    anti_entropy.AntiEntropy           comparing views (push-pull sync)
+    anti_entropy.AntiEntropy           comparison of views (push-pull sync)
     member_base.MemberBase             state, timers, sending
 
-The layers share one state, and each calls only those below it; the import contract in pyproject.toml holds
-that.
+The layers share one state, and each layer calls only the layers below it. The import contract in
+pyproject.toml enforces this order. Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -52,41 +52,53 @@
 )
 from service_proxy.fleet.wire import Datagram, DatagramWriter, LoadSummary, MemberUpdate, MessageType
 
-MAX_TRACKED_PATHS = 20_000  # members whose paths and contacts are remembered
-RECENT_CONTACT_PERIODS = 0.75  # since the pings that were repeated by others
-TIMER_TOLERANCE_S = 1e-6  # a reading that was taken apart and put together again differs by less
-PATH_REPORT_THRESHOLD = 3  # probes in a row that only others brought about; fewer are lost datagrams
-ANY_FLEET = bytes(4)  # in place of the fleet's id: operators need not know its name
-PADDING_SECTION = 250  # type of a section that only makes room for the answer
+MAX_TRACKED_PATHS = 20_000  # Members whose paths and last contacts are recorded.
+# Age in protocol periods up to which a member's last datagram counts as recent contact.
+RECENT_CONTACT_PERIODS = 0.75
+# Exceeds the rounding error of a clock reading that was converted to a timer's wait and back.
+TIMER_TOLERANCE_S = 1e-6
+# Consecutive probes answered only through other members, after which the path is logged; fewer can be lost
+# datagrams.
+PATH_REPORT_THRESHOLD = 3
+# Wildcard in place of the fleet id in view requests, because operators need not know the fleet's name.
+ANY_FLEET = bytes(4)
+PADDING_SECTION = 250  # Type of the section that only makes a request as long as its expected reply.
 
 
 class TimerKind(Enum):
-    """What a timer is for."""
+    """Purpose of a timer."""
 
     JOIN = "next attempt to join"
-    RECONNECT = "next attempt to reach a lost member or a seed"
-    NAME_CONTEST = "next ping to the holder of this member's name"
+    RECONNECT = "next attempt to reach a dead member or a seed"
+    NAME_CONTEST = "next ping to another process that holds this member's name"
     ANNOUNCE = "changed metadata or phase is disseminated"
-    INTRODUCE = "this member's record goes to one that has an old one"
-    HOUSEKEEPING = "budgets are renewed, tombstones expire"
+    INTRODUCE = "this member's record is sent to a member that has an outdated one"
+    HOUSEKEEPING = "per-period budgets are renewed and tombstones expire"
     GOSSIP = "pending updates are disseminated"
     SYNC_START = "an anti-entropy session begins"
     SYNC_TIMEOUT = "a request of an anti-entropy session is overdue"
     PROBE = "next probe"
     PING_RETRY = "the ping of a probe is repeated"
-    INDIRECT_PING = "others are asked to ping"
+    INDIRECT_PING = "helpers are asked to ping the target"
     PROBE_TIMEOUT = "a probe has failed"
-    RELAY_TIMEOUT = "a ping for another member has failed"
+    RELAY_TIMEOUT = "a ping on behalf of another member has failed"
     SUSPICION = "a suspicion is about to run out"
 
 
 class ScheduledTimer(NamedTuple):
-    """An entry of the heap of timers."""
+    """Entry of the heap of timers.
+
+    Attributes:
+        due: time at which the timer fires, on the corrected clock, s.
+        order: number that orders the timers with the same due time.
+        number: passed to the handler.
+        key: member key, passed to the handler; empty if the timer concerns no single member.
+    """
 
     due: float
-    order: int  # of those that are due at the same time
+    order: int
     kind: TimerKind
-    number: int  # passed to the handler, as is the key
+    number: int
     key: MemberKey
 
 
@@ -95,25 +107,30 @@
 
 
 class PathStatus(NamedTuple):
-    """How the last probes reached a member that they did not reach directly."""
+    """Path of the last probes to a member that direct probes did not reach.
 
-    path: str  # one of PATH_DESCRIPTIONS
-    consecutive: int  # probes; logged from PATH_REPORT_THRESHOLD on
+    Attributes:
+        path: one of PATH_DESCRIPTIONS.
+        consecutive: consecutive probes with this path; logged when it reaches PATH_REPORT_THRESHOLD.
+    """
 
+    path: str
+    consecutive: int
 
-# By the number that stands for each on the wire.
+
+# The index of each description is its number on the wire.
 PATH_DESCRIPTIONS = (
     "",
-    "answers no probe of ours: only through others",
-    "hears us, and we don't hear it",
-    "we hear it, and it does not hear us",
-    "neither way directly: only through others",
+    "direct probes get no answer; only indirect probes do",
+    "its datagrams don't arrive here; ours arrive there",
+    "its datagrams arrive here; ours don't arrive there",
+    "no datagrams arrive in either direction; only indirect probes get an answer",
 )
 
 
 @dataclass(slots=True)
 class LastContact:
-    """What the last datagram of a member itself carried."""
+    """Time and content of the last datagram that arrived directly from a member."""
 
     received_at: float
     digest: int
@@ -122,7 +139,11 @@
 
 @dataclass(slots=True)
 class DatagramCounters:
-    """Datagrams by what became of them; bytes as UDP's payload."""
+    """Counters of datagrams by outcome; bytes are those of the UDP payload.
+
+    Attributes:
+        rejected: number of rejected datagrams by reason.
+    """
 
     sent: int = 0
     sent_bytes: int = 0
@@ -136,17 +157,17 @@
 
 
 class MemberBase:
-    """What all layers of a member stand on; see the module.
+    """State and functions that all layers of a member share; the module describes the layers.
 
     Attributes:
         table: this member's view.
-        ownership: its claim to its name, with its status, incarnation and record.
-        dissemination: updates that are to be passed on.
-        last_contacts: what members' own datagrams carried last.
-        local_health: Lifeguard's score of this member's own slowness, from 0 (well) to MAX_LOCAL_HEALTH.
-        counters: of its datagrams.
-        outbox, deliveries, log_lines: effects that wait to be taken.
-        now: the last reading of the clock, corrected so that it never goes back.
+        ownership: the claim to this member's name, with its status, incarnation and record.
+        dissemination: updates that this member disseminates.
+        last_contacts: time and content of the last datagram of each member, by member key.
+        local_health: Lifeguard's score of this member's own slowness, from 0 (healthy) to MAX_LOCAL_HEALTH.
+        counters: counters of this member's datagrams.
+        outbox, deliveries, log_lines: effects that the next `take_effects` returns.
+        now: last reading of the clock, corrected so that it never decreases, s.
     """
 
     def __init__(
@@ -161,18 +182,18 @@
         authenticator: MessageAuthenticator | None = None,
         broadcast_address: Address | None = None,
     ) -> None:
-        """Begin to join.
+        """Create the member and schedule its first join attempt.
 
         Args:
-            fleet: its name.
-            record: what others are told of this member.
-            seeds: addresses at which others may be; its own among them is passed over.
-            timing: of the protocol.
-            seed: of random numbers.
+            fleet: name of the fleet.
+            record: this member's record.
+            seeds: addresses at which other members may be reached; the member's own address is ignored.
+            timing: times of the protocol.
+            seed: seed of the random numbers.
             now: reading of a monotonic clock, s.
-            wall_time: s since 1970, of which its incarnation's generation is made.
-            authenticator: of its datagrams; None: checksums.
-            broadcast_address: reaches all of the tier, where there is one.
+            wall_time: seconds since 1970, from which the generation of the incarnation is derived.
+            authenticator: signs and verifies the datagrams; None: checksums.
+            broadcast_address: address that reaches all proxies of the tier; None if there is none.
         """
         self.fleet_name = fleet
         self.fleet_id = fleet_id(fleet)
@@ -195,7 +216,7 @@
         self._set_timer(self.timing.period, TimerKind.HOUSEKEEPING)
 
     def _initialise(self) -> None:
-        """Create the state of this layer; a layer adds its own."""
+        """Create the state of this layer; each layer extends this method."""
         self.table = MemberTable(self.timing)
         self.dissemination = DisseminationQueue()
         self.is_gossiping = False
@@ -206,8 +227,8 @@
         self.last_contacts: dict[MemberKey, LastContact] = {}
         self.local_health = 0
         self.counters = DatagramCounters()
-        self.sequence_number = 0  # of the last datagram
-        self.last_request_id = 0  # of probes and of requests for a part of a view
+        self.sequence_number = 0  # Sequence number of the last sent datagram.
+        self.last_request_id = 0  # Last id of a probe or of a sync request.
         self.timers: list[ScheduledTimer] = []
         self.timer_count = 0
         self.outbox: list[tuple[Address, bytes]] = []
@@ -217,24 +238,24 @@
         self._handlers_by_type = self._message_handlers()
 
     def _message_handlers(self) -> dict[MessageType, MessageHandler]:
-        """Return what answers each type of message, once its sender and its updates were taken in.
+        """Return the handlers by message type; each layer adds its own.
 
-        A layer adds its own.
+        A handler runs after the sender and the updates of the datagram have been processed.
         """
         return {}
 
     def _timer_handlers(self) -> dict[TimerKind, TimerHandler]:
-        """Return what each kind of timer does; a layer adds its own."""
+        """Return the handlers by kind of timer; each layer adds its own."""
         return {TimerKind.GOSSIP: self._on_gossip_timer}
 
-    def _is_timer_void(self, _timer: ScheduledTimer) -> bool:
-        """Return whether nothing waits for a timer any more."""
+    def _is_timer_obsolete(self, _timer: ScheduledTimer) -> bool:
+        """Return whether a timer is obsolete and can be discarded before it is due."""
         return False
 
-    # what others read
+    # Properties and queries for other modules.
     @property
     def status(self) -> MembershipStatus:
-        """Whether this process is a member."""
+        """Whether this process is a member of the fleet, and if not, why."""
         return self.ownership.status
 
     @property
@@ -249,29 +270,29 @@
 
     @property
     def next_timer_at(self) -> float:
-        """When `tick` is due next, on the clock whose readings it was given, s."""
-        while self._is_timer_void(self.timers[0]):
+        """Time at which `tick` is due next, on the uncorrected clock that the caller reads, s."""
+        while self._is_timer_obsolete(self.timers[0]):
             heapq.heappop(self.timers)
         return self.timers[0].due - self.clock_offset
 
     @property
     def is_minority(self) -> bool:
-        """Whether less than half lives of all that it knew and that did not leave."""
+        """Whether less than half of the known members that did not leave are live, or the name conflicts."""
         living = len(self.table)
         return 2 * living < living + self.table.dead_count or self.status is MembershipStatus.CONFLICT
 
     @property
     def is_isolated(self) -> bool:
-        """Whether it sees nobody but itself."""
+        """Whether this view contains no other live member."""
         return len(self.table) <= 1
 
     @property
     def knows_other_addresses(self) -> bool:
-        """Whether it was told where others may be."""
+        """Whether seeds or a broadcast address are configured."""
         return bool(self.seeds) or self.broadcast_address is not None
 
     def is_settled(self) -> bool:
-        """Return whether nothing changed for a while, and all that were heard recently have the same view."""
+        """Return whether the view was stable for a while and all recently received digests equal its own."""
         if self.status is not MembershipStatus.MEMBER or self.table.suspicions:
             return False
         if self.is_isolated and self.knows_other_addresses:
@@ -286,29 +307,29 @@
         )
 
     def serving_member_count(self) -> int:
-        """Return how many members of its tier take requests or will, itself among them."""
+        """Return how many members of this tier, this one included, serve requests or will; at least 1."""
         tier = self.record.tier
         living = self.table.entries.values()
         return max(1, sum(e.record.tier == tier and e.phase is not ServicePhase.LEAVING for e in living))
 
-    # time
+    # Clock and timers.
     def _advance_clock(self, now: float) -> None:
-        """Take a reading of the clock, which may go back or leap; `now` only goes forward.
+        """Set the current time from a clock reading; `now` never decreases even if the reading does.
 
-        Where this process stood still, nothing that others did or failed to do meanwhile is held against
-        them.
+        If this process was stalled, all times are shifted by the stall, so that other members are not blamed
+        for datagrams that this process did not read in time.
         """
-        at = now + self.clock_offset
-        if at < self.now:
-            self.clock_offset += self.now - at
-            at = self.now
-        delay = at - self.timers[0].due if self.timers else 0.0
-        self.now = at
+        corrected_now = now + self.clock_offset
+        if corrected_now < self.now:
+            self.clock_offset += self.now - corrected_now
+            corrected_now = self.now
+        delay = corrected_now - self.timers[0].due if self.timers else 0.0
+        self.now = corrected_now
         if delay > STALL_PERIODS * self.timing.period:
             self._on_stall(delay)
 
     def _on_stall(self, delay: float) -> None:
-        """Move all times by what this process had no part in."""
+        """Shift all times by the duration of this process's stall."""
         self.log_lines.append(log_lines.process_stalled(delay))
         self.timers = [timer._replace(due=timer.due + delay) for timer in self.timers]
         heapq.heapify(self.timers)
@@ -322,16 +343,16 @@
         heapq.heappush(self.timers, timer)
 
     def _adjust_local_health(self, change: int) -> None:
-        """Change the local health score (Lifeguard, 4.1); the higher, the longer it waits for others."""
+        """Change the local health score (Lifeguard, 4.1); a higher score lengthens this member's timeouts."""
         self.local_health = max(0, min(MAX_LOCAL_HEALTH, self.local_health + change))
 
     def _next_request_id(self) -> int:
         self.last_request_id = self.last_request_id + 1 & 0xFFFFFFFF
         return self.last_request_id
 
-    # datagrams out
+    # Outgoing datagrams.
     def _start_reply(self, message: Datagram) -> DatagramWriter:
-        """Return a writer for the answer to a request, which is no longer than that."""
+        """Return a writer for the reply to a request, limited to the size of the request."""
         return DatagramWriter(message.size).add_probe_id(message.probe_id() or 0)
 
     def _send_datagram(self, address: Address, message_type: MessageType, writer: DatagramWriter) -> None:
@@ -358,14 +379,14 @@
         self.outbox.append((address, data))
 
     def _pad_datagram(self, writer: DatagramWriter, size: int = wire.MAX_DATAGRAM_BYTES) -> None:
-        """Fill a request to this size, so that its answer may have it."""
+        """Pad a request to `size` bytes, because its reply may not be longer than the request."""
         padding = min(writer.remaining_bytes, writer.remaining_bytes + size - writer.max_bytes) - 2
         if padding >= 0:
             writer.parts += [bytes((PADDING_SECTION, min(255, padding))), bytes(min(255, padding))]
             writer.remaining_bytes -= 2 + padding
 
     def _gossip_to_random_members(self, count: int) -> None:
-        """Send pending updates to so many members drawn at random."""
+        """Send pending updates to `count` randomly drawn members."""
         for key in self._random_members(count, ()):
             writer = DatagramWriter()
             self.dissemination.piggyback(writer)
@@ -374,7 +395,7 @@
             self._send_datagram(self.table.entries[key].record.address, MessageType.GOSSIP, writer)
 
     def _random_members(self, count: int, excluding: Iterable[MemberKey]) -> list[MemberKey]:
-        """Return different living members, but this one and those excluded."""
+        """Return up to `count` random live members, without this member and those of `excluding`."""
         order = self.table.sorted_keys
         excluded = {self.key, *excluding}
         if len(order) <= count + len(excluded):
@@ -402,7 +423,7 @@
             self._set_timer(GOSSIP_INTERVAL * self.timing.period, TimerKind.GOSSIP)
 
     def _local_entry(self, claim: Claim = Claim.ALIVE, phase: ServicePhase | None = None) -> MemberEntry:
-        """Return this member's entry as it is now."""
+        """Return this member's current entry."""
         phase = self.phase if phase is None else phase
         return make_entry(self.key, self.incarnation, claim, self.record, phase, self.metadata)
 
--- a/service_proxy/fleet/member_table.py
+++ b/service_proxy/fleet/member_table.py
@@ -1,7 +1,8 @@
-"""One member's view: who lives, who is suspected, who is remembered as dead or left, and what changed. Pure.
+"""One member's view: the live, suspected, dead and departed members, and the changes to report.
 
-Updates come in with who sent them; each makes one step of `member_states.TRANSITIONS`. Who lives, suspects
-among them, is in `entries`, and the digest is theirs: two views are equal where their digests are.
+Each update, with the key of its sender, makes one step of `member_states.TRANSITIONS`. `entries` holds the
+live members, including suspects, and `digest` covers exactly these entries: two views with equal digests are
+equal. Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -21,36 +22,45 @@
 from service_proxy.fleet.timing import CONFIRMATIONS, ProtocolTiming
 from service_proxy.fleet.wire import MemberUpdate
 
-MAX_MEMBERS = 20_000  # living ones; more are not taken
-MAX_TOMBSTONES = 20_000  # remembered as dead or left; the one that went first is let go
-KEY_NIBBLES = 12  # of a key
+MAX_MEMBERS = 20_000  # Live members per view; updates that would add more are rejected.
+# Dead and departed members that a view records; beyond this number the oldest tombstone is discarded.
+MAX_TOMBSTONES = 20_000
+KEY_NIBBLES = 12  # Half bytes of a member key.
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspicion that is under way.
+    """A suspicion that has not been refuted and has not expired.
 
     Attributes:
-        deadline: when it runs out, unless it is denied.
-        confirmed: somebody holds the member for dead, which needs no further accuser.
-        timer_id: of its timer, no two alike in a view; an earlier one is void.
-        last_contact_at: when the member was heard since, by this one or through others.
+        started_at: time at which this view began the suspicion, s.
+        deadline: time at which the suspicion expires unless it is refuted, s.
+        accusers: members whose probes of the suspect failed.
+        confirmed: a member has declared the suspect dead, so no further accuser is needed.
+        timer_id: id of the suspicion's current timer, unique within a view; earlier timers are obsolete.
+        last_contact_at: time of the last contact since the suspicion began, directly or through other
+            members, s; -inf if there was none.
     """
 
     started_at: float
     deadline: float
     accusers: set[MemberKey] = field(default_factory=set)
     confirmed: bool = False
-    timer_id: int = 0  # of its timer, no two alike in a view; an earlier one is void
+    timer_id: int = 0
     last_contact_at: float = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Tombstone:
-    """A member that is remembered as DEAD or LEFT."""
+    """A member that is recorded as DEAD or LEFT.
+
+    Attributes:
+        state: DEAD or LEFT.
+        departed_at: time at which this view recorded the state, s.
+    """
 
     entry: MemberEntry
-    state: MemberState  # DEAD or LEFT
+    state: MemberState
     departed_at: float
 
 
@@ -59,9 +69,9 @@
     """A change of this view.
 
     Attributes:
-        revision: grows by one with each change of the view.
-        at: on the member's clock, s.
-        source: who told it.
+        revision: number of the change; it grows by one with each change of the view.
+        at: time of the change on this member's clock, s.
+        source: key of the member that sent the update.
     """
 
     revision: int
@@ -74,17 +84,20 @@
 
 
 class MemberTable:
-    """A view.
+    """One member's view.
 
     Attributes:
-        entries: the living, by key.
-        sorted_keys: of these.
-        tombstones: of the dead and those that left, in the order in which they went.
-        dead_count: tombstones of the dead.
+        entries: live members, by key.
+        sorted_keys: keys of the live members in ascending order.
+        tombstones: dead and departed members by key, in the order of their departure.
+        dead_count: number of tombstones of dead members.
+        suspicions: suspicions in progress, by the suspect's key.
         digest: XOR of the digests of all entries.
-        revision: number of changes.
-        changes: that were not taken yet.
-        rejected: updates that were dropped for want of room, or since two names share a key.
+        revision: number of changes of the view.
+        last_timer_id: last id given to a suspicion's timer.
+        changed_at: time of the last change, s.
+        changes: changes that have not been reported yet.
+        rejected: updates dropped because the view is full or because two names have the same key.
     """
 
     def __init__(self, timing: ProtocolTiming) -> None:
@@ -92,20 +105,20 @@
         self.entries: dict[MemberKey, MemberEntry] = {}
         self.sorted_keys: list[MemberKey] = []
         self.tombstones: dict[MemberKey, Tombstone] = {}
-        self.dead_count = 0  # of these
+        self.dead_count = 0
         self.suspicions: dict[MemberKey, Suspicion] = {}
         self.digest = 0
         self.revision = 0
-        self.last_timer_id = 0  # of suspicions' timers
+        self.last_timer_id = 0
         self.changed_at = float("-inf")
         self.changes: list[MembershipChange] = []
-        self.rejected = 0  # for want of room, or a key that two names share
+        self.rejected = 0
 
     def __len__(self) -> int:
         return len(self.entries)
 
     def state(self, key: MemberKey) -> MemberState:
-        """Return the state of a member; UNKNOWN if it is not in the view."""
+        """Return the state of a member; UNKNOWN if the member is not in the view."""
         if key in self.suspicions:
             return MemberState.SUSPECT
         if key in self.entries:
@@ -114,7 +127,7 @@
         return tombstone.state if tombstone is not None else MemberState.UNKNOWN
 
     def find(self, key: MemberKey) -> MemberEntry | None:
-        """Return a member's entry, also where it is dead or has left."""
+        """Return a member's entry, including that of a dead or departed member; None if the view has none."""
         live = self.entries.get(key)
         if live is None and key in self.tombstones:
             return self.tombstones[key].entry
@@ -123,15 +136,15 @@
     def merge_update(
         self, now: float, update: MemberUpdate, source: MemberKey, reason: str = ""
     ) -> MergeAction:
-        """Take in an update; return what is to be done about it beside.
+        """Merge an update and return the action that the caller has to carry out.
 
-        An update without a record about a process that is not known teaches nothing.
+        An update without a record is ignored if it concerns a process that is not in the view.
         """
         known = self.find(update.key)
         before = self.state(update.key)
-        early = self._check_update(known, before, update)
-        if early is not None:
-            return early
+        final_action = self._check_update(known, before, update)
+        if final_action is not None:
+            return final_action
         record = update.record or (known.record if known is not None else None)
         assert record is not None
         event = classify_claim(
@@ -149,18 +162,19 @@
         elif action is MergeAction.ACCEPT:
             self.suspicions.pop(update.key, None)
             self._insert_live(new)
-        else:  # RECORD_LEAVE
-            self._bury(now, new, MemberState.LEFT)
+        else:  # RECORD_LEAVE.
+            self._add_tombstone(now, new, MemberState.LEFT)
         self._record_change(now, new, before, after, reason or DEFAULT_REASONS[action], source)
         return action
 
     def _check_update(
         self, known: MemberEntry | None, before: MemberState, update: MemberUpdate
     ) -> MergeAction | None:
-        """Return the action of an update that changes nothing; None: it is to be merged."""
+        """Return the action of an update that must not be merged; None if the update can be merged."""
         if known is None:
             if update.record is None or update.confirmed:
-                return MergeAction.NOTHING  # the dead of others are no news to who never knew them
+                # The death of a member that was never in this view changes nothing.
+                return MergeAction.NOTHING
             is_rejected = len(self.entries) >= MAX_MEMBERS
         elif update.record is None:
             if known.incarnation.process == update.incarnation.process:
@@ -168,7 +182,7 @@
             is_earlier_process = update.incarnation < known.incarnation
             return TRANSITIONS[before, ClaimEvent.OLDER][1] if is_earlier_process else MergeAction.NOTHING
         else:
-            is_rejected = known.record.name != update.record.name  # two names share a key
+            is_rejected = known.record.name != update.record.name  # Two names have the same key.
         self.rejected += is_rejected
         return MergeAction.NOTHING if is_rejected else None
 
@@ -191,25 +205,25 @@
         return MergeAction.CONFIRM_SUSPICION
 
     def _set_deadline(self, suspicion: Suspicion) -> None:
-        living = len(self.entries)
+        live_count = len(self.entries)
         count = CONFIRMATIONS if suspicion.confirmed else max(0, len(suspicion.accusers) - 1)
-        suspicion.deadline = suspicion.started_at + self.timing.suspicion_timeout(living, count)
+        suspicion.deadline = suspicion.started_at + self.timing.suspicion_timeout(live_count, count)
         self.renew_timer(suspicion)
 
     def renew_timer(self, suspicion: Suspicion) -> None:
-        """Give a suspicion a new timer; those that were set for it before are void."""
+        """Assign a new timer id to a suspicion, which makes its earlier timers obsolete."""
         self.last_timer_id += 1
         suspicion.timer_id = self.last_timer_id
 
     def declare_dead(self, now: float, key: MemberKey, reason: str, source: MemberKey) -> None:
-        """Move a member whose suspicion has run out to the dead."""
+        """Record a member whose suspicion has expired as dead."""
         old = self.entries[key]
         after, _ = TRANSITIONS[self.state(key), ClaimEvent.SUSPICION_EXPIRED]
-        self._bury(now, old, after)
+        self._add_tombstone(now, old, after)
         self._record_change(now, old, MemberState.SUSPECT, after, reason, source)
 
     def shift_times(self, delay: float) -> None:
-        """Move all times by what this process had no part in: nothing ages by that."""
+        """Shift all times by the duration of a stall, so that the stall does not count as age."""
         for suspicion in self.suspicions.values():
             suspicion.started_at += delay
             suspicion.deadline += delay
@@ -218,19 +232,19 @@
             self.tombstones[key] = Tombstone(tombstone.entry, tombstone.state, tombstone.departed_at + delay)
 
     def expire_tombstones(self, now: float) -> None:
-        """Forget who went longer ago than tombstones are kept."""
+        """Discard tombstones that are older than `tombstone_ttl`."""
         expiry = now - self.timing.tombstone_ttl
-        for key, tombstone in list(self.tombstones.items()):  # in the order in which they went
+        for key, tombstone in list(self.tombstones.items()):  # Tombstones are in the order of departure.
             if tombstone.departed_at > expiry:
                 break
             self._remove_tombstone(key)
 
     def set_local_entry(self, now: float, new: MemberEntry, reason: str) -> None:
-        """Take this process's own entry; no other member's claim counts for that."""
+        """Store this process's own entry; claims of other members about it are never merged directly."""
         before = self.state(new.key)
         self.suspicions.pop(new.key, None)
         if new.claim is Claim.LEFT:
-            self._bury(now, new, MemberState.LEFT)
+            self._add_tombstone(now, new, MemberState.LEFT)
         else:
             self._insert_live(new)
         self._record_change(now, new, before, self.state(new.key), reason, new.key)
@@ -245,7 +259,7 @@
         self.entries[new.key] = new
         self.digest ^= new.digest
 
-    def _bury(self, now: float, last: MemberEntry, state: MemberState) -> None:
+    def _add_tombstone(self, now: float, last: MemberEntry, state: MemberState) -> None:
         self.suspicions.pop(last.key, None)
         old = self.entries.pop(last.key, None)
         if old is not None:
@@ -275,18 +289,18 @@
         self.changed_at = now
         self.changes.append(MembershipChange(self.revision, now, new, before, after, reason, source))
 
-    # for who compares views
+    # Queries for the comparison of views.
     def entries_below(self, depth: int, path: int) -> Iterator[MemberEntry]:
-        """Yield the living whose key begins with these `depth` half bytes."""
+        """Yield the live members whose key begins with the `depth` half bytes of `path`."""
         low = (path << 4 * (KEY_NIBBLES - depth)).to_bytes(KEY_NIBBLES // 2, "big")
-        place = bisect_left(self.sorted_keys, low)
+        index = bisect_left(self.sorted_keys, low)
         last = (path + 1) << 4 * (KEY_NIBBLES - depth)
-        while place < len(self.sorted_keys) and int.from_bytes(self.sorted_keys[place], "big") < last:
-            yield self.entries[self.sorted_keys[place]]
-            place += 1
+        while index < len(self.sorted_keys) and int.from_bytes(self.sorted_keys[index], "big") < last:
+            yield self.entries[self.sorted_keys[index]]
+            index += 1
 
     def child_digests(self, depth: int, path: int) -> list[int]:
-        """Return the digests of the 16 parts of the living below a prefix."""
+        """Return the digests of the 16 children of a prefix, over the live members."""
         digests = [0] * 16
         shift = 4 * (KEY_NIBBLES - depth - 1)
         for item in self.entries_below(depth, path):
@@ -294,18 +308,18 @@
         return digests
 
     def successor(self, key: MemberKey) -> MemberKey | None:
-        """Return the next living member by key, in a ring; None where there is no other."""
-        place = bisect_left(self.sorted_keys, key)
-        if place < len(self.sorted_keys) and self.sorted_keys[place] == key:
-            place += 1
+        """Return the next live member by key in a ring; None if there is no other member."""
+        index = bisect_left(self.sorted_keys, key)
+        if index < len(self.sorted_keys) and self.sorted_keys[index] == key:
+            index += 1
         if not self.sorted_keys:
             return None
-        successor = self.sorted_keys[place % len(self.sorted_keys)]
+        successor = self.sorted_keys[index % len(self.sorted_keys)]
         return successor if successor != key else None
 
 
 DEFAULT_REASONS = {
-    MergeAction.ACCEPT: "said so itself",
+    MergeAction.ACCEPT: "announced by itself",
     MergeAction.START_SUSPICION: "does not answer",
     MergeAction.RECORD_LEAVE: "left",
 }
--- a/service_proxy/fleet/members.py
+++ b/service_proxy/fleet/members.py
@@ -1,9 +1,10 @@
-"""What is known of a member: the key of its name, its incarnation, and its record. Pure.
+"""Data types of a member: the key of its name, its incarnation, its record and its entry in a view.
 
-An incarnation is (generation, nonce, version). `generation`: hundredths of a second of the wall clock at the
-process's start, and above whatever the fleet still knows of an earlier process of the name, so that neither a
-disk nor a right clock is needed to outrank it. `nonce`: drawn at random, tells two processes of one name
-apart. `version`: grows each time the process denies a suspicion or changes what it says of itself.
+An incarnation is (generation, nonce, version). `generation` is the wall clock at the process's start in
+hundredths of a second, raised above the generation of any earlier process with the name that the fleet still
+records. A process therefore outranks its predecessor without a disk and without a correct clock. `nonce` is
+random and distinguishes two processes with the same name. `version` grows each time the process refutes a
+suspicion or changes its own entry. Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from ipaddress import IPv4Address
 from typing import NamedTuple
 
-MemberKey = bytes  # of a member: KEY_BYTES of its name's digest
+MemberKey = bytes  # First KEY_BYTES of the digest of a member's name.
 Address = tuple[str, int]
 
 KEY_BYTES = 6
-MAX_NAME_BYTES = 32  # bytes of a name in UTF-8
-MAX_LABEL_BYTES = 16  # bytes of a tier's or zone's name
-MAX_METADATA_BYTES = 24  # of all subsystems that use the fleet together
+MAX_NAME_BYTES = 32  # Bytes of a member's name in UTF-8.
+MAX_LABEL_BYTES = 16  # Bytes of the name of a tier or zone in UTF-8.
+MAX_METADATA_BYTES = 24  # Bytes of the packed metadata of all subsystems that use the fleet.
 MAX_GENERATION = (1 << 40) - 1
 MAX_NONCE = (1 << 16) - 1
 MAX_VERSION = (1 << 16) - 1
-GENERATION_UNIT_S = 0.01  # s
+GENERATION_UNIT_S = 0.01
 
 
 class Claim(IntEnum):
-    """What travels about an incarnation; of two about the same one the greater holds."""
+    """Claim about an incarnation; of two claims about the same incarnation the greater one is in force."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -35,7 +36,7 @@
 
 
 class ServicePhase(IntEnum):
-    """What a member says of its own work."""
+    """Phase of a member's service, as the member itself announces it."""
 
     STARTING = 0
     SERVING = 1
@@ -44,7 +45,7 @@
 
 
 class Incarnation(NamedTuple):
-    """Orders the claims about one name: the greater is the later."""
+    """Version number that orders the claims about one name: the greater incarnation is the later one."""
 
     generation: int
     nonce: int
@@ -52,11 +53,14 @@
 
     @property
     def process(self) -> tuple[int, int]:
-        """The same for all of one process's time."""
+        """Generation and nonce, which identify the process and do not change during its lifetime."""
         return self.generation, self.nonce
 
     def incremented(self) -> Incarnation:
-        """Return the one that denies this one's suspicion. After the last version a new generation begins."""
+        """Return the next incarnation, which refutes claims about this one.
+
+        After the last version, the generation grows by one and the version restarts at 0.
+        """
         if self.version < MAX_VERSION:
             return self._replace(version=self.version + 1)
         return Incarnation(min(MAX_GENERATION, self.generation + 1), self.nonce, 0)
@@ -66,18 +70,22 @@
 
 
 class MemberRecord(NamedTuple):
-    """What a process is for as long as it runs; only it can change that."""
+    """Properties of a process that do not change during its lifetime; only the process itself sets them.
+
+    Attributes:
+        address: address at which the process receives datagrams.
+    """
 
     name: str
-    address: Address  # where its datagrams arrive
+    address: Address
     tier: str = ""
     zone: str = ""
 
 
 class MemberEntry(NamedTuple):
-    """All that is known of a member; immutable, so that many views may share one.
+    """State of a member in a view; immutable, so that several views can share one entry.
 
-    `digest`: 64 bits of key, incarnation and claim; the digest of a set of entries is the XOR of theirs.
+    `digest`: 64-bit hash of key, incarnation and claim; the digest of a set of entries is the XOR of theirs.
     """
 
     key: MemberKey
@@ -110,7 +118,7 @@
 
 
 def format_address(address: Address) -> str:
-    """Return an address as text; a peer that members name by its number is shown by that."""
+    """Return an address as text; a placeholder (see `peer_placeholder`) is shown as the peer's number."""
     host, port = address
     if host.startswith("0."):
         return f"peer {int.from_bytes(IPv4Address(host).packed, 'big')}"
@@ -123,10 +131,10 @@
 
 
 def fleet_id(name: str) -> bytes:
-    """Return the id of a fleet's name, as it stands in each datagram."""
+    """Return the id of a fleet's name, which is part of each datagram's header."""
     return blake2b(name.encode(), digest_size=4, person=b"fleet").digest()
 
 
 def initial_generation(wall_time: float) -> int:
-    """Return the generation of a process that starts at this wall time, s; before 1970 reads as 1970."""
+    """Return the generation of a process that starts at this wall time, s; before 1970 counts as 1970."""
     return max(1, min(MAX_GENERATION, int(wall_time / GENERATION_UNIT_S)))
--- a/service_proxy/fleet/metadata.py
+++ b/service_proxy/fleet/metadata.py
@@ -1,15 +1,18 @@
-"""Member metadata: a few bytes for each subsystem that stands on the fleet, in one string of bytes. Pure."""
+"""Member metadata: a few bytes of each subsystem that uses the fleet, packed into one byte string.
+
+Performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
 
 def pack_metadata(values: dict[int, bytes]) -> bytes:
-    """Return the values as they travel: of each its port, its length and its bytes, in the order of ports."""
+    """Return the values in wire format: port, length and bytes of each value, in ascending order of ports."""
     return b"".join(bytes((port, len(data))) + data for port, data in sorted(values.items()))
 
 
 def unpack_metadata(metadata: bytes) -> dict[int, bytes]:
-    """Return the values by port; a value that is cut short, and what follows it, is left out."""
+    """Return the values by port; a truncated value and all bytes after it are ignored."""
     values = {}
     at = 0
     while at + 2 <= len(metadata):
--- a/service_proxy/fleet/name_ownership.py
+++ b/service_proxy/fleet/name_ownership.py
@@ -1,11 +1,13 @@
-"""A process's claim to its name. Pure.
-
-It outranks its predecessor without a disk or a right clock, and gives way to a living namesake. It asks
-before it claims. What others still know of an earlier process at the same address is outranked: its
-generation becomes one more than theirs. A holder at another address is asked whether it lives; if so the name
-stays its, and this process is in conflict until it does not answer any more. Two that were parted when they
-took the name can't both go on: who is outranked a second time by the same process gives way if its own nonce
-is smaller.
+"""A process's claim to its name, which outranks predecessors and yields to a live process with the name.
+
+Neither a disk nor a correct clock is needed. A joining process first asks other members about the name. If
+they still record an earlier process at the same address, this process raises its generation to one more than
+that process's generation. If they record a process at another address, this process pings that process. If
+the process answers, it keeps the name, and this process is in conflict until the holder stops answering. Two
+processes that acquired the name on different sides of a partition can't both keep it: a process that
+is outranked a second time by the same process yields if its own nonce is smaller.
+
+Performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -14,36 +16,41 @@
 
 from service_proxy.fleet.members import MAX_GENERATION, Address, Incarnation, MemberRecord
 
-MAX_OUTRANKED = 16  # processes that are remembered as outranked
+MAX_OUTRANKED = 16  # Outranked processes that are recorded.
 
 
 class MembershipStatus(Enum):
-    """Whether this process is a member."""
+    """Whether this process is a member, and if not, why.
+
+    Attributes:
+        CONFLICT: another live process holds the name.
+    """
 
     JOINING = "joining"
-    CONTESTING = "asking the name's holder"
+    CONTESTING = "pinging the name's holder"
     MEMBER = "member"
-    CONFLICT = "in conflict"  # the name is another's
+    CONFLICT = "in conflict"
     LEFT = "left"
 
 
 class ChallengeOutcome(Enum):
-    """What a member does about another process of its name."""
+    """Reaction of a member to another process with its name."""
 
-    NONE = "nothing: it is outranked as it is, or a contest is under way"
-    OUTRANK = "announce an incarnation above it"
-    CONTEST = "ask it whether it lives"
-    CONFLICT = "give way to it"
+    NONE = "nothing: the other process is outranked already, or a contest is in progress"
+    OUTRANK = "announce an incarnation above the other process's"
+    CONTEST = "ping the other process"
+    CONFLICT = "yield the name to the other process"
 
 
 class NameOwnership:
     """This process's claim to its name.
 
     Attributes:
-        outranked: nonces of processes that it has outranked, with the generation that they had.
-        rival: incarnation of the process that is asked whether it lives.
-        status_before_contest: that a won contest returns to.
-        reported_holder: of the name, as it was logged last.
+        outranked: generations of the processes that this process has outranked, by their nonce.
+        rival: incarnation of the process that is being pinged in a contest for the name; None: no contest.
+        rival_address: address of that process.
+        status_before_contest: status that is restored when this process wins the contest.
+        reported_holder: address of the name's holder in the last name_conflict log line.
     """
 
     def __init__(self, record: MemberRecord, incarnation: Incarnation) -> None:
@@ -57,7 +64,7 @@
         self.reported_holder = ""
 
     def refute(self, claimed: Incarnation) -> None:
-        """Deny a suspicion of this process, or supersede what it last said of itself."""
+        """Raise this process's incarnation above `claimed`, to refute a claim or announce a new entry."""
         self.incarnation = max(self.incarnation, claimed).incremented()
 
     def leave(self) -> None:
@@ -67,9 +74,9 @@
     def resolve_challenge(
         self, challenger: Incarnation, address: Address | None, departed: bool
     ) -> ChallengeOutcome:
-        """Return what to do about an incarnation of this name that is another process's.
+        """Return the reaction to an incarnation of this name that belongs to another process.
 
-        `departed`: it left, or is dead to the member that sent it.
+        `departed`: that process has left, or the sender of the update has declared it dead.
         """
         is_same_address = address == self.record.address
         if self._is_outranked(challenger, departed or is_same_address):
@@ -77,14 +84,15 @@
         if departed or is_same_address:
             return self._outrank(challenger)
         if challenger.generation > self.outranked.get(challenger.nonce, MAX_GENERATION):
-            # It has denied what outranked it, so it lives.
+            # The challenger has raised its generation since this process outranked it, so the challenger is
+            # alive.
             if self.incarnation.nonce < challenger.nonce:
                 return ChallengeOutcome.CONFLICT
             return self._outrank(challenger)
         return self._contest(challenger, address)
 
     def _is_outranked(self, challenger: Incarnation, is_predecessor: bool) -> bool:
-        """Return whether a challenger needs no answer: it is outranked as it is, or this claims no name."""
+        """Return whether a challenger needs no reaction: it is outranked, or this process claims no name."""
         if self.status in (MembershipStatus.CONFLICT, MembershipStatus.LEFT):
             return True
         return challenger < self.incarnation and (self.status is MembershipStatus.MEMBER or is_predecessor)
@@ -94,7 +102,8 @@
             self.rival = max(self.rival, challenger)
             return ChallengeOutcome.NONE
         if address is None:
-            return ChallengeOutcome.NONE  # who sends the whole record will come
+            # The contest waits for an update that contains the challenger's record and thus its address.
+            return ChallengeOutcome.NONE
         self.rival = challenger
         self.rival_address = address
         self.status_before_contest = self.status
@@ -120,20 +129,20 @@
             self.status = self.status_before_contest
 
     def is_rival(self, holder: Incarnation) -> bool:
-        """Return whether a process of this name that answers is the rival, to which this one gives way."""
+        """Return whether the process that answered is the rival, to which this process must yield."""
         return self.rival is not None and holder.nonce == self.rival.nonce
 
-    def outrank_silent_rival(self) -> None:
-        """Take the name of a rival that did not answer."""
+    def outrank_unresponsive_rival(self) -> None:
+        """Outrank a rival that did not answer, and so win the contest for the name."""
         assert self.rival is not None
         self._outrank(self.rival)
 
     def yield_name(self) -> None:
-        """Give way: the name is another's."""
+        """Record that another process holds the name."""
         self.rival = None
         self.status = MembershipStatus.CONFLICT
 
     def retry_claim(self) -> None:
-        """Begin anew: the holder may have gone."""
+        """Return to JOINING to claim the name again, because its holder may have stopped."""
         self.status = MembershipStatus.JOINING
         self.rival = None
--- a/service_proxy/fleet/protocol.py
+++ b/service_proxy/fleet/protocol.py
@@ -1,9 +1,11 @@
-"""One member of the fleet: events and a time in, datagrams and changes out. Pure; chance from a seed alone.
+"""Membership protocol of one member: events and the time in, datagrams and changes out.
 
-Each protocol period it begins two probes: of the next of its shuffled ring (SWIM, 4.3: none waits for more
-than two rounds), and of its successor by key, so that each member is probed by somebody in each period and
-views are compared along a ring. Updates are piggybacked on these; urgent ones are gossiped five times a
-period as well.
+In each protocol period a member starts two probes. One goes to the next member of its shuffled ring, so that
+every member is probed within two rounds (SWIM, 4.3). The other goes to its successor by key, so that every
+member is probed in each period and views are compared along a ring. Updates are piggybacked on these probes,
+and new updates are also gossiped five times per period.
+
+Performs no I/O and reads no clock; all random choices derive from the seed.
 """
 
 from __future__ import annotations
@@ -54,40 +56,41 @@
     update_of,
 )
 
-MAX_COUNT = 0xFFFF  # that a view's summary can tell
-MAX_FLEET_NAME_BYTES = 64  # in a view's summary
-MAX_ROWS_PER_PAGE = 4  # of a view, in one answer
+MAX_COUNT = 0xFFFF  # Largest count that a view's summary can represent.
+MAX_FLEET_NAME_BYTES = 64  # Bytes of the fleet's name in a view's summary.
+MAX_ROWS_PER_PAGE = 4  # Rows of a view in one reply.
 MAX_CORRECTIONS_PER_PERIOD = 16
-# Types of message after which the sender's digest of its view is compared with this member's.
+# Message types whose sender's digest is compared with this member's digest.
 COMPARING_TYPES = frozenset((MessageType.PING, MessageType.ACK, MessageType.GOSSIP))
 
 
 class Effects(NamedTuple):
-    """What has come of the last events, to be carried out.
+    """Results of the events since the last call, for the caller to carry out.
 
     Attributes:
-        datagrams: to send, with their addresses.
-        changes: of this member's view.
-        deliveries: other subsystems' data that arrived: sender, port, bytes.
+        datagrams: datagrams to send, with their addresses.
+        changes: changes of this member's view.
+        deliveries: received data of other subsystems: sender, port, bytes.
+        log_lines: lines to log.
     """
 
-    datagrams: list[tuple[Address, bytes]]  # datagrams to send
+    datagrams: list[tuple[Address, bytes]]
     changes: list[MembershipChange]
     deliveries: list[tuple[MemberKey, int, bytes]]
     log_lines: list[LogLine]
 
 
 class MembershipProtocol(JoinProtocol):
-    """One member: give it events and the time, and carry out the effects that it returns.
+    """One member of the fleet, which receives events and the time and returns effects.
 
-    Each event (`tick`, `receive_datagram`, `announce`, `leave`, `send_user_data`) takes the reading of a
-    monotonic clock in seconds; afterwards `take_effects` has what is to be done, and `next_timer_at` when
-    `tick` is due.
+    Each event (`tick`, `receive_datagram`, `announce`, `leave`, `send_user_data`) is called with the reading
+    of a monotonic clock in seconds. After each event, the caller carries out the result of `take_effects` and
+    calls `tick` at `next_timer_at`.
     """
 
     def _initialise(self) -> None:
         super()._initialise()
-        self.foreign_sources: set[Address] = set()  # addresses of other fleets that were logged
+        self.foreign_sources: set[Address] = set()  # Addresses of other fleets that have been logged.
 
     def _message_handlers(self) -> dict[MessageType, MessageHandler]:
         return {**super()._message_handlers(), MessageType.USER_DATA: self._on_user_data}
@@ -104,7 +107,7 @@
         self.log_lines = []
         return effects
 
-    # events
+    # Events.
     def tick(self, now: float) -> None:
         """Run the timers that are due."""
         self._advance_clock(now)
@@ -113,7 +116,7 @@
             self._handlers[timer.kind](timer.number, timer.key)
 
     def announce(self, now: float, phase: ServicePhase | None = None, metadata: bytes | None = None) -> None:
-        """Change what this member says of itself; all know it within some periods."""
+        """Change this member's phase or metadata; the change reaches all members within a few periods."""
         self._advance_clock(now)
         phase = self.phase if phase is None else phase
         metadata = self.metadata if metadata is None else metadata
@@ -121,10 +124,11 @@
             self.phase = phase
             self.metadata = metadata
             wait = self.announced_at + self.timing.period - self.now
-            self._set_timer(max(0.0, wait), TimerKind.ANNOUNCE)  # one that comes meanwhile goes with it
+            # Further changes before the timer fires are disseminated together with this one.
+            self._set_timer(max(0.0, wait), TimerKind.ANNOUNCE)
 
     def leave(self, now: float) -> None:
-        """Leave the fleet: all that hear of it know that nothing is wrong."""
+        """Leave the fleet, so that the members that receive the announcement record no failure."""
         self._advance_clock(now)
         if self.status is not MembershipStatus.MEMBER:
             return
@@ -137,20 +141,24 @@
             self._gossip_to_random_members(GOSSIP_FANOUT)
 
     def send_user_data(self, now: float, key: MemberKey | None, port: int, data: bytes) -> bool:
-        """Send another subsystem's data to one member, or to all (None).
+        """Send another subsystem's data to one member, or to all members if `key` is None.
 
         Returns:
-            Whether it fits and there is somebody; it may still be lost.
+            Whether the data fits in a datagram and there is a recipient; the datagram may still be lost.
         """
         self._advance_clock(now)
-        to = [key] if key is not None else [other for other in self.table.sorted_keys if other != self.key]
+        recipients = (
+            [key]
+            if key is not None
+            else [recipient for recipient in self.table.sorted_keys if recipient != self.key]
+        )
         sent = False
-        for other in to:
-            entry = self.table.entries.get(other)
+        for recipient in recipients:
+            entry = self.table.entries.get(recipient)
             writer = DatagramWriter()
             if (
                 entry is None
-                or other == self.key
+                or recipient == self.key
                 or not writer.add_section(Section.USER_DATA, bytes((port,)) + data)
             ):
                 continue
@@ -159,7 +167,7 @@
         return sent
 
     def receive_datagram(self, now: float, source: Address, data: bytes) -> None:
-        """Take whatever arrived at the socket from an address that may be a member's."""
+        """Process the bytes of a datagram from an address from which datagrams are read."""
         self._advance_clock(now)
         try:
             _, message_type, fleet = wire.peek_header(data)
@@ -167,23 +175,23 @@
                 self._on_foreign_datagram(source)
                 return
             if not self.authenticator.verify(data):
-                self.counters.count_rejected("spoilt or forged")
+                self.counters.count_rejected("corrupted or forged")
                 return
             message = wire.decode_datagram(data)
             if message.sender == self.key and message.incarnation.process == self.incarnation.process:
-                self.counters.count_rejected("its own")
+                self.counters.count_rejected("sent by this process")
                 return
             if not self.replay_window.accept(
                 message.sender, message.incarnation.process, message.sequence_number
             ):
-                self.counters.count_rejected("seen before")
+                self.counters.count_rejected("replayed or too old")
                 return
             self.counters.accepted += 1
             self.counters.accepted_bytes += len(data)
             try:
                 known = MessageType(message_type)
             except ValueError:
-                self.counters.count_rejected("a newer version's kind")
+                self.counters.count_rejected("unknown message type")
                 return
             self._dispatch(known, message, source)
         except MalformedDatagramError:
@@ -195,10 +203,10 @@
             self.foreign_sources.add(source)
             self.log_lines.append(log_lines.foreign_datagrams(format_address(source)))
 
-    # datagrams in
+    # Received datagrams.
     def _dispatch(self, message_type: MessageType, message: Datagram, source: Address) -> None:
         if message.sender == self.key:
-            self._on_namesake_datagram(message_type, message, source)
+            self._on_same_name_datagram(message_type, message, source)
         elif message_type is MessageType.VIEW_REQUEST:
             self._answer_view_request(message, source)
         elif message_type is MessageType.JOIN:
@@ -237,7 +245,7 @@
         self.last_contacts[message.sender] = LastContact(self.now, message.digest, message.load)
 
     def _on_update(self, update: MemberUpdate, message: Datagram, source: Address) -> None:
-        """Merge one update, whoever sent it."""
+        """Merge one update; its sender may be any member."""
         sender = message.sender
         if update.key == self.key:
             self._on_update_about_self(update, message)
@@ -245,7 +253,7 @@
         accuser = self._name_of(update.accuser) if update.accuser else ""
         reason = f"does not answer {accuser}" if update.claim is Claim.SUSPECT and accuser else ""
         if update.confirmed:
-            reason = f"is dead to {accuser}" if accuser else "is dead to others"
+            reason = f"was declared dead by {accuser}" if accuser else "was declared dead by others"
         old = self.table.find(update.key)
         action = self.table.merge_update(self.now, update, sender, reason)
         if action in (
@@ -254,13 +262,14 @@
             MergeAction.RECORD_LEAVE,
             MergeAction.CONFIRM_SUSPICION,
         ):
-            # Who is new to this view may be new to others, too: the record goes along.
-            new = old is None or old.incarnation.process != update.incarnation.process
-            record = self.table.find(update.key).record if new else None  # type: ignore[union-attr]
+            # A member that is new to this view may be new to other views, so the update is passed on with the
+            # record.
+            is_new_process = old is None or old.incarnation.process != update.incarnation.process
+            record = self.table.find(update.key).record if is_new_process else None  # type: ignore[union-attr]
             self._disseminate(replace(update, record=record))
             if action in (MergeAction.START_SUSPICION, MergeAction.CONFIRM_SUSPICION):
                 self._schedule_suspicion(update.key)
-            if new:
+            if is_new_process:
                 self.last_contacts.pop(update.key, None)
                 self.path_statuses.pop(update.key, None)
                 self._add_to_probe_ring(update.key)
@@ -271,15 +280,15 @@
             if entry is not None and entry.record.address == source:
                 self._send_correction(update.key, source, message.size)
 
-    # upkeep
+    # Housekeeping.
     def _housekeeping(self, _number: int, _key: bytes) -> None:
         self._set_timer(self.timing.period, TimerKind.HOUSEKEEPING)
-        young = self.now - self.started_at < STARTUP_PERIODS * self.timing.period
-        self.sync_requests_left = STARTUP_SYNC_REQUESTS if young else SYNC_REQUESTS_PER_PERIOD
+        is_starting_up = self.now - self.started_at < STARTUP_PERIODS * self.timing.period
+        self.sync_requests_left = STARTUP_SYNC_REQUESTS if is_starting_up else SYNC_REQUESTS_PER_PERIOD
         self.corrections_left = MAX_CORRECTIONS_PER_PERIOD
         self.table.expire_tombstones(self.now)
 
-    # the view, for operators
+    # The view for operators.
     def _answer_view_request(self, message: Datagram, source: Address) -> None:
         value = message.first_value(Section.PAGE_REQUEST)
         if value is None or len(value) < wire.PAGE_REQUEST_BYTES:
@@ -331,7 +340,7 @@
         return bytes((len(record),)) + record + status
 
     def _contact_age_ms(self, key: MemberKey, contact: LastContact | None) -> int:
-        """Return the ms since a member was heard, or since it went where it was not heard itself."""
+        """Return the ms since a member's last datagram, or since it died or left if none arrived."""
         tombstone = self.table.tombstones.get(key)
         if key == self.key:
             return 0
@@ -343,9 +352,9 @@
             return wire.CONTACT_UNKNOWN_MS
         return min(wire.CONTACT_UNKNOWN_MS - 1, int(max(0.0, self.now - last_contact_at) * 1000))
 
-    # for simulations in virtual time
+    # Simulations in virtual time.
     def adopt(self, entries: dict[MemberKey, MemberEntry], order: list[MemberKey], digest: int) -> None:
-        """Begin as a member that knows all these, for simulations; its own entry is among them."""
+        """Start as a member that already has these entries, its own among them; for simulations."""
         local = entries[self.key]
         self.ownership.incarnation = local.incarnation
         self.table.entries, self.table.sorted_keys, self.table.digest = dict(entries), list(order), digest
--- a/service_proxy/fleet/proxy_count.py
+++ b/service_proxy/fleet/proxy_count.py
@@ -1,34 +1,35 @@
-"""How many proxies the policy is told share its endpoints. Pure.
+"""The number of proxies among which the policy divides the use of its endpoints.
 
-The count divides what all may do together: health checks, the budget of an endpoint that warms up, tenants'
-quotas. Too low a count overloads such an endpoint, so the rule errs upward:
+The count divides resources that all proxies use together: health checks, the budget of an endpoint that is
+warming up, and tenants' quotas. Too low a count overloads such an endpoint, so the rule errs upward:
 
-- a minority, and who sees no more than half of the configured number, goes by the configured number (or by
-  what it sees, if that is more): it never uses more than its share by the configuration;
-- while the view changes the count may grow and does not fall;
-- else it is the number of the living.
+- A minority, or a member that sees at most half of the configured number, uses the configured number, or the
+  number of live members if that is greater. It thus never exceeds its configured share.
+- While the view changes, the count may grow and does not fall.
+- Otherwise the count is the number of live members.
 
-With n configured and a majority of m > n/2 that sees m, the rest being cut off from it and a minority to
-themselves, all shares add up to m/m + (n-m)/n < 1.5. The policy spends half of what an endpoint that warms up
-survives, so even then three quarters of it are spent at most.
+Suppose n proxies are configured, a majority of m > n/2 sees itself, and the other proxies are cut off and
+each in a minority. The shares then add up to m/m + (n-m)/n < 1.5. The policy spends half of what an endpoint
+that is warming up withstands, so that even then at most three quarters of that capacity are used. Performs no
+I/O and reads no clock.
 """
 
 from __future__ import annotations
 
-MAX_TOTAL_SHARE = 1.5  # all shares added up, by the rule above
+MAX_TOTAL_SHARE = 1.5  # Upper bound of the sum of all proxies' shares under the rule above.
 
 
 def effective_proxy_count(
     configured: int, living: int, settled: bool, is_minority: bool, current: int
 ) -> int:
-    """Return the number of proxies that the policy goes by.
+    """Return the number of proxies among which the policy divides its limits.
 
     Args:
-        configured: number by the platform's settings.
-        living: members of this tier, itself among them.
-        settled: the view has settled.
-        is_minority: less than half lives of those that were known.
-        current: what the policy goes by now.
+        configured: number of proxies in the platform's settings.
+        living: live members of this tier, this one included.
+        settled: whether the view has settled.
+        is_minority: whether less than half of the known members are live.
+        current: number that the policy uses now.
     """
     if is_minority or 2 * living <= configured:
         return max(configured, living)
--- a/service_proxy/fleet/rate_limits.py
+++ b/service_proxy/fleet/rate_limits.py
@@ -1,20 +1,21 @@
-"""Bounds on what a member reads and logs, so that a flood of datagrams costs little.
+"""Limits on the datagrams that a member reads and the lines that it logs, so that a flood costs little.
 
-Pure: time is passed in.
+The caller passes in the time.
 """
 
 from __future__ import annotations
 
-MAX_DATAGRAMS_PER_S = 4000  # that are read; those over it are dropped unread
-MAX_DATAGRAMS_PER_SOURCE_PER_S = 1000  # of these from one host
-MAX_TRACKED_SOURCES = 4096  # hosts that are counted within a second
+MAX_DATAGRAMS_PER_S = 4000  # Datagrams read per second; further datagrams are dropped unread.
+MAX_DATAGRAMS_PER_SOURCE_PER_S = 1000  # Datagrams read per second from one host.
+MAX_TRACKED_SOURCES = 4096  # Hosts whose datagrams are counted within a second.
 DATAGRAM_WINDOW_S = 1.0
-MAX_LOG_LINES = 1000  # in LOG_WINDOW_S: after a partition of 40 members each logs some 200
+# Log lines per LOG_WINDOW_S; after a partition of 40 members, each member logs about 200 lines.
+MAX_LOG_LINES = 1000
 LOG_WINDOW_S = 10.0
 
 
 class DatagramRateLimit:
-    """Counts datagrams in windows of one second, in all and by the host that they come from."""
+    """Counts datagrams in windows of one second, in total and by source host."""
 
     __slots__ = ("by_source", "total", "window_start")
 
@@ -24,7 +25,7 @@
         self.by_source: dict[str, int] = {}
 
     def count(self, now: float) -> bool:
-        """Count a datagram; return whether it may be read as far as their number in all goes."""
+        """Count a datagram; return whether the total count allows reading it."""
         if not 0 <= now - self.window_start < DATAGRAM_WINDOW_S:
             self.window_start = now
             self.total = 0
@@ -33,7 +34,7 @@
         return self.total <= MAX_DATAGRAMS_PER_S
 
     def count_source(self, host: str) -> bool:
-        """Count a datagram of a host; return whether it may be read as far as that host's number goes."""
+        """Count a datagram of a host; return whether that host's count allows reading it."""
         if len(self.by_source) >= MAX_TRACKED_SOURCES and host not in self.by_source:
             return True
         count = self.by_source.get(host, 0) + 1
@@ -51,7 +52,7 @@
         self.lines = 0
 
     def start_window(self, now: float) -> int:
-        """Begin a new window when the last one is over; return how many lines that one has dropped."""
+        """Start a new window if the last one has ended; return how many lines the last window dropped."""
         if 0 <= now - self.window_start < LOG_WINDOW_S:
             return 0
         dropped = max(0, self.lines - MAX_LOG_LINES)
@@ -60,6 +61,6 @@
         return dropped
 
     def count(self) -> bool:
-        """Count a line; return whether it is written."""
+        """Count a line; return whether it may be written."""
         self.lines += 1
         return self.lines <= MAX_LOG_LINES
--- a/service_proxy/fleet/service.py
+++ b/service_proxy/fleet/service.py
@@ -1,7 +1,7 @@
-"""The fleet's member in a proxy: its socket and timers, and what other subsystems are handed of the fleet.
+"""Fleet member of a proxy: its socket and timers, and the interfaces for other subsystems.
 
-The only module of the package that performs I/O in a proxy: it passes datagrams and time to the protocol, and
-carries out what that decides.
+This is the only module of the package that performs I/O in a proxy. It passes datagrams and the time to the
+protocol and carries out the effects that the protocol returns.
 """
 
 from __future__ import annotations
@@ -33,15 +33,17 @@
 
 log = logging.getLogger("service_proxy.fleet")
 
-REBIND_INTERVAL_S = 0.1  # between attempts to bind where an earlier process of this name still has the socket
-RECEIVE_BUFFER_BYTES = 1 << 20  # asked of the kernel for datagrams that wait; it may grant less
-USER_PORTS = range(1, 256)  # of the subsystems that use the fleet's datagrams and metadata
+# Seconds between two attempts to bind, while an earlier process with this name still uses the socket.
+REBIND_INTERVAL_S = 0.1
+# Receive buffer requested from the kernel for waiting datagrams; the kernel may grant less.
+RECEIVE_BUFFER_BYTES = 1 << 20
+USER_PORTS = range(1, 256)  # Ports of the subsystems that use the fleet's datagrams and metadata.
 RESTART_SETTINGS = ("name", "listen", "address", "members", "networks", "own_network")
 MAX_LOAD_TENTHS = 10
 
 
 class ProxyStatus(Protocol):
-    """What the fleet reads of the request dispatcher, and tells it."""
+    """Interface of the request dispatcher to the fleet."""
 
     @property
     def load(self) -> float:
@@ -53,21 +55,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the proxy serves."""
+        """Whether the proxy serves requests."""
 
     def set_proxy_count(self, count: int) -> None:
-        """Take the number of proxies that share the endpoints."""
+        """Set the number of proxies that share the endpoints."""
 
 
 class FleetService(asyncio.DatagramProtocol):
-    """A member of the fleet: net.endpoint_sources.Subsystem, and the protocols of net.fleet_protocols.
+    """A member of the fleet, as a net.endpoint_sources.Subsystem with the protocols of net.fleet_protocols.
 
     Attributes:
         protocol: the member's state and decisions.
-        watchers: are called after each change of the view.
-        receivers: of other subsystems' datagrams, by port.
-        metadata: what other subsystems publish, by port.
-        reported_count: the number of proxies that the policy goes by.
+        watchers: callbacks that are called after each change of the view.
+        receivers: callbacks for other subsystems' datagrams, by port.
+        metadata: published bytes of other subsystems, by port.
+        reported_count: number of proxies that the policy uses.
     """
 
     def __init__(
@@ -78,7 +80,11 @@
         clock: Clock,
         keys: Sequence[bytes] = (),
     ) -> None:
-        """Raises ConfigError where the settings or the name can't be used."""
+        """Create the member without a socket.
+
+        Raises:
+            ConfigError: the settings or the member's name are invalid.
+        """
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.proxy = proxy
@@ -109,12 +115,12 @@
         self.stopped = False
         self.draining = False
 
-    # net.endpoint_sources.Subsystem
+    # Methods of net.endpoint_sources.Subsystem.
     def start(self) -> None:
-        """Bind the socket; join once it is bound.
+        """Bind the socket and start to join; if the address is in use, retry until it is free.
 
         Raises:
-            OSError: the address is none of this machine's.
+            OSError: the socket can't be bound for another reason, such as an address of another machine.
         """
         self._bind(is_first_attempt=True)
 
@@ -129,31 +135,31 @@
             self.transport.close()
 
     def reload(self, file: str) -> None:
-        """Take over the file's times and `counts`.
+        """Apply the times and `counts` of the changed operator's file.
 
         Raises:
-            OperatorError: the file can't be used, or changes what only a restart can.
+            OperatorError: the file is invalid, or changes a setting that requires a restart.
         """
         settings = load(file).fleet
         if settings is None:
             raise OperatorError(
-                [Problem(file, 1, "S109", "[fleet] is gone", "start the proxy anew to turn it off")]
+                [Problem(file, 1, "S109", "[fleet] is gone", "restart the proxy to turn the fleet off")]
             )
         for name in RESTART_SETTINGS:
             if getattr(settings, name) != getattr(self.settings, name):
                 text = f"{name} of [fleet] can't change while the proxy runs"
-                raise OperatorError([Problem(file, 1, "S109", text, "start the proxy anew")])
+                raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy to change it")])
         self.settings = settings
         timing = make_timing(settings)
         self.protocol.timing = timing
         self.protocol.table.timing = timing
 
     def drain(self) -> None:
-        """Announce that this proxy takes no new requests soon, and ends."""
+        """Announce that this proxy is draining and will end."""
         self.draining = True
         self._refresh_status()
 
-    # net.fleet_protocols.MembershipView
+    # Properties and methods of net.fleet_protocols.MembershipView.
     @property
     def revision(self) -> int:
         """Number of changes of this view."""
@@ -161,12 +167,12 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing has changed lately, and all that were heard lately have the same view."""
+        """Whether the view was stable for a while and all recently received digests equal its own."""
         return self.protocol.is_settled()
 
     @property
     def is_minority(self) -> bool:
-        """Whether less than half lives of all members that were known and did not leave."""
+        """Whether less than half of the known members that did not leave are live."""
         return self.protocol.is_minority
 
     @property
@@ -175,7 +181,7 @@
         return self.protocol.key
 
     def members(self) -> list[FleetMember]:
-        """Return all members of this view, also those that are dead or have left and are remembered."""
+        """Return all members of this view, including recorded dead and departed members."""
         table = self.protocol.table
         entries = [*table.entries.values(), *(tombstone.entry for tombstone in table.tombstones.values())]
         return [
@@ -193,26 +199,26 @@
         ]
 
     def watch(self, callback: Callable[[MembershipChange], None]) -> None:
-        """Have `callback` called after each change of the view."""
+        """Register a callback that is called after each change of the view."""
         self.watchers.append(callback)
 
-    # net.fleet_protocols.DatagramChannel
+    # Methods of net.fleet_protocols.DatagramChannel.
     def send(self, port: int, data: bytes, to: MemberKey | None = None) -> bool:
-        """Send a datagram to one member, or to all; return whether it fits and there is somebody."""
+        """Send a datagram to one member or to all; return whether the data fits and there is a recipient."""
         sent = self.protocol.send_user_data(self.clock.monotonic(), to, port, data)
         self._apply_effects()
         return sent
 
     def receive(self, port: int, callback: Callable[[MemberKey, bytes], None]) -> None:
-        """Have `callback` called with the sender's key and the data of each datagram to this port."""
+        """Register a callback for datagrams to this port; it receives the sender's key and the data."""
         self.receivers[port] = callback
 
-    # net.fleet_protocols.MetadataPublisher
+    # Methods of net.fleet_protocols.MetadataPublisher.
     def publish(self, port: int, data: bytes) -> None:
-        """Have this subsystem's bytes travel with this member's entry; none take them back.
+        """Publish this subsystem's bytes with this member's entry; empty bytes remove them.
 
         Raises:
-            ValueError: the port is out of range, or all values together are too long.
+            ValueError: the port is out of range, or the values of all ports together are too long.
         """
         values = {**self.metadata, port: data}
         if not data:
@@ -220,13 +226,13 @@
         packed = pack_metadata(values)
         if port not in USER_PORTS or len(packed) > MAX_METADATA_BYTES:
             raise ValueError(
-                f"a member's metadata has {MAX_METADATA_BYTES} bytes in all, and this makes {len(packed)}"
+                f"metadata allows ports 1 to 255 and {MAX_METADATA_BYTES} bytes in all, not {len(packed)}"
             )
         self.metadata = values
         self.protocol.announce(self.clock.monotonic(), metadata=packed)
         self._apply_effects()
 
-    # the socket
+    # The socket.
     def _bind(self, is_first_attempt: bool = False) -> None:
         if self.stopped:
             return
@@ -247,13 +253,13 @@
                 )
             self.loop.call_later(REBIND_INTERVAL_S, self._bind)
             return
-        self.opening = self.loop.create_task(self._open(sock))
+        self.open_task = self.loop.create_task(self._open(sock))
 
     async def _open(self, sock: socket.socket) -> None:
         await self.loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the protocol: the socket is bound."""
+        """Start the protocol after the socket has been bound."""
         if self.stopped:
             transport.close()
             return
@@ -262,39 +268,39 @@
         self._on_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio's signature
-        """Send nothing from now on."""
+        """Stop sending, because the socket has been closed."""
         self.transport = None
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens at a member's address: its probes find that out as well."""
+        """Ignore that no process listens at a member's address, because the probes detect that, too."""
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Pass a datagram to the protocol, unless there are too many or it is no member's."""
+        """Pass a datagram to the protocol, unless a rate limit or its source address forbids that."""
         now = self.clock.monotonic()
         rejection = self._reject(data, addr, now)
         if rejection:
             self.protocol.counters.count_rejected(rejection)
             return
         source = (addr[0], addr[1])
-        self.protocol.receive_datagram(now, self.addresses.peer_at_address.get(source, source), data)
+        self.protocol.receive_datagram(now, self.addresses.placeholder_by_address.get(source, source), data)
         self._apply_effects()
 
     def _reject(self, data: bytes, addr: tuple[str | Any, int], now: float) -> str:
-        """Return why a datagram is dropped unread; empty where it is read."""
+        """Return the reason for dropping a datagram unread; empty if the datagram is read."""
         host = addr[0]
         if not self.datagram_limit.count(now):
-            return "too many in a second"
+            return "too many per second"
         if len(data) > MAX_DATAGRAM_BYTES:
             return "malformed"
         if not self.datagram_limit.count_source(host):
-            return "too many in a second from one address"
+            return "too many per second from one address"
         is_local_query = len(data) > 1 and data[1] == MessageType.VIEW_REQUEST and self._is_local(host)
         if not is_local_query and not self.addresses.is_admitted((host, addr[1])):
-            return "from an address that is no member's"
+            return "from an address that is not admitted"
         return ""
 
     def _is_local(self, host: str) -> bool:
-        """Return whether a host is the member's own machine, from where its view may be requested."""
+        """Return whether a host is the member's own machine, from which its view may be requested."""
         return host.startswith("127.") or host == self.addresses.listen[0]
 
     def _on_timer(self) -> None:
@@ -305,12 +311,12 @@
         self.protocol.tick(self.clock.monotonic())
         self._apply_effects()
 
-    # what the protocol has decided
+    # Effects of the protocol.
     def _apply_effects(self) -> None:
         effects = self.protocol.take_effects()
         if self.transport is not None:
             for address, data in effects.datagrams:
-                self.transport.sendto(data, self.addresses.address_of_peer.get(address, address))
+                self.transport.sendto(data, self.addresses.address_by_placeholder.get(address, address))
         for change in effects.changes:
             self._log_limited(describe_change(change, self.protocol))
             for callback in self.watchers:
@@ -335,7 +341,7 @@
         self.timer = self.loop.call_later(max(0.0, deadline - self.clock.monotonic()), self._on_timer)
 
     def _refresh_status(self) -> None:
-        """Announce, once a period, what the proxy does, and tell it how many share the endpoints."""
+        """Announce the proxy's phase and load, and update its number of proxies; repeats once per period."""
         if self.stopped or self.transport is None:
             return
         self.protocol.load = LoadSummary(
@@ -375,23 +381,23 @@
         if dropped:
             log.warning("log_lines_dropped count=%d window_s=%.0f", dropped, LOG_WINDOW_S)
         if self.log_limit.count():
-            # Each line is a template of its own, so that the log's limit on one template passes it.
+            # Each line is its own template, so that the log's limit per template does not drop the line.
             log.log(line.level, line.text)
 
 
 def make_timing(settings: FleetSettings) -> ProtocolTiming:
-    """Return the protocol's times by the operator's file."""
+    """Return the protocol's times from the operator's file."""
     return ProtocolTiming(settings.period, settings.suspicion, settings.memory)
 
 
 def describe_change(change: MembershipChange, protocol: MembershipProtocol) -> LogLine:
-    """Return the log line of a change: of which member, by whose message, and why."""
+    """Return the log line of a change: the member, the sender of the update, and the reason."""
     entry = change.entry
-    known = protocol.table.find(change.source)
+    source_entry = protocol.table.find(change.source)
     if change.source == protocol.key:
         source = protocol.record.name
     else:
-        source = known.name if known is not None else change.source.hex()
+        source = source_entry.name if source_entry is not None else change.source.hex()
     return log_lines.member_state_changed(
         change.revision,
         change.at,
--- a/service_proxy/fleet/timing.py
+++ b/service_proxy/fleet/timing.py
@@ -1,45 +1,53 @@
-"""The times and counts of the protocol, and what follows from them for a fleet of so many. Pure."""
+"""Times and counts of the protocol, and the values that depend on the size of the fleet.
+
+Performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-INDIRECT_PROBES = 3  # members that are asked to probe in one's stead (SWIM, 4.1: k)
-CONFIRMATIONS = 3  # further accusers that bring a suspicion down to its shortest (Lifeguard, 4.2: K)
-PING_RETRY_AT = 0.15  # of a period from a ping to its repetition
-INDIRECT_PING_AT = 0.3  # of a period from a ping to asking the helpers
-NACK_AFTER = 0.4  # of a period for which a helper waits before it says that it hears nothing either
-PROBE_TIMEOUT = 0.9  # of a period from a ping to the verdict
-GOSSIP_INTERVAL = 0.2  # of a period
-GOSSIP_FANOUT = 3  # members that are told at each such beat
-# By which a member that is itself slow multiplies its time-outs, less one (Lifeguard, 4.1: S).
+INDIRECT_PROBES = 3  # Members that are asked to probe a target indirectly (SWIM, 4.1: k).
+CONFIRMATIONS = 3  # Additional accusers that reduce a suspicion to its shortest duration (Lifeguard, 4.2: K).
+PING_RETRY_AT = 0.15  # Fraction of a period from a probe's first ping to its repetition.
+# Fraction of a period from a probe's first ping to the indirect probes; also the timeout of a sync request.
+INDIRECT_PING_AT = 0.3
+NACK_AFTER = 0.4  # Fraction of a period that a helper waits for the target's answer before it sends a NACK.
+PROBE_TIMEOUT = 0.9  # Fraction of a period from a probe's first ping to its failure.
+GOSSIP_INTERVAL = 0.2  # Fraction of a period between two rounds of gossip.
+GOSSIP_FANOUT = 3  # Members that receive each round of gossip.
+# Maximum of the local health score. Probe timeouts are multiplied by one plus the score (Lifeguard, 4.1: S).
 MAX_LOCAL_HEALTH = 8
-RECENT_PERIODS = 3.0  # periods for which what was heard of a member says something of now
-QUIET_PERIODS = 2.0  # periods without a change, after which unequal digests are news
-SYNC_STARVED_PERIODS = 4.0  # periods after which an exchange begins though changes go on
-STALL_PERIODS = 1.0  # periods by which a timer is late, after which this process is taken to have stood still
-# Periods between tries of one that is dead, or of an address that nobody was heard at.
+# Periods for which a received digest counts in the decision whether the view has settled.
+RECENT_PERIODS = 3.0
+# Periods without a change of the view, after which different digests mean that views really differ and not
+# that updates are still spreading.
+QUIET_PERIODS = 2.0
+# Periods without a sync session, after which a session starts even while the view changes.
+SYNC_STARVED_PERIODS = 4.0
+STALL_PERIODS = 1.0  # Periods by which a timer must be late for this process to count as stalled.
+# Periods between two attempts to reach a dead member, or a seed that is the address of no known member.
 RECONNECT_INTERVAL = 2.0
-MAX_JOIN_ATTEMPTS = 3  # tries to join that nobody answered, after which a member goes on alone
-JOIN_FANOUT = 3  # addresses at each try
-BROADCAST_JOIN_REPLIES = 8  # that come, about, to a question to everyone
-RECONNECTS_PER_BROADCAST = 5  # tries between two of one that is alone to reach everyone at once
-SYNC_REQUESTS_PER_PERIOD = 16  # questions of anti-entropy in a period
-STARTUP_SYNC_REQUESTS = 128  # the same in the first periods after a start, when there is all to learn
-STARTUP_PERIODS = 10.0  # periods
-MAX_SYNC_ATTEMPTS = 3  # of one question
+MAX_JOIN_ATTEMPTS = 3  # Unanswered join attempts, after which a member starts alone.
+JOIN_FANOUT = 3  # Seeds that receive a join request per attempt.
+BROADCAST_JOIN_REPLIES = 8  # Expected number of replies to a broadcast join request.
+RECONNECTS_PER_BROADCAST = 5  # Reconnect attempts of an isolated member between two broadcast join requests.
+SYNC_REQUESTS_PER_PERIOD = 16  # Sync requests per period.
+STARTUP_SYNC_REQUESTS = 128  # Sync requests per period after a start, when the view is still incomplete.
+STARTUP_PERIODS = 10.0  # Periods after a start during which the limits of a starting member apply.
+MAX_SYNC_ATTEMPTS = 3  # Attempts per sync request.
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolTiming:
-    """The times that an operator may set.
+    """Protocol times that an operator can configure.
 
     Attributes:
-        period: the protocol period, s, in which a member begins two probes.
-        suspicion_multiplier: the shortest suspicion, in periods, of a fleet of up to 9; it grows as log10 of
-            the size.
-        tombstone_ttl: for which who died or left is remembered, s.
+        period: protocol period, in which a member starts two probes, s.
+        suspicion_multiplier: shortest suspicion of a fleet of up to 9 members, in periods; it grows with the
+            common logarithm of the size.
+        tombstone_ttl: time for which a dead or departed member is recorded, s.
     """
 
     period: float = 1.0
@@ -47,19 +55,19 @@
     tombstone_ttl: float = 600.0
 
     def min_suspicion(self, living: int) -> float:
-        """Return how long a suspicion lasts that enough others share, s.
+        """Return the duration of a suspicion that enough other members confirm, s.
 
-        A member that stands still for less, from the moment it is first suspected, is not declared dead by
-        those that can reach it afterwards.
+        A member that stalls for less than this duration, counted from the start of the suspicion, is not
+        declared dead by the members that can reach it after the stall.
         """
         return self.suspicion_multiplier * max(1.0, math.log10(living + 1)) * self.period
 
     def max_suspicion(self, living: int) -> float:
-        """Return how long a suspicion lasts that nobody shares, s."""
+        """Return the duration of a suspicion that no other member confirms, s."""
         return 2.0 * self.min_suspicion(living)
 
     def suspicion_timeout(self, living: int, confirmations: int) -> float:
-        """Return how long a suspicion lasts, s, by the number of confirmations (Lifeguard, 4.2)."""
+        """Return the duration of a suspicion with this number of confirmations, s (Lifeguard, 4.2)."""
         minimum = self.min_suspicion(living)
         maximum = self.max_suspicion(living)
         enough = min(CONFIRMATIONS, max(0, living - 2))
@@ -69,5 +77,5 @@
 
     @staticmethod
     def transmissions(living: int) -> int:
-        """Return how often each member passes one update on (SWIM, 5: lambda log n)."""
+        """Return how many times each member sends an update (SWIM, 5: lambda log n)."""
         return math.ceil(6 * math.log10(living + 1) + 1)
--- a/service_proxy/fleet/view_query.py
+++ b/service_proxy/fleet/view_query.py
@@ -1,6 +1,7 @@
-"""A member's view for operators: the request for a page of it, its answer, and what oddities mean. Pure.
+"""A member's view for operators: the request for a page, its reply, and findings about the view.
 
-A request has 256 bytes, and its answer no more: a view comes in pages of up to four rows.
+A request has 256 bytes and a reply is not longer, so a view is sent in pages of up to four rows. Performs no
+I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,17 +16,19 @@
 from service_proxy.fleet.members import Incarnation, ServicePhase, format_address, member_key
 from service_proxy.fleet.wire import DatagramWriter, LoadSummary, MessageType, Section
 
-MIN_MEMBERS_TO_JUDGE_PATHS = 3  # that live, below which a third of them says nothing
+# Live members below which the share of members without a direct path is not reported.
+MIN_MEMBERS_TO_JUDGE_PATHS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class ViewRow:
-    """A member as the member that was asked sees it.
+    """A member in the view of the queried member.
 
     Attributes:
-        path: how it is reached, where not directly.
-        in_flight_tenths: its requests in flight, in tenths of its limit; None: unknown.
-        last_contact_age_s: since a datagram of its own; None: there was none.
+        path: one of PATH_DESCRIPTIONS; empty if the member is reached directly.
+        in_flight_tenths: the member's requests in flight, in tenths of its limit; None: unknown.
+        list_version: version of the endpoint list that the member uses, modulo 2^24.
+        last_contact_age_s: seconds since the last datagram of the member itself; None: no datagram arrived.
     """
 
     name: str
@@ -36,26 +39,26 @@
     zone: str
     phase: ServicePhase
     metadata: bytes
-    path: str  # how it is reached, where not as usual
-    in_flight_tenths: int | None  # of what it may hold that is in flight; None: not told
+    path: str
+    in_flight_tenths: int | None
     list_version: int
-    last_contact_age_s: float | None  # s ago; None: not by itself
+    last_contact_age_s: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class ViewPage:
-    """A page of a view, with the totals of all of it.
+    """A page of a view, with the totals of the whole view.
 
     Attributes:
-        request_id: modulo 65,536.
-        row_count: of the whole view.
+        request_id: id of the request that this page answers, modulo 65,536.
+        row_count: rows of the whole view.
         revision: number of changes of the view.
-        serving_count: members of the tier that serve or will.
+        serving_count: members of the tier that serve requests or will.
     """
 
-    request_id: int  # of the question, modulo 65,536
+    request_id: int
     fleet: str
-    row_count: int  # of the whole view
+    row_count: int
     alive_count: int
     dead_count: int
     left_count: int
@@ -101,38 +104,40 @@
 
 
 def decode_view_page(data: bytes, authenticator: MessageAuthenticator) -> ViewPage:
-    """Return a page.
+    """Return the page of a view that a datagram contains.
 
     Raises:
-        MalformedDatagramError: it is none, or its tag is wrong.
+        MalformedDatagramError: the datagram is malformed or contains no page, or its tag is wrong.
     """
     wire.peek_header(data)
     if not authenticator.verify(data):
-        raise MalformedDatagramError("spoilt, or sealed with another key")
+        raise MalformedDatagramError("a corrupted datagram, or one that was signed with another key")
     message = wire.decode_datagram(data)
     page = message.first_value(Section.PAGE_REQUEST)
-    total = message.first_value(Section.VIEW_SUMMARY)
+    summary = message.first_value(Section.VIEW_SUMMARY)
     if (
         message.message_type != MessageType.VIEW_PAGE
         or page is None
-        or total is None
-        or len(total) < wire.VIEW_SUMMARY_LAYOUT.size
+        or summary is None
+        or len(summary) < wire.VIEW_SUMMARY_LAYOUT.size
     ):
-        raise MalformedDatagramError("no page of a view")
-    rows, living, dead, departed, changes, bits, instances = wire.VIEW_SUMMARY_LAYOUT.unpack_from(total)
+        raise MalformedDatagramError("a datagram without a page of a view")
+    rows, live_count, dead_count, left_count, revision, flags, serving_count = (
+        wire.VIEW_SUMMARY_LAYOUT.unpack_from(summary)
+    )
     return ViewPage(
         int.from_bytes(page[2:4], "big"),
-        total[wire.VIEW_SUMMARY_LAYOUT.size :].decode(errors="replace"),
+        summary[wire.VIEW_SUMMARY_LAYOUT.size :].decode(errors="replace"),
         rows,
-        living,
-        dead,
-        departed,
-        changes,
-        bool(bits & 1),
-        bool(bits & 2),
-        bool(bits & 4),
-        bool(bits & 8),
-        instances,
+        live_count,
+        dead_count,
+        left_count,
+        revision,
+        bool(flags & 1),
+        bool(flags & 2),
+        bool(flags & 4),
+        bool(flags & 8),
+        serving_count,
         message.digest,
         [_decode_row(value) for value in message.values(Section.VIEW_ROW)],
     )
@@ -140,7 +145,7 @@
 
 def _decode_row(value: bytes) -> ViewRow:
     if not value or len(value) < 1 + value[0] + wire.ROW_STATUS_LAYOUT.size:
-        raise MalformedDatagramError("a row that is cut short")
+        raise MalformedDatagramError("a truncated row")
     update = wire.unpack_record(value[1 : 1 + value[0]])
     assert update.record is not None
     state, path, in_flight_tenths, list_version, age_ms = wire.ROW_STATUS_LAYOUT.unpack_from(
@@ -148,7 +153,7 @@
     )
     states = list(MemberState)
     if state >= len(states) or path >= len(PATH_DESCRIPTIONS):
-        raise MalformedDatagramError("a state or way that is none")
+        raise MalformedDatagramError("a row with an unknown state or path")
     return ViewRow(
         update.record.name,
         states[state],
@@ -166,24 +171,26 @@
 
 
 def diagnose_view(page: ViewPage, rows: list[ViewRow]) -> list[str]:
-    """Return what is odd about a view, a sentence each."""
+    """Return the findings about a view, one sentence each."""
     remarks = []
     if page.in_conflict:
-        remarks.append("the name of the member that was asked is held by another living process")
+        remarks.append("the queried member is in conflict: another live process holds its name")
     if page.isolated:
-        remarks.append("the member that was asked sees nobody but itself")
+        remarks.append("the queried member sees no other live member")
     if page.is_minority:
         remarks.append(
-            f"a minority's view: {page.alive_count} live of {page.alive_count + page.dead_count} that it knew"
+            f"minority view: {page.alive_count} of {page.alive_count + page.dead_count} known are live"
         )
     remarks += [f"{row.name}: {row.path}" for row in rows if row.path]
     suspects = [row.name for row in rows if row.state is MemberState.SUSPECT]
     if suspects:
-        remarks.append(f"suspected, and not yet decided on: {', '.join(sorted(suspects))}")
+        remarks.append(f"suspected, not yet declared dead: {', '.join(sorted(suspects))}")
     indirect = sum(bool(row.path) for row in rows)
-    living = sum(row.state in (MemberState.ALIVE, MemberState.SUSPECT) for row in rows)
-    if living >= MIN_MEMBERS_TO_JUDGE_PATHS and indirect * 3 >= living:
-        remarks.append(f"the member that was asked reaches {living - 1 - indirect} of {living - 1} directly")
+    live_count = sum(row.state in (MemberState.ALIVE, MemberState.SUSPECT) for row in rows)
+    if live_count >= MIN_MEMBERS_TO_JUDGE_PATHS and indirect * 3 >= live_count:
+        remarks.append(
+            f"the queried member reaches {live_count - 1 - indirect} of {live_count - 1} members directly"
+        )
     if not page.settled and not suspects:
-        remarks.append("changed a moment ago, or others see something else still")
+        remarks.append("the view changed recently, or other members still have a different view")
     return remarks
--- a/tests/fleet/test_datagrams.py
+++ b/tests/fleet/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams byte by byte: what is written is read, what is spoilt is refused, what is newer is skipped."""
+"""Encoding, decoding and authentication of datagrams, replay protection, and rejection of garbage."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 NAMES = st.text(st.characters(whitelist_categories=["Lu", "Ll", "Nd"]), min_size=1, max_size=10)
 UPDATES = st.builds(
-    lambda name, generation, nonce, version, claim, phase, metadata, sure, zone: MemberUpdate(
+    lambda name, generation, nonce, version, claim, phase, metadata, confirmed, zone: MemberUpdate(
         member_key(name),
         Incarnation(generation, nonce, version),
         claim,
         phase,
         metadata,
         member_key("a") if claim is Claim.SUSPECT else b"",
-        sure,
+        confirmed,
         MemberRecord(name, ("10.0.0.9", 7946), "portal", zone),
     ),
     NAMES,
@@ -94,8 +94,8 @@
     assert len(MessageAuthenticator().seal(datagram(*writer.parts))) <= MAX_DATAGRAM_BYTES
 
 
-def test_a_datagram_of_a_newer_version_is_read_as_far_as_it_is_known() -> None:
-    """Two bytes more in the header, a section and a kind of its own: skipped, and the rest is heard."""
+def test_unknown_parts_of_a_datagram_of_a_newer_version_are_skipped() -> None:
+    """Two additional header bytes and an unknown section are skipped; an unknown type is counted."""
     update = MemberUpdate(
         member_key("p9"),
         Incarnation(9, 9, 0),
@@ -119,18 +119,18 @@
         ("10.0.0.2", 7946),
         MessageAuthenticator().seal(datagram(kind=99, number=2, fleet=fleet_id("fleet"))),
     )
-    assert protocol.counters.rejected == {"a newer version's kind": 1}
+    assert protocol.counters.rejected == {"unknown message type": 1}
 
 
 @pytest.mark.parametrize("keys", [(), (b"k" * 16,)])
 def test_a_flipped_bit_anywhere_fails_verification(keys: tuple[bytes, ...]) -> None:
-    seals = MessageAuthenticator(keys)
-    data = seals.seal(datagram())
-    assert seals.verify(data)
-    for place in range(len(data) * 8):
-        spoilt = bytearray(data)
-        spoilt[place // 8] ^= 1 << place % 8
-        assert not seals.verify(bytes(spoilt))
+    authenticator = MessageAuthenticator(keys)
+    data = authenticator.seal(datagram())
+    assert authenticator.verify(data)
+    for bit in range(len(data) * 8):
+        corrupted = bytearray(data)
+        corrupted[bit // 8] ^= 1 << bit % 8
+        assert not authenticator.verify(bytes(corrupted))
 
 
 def test_keys_can_be_rotated_and_foreign_keys_fail_verification() -> None:
@@ -156,9 +156,9 @@
 
 
 def test_fuzzed_datagrams_raise_nothing_and_no_answer_is_longer_than_its_request() -> None:
-    """Garbage; then real ones of a fleet with bytes turned and the checksum made right again."""
+    """Random bytes, and recorded datagrams of a fleet with changed bytes and a valid checksum."""
     random = Random(1)
-    seals = MessageAuthenticator()
+    authenticator = MessageAuthenticator()
     fleet = VirtualFleet(6, ProtocolTiming(), 1)
     recorded: list[bytes] = []
     fleet.network.on_datagram = recorded.append
@@ -175,7 +175,7 @@
             if data:
                 data[random.randrange(len(data))] = random.randrange(256)
         sent = bytes(data[:-8]) if number % 3 else bytes(data)
-        sent = seals.seal(sent) if number % 3 else sent
+        sent = authenticator.seal(sent) if number % 3 else sent
         protocol.take_effects()
         protocol.receive_datagram(fleet.now, address_of(1 + number % 5), sent)
         assert all(len(out) <= len(sent) for _, out in protocol.take_effects().datagrams)
--- a/tests/fleet/test_member_states.py
+++ b/tests/fleet/test_member_states.py
@@ -1,4 +1,4 @@
-"""Claims and their table: one order, no way back, and the exhaustive model with its planted faults."""
+"""The order of claims, the transition table, the exhaustive model with its mutations, and the proxy count."""
 
 from __future__ import annotations
 
@@ -38,63 +38,71 @@
 
 @given(st.lists(CLAIMS, min_size=1, max_size=6), st.randoms())
 def test_views_converge_in_whatever_order_claims_arrive(claims: list[VersionedClaim], random: Random) -> None:
-    def after(order: list[VersionedClaim]) -> tuple[Incarnation | None, MemberState]:
+    def state_after(order: list[VersionedClaim]) -> tuple[Incarnation | None, MemberState]:
         known: state_model.KnownState = state_model.KnownState(MemberState.UNKNOWN, None)
         for incarnation, claim in order:
             known = state_model.merge_claim(state_model.CORRECT_RULES, known, incarnation, claim)
         return known.incarnation, known.state
 
-    mixed = list(claims)
-    random.shuffle(mixed)
+    shuffled = list(claims)
+    random.shuffle(shuffled)
     greatest = max(claims)
-    named = {Claim.ALIVE: MemberState.ALIVE, Claim.SUSPECT: MemberState.SUSPECT, Claim.LEFT: MemberState.LEFT}
-    assert after(claims) == after(mixed) == (greatest[0], named[greatest[1]])
+    state_of_claim = {
+        Claim.ALIVE: MemberState.ALIVE,
+        Claim.SUSPECT: MemberState.SUSPECT,
+        Claim.LEFT: MemberState.LEFT,
+    }
+    assert state_after(claims) == state_after(shuffled) == (greatest[0], state_of_claim[greatest[1]])
 
 
-def test_the_transitions_cover_every_event_that_a_state_can_meet() -> None:
+def test_the_transitions_cover_every_possible_event_of_each_state() -> None:
     claim_events = [
-        what
-        for what in ClaimEvent
-        if what not in (ClaimEvent.SUSPICION_EXPIRED, ClaimEvent.TOMBSTONE_EXPIRED)
+        event
+        for event in ClaimEvent
+        if event not in (ClaimEvent.SUSPICION_EXPIRED, ClaimEvent.TOMBSTONE_EXPIRED)
     ]
     for state in MemberState:
-        for what in claim_events:
-            if state is MemberState.UNKNOWN and "newer" not in what.value:
+        for event in claim_events:
+            if state is MemberState.UNKNOWN and "newer" not in event.value:
                 continue
-            assert (state, what) in TRANSITIONS
+            assert (state, event) in TRANSITIONS
     assert (MemberState.SUSPECT, ClaimEvent.SUSPICION_EXPIRED) in TRANSITIONS
-    assert {state for state, what in TRANSITIONS if what is ClaimEvent.TOMBSTONE_EXPIRED} == {
+    assert {state for state, event in TRANSITIONS if event is ClaimEvent.TOMBSTONE_EXPIRED} == {
         MemberState.DEAD,
         MemberState.LEFT,
     }
 
 
 @given(INCARNATIONS, CLAIMS)
-def test_only_a_newer_incarnation_brings_the_dead_back(known: Incarnation, claimed: VersionedClaim) -> None:
-    after, _ = TRANSITIONS[MemberState.DEAD, classify_claim(known, claimed)]
-    assert (after in LIVE_STATES) == (claimed[0] > known and claimed[1] is not Claim.LEFT)
+def test_only_a_newer_incarnation_makes_a_dead_member_live(
+    known: Incarnation, claimed: VersionedClaim
+) -> None:
+    state_after, _ = TRANSITIONS[MemberState.DEAD, classify_claim(known, claimed)]
+    assert (state_after in LIVE_STATES) == (claimed[0] > known and claimed[1] is not Claim.LEFT)
 
 
-def test_the_exhaustive_model_holds_and_finds_every_planted_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One message at a time; the benchmark has the larger bounds."""
+def test_the_exhaustive_model_violates_no_invariant_and_every_mutation_does(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """At most one message is in flight; the benchmark explores larger bounds."""
     monkeypatch.setattr(state_model, "MAX_MESSAGES", 1)
     assert state_model.explore() > 1000
     for name, rules in state_model.MUTATIONS.items():
         with pytest.raises(state_model.InvariantViolationError):
             state_model.explore(rules)
-            pytest.fail(f"not found: {name}")
+            pytest.fail(f"mutation not detected: {name}")
 
 
 @given(st.integers(1, 300), st.data())
-def test_the_shares_of_all_proxies_stay_under_the_bound(by_settings: int, data: st.DataObject) -> None:
-    """Parted into any groups that see only themselves; each by its rule."""
-    left = by_settings
+def test_the_shares_of_all_proxies_stay_under_the_bound(configured: int, data: st.DataObject) -> None:
+    """The proxies are split into arbitrary groups, each of which sees only its own members."""
+    remaining = configured
     total = 0.0
-    while left:
-        group = data.draw(st.integers(1, left))
-        left -= group
-        minority = 2 * group < by_settings
-        total += group / effective_proxy_count(by_settings, group, True, minority, by_settings)
+    while remaining:
+        group = data.draw(st.integers(1, remaining))
+        remaining -= group
+        minority = 2 * group < configured
+        total += group / effective_proxy_count(configured, group, True, minority, configured)
     assert total < MAX_TOTAL_SHARE + 1e-9
 
 
--- a/tests/fleet/test_old_datagrams.py
+++ b/tests/fleet/test_old_datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams that the former version of the program wrote: read, accepted and written again byte for byte.
+"""Datagrams of the former version of the program are decoded, accepted and encoded again byte for byte.
 
-`datagrams_of_granitepoint.json` was made by that version (package `granitepoint.fleet`): one datagram of each
-kind, by the name that the kind had there, with a checksum and with a key.
+`datagrams_of_granitepoint.json` was written by that version (package `granitepoint.fleet`). It contains one
+datagram of each message type, under the name that the type had there, with a checksum and with a key.
 """
 
 from __future__ import annotations
@@ -108,8 +108,8 @@
 CASES = [(tagged, name) for tagged in AUTHENTICATORS for name in TYPES]
 
 
-def encoded(tagged: str, name: str) -> bytes:
-    """The same message by this version."""
+def encode_message(tagged: str, name: str) -> bytes:
+    """Return the same message as encoded by this version."""
     authenticator = AUTHENTICATORS[tagged]
     if name == "VIEW":
         return encode_view_request(4, 7, 1234567, 99, authenticator)
@@ -145,13 +145,11 @@
 
 @pytest.mark.parametrize(("tagged", "name"), CASES)
 def test_a_message_is_encoded_to_the_bytes_of_the_former_version(tagged: str, name: str) -> None:
-    assert encoded(tagged, name).hex() == FIXTURE[tagged][name]
+    assert encode_message(tagged, name).hex() == FIXTURE[tagged][name]
 
 
 @pytest.mark.parametrize(("tagged", "name"), CASES)
-def test_a_datagram_of_the_former_version_is_authentic_and_read_as_it_was_meant(
-    tagged: str, name: str
-) -> None:
+def test_a_datagram_of_the_former_version_is_verified_and_decoded(tagged: str, name: str) -> None:
     data = bytes.fromhex(FIXTURE[tagged][name])
     assert AUTHENTICATORS[tagged].verify(data)
     message = wire.decode_datagram(data)
@@ -163,12 +161,12 @@
     assert (message.digest, message.load) == (0x0123456789ABCDEF, LoadSummary(3, 70000))
     assert message.is_changing and message.is_minority and message.probe_id() == PROBE_IDS.get(name)
     updates = [section for section in SECTIONS[name] if isinstance(section, MemberUpdate)]
-    read = [
+    decoded = [
         wire.unpack_record(value) if kind == Section.RECORD else wire.unpack_update(value)
         for kind, value in message.sections
         if kind in (Section.RECORD, Section.UPDATE)
     ]
-    assert read == updates
+    assert decoded == updates
 
 
 @pytest.mark.parametrize(("tagged", "name"), CASES)
@@ -185,7 +183,7 @@
         assert member.table.entries[SENDER_KEY].record == SENDER
 
 
-def test_a_page_of_a_view_by_the_former_version_is_read() -> None:
+def test_a_page_of_a_view_from_the_former_version_is_decoded() -> None:
     page = decode_view_page(bytes.fromhex(FIXTURE["keyed"]["PAGE"]), AUTHENTICATORS["keyed"])
     assert (page.fleet, page.request_id, page.row_count, page.revision) == ("portal", 7, 2, 9)
     [row] = page.rows
