--- a/service_proxy/recovery/__main__.py
+++ b/service_proxy/recovery/__main__.py
@@ -1,13 +1,13 @@
-"""The operators' command: show what a store holds, verify it, and remove one record.
+"""Command line for operators: show the records of a store, verify the store, or remove one record.
 
     python -m service_proxy.recovery show STORE [--loss WHAT] [--zone ZONE] [--json]
     python -m service_proxy.recovery verify STORE
     python -m service_proxy.recovery forget STORE KIND NAME
 
-`show` says how far each record would be trusted now, and why; `--loss` says what happened (process, machine,
-zone, fleet; unknown if left out). Exit code 0: done, and the store is whole; 3: it is damaged, and what is
-shown is what can be read; 1: there is no store, or it is a running process's (`forget`) or can't be read;
-2: the call is wrong.
+`show` prints how far each record would be trusted now, and the reason. `--loss` states which outage is
+assumed (process, machine, zone or fleet; unknown by default). Exit codes: 0: the command succeeded and the
+store is whole; 3: the store is damaged, and its readable records are shown; 1: the store doesn't exist,
+can't be read or, for `forget`, belongs to a running process; 2: the command line is invalid.
 """
 
 from __future__ import annotations
@@ -34,20 +34,21 @@
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_DAMAGED = 3
-MAX_ROWS_PER_KIND = 20  # that `show` prints without --all
+MAX_ROWS_PER_KIND = 20  # Rows that `show` prints per kind without --all.
 OUTAGES_BY_FLAG = {outage.name.lower(): outage for outage in OutageScope}
 UNITS_S = (("d", 86_400), ("h", 3_600), ("min", 60))
-COLUMNS = ("trust", "why", "at")  # of a row, which `show` prints in columns of their own
-# Output names of stored fields whose own names the output uses: a record's kind, and why it counts so.
+COLUMNS = ("trust", "why", "at")  # Fields that `show` prints in columns of their own.
+# Output names of stored fields whose stored names have another meaning in the output: the kind of the record,
+# and the reason for its validity.
 OUTPUT_NAMES = {"kind": "server_kind", "why": "reason"}
 
 
 class CommandError(RecoveryError):
-    """A command can't be carried out; the message says why, and what to do."""
+    """Error of a command that can't be carried out; its message gives the cause and the remedy."""
 
 
 class Row(NamedTuple):
-    """One record as `show` prints it; `fields` have the names of the output."""
+    """One record as `show` prints it; `fields` uses the names of the output."""
 
     kind: str
     name: str
@@ -58,10 +59,10 @@
     """Read the store in a directory.
 
     Raises:
-        CommandError: there is none, or it can't be read.
+        CommandError: the directory holds no store, or the store can't be read.
     """
     if not path.is_dir():
-        raise CommandError(f"{path} is no folder; write the folder of `store` in [recovery]")
+        raise CommandError(f"{path} is not a folder; give the folder that `store` in [recovery] names")
     try:
         contents = read_store(StoreDirectory(path), None)
     except (StoreRejectedError, OSError) as error:
@@ -72,7 +73,7 @@
 
 
 def assessed_rows(contents: StoreContents, context: RestartContext) -> Iterable[Row]:
-    """Yield each record with how far it counts."""
+    """Yield each record with its validity and the reason for it."""
     for kind, table in contents.state.tables.items():
         for name, record in table.items():
             assessment = assess(record, context)
@@ -85,7 +86,7 @@
 
 
 def show(path: Path, outage: OutageScope, zone: str, show_all: bool, as_json: bool, now: float) -> int:
-    """Print all records and how far each would count now; return the exit code."""
+    """Print all records with the validity that each would have now; return the exit code."""
     contents = read(path)
     affected_zones = frozenset({zone}) if outage is OutageScope.ZONE else frozenset()
     context = RestartContext(
@@ -118,10 +119,10 @@
 def print_report(contents: StoreContents, context: RestartContext, show_all: bool) -> None:
     """Print the output of `show`."""
     written = format_age(contents.started_at, context.now)
-    print(f"generation {contents.generation}, begun {written}; judged as: {context.outage.value}")
+    print(f"generation {contents.generation}, started {written}; assumed outage: {context.outage.value}")
     if context.clock_went_backward:
         ahead = context.latest_known_time - context.now
-        print(f"the clock went back: the newest fact lies {ahead:.0f} s ahead of it")
+        print(f"the clock went back: the newest fact is {ahead:.0f} s ahead of the clock")
     counts: dict[str, int] = {}
     for row in assessed_rows(contents, context):
         counts[row.kind] = counts.get(row.kind, 0) + 1
@@ -133,31 +134,33 @@
 
 
 def print_row(row: Row, now: float) -> None:
-    """Print one record and, on a line of its own, why it counts as it does."""
-    rest = {name: value for name, value in row.fields.items() if name not in COLUMNS}
-    details = " ".join(f"{name}={value}" for name, value in rest.items() if value not in ("", 0, False))
+    """Print one record and, on the next line, the reason for its validity."""
+    other_fields = {name: value for name, value in row.fields.items() if name not in COLUMNS}
+    details = " ".join(
+        f"{name}={value}" for name, value in other_fields.items() if value not in ("", 0, False)
+    )
     age = format_age(row.fields["at"], now)
     print(f"{row.kind:<12}{row.name or '-':<20}{row.fields['trust']:<9}{age:<16}{details}")
     print(f"{'':<32}{row.fields['why']}")
 
 
 def format_age(at: float, now: float) -> str:
-    """Return how long ago or ahead a wall time lies, in the largest unit that fits twice."""
-    span = now - at
-    direction = "ago" if span >= 0 else "ahead"
+    """Format the distance of a wall time from `now`, in the largest unit of which it has at least two."""
+    distance = now - at
+    direction = "ago" if distance >= 0 else "ahead"
     for unit, size in UNITS_S:
-        if abs(span) >= 2 * size:
-            return f"{abs(span) / size:.0f} {unit} {direction}"
-    return f"{abs(span):.0f} s {direction}"
+        if abs(distance) >= 2 * size:
+            return f"{abs(distance) / size:.0f} {unit} {direction}"
+    return f"{abs(distance):.0f} s {direction}"
 
 
 def print_damage(contents: StoreContents) -> None:
-    """Print what can't be read."""
+    """Print the damage of a store and the size of its torn write."""
     for detail in contents.damage:
         print(f"damaged: {detail}")
     if contents.torn_bytes:
         torn_bytes = contents.torn_bytes
-        print(f"{torn_bytes} bytes of a record that was being written were left out, as they should be")
+        print(f"{torn_bytes} bytes of an incomplete write are ignored; this is not damage")
 
 
 def exit_code(contents: StoreContents) -> int:
@@ -177,19 +180,23 @@
 
 
 def forget(path: Path, kind: str, name: str, now: float) -> int:
-    """Remove one record as the process that owns the store would, which must not run.
+    """Remove one record in the same way as the process that owns the store; return the exit code.
+
+    That process must not be running.
 
     Raises:
-        CommandError: there is no such record, the store is in use or can't be written.
+        CommandError: the record doesn't exist, the store is in use, or the store can't be written.
     """
     if kind not in RECORD_TYPES:
-        raise CommandError(f"{kind} is no kind of fact; kinds are {', '.join(RECORD_TYPES)}")
+        raise CommandError(f"{kind} is not a kind of fact; the kinds are {', '.join(RECORD_TYPES)}")
     directory = StoreDirectory(path)
     contents = read(path)
     if name not in contents.state.tables[kind]:
-        raise CommandError(f"there is no {kind} {name!r} in {path}; `show --all` has all names")
+        raise CommandError(f"there is no {kind} {name!r} in {path}; `show --all` prints all names")
     if not directory.lock():
-        raise CommandError(f"a running process has {path}: end it first, or tell it by its own console")
+        raise CommandError(
+            f"a running process has {path} locked: stop the process first, or use its admin server instead"
+        )
     try:
         store = Store(directory, contents.owner)
         store.start_generation(read(path), now)
@@ -199,7 +206,7 @@
         raise CommandError(f"{path}: {error.strerror}") from None
     finally:
         directory.unlock()
-    print(f"{kind} {name} is forgotten")
+    print(f"{kind} {name} was removed")
     return EXIT_OK
 
 
@@ -211,15 +218,17 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    show_parser = commands.add_parser("show", help="what is in it, and what would be trusted now")
+    show_parser = commands.add_parser("show", help="print the records and how far each would be trusted now")
     show_parser.add_argument(
-        "--loss", choices=sorted(OUTAGES_BY_FLAG), default="unknown", help="what happened"
+        "--loss", choices=sorted(OUTAGES_BY_FLAG), default="unknown", help="outage that is assumed"
     )
-    show_parser.add_argument("--zone", default="", help="this proxy's zone, for --loss zone")
-    show_parser.add_argument("--all", action="store_true", help="each fact, however many")
+    show_parser.add_argument("--zone", default="", help="zone of this proxy, for --loss zone")
+    show_parser.add_argument("--all", action="store_true", help="print all facts of each kind")
     show_parser.add_argument("--json", action="store_true")
-    verify_parser = commands.add_parser("verify", help="whether it is whole")
-    forget_parser = commands.add_parser("forget", help="one fact out, while its process does not run")
+    verify_parser = commands.add_parser("verify", help="check that the store is whole")
+    forget_parser = commands.add_parser(
+        "forget", help="remove one fact while the process of the store is not running"
+    )
     for command in (show_parser, verify_parser, forget_parser):
         command.add_argument("store", type=Path, metavar="STORE")
     forget_parser.add_argument("kind", metavar="KIND")
@@ -228,7 +237,7 @@
 
 
 def main(argv: list[str] | None = None, now: float | None = None) -> int:
-    """Run the command; return its exit code. `now`: wall time, s, for tests."""
+    """Run the command and return its exit code; `now` replaces the wall time (s) in tests."""
     arguments = create_parser().parse_args(argv)
     now = time.time() if now is None else now
     try:
--- a/service_proxy/recovery/admission.py
+++ b/service_proxy/recovery/admission.py
@@ -1,4 +1,4 @@
-"""Admit or reject requests while service returns; once it has, only keep track of keyed requests."""
+"""Admission of requests during a recovery. After the recovery this filter only tracks keyed requests."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from service_proxy.recovery.staggered_start import IMMEDIATE_STARTS
 from service_proxy.recovery.validity_rules import RestartContext, RetryPermission, retry_permission
 
-MAY_HAVE_RUN = b"it may have run before the power was lost; ask what became of it\n"
+MAY_HAVE_BEEN_EXECUTED = b"it may have run before the power was lost; ask what became of it\n"
 NO_ENDPOINT_ANSWERS = b"no server answers yet\n"
-FIRST_ATTEMPTS_FIRST = b"service returns: first tries come first\n"
+RETRY_NOT_ADMITTED = b"service returns: first tries come first\n"
 OVER_INITIAL_CAPACITY = b"service returns: more than cold servers bear\n"
 
 
-class LoadSource(Protocol):
-    """Who knows how many requests are in flight: the dispatcher."""
+class InFlightCounter(Protocol):
+    """Source of the number of requests in flight; the dispatcher implements it."""
 
     @property
     def open_request_count(self) -> int:
-        """Requests in flight."""
+        """Number of requests in flight."""
 
 
 class RecoveryFilter:
-    """net.request_filters.RequestFilter.
+    """Request filter of recovery; implements net.request_filters.RequestFilter.
 
     Attributes:
-        phase: of the recovery; set by whoever drives it.
-        settings: in force.
-        keyed_requests: None where there is no store.
-        restart_context: against which restored requests are assessed.
-        dispatcher: set before the first request.
+        phase: phase of the recovery, set by the recovery service.
+        settings: settings in force.
+        keyed_requests: log of the keyed requests; None without a store.
+        restart_context: returns the context against which restored requests are assessed.
+        dispatcher: must be set before the first request.
     """
 
     consumed_headers: frozenset[bytes] = frozenset()
@@ -62,7 +62,7 @@
         self.keyed_requests = keyed_requests
         self.restart_context = restart_context
         self.phase = RecoveryPhase.UNAVAILABLE
-        self.dispatcher: LoadSource | None = None
+        self.dispatcher: InFlightCounter | None = None
 
     def on_settings_update(self, settings: Settings) -> None:
         """Use these settings from now on."""
@@ -73,7 +73,7 @@
     def on_request(
         self, request: Request, _abandon: Callable[[], None]
     ) -> RequestFilterState | Rejection | None:
-        """Reject a request that can't be served or must not be repeated, or track a keyed one."""
+        """Reject a request that can't be served or must not be repeated, or track a keyed request."""
         if self.phase is not RecoveryPhase.STEADY:
             rejection = self._rejection(request)
             if rejection is not None:
@@ -87,22 +87,23 @@
             isinstance(record, KeyedRequestRecord)
             and retry_permission(record, self.restart_context()) is RetryPermission.NEVER
         ):
-            return Rejection(MAY_HAVE_RUN, GATEWAY_TIMEOUT)
+            return Rejection(MAY_HAVE_BEEN_EXECUTED, GATEWAY_TIMEOUT)
         return KeyedRequestTracker(keyed_requests, key, request.class_name)
 
     def _rejection(self, request: Request) -> Rejection | None:
         mode = ADMISSION_BY_PHASE[self.phase]
         if mode is AdmissionMode.NONE and not self.settings.can_check_health:
-            mode = AdmissionMode.INITIAL_SHARE  # only a request finds an endpoint
+            # Without health checks only a request can show that an endpoint answers.
+            mode = AdmissionMode.INITIAL_SHARE
         if mode is AdmissionMode.NONE:
             return self._reject(NO_ENDPOINT_ANSWERS)
         if mode is AdmissionMode.INITIAL_SHARE:
             if request.is_retry:
-                return self._reject(FIRST_ATTEMPTS_FIRST)
+                return self._reject(RETRY_NOT_ADMITTED)
             if self._in_flight() >= self._initial_capacity():
                 return self._reject(OVER_INITIAL_CAPACITY)
         elif request.is_retry and self.random.random() > self._warm_share():
-            return self._reject(FIRST_ATTEMPTS_FIRST)
+            return self._reject(RETRY_NOT_ADMITTED)
         return None
 
     def _in_flight(self) -> int:
@@ -110,9 +111,10 @@
         return self.dispatcher.open_request_count
 
     def _initial_capacity(self) -> float:
-        """Return how many requests in flight are harmless if all endpoints are warming up.
+        """Return the number of requests in flight that is harmless if all endpoints are warming up.
 
-        That is IMMEDIATE_STARTS of each, over all proxies that the settings know of or that are alive.
+        Each answering endpoint can take IMMEDIATE_STARTS requests. This capacity is divided by the number of
+        proxies in the settings or the number of live proxies, whichever is larger.
         """
         proxies = max(self.settings.proxy_count, len(self.override.proxies))
         return max(1.0, IMMEDIATE_STARTS * len(self.override.first_answers) / proxies)
@@ -123,7 +125,7 @@
         return self.schedule.capacity(time.monotonic(), self.override.first_answers.values()) / known
 
     def retry_after(self, wait: float) -> float:
-        """Return the Retry-After (s) of any rejection: the policy's own, or later."""
+        """Return the Retry-After (s) of a rejection: the policy's, or a longer one during the recovery."""
         if self.phase is RecoveryPhase.STEADY:
             return wait
         return max(wait, self.schedule.reserve(time.monotonic(), self.override.first_answers.values()))
--- a/service_proxy/recovery/async_store_writer.py
+++ b/service_proxy/recovery/async_store_writer.py
@@ -1,8 +1,8 @@
-"""Write a store from an event loop: records become durable soon, by a thread, and no request waits for it.
+"""Writer of a store from an event loop. A thread makes the records durable, and no request waits for it.
 
-Pending operations are kept by kind and key, the latest alone, so their bound is that of the records
-themselves. Each batch is written and synced at once, at most one in FLUSH_INTERVAL_S. Where the disk fails,
-all goes on in memory, and a new generation is tried each RETRY_INTERVAL_S.
+Only the latest pending operation of each kind and key is kept, so the bounds of the records also bound the
+pending operations. Each batch is written and synced at once, at most one per FLUSH_INTERVAL_S. If the disk
+fails, records stay in memory, and a new generation is tried every RETRY_INTERVAL_S.
 """
 
 from __future__ import annotations
@@ -33,14 +33,17 @@
 
 log = logging.getLogger("service_proxy.recovery")
 
-FLUSH_INTERVAL_S = 0.05  # between two batches: what a power loss takes at most, beside one fsync
-RETRY_INTERVAL_S = 5.0  # between two attempts at a disk that fails or a store that another process has
-SHUTDOWN_TIMEOUT_S = 2.0  # for which the end of a process waits for the last batch
-MAX_PENDING_RECORDS = 100_000  # that a failing disk leaves in memory; the sum of the kinds' bounds is less
+# Interval between two batches. A power loss loses at most the records of this interval and of one fsync.
+FLUSH_INTERVAL_S = 0.05
+# Interval between two attempts to write to a failing disk or to lock a store that another process has locked.
+RETRY_INTERVAL_S = 5.0
+SHUTDOWN_TIMEOUT_S = 2.0  # Longest wait for the last batch when the process ends.
+# Records that stay in memory while the disk fails. The sum of the bounds of all kinds is lower.
+MAX_PENDING_RECORDS = 100_000
 
 
 class RecordId(NamedTuple):
-    """What identifies a record in a store."""
+    """Identity of a record in a store."""
 
     kind: str
     key: str
@@ -50,11 +53,11 @@
     """Reads a store, takes its lock and writes it from a thread.
 
     Attributes:
-        contents: what the store held when it was read.
-        health: may be read at any time.
-        health_detail: why it is not open, for the operator.
-        submitted_count: operations so far.
-        durable_count: of these, on the disk.
+        contents: contents of the store when it was read.
+        health: state of the store; may be read at any time.
+        health_detail: reason, for the operator, for which the store is not open.
+        submitted_count: number of operations submitted so far.
+        durable_count: number of these operations that are on the disk.
     """
 
     def __init__(
@@ -64,7 +67,7 @@
         clock: Clock,
         store_class: Callable[[StoreDirectory, StoreOwner], Store] = Store,
     ) -> None:
-        """Read the store, and take the lock where it is free. What is wrong with either shows in `health`."""
+        """Read the store, and take its lock if the lock is free. Any problem sets `health`."""
         self.directory = directory
         self.owner = owner
         self.clock = clock
@@ -83,11 +86,11 @@
 
     @property
     def state(self) -> PersistedState:
-        """All records, as they were read."""
+        """All records that were read from the store."""
         return self.contents.state
 
     def start(self) -> None:
-        """Start the thread, unless the store is not for this process."""
+        """Start the thread, unless the store was rejected."""
         if self.health is not StoreHealth.REJECTED:
             self.thread.start()
 
@@ -111,7 +114,7 @@
             self.changed.notify()
 
     def wait_until_durable(self, timeout: float) -> bool:
-        """Wait until all that was submitted is durable; return whether it is. For tests."""
+        """Wait until all submitted operations are durable; return whether they are. For tests."""
         with self.changed:
             return self.changed.wait_for(self._is_all_durable, timeout)
 
@@ -120,7 +123,7 @@
         return self.health is StoreHealth.OPEN and is_written
 
     def stop(self) -> None:
-        """Write the last batch, where that takes no more than SHUTDOWN_TIMEOUT_S, and release the lock."""
+        """Write the last batch, within at most SHUTDOWN_TIMEOUT_S, and release the lock."""
         with self.changed:
             self.is_stopping = True
             self.changed.notify()
@@ -129,7 +132,7 @@
         self.directory.unlock()
 
     def _read_directory(self) -> None:
-        """Read the store and find out whether it is this process's to write."""
+        """Read the store, and determine whether this process may write it."""
         try:
             self.directory.create_directory()
         except OSError as error:
@@ -152,7 +155,7 @@
             self._set_health(StoreHealth.OPEN, "")
 
     def _acquire_lock(self) -> bool:
-        """Return whether this process holds the lock now."""
+        """Take the lock if it is free; return whether this process holds the lock now."""
         if self.directory.is_locked:
             return True
         try:
@@ -161,7 +164,7 @@
         except OSError as error:
             self._set_health(StoreHealth.READ_ONLY, f"{self.directory.path}: {error.strerror}")
         else:
-            self._set_health(StoreHealth.BUSY, f"another process holds {self.directory.path}")
+            self._set_health(StoreHealth.BUSY, f"another process has {self.directory.path} locked")
         return False
 
     def _log_damage(self, known_damage: list[str]) -> None:
@@ -183,16 +186,16 @@
         level = logging.INFO if health in (StoreHealth.OPEN, StoreHealth.CLOSED) else logging.ERROR
         log.log(level, 'store_health_changed health=%s detail="%s"', health.name.lower(), detail)
 
-    # In the thread.
+    # Methods that run in the thread.
 
     def _run(self) -> None:
-        self._flush({})  # starts a generation
+        self._flush({})  # Starts a generation.
         while not self.is_stopping:
             with self.changed:
                 self.changed.wait_for(
                     lambda: self.is_stopping or self._has_writable_batch(), RETRY_INTERVAL_S
                 )
-            with self.changed:  # what is submitted within the interval goes into the same batch
+            with self.changed:  # Operations that are submitted within the interval join the same batch.
                 self.changed.wait_for(lambda: self.is_stopping, FLUSH_INTERVAL_S)
                 batch = self.pending
                 self.pending = {}
@@ -213,9 +216,10 @@
                 return
         except OSError as error:
             self._set_failing(error)
-            if self.store is not None:  # it has the batch in its state: the next generation writes it
+            if self.store is not None:  # The store's state has the batch, so the next generation writes it.
                 return
-        with self.changed:  # what was submitted meanwhile is later, and counts
+        # Operations that were submitted meanwhile are later and replace those of the batch.
+        with self.changed:
             self.pending = {**batch, **self.pending}
 
     def _append(self, store: Store, batch: dict[RecordId, RawRecord]) -> None:
@@ -229,7 +233,7 @@
             self.changed.notify_all()
 
     def _ensure_store(self) -> Store | None:
-        """Return the store to write to; None while another process holds it."""
+        """Return the store to write to; None while another process holds its lock."""
         if self.store is not None:
             return self.store
         if not self.directory.is_locked:
--- a/service_proxy/recovery/endpoint_override.py
+++ b/service_proxy/recovery/endpoint_override.py
@@ -1,9 +1,10 @@
-"""What recovery changes in endpoint lists. Pure: the caller brings the time.
+"""Changes that recovery makes to endpoint lists. Pure: the caller passes the time.
 
-It marks the endpoints that are warming up and says when this proxy may first send to each, drains those that
-were in maintenance before, and rejects a list that names hardly any endpoint. It acts on lists as they come,
-before any other override, and says what changes when more is known of the outage. With no outage and nothing
-in maintenance it changes nothing.
+The override marks the endpoints that are warming up and sets the earliest time at which this proxy may send
+to each of them. It drains endpoints that were in maintenance before the restart, and it rejects a list that
+names too few endpoints. It processes the sources' lists before any other override, and returns the changes
+that follow from a new finding about the outage. Without an outage and without maintenance it changes
+nothing.
 """
 
 from __future__ import annotations
@@ -15,29 +16,31 @@
 from service_proxy.policy.events import EndpointState
 from service_proxy.recovery.staggered_start import start_delay, start_rank
 
-MIN_LISTED_SHARE = 0.5  # of the known endpoints, below which a complete list is not believed
-MAX_CONNECTION_FAILURES = 3  # in a row, after which an endpoint that had answered counts as failed
+# Smallest share of the known endpoints that a complete list must name to be accepted as complete.
+MIN_LISTED_SHARE = 0.5
+# Consecutive connection failures after which an endpoint that had answered is marked as failed.
+MAX_CONNECTION_FAILURES = 3
 
 
 class EndpointListOverride:
-    """Keeps what is known of the endpoints while service returns. Times are monotonic, s.
+    """State of the endpoints during a recovery. Times are monotonic, s.
 
     Attributes:
-        listed: endpoints by the sources.
-        known: by the sources or from the store, while recovery lasts.
+        listed: endpoints that the sources list, by name.
+        known: endpoints that the sources list and, during the recovery, those of the store, by name.
         names_by_id: names of endpoints by endpoint id.
-        first_answers: when each endpoint that answers did so first.
-        connection_failures: of each endpoint, in a row.
-        in_maintenance: names of endpoints that were in maintenance before.
-        affected_zones: whose endpoints are warming up; None: all.
-        proxies: names of the proxies of the tier that are alive, sorted.
-        is_finished: recovery is over.
-        last_failure_at: when an endpoint that had answered failed last.
-        rejected_lists: lists that were not believed.
+        first_answers: time of the first answer of each endpoint that answers, by name.
+        connection_failures: number of consecutive connection failures of each endpoint, by name.
+        in_maintenance: names of the endpoints that were in maintenance before the restart.
+        affected_zones: zones whose endpoints are warming up; None: all zones.
+        proxies: names of the live proxies of the tier, sorted.
+        is_finished: the recovery has finished.
+        last_failure_at: time of the last failure of an endpoint that had answered.
+        rejected_lists: number of lists that were not accepted as complete.
     """
 
     def __init__(self, own_name: str, slow_start_window: float, started_at: float) -> None:
-        """Take this proxy's name, the slow-start window (s) and when this process started."""
+        """Initialise with this proxy's name, the slow-start window (s) and the start time of this process."""
         self.own_name = own_name
         self.slow_start_window = slow_start_window
         self.started_at = started_at
@@ -54,13 +57,13 @@
         self.rejected_lists = 0
 
     def add_restored(self, endpoints: Iterable[Endpoint]) -> None:
-        """Add endpoints of the store: addresses to check until a source names them."""
+        """Add endpoints of the store; their addresses are checked until a source lists them."""
         for endpoint in endpoints:
             self.known.setdefault(endpoint.name, endpoint)
             self.names_by_id[endpoint.entry.endpoint_id] = endpoint.name
 
     def apply(self, listing: EndpointList) -> EndpointList:
-        """Take in a source's list; return it as it comes into force."""
+        """Update the known endpoints from a source's list; return the list that comes into force."""
         if listing.is_snapshot and not self.is_finished and self._is_implausible(listing):
             self.rejected_lists += 1
             listing = EndpointList(listing.version, False, listing.endpoints)
@@ -69,7 +72,7 @@
         for endpoint in listing.endpoints:
             if endpoint.entry.state is EndpointState.REMOVED:
                 self.listed.pop(endpoint.name, None)
-                self._forget(endpoint.name)
+                self._remove_known(endpoint.name)
             else:
                 self.listed[endpoint.name] = endpoint
                 self.known[endpoint.name] = endpoint
@@ -80,25 +83,28 @@
     def _is_implausible(self, listing: EndpointList) -> bool:
         """Return whether a complete list names too few endpoints.
 
-        A source that has just started may name few or none; that does not remove those that answer.
+        A source that has just started may name few endpoints or none. Such a list must not remove endpoints
+        that answer.
         """
-        named = sum(endpoint.entry.state is not EndpointState.REMOVED for endpoint in listing.endpoints)
-        answering = sum(name in self.first_answers for name in self.known)
-        return named < MIN_LISTED_SHARE * len(self.known) and (answering > 0 or not named)
+        listed_count = sum(
+            endpoint.entry.state is not EndpointState.REMOVED for endpoint in listing.endpoints
+        )
+        answering_count = sum(name in self.first_answers for name in self.known)
+        return listed_count < MIN_LISTED_SHARE * len(self.known) and (answering_count > 0 or not listed_count)
 
     def _remove_unlisted(self, listing: EndpointList) -> None:
         self.listed = {}
         names = {endpoint.name for endpoint in listing.endpoints}
         for name in [name for name in self.known if name not in names]:
-            self._forget(name)
+            self._remove_known(name)
 
-    def _forget(self, name: str) -> None:
+    def _remove_known(self, name: str) -> None:
         self.known.pop(name, None)
         self.first_answers.pop(name, None)
         self.connection_failures.pop(name, None)
 
     def effective_endpoint(self, endpoint: Endpoint) -> Endpoint:
-        """Return an endpoint as it is in force: draining, or warming up from its first answer."""
+        """Return an endpoint as it is in force: draining, or warming up since its first answer."""
         entry = endpoint.entry
         if endpoint.name in self.in_maintenance and entry.state is EndpointState.SERVING:
             entry = replace(entry, state=EndpointState.DRAINING)
@@ -114,15 +120,15 @@
         return endpoint if entry is endpoint.entry else replace(endpoint, entry=entry)
 
     def is_warming_up(self, zone: str) -> bool:
-        """Return whether endpoints of a zone lost power, whatever a list says of their start."""
+        """Return whether the endpoints of a zone lost power, whatever start time a list gives for them."""
         return self.affected_zones is None or zone in self.affected_zones
 
     def effective_list(self) -> EndpointList:
-        """Return all known endpoints as they are in force, for when more is known of the outage."""
+        """Return all known endpoints as they are in force, for use after the outage finding has changed."""
         return EndpointList(0, False, [self.effective_endpoint(endpoint) for endpoint in self.known.values()])
 
     def update_outage(self, affected_zones: frozenset[str] | None, proxies: Collection[str]) -> bool:
-        """Take in which zones are affected and which proxies are alive; return whether lists change by it."""
+        """Set the affected zones and the live proxies; return whether this changes endpoint lists."""
         sorted_proxies = tuple(sorted({self.own_name, *proxies}))
         is_changed = (affected_zones, sorted_proxies) != (self.affected_zones, self.proxies)
         was_affected = self.affected_zones is None or bool(self.affected_zones)
@@ -132,11 +138,14 @@
         return is_changed and (is_affected or was_affected)
 
     def finish(self) -> EndpointList:
-        """End the recovery: lists are believed again. Return the removal of what was kept against them."""
+        """End the recovery, and return the removal of all endpoints that no source lists.
+
+        From now on, complete lists are always accepted.
+        """
         self.is_finished = True
         unlisted = [endpoint for name, endpoint in self.known.items() if name not in self.listed]
         for endpoint in unlisted:
-            self._forget(endpoint.name)
+            self._remove_known(endpoint.name)
         removed = [
             replace(endpoint, entry=replace(endpoint.entry, state=EndpointState.REMOVED))
             for endpoint in unlisted
@@ -144,7 +153,7 @@
         return EndpointList(0, False, removed)
 
     def record_answer(self, endpoint_id: int, now: float) -> EndpointList | None:
-        """Note that an endpoint's process answered; return what changes where it is the first time."""
+        """Record an answer of an endpoint; return the list change that its first answer causes, if any."""
         name = self.names_by_id.get(endpoint_id)
         if name is None or name not in self.known:
             return None
@@ -158,7 +167,7 @@
         return EndpointList(0, False, [self.effective_endpoint(endpoint)])
 
     def record_failure(self, endpoint_id: int, now: float) -> bool:
-        """Note a connection that was refused or broke; return whether the endpoint has failed by it."""
+        """Record a refused or broken connection; return whether it marks the endpoint as failed."""
         name = self.names_by_id.get(endpoint_id)
         if name is None or name not in self.first_answers:
             return False
@@ -170,7 +179,7 @@
         return True
 
     def all_warm(self, now: float) -> bool:
-        """Return whether all that answer have done so for a slow-start window, or lost nothing."""
+        """Return whether each answering endpoint lost no power or has answered for a slow-start window."""
         return all(
             now - at >= self.slow_start_window
             for name, at in self.first_answers.items()
--- a/service_proxy/recovery/keyed_requests.py
+++ b/service_proxy/recovery/keyed_requests.py
@@ -1,4 +1,4 @@
-"""Keep requests that must not take effect twice over a restart of the proxy."""
+"""Records of requests that must not take effect twice, kept across a restart of the proxy."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from service_proxy.recovery.validity_rules import ALL_ENDPOINTS
 
 DIGEST_BYTES = 16
-NO_SCOPE = ""  # no endpoint is known to drop a duplicate
+NO_SCOPE = ""  # Deduplication scope without any endpoint that is known to drop a duplicate.
 
 
 class RecordWriter(Protocol):
-    """Where records go: the asynchronous store writer."""
+    """Destination of records; the asynchronous store writer implements it."""
 
     def put(self, key: str, record: PersistedRecord) -> None:
         """Add or replace a record."""
@@ -31,24 +31,25 @@
 
 
 def record_key(request_class: str, idempotency_key: bytes) -> str:
-    """Return the key of a request's record; its idempotency key may be any bytes."""
+    """Return the key of a request's record. The idempotency key may consist of any bytes."""
     text = request_class.encode() + b"\0" + idempotency_key
     return blake2b(text, digest_size=DIGEST_BYTES, person=b"keyed").hexdigest()
 
 
 class KeyedRequestLog:
-    """Records keyed requests from their first attempt until a client can no longer retry them.
+    """Log of keyed requests, each from its first attempt until a client can no longer retry it.
 
     Attributes:
-        restored: records of the store, by key.
+        restored: records that were read from the store, by key.
     """
 
     def __init__(self, writer: RecordWriter, clock: Clock, state: PersistedState, settings: Settings) -> None:
-        """Start from a store's state with the settings in force."""
+        """Start from a store's state and the settings in force."""
         self.writer = writer
         self.clock = clock
         self.restored = state.tables[KeyedRequestRecord.KIND]
-        self.expiries: deque[tuple[float, str]] = deque()  # monotonic, s, and key; in order of recording
+        # Expiry (monotonic, s) and key, in the order of recording.
+        self.expiries: deque[tuple[float, str]] = deque()
         self.classes: dict[str, RequestClass] = {}
         self.zone = ""
         self.update_settings(settings)
@@ -70,10 +71,10 @@
         self.expiries.append((time.monotonic() + lifetime, key))
 
     def _deduplication_scope(self, request_class: RequestClass) -> str:
-        """Return which endpoints drop a duplicate, as a record has it.
+        """Return which endpoints drop a duplicate, in the form of the record's field.
 
-        A request is recorded before its first attempt, when the cell that this will reach isn't known. So no
-        endpoint is known to drop a duplicate where only those of one cell do.
+        A request is recorded before its first attempt, when the cell that the attempt will reach is unknown.
+        If only the endpoints of one cell drop a duplicate, the result is therefore NO_SCOPE.
         """
         if request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return NO_SCOPE
@@ -81,18 +82,18 @@
             return ALL_ENDPOINTS
         return self.zone if request_class.idempotency_scope is IdempotencyScope.ZONE else NO_SCOPE
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Remove the record of a request that was never executed."""
         self.writer.drop(KeyedRequestRecord.KIND, key)
 
     def drop_expired(self, now: float) -> None:
-        """Remove the records of requests that no client can retry any more. `now`: monotonic, s."""
+        """Remove the records of requests that no client can retry any more. `now` is monotonic, s."""
         while self.expiries and self.expiries[0][0] < now:
-            self.forget(self.expiries.popleft()[1])
+            self.remove(self.expiries.popleft()[1])
 
 
 class KeyedRequestTracker:
-    """Per-request filter state of one keyed or unsafe request: net.request_filters.RequestFilterState."""
+    """Filter state of one keyed or unsafe request; implements net.request_filters.RequestFilterState."""
 
     __slots__ = ("class_name", "is_recorded", "key", "request_log")
     deadline = math.inf
@@ -115,16 +116,16 @@
         return b""
 
     def on_attempt_end(self, _attempt: UpstreamAttempt, status: AttemptStatus) -> None:
-        """Forget a request that was not executed, as long as no other attempt was."""
+        """Remove the record of a request that was not executed, unless another attempt may have run."""
         if status not in NEVER_EXECUTED:
             self.key = ""
         elif self.key:
             self.is_recorded = False
-            self.request_log.forget(self.key)
+            self.request_log.remove(self.key)
 
     def response_headers(self) -> HeaderFields:
-        """Add nothing to the answer."""
+        """Return no header fields."""
         return ()
 
     def on_request_end(self, answered: bool) -> None:
-        """Nothing is left to do."""
+        """Do nothing."""
--- a/service_proxy/recovery/member_survey.py
+++ b/service_proxy/recovery/member_survey.py
@@ -1,6 +1,6 @@
-"""Ask the other proxies what they say of their recovery, by datagrams, and answer them.
+"""Survey of the other proxies' recovery status by datagrams, and the answers to their queries.
 
-What follows from the answers is `peer_survey`'s to say.
+`peer_survey` determines the outage from the answers.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from service_proxy.recovery.peer_survey import Peer, RecoveryStatus, decode_status
 from service_proxy.recovery.phases import RecoveryPhase
 
-PORT = 2  # of recovery's datagrams and member metadata, among the parts that use the fleet
-# The first byte of a datagram; the sender's status follows.
-QUESTION = b"?"
+PORT = 2  # Port of recovery's datagrams and member metadata, among the subsystems that use the fleet.
+# Kinds of datagrams. The kind is the first byte, and the sender's status follows.
+QUERY = b"?"
 ANSWER = b"!"
-MAX_QUESTIONS = 4  # per round, to members of the own zone and again to others
-MAX_ANSWERS = 20_000  # members whose answers are kept
+MAX_QUERIES = 4  # Queries per round to members of the own zone, and as many to members of other zones.
+MAX_ANSWERS = 20_000  # Members whose answers are kept.
 
 
 class MemberSurvey:
-    """Asks the members of the fleet, a few per round.
+    """Survey of the members of the fleet, a few per round.
 
     Attributes:
-        answers: the latest status of each member that answered or asked, by its key.
+        answers: latest status of each member that answered or queried, by the member's key.
     """
 
     def __init__(
@@ -33,27 +33,28 @@
         zone: Callable[[], str],
         own_status: Callable[[], bytes],
     ) -> None:
-        """Take the fleet's view and channel, this proxy's zone and its encoded status."""
+        """Initialise; `zone` returns this proxy's zone, and `own_status` its encoded status."""
         self.view = view
         self.channel = channel
         self.zone = zone
         self.own_status = own_status
         self.answers: dict[bytes, RecoveryStatus] = {}
         self.next_member = 0
-        self.recovered_together: set[tuple[str, tuple[int, ...]]] = set()  # name and process of a member
+        # Name and process of each member that restarted in the same outage as this process.
+        self.recovered_in_same_outage: set[tuple[str, tuple[int, ...]]] = set()
         channel.receive(PORT, self._on_datagram)
 
     def query(self) -> None:
-        """Query some of the members that have not answered this process yet, or are not steady."""
-        silent = [member for member in self.view.members() if self._needs_query(member)]
+        """Query some of the members that have not answered this process yet or are not steady."""
+        unanswered = [member for member in self.view.members() if self._needs_query(member)]
         zone = self.zone()
-        local = [member for member in silent if member.zone == zone]
-        remote = [member for member in silent if member.zone != zone]
-        self.next_member += MAX_QUESTIONS
-        for members in (local, remote):
-            for offset in range(min(MAX_QUESTIONS, len(members))):
+        own_zone_members = [member for member in unanswered if member.zone == zone]
+        other_zone_members = [member for member in unanswered if member.zone != zone]
+        self.next_member += MAX_QUERIES
+        for members in (own_zone_members, other_zone_members):
+            for offset in range(min(MAX_QUERIES, len(members))):
                 member = members[(self.next_member + offset) % len(members)]
-                self.channel.send(PORT, QUESTION + self.own_status(), member.key)
+                self.channel.send(PORT, QUERY + self.own_status(), member.key)
 
     def _needs_query(self, member: FleetMember) -> bool:
         if member.state != "alive" or member.key == self.view.own_key:
@@ -62,18 +63,18 @@
         return answer is None or answer.phase < RecoveryPhase.STEADY
 
     def _on_datagram(self, sender: bytes, data: bytes) -> None:
-        """Keep the sender's status, and answer a question."""
+        """Store the sender's status, and answer a query."""
         kind = data[:1]
         status = decode_status(data[1:])
-        if status is None or kind not in (QUESTION, ANSWER):
+        if status is None or kind not in (QUERY, ANSWER):
             return
         if len(self.answers) < MAX_ANSWERS or sender in self.answers:
             self.answers[sender] = status
-        if kind == QUESTION:
+        if kind == QUERY:
             self.channel.send(PORT, ANSWER + self.own_status(), sender)
 
     def peers(self) -> list[Peer]:
-        """Return all others that the view knows and that have not left."""
+        """Return all other members of the view that have not left."""
         return [
             self._peer(member)
             for member in self.view.members()
@@ -83,14 +84,14 @@
     def _peer(self, member: FleetMember) -> Peer:
         """Return a member with its status.
 
-        One that was recovering when this process first received its answer has come back from the same
-        outage, and is no survivor when it is steady.
+        A member that was recovering when this process first received its answer restarted in the same outage.
+        Such a member doesn't count as a survivor after it has become steady.
         """
         status = self.answers.get(member.key)
         process = (member.name, member.incarnation[:2])
         if status is not None and status.phase is not RecoveryPhase.STEADY:
-            self.recovered_together.add(process)
-        elif status is not None and process in self.recovered_together:
+            self.recovered_in_same_outage.add(process)
+        elif status is not None and process in self.recovered_in_same_outage:
             status = RecoveryStatus(RecoveryPhase.RAMP, status.machine_stayed_up, status.outage_at)
         is_alive = member.state in ("alive", "suspect") and member.phase != "leaving"
         return Peer(member.name, member.zone, is_alive, status)
--- a/service_proxy/recovery/persisted_records.py
+++ b/service_proxy/recovery/persisted_records.py
@@ -1,12 +1,13 @@
-"""The kinds of records that a store holds, and the state that a sequence of operations builds. Pure.
+"""Kinds of records in a store, and the state that a sequence of operations builds. Pure.
 
-Times are wall times in s since 1970, for a record outlives its process. Each kind has a bound on its number;
-what exceeds it is evicted, oldest first. Where an evicted record protected against harm, the state keeps the
-time until which everything of this kind has to count as lost (`evicted_until`).
+Times are wall times in s since 1970, because a record outlives its process. The number of records of each
+kind is bounded, and the oldest excess records are evicted. If an evicted record protected against a
+duplicate execution, the state keeps the time until which any record of this kind may be missing
+(`evicted_until`).
 
 The names of kinds and of fields in the files are part of the stored format and stay as the first version
-wrote them. A field whose attribute has another name says so by `stored_as`; this module is the only place
-that translates.
+wrote them. An attribute whose field has another name in the files declares that name by `stored_as`. Only
+this module translates the names.
 """
 
 from __future__ import annotations
@@ -18,29 +19,29 @@
 from service_proxy.recovery.record_format import RawRecord, RecoveryError
 
 MAX_KEY_BYTES = 256
-MAX_MAGNITUDE = 1e18  # of a number in a file; beyond it nothing is a time, rate or weight
-STORED_NAME = "stored name"  # of a field's metadata
+MAX_MAGNITUDE = 1e18  # Limit of the absolute value of a number in a file. No time, rate or weight reaches it.
+STORED_NAME = "stored name"  # Key of the stored name in a field's metadata.
 
 
 class MalformedRecordError(RecoveryError, ValueError):
-    """A record in a file lacks a field or has one of the wrong type; the message says which."""
+    """Error of a record in a file that lacks a field or has one of the wrong type; the message names it."""
 
 
 def stored_as(name: str) -> dict[str, str]:
-    """Return the metadata of a field that has another name in the file than its attribute."""
+    """Return the metadata of a field whose name in the file differs from its attribute."""
     return {STORED_NAME: name}
 
 
 @dataclass(frozen=True, slots=True)
 class BootRecord:
-    """The last start of a process of this name.
+    """Last start of a process of this name.
 
     Attributes:
-        start_count: starts so far, this one among them.
+        start_count: number of starts so far, with this one.
         recorded_at: wall time, s.
-        machine_id: of the machine, "" if it has none.
-        boot_id: of the machine's boot, "" if it has none.
-        ended_at: wall time of an orderly end, s; 0: none (yet).
+        machine_id: identifier of the machine, "" for a machine without one.
+        boot_id: identifier of the machine's boot, "" for a machine without one.
+        ended_at: wall time of an orderly end, s; 0: no orderly end was recorded.
     """
 
     KIND: ClassVar[str] = "boot"
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSourceRecord:
-    """The latest version of a source's endpoint list that was in force."""
+    """Latest version of a source's endpoint list that was in force."""
 
     KIND: ClassVar[str] = "source"
     MAX_COUNT: ClassVar[int] = 16
@@ -64,10 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """An endpoint of the list in force.
+    """Endpoint of the list in force.
 
     Attributes:
-        started_at: wall time at which it started, by the list, s; 0: long ago.
+        started_at: wall time at which the endpoint started according to the list, s; 0: long ago.
     """
 
     KIND: ClassVar[str] = "server"
@@ -84,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceRecord:
-    """An endpoint that staff or a rolling operation took out of service.
+    """Endpoint that an operator or a rolling operation has taken out of service.
 
     Attributes:
-        is_returning: it is back in service and warming up.
+        is_returning: the endpoint is in service again and warming up.
     """
 
     KIND: ClassVar[str] = "maintenance"
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """Another proxy, as the membership view had it last."""
+    """Another proxy, as the membership view last showed it."""
 
     KIND: ClassVar[str] = "member"
     MAX_COUNT: ClassVar[int] = 20_000
@@ -112,11 +113,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PerformanceRecord:
-    """What the policy learned of an endpoint by its answers.
+    """Performance of an endpoint that the policy measured from its answers.
 
     Attributes:
-        typical_latency: s.
-        concurrency_limit: requests in flight.
+        typical_latency: typical latency, s.
+        concurrency_limit: limit of requests in flight.
     """
 
     KIND: ClassVar[str] = "learned"
@@ -128,12 +129,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRequestRecord:
-    """A request that must not take effect twice, and that may have been executed.
+    """Request that must not take effect twice and that may have been executed.
 
     Attributes:
-        deduplication_scope: which endpoints drop a duplicate: the name of a zone, or "all"; "": none is
-            known to, also where those of one cell do (for these, earlier versions wrote "all").
-        expires_at: wall time until which a client may retry it, s.
+        deduplication_scope: endpoints that drop a duplicate: the name of a zone, or "all"; "": no endpoint is
+            known to drop one. The value is also "" if only the endpoints of one cell drop duplicates. Earlier
+            versions wrote "all" in that case.
+        expires_at: wall time until which a client may retry the request, s.
     """
 
     KIND: ClassVar[str] = "keyed"
@@ -171,7 +173,8 @@
     return str(item.metadata.get(STORED_NAME, item.name))
 
 
-# All by kind and by the fields' names in the file, in the order in which they are written.
+# Attributes, types and required fields by kind and by stored field name, in the order in which the fields are
+# written.
 ATTRIBUTES = {
     kind: {_stored_name(item): item.name for item in fields(cls)} for kind, cls in RECORD_TYPES.items()
 }
@@ -190,22 +193,23 @@
 }
 
 # Keys of operations in the files.
-PUT = "put"  # its value is the record's kind
+PUT = "put"  # The value is the record's kind.
 DROP = "drop"
-EVICTED = "blind"  # a kind of which records were evicted; "until" is the latest expiry among these
+# The value is a kind of which records were evicted; "until" is the latest expiry of these records.
+EVICTED = "blind"
 KEY = "key"
 UNTIL = "until"
 
 
 def stored_fields(record: PersistedRecord) -> dict[str, Any]:
-    """Return the fields of a record under their names in the file."""
+    """Return the fields of a record by their stored names."""
     return {name: getattr(record, attribute) for name, attribute in ATTRIBUTES[record.KIND].items()}
 
 
 def put_operation(key: str, record: PersistedRecord) -> RawRecord:
     """Return the operation that adds or replaces a record."""
     operation: RawRecord = {PUT: record.KIND, KEY: key}
-    # Each keyed request passes here: dataclasses.asdict takes five times as long.
+    # This code runs for each keyed request, and dataclasses.asdict takes five times as long.
     for name, attribute in ATTRIBUTES[record.KIND].items():
         operation[name] = getattr(record, attribute)
     return operation
@@ -217,7 +221,7 @@
 
 
 def parse_record(kind: str, raw: Mapping[str, Any]) -> PersistedRecord:
-    """Build a record of a known kind from an operation. Fields that a newer version knows are left out.
+    """Build a record of a known kind from an operation. Fields of newer versions are ignored.
 
     Raises:
         MalformedRecordError: a field is missing or has the wrong type.
@@ -228,13 +232,13 @@
     for name, value in raw.items():
         if name not in attributes:
             continue
-        is_excessive = type(value) is float and not abs(value) < MAX_MAGNITUDE  # also NaN
-        if type(value) not in JSON_TYPES[field_types[name]] or is_excessive:
-            raise MalformedRecordError(f"{name} of a {kind} is {value!r:.40}")
+        is_out_of_range = type(value) is float and not abs(value) < MAX_MAGNITUDE  # Also true for NaN.
+        if type(value) not in JSON_TYPES[field_types[name]] or is_out_of_range:
+            raise MalformedRecordError(f"field {name} of a {kind} record has the invalid value {value!r:.40}")
         values[attributes[name]] = value
     missing = REQUIRED_FIELDS[kind] - raw.keys()
     if missing:
-        raise MalformedRecordError(f"a {kind} without {', '.join(sorted(missing))}")
+        raise MalformedRecordError(f"a {kind} record lacks {', '.join(sorted(missing))}")
     record: PersistedRecord = RECORD_TYPES[kind](**values)
     return record
 
@@ -245,8 +249,8 @@
 
     Attributes:
         tables: records by key, for each kind.
-        evicted_until: kinds of which protective records were evicted, with the latest expiry of these.
-        unknown_records: operations on kinds that only a newer version knows.
+        evicted_until: latest expiry of the evicted protective records, by kind.
+        unknown_records: number of operations on kinds that only a newer version defines.
     """
 
     tables: dict[str, dict[str, PersistedRecord]] = field(
@@ -259,11 +263,11 @@
         """Apply one operation.
 
         Raises:
-            MalformedRecordError: it can't be applied; nothing has changed then.
+            MalformedRecordError: the operation can't be applied; the state is unchanged.
         """
         key = operation.get(KEY)
         if not isinstance(key, str) or len(key.encode()) > MAX_KEY_BYTES:
-            raise MalformedRecordError("a record without a key")
+            raise MalformedRecordError("an operation without a valid key")
         kind = operation.get(PUT) or operation.get(DROP) or operation.get(EVICTED)
         if kind not in RECORD_TYPES:
             self.unknown_records += 1
@@ -279,17 +283,17 @@
         else:
             until = operation.get(UNTIL)
             if not isinstance(until, int | float):
-                raise MalformedRecordError("an eviction without a time")
-            self._note_eviction(kind, float(until))
+                raise MalformedRecordError("an eviction without an expiry time")
+            self._record_eviction(kind, float(until))
 
     def _evict_excess(self, kind: str) -> None:
         table = self.tables[kind]
         while len(table) > RECORD_TYPES[kind].MAX_COUNT:
             evicted = table.pop(next(iter(table)))
             if isinstance(evicted, KeyedRequestRecord):
-                self._note_eviction(kind, evicted.expires_at)
+                self._record_eviction(kind, evicted.expires_at)
 
-    def _note_eviction(self, kind: str, until: float) -> None:
+    def _record_eviction(self, kind: str, until: float) -> None:
         self.evicted_until[kind] = max(self.evicted_until.get(kind, 0.0), until)
 
     def operations(self) -> Iterator[RawRecord]:
@@ -301,7 +305,7 @@
                 yield put_operation(key, record)
 
     def copy(self) -> PersistedState:
-        """Return a copy that can be changed by itself; records are immutable and shared."""
+        """Return a copy that can be changed independently. Records are immutable and shared."""
         tables = {kind: dict(table) for kind, table in self.tables.items()}
         return PersistedState(tables, dict(self.evicted_until))
 
@@ -310,13 +314,13 @@
 
     @property
     def boot(self) -> BootRecord | None:
-        """The last start of this process's name, if one was recorded."""
+        """Last recorded start of a process of this name, if any."""
         record = self.tables[BootRecord.KIND].get("")
         return record if isinstance(record, BootRecord) else None
 
     @property
     def latest_time(self) -> float:
-        """The latest wall time that any record has, s; 0 where there is none."""
+        """Latest wall time in any record, s; 0 without records."""
         latest = 0.0
         for table in self.tables.values():
             for record in table.values():
--- a/service_proxy/recovery/phases.py
+++ b/service_proxy/recovery/phases.py
@@ -1,13 +1,14 @@
-"""The phases of a recovery as a transition table: what each admits, and what ends it. Pure.
+"""Phases of a recovery as a transition table: what each phase admits, and what ends it. Pure.
 
     UNAVAILABLE ──▶ SURVEYING ──▶ PROVISIONAL ──▶ RAMP ──▶ STEADY
-      ▲               │  local outage: only this one ended    ▲
+      ▲               │  local outage: process or machine     ▲
       │               └───────────────────────────────────────┤
       └── no endpoint answers, from any phase                 └── the time limit, from any phase
 
-A proxy that restarts alone in a steady fleet passes through UNAVAILABLE and SURVEYING in the time that it
-takes to receive one survivor's answer. What is admitted while the outage is unknown would be harmless if all
-endpoints were warming up, so waiting for certainty costs service only where there may be none.
+A proxy that restarts alone in a steady fleet passes through UNAVAILABLE and SURVEYING within the time that
+it takes to receive one survivor's answer. The requests that are admitted while the outage is unknown would
+be harmless even if all endpoints were warming up. So the wait for a certain finding reduces service only
+where the outage may have ended all service.
 """
 
 from __future__ import annotations
@@ -18,29 +19,30 @@
 
 from service_proxy.recovery.validity_rules import OutageScope
 
-MAX_SURVEY_S = 10.0  # for which peers are asked what happened
-MAX_LIST_WAIT_S = 10.0  # more, for which a current list and a settled view are waited for
-MAX_RAMP_WINDOWS = 2.0  # slow-start windows that a ramp may take ...
-RAMP_MARGIN_S = 15.0  # ... and this beyond: after that admission is the policy's alone
-MIN_STABLE_S = 2.0  # without a failing endpoint before a ramp that stepped back goes on
+MAX_SURVEY_S = 10.0  # Longest survey of the peers about the outage.
+MAX_LIST_WAIT_S = 10.0  # Longest wait, after the survey, for a current list and a settled membership view.
+MAX_RAMP_WINDOWS = 2.0  # Longest ramp in slow-start windows, without RAMP_MARGIN_S.
+RAMP_MARGIN_S = 15.0  # Added to the longest ramp. After this time only the policy limits admission.
+MIN_STABLE_S = 2.0  # Time without a failing endpoint before an interrupted ramp resumes.
 
 
 class RecoveryPhase(IntEnum):
-    """Where a recovery stands; the numbers travel in member metadata."""
+    """Phase of a recovery; member metadata contains its number."""
 
-    UNAVAILABLE = 0  # no endpoint answers: no request can succeed
-    SURVEYING = 1  # endpoints answer; peers are being asked what happened
-    PROVISIONAL = 2  # there was a wide outage, or it can't be told; list or view are not reliable yet
-    RAMP = 3  # admission rises with what has warmed up
-    STEADY = 4  # recovery takes no part in anything
+    UNAVAILABLE = 0  # No endpoint answers, so no request can succeed.
+    SURVEYING = 1  # Endpoints answer, and peers are queried about the outage.
+    # The outage is wide or can't be determined, and the list or the view is not reliable yet.
+    PROVISIONAL = 2
+    RAMP = 3  # Admission rises with the share of the capacity that has warmed up.
+    STEADY = 4  # The recovery has finished and changes nothing.
 
 
 class AdmissionMode(Enum):
-    """Which requests are admitted."""
+    """Rule that decides which requests are admitted."""
 
-    NONE = "none"  # rejected at once: no request can succeed
-    INITIAL_SHARE = "first attempts, as many as endpoints that warm up can take"
-    WARM_SHARE = "by the share that has warmed up; first attempts before retries"
+    NONE = "none"  # Requests are rejected at once, because none can succeed.
+    INITIAL_SHARE = "first attempts, up to the capacity of endpoints that are warming up"
+    WARM_SHARE = "by the share of the capacity that has warmed up; first attempts before retries"
     ALL = "all"
 
 
@@ -55,17 +57,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What is known at one moment.
+    """Input of the transition table at one moment.
 
     Attributes:
-        responding_endpoints: endpoints that answer.
-        outage: what happened.
+        responding_endpoints: number of endpoints that answer.
+        outage: scope of the outage.
         is_view_settled: the membership view has settled.
-        is_list_current: the list in force comes from a source, not from the store.
+        is_list_current: the list in force was received from a source and not restored from the store.
         is_warm: all endpoints that answer have been up for a slow-start window.
-        has_recent_failures: endpoints that had answered failed within MIN_STABLE_S.
-        elapsed: since this process started, s.
-        slow_start_window: of an endpoint, s.
+        has_recent_failures: endpoints that had answered have failed within MIN_STABLE_S.
+        elapsed: time since this process started, s.
+        slow_start_window: slow-start window of an endpoint, s.
     """
 
     responding_endpoints: int = 0
@@ -79,22 +81,22 @@
 
     @property
     def max_duration(self) -> float:
-        """Time after which a recovery ends however it stands, s."""
+        """Longest duration of a recovery, s. After this time the recovery ends in any phase."""
         return MAX_SURVEY_S + MAX_LIST_WAIT_S + MAX_RAMP_WINDOWS * self.slow_start_window + RAMP_MARGIN_S
 
 
 class TransitionGuard(Enum):
-    """Conditions of transitions, with their text for the log."""
+    """Condition of a transition; its value is the text for the log."""
 
     TIME_LIMIT = "the time limit is reached"
     NO_ENDPOINTS = "no endpoint answers"
     ENDPOINT_RESPONDS = "an endpoint answers"
     LOCAL_OUTAGE = "only this process or machine ended"
     WIDE_OUTAGE = "a zone or the fleet lost power"
-    SURVEY_TIMEOUT = "the survey took its longest time"
+    SURVEY_TIMEOUT = "the survey reached its time limit"
     VIEW_AND_LIST_READY = "the view has settled and the list is current"
-    LIST_TIMEOUT = "view and list were waited for long enough"
-    ENDPOINTS_FAILED = "endpoints failed again"
+    LIST_TIMEOUT = "the wait for the view and the list reached its time limit"
+    ENDPOINTS_FAILED = "endpoints that had answered failed again"
     ENDPOINTS_WARM = "the endpoints that answer have warmed up"
 
 
@@ -120,11 +122,11 @@
 
 
 def guard_holds(guard: TransitionGuard, observation: Observation) -> bool:
-    """Return whether a condition is met."""
+    """Return whether the condition of a guard is met."""
     return _CONDITIONS[guard](observation)
 
 
-# The first guard that holds decides.
+# Transitions by phase. The first guard whose condition is met decides.
 TRANSITIONS: dict[RecoveryPhase, tuple[tuple[TransitionGuard, RecoveryPhase], ...]] = {
     RecoveryPhase.UNAVAILABLE: (
         (TransitionGuard.TIME_LIMIT, RecoveryPhase.STEADY),
@@ -159,8 +161,8 @@
 def next_phase(
     phase: RecoveryPhase, observation: Observation
 ) -> tuple[RecoveryPhase, TransitionGuard | None]:
-    """Return the phase after this one and the guard that led there; None: the phase stays."""
-    for guard, following in TRANSITIONS[phase]:
+    """Return the next phase and the guard that caused the change; the guard is None if the phase stays."""
+    for guard, target_phase in TRANSITIONS[phase]:
         if guard_holds(guard, observation):
-            return following, guard if following is not phase else None
+            return target_phase, guard if target_phase is not phase else None
     return phase, None
--- a/service_proxy/recovery/record_format.py
+++ b/service_proxy/recovery/record_format.py
@@ -1,16 +1,17 @@
-r"""Encode log records as text lines, and decode what a crash left of a file. Pure.
+r"""Encoding of log records as text lines, and decoding of the lines that a crash left in a file. Pure.
 
-A snapshot or log file is a sequence of lines, each a record of its own:
+A snapshot or log file is a sequence of lines, and each line is one record:
 
     0000002a 00000028 5f3c9a01 {"put":"server","key":"n7", ...}\n
 
-The fields are the record's sequence number within the file (hexadecimal, from 0), the sequence number of the
-first record of its batch, the CRC-32 of generation, numbers and text (so that no line of another file is
-taken for one of this), and a JSON object without line breaks.
+The fields are the record's sequence number within the file (hexadecimal, from 0), the sequence number of
+the first record of its batch, the CRC-32 of generation, numbers and text, and a JSON object without line
+breaks. The checksum includes the generation so that a line of another file is not accepted as valid.
 
-A file is read up to the first line that is incomplete, fails its checksum or is out of sequence. What stands
-behind is a torn write: pages of one batch may reach the disk in any order. A valid line behind it whose batch
-started later than the broken record proves that the broken record was durable once; then it is damage.
+A file is read up to the first line that is incomplete, fails its checksum or is out of sequence. The rest
+of the file is a torn write, because the pages of one batch may reach the disk in any order. A valid line
+after the broken record, from a batch that started later than the broken record, proves that the broken
+record was durable once. In that case the file is damaged.
 """
 
 from __future__ import annotations
@@ -20,28 +21,28 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-FORMAT_VERSION = 1  # of the files; the header record of each names it
-MAX_LINE_BYTES = 4096  # of one record; a longer one is rejected when it is written
-LINE_PREFIX_BYTES = 27  # before the JSON text
-NUMBER_BYTES = 17  # of the prefix: both sequence numbers and the space between them
+FORMAT_VERSION = 1  # Version of the file format; the header record of each file names it.
+MAX_LINE_BYTES = 4096  # Longest line of one record. A longer record is rejected when it is written.
+LINE_PREFIX_BYTES = 27  # Length of the line's part before the JSON text.
+NUMBER_BYTES = 17  # Length of the prefix's part with both sequence numbers and the space between them.
 
-RawRecord = dict[str, Any]  # the JSON object of one line
+RawRecord = dict[str, Any]  # JSON object of one line.
 
 
 class RecoveryError(Exception):
-    """Base class of what goes wrong in recovery; the message says what and, where it can, the remedy."""
+    """Base class of the errors of recovery; the message gives the cause and, where possible, the remedy."""
 
 
 class RecordTooLongError(RecoveryError, ValueError):
-    """A record does not fit in a line.
+    """Error of a record that doesn't fit in a line.
 
     Attributes:
-        size_bytes: length of its JSON text.
+        size_bytes: length of the record's JSON text.
     """
 
     def __init__(self, size_bytes: int) -> None:
         limit = MAX_LINE_BYTES - LINE_PREFIX_BYTES - 1
-        super().__init__(f"a record of {size_bytes} bytes; {limit} are the most")
+        super().__init__(f"record of {size_bytes} bytes exceeds the limit of {limit} bytes")
         self.size_bytes = size_bytes
 
 
@@ -49,10 +50,10 @@
     """Encode a record as a line of a file.
 
     Args:
-        generation: of the file.
-        number: sequence number within the file.
-        batch_start: sequence number of the first record of its batch.
-        record: the JSON object.
+        generation: generation of the file.
+        number: sequence number of the record within the file.
+        batch_start: sequence number of the first record of the batch.
+        record: JSON object of the line.
 
     Raises:
         RecordTooLongError: the line would be longer than MAX_LINE_BYTES.
@@ -71,13 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScanResult:
-    """What could be read of a file.
+    """Readable content of a file.
 
     Attributes:
-        records: in their order, up to the first that is broken.
-        valid_bytes: up to the end of the last of these.
-        torn_bytes: behind that, of records that were being written.
-        records_after_damage: valid, behind a broken one that was durable before they were written.
+        records: valid records in the order of the file, up to the first broken record.
+        valid_bytes: length of the file up to the end of the last of these records.
+        torn_bytes: length of the rest, which has records that were being written.
+        records_after_damage: valid records after a broken record that was durable before they were written.
     """
 
     records: list[RawRecord]
@@ -87,7 +88,7 @@
 
 
 def scan_lines(data: bytes, generation: int) -> ScanResult:
-    """Read the content of a file as far as its lines are valid and in sequence."""
+    """Read the records of a file as far as its lines are valid and in sequence."""
     records: list[RawRecord] = []
     valid_bytes = 0
     while valid_bytes < len(data):
@@ -108,7 +109,7 @@
 
 
 def _decode_line(line: bytes, generation: int) -> _Line | None:
-    """Decode one line without its line break; None if it is not valid."""
+    """Decode one line without its line break; return None if the line is not valid."""
     try:
         number = int(line[:8], 16)
         batch_start = int(line[9:NUMBER_BYTES], 16)
@@ -126,7 +127,7 @@
 
 
 def _records_after_damage(rest: bytes, generation: int, number: int) -> list[RawRecord]:
-    """Return the valid records behind broken record `number` whose batch started later."""
+    """Return the valid records after broken record `number` from batches that started after that record."""
     decoded = (
         _decode_line(line, generation)
         for line in rest.split(b"\n")[1:]
--- a/service_proxy/recovery/restoration.py
+++ b/service_proxy/recovery/restoration.py
@@ -1,6 +1,6 @@
-"""What a proxy takes over from its store at the start, and how endpoints are converted to records and back.
+"""State that a proxy restores from its store at the start, and conversion between endpoints and records.
 
-It decides nothing of its own: `validity_rules` does.
+`validity_rules` decides which records are used.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What still counts of a store.
+    """Records of a store that are still usable.
 
     Attributes:
         members: other proxies.
-        endpoints: addresses to check until a source names them.
-        endpoint_records: of the store, by name, also those that can't be used.
-        in_maintenance: since when (wall time, s), by the endpoint's name.
+        endpoints: endpoints whose addresses are checked until a source lists them.
+        endpoint_records: usable endpoint records by name, also those whose address is invalid.
+        in_maintenance: start of each endpoint's maintenance (wall time, s), by the endpoint's name.
     """
 
     members: list[KnownMember] = field(default_factory=list)
@@ -41,13 +41,13 @@
 
 
 def restore_state(state: PersistedState, context: RestartContext) -> RestoredState:
-    """Return what counts of a store while nothing is known of the outage."""
+    """Return the usable records of a store while the outage is unknown."""
     restored = RestoredState()
     for name, record in state.tables[MemberRecord.KIND].items():
-        if isinstance(record, MemberRecord) and _counts(record, context):
+        if isinstance(record, MemberRecord) and _is_usable(record, context):
             restored.members.append(KnownMember(name, record.zone))
     for name, record in state.tables[EndpointRecord.KIND].items():
-        if isinstance(record, EndpointRecord) and _counts(record, context):
+        if isinstance(record, EndpointRecord) and _is_usable(record, context):
             restored.endpoint_records[name] = record
             try:
                 restored.endpoints.append(endpoint_of_record(name, record))
@@ -59,7 +59,7 @@
     return restored
 
 
-def _counts(record: MemberRecord | EndpointRecord, context: RestartContext) -> bool:
+def _is_usable(record: MemberRecord | EndpointRecord, context: RestartContext) -> bool:
     return assess(record, context).validity is not Validity.IGNORED
 
 
@@ -67,7 +67,7 @@
     """Return the endpoint of a record.
 
     Raises:
-        ValueError: its address can't be parsed.
+        ValueError: the record's address can't be parsed.
     """
     started_at = max(MIN_STARTED_AT_S, record.started_at - WALL_CLOCK_OFFSET_S) if record.started_at else 0.0
     entry = EndpointEntry(
@@ -83,7 +83,7 @@
 
 
 def record_of_endpoint(endpoint: Endpoint, now: float) -> EndpointRecord:
-    """Return the record of an endpoint. `now`: wall time, s."""
+    """Return the record of an endpoint. `now` is wall time, s."""
     entry = endpoint.entry
     host, port = endpoint.address
     started_at = entry.started_at + WALL_CLOCK_OFFSET_S if entry.started_at else 0.0
--- a/service_proxy/recovery/retry_after.py
+++ b/service_proxy/recovery/retry_after.py
@@ -1,10 +1,10 @@
-"""The Retry-After that rejected clients get: their retries are spread over the returning capacity. Pure.
+"""Retry-After of rejected clients, which spreads their retries over the returning capacity. Pure.
 
-Each rejected client reserves the next free slot of what the endpoints will take: that grows with each one's
-slow start, which is known from its first answer and the initial share of the settings. The rate of a warm
-endpoint is learned from this recovery alone, never from before it. A reservation beyond the longest
-Retry-After that the settings allow gets a time drawn from its later half: clients that have to return too
-early at least don't return together.
+Each rejected client reserves the next free slot of the endpoints' future capacity. That capacity grows with
+the slow start of each endpoint, which follows from its first answer and the initial share in the settings.
+The request rate of a warm endpoint is measured during this recovery only, and no earlier rate is used. A
+reservation beyond the longest Retry-After that the settings allow gets a random wait between half of that
+limit and the limit. These clients return before there is capacity for them, but not at the same time.
 """
 
 from __future__ import annotations
@@ -12,32 +12,33 @@
 from collections.abc import Collection
 from random import Random
 
-INITIAL_RATE = 2.0  # requests/s that a warm endpoint is assumed to serve for this proxy, before any answer
-MIN_RATE = INITIAL_RATE / 4  # requests/s, below which the learned rate does not fall
+# Requests per second that a warm endpoint is assumed to serve for this proxy before the first measurement.
+INITIAL_RATE = 2.0
+MIN_RATE = INITIAL_RATE / 4  # Lower bound of the measured rate, requests/s.
 MIN_RETRY_AFTER_S = 0.1
-RATE_SMOOTHING = 0.2  # weight of the latest measurement of the rate
-JITTER_SHARE = 0.2  # of a wait, by which it is drawn about its slot
+RATE_SMOOTHING = 0.2  # Weight of the latest measurement of the rate.
+JITTER_SHARE = 0.2  # Largest random deviation from the reserved slot, as a share of the wait.
 
 
 def warm_share(age: float, initial_share: float, slow_start_window: float) -> float:
-    """Return the share of its capacity that an endpoint has this long (s) after its first answer."""
+    """Return the share of its capacity that an endpoint has `age` seconds after its first answer."""
     if age >= slow_start_window:
         return 1.0
     return initial_share + (1.0 - initial_share) * max(0.0, age) / slow_start_window
 
 
 class RetryAfterSchedule:
-    """Reserves slots for the retries of rejected clients. Times are monotonic, s.
+    """Reservation of slots for the retries of rejected clients. Times are monotonic, s.
 
     Attributes:
-        rate: requests/s of a warm endpoint, for this proxy.
-        next_free_at: the first moment that is not reserved.
+        rate: requests/s that a warm endpoint serves for this proxy.
+        next_free_at: earliest time that is not reserved.
     """
 
     def __init__(
         self, seed: int, initial_share: float, slow_start_window: float, max_retry_after: float
     ) -> None:
-        """Take the settings; `max_retry_after` is in s, 0: none may be sent."""
+        """Initialise from the settings. `max_retry_after` is in s; 0: no Retry-After may be sent."""
         self.random = Random(seed)
         self.initial_share = initial_share
         self.slow_start_window = slow_start_window
@@ -48,14 +49,14 @@
         self.observed_at = 0.0
 
     def capacity(self, now: float, first_answers: Collection[float]) -> float:
-        """Return the capacity in warm endpoints, by when each that answers did so first."""
+        """Return the capacity in warm endpoints, from the times of the endpoints' first answers."""
         return sum(warm_share(now - at, self.initial_share, self.slow_start_window) for at in first_answers)
 
     def observe(self, now: float, served_requests: int, first_answers: Collection[float]) -> None:
-        """Learn the rate from the total of served requests.
+        """Update the rate from the total number of served requests.
 
-        What is served is only a lower bound, for a rejected request might have been served too: so the rate
-        falls slowly and rises at once.
+        The number of served requests is only a lower bound, because rejected requests might have been served
+        too. For this reason the rate falls slowly and rises at once.
         """
         interval = now - self.observed_at
         capacity = self.capacity(now, first_answers)
@@ -67,7 +68,7 @@
         self.served_requests = served_requests
 
     def reserve(self, now: float, first_answers: Collection[float]) -> float:
-        """Reserve the next slot; return the Retry-After, s; 0: none may be sent."""
+        """Reserve the next slot and return the Retry-After, s; 0: no Retry-After may be sent."""
         if not self.max_retry_after:
             return 0.0
         self.next_free_at = max(self.next_free_at, now + MIN_RETRY_AFTER_S)
--- a/service_proxy/recovery/service.py
+++ b/service_proxy/recovery/service.py
@@ -1,8 +1,8 @@
-"""Drive a proxy's recovery: what happened, in which phase service is, and what is recorded meanwhile.
+"""Recovery of one proxy: determines the outage, advances the recovery phase, and records state meanwhile.
 
-It decides nothing of its own: `peer_survey`, `phases`, `validity_rules`, `staggered_start`,
-`endpoint_override` and `retry_after` do. Once service has returned, only changes and keyed requests are
-recorded, where there is a store.
+The decisions are made by `peer_survey`, `phases`, `validity_rules`, `staggered_start`,
+`endpoint_override` and `retry_after`. After the recovery has finished, this module only records changes
+and keyed requests, if there is a store.
 """
 
 from __future__ import annotations
@@ -50,20 +50,20 @@
 
 log = logging.getLogger("service_proxy.recovery")
 
-TICK_S = 0.25  # between two rounds of questions, checks and transitions
+TICK_S = 0.25  # Interval of the timer that queries peers, checks endpoints and advances the phase.
 CONNECTION_FAILURES = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
-# What says nothing of the endpoint.
+# Results of attempts that don't show whether the endpoint works.
 INCONCLUSIVE = (AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED, AttemptStatus.TIMEOUT)
 
 
 class Dispatcher(Protocol):
-    """What recovery uses of the request dispatcher."""
+    """The part of the request dispatcher that recovery uses."""
 
     requests_succeeded: int
 
     @property
     def open_request_count(self) -> int:
-        """Requests in flight."""
+        """Number of requests in flight."""
 
     @property
     def list_version(self) -> int:
@@ -74,19 +74,21 @@
 
 
 class Recovery:
-    """net.endpoint_sources.Subsystem.
+    """Recovery subsystem of one proxy; implements net.endpoint_sources.Subsystem.
 
     Attributes:
-        phase: in which service is.
-        finding: what happened, as far as it is known.
-        filter: acts on requests.
-        endpoint_override: acts on endpoint lists.
-        in_maintenance: endpoints that the store says are in maintenance, and since when (wall time, s).
-        current_maintenance: returns the same as of now; None without an admin service.
+        phase: current phase of the recovery.
+        finding: outage of this proxy and its fleet, as far as it is known.
+        filter: request filter that admits or rejects requests during the recovery.
+        endpoint_override: changes endpoint lists before they come into force.
+        in_maintenance: endpoints that are in maintenance according to the store, by name, each with the wall
+            time (s) at which the maintenance began.
+        current_maintenance: returns the endpoints that are in maintenance now, in the same form; None without
+            an admin service.
     """
 
     def __init__(self, settings: Settings, config: ProxyConfig, clock: Clock) -> None:
-        """Read the store, if there is one; nothing that is wrong with it keeps the proxy from serving."""
+        """Read the store if one is configured. A faulty store never prevents the proxy from serving."""
         self.settings = settings
         self.clock = clock
         self.name = config.name or f"{config.listen[0]}:{config.listen[1]}"
@@ -96,8 +98,9 @@
         self.started_at = time.monotonic()
         self.phase = RecoveryPhase.UNAVAILABLE
         self.phase_since = self.started_at
-        self.finding = OutageFinding(OutageScope.UNKNOWN, None, "nobody was asked yet")
-        self.outage_at = 0  # wall time at which this process found that the fleet had lost power, s
+        self.finding = OutageFinding(OutageScope.UNKNOWN, None, "no member has been queried yet")
+        # Wall time (s) at which this process determined that the fleet had lost power; 0: not determined.
+        self.outage_at = 0
         self.machine_stayed_up = _machine_stayed_up(self.contents.state, boot_id)
         self.latest_known_time = self.contents.state.latest_time
         self.restored = restore_state(self.contents.state, self.restart_context())
@@ -152,7 +155,7 @@
         channel: DatagramChannel | None,
         metadata: MetadataPublisher | None,
     ) -> None:
-        """Take what the composition root hands in. `push` brings a change of the list into force."""
+        """Connect recovery to the rest of the proxy; `push` puts a changed endpoint list into force."""
         self.dispatcher = dispatcher
         self.filter.dispatcher = dispatcher
         self.push = push
@@ -161,11 +164,12 @@
         if view is not None and channel is not None:
             self.survey = MemberSurvey(view, channel, lambda: self.filter.settings.zone, self._status)
         if view is None and self.machine_stayed_up is not False:
-            # Nobody to ask, and nothing says that more ended than this process: service goes on.
-            self._enter(RecoveryPhase.STEADY, "there is nobody to ask")
+            # Without a fleet there are no peers to query, and no record shows that more than this process
+            # ended. Service continues without a recovery.
+            self._enter(RecoveryPhase.STEADY, "no fleet to query, and no sign that the machine was rebooted")
 
     def restart_context(self) -> RestartContext:
-        """Return what restored records are assessed against."""
+        """Return the context against which restored records are assessed."""
         return RestartContext(
             self.clock.wall_time(),
             self.finding.scope,
@@ -174,7 +178,7 @@
             bool(self.contents.damage),
         )
 
-    # net.endpoint_sources.Subsystem
+    # Methods of net.endpoint_sources.Subsystem.
 
     def start(self) -> None:
         """Start the store's thread and the timer."""
@@ -183,31 +187,32 @@
         self._tick()
 
     def stop(self) -> None:
-        """Stop the timer; write and close the store."""
+        """Stop the timer, write the pending records and close the store."""
         if self.timer is not None:
             self.timer.cancel()
         if self.recorder is not None:
             self.recorder.stop(self.clock.wall_time())
 
     def reload(self, file: str) -> None:
-        """Check that the operator's file says the same of [recovery].
+        """Check that [recovery] in the operator's file is unchanged.
 
         Raises:
-            OperatorError: it does not; all of it wants a restart.
+            OperatorError: [recovery] has changed; a change of any of its settings requires a restart.
         """
         if load(file).recovery != self.settings:
             text = "[recovery] can't change while the proxy runs"
-            raise OperatorError([Problem(file, 1, "S109", text, "start the proxy anew")])
+            raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
 
-    # Endpoint lists and attempts.
+    # Processing of endpoint lists and attempts.
 
     def override_list(self, listing: EndpointList) -> EndpointList:
-        """Return a source's list as it comes into force."""
+        """Return the endpoint list that comes into force for a source's list."""
         override = self.endpoint_override
         self.is_list_changed = True
         if self.dispatcher is not None:
             self.is_listed_by_source |= bool(listing.endpoints)
-        elif not listing.endpoints and override.known:  # the platform named none, and the store does
+        # The endpoints of the store replace an empty initial list.
+        elif not listing.endpoints and override.known:
             listing = EndpointList(listing.version, listing.is_snapshot, list(override.known.values()))
         rejected_lists = override.rejected_lists
         effective = override.apply(listing)
@@ -220,7 +225,7 @@
         return effective
 
     def on_attempt_end(self, endpoint_id: int, status: AttemptStatus) -> None:
-        """Learn from the end of an attempt or health check whether an endpoint answers."""
+        """Update the state of an endpoint after an attempt or health check has ended."""
         now = time.monotonic()
         if status in CONNECTION_FAILURES:
             has_failed = self.endpoint_override.record_failure(endpoint_id, now)
@@ -233,14 +238,14 @@
                 self.push(change)
 
     def retry_after(self, wait: float) -> float:
-        """Return the Retry-After (s) of any rejection: the policy's own, or later."""
+        """Return the Retry-After (s) of a rejection: the policy's, or a longer one during the recovery."""
         return self.filter.retry_after(wait)
 
-    # The timer.
+    # Timer callbacks.
 
     def _tick(self) -> None:
         if self.recorder is None and self.view is None:
-            return  # nothing can be found out, and nothing is recorded
+            return  # Without a store and a fleet there is nothing to determine and nothing to record.
         self.timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
         now = time.monotonic()
         if self.phase is not RecoveryPhase.STEADY:
@@ -255,20 +260,20 @@
         self._publish_status()
 
     def _update_outage(self, now: float) -> None:
-        """Ask the members, and take in what their answers say of the outage and of who is alive."""
+        """Query the members, and update the outage and the live proxies from their answers."""
         settings = self.filter.settings
-        known_before = self.restored.members
+        former_members = self.restored.members
         peers = []
         expected_proxies = 1
         if self.survey is not None:
             self.survey.query()
             peers = self.survey.peers()
-            expected_proxies = max(settings.proxy_count, len(known_before) + 1)
+            expected_proxies = max(settings.proxy_count, len(former_members) + 1)
         finding = determine_outage(
             settings.zone,
             self.machine_stayed_up,
             peers,
-            known_before,
+            former_members,
             expected_proxies,
             now - self.started_at,
         )
@@ -279,17 +284,17 @@
             self.push(self.endpoint_override.effective_list())
 
     def _accept(self, finding: OutageFinding) -> bool:
-        """Take in a finding; return whether it holds.
+        """Store a finding if it may replace the current one; return whether it is in effect.
 
-        A survivor's answer holds, also where that survivor has gone since: so a local outage is not widened,
-        and what is known does not become unknown.
+        A finding that is based on a survivor's answer stays valid after that survivor has ended. For this
+        reason a local outage is not widened, and a known outage doesn't become unknown.
         """
         current = self.finding
         if (finding.scope, finding.affected_zones) == (current.scope, current.affected_zones):
             return True
         is_widened = current.scope in LOCAL_OUTAGES and finding.scope not in LOCAL_OUTAGES
-        is_lost = finding.scope is OutageScope.UNKNOWN and current.scope is not OutageScope.UNKNOWN
-        if is_widened or is_lost:
+        becomes_unknown = finding.scope is OutageScope.UNKNOWN and current.scope is not OutageScope.UNKNOWN
+        if is_widened or becomes_unknown:
             return False
         log.info('outage_determined scope=%s reason="%s"', finding.scope.name.lower(), finding.reason)
         self.finding = finding
@@ -300,8 +305,8 @@
     def _affected_zones(self) -> frozenset[str] | None:
         """Return the zones whose endpoints are marked as warming up.
 
-        While the outage is unknown none is, for a mark can't be taken back; the limit on requests in flight
-        holds meanwhile.
+        While the outage is unknown no zone is marked, because a mark can't be removed. The limit on requests
+        in flight applies meanwhile.
         """
         if self.finding.scope is OutageScope.UNKNOWN:
             return frozenset()
@@ -348,7 +353,7 @@
                 self.push(removed)
 
     def _publish_status(self) -> None:
-        """Put the phase into this member's metadata where it has changed."""
+        """Publish the recovery status in this member's metadata if the status has changed."""
         if self.metadata is None:
             return
         status = self._status()
@@ -360,7 +365,7 @@
         return encode_status(RecoveryStatus(self.phase, self.machine_stayed_up, self.outage_at))
 
     def _record(self, recorder: StateRecorder) -> None:
-        """Record what has changed since the round before."""
+        """Record what has changed since the previous tick."""
         now = self.clock.wall_time()
         if self.view is not None:
             recorder.record_members(self.view, now)
@@ -376,7 +381,7 @@
 
 
 def _machine_stayed_up(state: PersistedState, boot_id: str) -> bool | None:
-    """Return whether the machine was not booted since the process before; None if that can't be told."""
+    """Return whether the machine has stayed up since the previous process; return None if unknown."""
     if state.boot is None or not state.boot.boot_id or not boot_id:
         return None
     return state.boot.boot_id == boot_id
--- a/service_proxy/recovery/state_recorder.py
+++ b/service_proxy/recovery/state_recorder.py
@@ -1,4 +1,4 @@
-"""Record in the store what a later process of this name needs: members, endpoints, maintenance, boots."""
+"""Records that a later process of this name needs: members, endpoints, maintenance and boots."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 )
 from service_proxy.recovery.restoration import RestoredState, record_of_endpoint
 
-DISCOVERY_SOURCE = "discovery"  # key of the source record
+DISCOVERY_SOURCE = "discovery"  # Key of the source record.
 MAINTENANCE_REASON = "by hand"
-INITIAL_VIEW_STAMP = -1  # of no view
+INITIAL_VIEW_REVISION = -1  # Revision before any view was recorded.
 
 
 class StateRecorder:
-    """Writes what has changed since it wrote last. `now` is wall time, s, throughout."""
+    """Writes the changes since its previous write to the store. `now` is wall time, s, in all methods."""
 
     def __init__(self, writer: AsyncStoreWriter, boot_id: str, restored: RestoredState) -> None:
-        """Start from what the store holds."""
+        """Start from the restored records of the store."""
         self.writer = writer
         self.boot_id = boot_id
         last_boot = writer.state.boot
         self.start_count = last_boot.start_count + 1 if last_boot is not None else 1
         self.member_incarnations: dict[str, tuple[int, int]] = {}
-        self.view_stamp = INITIAL_VIEW_STAMP
+        self.view_revision = INITIAL_VIEW_REVISION
         self.endpoint_records: dict[str, EndpointRecord] = dict(restored.endpoint_records)
         self.in_maintenance: dict[str, float] = dict(restored.in_maintenance)
 
     def start(self, now: float) -> None:
-        """Start to write, and record the start of this process."""
+        """Start the writer, and record the start of this process."""
         self.writer.start()
         self.writer.put("", BootRecord(self.start_count, now, "", self.boot_id))
 
@@ -47,10 +47,10 @@
         self.writer.stop()
 
     def record_members(self, view: MembershipView, now: float) -> None:
-        """Record the members that are alive in a new incarnation."""
-        if view.revision == self.view_stamp:
+        """Record the live members whose incarnation is not recorded yet."""
+        if view.revision == self.view_revision:
             return
-        self.view_stamp = view.revision
+        self.view_revision = view.revision
         for member in view.members():
             process_run, incarnation = member.incarnation[:2]
             is_known = self.member_incarnations.get(member.name) == (process_run, incarnation)
@@ -60,7 +60,7 @@
                 self.writer.put(member.name, record)
 
     def record_endpoints(self, override: EndpointListOverride, list_version: int, now: float) -> None:
-        """Record the list in force, as far as sources named it."""
+        """Record the endpoints in force that the sources list."""
         is_changed = False
         for name, endpoint in override.listed.items():
             record = record_of_endpoint(endpoint, now)
--- a/service_proxy/recovery/store.py
+++ b/service_proxy/recovery/store.py
@@ -1,17 +1,18 @@
-"""The files of a store, in an order of writes that survives a crash at any byte: the state before or after.
+"""Files of a store. After a crash at any byte the store holds the state before or after the write.
 
-Two files of the newest generation N hold everything: `snapshot-N`, a whole state, and `log-N`, the
-operations since. They reach the disk in this order, each step durable before the next begins:
+The two files of the newest generation N hold the complete state: `snapshot-N` is a whole state, and
+`log-N` has the operations since that state. The files reach the disk in this order, and each step is
+durable before the next one begins:
 
-    1  the whole snapshot as `snapshot-N.part`, synced
-    2  its rename to `snapshot-N`, the directory synced: from here on generation N is valid
-    3  `log-N` with its header, synced, the directory synced
-    4  older generations are removed
+    1  Write the whole snapshot as `snapshot-N.part`, and sync it.
+    2  Rename it to `snapshot-N`, and sync the directory. Generation N is valid from this step on.
+    3  Create `log-N` with its header, sync it, and sync the directory.
+    4  Remove older generations.
 
-A file of an earlier process is never appended to: who opens a store starts a generation, so a torn write
-needs no repair. A write or fsync that failed poisons its file (after a failed fsync a second one proves
-nothing), and the next attempt is a new generation with all that is known. Requests never wait for this
-module: `async_store_writer` runs it in a thread of its own.
+A process never appends to a file of an earlier process. It starts a new generation when it opens the
+store, so a torn write needs no repair. A file is abandoned after a failed write or fsync, because a second
+fsync after a failed one proves nothing. The next attempt is a new generation with the complete state.
+Requests never wait for this module, because `async_store_writer` runs it in a separate thread.
 """
 
 from __future__ import annotations
@@ -35,33 +36,35 @@
     scan_lines,
 )
 
-MAX_FILE_BYTES = 64 << 20  # of a file that is read; a larger one was not written by this program
-MIN_LOG_BYTES = 256 << 10  # of a log before it is compacted into a snapshot ...
-LOG_TO_SNAPSHOT_RATIO = 2.0  # ... and in proportion to the snapshot
-WRITE_CHUNK_BYTES = 64 << 10  # of a snapshot that are written at once
+MAX_FILE_BYTES = 64 << 20  # Longest part that is read. A larger file was not written by this program.
+MIN_LOG_BYTES = 256 << 10  # Size that a log must exceed before it is compacted into a snapshot.
+LOG_TO_SNAPSHOT_RATIO = 2.0  # Size, as a multiple of the snapshot's, that a log must also exceed.
+WRITE_CHUNK_BYTES = 64 << 10  # Size of the chunks in which a snapshot is written.
 FILE_NAME = re.compile(r"(snapshot|log)-(\d{8})(\.part)?")
 SNAPSHOT = "snapshot"
 LOG = "log"
 PART_SUFFIX = ".part"
-FRAMING_RECORDS = 2  # of a snapshot: its header, and the end record with the number of operations between
-# From each older format to the next; None drops a record.
+# Records of a snapshot that are not operations: the header, and the end record with the number of operations.
+FRAMING_RECORDS = 2
+# Migration of a record to the next format, by the version of the older format. None as the result drops the
+# record.
 MIGRATIONS: dict[int, Callable[[RawRecord], RawRecord | None]] = {}
 
 
 class Directory(Protocol):
-    """The directory of a store. All methods raise OSError."""
+    """Directory of a store. All methods raise OSError."""
 
     def file_names(self) -> list[str]:
         """Return the names of all files."""
 
     def read(self, name: str, max_bytes: int) -> bytes:
-        """Return the beginning of a file."""
+        """Return up to `max_bytes` from the beginning of a file."""
 
     def create(self, name: str) -> Any:
         """Create or truncate a file; return a handle for `write`, `fsync` and `close`."""
 
     def write(self, file: Any, data: bytes) -> None:
-        """Write all data, or raise OSError with any part of it written."""
+        """Write all data, or raise OSError after any part of the data was written."""
 
     def fsync(self, file: Any) -> None:
         """Make the content of a file durable."""
@@ -70,7 +73,7 @@
         """Close a file."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing one of the new name."""
+        """Rename a file, and replace an existing file that has the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file if it exists."""
@@ -80,10 +83,10 @@
 
 
 class StoreRejectedError(RecoveryError):
-    """The store is not for this process; nothing in it was changed.
+    """Error of a store that this process can't use. No file of the store was changed.
 
     Attributes:
-        file_name: the file that says so.
+        file_name: file whose header shows the reason.
     """
 
     def __init__(self, file_name: str, problem: str) -> None:
@@ -92,19 +95,19 @@
 
 
 class StoreHealth(Enum):
-    """Whether what is recorded becomes durable."""
+    """State of a store, which determines whether records become durable."""
 
     OPEN = "open"
-    READ_ONLY = "read only"  # what is in it counts, and nothing is added
-    BUSY = "another process has it"
-    REJECTED = "not for this process"
+    READ_ONLY = "read only"  # The records of the store are used, and no record is added.
+    BUSY = "locked by another process"
+    REJECTED = "another owner or an unreadable format"
     FAILING = "can't be written at the moment"
     CLOSED = "closed"
 
 
 @dataclass(frozen=True, slots=True)
 class StoreOwner:
-    """Whose store it is: the proxy's name and its machine's identifier, "" where it has none."""
+    """Owner of a store: the proxy's name, and its machine's identifier, "" for a machine without one."""
 
     name: str
     machine_id: str = ""
@@ -112,16 +115,16 @@
 
 @dataclass(slots=True)
 class StoreContents:
-    """What a store's directory holds.
+    """Contents of a store's directory.
 
     Attributes:
         state: all records.
-        owner: as the newest snapshot names it.
-        generation: the newest; 0: there was none.
+        owner: owner that the newest snapshot names.
+        generation: newest generation; 0: the directory holds no store.
         started_at: wall time at which the newest file was started, s.
-        torn_bytes: of a record that was being written.
-        damage: what was durable once and can't be read, for the operator.
-        snapshot_bytes, log_bytes: as far as they could be read.
+        torn_bytes: size of the records that were being written at the crash.
+        damage: descriptions, for the operator, of content that was durable and can't be read any more.
+        snapshot_bytes, log_bytes: sizes of the readable parts of the two files.
     """
 
     state: PersistedState = field(default_factory=PersistedState)
@@ -145,7 +148,7 @@
 
 
 def files_by_generation(names: Iterable[str]) -> dict[int, set[str]]:
-    """Return which files each generation has; partial snapshots that were never renamed don't count."""
+    """Return the kinds of files of each generation, without partial snapshots that were never renamed."""
     found: dict[int, set[str]] = {}
     for name in names:
         match = FILE_NAME.fullmatch(name)
@@ -158,18 +161,22 @@
     """Read a store without changing it.
 
     Args:
-        directory: of the store.
-        owner: whose it must be; None: anybody's.
+        directory: directory of the store.
+        owner: owner that the store must have; None: any.
 
     Raises:
-        StoreRejectedError: it has another owner or a format that can't be read.
+        StoreRejectedError: the store has another owner or a format that can't be read.
         OSError: a file can't be read.
     """
     return _StoreReader(directory, owner).read()
 
 
 class _StoreReader:
-    """Reads one store: the newest generation whose snapshot is whole, or what can be read of the newest."""
+    """Reader of one store.
+
+    It returns the newest generation whose snapshot is whole, or the readable part of the newest generation if
+    no snapshot is whole.
+    """
 
     def __init__(self, directory: Directory, owner: StoreOwner | None) -> None:
         self.directory = directory
@@ -208,7 +215,7 @@
             contents.damage.append(f"{name} is not whole")
             if contents.snapshot_bytes:
                 return False
-            # What can be read of the newest snapshot, in case that no other is whole.
+            # Keeps the readable part of the newest snapshot, in case no other snapshot is whole.
             contents.snapshot_bytes = scan.valid_bytes
             self._apply_records(scan.records[1:] if header is not None else [], header or {}, name)
         if has_log:
@@ -224,12 +231,12 @@
         contents.torn_bytes = scan.torn_bytes if not scan.records_after_damage else 0
         if scan.records_after_damage:
             count = len(scan.records_after_damage)
-            contents.damage.append(f"{name} has {count} whole records behind a broken one")
-        if header is None:  # torn in its header: nothing had been recorded yet
+            contents.damage.append(f"{name} has {count} valid records after a damaged one")
+        if header is None:  # The header itself is torn, so nothing had been recorded yet.
             return
         contents.log_bytes = scan.valid_bytes
         contents.started_at = max(contents.started_at, float(header.get("at", 0.0)))
-        # A record behind the damage is the latest on its key all the same.
+        # A record after the damage is still the latest record of its key.
         self._apply_records(scan.records[1:] + scan.records_after_damage, header, name)
 
     def _apply_records(self, records: list[RawRecord], header: RawRecord, name: str) -> None:
@@ -240,7 +247,8 @@
                 continue
             try:
                 self.contents.state.apply(migrated)
-            except MalformedRecordError as error:  # its checksum holds, so a program wrote it so
+            # The checksum is valid, so a program wrote this malformed record.
+            except MalformedRecordError as error:
                 self.contents.damage.append(f"{name}: {error}")
 
 
@@ -252,10 +260,10 @@
 
 
 def _check_header(scan: ScanResult, name: str, kind: str, owner: StoreOwner | None) -> RawRecord | None:
-    """Return the header record of a file; None if it is not of this kind of file.
+    """Return the header record of a file; return None if the file is not of the given kind.
 
     Raises:
-        StoreRejectedError: another owner or a format that can't be read.
+        StoreRejectedError: the file has another owner or a format that can't be read.
     """
     header = scan.records[0] if scan.records else {}
     version = header.get("format")
@@ -265,13 +273,13 @@
         raise StoreRejectedError(
             name,
             f"has format {version}, and this program reads up to {FORMAT_VERSION}: start the newer program, "
-            "or move the folder away to begin without it",
+            "or move the folder away to start with an empty store",
         )
     if any(step not in MIGRATIONS for step in range(version, FORMAT_VERSION)):
         raise StoreRejectedError(
             name,
-            f"has format {version}, older than this program reads: start the version before this one "
-            "first, or move the folder away to begin without it",
+            f"has format {version}, older than this program reads: start the previous version of the program "
+            "first, or move the folder away to start with an empty store",
         )
     if owner is not None:
         _check_owner(header, name, owner)
@@ -283,26 +291,27 @@
         raise StoreRejectedError(
             name,
             f"was written by {header.get('name')}, and this is {owner.name}: give each proxy a folder "
-            "of its own, or move this one to where it belongs",
+            "of its own, or move this folder to the proxy that wrote it",
         )
     machine_id = str(header.get("machine", ""))
     if machine_id and owner.machine_id and machine_id != owner.machine_id:
         raise StoreRejectedError(
             name,
-            f"was written on another machine ({machine_id:.8}, this one is {owner.machine_id:.8}): what it "
-            "says is of there; move the folder away to begin without it",
+            f"was written on another machine ({machine_id:.8}, this one is {owner.machine_id:.8}): its "
+            "records describe that machine; move the folder away to start with an empty store",
         )
 
 
 class Store:
-    """Writes a store, from one thread.
+    """Writer of a store, for use from one thread.
 
-    All methods raise OSError; after one nothing more is appended to the log of this generation.
+    All methods raise OSError. After an OSError nothing more is appended to the log of this generation.
 
     Attributes:
-        rejected: texts of records that could not be written (too long or malformed), for the caller to take.
-        state: all records, durable or about to be.
-        log_records: lines in the log, its header among them.
+        rejected: errors of records that could not be written because they are too long or malformed; the
+            caller logs and clears them.
+        state: all records that are durable or will be written next.
+        log_records: number of lines in the log, with its header.
     """
 
     def __init__(self, directory: Directory, owner: StoreOwner, min_log_bytes: int = MIN_LOG_BYTES) -> None:
@@ -318,19 +327,20 @@
         self.snapshot_bytes = 0
 
     def start_generation(self, contents: StoreContents, now: float) -> None:
-        """Continue from what was read, in a new generation."""
+        """Start a new generation from the contents that were read."""
         self.state = contents.state
         self.generation = contents.generation
         self.compact(now)
 
     def append(self, records: Iterable[RawRecord], now: float) -> None:
-        """Apply a batch of operations and return once it is durable."""
+        """Apply a batch of operations, and return after the batch is durable."""
         lines = self._apply_and_encode(records)
         if self.log is None:
             self.compact(now)
             return
         data = b"".join(lines)
-        # Without its log until the batch is known to be durable: a failed write or fsync poisons the file.
+        # The log is detached until the batch is known to be durable, because a failed write or fsync makes
+        # the file unusable.
         log = self._detach_log()
         try:
             self._append_and_sync(log, data)
@@ -360,7 +370,7 @@
         self.directory.fsync(log)
 
     def compact(self, now: float) -> None:
-        """Start a generation whose snapshot has all that is known."""
+        """Start a generation whose snapshot has the complete state."""
         self.close()
         self.generation += 1
         self._write_snapshot(now)
@@ -369,7 +379,7 @@
         self._remove_old_generations()
 
     def _write_snapshot(self, now: float) -> None:
-        """Step 1: write and sync the snapshot under its partial name."""
+        """Write and sync the snapshot under its partial name (step 1)."""
         name = snapshot_name(self.generation) + PART_SUFFIX
         file = self.directory.create(name)
         try:
@@ -377,7 +387,7 @@
         except OSError:
             self.directory.close(file)
             with contextlib.suppress(OSError):
-                self.directory.remove(name)  # on a full disk the next attempt needs its space
+                self.directory.remove(name)  # On a full disk the next attempt needs the space of this file.
             raise
         self.directory.close(file)
 
@@ -399,13 +409,13 @@
         chunk.clear()
 
     def _publish_snapshot(self) -> None:
-        """Step 2: give the snapshot its name."""
+        """Rename the snapshot to its final name (step 2)."""
         name = snapshot_name(self.generation)
         self.directory.rename(name + PART_SUFFIX, name)
         self.directory.fsync_directory()
 
     def _start_log(self, now: float) -> None:
-        """Step 3: create the log with its header."""
+        """Create the log with its header (step 3)."""
         log = self.directory.create(log_name(self.generation))
         header = encode_line(self.generation, 0, 0, self._header(LOG, now))
         try:
@@ -419,9 +429,10 @@
         self.log_bytes = len(header)
 
     def _remove_old_generations(self) -> None:
-        """Step 4: remove older files and partial snapshots.
+        """Remove older files and partial snapshots (step 4).
 
-        Logs go last: one without its snapshot is recognised as old, a snapshot without its log is not.
+        Logs are removed last. A log without its snapshot is recognised as old, but a snapshot without its log
+        is not.
         """
         matches = (FILE_NAME.fullmatch(name) for name in self.directory.file_names())
         old = [match for match in matches if match and (int(match[2]) < self.generation or match[3])]
@@ -443,11 +454,11 @@
         return log
 
     def close(self) -> None:
-        """Close the log; nothing more can be appended to this generation."""
+        """Close the log. Nothing more can be appended to this generation."""
         if self.log is not None:
             self.directory.close(self._detach_log())
 
 
 def operation_count(state: PersistedState) -> int:
-    """Return how many operations build this state."""
+    """Return the number of operations that build this state."""
     return len(state) + len(state.evicted_until)
--- a/service_proxy/recovery/store_directory.py
+++ b/service_proxy/recovery/store_directory.py
@@ -1,6 +1,6 @@
-"""The directory of a store in the file system, its lock file, and the identifiers of the machine.
+"""Directory of a store in the file system, with its lock file, and the identifiers of the machine.
 
-Performs I/O; it is the `store.Directory` of the real process.
+This module performs I/O; it implements `store.Directory` in the running proxy.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class StoreDirectory:
-    """A directory with the files of one store. All methods raise OSError.
+    """Directory with the files of one store. All methods raise OSError.
 
     Attributes:
-        path: of the directory.
-        lock_descriptor: of the lock file while this process holds the lock.
+        path: path of the directory.
+        lock_descriptor: descriptor of the lock file while this process holds the lock.
     """
 
     def __init__(self, path: Path) -> None:
@@ -34,11 +34,11 @@
         return self.lock_descriptor != NO_DESCRIPTOR
 
     def create_directory(self) -> None:
-        """Create the directory and its parents where they don't exist."""
+        """Create the directory and its parents if they don't exist."""
         self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def lock(self) -> bool:
-        """Take the lock; return whether it was free. The kernel releases it however the process ends."""
+        """Take the lock; return whether it was free. The kernel releases the lock when the process ends."""
         descriptor = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -56,17 +56,17 @@
             os.close(self.lock_descriptor)
             self.lock_descriptor = NO_DESCRIPTOR
 
-    # store.Directory
+    # Methods of store.Directory.
 
     def file_names(self) -> list[str]:
-        """Return the names of all files; none where there is no such directory."""
+        """Return the names of all files; return no names if the directory doesn't exist."""
         try:
             return os.listdir(self.path)
         except FileNotFoundError:
             return []
 
     def read(self, name: str, max_bytes: int) -> bytes:
-        """Return the beginning of a file."""
+        """Return up to `max_bytes` from the beginning of a file."""
         with open(self.path / name, "rb") as file:
             return file.read(max_bytes)
 
@@ -76,7 +76,7 @@
         return os.open(self.path / name, flags, 0o600)
 
     def write(self, file: int, data: bytes) -> None:
-        """Write all data, in as many calls as it takes."""
+        """Write all data, in as many system calls as necessary."""
         rest = memoryview(data)
         while rest:
             rest = rest[os.write(file, rest) :]
@@ -90,7 +90,7 @@
         os.close(file)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing one of the new name."""
+        """Rename a file, and replace an existing file that has the new name."""
         os.rename(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
@@ -108,9 +108,9 @@
 
 
 def read_identifier(file: Path) -> str:
-    """Return the machine's or boot's identifier in a file; "" where there is none.
+    """Return the machine's or boot's identifier from a file; return "" if the file has none.
 
-    The operator's file names the files; by default these are machine-id(5) and the boot_id of random(4).
+    The operator's file names these files; the defaults are machine-id(5) and the boot_id of random(4).
     """
     try:
         return file.read_text(encoding="ascii")[:MAX_IDENTIFIER_CHARACTERS].strip()
--- a/service_proxy/recovery/validity_rules.py
+++ b/service_proxy/recovery/validity_rules.py
@@ -1,9 +1,9 @@
-"""Which persisted records still hold, by kind of record and by what happened. Pure; one table, with reasons.
+"""Rules that define which persisted records are still valid, by kind of record and by outage. Pure.
 
-There are three degrees: a TRUSTED record counts as if it were recorded now; a HINT is a place to look and
-counts for nothing until it is confirmed (an address to check, a member to ask); an IGNORED one is not used.
-While the outage is unknown each rule goes by the worst that may have happened: that is its `unknown`, and its
-reason says which way is the harmless one.
+The rules are one table, with reasons. There are three degrees of validity. A TRUSTED record is used as if
+it had been recorded now. A HINT gives an address to check or a member to query, and is not used for anything
+else until it is confirmed. An IGNORED record is not used. While the outage is unknown, each rule assumes the
+worst outage: that degree is its `unknown`, and its reason states which error is the harmless one.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
     PersistedRecord,
 )
 
-# By which a record may lie ahead of the clock: one machine's clock, set back a little.
+# Tolerated lead of a record over the clock, which covers a small backward correction of one machine's clock.
 MAX_CLOCK_SKEW_S = 60.0
-ENDPOINT_LIST_MAX_AGE_S = 600.0  # for which the sources would probably still give the same list
-PERFORMANCE_MAX_AGE_S = 120.0  # for which an endpoint's latency is likely to be the same
-MEMBER_MAX_AGE_S = 30 * 86_400.0  # after which no member is looked for at its address
+ENDPOINT_LIST_MAX_AGE_S = 600.0  # Age up to which the sources probably still give the same list.
+PERFORMANCE_MAX_AGE_S = 120.0  # Age up to which an endpoint's latency is probably still the same.
+MEMBER_MAX_AGE_S = 30 * 86_400.0  # Age after which a member's address is no longer tried.
 NO_EXPIRY = float("inf")
-ALL_ENDPOINTS = "all"  # a deduplication scope
+ALL_ENDPOINTS = "all"  # Deduplication scope of all endpoints.
 
 
 class OutageScope(Enum):
-    """What ended between this name's last record and now."""
+    """Outage between the last record of a process of this name and now."""
 
     PROCESS = "this process alone ended"
     MACHINE = "this machine ended"
@@ -42,7 +42,7 @@
 
 
 class Validity(Enum):
-    """How far a record counts."""
+    """Degree to which a record is used."""
 
     TRUSTED = "trusted"
     HINT = "hint"
@@ -51,15 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidityRule:
-    """The degrees for one kind of record.
+    """Degrees of validity of one kind of record.
 
     Attributes:
-        process, machine, zone, fleet, unknown: by the outage's scope, for a record that is neither from the
-            future nor expired.
-        max_age_s: after which a record is expired.
+        process, machine, zone, fleet, unknown: degree by scope of the outage, for a record that is neither
+            expired nor ahead of the clock.
+        max_age_s: age after which a record is expired.
         when_expired: degree of an expired record.
-        when_in_future: degree of a record that lies ahead of the clock.
-        reason: shown to the operator.
+        when_in_future: degree of a record that is ahead of the clock.
+        reason: explanation for the operator.
     """
 
     process: Validity
@@ -84,14 +84,14 @@
 
 
 def always_trusted(reason: str) -> ValidityRule:
-    """Return the rule of records that count whatever happened and however old they are."""
+    """Return the rule of records that are trusted after any outage and at any age."""
     trusted = Validity.TRUSTED
     return ValidityRule(trusted, trusted, trusted, trusted, trusted, NO_EXPIRY, trusted, trusted, reason)
 
 
 VALIDITY_RULES: dict[str, ValidityRule] = {
     BootRecord.KIND: always_trusted(
-        "it only counts starts, and one that is counted twice harms nobody",
+        "the record only counts starts, and a start that is counted twice is harmless",
     ),
     EndpointSourceRecord.KIND: ValidityRule(
         process=Validity.TRUSTED,
@@ -102,8 +102,8 @@
         max_age_s=ENDPOINT_LIST_MAX_AGE_S,
         when_expired=Validity.HINT,
         when_in_future=Validity.IGNORED,
-        reason="versions can be compared as long as the source has kept its counter; after an outage of its "
-        "own machine a source may count from the start, and then a higher number is no newer list",
+        reason="versions can be compared as long as the source keeps its counter; after an outage of its own "
+        "machine a source may restart the counter, and a higher version is then not a newer list",
     ),
     EndpointRecord.KIND: ValidityRule(
         process=Validity.TRUSTED,
@@ -114,12 +114,12 @@
         max_age_s=ENDPOINT_LIST_MAX_AGE_S,
         when_expired=Validity.HINT,
         when_in_future=Validity.HINT,
-        reason="endpoints keep their addresses for longer than proxies run; but whether one still serves is "
-        "only known when it answers, so after more than this process's own end an address is to be checked",
+        reason="endpoints keep their addresses for longer than proxies run, but only an answer shows that an "
+        "endpoint still serves; after more than the end of this process the address must be checked",
     ),
     MaintenanceRecord.KIND: always_trusted(
-        "a machine in maintenance stays out until staff or the rolling operation say otherwise: a "
-        "request too few is no harm, one to an open machine is",
+        "a machine in maintenance stays out of service until an operator or the rolling operation ends the "
+        "maintenance: a missing request is harmless, but a request to a machine under repair is not",
     ),
     MemberRecord.KIND: ValidityRule(
         process=Validity.HINT,
@@ -130,7 +130,7 @@
         max_age_s=MEMBER_MAX_AGE_S,
         when_expired=Validity.IGNORED,
         when_in_future=Validity.HINT,
-        reason="former members are asked first; whether one is alive it says itself",
+        reason="former members are queried first, and only their answer shows that they are alive",
     ),
     PerformanceRecord.KIND: ValidityRule(
         process=Validity.TRUSTED,
@@ -141,27 +141,27 @@
         max_age_s=PERFORMANCE_MAX_AGE_S,
         when_expired=Validity.IGNORED,
         when_in_future=Validity.IGNORED,
-        reason="an endpoint's latency depends on its caches and neighbours, which the outage emptied; what "
-        "was learned of a warm endpoint does not hold for one that is warming up",
+        reason="an endpoint's latency depends on its caches and neighbours, which the outage emptied; a "
+        "value measured at a warm endpoint is not valid while the endpoint is warming up",
     ),
     KeyedRequestRecord.KIND: always_trusted(
-        "that a request may have been executed keeps it from taking effect twice; the record ends by "
-        "its own expiry, and where the clock can't be trusted not at all",
+        "the record prevents a request that may have been executed from taking effect twice; it ends at its "
+        "own expiry, and never while the clock can't be trusted",
     ),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class RestartContext:
-    """What records are assessed against.
+    """Context against which records are assessed.
 
     Attributes:
         now: wall time, s.
-        outage: what happened.
-        affected_zones: which lost power, where not all did.
-        latest_known_time: the latest wall time that a trustworthy record or member named, s.
-        is_damaged: some of what was durable is lost.
-        is_old_copy: the store is older than this name's last process, as others knew it.
+        outage: scope of the outage.
+        affected_zones: zones that lost power, unless all zones did.
+        latest_known_time: latest wall time that a trustworthy record contains or a member reported, s.
+        is_damaged: some durable records are lost.
+        is_old_copy: the store is older than the last process of this name that other members have seen.
     """
 
     now: float
@@ -179,14 +179,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """How far one record counts now, and why."""
+    """Validity of one record now, and the reason."""
 
     validity: Validity
     reason: str
 
 
 def assess(record: PersistedRecord, context: RestartContext) -> Assessment:
-    """Return how far a record counts now."""
+    """Return the validity of a record now."""
     rule = VALIDITY_RULES[record.KIND]
     age = context.now - record.recorded_at
     is_always_trusted = rule.for_scope(OutageScope.FLEET) is Validity.TRUSTED
@@ -194,17 +194,19 @@
         is_performance = record.KIND == PerformanceRecord.KIND
         return Assessment(Validity.IGNORED if is_performance else Validity.HINT, "the store is an old copy")
     if age < -MAX_CLOCK_SKEW_S:
-        return Assessment(rule.when_in_future, f"its time lies {-age:.0f} s ahead of the clock")
+        return Assessment(rule.when_in_future, f"the record's time is {-age:.0f} s ahead of the clock")
     if context.clock_went_backward and not is_always_trusted:
         validity = Validity.HINT if rule.when_in_future is Validity.TRUSTED else rule.when_in_future
-        return Assessment(validity, "the clock went back, so its age is not known")
+        return Assessment(validity, "the clock went back, so the record's age is not known")
     if age > rule.max_age_s:
-        return Assessment(rule.when_expired, f"it is {age:.0f} s old, over {rule.max_age_s:.0f} s")
+        return Assessment(
+            rule.when_expired, f"the record is {age:.0f} s old, more than {rule.max_age_s:.0f} s"
+        )
     return Assessment(rule.for_scope(context.outage), rule.reason)
 
 
 class RetryPermission(Enum):
-    """Where a request that may already have been executed may be sent again."""
+    """Permission to send a request again that may already have been executed."""
 
     WITHIN_SCOPE = "to its group, within its time"
     NEVER = "never"
@@ -214,8 +216,8 @@
 def retry_permission(record: KeyedRequestRecord, context: RestartContext) -> RetryPermission:
     """Return whether and where a request that may have been executed may be retried.
 
-    Endpoints that lost power have forgotten the keys they had seen; and an expiry counts only by a clock that
-    can be trusted.
+    Endpoints that lost power have lost the idempotency keys that they had received. An expiry is only used if
+    the clock can be trusted.
     """
     is_clock_trusted = (
         not context.clock_went_backward and record.recorded_at <= context.now + MAX_CLOCK_SKEW_S
--- a/tests/recovery/test_peer_survey.py
+++ b/tests/recovery/test_peer_survey.py
@@ -43,16 +43,16 @@
 
 def test_outages_of_one_process_a_zone_and_the_fleet_are_told_apart() -> None:
     steady = [peer(number, STEADY) for number in range(1, 24)]
-    assert found(steady) == OutageFinding(OutageScope.PROCESS, frozenset(), "p1 was up all the while")
+    assert found(steady) == OutageFinding(OutageScope.PROCESS, frozenset(), "p1 was up throughout the outage")
     assert found(steady, stayed_up=False).scope is OutageScope.MACHINE
     zone = [peer(number, RECOVERING if number % 3 == 0 else STEADY) for number in range(1, 24)]
     for known in (True, False):
         assert scope_and_zones(found(zone, known=known)) == (OutageScope.ZONE, frozenset("a"))
     # What the view has of its zone is from before, as long as no member of it has answered.
-    silent = [peer(number, None if number % 3 == 0 else STEADY) for number in range(1, 24)]
-    assert found(silent).scope is OutageScope.UNKNOWN
-    assert found(silent, elapsed=MAX_SURVEY_S).scope is OutageScope.ZONE
-    assert found(silent, stayed_up=True).scope is OutageScope.PROCESS
+    unanswered = [peer(number, None if number % 3 == 0 else STEADY) for number in range(1, 24)]
+    assert found(unanswered).scope is OutageScope.UNKNOWN
+    assert found(unanswered, elapsed=MAX_SURVEY_S).scope is OutageScope.ZONE
+    assert found(unanswered, stayed_up=True).scope is OutageScope.PROCESS
     dead = [peer(number, STEADY, is_alive=number % 3 != 0) for number in range(1, 24)]
     assert found(dead).scope is OutageScope.ZONE  # the first of its zone to be back
     other = [peer(number, RECOVERING if number % 3 == 1 else STEADY) for number in range(1, 24)]
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -29,18 +29,18 @@
         RecoveryPhase, (0, 5), OutageScope, bits, bits, bits, bits, spans
     ):
         seen = Observation(endpoints, outage, settled, current, warm, failures, elapsed, SLOW_START_WINDOW_S)
-        following, guard = next_phase(phase, seen)
-        assert (guard is None) == (following is phase)
+        target_phase, guard = next_phase(phase, seen)
+        assert (guard is None) == (target_phase is phase)
         if elapsed >= max_duration or phase is RecoveryPhase.STEADY:
-            assert following is RecoveryPhase.STEADY  # it ends, and what is over does not start again
+            assert target_phase is RecoveryPhase.STEADY  # it ends, and what is over does not start again
             continue
-        admission = ADMISSION_BY_PHASE[following]
+        admission = ADMISSION_BY_PHASE[target_phase]
         if not endpoints:
             assert admission is AdmissionMode.NONE  # no wait that can't succeed
         is_early = elapsed < MAX_SURVEY_S and phase in (RecoveryPhase.UNAVAILABLE, RecoveryPhase.SURVEYING)
         if outage is OutageScope.UNKNOWN and is_early:
             assert admission in (AdmissionMode.NONE, AdmissionMode.INITIAL_SHARE)
-        if following is RecoveryPhase.RAMP and phase is not RecoveryPhase.RAMP:
+        if target_phase is RecoveryPhase.RAMP and phase is not RecoveryPhase.RAMP:
             assert (settled and current) or elapsed >= 2 * MAX_SURVEY_S
         if failures and endpoints and outage not in (OutageScope.PROCESS, OutageScope.MACHINE):
             assert admission is not AdmissionMode.WARM_SHARE  # it steps back
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -92,7 +92,7 @@
     corrupted = bytearray(image[log])
     corrupted[corrupted.index(b"\n") + 30] ^= 4
     contents = read_store(RecordingDirectory({**image, log: bytes(corrupted)}), OWNER)
-    assert "whole records behind a broken one" in contents.damage[0]
+    assert "valid records after a damaged one" in contents.damage[0]
     assert len(contents.state) > 3  # the rest counts
     contents = read_store(RecordingDirectory({**image, snapshot: image[snapshot][:-4]}), OWNER)
     assert contents.damage == [f"{snapshot} is not whole"]
