--- a/tests/recovery/test_endpoint_override.py
+++ b/tests/recovery/test_endpoint_override.py
@@ -1,4 +1,4 @@
-"""What recovery changes in endpoint lists."""
+"""Tests of the changes that recovery makes to endpoint lists."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from service_proxy.recovery.phases import RecoveryPhase
 from service_proxy.recovery.validity_rules import OutageScope
 
-STARTED_AT = 1000.0  # of this process, monotonic, s
+STARTED_AT = 1000.0  # Monotonic start time of this process, s.
 SLOW_START_WINDOW_S = 24.0
 ZONES = ("a", "b")
 
 
-def finding(
+def finding_of_survey(
     own_zone: str, phases: dict[str, RecoveryPhase], machine_stayed_up: bool | None = None
 ) -> OutageFinding:
-    """What a survey finds where all members of each zone are in one phase."""
+    """Return the finding of a survey in which all members of a zone are in the same phase."""
     peers = [
         Peer(f"{zone}{number}", zone, True, RecoveryStatus(phase))
         for zone, phase in phases.items()
@@ -27,7 +27,7 @@
 
 
 def zones_warming_up(affected_zones: frozenset[str] | None) -> tuple[bool, ...]:
-    """Whether the endpoint of each zone is warming up, though the list says that it started long ago."""
+    """Return whether the endpoint of each zone is warming up, although the list gives an early start time."""
     override = EndpointListOverride("p0", SLOW_START_WINDOW_S, STARTED_AT)
     override.update_outage(affected_zones, ())
     listed = []
@@ -35,21 +35,21 @@
         entry = EndpointEntry(endpoint_id_of(f"n-{zone}"), zone, started_at=0.0)
         listed.append(Endpoint(("10.0.0.1", 80), entry, f"n-{zone}"))
     effective = override.apply(EndpointList(1, True, listed)).endpoints
-    started_late = tuple(endpoint.entry.started_at == STARTED_AT for endpoint in effective)
-    assert started_late == tuple(override.is_warming_up(zone) for zone in ZONES)
-    return started_late
+    has_new_start_time = tuple(endpoint.entry.started_at == STARTED_AT for endpoint in effective)
+    assert has_new_start_time == tuple(override.is_warming_up(zone) for zone in ZONES)
+    return has_new_start_time
 
 
-def test_after_an_outage_endpoints_are_warming_up_whatever_a_list_says() -> None:
+def test_endpoints_of_affected_zones_are_warming_up_whatever_start_time_is_listed() -> None:
     steady = RecoveryPhase.STEADY
     surveying = RecoveryPhase.SURVEYING
     zone_a_recovers = {"a": surveying, "b": steady}
     findings = {
-        OutageScope.PROCESS: finding("b", zone_a_recovers),
-        OutageScope.MACHINE: finding("b", zone_a_recovers, machine_stayed_up=False),
-        OutageScope.ZONE: finding("a", zone_a_recovers),
-        OutageScope.FLEET: finding("a", {"a": surveying, "b": surveying}),
-        OutageScope.UNKNOWN: finding("a", {}),
+        OutageScope.PROCESS: finding_of_survey("b", zone_a_recovers),
+        OutageScope.MACHINE: finding_of_survey("b", zone_a_recovers, machine_stayed_up=False),
+        OutageScope.ZONE: finding_of_survey("a", zone_a_recovers),
+        OutageScope.FLEET: finding_of_survey("a", {"a": surveying, "b": surveying}),
+        OutageScope.UNKNOWN: finding_of_survey("a", {}),
     }
     assert [found.scope for found in findings.values()] == list(findings) == list(OutageScope)
     assert {scope: zones_warming_up(found.affected_zones) for scope, found in findings.items()} == {
@@ -59,6 +59,6 @@
         OutageScope.FLEET: (True, True),
         OutageScope.UNKNOWN: (True, True),
     }
-    alone = finding("b", {"a": steady, "b": steady})
-    assert alone.scope is OutageScope.PROCESS
-    assert zones_warming_up(alone.affected_zones) == (False, False)
+    lone_restart = finding_of_survey("b", {"a": steady, "b": steady})
+    assert lone_restart.scope is OutageScope.PROCESS
+    assert zones_warming_up(lone_restart.affected_zones) == (False, False)
--- a/tests/recovery/test_keyed_requests.py
+++ b/tests/recovery/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""The records of keyed requests: from the first attempt until no client can retry them."""
+"""Tests of the records of keyed requests, from the first attempt until no client can retry the request."""
 
 from __future__ import annotations
 
@@ -95,8 +95,8 @@
 
 
 @pytest.mark.parametrize("outage", OutageScope)
-def test_request_whose_key_one_cell_remembers_is_not_retried_after_a_restart(outage: OutageScope) -> None:
-    """The record is written before the first attempt, so the cell that remembers the key is not known."""
+def test_request_deduplicated_only_by_one_cell_is_not_retried_after_a_restart(outage: OutageScope) -> None:
+    """The record is written before the first attempt, so the cell that drops duplicates is not known."""
     writer = RecordingWriter()
     request_log(writer).record("k1", "cell")
     record = writer.records["k1"]
@@ -105,7 +105,7 @@
     assert retry_permission(record, context) is RetryPermission.NEVER
 
 
-def test_settings_update_counts_for_the_next_request() -> None:
+def test_settings_update_applies_to_the_next_request() -> None:
     writer = RecordingWriter()
     requests = request_log(writer)
     requests.update_settings(Settings([request_class("new", 9.0)], zone="b"))
@@ -114,7 +114,7 @@
     assert list(writer.records) == ["k1"]
 
 
-def test_request_is_recorded_once_and_forgotten_only_if_it_never_ran() -> None:
+def test_request_is_recorded_once_and_its_record_removed_only_if_it_never_ran() -> None:
     writer = RecordingWriter()
     tracker = KeyedRequestTracker(request_log(writer), "k1", "short")
     attempt = object()
--- a/tests/recovery/test_peer_survey.py
+++ b/tests/recovery/test_peer_survey.py
@@ -1,4 +1,4 @@
-"""The outage that a survey of the peers finds, and the status that travels."""
+"""Tests of the outage that a survey of the peers determines, and of the encoding of the status."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     return Peer(f"p{number}", "abc"[number % 3], is_alive, status)
 
 
-def found(
+def finding_of_p0(
     peers: list[Peer], stayed_up: bool | None = None, elapsed: float = 1.0, known: bool = True
 ) -> OutageFinding:
-    """What p0 of 24, in zone a, finds."""
+    """Return the finding of p0, which is one of 24 proxies and in zone a."""
     return determine_outage("a", stayed_up, peers, ALL_MEMBERS if known else [], 24, elapsed)
 
 
@@ -41,48 +41,57 @@
     return finding.scope, finding.affected_zones
 
 
-def test_outages_of_one_process_a_zone_and_the_fleet_are_told_apart() -> None:
+def test_outages_of_one_process_a_zone_and_the_fleet_are_distinguished() -> None:
     steady = [peer(number, STEADY) for number in range(1, 24)]
-    assert found(steady) == OutageFinding(OutageScope.PROCESS, frozenset(), "p1 was up throughout the outage")
-    assert found(steady, stayed_up=False).scope is OutageScope.MACHINE
-    zone = [peer(number, RECOVERING if number % 3 == 0 else STEADY) for number in range(1, 24)]
+    assert finding_of_p0(steady) == OutageFinding(
+        OutageScope.PROCESS, frozenset(), "p1 was up throughout the outage"
+    )
+    assert finding_of_p0(steady, stayed_up=False).scope is OutageScope.MACHINE
+    zone_a_recovering = [peer(number, RECOVERING if number % 3 == 0 else STEADY) for number in range(1, 24)]
     for known in (True, False):
-        assert scope_and_zones(found(zone, known=known)) == (OutageScope.ZONE, frozenset("a"))
-    # What the view has of its zone is from before, as long as no member of it has answered.
+        assert scope_and_zones(finding_of_p0(zone_a_recovering, known=known)) == (
+            OutageScope.ZONE,
+            frozenset("a"),
+        )
+    # While no member of this zone has answered, the view's data on this zone may be older than the outage.
     unanswered = [peer(number, None if number % 3 == 0 else STEADY) for number in range(1, 24)]
-    assert found(unanswered).scope is OutageScope.UNKNOWN
-    assert found(unanswered, elapsed=MAX_SURVEY_S).scope is OutageScope.ZONE
-    assert found(unanswered, stayed_up=True).scope is OutageScope.PROCESS
-    dead = [peer(number, STEADY, is_alive=number % 3 != 0) for number in range(1, 24)]
-    assert found(dead).scope is OutageScope.ZONE  # the first of its zone to be back
-    other = [peer(number, RECOVERING if number % 3 == 1 else STEADY) for number in range(1, 24)]
-    assert scope_and_zones(found(other)) == (OutageScope.PROCESS, frozenset("b"))
-    everybody = [peer(number, RECOVERING) for number in range(1, 24)]
-    assert scope_and_zones(found(everybody)) == (OutageScope.FLEET, None)
-    # All proxies ended, and no machine did; one that can't tell is enough to assume the worst.
+    assert finding_of_p0(unanswered).scope is OutageScope.UNKNOWN
+    assert finding_of_p0(unanswered, elapsed=MAX_SURVEY_S).scope is OutageScope.ZONE
+    assert finding_of_p0(unanswered, stayed_up=True).scope is OutageScope.PROCESS
+    zone_a_dead = [peer(number, STEADY, is_alive=number % 3 != 0) for number in range(1, 24)]
+    # This proxy is the first of its zone to restart.
+    assert finding_of_p0(zone_a_dead).scope is OutageScope.ZONE
+    zone_b_recovering = [peer(number, RECOVERING if number % 3 == 1 else STEADY) for number in range(1, 24)]
+    assert scope_and_zones(finding_of_p0(zone_b_recovering)) == (OutageScope.PROCESS, frozenset("b"))
+    all_recovering = [peer(number, RECOVERING) for number in range(1, 24)]
+    assert scope_and_zones(finding_of_p0(all_recovering)) == (OutageScope.FLEET, None)
+    # All proxies ended, and all machines kept power. If one proxy has no information on its machine, the
+    # widest outage is assumed.
     stayed_up = [peer(number, RECOVERING, stayed_up=True) for number in range(1, 24)]
     assert (
-        found(stayed_up, stayed_up=True).scope is OutageScope.PROCESS
-        and found(stayed_up).scope is OutageScope.FLEET
+        finding_of_p0(stayed_up, stayed_up=True).scope is OutageScope.PROCESS
+        and finding_of_p0(stayed_up).scope is OutageScope.FLEET
     )
 
 
-def test_half_or_fewer_answers_prove_nothing_until_the_survey_times_out() -> None:
+def test_outage_is_unknown_until_the_survey_times_out_if_half_or_fewer_answer() -> None:
     half = [peer(number, RECOVERING) for number in range(1, 12)]
     for peers in (half, []):
-        assert found(peers).scope is OutageScope.UNKNOWN
-        assert found(peers, elapsed=MAX_SURVEY_S).scope is OutageScope.FLEET
-    assert found([], stayed_up=True, elapsed=MAX_SURVEY_S).scope is OutageScope.PROCESS
-    assert found([*half, peer(12, RECOVERING)]).scope is OutageScope.FLEET
-    # In a rolling restart some proxy is steady at each moment.
+        assert finding_of_p0(peers).scope is OutageScope.UNKNOWN
+        assert finding_of_p0(peers, elapsed=MAX_SURVEY_S).scope is OutageScope.FLEET
+    assert finding_of_p0([], stayed_up=True, elapsed=MAX_SURVEY_S).scope is OutageScope.PROCESS
+    assert finding_of_p0([*half, peer(12, RECOVERING)]).scope is OutageScope.FLEET
+    # During a rolling restart some proxy is steady at any time.
     for restarting in range(1, 23):
         rolling = [peer(number, RECOVERING if number == restarting else STEADY) for number in range(1, 24)]
-        assert found(rolling).scope is OutageScope.PROCESS and not found(rolling).affected_zones
-    # Members of an older version never answer: they are neither survivors nor lost.
-    older = [peer(number, None) for number in range(1, 24)]
+        assert (
+            finding_of_p0(rolling).scope is OutageScope.PROCESS and not finding_of_p0(rolling).affected_zones
+        )
+    # Members of an older version never answer. They count neither as survivors nor as lost.
+    old_version_members = [peer(number, None) for number in range(1, 24)]
     assert (
-        found(older).scope is OutageScope.UNKNOWN
-        and zones_without_survivors(older, ALL_MEMBERS) == frozenset()
+        finding_of_p0(old_version_members).scope is OutageScope.UNKNOWN
+        and zones_without_survivors(old_version_members, ALL_MEMBERS) == frozenset()
     )
 
 
--- a/tests/recovery/test_power_loss.py
+++ b/tests/recovery/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Power losses of several processes of the program: what each finds, and how service returns."""
+"""Tests of power losses with several proxy processes: the outage that each determines, and the recovery."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RecoveryLogs:
-    """What the processes have logged since a position in each log."""
+    """Lines that the processes have logged since a position in each log."""
 
     def __init__(self, fleet: FleetHarness) -> None:
         self.fleet = fleet
@@ -42,7 +42,7 @@
         return [found[0][0], *(phase for _, phase in found)] if found else []
 
     async def wait_until_steady(self, *slots: Slot) -> None:
-        """Wait until these slots, or all, are in phase steady."""
+        """Wait until the given slots, or all slots, are in phase steady."""
         expected = slots or tuple(self.fleet.slots)
         await until(
             lambda: not self.fleet.starting
@@ -71,8 +71,8 @@
     asyncio.run(test())
 
 
-def test_whole_fleet_recovers_from_a_power_loss_in_the_worst_order() -> None:
-    """Proxies first, endpoints late, one of them never; an endpoint was in maintenance."""
+def test_fleet_recovers_from_a_power_loss_when_proxies_start_before_endpoints() -> None:
+    """The proxies start before the endpoints, one endpoint never starts, and one was in maintenance."""
 
     async def scenario(fleet: FleetHarness, logs: RecoveryLogs) -> None:
         fleet.power_off()
@@ -91,7 +91,8 @@
         await until(
             lambda: all("fleet" in logs.outage_findings(slot) for slot in fleet.living), "outage finding", 30
         )
-        assert all(logs.phases(slot) == [] for slot in fleet.slots)  # unavailable: no endpoint answers
+        # The phase stays unavailable because no endpoint answers.
+        assert all(logs.phases(slot) == [] for slot in fleet.slots)
         served = sum(client.status_codes[200] for client in fleet.clients)
         rejected = sum(client.status_codes[503] for client in fleet.clients)
         await until(
@@ -107,8 +108,10 @@
         await until(
             lambda: sum(client.status_codes[200] for client in fleet.clients) > served + 50, "service", 20
         )
-        # What was in maintenance stays so where it was known: p0 alone had that record.
-        await until(lambda: len(fleet.endpoints[1].last_request_by_proxy) >= 1, "others at n1", 20)
+        # Only p0 has the record of the maintenance of n1, so only p0 sends no request to n1.
+        await until(
+            lambda: len(fleet.endpoints[1].last_request_by_proxy) >= 1, "requests of other proxies at n1", 20
+        )
         assert "p0" not in fleet.endpoints[1].last_request_by_proxy
 
     run_scenario(scenario)
@@ -127,12 +130,12 @@
     run_scenario(scenario)
 
 
-def test_power_loss_of_one_zone() -> None:
-    """The others go on; those that come back warm up their own zone's endpoints, and no others."""
+def test_power_loss_of_one_zone_starts_a_recovery_in_that_zone_only() -> None:
+    """Other zones' proxies continue. Restarted proxies mark only endpoints of their zone as warming up."""
 
     async def scenario(fleet: FleetHarness, logs: RecoveryLogs) -> None:
         fleet.power_off("a")
-        await until(lambda: len(fleet.living) == 4, "two down", 10)
+        await until(lambda: len(fleet.living) == 4, "two processes have ended", 10)
         for number in (0, 3):
             await fleet.restart_endpoint(number)
             fleet.start(number)
@@ -145,8 +148,8 @@
     run_scenario(scenario)
 
 
-def test_restart_of_all_proxies_while_machines_keep_power() -> None:
-    """They serve again at once: endpoints and machines had power all the while."""
+def test_restart_of_all_proxies_starts_no_ramp_if_machines_kept_power() -> None:
+    """Service returns without a ramp, because endpoints and machines had power throughout."""
 
     async def scenario(fleet: FleetHarness, logs: RecoveryLogs) -> None:
         for slot in fleet.slots:
--- a/tests/recovery/test_recovery_store.py
+++ b/tests/recovery/test_recovery_store.py
@@ -1,4 +1,8 @@
-"""The store: crashed, torn, damaged, another's, full, locked; by itself and in processes that are killed."""
+"""Tests of the store.
+
+They cover crashes, torn writes, damage, another owner, a full disk and a held lock, in this process and in
+processes that are killed.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +43,7 @@
 from service_proxy.recovery.store_directory import StoreDirectory
 
 
-def test_crash_at_any_point_leaves_the_state_before_or_the_one_after() -> None:
+def test_crash_at_any_point_leaves_the_state_before_or_after_the_write() -> None:
     for seed in (1, 2):
         faults = list(crash_faults(*record_store_run(Store, seed, 20)))
         assert len(faults) > 300 and not any(faults)
@@ -50,14 +54,14 @@
     assert any(crash_faults(*record_store_run(ORDERING_BUGS[name], 1, 20)))
 
 
-def test_second_crash_after_a_crash_is_no_worse() -> None:
+def test_second_crash_leaves_the_state_before_or_after_the_write() -> None:
     recording, states = record_store_run(Store, 3, 12)
-    again, more = record_store_run(Store, 4, 12, recording.image())
-    assert same_state(more[0], states[-1]) and not any(crash_faults(again, more))
+    second_recording, later_states = record_store_run(Store, 4, 12, recording.image())
+    assert same_state(later_states[0], states[-1]) and not any(crash_faults(second_recording, later_states))
 
 
 @pytest.mark.parametrize("faults", [1, 3])
-def test_disk_that_fails_at_any_operation_loses_nothing_durable(faults: int) -> None:
+def test_disk_that_fails_at_any_operation_loses_no_durable_record(faults: int) -> None:
     for at in range(0, 44, 4):
         recording, states = record_store_run(Store, 1, 12, fault_at=at, fault_count=faults)
         assert recording.durable_count == recording.submitted_count and not any(
@@ -76,8 +80,8 @@
     image = recording.image()
     log = image[name]
     line_ends = [at + 1 for at, byte in enumerate(log) if byte == 10]
-    places = {*line_ends, *Random(5).choices(range(len(log)), k=200)}
-    for at in sorted(places):
+    cut_positions = {*line_ends, *Random(5).choices(range(len(log)), k=200)}
+    for at in sorted(cut_positions):
         contents = read_store(RecordingDirectory({**image, name: log[:at]}), OWNER)
         valid_lines = sum(line_end <= at for line_end in line_ends)
         expected = states[len(states) - len(line_ends) + max(0, valid_lines - 1)]
@@ -85,7 +89,7 @@
         assert contents.torn_bytes == at - max([0, *(line_end for line_end in line_ends if line_end <= at)])
 
 
-def test_damage_to_durable_records_is_reported_and_the_rest_counts() -> None:
+def test_damage_to_durable_records_is_reported_and_other_records_are_used() -> None:
     recording, _ = record_store_run(Store, 5, 12, min_log_bytes=1 << 20)
     log, snapshot = sorted(recording.file_names())
     image = recording.image()
@@ -93,32 +97,33 @@
     corrupted[corrupted.index(b"\n") + 30] ^= 4
     contents = read_store(RecordingDirectory({**image, log: bytes(corrupted)}), OWNER)
     assert "valid records after a damaged one" in contents.damage[0]
-    assert len(contents.state) > 3  # the rest counts
+    assert len(contents.state) > 3  # The other records are used.
     contents = read_store(RecordingDirectory({**image, snapshot: image[snapshot][:-4]}), OWNER)
     assert contents.damage == [f"{snapshot} is not whole"]
     undamaged = read_store(RecordingDirectory(image), OWNER)
-    assert same_state(contents.state, undamaged.state)  # only the end of the file was lost, no record
-    # The next generation replaces both.
-    again = RecordingDirectory({**image, snapshot: image[snapshot][:-4]})
-    new = Store(again, OWNER)
-    new.start_generation(read_store(again, OWNER), 1.0)
+    assert same_state(contents.state, undamaged.state)  # Only the end of the file was lost, and no record.
+    # The next generation replaces both files.
+    second_recording = RecordingDirectory({**image, snapshot: image[snapshot][:-4]})
+    new = Store(second_recording, OWNER)
+    new.start_generation(read_store(second_recording, OWNER), 1.0)
     new.append([put_operation("n1", MaintenanceRecord(1.0))], 1.0)
-    assert read_store(again, OWNER).state.tables["maintenance"]["n1"] == MaintenanceRecord(1.0)
-    assert sorted(again.file_names()) == ["log-00000002", "snapshot-00000002"]
+    assert read_store(second_recording, OWNER).state.tables["maintenance"]["n1"] == MaintenanceRecord(1.0)
+    assert sorted(second_recording.file_names()) == ["log-00000002", "snapshot-00000002"]
 
 
-def test_line_of_another_file_or_position_is_no_record() -> None:
+def test_line_of_another_file_or_position_is_not_read() -> None:
     lines = [encode_line(7, number, number, {"put": "source", "key": str(number)}) for number in range(3)]
     assert len(scan_lines(b"".join(lines), 7).records) == 3
     assert scan_lines(b"".join(lines), 8).records == []
     missing = scan_lines(lines[0] + lines[2], 7)
-    # Nothing says that the second was ever there.
+    # No line proves that the second record ever existed.
     assert (len(missing.records), missing.records_after_damage) == (1, [])
     broken = scan_lines(lines[0] + b"1" + lines[1][1:] + lines[2], 7)
     assert (len(broken.records), len(broken.records_after_damage)) == (1, 1)
-    together = [encode_line(7, number, 1, {"put": "source", "key": str(number)}) for number in (1, 2)]
-    holed = scan_lines(lines[0] + b"1" + together[0][1:] + together[1], 7)
-    assert (len(holed.records), holed.records_after_damage) == (1, [])  # they were being written
+    same_batch = [encode_line(7, number, 1, {"put": "source", "key": str(number)}) for number in (1, 2)]
+    torn_batch = scan_lines(lines[0] + b"1" + same_batch[0][1:] + same_batch[1], 7)
+    # Both records were still being written.
+    assert (len(torn_batch.records), torn_batch.records_after_damage) == (1, [])
     with pytest.raises(record_format.RecordTooLongError):
         encode_line(1, 0, 0, {"put": "x" * record_format.MAX_LINE_BYTES})
 
@@ -132,9 +137,8 @@
     ):
         with pytest.raises(StoreRejectedError, match=text):
             read_store(recording, owner)
-    assert read_store(
-        recording, StoreOwner("p0", "")
-    ).generation  # a machine without an identifier can't tell
+    # A machine without an identifier can't be compared.
+    assert read_store(recording, StoreOwner("p0", "")).generation
     assert before == recording.image()
 
 
@@ -162,7 +166,7 @@
         read_store(newer, OWNER)
 
 
-def test_kinds_are_bounded_and_eviction_of_protective_records_is_noted(
+def test_kinds_are_bounded_and_eviction_of_protective_records_is_recorded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(KeyedRequestRecord, "MAX_COUNT", 3)
@@ -190,7 +194,7 @@
     return AsyncStoreWriter(StoreDirectory(path), StoreOwner(name, "m"), Clock())
 
 
-def test_second_process_reads_waits_for_the_lock_and_goes_on(
+def test_second_process_reads_the_store_and_writes_once_the_lock_is_free(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY_INTERVAL_S", 0.05)
@@ -206,24 +210,22 @@
     assert not second.wait_until_durable(0.2)
     first.stop()
     assert second.wait_until_durable(5)
-    assert set(second.state.tables["maintenance"]) == {
-        "n1",
-        "n3",
-    }  # read again with the lock, before it wrote
+    # The store was read again under the lock before the first write.
+    assert set(second.state.tables["maintenance"]) == {"n1", "n3"}
     second.stop()
     assert set(read_store(StoreDirectory(tmp_path), None).state.tables["maintenance"]) == {"n1", "n2", "n3"}
 
 
-def test_slow_or_full_disk_blocks_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_or_full_disk_does_not_block_callers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("service_proxy.recovery.async_store_writer.RETRY_INTERVAL_S", 0.05)
-    gate = threading.Event()
+    allow_fsync = threading.Event()
     synced = threading.Event()
     is_full = [False]
 
     class SlowDirectory(StoreDirectory):
         def fsync(self, file: int) -> None:
             synced.set()
-            gate.wait(10)
+            allow_fsync.wait(10)
             super().fsync(file)
 
         def write(self, file: int, data: bytes) -> None:
@@ -242,7 +244,7 @@
         and len(store_writer.pending) <= 50
         and not store_writer.wait_until_durable(0)
     )
-    gate.set()
+    allow_fsync.set()
     assert store_writer.wait_until_durable(5)
     is_full[0] = True
     store_writer.put("n1", MaintenanceRecord(9.0))
@@ -258,7 +260,7 @@
     assert contents.state.tables["maintenance"]["n1"] == MaintenanceRecord(9.0)
 
 
-def test_unusable_directory_stops_nobody(tmp_path: Path) -> None:
+def test_unusable_directory_does_not_stop_the_process(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     store_writer = open_writer(tmp_path / "file" / "store")
     assert store_writer.health is StoreHealth.FAILING
@@ -276,11 +278,11 @@
     assert set(read_store(StoreDirectory(tmp_path / "p0"), None).state.tables["maintenance"]) == {"n1"}
 
 
-def test_processes_killed_while_writing_lose_nothing_durable(tmp_path: Path) -> None:
-    """Several at once, each on a store of its own."""
+def test_processes_killed_while_writing_lose_no_durable_record(tmp_path: Path) -> None:
+    """Several processes run at once, each with a store of its own."""
 
     async def run_and_kill(number: int, duration: float) -> tuple[int, int]:
-        """Return what the process said was durable, and what the store holds."""
+        """Return the count that the process reported as durable, and the count in the store."""
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/tests/recovery/test_stored_format.py
+++ b/tests/recovery/test_stored_format.py
@@ -1,7 +1,7 @@
-"""A store that the program wrote under its former package name is read, and written again byte for byte.
+"""Tests that a store of the former package name is read, and is written again byte for byte.
 
-The fixture was written by version 603f59b (package `granitepoint`): generation 7, with a snapshot of one
-record of each kind and an eviction, and a log of two batches behind it that adds, replaces and drops records.
+The fixture was written by version 603f59b (package `granitepoint`). Its generation 7 has a snapshot with one
+record of each kind and an eviction, and a log with two batches that add, replace and drop records.
 """
 
 from __future__ import annotations
@@ -170,7 +170,7 @@
     assert [fact["server_kind"] for fact in facts if fact["kind"] == "server"] == ["m2", ""]
 
 
-def test_command_shows_the_reason_of_a_maintenance_beside_that_of_its_validity(
+def test_command_shows_the_reason_of_a_maintenance_and_the_reason_of_its_validity(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert main(["show", str(FIXTURE), "--json"], WRITTEN_AT) == 0
--- a/tests/recovery/test_validity_rules.py
+++ b/tests/recovery/test_validity_rules.py
@@ -1,4 +1,4 @@
-"""The validity rules, and the command that shows what they say of a store."""
+"""Tests of the validity rules, and of the command that applies them to a store."""
 
 from __future__ import annotations
 
@@ -55,8 +55,10 @@
 
 @pytest.mark.parametrize("outage", OutageScope)
 @pytest.mark.parametrize("age", [-86_400.0, 0.0, 7 * 86_400.0])
-def test_what_must_never_be_trusted_and_what_must_always_hold(outage: OutageScope, age: float) -> None:
-    """Whatever happened, however old, whatever the clock says."""
+def test_records_are_never_or_always_trusted_where_their_kind_requires_it(
+    outage: OutageScope, age: float
+) -> None:
+    """Checks each kind of record after any outage, at any age and with any clock."""
     degrees = [Validity.IGNORED, Validity.HINT, Validity.TRUSTED]
     for latest_known_time in (0.0, NOW, NOW + 3600):
         for is_old_copy in (False, True):
@@ -70,14 +72,14 @@
                 ):
                     assert validity is Validity.IGNORED
                 if isinstance(record, MemberRecord):
-                    assert validity is not Validity.TRUSTED  # no member counts as alive by a store
+                    assert validity is not Validity.TRUSTED  # A store never shows that a member is alive.
                 if age < 0 and not isinstance(record, MaintenanceRecord | KeyedRequestRecord | BootRecord):
-                    assert validity is not Validity.TRUSTED  # a record from the future
+                    assert validity is not Validity.TRUSTED  # The record is ahead of the clock.
                 if isinstance(record, EndpointRecord) and (
                     is_old_copy or age or outage is not OutageScope.PROCESS
                 ):
-                    assert validity is Validity.HINT  # an address, to be checked
-                # While the outage is unknown, the worst is assumed.
+                    assert validity is Validity.HINT  # The address must be checked.
+                # While the outage is unknown, the widest outage is assumed.
                 unknown = assess(
                     record,
                     RestartContext(
@@ -87,7 +89,7 @@
                 assert degrees.index(unknown) <= degrees.index(validity) or validity is unknown
 
 
-def test_request_that_may_have_run_is_retried_only_where_its_key_is_remembered() -> None:
+def test_request_that_may_have_run_is_retried_only_where_a_duplicate_is_dropped() -> None:
     record = KeyedRequestRecord("reserva", "a", NOW - 1, NOW + 5)
     cases = {
         OutageScope.PROCESS: RetryPermission.WITHIN_SCOPE,
@@ -103,7 +105,7 @@
             retry_permission(record, RestartContext(NOW + 6, outage, affected_zones))
             is RetryPermission.EXPIRED
         )
-        # A clock that can't be trusted lets nothing expire.
+        # No record expires while the clock can't be trusted.
         assert (
             retry_permission(record, RestartContext(NOW + 6, outage, affected_zones, NOW + 3600))
             is RetryPermission.NEVER
@@ -113,9 +115,9 @@
         retry_permission(record, RestartContext(NOW, OutageScope.ZONE, frozenset("b")))
         is RetryPermission.WITHIN_SCOPE
     )
-    shared = KeyedRequestRecord("reserva", "all", NOW - 1, NOW + 5)
+    all_endpoints_record = KeyedRequestRecord("reserva", "all", NOW - 1, NOW + 5)
     assert (
-        retry_permission(shared, RestartContext(NOW, OutageScope.PROCESS, frozenset("b")))
+        retry_permission(all_endpoints_record, RestartContext(NOW, OutageScope.PROCESS, frozenset("b")))
         is RetryPermission.NEVER
     )
     assert (
@@ -126,34 +128,36 @@
     )
 
 
-def test_command_shows_verifies_and_forgets(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_shows_and_verifies_a_store_and_removes_a_record(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     directory = StoreDirectory(tmp_path / "p0")
     directory.create_directory()
     store = Store(directory, StoreOwner("p0", "m"))
     store.start_generation(StoreContents(), NOW - 60)
     store.append([put_operation("x", record) for record in all_records(NOW - 60)], NOW - 60)
     store.close()
-    where = str(directory.path)
-    assert main(["show", where, "--loss", "fleet"], NOW) == 0
+    store_path = str(directory.path)
+    assert main(["show", store_path, "--loss", "fleet"], NOW) == 0
     text = capsys.readouterr().out
     assert "everybody did" in text and "maintenance x                   trusted" in text
     assert "learned     x                   ignored" in text
-    assert main(["show", where, "--json"], 0.0) == 0
+    assert main(["show", store_path, "--json"], 0.0) == 0
     shown = json.loads(capsys.readouterr().out)
     assert shown["clock_went_back"]
     assert {row["repeat"] for row in shown["facts"] if row["kind"] == "keyed"} == {"never"}
-    assert main(["verify", where]) == 0 and "7 facts" in capsys.readouterr().out
+    assert main(["verify", store_path]) == 0 and "7 facts" in capsys.readouterr().out
 
     other = StoreDirectory(directory.path)
     assert other.lock()
-    assert main(["forget", where, "maintenance", "x"], NOW) == 1
+    assert main(["forget", store_path, "maintenance", "x"], NOW) == 1
     assert "a running process has" in capsys.readouterr().err
     other.unlock()
-    assert main(["forget", where, "maintenance", "x"], NOW) == 0
-    assert main(["forget", where, "maintenance", "x"], NOW) == 1
-    assert main(["forget", where, "wish", "x"], NOW) == 1
+    assert main(["forget", store_path, "maintenance", "x"], NOW) == 0
+    assert main(["forget", store_path, "maintenance", "x"], NOW) == 1
+    assert main(["forget", store_path, "wish", "x"], NOW) == 1
     assert main(["show", str(tmp_path / "nowhere")]) == 1 and main(["verify", str(tmp_path)]) == 1
     assert capsys.readouterr().err.count("\n") == 4
     snapshot = next(directory.path.glob("snapshot-*"))
     snapshot.write_bytes(snapshot.read_bytes()[:-9])
-    assert main(["verify", where]) == 3 and "is not whole" in capsys.readouterr().out
+    assert main(["verify", store_path]) == 3 and "is not whole" in capsys.readouterr().out
