--- a/service_proxy/net/upstream/__init__.py
+++ b/service_proxy/net/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""The upstream side: attempts, connections, a connection pool for each endpoint, and the cluster of all."""
+"""Upstream side of the proxy: attempts, connections, one connection pool per endpoint, and the cluster."""
 
 from __future__ import annotations
 
--- a/service_proxy/net/upstream/attempt.py
+++ b/service_proxy/net/upstream/attempt.py
@@ -1,6 +1,6 @@
-"""One attempt: one request to one endpoint, from the decision to send until its one end.
+"""Attempts: one request to one endpoint each, from the decision to send until the single outcome.
 
-An attempt owns its timeout and its outcome; the bytes are its connection's.
+An attempt manages its timeout and its outcome; its connection transfers the bytes.
 """
 
 from __future__ import annotations
@@ -29,64 +29,67 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-REJECTING_STATUS_CODES = (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT)  # with `X-Rejected: 1`: the request never ran
+# Status codes that mean, together with `X-Rejected: 1`, that the request was never executed.
+REJECTING_STATUS_CODES = (SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT)
 
 
 class AttemptCluster(Protocol):
-    """What an attempt uses of the upstream cluster."""
+    """Interface of the upstream cluster that an attempt requires."""
 
     loop: asyncio.AbstractEventLoop
     attempts_sent: int
 
 
 class AttemptPool(Protocol):
-    """What an attempt uses of its endpoint's connection pool."""
+    """Interface of an endpoint's connection pool that an attempt requires."""
 
     address: Address
     last_received_at: float
 
     @property
     def cluster(self) -> AttemptCluster:
-        """The cluster of the endpoint."""
+        """Return the cluster of the endpoint."""
 
     def close_idle(self, unused_since: float = math.inf) -> None:
-        """Close idle connections that were last used at that time or before."""
+        """Close idle connections that were last used at `unused_since` or earlier (monotonic, s)."""
 
 
 class AttemptConnection(Protocol):
-    """What an attempt uses of the connection that it runs on."""
+    """Interface of a connection that an attempt requires."""
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Write the request of an attempt; the connection is its own until its end."""
+        """Write the request of an attempt; the connection carries no other attempt until this one ends."""
 
     def release(self) -> None:
-        """Give the connection back unused."""
+        """Return the unused connection to its pool."""
 
     def abort(self) -> None:
         """Close the connection at once."""
 
 
 class UpstreamAttempt:
-    """One request to one endpoint, of a client's request or a health check.
+    """One request to one endpoint, for a client's request or for a health check.
 
     Args:
-        pool: of the endpoint.
-        request_head: all that is written first: the head, and a short body; where the endpoint is told its
-            time, the head but for the line that says so, without the empty line.
-        timeout: s until the attempt ends as timed out.
-        can_start: asked right before the first byte goes out, also after a slow connect: meanwhile the
-            request may have ended or the endpoint begun to drain.
-        on_end: called once, with `status` set.
-        serves_request: it is an attempt of a client's request, not a health check; its response may be
-            streamed: then `response_source` is set with OK, and whoever is called gives it a sink.
-        request_body: the body behind `request_head`, where it is not part of that.
-        time_left: returns the time (s) that the endpoint is told; None: it is told none.
-        short_body: what follows the line that tells the time.
+        pool: Connection pool of the endpoint.
+        request_head: First bytes to write: the request's head, and a short body if there is one. If
+            `time_left` is set, the head without the X-Budget line, the empty line and the short body.
+        timeout: Time until the attempt ends as timed out (s).
+        can_start: Called right before the first byte is written, also after a slow connect, because the
+            request may have ended or the endpoint may have started draining in the meantime.
+        on_end: Called once, after `status` is set.
+        serves_request: Whether the attempt serves a client's request and is not a health check. Its
+            response may be streamed: `response_source` is then set together with the status OK, and
+            `on_end` has to attach a sink.
+        request_body: Body that is written after `request_head`, unless `request_head` includes the body.
+        time_left: Returns the time left that is sent to the endpoint (s); None if no time is sent.
+        short_body: Parts of a short body, which are written after the X-Budget line.
 
     Attributes:
-        sent: the last byte of the request has left for the endpoint, so the request may be executed;
-            before that it can't.
-        response_length: of the response that `response_source` brings; None: it ends when it ends.
+        sent: Whether the last byte of the request was sent to the endpoint. The request may have been
+            executed only if this is true.
+        response_length: Length of the response from `response_source` in bytes; None if the length is
+            unknown until the response ends.
     """
 
     __slots__ = (
@@ -148,9 +151,10 @@
         self.timeout_timer = self.loop.call_later(timeout, self._on_timeout)
 
     def end(self, status: AttemptStatus) -> None:
-        """End the attempt, unless it has ended.
+        """End the attempt with a status, unless the attempt has already ended.
 
-        Any end but a complete response gives up the connection, so that a late response reaches nobody.
+        Every outcome except a complete response closes the connection, so that a late response cannot be
+        delivered to another request.
         """
         if self.status is not None:
             return
@@ -163,15 +167,16 @@
             connection.abort()
         try:
             self.on_end(self)
-        except Exception:  # one request's fault must not end the callbacks of a connection
+        # An error in the handling of one request must not stop the other callbacks of a connection.
+        except Exception:
             log.exception("attempt_end_failed endpoint=%s:%d", *self.pool.address)
 
     def cancel(self) -> None:
-        """End the attempt because nobody wants its response any more."""
+        """End the attempt because its response is no longer needed."""
         self.end(AttemptStatus.CANCELLED if self.sent else AttemptStatus.NOT_SENT)
 
     def extend_deadline(self, deadline: float) -> None:
-        """Let it take until then (monotonic, s)."""
+        """Set a later deadline for the attempt (monotonic, s)."""
         self.deadline = deadline
 
     def _on_timeout(self) -> None:
@@ -179,40 +184,41 @@
             self.timeout_timer = self.loop.call_later(self.deadline - time.monotonic(), self._on_timeout)
             return
         if time.monotonic() > self.deadline + LOOP_STALL_S:
-            # This process stood still, and timers come before sockets: the response may be here already.
+            # The event loop stalled, and timers run before sockets are read: the response may have arrived.
             self.deadline = math.inf
             self.timeout_timer = self.loop.call_later(LOOP_TURN_S, self._on_timeout)
             return
         if self.sent and self.pool.last_received_at < self.started_at:
-            # The endpoint sent nothing to anyone meanwhile. A machine that vanished leaves its connections
-            # open and silent; when it is back, each would cost one more request or health check to find out.
+            # The endpoint has sent nothing on any connection since the attempt started. A machine that
+            # becomes unreachable leaves its connections open and silent. After its recovery, each of these
+            # connections would cost one more request or health check before the failure is detected.
             self.pool.close_idle(self.started_at)
         self.end(AttemptStatus.TIMEOUT if self.sent else AttemptStatus.NOT_SENT)
 
     def run_on(self, connection: AttemptConnection) -> None:
-        """Write the request on a connection, unless it has ended or must not start any more."""
+        """Write the request on a connection, unless the attempt has ended or must not start any more."""
         if self.status is not None or not self.can_start():
             connection.release()
             self.end(AttemptStatus.NOT_SENT)
             return
         if self.time_left is not None:
-            # Of this moment: a connect may have taken more than a second of it.
-            left = max(1, int(self.time_left() * 1e6))
+            # The time left is computed here, because a connect may have taken more than a second.
+            time_left_us = max(1, int(self.time_left() * 1e6))
             self.request_head = b"".join(
-                (self.request_head, b"x-budget: %du\r\n\r\n" % left, *self.short_body)
+                (self.request_head, b"x-budget: %du\r\n\r\n" % time_left_us, *self.short_body)
             )
         self.connection = connection
         connection.start_attempt(self)
 
     def on_request_sent(self) -> None:
-        """Note that the last byte of the request has left."""
+        """Record that the last byte of the request was sent."""
         self.sent = True
         self.pool.cluster.attempts_sent += self.serves_request
 
     def on_response_streaming(
         self, status_code: int, headers: Headers, source: ResponseSource, response_length: int | None
     ) -> None:
-        """Take a response whose body goes on as it comes."""
+        """Accept a response whose body is streamed as it arrives."""
         self.connection = None
         self.status_code = status_code
         self.response_headers = headers
@@ -221,7 +227,7 @@
         self.end(AttemptStatus.OK)
 
     def on_response(self, status_code: int, headers: Headers, body: bytes) -> None:
-        """Take a complete response."""
+        """Accept a complete response, and end the attempt with the status that the response implies."""
         self.connection = None
         self.status_code = status_code
         self.response_headers = headers
@@ -237,11 +243,11 @@
 
 
 class UpgradeAttempt(UpstreamAttempt):
-    """An attempt to leave HTTP with an endpoint: a verified 101 is its success, anything else an error.
+    """Attempt to upgrade a connection to another protocol; any response but a verified 101 is an error.
 
     Attributes:
-        upgraded_connection: with OK: the connection, which speaks no HTTP any more.
-        surplus: bytes that came right behind the 101.
+        upgraded_connection: Connection that no longer uses HTTP; set together with the status OK.
+        surplus: Bytes received directly after the 101 response.
     """
 
     __slots__ = ("negotiation", "surplus", "upgraded_connection")
@@ -264,7 +270,7 @@
         self.surplus = b""
 
     def on_upgrade_response(self, headers: Headers, connection: AttemptConnection, surplus: bytes) -> None:
-        """Take a 101, which counts only where the negotiation finds it in order."""
+        """Accept a 101 response if the negotiation verifies it; otherwise end the attempt as an error."""
         self.connection = None
         self.status_code = SWITCHING_PROTOCOLS
         self.response_headers = headers
@@ -279,16 +285,16 @@
         self.end(AttemptStatus.ERROR)
 
     def on_response(self, status_code: int, headers: Headers, body: bytes) -> None:
-        """Take a refusal of the upgrade; a 200 is one, too."""
+        """Handle a response that refuses the upgrade; a 200 is a refusal, too."""
         super().on_response(BAD_GATEWAY if status_code == OK else status_code, headers, body)
 
     def on_response_streaming(
         self,
-        status_code: int,  # noqa: ARG002 - none of it is used
+        status_code: int,  # noqa: ARG002 - not used here
         headers: Headers,  # noqa: ARG002
         source: ResponseSource,  # noqa: ARG002
         response_length: int | None,  # noqa: ARG002
     ) -> None:
-        """Refuse a response that is streamed: nobody relays it, so its connection ends."""
+        """End the attempt as an error, because no sink takes the response; its connection is then closed."""
         self.connection = None
         self.end(AttemptStatus.ERROR)
--- a/service_proxy/net/upstream/cluster.py
+++ b/service_proxy/net/upstream/cluster.py
@@ -1,4 +1,4 @@
-"""All endpoints of the tier, and the bound on connections to them."""
+"""Endpoints of the tier with their connection pools, and the limit on connections to all endpoints."""
 
 from __future__ import annotations
 
@@ -17,33 +17,40 @@
 
 log = logging.getLogger(__name__)
 
-READ_BUFFER_BYTES = 64 * 1024  # that are read at once
-IDLE_TIMEOUT_SHARE = 0.9  # of the settings' idle time, after which this side closes first
-SWEEP_INTERVAL_S = 1.0  # between looks for connections that are idle or stalled for too long
-# What this machine lacks is no fault of an endpoint.
+READ_BUFFER_BYTES = 64 * 1024  # Largest number of bytes per read from a socket.
+# Share of the settings' idle timeout after which the proxy closes a connection, before the endpoint does.
+IDLE_TIMEOUT_SHARE = 0.9
+SWEEP_INTERVAL_S = 1.0  # Interval between the searches for connections that are idle or stalled for too long.
+# Connect errors caused by a resource shortage on this machine, which do not count against the endpoint.
 LOCAL_RESOURCE_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
 
 
 class UpstreamCluster:
-    """All endpoints, each with its connection pool.
+    """Endpoints of the tier, each with its connection pool.
 
     Attributes:
-        connect_timeout: s.
-        idle_timeout: s after which this side closes a connection that is not used.
-        max_connections: to all endpoints together.
-        established_connections: that are up.
-        read_buffer: all that is read goes through it at once.
-        streaming_connections: whose response is streamed.
-        attempts_sent: attempts of clients' requests whose last byte was handed to a connection.
-        pools: by endpoint id.
-        idle_connections: of all pools, those that have been idle the longest first.
-        on_endpoint_leaving: called with the pool of each endpoint that must be left.
+        connect_timeout: Time limit of one connect (s).
+        idle_timeout: Time after which the proxy closes an unused connection (s).
+        max_connections: Limit on the connections to all endpoints together.
+        established_connections: Number of established connections.
+        read_buffer: Buffer that all connections share; each read is parsed before the next one.
+        streaming_connections: Connections whose response is being streamed.
+        attempts_sent: Number of attempts of clients' requests whose last byte was passed to a connection.
+        pools: Connection pools by endpoint id.
+        idle_connections: Idle connections of all pools; the connection that is idle the longest is first.
+        on_endpoint_leaving: Called with the pool of each endpoint that must no longer be used.
     """
 
     def __init__(self, connect_timeout: float, idle_timeout: float, max_connections: int) -> None:
-        """`idle_timeout`: s, as the settings have it, after which an endpoint may close a connection."""
+        """Create a cluster without endpoints, and start the periodic sweep.
+
+        Args:
+            connect_timeout: Time limit of one connect (s).
+            idle_timeout: Time from the settings after which an endpoint may close an unused connection (s).
+            max_connections: Limit on the connections to all endpoints together.
+        """
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout
         self.idle_timeout = IDLE_TIMEOUT_SHARE * idle_timeout
@@ -60,18 +67,19 @@
 
     @property
     def connection_count(self) -> int:
-        """Count the descriptors in use or soon to be."""
+        """Return the number of descriptors in use, including connects in progress."""
         return self.established_connections + len(self._connects)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether any endpoint is serving."""
+        """Return whether any endpoint is serving."""
         return any(pool.is_serving for pool in self.pools.values())
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Take over the addresses and states of a list that is in force from now on.
+        """Apply the addresses and states of an endpoint list that has come into force.
 
-        Only what the list names is looked at: changes come often, and most pools have no part in them.
+        An incremental list is applied only to the pools of its endpoints, because changes are frequent and do
+        not affect most pools.
         """
         for endpoint in endpoint_list.endpoints:
             self._apply_endpoint(endpoint)
@@ -79,7 +87,7 @@
             listed_ids = {endpoint.entry.endpoint_id for endpoint in endpoint_list.endpoints}
             for endpoint_id in [i for i in self.pools if i not in listed_ids]:
                 self.pools[endpoint_id].state = EndpointState.REMOVED
-                self._leave(endpoint_id)
+                self._stop_using_endpoint(endpoint_id)
 
     def _apply_endpoint(self, endpoint: Endpoint) -> None:
         entry = endpoint.entry
@@ -97,10 +105,10 @@
         pool.started_at = entry.started_at
         pool.state = entry.state
         if not pool.is_serving:
-            self._leave(entry.endpoint_id)
+            self._stop_using_endpoint(entry.endpoint_id)
 
-    def _leave(self, endpoint_id: int) -> None:
-        """Let go of an endpoint that is not serving; what is in flight on it ends by itself."""
+    def _stop_using_endpoint(self, endpoint_id: int) -> None:
+        """Stop using an endpoint that is not serving; its requests in flight continue until they end."""
         pool = self.pools[endpoint_id]
         pool.close_idle()
         self._notify_leaving(pool)
@@ -112,8 +120,8 @@
             self.on_endpoint_leaving(pool)
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Run an attempt on an idle connection of its endpoint, or on a new one."""
-        pool: EndpointConnectionPool = attempt.pool  # type: ignore[assignment]  # attempts know less of pools
+        """Run an attempt on an idle connection of its endpoint, or on a new connection."""
+        pool: EndpointConnectionPool = attempt.pool  # type: ignore[assignment]  # declared as AttemptPool
         connection = pool.take_idle()
         if connection is not None:
             wait = connection.idle_since + REUSE_DELAY_S - time.monotonic()
@@ -122,15 +130,19 @@
             else:
                 self._start_on_idle(attempt, connection)
         elif self.connection_count >= self.max_connections and not self._evict_idle():
-            attempt.end(AttemptStatus.NOT_SENT)  # this proxy's own bound: no fault of the endpoint's
+            # The limit is local to this proxy, so the endpoint is not marked as failed.
+            attempt.end(AttemptStatus.NOT_SENT)
         else:
             task = self.loop.create_task(self._connect(attempt, pool))
             self._connects.add(task)
             task.add_done_callback(self._connects.discard)
 
     def _start_on_idle(self, attempt: UpstreamAttempt, connection: UpstreamConnection) -> None:
-        """Bytes that lie unread would be taken for the response to what is sent now."""
-        pool: EndpointConnectionPool = attempt.pool  # type: ignore[assignment]  # as above
+        """Run an attempt on an idle connection, or on another connection if this one is not usable any more.
+
+        Unread bytes in the socket would be parsed as the response to the new request.
+        """
+        pool: EndpointConnectionPool = attempt.pool  # type: ignore[assignment]  # declared as AttemptPool
         if connection in pool.connections and not connection.has_unread_input():
             attempt.run_on(connection)
             return
@@ -146,22 +158,22 @@
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.create_connection(lambda: connection, *address)
             if (address, started_at) != (pool.address, pool.started_at):
-                raise ConnectionError("the endpoint is another process by now")  # noqa: TRY301 - as if refused
+                raise ConnectionError("the endpoint's process was replaced")  # noqa: TRY301 - same as refused
             if connection.transport is None:
-                raise ConnectionError("lost as soon as made")  # noqa: TRY301
+                raise ConnectionError("connection lost right after the connect")  # noqa: TRY301
             pool.connections.add(connection)
             attempt.run_on(connection)
         except (OSError, TimeoutError) as error:
             connection.abort()
-            is_local = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS
-            attempt.end(AttemptStatus.NOT_SENT if is_local else AttemptStatus.CONNECT_FAILED)
+            is_local_error = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS
+            attempt.end(AttemptStatus.NOT_SENT if is_local_error else AttemptStatus.CONNECT_FAILED)
         except Exception:
             log.exception("attempt_failed endpoint=%s:%d", *address)
             connection.abort()
             attempt.end(AttemptStatus.RESET)
 
     def _evict_idle(self) -> bool:
-        """At the bound, let the connection that is idle the longest make room."""
+        """Close the longest idle connection to stay within the limit; return False if none is idle."""
         connection = next(iter(self.idle_connections), None)
         if connection is None:
             return False
@@ -169,12 +181,12 @@
         return True
 
     def _sweep(self) -> None:
-        """Close connections that are idle for too long, and give up streams that stand still."""
-        oldest = time.monotonic() - self.idle_timeout
-        for connection in list(takewhile(lambda c: c.idle_since <= oldest, self.idle_connections)):
+        """Close connections that are idle for too long, and fail streamed responses that have stalled."""
+        idle_cutoff = time.monotonic() - self.idle_timeout
+        for connection in list(takewhile(lambda c: c.idle_since <= idle_cutoff, self.idle_connections)):
             connection.abort()
-        stalled = time.monotonic() - STALL_TIMEOUT_S
-        for connection in [c for c in self.streaming_connections if c.last_progress_at < stalled]:
+        stall_cutoff = time.monotonic() - STALL_TIMEOUT_S
+        for connection in [c for c in self.streaming_connections if c.last_progress_at < stall_cutoff]:
             log.warning(
                 "response_stalled endpoint=%s:%d stalled_s=%.0f", *connection.pool.address, STALL_TIMEOUT_S
             )
--- a/service_proxy/net/upstream/connection.py
+++ b/service_proxy/net/upstream/connection.py
@@ -1,7 +1,8 @@
-"""One connection to an endpoint: writes the request of one attempt at a time and reads its response.
+"""Connection to an endpoint; writes the request of one attempt at a time and parses the response.
 
-A response is buffered until it is complete, or, where it is long and its attempt allows that, streamed to a
-sink that says when it has had enough. A request's body is written complete, or as it comes.
+A response is buffered until it is complete. A long response is streamed to a sink if its attempt allows
+streaming; the sink can pause and resume the stream. A request's body is written complete, or in parts as
+the parts arrive.
 """
 
 from __future__ import annotations
@@ -25,15 +26,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # of a response that is buffered until it is complete
-BUFFERING_TIMEOUT_S = 0.05  # from its head, for which a response of unknown length is awaited complete
-STALL_TIMEOUT_S = 15.0  # for which a message that is streamed may stand still, on either side
-MAX_RAW_RESPONSE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES  # as they come, chunk by chunk
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # Longest response body that is buffered until it is complete.
+# Longest buffering of a response of unknown length, counted from its first body bytes.
+BUFFERING_TIMEOUT_S = 0.05
+STALL_TIMEOUT_S = 15.0  # Longest time without progress of a streamed message, on either side of the proxy.
+# Bound on the received bytes of one response with its chunk framing; each body byte raises the bound by 8.
+MAX_RAW_RESPONSE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
 MAX_LOGGED_ERROR_CHARS = 200
 
 
 class ConnectionCluster(AttemptCluster, Protocol):
-    """What a connection uses of the upstream cluster."""
+    """Interface of the upstream cluster that a connection requires."""
 
     established_connections: int
     read_buffer: memoryview
@@ -41,40 +44,42 @@
 
 
 class ConnectionPool(AttemptPool, Protocol):
-    """What a connection uses of its endpoint's pool."""
+    """Interface of an endpoint's connection pool that a connection requires."""
 
     @property
     def cluster(self) -> ConnectionCluster:
-        """The cluster of the endpoint."""
+        """Return the cluster of the endpoint."""
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether new attempts may go to the endpoint."""
+        """Return whether new attempts may be sent to the endpoint."""
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Take back a connection that can be used again."""
+        """Return a reusable connection to the pool."""
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that can't be used again."""
+        """Remove a connection that cannot be reused from the idle connections."""
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection from the pool."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """One connection to an endpoint; carries one attempt at a time.
+    """Connection to an endpoint that carries one attempt at a time.
 
     Attributes:
-        parser: one for each attempt: nothing of the last response can reach the next.
-        raw_bytes: of this response as they came; `body_bytes`: of its body.
-        complete_response: not delivered yet: its status code, and whether the connection can be kept.
-        response_length: of this response, where it tells.
-        request_body: what is left of the request to write.
-        write_blocked: the endpoint does not take what is written.
-        sink: the response is streamed to it.
-        read_paused: the sink has had enough.
-        last_progress_at: when a message that is streamed moved last (monotonic, s).
-        surplus: bytes that came right behind a 101.
+        parser: One parser per attempt, so that data of the previous response cannot reach the next response.
+        raw_bytes: Number of received bytes of the current response, including headers and chunk framing.
+        body_bytes: Number of received bytes of the current response's body.
+        complete_response: Status code of a complete response that is not yet delivered, and whether the
+            connection can be kept.
+        response_length: Body length of the current response in bytes; None if the head does not state it.
+        request_body: Body of the current request until it is written completely.
+        write_blocked: Whether the endpoint does not accept more data at present.
+        sink: Receiver of the streamed response; None if the response is not streamed.
+        read_paused: Whether the sink has paused the stream.
+        last_progress_at: Time of the last progress of a streamed message (monotonic, s).
+        surplus: Bytes received directly after a 101 response.
     """
 
     __slots__ = (
@@ -124,15 +129,16 @@
         self.buffering_timer: asyncio.TimerHandle | None = None
         self.surplus = b""
 
-    # asyncio.BufferedProtocol
+    # asyncio.BufferedProtocol callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection as established."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        # uvloop transports are not subclasses of asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
         self.pool.cluster.established_connections += 1
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - why does not matter
-        """End what was under way on the connection."""
-        # the parser holds this object: a cycle that would wait for gc
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the cause is not used
+        """End the attempt or the streamed response that was in progress on the connection."""
+        # The parser references this object. The reference cycle would last until the cycle collector runs.
         self.transport = None
         self.parser = None
         self._release_attempt()
@@ -142,44 +148,47 @@
         if self.attempt is not None:
             attempt = self.attempt
             self.attempt = None
-            # Once its last byte has left this process the endpoint may have executed it: never a resend.
+            # After the last byte was sent the endpoint may have executed the request, so the request is not
+            # resent.
             attempt.end(AttemptStatus.RESET if attempt.sent else AttemptStatus.CONNECT_FAILED)
 
     def eof_received(self) -> None:
-        """Complete a response that ends with its connection."""
+        """Complete a response whose body ends with the connection."""
         if self.ends_at_close and (self.attempt is not None or self.sink is not None):
             self.complete_response = self.parser.get_status_code(), False
             self._deliver_response()
 
-    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 - one buffer serves all connections
+    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 - all connections share one buffer
         """Return the cluster's read buffer."""
         return self.pool.cluster.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parse what has come, and act on a response that is complete, invalid or to be streamed."""
+        """Parse received bytes, and act on a response that is complete, invalid or to be streamed."""
         data = self.pool.cluster.read_buffer[:nbytes]
         self.pool.last_received_at = time.monotonic()
         if self.attempt is None and self.sink is None:
-            self.abort()  # nothing was asked: a response to nobody
+            self.abort()  # No request is in flight, so the bytes cannot be a response.
             return
         self.raw_bytes += nbytes
         is_invalid = False
         try:
             self.parser.feed_data(data)
-            # httptools gathers a header that does not end without a word, so what comes is counted as it is.
+            # httptools buffers an endless header without a callback or an error, so the received bytes are
+            # counted here.
             if self.complete_response is None and self.raw_bytes > (
                 MAX_RAW_RESPONSE_BYTES + 8 * self.body_bytes if self.head_done else MAX_HEAD_BYTES
             ):
-                raise InvalidResponseError("the answer does not end")  # noqa: TRY301 - one way out for all
+                raise InvalidResponseError("head or framing too large")  # noqa: TRY301 - handled below
         except httptools.HttpParserUpgrade as upgrade:
             self.surplus = bytes(data[upgrade.args[0] :])
-        except Exception as error:  # noqa: BLE001 - garbage, whatever it is; it may still have run
+        except Exception as error:  # noqa: BLE001 - any malformed response; the request may have run
             cause = error.__context__ or error
             reason = str(cause)[:MAX_LOGGED_ERROR_CHARS]
             log.warning("upstream_response_invalid endpoint=%s:%d reason=%s", *self.pool.address, reason)
             is_invalid = True
         if self.complete_response is not None:
-            if is_invalid:  # it is complete and valid, but more came than belongs to it
+            # The response is complete and valid, but excess bytes follow, so the connection is not kept.
+            if is_invalid:
                 self.complete_response = self.complete_response[0], False
             self._deliver_response()
         elif is_invalid:
@@ -187,10 +196,10 @@
         elif self.sink is not None:
             self.last_progress_at = self.pool.last_received_at
         elif self.body_bytes and self.response_length is None and self.buffering_timer is None:
-            self._limit_buffering()
+            self._start_buffering_timer()
 
     def _deliver_response(self) -> None:
-        """Hand the complete response to the attempt or the sink, and the connection back to its pool."""
+        """Release or close the connection, and deliver the complete response to the attempt or the sink."""
         assert self.complete_response is not None
         (status_code, keep_alive), self.complete_response = self.complete_response, None
         headers = self.headers
@@ -201,7 +210,7 @@
         self.attempt = None
         self.parser = None
         sink = self._end_streaming() if self.sink is not None else None
-        # else the rest of the request would be read as another
+        # A connection with a partly written request is closed: the rest would be read as another request.
         keep_alive = keep_alive and self.request_body is None
         self._release_attempt()
         if status_code == SWITCHING_PROTOCOLS and isinstance(attempt, UpgradeAttempt):
@@ -218,9 +227,9 @@
         elif attempt is not None:
             attempt.on_response(status_code, headers, body)
 
-    # net.protocols.ResponseSource: a response that is streamed
-    def _limit_buffering(self) -> None:
-        """Wait only so long for the end of a response of unknown length before it is streamed."""
+    # net.protocols.ResponseSource methods, which control a streamed response
+    def _start_buffering_timer(self) -> None:
+        """Start the timer that ends the buffering of a 200 response of unknown length."""
         attempt = self.attempt
         if attempt is not None and attempt.serves_request and self.parser.get_status_code() == OK:
             deadline = self.pool.last_received_at + BUFFERING_TIMEOUT_S
@@ -230,20 +239,20 @@
 
     def _on_buffering_timeout(self, deadline: float) -> None:
         if time.monotonic() > deadline + LOOP_STALL_S:
-            # This process stood still, and timers come before sockets: its end, or a reset that makes it an
-            # attempt that failed, may have come meanwhile.
+            # The event loop stalled, and timers run before sockets are read: the end of the response may have
+            # arrived, or a reset that makes the attempt a failed one.
             self.buffering_timer = self.pool.cluster.loop.call_later(LOOP_TURN_S, self._start_streaming)
         else:
             self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """Pass on what has come, and the rest as it comes."""
+        """Deliver the buffered part of the response, and stream the rest as it arrives."""
         self._cancel_buffering_timer()
         attempt = self.attempt
         if attempt is None or self.complete_response is not None:
             return
         if self.transport is None or self.transport.is_closing():
-            return  # its connection is lost, and about to say so
+            return  # The connection is lost; connection_lost() ends the attempt.
         self.attempt = None
         headers = self.headers
         self.headers = []
@@ -252,14 +261,14 @@
         self.last_progress_at = time.monotonic()
         attempt.on_response_streaming(self.parser.get_status_code(), headers, self, self.response_length)
         if self.sink is None:
-            self.abort()  # nobody waits for it any more
+            self.abort()  # No sink was attached, because the request no longer needs the response.
             return
         for part in body_parts:
             if self.sink is not None:
                 self.sink.write(part)
 
     def stream_to(self, sink: ResponseSink) -> None:
-        """Write the body to this sink from now on."""
+        """Stream the body to a sink from now on."""
         self.sink = sink
         self.pool.cluster.streaming_connections.add(self)
 
@@ -271,33 +280,37 @@
         return sink
 
     def pause(self) -> None:
-        """Read no more: the sink has had enough for now."""
+        """Pause reading because the sink cannot accept more data at present."""
         if not self.read_paused and self.transport is not None:
             self.read_paused = True
             self.last_progress_at = time.monotonic()
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading after a pause."""
         if self.read_paused and self.transport is not None:
             self.read_paused = False
             self.last_progress_at = time.monotonic()
             self.transport.resume_reading()
 
     def discard(self) -> None:
-        """Give up the response: nobody takes the rest."""
+        """Discard the rest of the streamed response and close the connection."""
         if self.sink is not None:
             self._end_streaming()
         self.abort()
 
     def _cancel_buffering_timer(self) -> None:
-        """A timer that outlived its response would stream the next one, unread, as a 200."""
+        """Cancel the buffering timer, if one is set.
+
+        A timer that outlives its response would end the next attempt on this connection as a 200 before the
+        next response is read.
+        """
         if self.buffering_timer is not None:
             self.buffering_timer.cancel()
             self.buffering_timer = None
 
     def _release_attempt(self) -> None:
-        """Let go of what belonged to the attempt that is over."""
+        """Release the timer, the request body and the read pause of an attempt that has ended."""
         self._cancel_buffering_timer()
         if self.request_body is not None:
             self.request_body.reader = None
@@ -305,19 +318,19 @@
         if self.read_paused:
             self.resume()
 
-    # net.request_body.BodyReader: a request's body
+    # net.request_body.BodyReader methods and flow control callbacks, which write a request's body
     def pause_writing(self) -> None:
-        """Note that the endpoint takes no more for now."""
+        """Record that the endpoint accepts no more data at present."""
         self.write_blocked = True
 
     def resume_writing(self) -> None:
-        """Write on."""
+        """Continue writing the request's body."""
         self.write_blocked = False
         if self.request_body is not None:
             self.on_body_progress()
 
     def on_body_progress(self) -> None:
-        """Write what there is of the request's body, as far as the endpoint takes it."""
+        """Write the available parts of the request's body, unless writing is blocked."""
         body = self.request_body
         transport = self.transport
         attempt = self.attempt
@@ -333,7 +346,9 @@
         if body.is_complete and not body.parts and body.length is None and not body.is_replayable:
             body.length = body.received_bytes
             transport.write(b"0\r\n\r\n")
-        if self.write_blocked:  # not all has left, and the endpoint can't have it complete
+        # Part of the request is still in the write buffer, so the endpoint cannot have received all of the
+        # request.
+        if self.write_blocked:
             return
         if body.is_complete and (body.is_replayable or not body.parts):
             body.reader = None
@@ -343,17 +358,17 @@
 
     # httptools callbacks
     def on_message_begin(self) -> None:
-        """Refuse a second response to one request."""
+        """Raise InvalidResponseError for a second response to one request."""
         if self.complete_response is not None:
-            raise InvalidResponseError("more than one answer to one request")
+            raise InvalidResponseError("second response to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header field; a trailer is none."""
+        """Collect a header field of the response; trailer fields are ignored."""
         if not self.head_done:
             self.headers.append(parse_field(name, value))
 
     def on_headers_complete(self) -> None:
-        """Decide where the body ends, and whether the response can be buffered."""
+        """Determine where the body ends, and whether the response can be buffered."""
         status_code = self.parser.get_status_code()
         if CONTINUE <= status_code < OK:
             return
@@ -364,33 +379,37 @@
             self._on_body_beyond_buffer()
 
     def _on_body_beyond_buffer(self) -> None:
-        """Stream a response that is too long to be buffered until it is complete."""
+        """Stream a response whose body is too long to be buffered until it is complete.
+
+        Raise InvalidResponseError if the response belongs to a health check.
+        """
         if self.attempt is None:
-            return  # nobody waits for it any more
+            return  # The attempt has ended, so the response is not needed.
         if not self.attempt.serves_request:
-            raise InvalidResponseError("body too large")
+            raise InvalidResponseError("health check response too large to be buffered")
         status_code = self.parser.get_status_code()
         if status_code == OK:
             self._start_streaming()
-        else:  # what it says is of no use, and how it ended is known
+        # The body of a response other than 200 is not used, and the status code determines the outcome.
+        else:
             self.complete_response = status_code, False
 
     def on_body(self, chunk: bytes) -> None:
         """Buffer or stream a piece of the body."""
         self.body_bytes += len(chunk)
         if self.body_bytes > MAX_MESSAGE_BYTES:
-            raise InvalidResponseError("the answer does not end")
+            raise InvalidResponseError("response body too large")
         if self.sink is not None:
             self.sink.write(chunk)
             return
         if self.complete_response is not None or self.attempt is None:
-            return  # settled by its head, or nobody waits for it any more
+            return  # The status code has determined the outcome, or the attempt has ended.
         self.body_parts.append(chunk)
         if self.body_bytes > MAX_BUFFERED_BODY_BYTES:
             self._on_body_beyond_buffer()
 
     def on_message_complete(self) -> None:
-        """Note that the response is complete; interim ones are dropped."""
+        """Record that the response is complete; discard an interim (1xx) response."""
         status_code = self.parser.get_status_code()
         if CONTINUE <= status_code < OK and status_code != SWITCHING_PROTOCOLS:
             self.headers = []
@@ -400,11 +419,12 @@
                 and not self.closes_after_response
                 and self.parser.should_keep_alive()
             )
-            self.complete_response = status_code, keep_alive  # known only here
+            # Whether the connection can be kept is known only at the end of the response.
+            self.complete_response = status_code, keep_alive
 
-    # net.upstream.attempt.AttemptConnection
+    # net.upstream.attempt.AttemptConnection methods
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Write an attempt's request, or as much of it as has come."""
+        """Write an attempt's request, or the part of the request that has been received so far."""
         assert self.transport is not None
         self.attempt = attempt
         self.parser = httptools.HttpResponseParser(self)
@@ -420,7 +440,8 @@
             self.transport.write(attempt.request_head)
             attempt.on_request_sent()
             return
-        self.transport.set_write_buffer_limits(high=0)  # so that it tells when all has left
+        # With a limit of 0 the transport calls resume_writing() after its write buffer is empty.
+        self.transport.set_write_buffer_limits(high=0)
         self.request_body = body
         body.reader = self
         self.transport.writelines(
@@ -429,15 +450,15 @@
         self.on_body_progress()
 
     def release(self) -> None:
-        """Give the connection back to its pool."""
+        """Return the connection to its pool."""
         self.pool.release(self)
 
     def has_unread_input(self) -> bool:
-        """Tell whether bytes nobody asked for, or the connection's end, lie in its socket by now."""
+        """Return whether unsolicited bytes or the end of the connection are pending in the socket."""
         return self.transport is None or self.transport.is_closing() or has_input(self.transport)
 
     def abort(self) -> None:
-        """Close the connection at once; its attempt is told nothing."""
+        """Close the connection at once without notifying its attempt."""
         self.attempt = None
         self._release_attempt()
         self.pool.remove_idle(self)
@@ -445,9 +466,9 @@
             self.transport.abort()
 
     def fail_response(self) -> None:
-        """End the attempt as an error that may have been executed: the endpoint sent something of no use.
+        """End the attempt as an error that may have been executed, because the response is unusable.
 
-        Unlike a reset it says nothing of whether the endpoint is up.
+        Unlike a reset, an unusable response is no evidence of whether the endpoint is up.
         """
         attempt = self.attempt
         sink = self._end_streaming() if self.sink is not None else None
--- a/service_proxy/net/upstream/endpoint_pool.py
+++ b/service_proxy/net/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool of one endpoint, as the endpoint list last named it."""
+"""Connection pool of one endpoint, with the address and state from the latest endpoint list."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 from service_proxy.net.upstream.connection import ConnectionCluster, UpstreamConnection
 from service_proxy.policy.events import EndpointState
 
-REUSE_DELAY_S = LOOP_TURN_S  # after a response, before its connection is used again: what else comes is seen
+# Pause between a response and the next use of its connection, in which excess bytes are detected.
+REUSE_DELAY_S = LOOP_TURN_S
 
 
 class PoolCluster(ConnectionCluster, Protocol):
-    """What a pool uses of the upstream cluster."""
+    """Interface of the upstream cluster that a pool requires."""
 
     idle_timeout: float
     idle_connections: dict[UpstreamConnection, None]
 
 
 class EndpointConnectionPool:
-    """One endpoint with its connections.
+    """Address, state and connections of one endpoint.
 
     Attributes:
-        started_at: when its process started (monotonic, s; 0: unknown).
-        connections: all that may be used again.
-        idle: those without an attempt, the one that was used last at the end.
-        last_received_at: when the endpoint last sent anything (monotonic, s).
+        started_at: Start time of the endpoint's process (monotonic, s); 0 if unknown.
+        connections: Connections that may be reused, including connections with an attempt.
+        idle: Connections without an attempt; the most recently used connection is last.
+        last_received_at: Time at which the endpoint last sent any data (monotonic, s).
     """
 
     __slots__ = ("address", "cluster", "connections", "idle", "last_received_at", "started_at", "state")
@@ -46,33 +47,34 @@
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether new attempts may go to the endpoint."""
+        """Return whether new attempts may be sent to the endpoint."""
         return self.state is EndpointState.SERVING
 
     def take_idle(self) -> UpstreamConnection | None:
-        """Return the connection that was used last: the others grow old and are closed.
+        """Return the most recently used idle connection, or None if no idle connection is usable.
 
-        One that was in use just now is returned only where there is no other.
+        The remaining connections become older and are closed. A connection that was released less than
+        REUSE_DELAY_S ago is returned only if there is no other.
         """
         now = time.monotonic()
-        oldest = now - self.cluster.idle_timeout
-        settled_before = now - REUSE_DELAY_S
+        idle_cutoff = now - self.cluster.idle_timeout
+        reuse_cutoff = now - REUSE_DELAY_S
         while self.idle:
             index = len(self.idle) - 1
-            while index and self.idle[index].idle_since > settled_before:
+            while index and self.idle[index].idle_since > reuse_cutoff:
                 index -= 1
-            if self.idle[index].idle_since > settled_before:
+            if self.idle[index].idle_since > reuse_cutoff:
                 index = -1
             connection = self.idle.pop(index)
             self.cluster.idle_connections.pop(connection, None)
             if connection.transport is not None and not connection.transport.is_closing():
-                if connection.idle_since > oldest:
+                if connection.idle_since > idle_cutoff:
                     return connection
                 connection.abort()
         return None
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Take back a connection that can be used again, or close it."""
+        """Add a connection to the idle connections, or close it if the connection must not be reused."""
         if connection not in self.connections or not self.is_serving:
             connection.abort()
             return
@@ -81,23 +83,23 @@
         self.cluster.idle_connections[connection] = None
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that can't be used again."""
+        """Remove a connection that cannot be reused from the idle connections."""
         if connection in self.idle:
             self.idle.remove(connection)
             self.cluster.idle_connections.pop(connection, None)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection from the pool."""
         self.remove_idle(connection)
         self.connections.discard(connection)
         self.cluster.established_connections -= 1
 
     def close_idle(self, unused_since: float = math.inf) -> None:
-        """Close idle connections that were last used at that time or before (monotonic, s)."""
+        """Close idle connections that were last used at `unused_since` or earlier (monotonic, s)."""
         for connection in [c for c in self.idle if c.idle_since <= unused_since]:
             connection.abort()
 
     def replace_process(self) -> None:
-        """The process behind the address is another one: let it inherit no connection."""
+        """Discard all connections because another process now runs at the endpoint's address."""
         self.close_idle()
-        self.connections.clear()  # those in use end with their attempt, in release()
+        self.connections.clear()  # release() closes a connection in use after its attempt has ended.
