--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts through the program itself: what ends one, which are retried, and which connection they use."""
+"""Attempts of the running proxy: their outcomes, their retries, and the connections that they use."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 
 
-async def rejected(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def marked_rejection(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, X_Rejected="1"))
 
 
-async def error(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def unmarked_error(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, b"no mark, so it may have run"))
 
 
@@ -45,17 +45,20 @@
     writer.write(b"\x00\x01 this is not HTTP\r\n\r\n")
 
 
-async def twice(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def two_responses(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n" * 2)
 
 
-async def silent(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def no_response(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     return
 
 
-@pytest.mark.parametrize("respond", [error, reset, cut_short, garbage, twice, silent])
+@pytest.mark.parametrize("respond", [unmarked_error, reset, cut_short, garbage, two_responses, no_response])
 def test_a_request_that_is_not_idempotent_and_may_be_executed_fails_after_one_attempt(respond: Any) -> None:
-    """Guards rule 2: any end but a marked rejection may have run, so neither a resend nor a refusal."""
+    """Guards rule 2: a request may have been executed unless its rejection is marked as never executed.
+
+    Such a request is neither resent nor refused with Retry-After.
+    """
 
     async def test() -> None:
         endpoints = {"s-1": EndpointServer(respond), "s-2": EndpointServer(respond)}
@@ -70,7 +73,7 @@
 
 def test_a_rejection_marked_as_never_executed_is_retried_on_another_endpoint() -> None:
     async def test() -> None:
-        endpoints = {"s-1": EndpointServer(rejected), "s-2": EndpointServer()}
+        endpoints = {"s-1": EndpointServer(marked_rejection), "s-2": EndpointServer()}
         async with proxy_under_test(endpoints, **patient_settings()) as proxy:
             client = await proxy.connect()
             replies = [
@@ -82,7 +85,7 @@
 
 
 def test_a_keyed_request_that_may_be_executed_is_retried_only_within_its_zone() -> None:
-    """Guards rule 2 for keyed calls: only the endpoints of one zone drop each other's repeats."""
+    """Guards rule 2 for keyed requests: only endpoints of the same zone discard each other's duplicates."""
 
     async def test() -> None:
         async def break_once(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -109,7 +112,7 @@
         async with proxy_under_test({"s-0": same_zone[0]}, discovery) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await discovery.polls.get()
-                await discovery.polls.get()  # the list is taken
+                await discovery.polls.get()  # The second poll shows that the list has been applied.
             reply = await (await proxy.connect()).request("reserva", "7" * 16, budget="3500m")
             assert reply.status_code == 200
         counts = [sum(endpoint.received_count for endpoint in zone) for zone in (same_zone, other_zone)]
@@ -121,7 +124,7 @@
 
 
 def test_without_a_serving_endpoint_a_request_is_rejected_at_once_with_retry_after() -> None:
-    """The connection failed before a byte was written, so a refusal is harmless; it is not held back."""
+    """The connect failed before a byte was written, so a refusal is harmless and is sent without delay."""
 
     async def test() -> None:
         stopped = await EndpointServer().start()
@@ -137,8 +140,8 @@
     run_async(test())
 
 
-def test_a_late_response_reaches_nobody() -> None:
-    """A timed out attempt gives up its connection: its answer must not become that of the next call."""
+def test_a_late_response_is_not_delivered_to_the_next_request() -> None:
+    """A timed out attempt closes its connection, so that no other request gets the late response."""
 
     async def test() -> None:
         timed_out_writers: list[asyncio.StreamWriter] = []
@@ -161,11 +164,11 @@
     run_async(test())
 
 
-def test_a_call_id_that_is_in_flight_gets_no_second_copy() -> None:
-    """Guards one attempt out at a time against a client that sends the same request on two connections."""
+def test_a_second_request_with_a_call_id_in_flight_is_not_sent() -> None:
+    """A client that sends the same request on two connections must not cause two attempts at once."""
 
     async def test() -> None:
-        endpoint = EndpointServer(silent)
+        endpoint = EndpointServer(no_response)
         async with proxy_under_test({"s-1": endpoint}) as proxy:
             first = await proxy.connect()
             second = await proxy.connect()
@@ -180,7 +183,7 @@
 
 def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def test() -> None:
-        endpoint = EndpointServer(silent)
+        endpoint = EndpointServer(no_response)
         async with proxy_under_test({"s-1": endpoint}) as proxy:
             client = await proxy.connect()
             client.send("canje", "f" * 16, budget="5000m")
@@ -205,8 +208,8 @@
     run_async(test())
 
 
-def test_an_endpoint_that_fell_silent_loses_its_idle_connections() -> None:
-    """A machine that vanished leaves open, silent connections; each would cost a call to find out."""
+def test_the_idle_connections_of_an_endpoint_that_stops_responding_are_closed() -> None:
+    """An unreachable machine leaves open, silent connections; each connection would cost a request."""
 
     async def test() -> None:
         all_received = asyncio.Event()
--- a/tests/net/test_large_cluster.py
+++ b/tests/net/test_large_cluster.py
@@ -1,6 +1,6 @@
-"""The upstream cluster before a large fleet: what it does for a change of the list, and each second.
+"""Work of the upstream cluster with many endpoints, per change of the endpoint list and per sweep.
 
-Counted are the byte codes that run, so that no clock takes part.
+The work is counted in executed byte codes, so the result does not depend on a clock.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from service_proxy.net.upstream.endpoint_pool import EndpointConnectionPool
 from service_proxy.policy.events import EndpointState
 
-USUAL = 200
-LARGE = 3200
+USUAL_ENDPOINTS = 200
+LARGE_ENDPOINTS = 3200
 MAX_GROWTH = 1.5
-MAX_STATE_BYTES = 1500  # of the cluster for each endpoint
+MAX_STATE_BYTES = 1500  # Bound on the cluster's memory per endpoint.
 
 
-def listing(numbers: range, status: str = "Ready", snapshot: bool = False) -> EndpointList:
+def make_endpoint_list(numbers: range, status: str = "Ready", snapshot: bool = False) -> EndpointList:
     endpoints = [
         {
             "name": f"s-{number}",
@@ -42,7 +42,7 @@
 
 
 class FakeTransport:
-    """As far as an idle connection's end looks at it."""
+    """Transport with the methods that closing an idle connection uses."""
 
     def __init__(self) -> None:
         self.is_aborted = False
@@ -55,7 +55,7 @@
 
 
 def idle_connection(pool: EndpointConnectionPool) -> UpstreamConnection:
-    """A connection of a pool that is idle from now on."""
+    """Return a new connection of a pool that is idle from now on."""
     connection = UpstreamConnection(pool)
     connection.transport = FakeTransport()  # type: ignore[assignment]
     pool.connections.add(connection)
@@ -68,19 +68,19 @@
 
 
 async def full_cluster(size: int) -> UpstreamCluster:
-    """A cluster of so many endpoints with some idle connections."""
+    """Return a cluster of `size` endpoints with some idle connections."""
     cluster = UpstreamCluster(0.15, 30.0, 100)
-    cluster.apply_endpoint_list(listing(range(size), snapshot=True))
+    cluster.apply_endpoint_list(make_endpoint_list(range(size), snapshot=True))
     for pool in list(cluster.pools.values())[:16]:
         idle_connection(pool)
     return cluster
 
 
-def change_the_list(cluster: UpstreamCluster) -> None:
+def apply_list_changes(cluster: UpstreamCluster) -> None:
     for number in range(10):
-        cluster.apply_endpoint_list(listing(range(number, number + 1), "Terminating"))
-        cluster.apply_endpoint_list(listing(range(50 + number, 51 + number), "Gone"))
-        cluster.apply_endpoint_list(listing(range(10_000 + number, 10_001 + number)))
+        cluster.apply_endpoint_list(make_endpoint_list(range(number, number + 1), "Terminating"))
+        cluster.apply_endpoint_list(make_endpoint_list(range(50 + number, 51 + number), "Gone"))
+        cluster.apply_endpoint_list(make_endpoint_list(range(10_000 + number, 10_001 + number)))
 
 
 def sweep(cluster: UpstreamCluster) -> None:
@@ -88,22 +88,24 @@
         cluster._sweep()
 
 
-def make_room(cluster: UpstreamCluster) -> None:
+def evict_idle_connections(cluster: UpstreamCluster) -> None:
     for _ in range(6):
         assert cluster._evict_idle()
 
 
-@pytest.mark.parametrize("action", [change_the_list, sweep, make_room], ids=lambda action: action.__name__)
+@pytest.mark.parametrize(
+    "action", [apply_list_changes, sweep, evict_idle_connections], ids=lambda action: action.__name__
+)
 def test_work_does_not_grow_with_the_fleet(action: Callable[[UpstreamCluster], None]) -> None:
-    # Found with sixteen times the endpoints: each change of the list walked the pools of all endpoints
-    # (2.3 ms at 3,200), and so did the sweep of idle connections, each second.
+    # With sixteen times the endpoints, each change of the list iterated over the pools of all endpoints (2.3
+    # ms at 3,200), and so did the sweep of idle connections, each second.
     async def test() -> tuple[int, int]:
-        usual, large = await full_cluster(USUAL), await full_cluster(LARGE)
+        usual, large = await full_cluster(USUAL_ENDPOINTS), await full_cluster(LARGE_ENDPOINTS)
         return count_opcodes(lambda: action(usual)), count_opcodes(lambda: action(large))
 
-    few, many = asyncio.run(test())
-    assert few > 300, "nothing was counted"
-    assert many <= MAX_GROWTH * few
+    usual_opcodes, large_opcodes = asyncio.run(test())
+    assert usual_opcodes > 300, "no byte codes were counted"
+    assert large_opcodes <= MAX_GROWTH * usual_opcodes
 
 
 def test_state_of_an_endpoint_is_small() -> None:
@@ -112,29 +114,33 @@
         tracemalloc.start()
         try:
             before = tracemalloc.get_traced_memory()[0]
-            cluster.apply_endpoint_list(listing(range(LARGE), snapshot=True))
-            return (tracemalloc.get_traced_memory()[0] - before) / LARGE
+            cluster.apply_endpoint_list(make_endpoint_list(range(LARGE_ENDPOINTS), snapshot=True))
+            return (tracemalloc.get_traced_memory()[0] - before) / LARGE_ENDPOINTS
         finally:
             tracemalloc.stop()
 
     assert asyncio.run(test()) <= MAX_STATE_BYTES
 
 
-def test_an_endpoint_that_drains_or_goes_loses_its_idle_connections_and_no_other_does() -> None:
+def test_only_an_endpoint_that_drains_or_is_removed_loses_its_idle_connections() -> None:
     async def test() -> None:
         cluster = UpstreamCluster(0.15, 30.0, 100)
-        cluster.apply_endpoint_list(listing(range(4), snapshot=True))
+        cluster.apply_endpoint_list(make_endpoint_list(range(4), snapshot=True))
         pools = list(cluster.pools.values())
         idle = [idle_connection(pool) for pool in pools]
-        left: list[EndpointConnectionPool] = []
-        cluster.on_endpoint_leaving = left.append
-        cluster.apply_endpoint_list(listing(range(1), "Terminating"))
-        assert [is_aborted(one) for one in idle] == [True, False, False, False] and left == pools[:1]
-        cluster.apply_endpoint_list(listing(range(1, 2), "Gone"))
-        assert [is_aborted(one) for one in idle] == [True, True, False, False] and left == pools[:2]
+        leaving_pools: list[EndpointConnectionPool] = []
+        cluster.on_endpoint_leaving = leaving_pools.append
+        cluster.apply_endpoint_list(make_endpoint_list(range(1), "Terminating"))
+        assert [is_aborted(conn) for conn in idle] == [True, False, False, False] and leaving_pools == pools[
+            :1
+        ]
+        cluster.apply_endpoint_list(make_endpoint_list(range(1, 2), "Gone"))
+        assert [is_aborted(conn) for conn in idle] == [True, True, False, False] and leaving_pools == pools[
+            :2
+        ]
         assert list(cluster.pools.values()) == [pools[0], *pools[2:]]
-        cluster.apply_endpoint_list(listing(range(3, 4), snapshot=True))
-        assert [is_aborted(one) for one in idle] == [True, True, True, False]
+        cluster.apply_endpoint_list(make_endpoint_list(range(3, 4), snapshot=True))
+        assert [is_aborted(conn) for conn in idle] == [True, True, True, False]
         assert list(cluster.pools.values()) == pools[3:]
         assert all(pool.state is EndpointState.REMOVED for pool in pools[1:3])
         assert list(cluster.idle_connections) == [idle[3]]
@@ -142,40 +148,42 @@
     asyncio.run(test())
 
 
-def test_an_endpoint_that_is_listed_as_gone_is_not_taken_in() -> None:
+def test_an_unknown_endpoint_that_is_listed_as_gone_gets_no_pool() -> None:
     async def test() -> None:
         cluster = UpstreamCluster(0.15, 30.0, 100)
-        cluster.apply_endpoint_list(listing(range(2), "Gone"))
+        cluster.apply_endpoint_list(make_endpoint_list(range(2), "Gone"))
         assert not cluster.pools
 
     asyncio.run(test())
 
 
-def test_the_sweep_closes_what_is_idle_for_too_long_wherever_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_sweep_closes_connections_of_all_pools_that_are_idle_for_too_long(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
-        cluster = UpstreamCluster(0.15, 30.0, 100)  # 27 s
-        cluster.apply_endpoint_list(listing(range(4), snapshot=True))
+        cluster = UpstreamCluster(0.15, 30.0, 100)  # The cluster closes idle connections after 27 s.
+        cluster.apply_endpoint_list(make_endpoint_list(range(4), snapshot=True))
         times = iter([100.0, 101.0, 110.0, 120.0])
         monkeypatch.setattr("service_proxy.net.upstream.endpoint_pool.time.monotonic", lambda: next(times))
         idle = [idle_connection(pool) for pool in cluster.pools.values()]
         monkeypatch.setattr("service_proxy.net.upstream.cluster.time.monotonic", lambda: 128.5)
         cluster._sweep()
-        assert [is_aborted(one) for one in idle] == [True, True, False, False]
+        assert [is_aborted(conn) for conn in idle] == [True, True, False, False]
         assert list(cluster.idle_connections) == idle[2:]
         assert [len(pool.idle) for pool in cluster.pools.values()] == [0, 0, 1, 1]
 
     asyncio.run(test())
 
 
-def test_room_is_made_by_what_is_idle_the_longest() -> None:
+def test_the_connection_that_is_idle_the_longest_is_evicted_first() -> None:
     async def test() -> None:
         cluster = UpstreamCluster(0.15, 30.0, 100)
-        cluster.apply_endpoint_list(listing(range(2), snapshot=True))
+        cluster.apply_endpoint_list(make_endpoint_list(range(2), snapshot=True))
         first, second = cluster.pools.values()
         oldest = idle_connection(second)
         used = idle_connection(first)
         assert first.take_idle() is used
-        first.release(used)  # the youngest by now
+        first.release(used)  # The connection is now the most recently used one.
         between = idle_connection(second)
         assert cluster._evict_idle() and is_aborted(oldest)
         assert cluster._evict_idle() and is_aborted(used) and not is_aborted(between)
--- a/tests/net/test_proxy_end_to_end.py
+++ b/tests/net/test_proxy_end_to_end.py
@@ -1,4 +1,4 @@
-"""The program itself, over loopback sockets: requests and responses, malformed input, SIGTERM and stalls."""
+"""The running proxy over loopback sockets: requests and responses, malformed input, SIGTERM and stalls."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
         endpoint = EndpointServer(respond)
         async with proxy_under_test({"s-1": endpoint}) as proxy:
             client = await proxy.connect()
-            more = {"Cookie": "sid=7f", "X_Caller": "acme"}
-            reply = await client.request("reserva", "9b1f03aa5c7e2d41", body=body, **more)
+            extra_headers = {"Cookie": "sid=7f", "X_Caller": "acme"}
+            reply = await client.request("reserva", "9b1f03aa5c7e2d41", body=body, **extra_headers)
             received = await next_request(endpoint)
         assert (reply.status_code, reply.body) == (200, body[::-1])
         assert reply.headers["x-note"] == "yes" and "x-load-report" not in reply.headers
@@ -96,7 +96,7 @@
             for number in range(40):
                 client.send("stock", f"{number:016x}", PATIENT_BUDGET)
             bodies = [(await client.response()).body for _ in range(40)]
-        # On a busy machine the module may refuse some; the others are in their places all the same.
+        # On a busy machine the policy may refuse some requests; the order of the responses stays the same.
         expected = [b"done " + f"{n:016x}".encode() for n in range(40)]
         assert [
             expected_body
@@ -108,7 +108,7 @@
     run_async(test())
 
 
-def test_sigterm_serves_on_for_a_while_finishes_open_requests_and_exits_0() -> None:
+def test_sigterm_still_serves_new_requests_finishes_open_requests_and_exits_0() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -126,9 +126,9 @@
             await next_request(endpoint)
             await next_request(endpoint)
             proxy.terminate()
-            late_client = await proxy.connect()  # connections still come
+            late_client = await proxy.connect()  # New connections are still accepted.
             assert (await late_client.request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
-            assert await idle_client.is_closed()  # the kept ones end, unhurried
+            assert await idle_client.is_closed()  # Idle client connections are closed without haste.
             assert proxy.process.returncode is None
             release.set()
             reply = await open_client.response()
@@ -138,8 +138,8 @@
     run_async(test())
 
 
-def test_a_first_attempt_is_served_after_sigterm_though_less_time_is_left_than_its_class_has() -> None:
-    """What the end of this process takes from a budget is nothing that the client has waited."""
+def test_a_first_attempt_after_sigterm_is_served_with_less_time_left_than_its_class_deadline() -> None:
+    """The time that the shutdown takes from a budget must not count as time that the client has waited."""
 
     async def test() -> None:
         async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
@@ -149,7 +149,7 @@
             proxy.terminate()
             with contextlib.suppress(ConnectionRefusedError):
                 async with asyncio.timeout(TEST_TIMEOUT_S):
-                    while True:  # until it has begun to end
+                    while True:  # The loop ends after the proxy has stopped listening.
                         (await proxy.connect()).writer.close()
                         await asyncio.sleep(0.02)
             assert (await client.request("canje", "2" * 16, budget="6000m")).status_code == 200
@@ -158,8 +158,8 @@
     run_async(test())
 
 
-def test_the_response_to_a_malformed_request_arrives_though_more_is_on_its_way() -> None:
-    """Closing on unread bytes resets the connection, and a reset can overtake the answer."""
+def test_the_response_to_a_malformed_request_arrives_although_unread_bytes_follow() -> None:
+    """A close with unread bytes resets the connection, and the reset can arrive before the response."""
 
     async def test() -> None:
         async with proxy_under_test({"s-1": EndpointServer()}) as proxy:
@@ -176,9 +176,12 @@
     run_async(test())
 
 
-def test_a_first_attempt_with_a_short_budget_is_not_late_because_the_loop_was() -> None:
-    """Clients of a class may all give it far less time than its deadline. What a late loop keeps back of that
-    must not look like time that a client has waited over earlier tries."""
+def test_a_first_attempt_with_a_short_budget_is_served_after_a_stall() -> None:
+    """All clients of a class may send budgets that are far below the class's deadline.
+
+    The part of a budget that a stalled event loop reserves must not count as time that the client spent on
+    earlier attempts.
+    """
 
     async def test() -> None:
         request_class = {**SETTINGS["grades"][2], "deadline": 20.0}
@@ -189,7 +192,7 @@
             for number in range(20):
                 assert (await client.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
             proxy.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(0.3)  # the stall itself: a step's timer is late by it
+            await asyncio.sleep(0.3)  # The timer of a step is late by the length of this stall.
             proxy.process.send_signal(signal.SIGCONT)
             for number in range(20, 30):
                 assert (await client.request("canje", f"{number:016x}", budget="1000m")).status_code == 200
@@ -198,9 +201,9 @@
 
 
 def test_a_response_that_came_while_the_process_was_stalled_is_served() -> None:
-    """After a stall timers run before sockets are read: a time-out must not throw away what has come.
+    """After a stall timers run before sockets are read; a timeout must not discard an arrived response.
 
-    The process has to be stopped before the attempt has timed out.
+    The process has to be stopped before the attempt times out.
     """
     attempt_timeout: float = SETTINGS["grades"][0]["objective"]
 
@@ -225,7 +228,7 @@
                 await response_written.wait()
             response_written.clear()
             is_timely = stopped_at < sent_at + attempt_timeout
-            await asyncio.sleep(attempt_timeout + 0.2)  # the stall itself
+            await asyncio.sleep(attempt_timeout + 0.2)  # Length of the stall.
             proxy.process.send_signal(signal.SIGCONT)
             reply = await client.response()
             assert reply.status_code == 200 or not is_timely
@@ -238,22 +241,22 @@
 
 
 @pytest.mark.parametrize(
-    "spoil", ["no file", "not json", "no settings", "bad setting", "bad address", "bad known"]
+    "defect", ["no file", "not json", "no settings", "bad setting", "bad address", "bad known"]
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(spoil: str) -> None:
+def test_an_invalid_configuration_prints_one_line_and_exits_2(defect: str) -> None:
     async def test() -> None:
         raw: Any = config("127.0.0.1:1", endpoint_list(1), "127.0.0.1:0")
-        if spoil == "not json":
+        if defect == "not json":
             raw = "{"
-        elif spoil == "no settings":
+        elif defect == "no settings":
             del raw["settings"]
-        elif spoil == "bad setting":
+        elif defect == "bad setting":
             raw["settings"]["contract"]["cold_from"] = 7
-        elif spoil == "bad address":
+        elif defect == "bad address":
             raw["listen"] = "nowhere"
-        elif spoil == "bad known":
+        elif defect == "bad known":
             raw["known"] = {"index": 1, "snapshot": True, "endpoints": [{"name": "s-1"}]}
-        elif spoil == "no file":
+        elif defect == "no file":
             raw = ""
         with tempfile.TemporaryDirectory() as folder:
             process = await start_proxy(raw, folder)
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -1,4 +1,4 @@
-"""Long responses and slow readers, through the program itself: buffered for a while, then passed on."""
+"""Long responses and slow clients of the running proxy: buffered for a limited time, then streamed."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
             client.send("canje", "a" * 16, budget="1000m")
             code, headers = await read_head(client)
             assert code == 200
-            await asyncio.sleep(0.3)  # a reader that takes nothing for a while
+            await asyncio.sleep(0.3)  # The client reads nothing for a while.
             assert await read_body(client, headers, measure) == (LONG_DIGEST, LONG_BYTES)
             assert peak - before < MAX_GROWTH_MB
 
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("framing", [WITH_LENGTH, CHUNKED], ids=["length", "chunks"])
-def test_a_long_response_that_is_cut_off_ends_so_that_its_client_can_tell(framing: bytes) -> None:
-    """And a second attempt is none of the proxy's business any more."""
+def test_a_client_can_detect_that_a_long_response_was_cut_off(framing: bytes) -> None:
+    """The proxy does not start a second attempt after a part of the response was sent to the client."""
 
     async def test() -> None:
         endpoint = streaming_endpoint(framing, pieces=4, is_complete=False)
@@ -93,19 +93,19 @@
     run_async(test())
 
 
-BUFFERING_S = 0.5  # in place of the program's own time, which a busy machine could not be held to
+BUFFERING_S = 0.5  # Replaces the proxy's own timeout, which a busy machine could not keep.
 
 
-def test_a_response_that_outgrew_the_buffer_does_not_stream_the_next_one() -> None:
-    """Found on zone+brink: the timer of what is held back went on when the answer was passed on for its size,
-    and then made a 200 of whatever the next call on that connection was answered with, or of nothing.
+def test_the_buffering_timer_of_a_response_does_not_stream_the_next_response() -> None:
+    """In the scenario zone+brink a buffering timer ran on after its response was streamed for its size.
 
-    The second request has to be written before the timer of the first would have fired.
+    The timer then turned the next response on that connection, or a missing one, into a 200. The second
+    request has to be written before the timer of the first request would expire.
     """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        buffered_at = 0.0  # not before the timer of the buffered part was set
+        buffered_at = 0.0  # A lower bound of the time at which the buffering timer was set.
         is_timely = False
 
         async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -115,12 +115,13 @@
                 if not is_timely:
                     writer.write(response(200, b"late"))
                     return
-                await asyncio.sleep(2 * BUFFERING_S)  # until the timer would have fired
+                # The buffering timer of the first request would have expired.
+                await asyncio.sleep(2 * BUFFERING_S)
                 writer.write(response(500, b"a fault"))
                 return
             buffered_at = loop.time()
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(b"a" * 1000))
-            while unread_bytes(ports_of(writer)):  # the first part is read alone, and held back
+            while unread_bytes(ports_of(writer)):  # The proxy reads and buffers the first part alone.
                 await asyncio.sleep(0)
             writer.write(chunk(PIECE) + chunk(PIECE) + chunk(b""))
 
@@ -145,11 +146,11 @@
 
 
 @pytest.mark.parametrize("length", [1000, 30_000])
-def test_a_reset_that_came_while_the_process_was_stalled_leaves_nothing_streamed(length: int) -> None:
-    """An answer of unknown length is held back for a while, so that one that is reset on the way is an
-    attempt that failed. After a stall that while is over before the reset is read.
+def test_a_response_that_is_reset_while_the_process_is_stalled_is_not_streamed(length: int) -> None:
+    """A response of unknown length is buffered for a while, so that a reset on the way is a failed attempt.
 
-    The process has to be stopped before that while is over: else the answer is streamed, as it should be.
+    After a stall the buffering timer expires before the reset is read. The process has to be stopped before
+    the timer expires, because otherwise the response is streamed, which is correct.
     """
 
     async def test() -> None:
@@ -171,7 +172,7 @@
             await suspend(proxy.process)
             is_timely = loop.time() < written_at + BUFFERING_S
             if is_timely:
-                await asyncio.sleep(2 * BUFFERING_S)  # the stall itself
+                await asyncio.sleep(2 * BUFFERING_S)  # Length of the stall.
                 reset_on_close(writer.get_extra_info("socket"))
                 writer.transport.abort()
                 while unread_bytes(ports) is not None:
@@ -191,7 +192,7 @@
             return is_timely
 
         endpoint = EndpointServer(respond)
-        # The reset after so long a stall may eject an endpoint: the other name is there for the retry.
+        # The reset after such a long stall may eject an endpoint, so the retry needs a second name.
         async with proxy_under_test(
             {"s-1": endpoint, "s-2": endpoint}, program=buffering_for(BUFFERING_S), **patient_settings()
         ) as proxy:
@@ -200,7 +201,7 @@
     run_async(test())
 
 
-def test_a_client_that_disconnects_in_mid_response_ends_it_at_its_endpoint() -> None:
+def test_a_client_that_disconnects_during_a_response_closes_the_upstream_connection() -> None:
     async def test() -> None:
         endpoint = streaming_endpoint(WITH_LENGTH)
         async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
@@ -214,7 +215,7 @@
     run_async(test())
 
 
-def test_a_long_response_that_is_no_200_ends_its_attempt_by_its_head() -> None:
+def test_a_long_response_other_than_200_ends_its_attempt_after_its_head() -> None:
     async def test() -> None:
         async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if first.received_count == 1:
@@ -230,8 +231,11 @@
     run_async(test())
 
 
-def test_clients_that_read_nothing_cost_the_memory_they_are_accounted_with() -> None:
-    """40 of them before answers of 32 MB: together a tenth of one, beyond what the kernel holds."""
+def test_clients_that_read_nothing_use_no_more_memory_than_accounted() -> None:
+    """40 clients request responses of 32 MB and read nothing.
+
+    Beyond the kernel's buffers they use together about a tenth of one response; the bound is 0.3 MB each.
+    """
 
     async def test() -> None:
         async with proxy_under_test({"s-1": streaming_endpoint(WITH_LENGTH)}, **patient_settings()) as proxy:
@@ -246,6 +250,7 @@
             for client in clients:
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
                 heads += (await read_head(client))[0] == 200
-            assert heads > 0  # the rest may have been refused: it is a crowd for one server
+            # The remaining requests may have been refused, because 40 clients are many for one endpoint.
+            assert heads > 0
 
     run_async(test())
--- a/tests/net/test_upstream_responses.py
+++ b/tests/net/test_upstream_responses.py
@@ -1,5 +1,8 @@
-"""Endpoints that answer badly: each answer is served whole, or its attempt ends at once as one that may have
-run; nothing is served that belongs to another request."""
+"""Invalid and unusual responses of endpoints.
+
+Each response is served completely, or its attempt ends at once as one that may have been executed. No client
+receives data that belongs to another request.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
 OK = b"HTTP/1.1 200 OK\r\n"
-BAD = {
+INVALID_RESPONSES = {
     "noise": b"\x00\x17\x88 noise, and no more",
     "a bad status": b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
     "negative length": OK + b"Content-Length: -5\r\n\r\nhello",
@@ -34,7 +37,7 @@
     "two lengths": OK + b"Content-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
     "one length twice": OK + b"Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
     "length and chunks": OK + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    "coding with a tab behind": OK + b"Transfer-Encoding: chunked\t\r\n\r\n0\r\n\r\n",
+    "coding followed by a tab": OK + b"Transfer-Encoding: chunked\t\r\n\r\n0\r\n\r\n",
     "odd coding": OK + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
     "no length": OK + b"\r\nhello",
     "3 GB": OK + b"Content-Length: 3000000000\r\n\r\nhello",
@@ -42,7 +45,7 @@
     "bad chunk": OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\nhello",
     "upgrade": b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
 }
-ENDLESS = {
+ENDLESS_RESPONSES = {
     "head": (OK + b"X-Long: ", b"a" * 1000),
     "headers": (OK, b"X-More: a\r\n" * 100),
     "1xx": (b"", b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" * 30),
@@ -51,60 +54,63 @@
 }
 
 
-async def failed_at_once(endpoint: EndpointServer) -> None:
-    """The budget and the attempt's time are seconds: only the answer itself can end it this soon."""
+async def assert_fails_at_once(endpoint: EndpointServer) -> None:
+    """Assert that the endpoint's response ends the request at once.
+
+    The time budget and the attempt's timeout are seconds, so only the response can end the request this soon.
+    """
     async with proxy_under_test({"s-1": endpoint}) as proxy:
         client = await proxy.connect()
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         reply = await client.request("canje", "a" * 16, budget="5000m")
         assert reply.status_code == 502 and "retry-after" not in reply.headers
-        assert asyncio.get_running_loop().time() - begun < 1.5
+        assert asyncio.get_running_loop().time() - started_at < 1.5
         assert endpoint.received_count == 1
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await endpoint.closed_connections.get()
 
 
-@pytest.mark.parametrize("spoilt", BAD.values(), ids=BAD)
+@pytest.mark.parametrize("spoilt", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES)
 def test_an_invalid_response_ends_its_attempt_at_once(spoilt: bytes) -> None:
-    async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(spoilt)
 
-    run_async(failed_at_once(EndpointServer(respond)))
+    run_async(assert_fails_at_once(EndpointServer(respond)))
 
 
-@pytest.mark.parametrize(("begin", "more"), ENDLESS.values(), ids=ENDLESS)
-def test_a_response_without_end_is_cut_off(begin: bytes, more: bytes) -> None:
-    async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(begin)
+@pytest.mark.parametrize(("first_bytes", "repeated_bytes"), ENDLESS_RESPONSES.values(), ids=ENDLESS_RESPONSES)
+def test_a_response_without_end_is_cut_off(first_bytes: bytes, repeated_bytes: bytes) -> None:
+    async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(first_bytes)
         with contextlib.suppress(ConnectionError):
             while True:
-                writer.write(more)
+                writer.write(repeated_bytes)
                 await writer.drain()
                 await asyncio.sleep(0.001)
 
-    run_async(failed_at_once(EndpointServer(respond)))
+    run_async(assert_fails_at_once(EndpointServer(respond)))
 
 
-GOOD = {
-    "1xx ahead": (
+VALID_RESPONSES = {
+    "1xx first": (
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
         + OK
         + b"Content-Length: 2\r\n\r\nme",
         True,
     ),
     "chunks and a trailer": (OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nme\r\n0\r\nX-T: 1\r\n\r\n", True),
-    "noise behind": (OK + b"Content-Length: 2\r\n\r\nme\x00\x01noise", False),
-    "a copy behind": ((OK + b"Content-Length: 2\r\n\r\nme") * 2, False),
-    "half a copy behind": (OK + b"Content-Length: 2\r\n\r\nmeHTTP", False),
+    "noise follows": (OK + b"Content-Length: 2\r\n\r\nme\x00\x01noise", False),
+    "a copy follows": ((OK + b"Content-Length: 2\r\n\r\nme") * 2, False),
+    "half a copy follows": (OK + b"Content-Length: 2\r\n\r\nmeHTTP", False),
     "bad report": (OK + b"X-Load-Report: inflight=,,=\r\nContent-Length: 2\r\n\r\nme", True),
 }
 
 
-@pytest.mark.parametrize(("answer", "kept"), GOOD.values(), ids=GOOD)
-def test_a_valid_response_is_served_and_what_came_behind_it_is_not(answer: bytes, kept: bool) -> None:
+@pytest.mark.parametrize(("answer", "kept"), VALID_RESPONSES.values(), ids=VALID_RESPONSES)
+def test_a_valid_response_is_served_without_the_bytes_that_follow(answer: bytes, kept: bool) -> None:
     async def test() -> None:
-        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer if seen.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            writer.write(answer if received.headers["x-call-id"] == "a" * 16 else response(200, b"other"))
 
         endpoint = EndpointServer(respond)
         async with proxy_under_test({"s-1": endpoint}) as proxy:
@@ -120,9 +126,9 @@
     run_async(test())
 
 
-def test_a_response_may_end_with_its_connection_if_it_says_so() -> None:
+def test_a_response_may_end_with_its_connection_if_its_head_announces_the_close() -> None:
     async def test() -> None:
-        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + b"Connection: close\r\n\r\nme")
             await writer.drain()
             writer.close()
@@ -134,27 +140,27 @@
     run_async(test())
 
 
-def test_bytes_that_lie_unread_never_answer_the_next_request() -> None:
-    """The copy is in the socket before the next request is sent, and the loop has not read it yet."""
+def test_unread_bytes_are_never_the_response_to_the_next_request() -> None:
+    """The copy is in the socket before the next request is sent, and the event loop has not read it yet."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        owner = up.UpstreamCluster(1.0, 30.0, max_connections=10)
+        cluster = up.UpstreamCluster(1.0, 30.0, max_connections=10)
         entry = EndpointEntry(endpoint_id=1, state=EndpointState.SERVING)
-        owner.apply_endpoint_list(EndpointList(1, True, [Endpoint(listener.getsockname(), entry, "s-1")]))
+        cluster.apply_endpoint_list(EndpointList(1, True, [Endpoint(listener.getsockname(), entry, "s-1")]))
         ended: asyncio.Queue[up.UpstreamAttempt] = asyncio.Queue()
 
         def start() -> None:
-            def done(exchange: up.UpstreamAttempt) -> None:
-                if ended.empty() and exchange.response_body == b"old":
+            def on_end(attempt: up.UpstreamAttempt) -> None:
+                if ended.empty() and attempt.response_body == b"old":
                     endpoint.sendall(response(200, b"old"))
                     start()
-                ended.put_nowait(exchange)
+                ended.put_nowait(attempt)
 
             request = b"GET /stock HTTP/1.1\r\n\r\n"
-            owner.start_attempt(up.UpstreamAttempt(owner.pools[1], request, 5.0, lambda: True, done))
+            cluster.start_attempt(up.UpstreamAttempt(cluster.pools[1], request, 5.0, lambda: True, on_end))
 
         async with asyncio.timeout(TEST_TIMEOUT_S):
             start()
@@ -166,51 +172,58 @@
             await loop.sock_recv(second, 1000)
             second.sendall(response(200, b"new"))
             assert (await ended.get()).response_body == b"new"
-        for each in (endpoint, second, listener):
-            each.close()
+        for opened_socket in (endpoint, second, listener):
+            opened_socket.close()
 
     run_async(test())
 
 
-def test_a_closed_upstream_connection_leaves_no_cycle_behind() -> None:
-    """A parser holds its connection: cut by hand, for the cycle collector seldom looks at what is old."""
+def test_a_closed_upstream_connection_leaves_no_reference_cycle() -> None:
+    """A parser references its connection. The cycle is broken explicitly, because the cycle collector seldom
+    visits old objects.
+    """
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
-        owner = up.UpstreamCluster(1.0, 30.0, max_connections=10)
+        cluster = up.UpstreamCluster(1.0, 30.0, max_connections=10)
         entry = EndpointEntry(endpoint_id=1, state=EndpointState.SERVING)
-        owner.apply_endpoint_list(EndpointList(1, True, [Endpoint(listener.getsockname(), entry, "s-1")]))
+        cluster.apply_endpoint_list(EndpointList(1, True, [Endpoint(listener.getsockname(), entry, "s-1")]))
         ended: asyncio.Future[up.UpstreamConnection] = loop.create_future()
 
-        def done(exchange: up.UpstreamAttempt) -> None:
-            connection = next(iter(owner.pools[1].connections))
+        def on_end(attempt: up.UpstreamAttempt) -> None:
+            connection = next(iter(cluster.pools[1].connections))
             assert isinstance(connection.parser, httptools.HttpResponseParser)
             ended.set_result(connection)
 
-        owner.start_attempt(
-            up.UpstreamAttempt(owner.pools[1], b"GET / HTTP/1.1\r\n\r\n", 0.05, lambda: True, done)
+        cluster.start_attempt(
+            up.UpstreamAttempt(cluster.pools[1], b"GET / HTTP/1.1\r\n\r\n", 0.05, lambda: True, on_end)
         )
         async with asyncio.timeout(TEST_TIMEOUT_S):
             connection = await ended
             while connection.transport is not None:
                 await asyncio.sleep(0)
-        assert connection.parser is None and not owner.pools[1].connections and owner.connection_count == 0
+        assert (
+            connection.parser is None and not cluster.pools[1].connections and cluster.connection_count == 0
+        )
         listener.close()
 
     run_async(test())
 
 
 def test_one_reset_connection_does_not_eject_a_live_endpoint() -> None:
-    """It has just answered others. Four calls at once go to both endpoints; were one left, to the other."""
+    """The endpoint has just responded to other requests, so it stays in use.
+
+    Four requests at once reach both endpoints. After an ejection all four would reach the other endpoint.
+    """
 
     async def test() -> None:
         release = asyncio.Event()
 
-        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            if seen.headers["x-call-id"].startswith("dead"):
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if received.headers["x-call-id"].startswith("dead"):
                 writer.transport.abort()
-            if seen.headers["x-call-id"].startswith("hold"):
+            if received.headers["x-call-id"].startswith("hold"):
                 await release.wait()
             writer.write(response(200, b"done"))
 
@@ -218,21 +231,21 @@
         async with proxy_under_test(endpoints, **patient_settings()) as proxy:
             clients = [await proxy.connect() for _ in range(4)]
             for number in range(6):
-                for place, client in enumerate(clients):
-                    client.send("canje", f"{number:015x}{place}", PATIENT_BUDGET)
+                for client_index, client in enumerate(clients):
+                    client.send("canje", f"{number:015x}{client_index}", PATIENT_BUDGET)
                 assert [(await client.response()).status_code for client in clients] == [200] * 4
             before = [endpoint.received_count for endpoint in endpoints.values()]
             assert (await clients[0].request("canje", "dead" + "0" * 12, PATIENT_BUDGET)).status_code == 502
-            struck = next(
+            reset_endpoint = next(
                 b for b, count in zip(endpoints.values(), before, strict=True) if b.received_count > count
             )
-            count = struck.received_count
+            count = reset_endpoint.received_count
             for number, client in enumerate(clients):
                 client.send("canje", f"hold{number:012x}", budget=PATIENT_BUDGET)
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while sum(endpoint.received_count for endpoint in endpoints.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
-            assert struck.received_count > count
+            assert reset_endpoint.received_count > count
             release.set()
             assert [(await client.response()).status_code for client in clients] == [200] * 4
 
@@ -240,28 +253,32 @@
 
 
 def test_a_class_that_one_endpoint_rejects_goes_to_the_other() -> None:
-    """It serves the other classes and so looks idle; its refusals come at once here, or slowly elsewhere."""
+    """An endpoint that rejects one class serves the other classes, and its load therefore looks low.
+
+    Its rejections are sent at once, while the other endpoint serves the class more slowly.
+    """
 
     async def test() -> None:
-        turned_away = 0
+        rejected_count = 0
 
-        async def respond(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            nonlocal turned_away
-            if seen.target.startswith("/canje"):
-                turned_away += 1
+        async def respond(received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            nonlocal rejected_count
+            if received.target.startswith("/canje"):
+                rejected_count += 1
                 writer.write(response(503, X_Rejected="1"))
             else:
                 writer.write(response(200, b"done"))
 
-        sound = EndpointServer()
+        healthy_endpoint = EndpointServer()
         async with proxy_under_test(
-            {"s-1": EndpointServer(respond), "s-2": sound}, **patient_settings()
+            {"s-1": EndpointServer(respond), "s-2": healthy_endpoint}, **patient_settings()
         ) as proxy:
             client = await proxy.connect()
             for number in range(40):
                 assert (await client.request("canje", f"c{number:015x}", PATIENT_BUDGET)).status_code == 200
                 assert (await client.request("stock", f"s{number:015x}", PATIENT_BUDGET)).status_code == 200
-        assert turned_away <= 6  # about half of 40 where each class is sent by load alone
+        # Routing each class by load alone sends about half of the 40 to the rejecting endpoint.
+        assert rejected_count <= 6
 
     run_async(test())
 
