--- a/service_proxy/ephemeral_nodes/children_cache.py
+++ b/service_proxy/ephemeral_nodes/children_cache.py
@@ -1,7 +1,8 @@
-"""What is known of the children of the path, what must be read again, and what each reading changes. Pure.
+"""Cache of the children of the path, with the reads that are pending. Pure.
 
-It receives readings and watch events in the order in which the service sent them, and returns `ChildChanges`.
-It never reads: `pending_reads` names what must be read, in order, each name once however often it changed.
+The cache receives read results and watch events in the order in which the service sent them, and returns
+`ChildChanges`. It does no I/O: `pending_reads` lists the names to read, in order, each name once however
+often its znode has changed.
 """
 
 from __future__ import annotations
@@ -15,13 +16,14 @@
 from service_proxy.ephemeral_nodes.errors import InvalidNodeError
 from service_proxy.ephemeral_nodes.records import Stat
 
-MAX_CHILDREN = 20_000  # below one path; beyond it new names are hidden, and reported
-MAX_REMEMBERED_PROBLEMS = 1_000  # names whose problem is remembered, so that it is logged once
-NO_OWNER = 0  # of a znode that is not ephemeral
+MAX_CHILDREN = 20_000  # Upper bound of children below one path. Further new names are hidden and logged.
+# Upper bound of names whose problem is stored, so that each problem is logged once.
+MAX_STORED_PROBLEMS = 1_000
+NO_OWNER = 0  # `ephemeral_owner` of a znode that is not ephemeral.
 
 
 class HiddenChild(NamedTuple):
-    """A child that can't be used."""
+    """Child that can't be used as an endpoint, and the reason."""
 
     name: str
     problem: str
@@ -29,17 +31,17 @@
 
 @dataclass(slots=True)
 class ChildChanges:
-    """What a reading or a watch event has changed."""
+    """Changes that result from a read or a watch event."""
 
-    present: list[EndpointNode] = field(default_factory=list)  # new, or with other data
-    lost: list[str] = field(default_factory=list)  # their sessions ended, or they were deleted
-    hidden: list[HiddenChild] = field(default_factory=list)  # each problem once
+    present: list[EndpointNode] = field(default_factory=list)  # New nodes, and nodes with changed data.
+    lost: list[str] = field(default_factory=list)  # Names whose session ended, or whose znode was deleted.
+    hidden: list[HiddenChild] = field(default_factory=list)  # Unusable children, each problem reported once.
 
     def __bool__(self) -> bool:
         return bool(self.present or self.lost or self.hidden)
 
     def add(self, other: ChildChanges) -> None:
-        """Append what has changed after this."""
+        """Append changes that happened after these."""
         self.present += other.present
         self.lost += other.lost
         self.hidden += other.hidden
@@ -47,7 +49,7 @@
 
 @dataclass(slots=True)
 class CachedChild:
-    """A child as last read. `node` is None where its data can't be used, or where it was not read yet."""
+    """Child as last read; `node` is None if its data is unusable or not read yet."""
 
     czxid: int = 0
     mzxid: int = 0
@@ -55,26 +57,26 @@
 
 
 class ChildrenCache:
-    """The children of one path."""
+    """Known children of one path."""
 
     def __init__(self) -> None:
         self.children_by_name: dict[str, CachedChild] = {}
-        self.pending_reads: dict[str, None] = {}  # in the order in which they are to be read
-        self.problems: dict[str, str] = {}  # of hidden names, as reported
-        self.has_names = False  # a reading of all names has come
+        self.pending_reads: dict[str, None] = {}  # Names to read, in this order.
+        self.problems: dict[str, str] = {}  # Reported problem of each hidden name.
+        self.has_names = False  # Whether the list of names has been read.
 
     def preload(self, nodes: Iterable[EndpointNode]) -> None:
-        """Take these, of a snapshot, to be there until a reading says otherwise."""
+        """Add the nodes of a snapshot; a later read replaces or removes them."""
         for node in nodes:
             self.children_by_name[node.name] = CachedChild(node=node)
 
     @property
     def is_complete(self) -> bool:
-        """Whether all that is there has been read, but for reads in flight."""
+        """Whether every child has been read; reads in flight don't count as pending."""
         return self.has_names and not self.pending_reads
 
     def on_names(self, names: Iterable[str]) -> ChildChanges:
-        """Apply a reading of all names: a known child that is missing is lost, a new one is to be read."""
+        """Apply a read of all names: a missing child is lost, and a new one becomes pending."""
         changes = ChildChanges()
         listed = set()
         for name in names:
@@ -94,14 +96,14 @@
     def _find_problem(self, name: str) -> str | None:
         problem = find_name_problem(name)
         if problem is None and name not in self.children_by_name and self._is_full():
-            return f"there are more than {MAX_CHILDREN} nodes"
+            return f"the path has more than {MAX_CHILDREN} children"
         return problem
 
     def _is_full(self) -> bool:
         return len(self.children_by_name) >= MAX_CHILDREN
 
     def on_data(self, name: str, data: bytes, stat: Stat) -> ChildChanges:
-        """Apply a reading of one child; one that is older than what is known changes nothing."""
+        """Apply a read of one child, unless the cached data is newer."""
         changes = ChildChanges()
         child = self.children_by_name.setdefault(name, CachedChild())
         if stat.mzxid < child.mzxid or (stat.czxid, stat.mzxid) == (child.czxid, child.mzxid):
@@ -112,8 +114,8 @@
         try:
             node = _parse_ephemeral(name, data, stat)
         except ValueError as error:
-            # Its own problem hides it alone. A registration that was usable and now has bad data is no end,
-            # and stays as it was; a new one in its place is not the one that was usable.
+            # Bad data hides this znode only. A usable registration whose data turns bad has not ended, so its
+            # last good data stays in use. If the znode was created anew, the earlier registration has ended.
             self._hide(changes, name, str(error))
             if is_recreated and child.node is not None:
                 child.node = None
@@ -126,7 +128,7 @@
         return changes
 
     def on_absent(self, name: str) -> ChildChanges:
-        """Remove a child: a watch said so, a reading of all names lacks it, or reading it failed so."""
+        """Remove a child after a delete event, a list of names without it, or a read that found no znode."""
         changes = ChildChanges()
         self.pending_reads.pop(name, None)
         self.problems.pop(name, None)
@@ -136,24 +138,25 @@
         return changes
 
     def on_watch_event(self, event: int, name: str) -> ChildChanges:
-        """Apply an event of a watch on the child `name`."""
+        """Apply a watch event for the child `name`."""
         if event == EventType.DELETED:
             return self.on_absent(name)
         if event in (EventType.CREATED, EventType.DATA_CHANGED) and find_name_problem(name) is None:
             if name not in self.children_by_name:
                 if self._is_full():
-                    return self.on_names([*self.children_by_name, name])  # which hides it, and reports it
+                    # Hides the name and reports its problem.
+                    return self.on_names([*self.children_by_name, name])
                 self.children_by_name[name] = CachedChild()
             self.pending_reads[name] = None
         return ChildChanges()
 
     def invalidate_all(self) -> None:
-        """Read all children again: what happened while no connection watched may have changed any."""
+        """Mark all children as pending, because changes without a connected watch may have been missed."""
         for name in self.children_by_name:
             self.pending_reads.setdefault(name)
 
-    def forget_versions(self) -> None:
-        """Accept another ensemble, whose zxids can't be compared with the old one's."""
+    def reset_versions(self) -> None:
+        """Reset all versions for another ensemble, because zxids of two ensembles can't be compared."""
         for child in self.children_by_name.values():
             child.czxid = 0
             child.mzxid = 0
@@ -161,20 +164,23 @@
         self.pending_reads.clear()
 
     def next_read(self) -> str | None:
-        """Return what is to be read next; a change from here on needs another reading."""
+        """Return the next name to read and remove it from the pending reads.
+
+        A change after this call marks the name as pending again.
+        """
         name = next(iter(self.pending_reads), None)
         if name is not None:
             del self.pending_reads[name]
         return name
 
     def nodes(self) -> list[EndpointNode]:
-        """Return all that are usable, by name."""
+        """Return all usable nodes, sorted by name."""
         children = sorted(self.children_by_name.items())
         return [child.node for _, child in children if child.node is not None]
 
     def _hide(self, changes: ChildChanges, name: str, problem: str) -> None:
         if self.problems.get(name) != problem:
-            if len(self.problems) >= MAX_REMEMBERED_PROBLEMS:
+            if len(self.problems) >= MAX_STORED_PROBLEMS:
                 self.problems.pop(next(iter(self.problems)))
             self.problems[name] = problem
             changes.hidden.append(HiddenChild(name, problem))
@@ -182,5 +188,7 @@
 
 def _parse_ephemeral(name: str, data: bytes, stat: Stat) -> EndpointNode:
     if stat.ephemeral_owner == NO_OWNER:
-        raise InvalidNodeError("it is not ephemeral, so its end would never be told")
+        raise InvalidNodeError(
+            "the znode is not ephemeral, so the service would keep it after the endpoint has ended"
+        )
     return parse_node(name, data)
--- a/service_proxy/ephemeral_nodes/children_reader.py
+++ b/service_proxy/ephemeral_nodes/children_reader.py
@@ -1,6 +1,6 @@
-"""Reads the children of the path over a session: all names after a jitter, then what is pending.
+"""Reader of the path's children over a session: all names after a random delay, then the pending children.
 
-The rate of reads is bounded. It decides nothing of its own: what must be read is the children cache's to say.
+The rate of reads is bounded. The children cache decides which children to read.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 log = logging.getLogger(__name__)
 
 MAX_READS_IN_FLIGHT = 64
-READ_BURST_S = 0.05  # of the bounded rate, which may be made up for at once
-READ_RETRY_S = 1.0  # after a reading that failed on a connection that stands; between half and one and a half
-ONE_SHOT = "one-shot"  # of settings.watch
+READ_BURST_S = 0.05  # Time during which unused reads of the bounded rate accumulate for a burst.
+# Mean wait after a failed read while the connection is up; the wait is 50 % to 150 % of it.
+READ_RETRY_S = 1.0
+ONE_SHOT = "one-shot"  # Values of settings.watch.
 PERSISTENT = "persistent"
 
 ReadTasks = set[asyncio.Task[None]]
 
 
 class ChildrenReader:
-    """Keeps a children cache up to date.
+    """Reader that keeps a children cache up to date.
 
-    `on_changes` is called with what each reading changed, `on_complete` whenever all that is there is read.
+    `on_changes` is called with the changes of each read, `on_complete` each time that no read is left.
     """
 
     def __init__(
@@ -47,30 +48,31 @@
         self.random = random
         self.on_changes = on_changes
         self.on_complete = on_complete
-        self.lacks_persistent_watches = False  # of the service
-        self.may_have_missed_changes = True  # of data, while nothing was watched
-        self.read_count = 0
-        self.children_read = 0  # times that all names were read
+        self.lacks_persistent_watches = False  # Whether the service has no persistent watches.
+        self.may_have_missed_changes = True  # Whether data may have changed while no watch was set.
+        self.data_read_count = 0
+        self.names_read_count = 0  # Count of reads of all names.
         self._is_names_read_due = False
         self._read_needed = asyncio.Event()
 
     def read_names(self) -> None:
-        """Read all names, soon."""
+        """Schedule a read of all names."""
         self._is_names_read_due = True
         self._read_needed.set()
 
     def read_pending(self) -> None:
-        """Read what the cache has pending, soon."""
+        """Schedule the cache's pending reads."""
         self._read_needed.set()
 
     def on_connected(self, session: Session) -> None:
-        """Prepare for a new connection of the session; `run` follows."""
-        # One-shot watches are set again from the last zxid, and fire for what changed; others don't.
+        """Prepare for a new connection of the session; call `run` afterwards."""
+        # One-shot watches are set again with the last zxid, and the server then reports the changes since.
+        # Persistent watches don't report them.
         self.may_have_missed_changes = self.may_have_missed_changes or not session.watches.data
         self.read_names()
 
     async def run(self, session: Session) -> None:
-        """Read over one connection, until it is lost."""
+        """Read over one connection until it is lost."""
         while True:
             try:
                 await self._read_all(session)
@@ -92,7 +94,7 @@
             await self._read_needed.wait()
 
     async def _read_names(self, session: Session) -> None:
-        """Read the names once, however many changes have been announced since the last time."""
+        """Read all names once, however many changes were reported since the last read."""
         path = self.settings.path
         await self._watch(session)
         self._is_names_read_due = False
@@ -102,12 +104,12 @@
             if error.code != ErrorCode.NO_NODE:
                 raise
             await session.exists(path, watch=True)
-            log.warning("path_missing path=%s (its endpoints are taken to be lost at once)", path)
+            log.warning("path_missing path=%s (all of its endpoints are reported as lost together)", path)
             names = []
-        self.children_read += 1
+        self.names_read_count += 1
         self.on_changes(self.children.on_names(names))
         if self.may_have_missed_changes:
-            # A persistent watch tells nothing of what happened while the connection was down.
+            # A persistent watch does not report changes from the time without a connection.
             self.may_have_missed_changes = False
             self.children.invalidate_all()
 
@@ -155,11 +157,11 @@
             self.children.pending_reads.setdefault(name)
             raise
         else:
-            self.read_count += 1
+            self.data_read_count += 1
             self.on_changes(self.children.on_data(name, data, stat))
 
 
 async def _wait_for_one(tasks: ReadTasks) -> ReadTasks:
-    """Wait until one has ended; return the others."""
+    """Wait until at least one task has ended; return the tasks that are still running."""
     _, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     return pending
--- a/service_proxy/ephemeral_nodes/codes.py
+++ b/service_proxy/ephemeral_nodes/codes.py
@@ -29,11 +29,11 @@
     SET_WATCHES2 = 105
     ADD_WATCH = 106
     CLOSE = -11
-    ERROR = -1  # in a multi's answer
+    ERROR = -1  # Type of a failed operation in the reply to a multi.
 
 
 class ReservedXid(IntEnum):
-    """Ids of frames that answer no request of a number (ClientCnxn)."""
+    """Reserved xids of frames that don't belong to a numbered request (ClientCnxn)."""
 
     NOTIFICATION = -1
     PING = -2
@@ -42,7 +42,7 @@
 
 
 class ErrorCode(IntEnum):
-    """Errors by their numbers (KeeperException.Code)."""
+    """Error codes (KeeperException.Code)."""
 
     OK = 0
     SYSTEM_ERROR = -1
@@ -77,7 +77,7 @@
 
 
 class CreateMode(IntEnum):
-    """Flags of a create (CreateMode)."""
+    """Flags of a create request (CreateMode)."""
 
     PERSISTENT = 0
     EPHEMERAL = 1
@@ -100,7 +100,7 @@
 
 
 class AddWatchMode(IntEnum):
-    """Of an addWatch (AddWatchMode)."""
+    """Modes of an addWatch request (AddWatchMode)."""
 
     PERSISTENT = 0
     PERSISTENT_RECURSIVE = 1
--- a/service_proxy/ephemeral_nodes/connection.py
+++ b/service_proxy/ephemeral_nodes/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server of the ensemble: bytes in, frames out."""
+"""Connection to one server of the ensemble, which splits the received bytes into frames."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class FrameProtocol(asyncio.Protocol):
-    """Calls `on_frame` for each complete frame, and `on_connection_lost` once at the end.
+    """Protocol that calls `on_frame` for each complete frame, and `on_connection_lost` once at the end.
 
-    A frame that can't be read ends the connection.
+    A malformed frame ends the connection.
     """
 
     def __init__(self, on_frame: Callable[[bytes], None], on_connection_lost: Callable[[], None]) -> None:
@@ -27,11 +27,12 @@
 
     # asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        """Store the transport."""
+        # `cast`, because uvloop's transport is a class of its own.
+        self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the frames that are complete."""
+        """Call `on_frame` for each complete frame in the buffer."""
         self.buffer += data
         try:
             for frame in split_frames(self.buffer):
@@ -41,12 +42,12 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Report the end."""
+        """Report the end of the connection."""
         self.transport = None
         self.on_connection_lost()
 
     def write(self, data: bytes) -> None:
-        """Send these bytes; none where the connection has ended."""
+        """Send these bytes, or discard them if the connection has ended."""
         if self.transport is not None:
             self.transport.write(data)
 
--- a/service_proxy/ephemeral_nodes/credentials.py
+++ b/service_proxy/ephemeral_nodes/credentials.py
@@ -1,4 +1,4 @@
-"""The credentials of a session, in a file that the operator names."""
+"""Reader of a session's credentials from the file that the operator's settings name."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def read_credentials(settings: MembershipSettings) -> bytes | None:
-    """Return `user:password` of the file, or None where the operator names none.
+    """Return `user:password` from the credentials file, or None if the settings name no file.
 
     Raises:
-        OperatorError: the file can't be read, or holds something else.
+        OperatorError: the file can't be read, or does not contain one line user:password.
     """
     if not settings.auth_file:
         return None
--- a/service_proxy/ephemeral_nodes/endpoint_node.py
+++ b/service_proxy/ephemeral_nodes/endpoint_node.py
@@ -1,11 +1,11 @@
-"""The data of one endpoint's znode, as JSON: read strictly, written the same way each time. Pure.
+"""Data of one endpoint's znode as JSON, parsed strictly and encoded deterministically. Pure.
 
     {"name":"s-5be2a07c","address":"10.1.0.18:8081","zone":"a","type":"m2","group":3,"weight":1.0,
      "since_ms":1764583200000,"status":"Ready"}
 
-The keys and their meanings are those of discovery's endpoint list, and the znode's name is its `name`. Keys
-that are not known are ignored, so that a newer sidecar can say more. docs/operators/ephemeral.md describes it
-for operators.
+The keys have the same meanings as in discovery's endpoint list, and `name` is the name of the znode. Unknown
+keys are ignored, so that a newer sidecar can add keys. docs/operators/ephemeral.md describes the format for
+operators.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from service_proxy.ephemeral_nodes.errors import InvalidNodeError
 from service_proxy.net.endpoint_list import Endpoint, parse_address, parse_endpoint
 
-MAX_DATA_BYTES = 4096  # of a znode; what is larger is no endpoint's
-MAX_NAME_LENGTH = 255  # characters
+MAX_DATA_BYTES = 4096  # Upper bound of a znode's data; larger data is not an endpoint's.
+MAX_NAME_LENGTH = 255  # Upper bound of a name or text, in characters.
 MAX_GROUP = 1 << 31
-MAX_SINCE_MS = 1 << 53  # what a JSON number holds exactly
+MAX_SINCE_MS = 1 << 53  # Largest integer range that a JSON number represents exactly.
 MAX_WEIGHT = 1_000_000
 READY = "Ready"
 TERMINATING = "Terminating"
-# Control, format, surrogate, private use, line and paragraph separator.
+# Unicode categories: control, format, surrogate, private use, line separator and paragraph separator.
 FORBIDDEN_CATEGORIES = ("Cc", "Cf", "Cs", "Co", "Zl", "Zp")
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointNode:
-    """What an endpoint registers.
+    """Registration data of one endpoint.
 
-    `since_ms`: when its process started, in ms of Unix time; 0: unknown.
+    `since_ms`: start time of the endpoint's process in ms of Unix time; 0: unknown.
     """
 
     name: str
@@ -48,25 +48,25 @@
     status: str = READY
 
     def encode(self) -> bytes:
-        """Return the znode's data."""
+        """Return the JSON data of the znode."""
         return json.dumps(asdict(self), separators=(",", ":"), ensure_ascii=False).encode()
 
     def draining(self) -> EndpointNode:
-        """Return the same endpoint, about to end."""
+        """Return a copy with the status Terminating."""
         return replace(self, status=TERMINATING)
 
 
 def find_name_problem(name: str) -> str | None:
-    """Return why a znode's name can't be an endpoint's, or None for a valid one."""
+    """Return the reason why a znode's name can't be an endpoint's name, or None for a valid name."""
     if not name or len(name) > MAX_NAME_LENGTH:
-        return f"a name has 1 to {MAX_NAME_LENGTH} letters"
+        return f"the name must have 1 to {MAX_NAME_LENGTH} characters"
     if "/" in name:
-        return "a name holds no /"
+        return "the name must not contain /"
     for character in name:
         if unicodedata.category(character) in FORBIDDEN_CATEGORIES:
-            return f"a name does not hold U+{ord(character):04X}"
+            return f"the name must not contain U+{ord(character):04X}"
     if unicodedata.normalize("NFC", name) != name:
-        return "a name is in the normal form NFC, so that it looks like no other"
+        return "the name must be in the Unicode normal form NFC, because two forms of one name look the same"
     return None
 
 
@@ -74,16 +74,16 @@
     """Parse the data of the znode `name`.
 
     Raises:
-        ValueError: it is no endpoint's; the message says what is wrong and what would be right.
+        ValueError: the data is not an endpoint's; the message names the fault and the valid values.
     """
     problem = find_name_problem(name)
     if problem:
         raise InvalidNodeError(problem)
     if len(data) > MAX_DATA_BYTES:
-        raise InvalidNodeError(f"{len(data)} bytes; a registration has {MAX_DATA_BYTES} at most")
+        raise InvalidNodeError(f"the data has {len(data)} bytes; the limit is {MAX_DATA_BYTES}")
     raw = _parse_object(data)
     if raw.get("name") != name:
-        raise InvalidNodeError(f"its name says {raw.get('name')!r:.60}; it must be the node's own")
+        raise InvalidNodeError(f"the name is {raw.get('name')!r:.60}; it must be the znode's name")
     node = EndpointNode(
         name=name,
         address=_read_text(raw, "address", None),
@@ -95,9 +95,9 @@
         status=_read_text(raw, "status", READY),
     )
     if parse_address(node.address)[1] == 0:
-        raise InvalidNodeError("its address has no port")
+        raise InvalidNodeError("the address has no port")
     if node.status not in (READY, TERMINATING):
-        raise InvalidNodeError(f"its status is {node.status!r:.30}; it must be {READY} or {TERMINATING}")
+        raise InvalidNodeError(f"the status is {node.status!r:.30}; it must be {READY} or {TERMINATING}")
     return node
 
 
@@ -105,33 +105,36 @@
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise InvalidNodeError(f"no JSON: {error}") from None
+        raise InvalidNodeError(f"the data is not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise InvalidNodeError("the JSON is no object")
+        raise InvalidNodeError("the JSON is not an object")
     return raw
 
 
 def _read_text(raw: Mapping[str, Any], key: str, default: str | None) -> str:
     value = raw.get(key, default)
     if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH:
-        raise InvalidNodeError(f"its {key} must be a string of at most {MAX_NAME_LENGTH} letters")
+        raise InvalidNodeError(f"{key} must be a string of at most {MAX_NAME_LENGTH} characters")
     return value
 
 
 def _read_integer(raw: Mapping[str, Any], key: str, default: int, maximum: int) -> int:
     value = raw.get(key, default)
     if type(value) is not int or not 0 <= value <= maximum:
-        raise InvalidNodeError(f"its {key} must be a whole number from 0 to {maximum}")
+        raise InvalidNodeError(f"{key} must be a whole number from 0 to {maximum}")
     return value
 
 
 def _read_number(raw: Mapping[str, Any], key: str, default: float, maximum: int) -> float:
     value = raw.get(key, default)
     if type(value) not in (int, float) or not math.isfinite(value) or not 0 <= value <= maximum:
-        raise InvalidNodeError(f"its {key} must be a number from 0 to {maximum}")
+        raise InvalidNodeError(f"{key} must be a number from 0 to {maximum}")
     return float(value)
 
 
 def to_endpoint(node: EndpointNode, wall_offset: float) -> Endpoint:
-    """Return the endpoint as a list names it. `wall_offset`: wall less monotonic time, s."""
+    """Return the node as an entry of an endpoint list.
+
+    `wall_offset`: wall clock time minus monotonic time, in s.
+    """
     return parse_endpoint(asdict(node), wall_offset)
--- a/service_proxy/ephemeral_nodes/errors.py
+++ b/service_proxy/ephemeral_nodes/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the package."""
+"""Exceptions of the package."""
 
 from __future__ import annotations
 
@@ -6,44 +6,44 @@
 
 
 class EphemeralNodesError(Exception):
-    """Base class of the errors of this package."""
+    """Base class of this package's exceptions."""
 
 
 class MalformedRecordError(EphemeralNodesError, ValueError):
-    """Bytes that are no record of the protocol."""
+    """Received bytes are not a valid record of the protocol."""
 
 
 class ServiceError(EphemeralNodesError):
-    """The service answered a request with an error.
+    """The service replied to a request with an error.
 
     Attributes:
-        code: the error's number, an `ErrorCode` where it is a known one.
-        path: the znode that the request was for, where it is known.
+        code: the error code, as an `ErrorCode` if known, else as a number.
+        path: the znode that the request was for, if known.
     """
 
     def __init__(self, code: int, path: str = "") -> None:
         known = {int(error): error for error in ErrorCode}
         self.code = known.get(code, code)
         self.path = path
-        name = self.code.name if isinstance(self.code, ErrorCode) else "an error of no known number"
+        name = self.code.name if isinstance(self.code, ErrorCode) else "unknown error code"
         super().__init__(f"{name} ({code})" + (f" at {path}" if path else ""))
 
 
 class ConnectionLostError(EphemeralNodesError):
-    """The connection broke before the reply came: a write may have taken place."""
+    """The connection broke before the reply; the service may have executed a write."""
 
 
 class TooManyRequestsError(EphemeralNodesError):
-    """As many requests as a session may have are without a reply."""
+    """Too many of the session's requests are without a reply."""
 
 
 class InvalidTransitionError(EphemeralNodesError):
-    """An event that the session's state can't have: a fault of this program."""
+    """The event is not valid in the session's state, which is a bug in this package."""
 
 
 class InvalidNodeError(EphemeralNodesError, ValueError):
-    """The data of a znode is no endpoint's; the message says why."""
+    """The data of a znode is not a valid endpoint registration; the message gives the reason."""
 
 
 class InvalidSnapshotError(EphemeralNodesError, ValueError):
-    """A snapshot file can't be used; the message says why."""
+    """The snapshot file can't be used; the message gives the reason."""
--- a/service_proxy/ephemeral_nodes/jute.py
+++ b/service_proxy/ephemeral_nodes/jute.py
@@ -1,8 +1,8 @@
-"""Jute, the serialization of the ZooKeeper protocol: primitive types and frames, to and from bytes. Pure.
+"""Jute, the serialization of the ZooKeeper protocol: encodes and decodes primitive types and frames. Pure.
 
-Source: the published `zookeeper.jute` and the ZooKeeper programmer's guide. All numbers are big endian; a
-frame is an int with its length, then its bytes; a string or buffer is an int with its length (-1: null), then
-its bytes; a vector is an int with its count, then its entries.
+Sources: the published `zookeeper.jute` and the ZooKeeper programmer's guide. All numbers are big endian. A
+frame is an int with the length, then the bytes. A string or buffer is an int with the length (-1: null),
+then the bytes. A vector is an int with the count, then the entries.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from service_proxy.ephemeral_nodes.errors import MalformedRecordError
 
-MAX_FRAME_BYTES = 8 << 20  # a getChildren of 100,000 names of 40 letters has 4.4 MB
+MAX_FRAME_BYTES = 8 << 20  # A getChildren reply with 100,000 names of 40 characters has 4.4 MB.
 MAX_VECTOR_ENTRIES = 1 << 20
-NULL_LENGTH = -1  # of a string or buffer that is null
+NULL_LENGTH = -1  # Length field of a null string or buffer.
 INT32 = struct.Struct(">i")
 INT64 = struct.Struct(">q")
 
@@ -23,7 +23,7 @@
 
 
 class RecordWriter:
-    """Builds one record. Each method returns the writer, so that fields can follow one another."""
+    """Encoder of one record; each method returns the writer, so that calls can be chained."""
 
     __slots__ = ("parts",)
 
@@ -46,14 +46,14 @@
         return self
 
     def buffer(self, value: bytes | None) -> RecordWriter:
-        """Append a buffer, or the null one."""
+        """Append a buffer, or null for None."""
         if value is None:
             return self.int32(NULL_LENGTH)
         self.parts.append(INT32.pack(len(value)) + value)
         return self
 
     def string(self, value: str | None) -> RecordWriter:
-        """Append a string, or the null one."""
+        """Append a string, or null for None."""
         return self.buffer(None if value is None else value.encode())
 
     def strings(self, values: Iterable[str]) -> RecordWriter:
@@ -65,24 +65,24 @@
         return self
 
     def record(self, data: bytes) -> RecordWriter:
-        """Append a record that is encoded already."""
+        """Append a record that is already encoded."""
         self.parts.append(data)
         return self
 
     def to_bytes(self) -> bytes:
-        """Return the record."""
+        """Return the encoded record."""
         return b"".join(self.parts)
 
     def frame(self) -> bytes:
-        """Return the record with its length before it, as it goes on the wire."""
+        """Return the record as a frame, with its length in front."""
         data = self.to_bytes()
         return INT32.pack(len(data)) + data
 
 
 class RecordReader:
-    """Reads the fields of one record.
+    """Decoder of the fields of one record.
 
-    Each method raises MalformedRecordError where the record ends early or holds what can't be.
+    Each method raises MalformedRecordError if the record ends early or contains an invalid value.
     """
 
     __slots__ = ("data", "position")
@@ -92,11 +92,11 @@
         self.position = position
 
     def take(self, size: int) -> bytes:
-        """Read so many bytes."""
+        """Read `size` bytes."""
         end = self.position + size
         if size < 0 or end > len(self.data):
             raise MalformedRecordError(
-                f"a record ends early: {size} bytes wanted at {self.position} of {len(self.data)}"
+                f"the record ends early: {size} bytes needed at offset {self.position} of {len(self.data)}"
             )
         piece = self.data[self.position : end]
         self.position = end
@@ -115,36 +115,36 @@
         return self.take(1) != b"\x00"
 
     def buffer(self) -> bytes | None:
-        """Read a buffer; None for the null one."""
+        """Read a buffer; return None for null."""
         size = self.int32()
         return None if size == NULL_LENGTH else self.take(size)
 
     def string(self) -> str:
-        """Read a string; the null one is empty."""
+        """Read a string; return an empty string for null."""
         data = self.buffer()
         try:
             return (data or b"").decode()
         except UnicodeDecodeError:
-            raise MalformedRecordError(f"a string that is no UTF-8: {data!r:.60}") from None
+            raise MalformedRecordError(f"a string is not valid UTF-8: {data!r:.60}") from None
 
     def vector(self, read_entry: Callable[[], T]) -> list[T]:
-        """Read a vector, each entry by `read_entry`; the null one is empty."""
+        """Read a vector with `read_entry` for each entry; return an empty list for null."""
         count = self.int32()
         if not NULL_LENGTH <= count <= MAX_VECTOR_ENTRIES:
-            raise MalformedRecordError(f"a vector of {count} entries")
+            raise MalformedRecordError(f"invalid vector length: {count} entries")
         return [read_entry() for _ in range(max(0, count))]
 
     @property
     def remaining(self) -> int:
-        """Bytes that have not been read."""
+        """Number of unread bytes."""
         return len(self.data) - self.position
 
 
 def split_frames(buffer: bytearray) -> list[bytes]:
-    """Take the complete frames off the buffer.
+    """Remove the complete frames from the buffer and return them.
 
     Raises:
-        MalformedRecordError: a length that can't be.
+        MalformedRecordError: a frame has a negative or too large length.
     """
     frames = []
     position = 0
@@ -152,7 +152,7 @@
         start = position + INT32.size
         size = int.from_bytes(buffer[position:start], "big", signed=True)
         if not 0 <= size <= MAX_FRAME_BYTES:
-            raise MalformedRecordError(f"a frame of {size} bytes")
+            raise MalformedRecordError(f"invalid frame length: {size} bytes")
         if len(buffer) - start < size:
             break
         frames.append(bytes(buffer[start : start + size]))
--- a/service_proxy/ephemeral_nodes/registrar.py
+++ b/service_proxy/ephemeral_nodes/registrar.py
@@ -1,6 +1,7 @@
-"""Keeps one endpoint registered as an ephemeral znode.
+"""Registrar that keeps one endpoint registered as an ephemeral znode.
 
-The znode is created again whenever it is gone: after an expiry, after somebody deleted it.
+The registrar creates the znode again whenever it is missing: after the session expired, or after another
+client deleted the znode.
 """
 
 from __future__ import annotations
@@ -24,18 +25,19 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.2  # after an attempt that failed on a connection that stands
-FOREIGN_NODE_RECHECK_S = 1.0  # between looks at a znode of this name that another endpoint owns
-NODE_RECHECK_S = 5.0  # between looks at the own znode, beside its watch
-JITTER_MIN = 0.75  # share of a wait; at most 1.25 of it are waited
+RETRY_S = 0.2  # Wait after an attempt that failed while the connection stayed up.
+# Interval between checks of a znode of the same name that another endpoint owns.
+FOREIGN_NODE_RECHECK_S = 1.0
+NODE_RECHECK_S = 5.0  # Interval between checks of the own znode, in addition to its watch.
+JITTER_MIN = 0.75  # Minimum share of a wait. The maximum is JITTER_MIN + JITTER_SPAN = 1.25.
 JITTER_SPAN = 0.5
-DRAIN_NOTICE_TIMEOUT_S = 1.0  # for the service to confirm that the endpoint drains
+DRAIN_NOTICE_TIMEOUT_S = 1.0  # Time limit for the service to confirm the draining status.
 
 
 class Registrar:
-    """Keeps one znode registered from `start` until `leave`.
+    """Registration of one znode, kept from `start` until `leave`.
 
-    `on_registered` is called after each creation. Raises OperatorError where the credentials can't be read.
+    `on_registered` is called after each creation. Raises OperatorError if the credentials can't be read.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to register."""
+        """Start to register in the background."""
         self.session.start()
         self._task = self.loop.create_task(self._run())
 
@@ -94,17 +96,17 @@
                     await self._check_needed.wait()
 
     async def _check(self) -> float:
-        """Return s until the next check."""
+        """Check the znode once; return the seconds until the next check."""
         try:
             return NODE_RECHECK_S if await self._register() else FOREIGN_NODE_RECHECK_S
         except (ServiceError, TooManyRequestsError) as error:
             log.warning("registration_failed path=%s error=%s retry_s=%.1f", self.path, error, RETRY_S)
         except ConnectionLostError:
-            pass  # the session reports it
+            pass  # The session logs the loss of the connection.
         return RETRY_S
 
     async def _register(self) -> bool:
-        """Make the znode this session's, with the data it should have; return False where another has it."""
+        """Register the current data in a znode of this session; return False if another endpoint owns it."""
         data = self.node.encode()
         try:
             found, stat = await self.session.get_data(self.path, watch=True)
@@ -114,18 +116,21 @@
             await self._create(data)
             return True
         if stat.ephemeral_owner == self.session.session_id:
-            if found != data:  # a drain was not written yet, or somebody wrote over it
+            if found != data:  # The draining status is not written yet, or another client changed the data.
                 await self.session.set_data(self.path, data, stat.version)
             self.registered.set()
             return True
-        if not self._is_own(found):
+        if not self._is_same_endpoint(found):
             log.warning("registration_waits path=%s reason=other_endpoint data=%.200r", self.path, found)
             return False
         await self._take_over(data, stat.version)
         return True
 
     async def _take_over(self, data: bytes, version: int) -> None:
-        """Replace the znode of this endpoint's earlier session in one step, so that nobody sees it gone."""
+        """Replace the znode of this endpoint's earlier session in one transaction.
+
+        Watchers therefore never see the endpoint without a znode.
+        """
         path = self.session.absolute(self.path)
         body = records.encode_create(path, data, self.acl, CreateMode.EPHEMERAL)
         await self.session.multi(
@@ -137,12 +142,12 @@
         self._on_created()
         await self.session.exists(self.path, watch=True)
 
-    def _is_own(self, found: bytes) -> bool:
-        """Return whether an earlier process at this address wrote it."""
+    def _is_same_endpoint(self, found: bytes) -> bool:
+        """Return whether an earlier process at this endpoint's address wrote the data."""
         try:
             return parse_node(self.node.name, found).address == self.node.address
         except ValueError:
-            return True  # of no use to anybody
+            return True  # Malformed data is of no use to any reader, so the znode may be replaced.
 
     async def _create(self, data: bytes) -> None:
         try:
@@ -163,15 +168,16 @@
         self.registered.set()
 
     def update(self, node: EndpointNode) -> None:
-        """Register this data from now on, also after an expiry."""
+        """Replace the data to register, now and after each expiry."""
         self.node = node
         self.registered.clear()
         self._check_needed.set()
 
     async def drain(self) -> None:
-        """Register as draining.
+        """Register the endpoint as draining.
 
-        Return once the service has it, or can't be reached: then the session's end tells.
+        Return after the service has confirmed the change, or after DRAIN_NOTICE_TIMEOUT_S if it can't be
+        reached: the end of the session then ends the endpoint.
         """
         self.update(self.node.draining())
         with contextlib.suppress(TimeoutError):
@@ -179,7 +185,7 @@
                 await self.registered.wait()
 
     async def leave(self, drain: float) -> None:
-        """Drain, wait `drain` s for what is in flight, delete the znode and end the session."""
+        """Drain the endpoint, wait `drain` s for requests in flight, delete the znode, close the session."""
         await self.drain()
         await asyncio.sleep(drain)
         if self._task is not None:
@@ -189,14 +195,14 @@
         await self.session.close()
 
     def crash(self) -> None:
-        """End as a killed process does: nothing is deleted, and the session is left to its timeout."""
+        """Stop like a killed process: delete nothing, and leave the session to its timeout."""
         if self._task is not None:
             self._task.cancel()
         self.session.stop()
 
 
 def create_node(registration: Registration, since_ms: int) -> EndpointNode:
-    """Return the data of an endpoint whose process started at `since_ms` (Unix time)."""
+    """Return the data of an endpoint whose process started at `since_ms` (Unix time in ms)."""
     return EndpointNode(
         registration.name,
         registration.address,
@@ -209,6 +215,6 @@
 
 
 def create_registrar(settings: MembershipSettings, registration: Registration, since_ms: int) -> Registrar:
-    """Return what keeps this endpoint registered; it is not started yet."""
+    """Return a registrar for this endpoint, not started yet."""
     node = create_node(registration, since_ms)
     return Registrar(settings, node, Random(f"{node.name} {since_ms}"))
--- a/service_proxy/ephemeral_nodes/session.py
+++ b/service_proxy/ephemeral_nodes/session.py
@@ -1,8 +1,10 @@
-"""A session with the service: one connection at a time to one server of the ensemble, kept up by reconnects.
+"""Client session with the coordination service, over one connection at a time to one server of the ensemble.
 
-It moves frames and keeps the session's state by `session_states.py`; it knows nothing of endpoints. Watches
-that were set are set again on each reconnect, so that what happened meanwhile fires. A server whose zxid lies
-behind what was seen before is left: it was restored from a backup, and its data is older than what is known.
+The session reconnects after each loss of its connection. It exchanges frames and tracks its state by
+`session_states.py`; it contains no code about endpoints. After each reconnect, it registers its watches
+again, so that the server reports the changes that took place in between. The session disconnects from a
+server whose zxid is lower than the last zxid received: such a server was restored from a backup, and its data
+is older than the data already read.
 """
 
 from __future__ import annotations
@@ -37,33 +39,35 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_REQUESTS = 1024  # without a reply
+MAX_PENDING_REQUESTS = 1024  # Upper bound of requests without a reply.
 MAX_XID = 0x7FFFFFFF
-PING_AFTER_SHARE = 1 / 3  # of the session timeout without a request, after which a ping is sent
-READ_TIMEOUT_SHARE = 2 / 3  # of it without a byte, after which another server is tried
-BACKOFF_INITIAL_S = 0.05  # after all servers of the ensemble have failed in turn
+PING_AFTER_SHARE = 1 / 3  # Time without a sent request until a ping, as a share of the session timeout.
+# Time without a received byte until a switch to another server, as a share of the session timeout.
+READ_TIMEOUT_SHARE = 2 / 3
+BACKOFF_INITIAL_S = 0.05  # First wait after every server of the ensemble has failed in turn.
 BACKOFF_MAX_S = 3.0
 MAX_BACKOFF_DOUBLINGS = 16
-WRITABLE_CHECK_INITIAL_S = 1.0  # on a read-only server, after which one that can write is looked for
+# First wait between searches for a writable server, while the session uses a read-only server.
+WRITABLE_CHECK_INITIAL_S = 1.0
 WRITABLE_CHECK_MAX_S = 60.0
-CLOSE_TIMEOUT_S = 1.0  # for the service to confirm the end of a session
-JITTER_MIN = 0.5  # share of a wait that is always waited; the rest is drawn
+CLOSE_TIMEOUT_S = 1.0  # Time limit for the service to confirm the end of a session.
+JITTER_MIN = 0.5  # Fixed share of a wait; the rest is drawn at random.
 NO_PASSWORD = bytes(records.PASSWORD_BYTES)
 
 
 class Session(ZnodeOperations):
-    """A session; `start` and `close` are used once each.
+    """Session with the service; `start` and `close` are called once each.
 
     Args:
-        servers: of the ensemble.
-        timeout: the session timeout that is asked for, in s; `timeout` is the negotiated one.
-        connect_timeout: for one server, in s.
+        servers: addresses of the ensemble's servers.
+        timeout: the session timeout to request, in s; the attribute `timeout` is the negotiated one.
+        connect_timeout: time limit of a connection attempt to one server, in s.
         on_state: called after each change of the state.
-        on_event: called for each watch that fires, with its EventType and the path without the chroot.
-        random: draws the order of servers and the jitter of waits.
-        chroot: before each path.
+        on_event: called for each watch event, with its EventType and the path without the chroot.
+        random: generator for the order of servers and the jitter of waits.
+        chroot: prefix of each path.
         auth: `user:password` for the scheme digest, or None.
-        read_only: whether a server that has lost its quorum will do.
+        read_only: whether to accept a server that has lost its quorum.
     """
 
     def __init__(
@@ -93,8 +97,8 @@
         self.session_id = 0
         self.password = NO_PASSWORD
         self.last_zxid = 0
-        self.zxid_regressions = 0  # servers left because their zxid lay behind
-        self.server: Address | None = None  # in use
+        self.zxid_regressions = 0  # Count of disconnections because a server's zxid was too low.
+        self.server: Address | None = None  # Address of the connected server.
         self._xid = 0
         self._connection: FrameProtocol | None = None
         self._pending: deque[tuple[int, asyncio.Future[RecordReader]]] = deque()
@@ -105,16 +109,16 @@
         self._untried_servers: deque[Address] = deque()
         self._failures = 0
         self._task: asyncio.Task[None] | None = None
-        self._retry_now = asyncio.Event()  # ends a backoff early
+        self._retry_now = asyncio.Event()  # Set to end a backoff early.
 
     # Life cycle
     def start(self) -> None:
-        """Begin to connect."""
+        """Start to connect in the background."""
         self._transition(SessionEvent.OPEN)
         self._task = self.loop.create_task(self._run())
 
     async def close(self) -> None:
-        """End the session at the service, so that its ephemeral nodes go at once, and the connection."""
+        """Close the session at the service, which deletes its ephemeral nodes at once, and the connection."""
         if self.state in USABLE_STATES:
             with contextlib.suppress(ConnectionLostError, ServiceError, TooManyRequestsError, TimeoutError):
                 async with asyncio.timeout(CLOSE_TIMEOUT_S):
@@ -122,7 +126,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """End the connection alone: the session is left to its timeout."""
+        """Close the connection only; the service expires the session after its timeout."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -134,9 +138,10 @@
         self._fail_pending()
 
     def set_servers(self, servers: Iterable[Address]) -> bool:
-        """Use another ensemble, or the same with other servers: it is the same if they share one.
+        """Replace the list of servers; return whether it names a different ensemble.
 
-        Return whether it is another, of which the session and the zxid tell nothing.
+        Two lists name the same ensemble if they share a server. A session id and a zxid are not valid in a
+        different ensemble, so both are discarded.
         """
         new = list(servers)
         is_other_ensemble = not set(new) & set(self.servers)
@@ -145,41 +150,44 @@
         self._failures = 0
         if is_other_ensemble:
             self.last_zxid = 0
-            self._forget_session()
+            self._discard_session()
             self.watches.clear()
         if is_other_ensemble or self.server not in new:
             self._abort_connection()
         self._retry_now.set()
         return is_other_ensemble
 
-    def forget_zxid(self) -> None:
-        """Accept a server whose zxid lies behind: the operator says that the service was restored."""
+    def reset_zxid(self) -> None:
+        """Reset the last zxid after the operator has confirmed a restore of the service from a backup.
+
+        The session then accepts a server with a lower zxid.
+        """
         self.last_zxid = 0
         self._retry_now.set()
 
     # Requests
     async def request(self, op: OpCode, body: bytes) -> RecordReader:
-        """Send a request; return a reader of the reply's record.
+        """Send a request and return a reader of the reply's record.
 
         Raises:
-            ServiceError: the service answered with an error.
+            ServiceError: the service replied with an error.
             ConnectionLostError: there is no connection, or it broke before the reply.
-            TooManyRequestsError: MAX_PENDING_REQUESTS are without a reply.
+            TooManyRequestsError: MAX_PENDING_REQUESTS requests have no reply yet.
         """
         if self.state not in USABLE_STATES:
-            raise ConnectionLostError(f"the session is {self.state.value}")
+            raise ConnectionLostError(f"request not sent: the session is {self.state.value}")
         return await self._send_request(op, body)
 
     def _send_request(self, op: OpCode, body: bytes) -> asyncio.Future[RecordReader]:
         if len(self._pending) >= MAX_PENDING_REQUESTS:
-            raise TooManyRequestsError(f"{MAX_PENDING_REQUESTS} requests are out")
+            raise TooManyRequestsError(f"request not sent: {MAX_PENDING_REQUESTS} requests have no reply yet")
         self._xid = self._xid % MAX_XID + 1
         reply: asyncio.Future[RecordReader] = self.loop.create_future()
         self._pending.append((self._xid, reply))
         self._write(records.encode_request(self._xid, op, body))
         return reply
 
-    # The connection
+    # Connection handling
     async def _run(self) -> None:
         while self.state not in ENDED_STATES:
             if not self._untried_servers:
@@ -196,13 +204,14 @@
             finally:
                 self._disconnect()
             if self.state is SessionState.EXPIRED:
-                self._forget_session()
+                self._discard_session()
                 self.watches.clear()
                 self._transition(SessionEvent.OPEN)
 
     async def _back_off(self) -> None:
         maximum = BACKOFF_MAX_S
-        if self.state in RECOVERABLE_STATES:  # attempts are close enough to save the session
+        # Retries stay frequent enough to reconnect before the session expires.
+        if self.state in RECOVERABLE_STATES:
             maximum = min(maximum, self.timeout * PING_AFTER_SHARE)
         wait = min(maximum, BACKOFF_INITIAL_S * 2 ** min(self._failures, MAX_BACKOFF_DOUBLINGS))
         self._retry_now.clear()
@@ -214,7 +223,7 @@
         return wait * (JITTER_MIN + (1 - JITTER_MIN) * self.random.random())
 
     async def _use_server(self, server: Address) -> None:
-        """Connect to one server and stay until the connection ends."""
+        """Connect to one server and return when the connection ends."""
         disconnected = asyncio.Event()
         connection = FrameProtocol(self._on_frame, disconnected.set)
         offered_session = self.session_id
@@ -223,10 +232,12 @@
         if response.session_id == 0 or response.timeout_ms <= 0:
             log.warning("session_expired server=%s:%d session=0x%x", *server, offered_session)
             self._transition(SessionEvent.SESSION_EXPIRED if offered_session else SessionEvent.DISCONNECTED)
-            self._forget_session()
+            self._discard_session()
             return
         self._enter_session(response, connection)
-        search = self.loop.create_task(self._find_writable(server)) if response.read_only else None
+        search = (
+            self.loop.create_task(self._switch_to_writable_server(server)) if response.read_only else None
+        )
         try:
             await self._keep_alive(disconnected)
         finally:
@@ -253,7 +264,7 @@
             finally:
                 ended.cancel()
             if not response.done():
-                raise ConnectionLostError("it closed the connection before it took the session")
+                raise ConnectionLostError("the server closed the connection before it accepted the session")
         self._connect_response = None
         return response.result()
 
@@ -275,22 +286,26 @@
         self._transition(SessionEvent.CONNECTED_READ_ONLY if read_only else SessionEvent.CONNECTED)
 
     async def _keep_alive(self, disconnected: asyncio.Event) -> None:
-        """Send pings, until the connection ends or the server is silent for too long."""
+        """Send pings until the connection ends.
+
+        Raises:
+            ConnectionLostError: the server has sent nothing for READ_TIMEOUT_SHARE of the session timeout.
+        """
         ping_after = self.timeout * PING_AFTER_SHARE
         read_timeout = self.timeout * READ_TIMEOUT_SHARE
         while not disconnected.is_set():
             now = self.loop.time()
             if now >= self._received_at + read_timeout:
-                raise ConnectionLostError(f"nothing came for {read_timeout:.1f} s")
+                raise ConnectionLostError(f"no data received for {read_timeout:.1f} s")
             if now >= self._sent_at + ping_after:
                 self._write(records.encode_request(ReservedXid.PING, OpCode.PING))
-            due = min(self._received_at + read_timeout, self._sent_at + ping_after) - self.loop.time()
+            wait = min(self._received_at + read_timeout, self._sent_at + ping_after) - self.loop.time()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(max(0.001, due)):
+                async with asyncio.timeout(max(0.001, wait)):
                     await disconnected.wait()
 
-    async def _find_writable(self, server: Address) -> None:
-        """While a read-only server is used, ask the others whether one has its quorum again; go there."""
+    async def _switch_to_writable_server(self, server: Address) -> None:
+        """Search for a server with a quorum while the connected server is read-only, and switch to it."""
         wait = WRITABLE_CHECK_INITIAL_S
         while True:
             await asyncio.sleep(self._jitter(wait))
@@ -302,7 +317,7 @@
                     return
 
     async def _is_writable(self, server: Address) -> bool:
-        """Ask by the four-letter word `isro`."""
+        """Return whether the server accepts writes, by its reply to the four-letter command `isro`."""
         answer = b""
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(self.connect_timeout):
@@ -324,7 +339,7 @@
             self._connection.abort()
 
     def _disconnect(self) -> None:
-        """Clean up after a connection, however it ended."""
+        """Clean up after a connection has ended for any reason."""
         connection = self._connection
         self._connection = None
         self.server = None
@@ -347,14 +362,16 @@
         self._pending = deque()
         for _, reply in pending:
             if not reply.done():
-                reply.set_exception(ConnectionLostError("the connection broke before the answer"))
-                reply.exception()  # one that nobody waits for any more is not reported
+                reply.set_exception(ConnectionLostError("the connection broke before the reply"))
+                # Marks the exception as retrieved, so that asyncio does not log it if the caller was
+                # cancelled.
+                reply.exception()
 
-    def _forget_session(self) -> None:
+    def _discard_session(self) -> None:
         self.session_id = 0
         self.password = NO_PASSWORD
 
-    # Frames
+    # Received frames
     def _on_frame(self, frame: bytes) -> None:
         self._received_at = self.loop.time()
         if self._connect_response is not None:
@@ -364,7 +381,7 @@
         reply = records.parse_reply(frame)
         if reply.zxid > 0:
             if reply.zxid < self.last_zxid:
-                self._leave_restored_server(reply.zxid)
+                self._disconnect_outdated_server(reply.zxid)
                 return
             self.last_zxid = reply.zxid
         if reply.xid == ReservedXid.NOTIFICATION:
@@ -374,11 +391,11 @@
         elif reply.xid not in (ReservedXid.PING, ReservedXid.SET_WATCHES):
             self._on_reply(reply)
 
-    def _leave_restored_server(self, zxid: int) -> None:
+    def _disconnect_outdated_server(self, zxid: int) -> None:
         self.zxid_regressions += 1
         log.error(
-            "zxid_went_back server=%s:%d from=0x%x to=0x%x (as after a restore from a backup; what is known "
-            "is kept; if the restore was wanted, send SIGHUP)",
+            "zxid_went_back server=%s:%d from=0x%x to=0x%x (the server may have been restored from a backup; "
+            "the known endpoints stay in use; if the restore was intended, send SIGHUP)",
             *(self.server or ("?", 0)),
             self.last_zxid,
             zxid,
@@ -394,7 +411,9 @@
 
     def _on_reply(self, reply: records.Reply) -> None:
         if not self._pending or self._pending[0][0] != reply.xid:
-            raise MalformedRecordError(f"an answer to request {reply.xid}, which is not the one that is due")
+            raise MalformedRecordError(
+                f"reply to request {reply.xid}, which is not the oldest request without a reply"
+            )
         _, waiter = self._pending.popleft()
         if reply.error_code == ErrorCode.SESSION_MOVED:
             self._abort_connection()
--- a/service_proxy/ephemeral_nodes/session_states.py
+++ b/service_proxy/ephemeral_nodes/session_states.py
@@ -1,9 +1,9 @@
-"""The states of a session with the service, as one table of transitions. Pure: no sockets, no clock.
+"""Table of the states of a session with the service and their transitions. Pure: no sockets, no clock.
 
-The states have the names of ZooKeeper's documents and of its clients. SUSPENDED: the connection broke, and
-the session may live on at the service. LOST: for longer than the session timeout nothing was received, so by
-the service's own rule it must have ended, though none has said so. EXPIRED: the service has said so. What is
-known of the endpoints survives all of them.
+The states have the names that ZooKeeper's documents and clients use. SUSPENDED: the connection broke, and the
+service may still keep the session. LOST: nothing was received for longer than the session timeout, so by the
+service's rules the session must have expired, but no server has confirmed it. EXPIRED: a server has confirmed
+it. The known endpoints are kept in every state.
 """
 
 from __future__ import annotations
@@ -14,29 +14,31 @@
 
 
 class SessionState(Enum):
-    """Where a session stands."""
+    """State of a session."""
 
-    CLOSED = "CLOSED"  # not begun, or ended by this side
-    CONNECTING = "CONNECTING"  # no session yet
+    CLOSED = "CLOSED"  # Not started, or closed by the client.
+    CONNECTING = "CONNECTING"  # No session yet.
     CONNECTED = "CONNECTED"
-    CONNECTED_RO = "CONNECTED_RO"  # by a server without its quorum: reads only, maybe old
+    # Connected to a server without a quorum: reads only, and the data may be outdated.
+    CONNECTED_RO = "CONNECTED_RO"
     SUSPENDED = "SUSPENDED"
     LOST = "LOST"
     EXPIRED = "EXPIRED"
-    AUTH_FAILED = "AUTH_FAILED"  # for good, until the operator changes the credentials
+    # The credentials were rejected; no new attempt until the operator changes them.
+    AUTH_FAILED = "AUTH_FAILED"
 
 
 class SessionEvent(Enum):
-    """What changes a session's state."""
+    """Event that changes a session's state."""
 
-    OPEN = "open"  # this side begins
-    CONNECTED = "connected"  # a server took the connection and the session
+    OPEN = "open"  # The client starts the session.
+    CONNECTED = "connected"  # A server accepted the connection and the session.
     CONNECTED_READ_ONLY = "connected_read_only"
-    DISCONNECTED = "disconnected"  # the connection broke, or the server was silent for too long
-    TIMED_OUT = "timed_out"  # no connection for the whole session timeout
-    SESSION_EXPIRED = "session_expired"  # a server said that the session has expired
+    DISCONNECTED = "disconnected"  # The connection broke, or the server sent nothing for too long.
+    TIMED_OUT = "timed_out"  # No connection for the whole session timeout.
+    SESSION_EXPIRED = "session_expired"  # A server reported that the session has expired.
     AUTH_REJECTED = "auth_rejected"
-    CLOSE = "close"  # this side ends
+    CLOSE = "close"  # The client ends the session.
 
 
 S = SessionState
@@ -66,31 +68,31 @@
     (S.SUSPENDED, E.SESSION_EXPIRED): S.EXPIRED,
     (S.SUSPENDED, E.AUTH_REJECTED): S.AUTH_FAILED,
     (S.SUSPENDED, E.CLOSE): S.CLOSED,
-    (S.LOST, E.CONNECTED): S.CONNECTED,  # the service ended it later than it might have
+    (S.LOST, E.CONNECTED): S.CONNECTED,  # The service had not expired the session yet.
     (S.LOST, E.CONNECTED_READ_ONLY): S.CONNECTED_RO,
     (S.LOST, E.DISCONNECTED): S.LOST,
     (S.LOST, E.TIMED_OUT): S.LOST,
     (S.LOST, E.SESSION_EXPIRED): S.EXPIRED,
     (S.LOST, E.AUTH_REJECTED): S.AUTH_FAILED,
     (S.LOST, E.CLOSE): S.CLOSED,
-    (S.EXPIRED, E.OPEN): S.CONNECTING,  # with a new session
+    (S.EXPIRED, E.OPEN): S.CONNECTING,  # A new session replaces the expired one.
     (S.EXPIRED, E.CLOSE): S.CLOSED,
     (S.AUTH_FAILED, E.DISCONNECTED): S.AUTH_FAILED,
     (S.AUTH_FAILED, E.CLOSE): S.CLOSED,
 }
 
-USABLE_STATES = frozenset((S.CONNECTED, S.CONNECTED_RO))  # requests may be sent
-ENDED_STATES = frozenset((S.CLOSED, S.AUTH_FAILED))  # no connection is tried
-RECOVERABLE_STATES = frozenset((S.SUSPENDED, S.LOST))  # a reconnect offers the old session
+USABLE_STATES = frozenset((S.CONNECTED, S.CONNECTED_RO))  # States in which requests may be sent.
+ENDED_STATES = frozenset((S.CLOSED, S.AUTH_FAILED))  # States in which no connection is attempted.
+RECOVERABLE_STATES = frozenset((S.SUSPENDED, S.LOST))  # States in which a reconnect resumes the old session.
 
 
 def next_state(state: SessionState, event: SessionEvent) -> SessionState:
-    """Return the state after an event.
+    """Return the state that follows `state` after `event`.
 
     Raises:
-        InvalidTransitionError: the table has none.
+        InvalidTransitionError: the table has no transition for this state and event.
     """
     try:
         return TRANSITIONS[state, event]
     except KeyError:
-        raise InvalidTransitionError(f"{event.name} in {state.name}") from None
+        raise InvalidTransitionError(f"event {event.name} is not valid in state {state.name}") from None
--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -1,7 +1,8 @@
-"""The source of endpoints that reads ephemeral znodes, merged with discovery for the dispatcher.
+"""Endpoint source that reads ephemeral znodes and merges them with discovery for the dispatcher.
 
-It ties the session, the children cache and its reader, the merger and the snapshot together, and decides
-nothing of its own. What it adds is time: the time in which losses are gathered, and the pace of the snapshot.
+The module connects the session, the children cache and its reader, the merger and the snapshot, and leaves
+their decisions to them. It adds the timing: the window in which losses are collected, and the interval of
+snapshot writes.
 """
 
 from __future__ import annotations
@@ -34,27 +35,30 @@
 
 log = logging.getLogger(__name__)
 
-LOSS_BATCH_S = 0.1  # in which losses are gathered, so that a burst is judged as one; of the 2 s of a drain
-TICK_INTERVAL_S = 0.25  # between looks at loss windows, withheld losses and the snapshot
-SNAPSHOT_INTERVAL_S = 5.0  # between two writings of the file
-# Without an answer, after which discovery is unreachable: its silences last 5.5 to 11 s.
+# Time in which losses are collected, so that a burst is judged as one. It is part of the 2 s drain window.
+LOSS_BATCH_S = 0.1
+TICK_INTERVAL_S = 0.25  # Interval between checks of loss windows, withheld losses and the snapshot.
+SNAPSHOT_INTERVAL_S = 5.0  # Minimum time between two writes of the snapshot file.
+# Time from a failed poll without a response until discovery counts as unreachable. Usual gaps between
+# responses last 5.5 to 11 s.
 DISCOVERY_TIMEOUT_S = 15.0
 RESTART_ONLY_SETTINGS = ("path", "chroot", "snapshot")
-# States in which the service is known not to be reached for longer than the session timeout.
+# States in which the service has been unreachable for longer than the session timeout, or rejects the
+# session.
 UNREACHABLE_STATES = (SessionState.LOST, SessionState.EXPIRED, SessionState.AUTH_FAILED)
 
 
 class EndpointListConsumer(EndpointListListener, Protocol):
-    """What is needed of the dispatcher."""
+    """Interface of the dispatcher that the source uses."""
 
     discovery: DiscoveryClient
     initial_list: EndpointList
 
 
 class EphemeralNodeSource:
-    """`net.endpoint_sources.Subsystem` for [membership].
+    """Endpoint source for [membership], an implementation of `net.endpoint_sources.Subsystem`.
 
-    Raises OperatorError where the credentials can't be read.
+    Raises OperatorError if the credentials can't be read.
     """
 
     def __init__(
@@ -63,7 +67,8 @@
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.consumer = consumer
-        # Each proxy draws its own: thousands that read at one moment would be the storm they wait out.
+        # Each proxy has its own seed, because thousands of proxies with the same jitter would read at the
+        # same moment and overload the service.
         self.random = Random(f"{config.name} {config.seed}")
         self.merger = EndpointListMerger(settings.mass_loss_share, settings.mass_loss_within)
         self.children = ChildrenCache()
@@ -71,8 +76,10 @@
             settings, self.children, self.random, self._apply_changes, self._on_read_complete
         )
         self.session = self._create_session(settings, read_credentials(settings))
-        self.pending_losses: dict[str, None] = {}  # gathered, to be judged at once
-        self.losses_due_at = 0.0  # what else is due sooner does not have the first ones judged alone
+        # Names of collected losses, reported together at `losses_due_at`.
+        self.pending_losses: dict[str, None] = {}
+        # Monotonic time. A flush that runs earlier for another reason leaves the collected losses pending.
+        self.losses_due_at = 0.0
         self.flush_timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.read_task: asyncio.Task[None] | None = None
@@ -95,7 +102,7 @@
 
     # net.endpoint_sources.Subsystem
     def start(self) -> None:
-        """Use the snapshot, if there is one, and begin to connect."""
+        """Load the snapshot, if there is one, and start to connect."""
         now = time.monotonic()
         self.merger.update(DISCOVERY, self.consumer.initial_list.endpoints, now)
         if self.settings.snapshot:
@@ -105,10 +112,10 @@
         discovery.on_failed = self._on_discovery_failed
         self._publish_changes(now)
         self.session.start()
-        self._spawn(self._tick_forever())
+        self._start_task(self._run_periodic_checks())
 
     def stop(self) -> None:
-        """End the session's connection and write the snapshot, if it is due."""
+        """Close the session's connection, and write the snapshot if a write is due."""
         for task in list(self.tasks):
             task.cancel()
         if self.flush_timer is not None:
@@ -118,13 +125,14 @@
             _write_snapshot(Path(self.settings.snapshot), self.children.nodes())
 
     def reload(self, file: str) -> None:
-        """Take over the operator's file (SIGHUP): the ensemble, the credentials and the pace may change.
+        """Reload the operator's file (SIGHUP): the ensemble, the credentials and the read rate may change.
 
-        Whatever the session's state, what is known stays in use. A reload also says that a restore of the
+        The known endpoints stay in use in every session state. A reload also confirms that a restore of the
         service from a backup was intended.
 
         Raises:
-            OperatorError: the file can't be used, or changes what needs a restart; nothing has changed.
+            OperatorError: the file is invalid, or changes a setting that needs a restart; nothing has
+                changed.
         """
         new = self._read_settings(file)
         credentials = read_credentials(new)
@@ -136,22 +144,23 @@
             source.mass_loss_window_s = new.mass_loss_within
         self._update_session(new, credentials)
         if self.session.set_servers(servers):
-            self.children.forget_versions()
+            self.children.reset_versions()
             log.info(
-                "ensemble_changed servers=%s (the list stays until it has answered)", ",".join(new.servers)
+                "ensemble_changed servers=%s (the endpoint list stays in use until the new ensemble replies)",
+                ",".join(new.servers),
             )
         else:
-            self.session.forget_zxid()
+            self.session.reset_zxid()
 
     def _read_settings(self, file: str) -> MembershipSettings:
         new = load(file).membership
         if new is None:
-            remedy = "leave the table in; to turn it off, start the proxy anew"
-            raise OperatorError([Problem(file, 1, "S109", "[membership] is gone", remedy)])
+            remedy = "keep the table; to turn it off, restart the proxy without it"
+            raise OperatorError([Problem(file, 1, "S109", "[membership] was removed", remedy)])
         changed = [key for key in RESTART_ONLY_SETTINGS if getattr(new, key) != getattr(self.settings, key)]
         if changed:
             text = f"{', '.join(changed)} can't change while the proxy runs"
-            raise OperatorError([Problem(file, 1, "S109", text, "start it anew")])
+            raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
         return new
 
     def _update_session(self, settings: MembershipSettings, credentials: bytes | None) -> None:
@@ -165,7 +174,7 @@
             self.session = self._create_session(settings, credentials)
             self.session.start()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -176,7 +185,7 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("endpoint_source_task_failed", exc_info=task.exception())
 
-    # Discovery, as one source
+    # Discovery
     def _on_discovery_list(self, endpoint_list: EndpointList) -> None:
         now = time.monotonic()
         self.discovery_failed_at = None
@@ -186,7 +195,7 @@
         else:
             self.merger.update(DISCOVERY, endpoint_list.endpoints, now)
         if not self._publish_changes(now):
-            # The policy waits for an answer, also for one without changes.
+            # The policy waits for a response to its poll, even if nothing has changed.
             self.consumer.apply_endpoint_list(EndpointList(self.merger.version, False, []))
 
     def _on_discovery_failed(self) -> None:
@@ -195,14 +204,14 @@
             self.merger.set_health(DISCOVERY, SourceHealth.STALE)
         self.consumer.endpoint_list_failed()
 
-    # The session
+    # Session
     def _on_state(self, state: SessionState) -> None:
         if self.read_task is not None:
             self.read_task.cancel()
             self.read_task = None
         if state in USABLE_STATES:
             self.reader.on_connected(self.session)
-            self.read_task = self._spawn(self.reader.run(self.session))
+            self.read_task = self._start_task(self.reader.run(self.session))
         elif state in UNREACHABLE_STATES:
             self.merger.set_health(MEMBERSHIP, SourceHealth.UNREACHABLE)
         elif state is SessionState.SUSPENDED:
@@ -223,11 +232,11 @@
 
     def _on_parent_event(self, event: int) -> None:
         if event == EventType.DELETED:
-            log.warning("path_deleted path=%s (what is known is kept)", self.settings.path)
+            log.warning("path_deleted path=%s (the known endpoints stay in use)", self.settings.path)
         if event in (EventType.CHILDREN_CHANGED, EventType.CREATED):
             self.reader.read_names()
 
-    # What changes by it
+    # Changes of endpoints
     def _on_read_complete(self) -> None:
         self.merger.set_health(MEMBERSHIP, SourceHealth.UP_TO_DATE)
         self._schedule_flush()
@@ -238,7 +247,8 @@
         if changes.present:
             endpoints = []
             for node in changes.present:
-                self.pending_losses.pop(node.name, None)  # back before its loss was judged
+                # The endpoint registered again before its loss was reported.
+                self.pending_losses.pop(node.name, None)
                 endpoints.append(to_endpoint(node, WALL_CLOCK_OFFSET_S))
             self.merger.update(MEMBERSHIP, endpoints, time.monotonic())
             self._schedule_flush()
@@ -266,7 +276,7 @@
         self._publish_changes(now)
 
     def _publish_changes(self, now: float) -> bool:
-        """Hand on what is new in force; return whether anything is."""
+        """Publish the merged changes to the dispatcher; return whether there were any."""
         before = self.merger.serving_count
         endpoint_list = self.merger.take_changes(now)
         if endpoint_list is not None:
@@ -280,7 +290,7 @@
         for note in self.merger.drain_notes():
             log.info("%s", note)
 
-    async def _tick_forever(self) -> None:
+    async def _run_periodic_checks(self) -> None:
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic()
@@ -291,21 +301,21 @@
             if self.is_snapshot_due and now >= self.snapshot_written_at + SNAPSHOT_INTERVAL_S:
                 await self._write_due_snapshot(now)
 
-    # The snapshot
+    # Snapshot
     async def _write_due_snapshot(self, now: float) -> None:
         if not self.settings.snapshot:
             return
         self.snapshot_written_at = now
         self.is_snapshot_due = False
-        # In a thread: the disk may take its time, and requests do not wait for it.
+        # A write may block on the disk, so it runs in a thread and does not delay requests.
         path = Path(self.settings.snapshot)
         await self.loop.run_in_executor(None, _write_snapshot, path, self._snapshot_nodes())
 
     def _snapshot_nodes(self) -> list[EndpointNode]:
-        """Return what is in use by this source.
+        """Return the nodes that this source keeps in use, sorted by name.
 
-        Endpoints with a withheld loss are among them: a loss that is not believed must not be believed by the
-        next start either.
+        Endpoints with a withheld loss are included, because otherwise the next start would treat them as
+        lost.
         """
         nodes = {node.name: node for node in self.children.nodes()}
         for name, report in self.merger.sources[MEMBERSHIP].reports.items():
@@ -335,7 +345,7 @@
 
 
 def to_node(endpoint: Endpoint) -> EndpointNode:
-    """Return a list's endpoint as a node again, for the snapshot."""
+    """Return a list's endpoint converted back to a node, for the snapshot."""
     started_at = endpoint.entry.started_at
     host, port = endpoint.address
     return EndpointNode(
--- a/tests/ephemeral_nodes/test_jute.py
+++ b/tests/ephemeral_nodes/test_jute.py
@@ -165,7 +165,7 @@
 
 def test_errors_are_named_by_their_numbers() -> None:
     assert str(errors.ServiceError(-101, "/a")) == "NO_NODE (-101) at /a"
-    assert "no known number" in str(errors.ServiceError(-999))
+    assert "unknown error code" in str(errors.ServiceError(-999))
 
 
 @pytest.mark.parametrize(
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -291,7 +291,7 @@
             taken = service.servers[0].accepted
             await until(lambda: service.servers[0].accepted >= taken + 3, "tries")
             assert client.session.last_zxid == seen and client.states[-1] is not SessionState.CONNECTED
-            client.session.forget_zxid()
+            client.session.reset_zxid()
             await client.wait_for_state(SessionState.CONNECTED)
             assert client.session.last_zxid < seen
 
--- a/tests/ephemeral_nodes/test_source_losses.py
+++ b/tests/ephemeral_nodes/test_source_losses.py
@@ -36,7 +36,7 @@
             await proxy.wait_until_serving(set(NAMES) - {"s-3"})
             assert proxy.consumer.ended_at["s-3"] - started_at < 2.0
             await until(lambda: "s-3" not in proxy.consumer.states, "its removal")
-            assert proxy.source.reader.children_read <= 2
+            assert proxy.source.reader.names_read_count <= 2
 
     run(test)
 
--- a/tests/ephemeral_nodes/test_source_reads.py
+++ b/tests/ephemeral_nodes/test_source_reads.py
@@ -37,7 +37,7 @@
 
     async def test() -> None:
         async with watching_source(watch, reads_per_s=100.0) as (service, proxy):
-            reads_before = proxy.source.reader.read_count
+            reads_before = proxy.source.reader.data_read_count
             started_at = time.monotonic()
             for number in range(1000):
                 name = NAMES[number % 9]
@@ -47,7 +47,7 @@
             service.tree.set_data(f"{PATH}/s-8", node("s-8", "127.0.0.1:8").draining().encode(), -1)
             await proxy.wait_until_serving(NAMES[:8])
             await proxy.wait_until_fresh()
-            reads = proxy.source.reader.read_count - reads_before
+            reads = proxy.source.reader.data_read_count - reads_before
             elapsed = time.monotonic() - started_at
             assert reads <= 100.0 * (elapsed + children_reader.READ_BURST_S) + 2
 
