--- a/service_proxy/ephemeral_nodes/merge_rules.py
+++ b/service_proxy/ephemeral_nodes/merge_rules.py
@@ -1,23 +1,23 @@
-"""What is in force for one endpoint, by what the sources report of it. Pure.
-
-The rules, in their order; docs/design/ephemeral.md weighs them:
-
-1. Incarnation. Of reports on one name, those whose start is older than the newest by more than
-   START_TOLERANCE_S are outdated and count for nothing. A start of 0 is unknown, and as good as any.
-2. Ends. Among the rest, an end (draining, gone, session lost) beats "ready", whichever source reported it and
-   however long ago, until the same source reports "ready" again or a newer incarnation is reported. Absence
-   from a source that never listed the name is no report.
-3. Gone. A name is removed once no source says "ready" or "draining" of it; a session's loss counts as
-   draining for LOSS_WINDOW_S and as gone after it.
-4. Mass loss: `merger.py`.
-5. Fields. Address, kind and weight come from the first of SOURCE_ORDER that is fresh, else from the first
-   that is stale, then unreachable, then never received.
-6. Groups. Where two reports give other zones or groups, which of them drops repeats is not known: the
-   endpoint is used, but in a group of its own, so that no keyed request is resent from or to it.
-7. One address, one endpoint. Of several ready names at one address, the first by rule 5's order, then by
-   start (the newest), then by name is used, and the others are hidden. Where names differ in case only, an
-   end of either is an end of both.
-8. A source's health (stale, unreachable) removes nobody.
+"""Rules that derive one endpoint's effective state from the reports of all sources. Pure.
+
+The rules, in their order; docs/design/ephemeral.md gives the reasons:
+
+1. Incarnation. A report on a name is outdated, and ignored, if its start time is more than START_TOLERANCE_S
+   older than the newest start time reported for the name. A start time of 0 is unknown and never outdated.
+2. Ends. Among the current reports, an end (draining, gone, session lost) overrides "ready", whichever source
+   reported the end and however long ago, until the same source reports "ready" again or a source reports a
+   newer incarnation. Absence from a source that never listed the name is not a report.
+3. Gone. A name is removed when no source reports it as "ready" or "draining". A lost session counts as
+   draining for LOSS_WINDOW_S, and as gone afterwards.
+4. Mass loss: see `merger.py`.
+5. Fields. Address, kind and weight come from the first source of SOURCE_ORDER that is fresh, else from the
+   first that is stale, then unreachable, then never received.
+6. Groups. If two reports give different zones or groups, the group that deduplicates requests is unknown. The
+   endpoint is used, but in a group of its own, so that no request with a key is retried from it or to it.
+7. One endpoint per address. Of several ready names at one address, one is used and the others are hidden: the
+   first by the order of rule 5, then by the newest start time, then by name. If two names differ only in
+   case, an end of one is an end of both.
+8. The health of a source (stale, unreachable) removes no endpoint.
 """
 
 from __future__ import annotations
@@ -36,7 +36,8 @@
 from service_proxy.net.endpoint_list import Endpoint, endpoint_id_of
 from service_proxy.policy.events import EndpointState
 
-LOSS_WINDOW_S = 2.0  # from a session's loss until its endpoint is gone: the platform's drain window
+# Time from the loss of a session until its endpoint is gone; equal to the platform's drain window.
+LOSS_WINDOW_S = 2.0
 NO_DISAGREEMENT = "no source contradicts"
 
 CurrentReports = list[tuple[SourceView, SourceReport]]
@@ -44,10 +45,10 @@
 
 @dataclass(slots=True)
 class Decision:
-    """What is in force for one endpoint, and why."""
+    """Effective state of one endpoint, and the reason for it."""
 
     endpoint: Endpoint
-    source: str  # whose report decided
+    source: str  # Name of the source whose report was decisive.
     reason: str
 
     @property
@@ -57,14 +58,14 @@
 
 
 def effective_status(report: SourceReport, now: float) -> ReportedStatus:
-    """Return what a report counts as (rule 3): a loss is draining, then gone."""
+    """Return the status that a report counts as (rule 3): a loss is draining, later gone."""
     if report.status is ReportedStatus.LOST:
         return ReportedStatus.DRAINING if now < report.since + LOSS_WINDOW_S else ReportedStatus.GONE
     return report.status
 
 
 def decide(index: ReportIndex, name: str, now: float) -> Decision | None:
-    """Return what is in force for an endpoint; None where it is gone."""
+    """Return the effective state of an endpoint, or None if the endpoint is gone."""
     reports = index.current_reports(name)
     statuses = [effective_status(report, now) for _, report in reports]
     if all(status is ReportedStatus.GONE for status in statuses):
@@ -80,60 +81,60 @@
     else:
         entry.state = EndpointState.SERVING
         if any(report.is_loss_withheld for _, report in reports):
-            decision.reason = "its loss is held to be the source's fault (rule 4)"
+            decision.reason = "its loss is withheld as a probable fault of the source (rule 4)"
     entry.started_at = max(report.started_at for _, report in reports)
     _resolve_locations(decision, reports, bool(ends))
     if decision.is_serving:
-        substitute = _find_ended_namesake(index, name, first) or _find_preferred(index, decision)
+        substitute = _find_ended_case_variant(index, name, first) or _find_preferred(index, decision)
         if substitute is not None:
             entry.state = EndpointState.DRAINING
-            decision.reason = f"{substitute} stands for this address (rule 7)"
+            decision.reason = f"{substitute} takes precedence at this address (rule 7)"
     return decision
 
 
 def _explain_end(decision: Decision, ends: CurrentReports, all_agree: bool) -> None:
-    """Rule 2."""
+    """Set the source and the reason of an end (rule 2)."""
     source, report = ends[0]
     decision.source = source.name
     if not all_agree:
-        decision.reason = f"{report.status.value}, which beats ready (rule 2)"
+        decision.reason = f"{report.status.value}, which overrides ready (rule 2)"
     elif report.status is ReportedStatus.LOST:
         decision.reason = "its session is lost"
 
 
 def _resolve_locations(decision: Decision, reports: CurrentReports, has_ended: bool) -> None:
-    """Rules 5 and 6: the sources may give other addresses, zones and groups."""
+    """Resolve different addresses, zones and groups (rules 5 and 6)."""
     entry = decision.endpoint.entry
     if not has_ended and len({report.endpoint.address for _, report in reports}) > 1:
-        decision.reason = "the sources give other addresses (rule 5)"
+        decision.reason = "the sources report different addresses (rule 5)"
     entries = [report.endpoint.entry for _, report in reports]
     if len({(other.zone, other.cell) for other in entries if other.zone}) > 1:
         entry.zone = f"?{decision.endpoint.name}"
-        # Groups of nodes are 0 and above.
+        # Regular groups are 0 or positive, so a negative group is unique to the endpoint.
         entry.cell = -(endpoint_id_of(decision.endpoint.name) % MAX_GROUP) - 1
         if not has_ended:
-            decision.reason = "the sources give other zones or groups (rule 6)"
+            decision.reason = "the sources report different zones or groups (rule 6)"
 
 
-def _find_ended_namesake(index: ReportIndex, name: str, report: SourceReport) -> str | None:
-    """Return a name that differs in case only, is at the same address, and has ended (rule 7)."""
-    for namesake in index.namesakes(name):
-        if namesake == name:
+def _find_ended_case_variant(index: ReportIndex, name: str, report: SourceReport) -> str | None:
+    """Return an ended name at the same address that differs only in case, or None (rule 7)."""
+    for variant in index.case_variants(name):
+        if variant == name:
             continue
-        for other in index.reports_of(namesake):
+        for other in index.reports_of(variant):
             if (
                 other.status in END_STATUSES
                 and other.endpoint.address == report.endpoint.address
                 and other.started_at >= report.started_at - START_TOLERANCE_S
             ):
-                return namesake
+                return variant
     return None
 
 
 def _find_preferred(index: ReportIndex, decision: Decision) -> str | None:
-    """Return the name that is used at the endpoint's address in its place (rule 7)."""
+    """Return the name that takes precedence at the endpoint's address, or None (rule 7)."""
     endpoint = decision.endpoint
-    preference = (index.rank(endpoint.name), -endpoint.entry.started_at, endpoint.name)
+    preference = (index.source_rank(endpoint.name), -endpoint.entry.started_at, endpoint.name)
     for other in index.names_by_address.get(endpoint.address, ()):
         if other == endpoint.name:
             continue
@@ -143,6 +144,6 @@
         if any(report.status in END_STATUSES for report in reports):
             continue
         started_at = max(report.started_at for report in reports)
-        if (index.rank(other), -started_at, other) < preference:
+        if (index.source_rank(other), -started_at, other) < preference:
             return other
     return None
--- a/service_proxy/ephemeral_nodes/operations.py
+++ b/service_proxy/ephemeral_nodes/operations.py
@@ -1,4 +1,4 @@
-"""The operations of the service on znodes, over any session."""
+"""Operations of the coordination service on znodes, independent of the session's implementation."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from service_proxy.ephemeral_nodes.records import ANY_VERSION, Stat
 from service_proxy.ephemeral_nodes.watches import WatchRegistry
 
-# Errors by which a service says that it has no addWatch (before 3.6).
-NO_ADD_WATCH = (ErrorCode.UNIMPLEMENTED, ErrorCode.BAD_ARGUMENTS, ErrorCode.MARSHALLING_ERROR)
+# Errors of a service without addWatch (before 3.6).
+ADD_WATCH_UNSUPPORTED = (ErrorCode.UNIMPLEMENTED, ErrorCode.BAD_ARGUMENTS, ErrorCode.MARSHALLING_ERROR)
 
 
 class ZnodeOperations(ABC):
-    """Operations with paths below a chroot, but where it is said otherwise.
+    """Operations on znodes, with paths relative to the chroot unless stated otherwise.
 
-    All raise ServiceError, ConnectionLostError and TooManyRequestsError.
+    All methods raise ServiceError, ConnectionLostError and TooManyRequestsError.
     """
 
     def __init__(self, chroot: str) -> None:
@@ -28,10 +28,10 @@
 
     @abstractmethod
     async def request(self, op: OpCode, body: bytes) -> RecordReader:
-        """Send a request; return a reader of the reply's record."""
+        """Send a request and return a reader of the reply's record."""
 
     def absolute(self, path: str) -> str:
-        """Return the path with the chroot."""
+        """Return the path with the chroot in front."""
         if self.chroot and path == "/":
             return self.chroot
         return self.chroot + path
@@ -49,20 +49,21 @@
         flags: CreateMode = CreateMode.PERSISTENT,
         acl: Iterable[records.Acl] = records.OPEN_ACL,
     ) -> str:
-        """Create a znode; return its path, with its number if it is sequential.
+        """Create a znode and return its path, which includes the number of a sequential znode.
 
         Raises:
-            ValueError: for a container, which the service may remove whenever it is empty: a path without
-                endpoints must stay.
+            ValueError: for a container. The service may delete an empty container, but a path without
+                endpoints
+                must stay.
         """
         if flags is CreateMode.CONTAINER:
-            raise ValueError("containers are not created: write a persistent node in its place")
+            raise ValueError("containers are not created; create a persistent znode instead")
         body = records.encode_create(self.absolute(path), data, acl, flags)
         reply = await self.request(OpCode.CREATE, body)
         return self.relative(reply.string())
 
     async def ensure_path(self, path: str) -> None:
-        """Create the persistent znodes of the path that are missing."""
+        """Create the missing persistent znodes of the path."""
         parts = path.strip("/").split("/") if path != "/" else []
         for count in range(1, len(parts) + 1):
             try:
@@ -72,11 +73,11 @@
                     raise
 
     async def delete(self, path: str, version: int = ANY_VERSION) -> None:
-        """Delete a znode, if its data version is this one."""
+        """Delete a znode if its data version matches."""
         await self.request(OpCode.DELETE, records.encode_delete(self.absolute(path), version))
 
     async def exists(self, path: str, watch: bool = False) -> Stat | None:
-        """Return a znode's Stat; None where there is none, and the watch then waits for its creation."""
+        """Return a znode's Stat, or None if it does not exist; the watch then fires at its creation."""
         absolute = self.absolute(path)
         try:
             reply = await self.request(OpCode.EXISTS, records.encode_read(absolute, watch))
@@ -100,12 +101,12 @@
         return data, records.read_stat(reply)
 
     async def set_data(self, path: str, data: bytes, version: int = ANY_VERSION) -> Stat:
-        """Replace a znode's data, if its data version is this one."""
+        """Replace a znode's data if its data version matches; return the new Stat."""
         body = records.encode_set_data(self.absolute(path), data, version)
         return records.read_stat(await self.request(OpCode.SET_DATA, body))
 
     async def get_children2(self, path: str, watch: bool = False) -> tuple[list[str], Stat]:
-        """Return the names of a znode's children, and its own Stat."""
+        """Return the names of a znode's children, and the znode's Stat."""
         absolute = self.absolute(path)
         reply = await self.request(OpCode.GET_CHILDREN2, records.encode_read(absolute, watch))
         if watch:
@@ -114,10 +115,10 @@
         return names, records.read_stat(reply)
 
     async def multi(self, operations: Iterable[records.MultiOperation]) -> list[records.MultiResult]:
-        """Perform all operations or none; their paths are absolute.
+        """Execute all operations or none; their paths are absolute.
 
         Raises:
-            ServiceError: of the first operation that failed.
+            ServiceError: the error of the first operation that failed.
         """
         reply = await self.request(OpCode.MULTI, records.encode_multi(operations))
         results = records.read_multi(reply)
@@ -127,13 +128,13 @@
         return results
 
     async def watch_recursive(self, path: str) -> bool:
-        """Set a persistent recursive watch; return False where the service has none (before 3.6)."""
+        """Set a persistent recursive watch; return False if the service does not support it (before 3.6)."""
         absolute = self.absolute(path)
         body = records.encode_add_watch(absolute, AddWatchMode.PERSISTENT_RECURSIVE)
         try:
             await self.request(OpCode.ADD_WATCH, body)
         except ServiceError as error:
-            if error.code in NO_ADD_WATCH:
+            if error.code in ADD_WATCH_UNSUPPORTED:
                 return False
             raise
         self.watches.recursive.add(absolute)
--- a/service_proxy/ephemeral_nodes/records.py
+++ b/service_proxy/ephemeral_nodes/records.py
@@ -1,7 +1,7 @@
-"""The records of the ZooKeeper client protocol, to and from bytes. Pure: no sockets, no session.
+"""Records of the ZooKeeper client protocol, encoded and decoded. Pure: no sockets, no session.
 
-Source: the published `zookeeper.jute` (3.4 to 3.9), whose names the records have. `encode_...` returns the
-record of a request, which `encode_request` puts in a frame.
+Source: the published `zookeeper.jute` (3.4 to 3.9); the records have the same names. Each `encode_...`
+function returns the record of a request, and `encode_request` puts the record into a frame.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 from service_proxy.ephemeral_nodes.errors import MalformedRecordError
 from service_proxy.ephemeral_nodes.jute import RecordReader, RecordWriter
 
-PASSWORD_BYTES = 16  # of a session's password
-ANY_VERSION = -1  # of a write that is not conditional
+PASSWORD_BYTES = 16  # Length of a session's password.
+ANY_VERSION = -1  # Version of an unconditional write.
 
 
 @dataclass(frozen=True, slots=True)
 class Stat:
-    """The state of a znode (Stat). Times in ms of Unix time."""
+    """State of a znode (Stat); times in ms of Unix time."""
 
-    czxid: int  # of the change that created it
-    mzxid: int  # of the last change of its data
+    czxid: int  # zxid of the znode's creation.
+    mzxid: int  # zxid of the last change of the data.
     ctime: int
     mtime: int
     version: int
-    cversion: int  # of its children
+    cversion: int  # Version of the list of children.
     aversion: int
-    ephemeral_owner: int  # the session of an ephemeral node; 0: none
-    data_length: int  # bytes
+    ephemeral_owner: int  # Session id of the owner of an ephemeral node; 0: not ephemeral.
+    data_length: int  # Length of the data in bytes.
     num_children: int
-    pzxid: int  # of the last change of its children
+    pzxid: int  # zxid of the last change of the children.
 
     def write(self, to: RecordWriter) -> RecordWriter:
-        """Append this record to another."""
+        """Append this record to `to`."""
         return to.record(STAT_LAYOUT.pack(*astuple(self)))
 
 
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Acl:
-    """Who may do what (ACL): `perms` is a sum of read 1, write 2, create 4, delete 8, admin 16."""
+    """Permissions of an identity (ACL); `perms` is a sum of read 1, write 2, create 4, delete 8, admin 16."""
 
     perms: int
     scheme: str
     id: str
 
     def write(self, to: RecordWriter) -> RecordWriter:
-        """Append this record to another."""
+        """Append this record to `to`."""
         return to.int32(self.perms).string(self.scheme).string(self.id)
 
 
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectRequest:
-    """The first frame of a connection (ConnectRequest)."""
+    """First frame that a client sends on a connection (ConnectRequest)."""
 
     last_zxid: int
     timeout_ms: int
@@ -83,14 +83,14 @@
     protocol_version: int = 0
 
     def frame(self) -> bytes:
-        """Return the request as it goes on the wire."""
+        """Return the request as a frame."""
         writer = RecordWriter().int32(self.protocol_version).int64(self.last_zxid)
         writer.int32(self.timeout_ms).int64(self.session_id)
         return writer.buffer(self.password).boolean(self.read_only).frame()
 
 
 def parse_connect_request(data: bytes) -> ConnectRequest:
-    """Parse a ConnectRequest; clients before 3.4 leave its last field out."""
+    """Parse a ConnectRequest; clients before 3.4 omit its last field."""
     source = RecordReader(data)
     protocol_version = source.int32()
     last_zxid = source.int64()
@@ -103,22 +103,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectResponse:
-    """The answer to a ConnectRequest. A session id or a timeout of 0 says that the session has expired."""
+    """Reply to a ConnectRequest; a session id or a timeout of 0 means that the session has expired."""
 
-    timeout_ms: int  # as granted
+    timeout_ms: int  # Negotiated session timeout.
     session_id: int
     password: bytes
-    read_only: bool = False  # by a server without its quorum
+    read_only: bool = False  # Whether the server has no quorum and accepts reads only.
     protocol_version: int = 0
 
     def frame(self) -> bytes:
-        """Return the response as it goes on the wire."""
+        """Return the response as a frame."""
         writer = RecordWriter().int32(self.protocol_version).int32(self.timeout_ms).int64(self.session_id)
         return writer.buffer(self.password).boolean(self.read_only).frame()
 
 
 def parse_connect_response(data: bytes) -> ConnectResponse:
-    """Parse a ConnectResponse; servers before 3.4 leave its last field out."""
+    """Parse a ConnectResponse; servers before 3.4 omit its last field."""
     source = RecordReader(data)
     protocol_version = source.int32()
     timeout_ms = source.int32()
@@ -129,17 +129,17 @@
 
 
 def encode_request(xid: int, op: int, body: bytes = b"") -> bytes:
-    """Return a frame: the RequestHeader and the request's record."""
+    """Return a frame with the RequestHeader and the request's record."""
     return RecordWriter().int32(xid).int32(op).record(body).frame()
 
 
 def encode_reply(xid: int, zxid: int, err: int, body: bytes = b"") -> bytes:
-    """Return a frame: the ReplyHeader and the reply's record, which an error has not."""
+    """Return a frame with the ReplyHeader and the reply's record; an error has no record."""
     return RecordWriter().int32(xid).int64(zxid).int32(err).record(body).frame()
 
 
 class Reply(NamedTuple):
-    """A ReplyHeader, and a reader of the record that follows it."""
+    """ReplyHeader, and a reader of the record that follows."""
 
     xid: int
     zxid: int
@@ -148,7 +148,7 @@
 
 
 def parse_reply(data: bytes) -> Reply:
-    """Parse a frame that a server sent after its ConnectResponse."""
+    """Parse a frame that a server sends after its ConnectResponse."""
     source = RecordReader(data)
     return Reply(source.int32(), source.int64(), source.int32(), source)
 
@@ -157,7 +157,7 @@
 
 
 def encode_create(path: str, data: bytes, acl: Iterable[Acl], flags: int) -> bytes:
-    """Return a CreateRequest; `flags`: a CreateMode."""
+    """Return a CreateRequest; `flags` is a CreateMode."""
     entries = list(acl)
     writer = RecordWriter().string(path).buffer(data).int32(len(entries))
     for entry in entries:
@@ -171,7 +171,7 @@
 
 
 def encode_read(path: str, watch: bool) -> bytes:
-    """Return a request of exists, getData, getChildren or getChildren2."""
+    """Return the request record of exists, getData, getChildren or getChildren2."""
     return RecordWriter().string(path).boolean(watch).to_bytes()
 
 
@@ -186,7 +186,7 @@
 
 
 def encode_path(path: str) -> bytes:
-    """Return a request that has a path alone."""
+    """Return a request record that consists of a path."""
     return RecordWriter().string(path).to_bytes()
 
 
@@ -201,7 +201,10 @@
 
 
 def encode_set_watches(zxid: int, data: Iterable[str], exist: Iterable[str], child: Iterable[str]) -> bytes:
-    """Return a SetWatches; `zxid`: the last one seen. The server fires at once what has changed since."""
+    """Return a SetWatches; `zxid` is the last one received.
+
+    The server immediately sends the events of changes since `zxid`.
+    """
     return RecordWriter().int64(zxid).strings(data).strings(exist).strings(child).to_bytes()
 
 
@@ -213,7 +216,7 @@
     persistent: Iterable[str],
     recursive: Iterable[str],
 ) -> bytes:
-    """Return a SetWatches2, which has persistent watches, too."""
+    """Return a SetWatches2, which also contains persistent watches."""
     added = RecordWriter().strings(persistent).strings(recursive).to_bytes()
     return encode_set_watches(zxid, data, exist, child) + added
 
@@ -223,17 +226,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MultiOperation:
-    """One operation of a multi: its type and its record."""
+    """Operation of a multi: its type and its record."""
 
     op: OpCode
     body: bytes
 
 
-END_OF_MULTI = -1  # type and error code of the header that ends a multi
+END_OF_MULTI = -1  # Type and error code of the header that ends a multi.
 
 
 def encode_multi(operations: Iterable[MultiOperation]) -> bytes:
-    """Return a multi: a MultiHeader and a record for each operation, and a header that ends them."""
+    """Return a multi: a MultiHeader and a record per operation, then a final MultiHeader."""
     writer = RecordWriter()
     for operation in operations:
         writer.int32(operation.op).boolean(False).int32(END_OF_MULTI).record(operation.body)
@@ -242,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MultiResult:
-    """The result of one operation of a multi: an error code, or 0 with what its type gives."""
+    """Result of one operation of a multi: an error code, or 0 and the fields that its type returns."""
 
     op: int
     error_code: int
@@ -253,7 +256,7 @@
 
 
 def read_multi(source: RecordReader) -> list[MultiResult]:
-    """Read the reply to a multi or multiRead; where one operation of a multi failed, all have an error."""
+    """Read the reply to a multi or multiRead; one failed operation gives each result of a multi an error."""
     results: list[MultiResult] = []
     while True:
         op = source.int32()
@@ -278,20 +281,20 @@
     if op == OpCode.GET_CHILDREN:
         return MultiResult(op, error_code, children=tuple(source.vector(source.string)))
     if op not in (OpCode.DELETE, OpCode.CHECK):
-        raise MalformedRecordError(f"a part of a multi of the unknown type {op}")
+        raise MalformedRecordError(f"unknown operation type {op} in the reply to a multi")
     return MultiResult(op, error_code)
 
 
 @dataclass(frozen=True, slots=True)
 class WatcherEvent:
-    """A watch has fired (WatcherEvent). `state`: the session's, as the server sees it."""
+    """Notification of a fired watch (WatcherEvent); `state` is the session's state at the server."""
 
     type: int
     state: int
     path: str
 
     def frame(self, zxid: int = -1) -> bytes:
-        """Return the notification as it goes on the wire."""
+        """Return the notification as a frame."""
         body = RecordWriter().int32(self.type).int32(self.state).string(self.path).to_bytes()
         return encode_reply(ReservedXid.NOTIFICATION, zxid, ErrorCode.OK, body)
 
--- a/service_proxy/ephemeral_nodes/register.py
+++ b/service_proxy/ephemeral_nodes/register.py
@@ -1,9 +1,10 @@
-"""The command of an endpoint's sidecar: registers the endpoint, keeps it registered, drains and deletes it.
+"""Command of an endpoint's sidecar that keeps the endpoint registered until it is terminated.
 
     python -m service_proxy.ephemeral_nodes.register --operator FILE
 
-The registration is an ephemeral znode with the endpoint's JSON. At SIGTERM it becomes Terminating, and is
-deleted `drain` s later. Exit codes: 0 after SIGTERM or SIGINT, 2 for a file that can't be used.
+The registration is an ephemeral znode with the endpoint's JSON. After SIGTERM or SIGINT, its status becomes
+Terminating, and the znode is deleted `drain` s later. Exit codes: 0 after SIGTERM or SIGINT, 2 for an
+unusable file.
 """
 
 from __future__ import annotations
@@ -37,10 +38,10 @@
 
 
 def run(file: str) -> int:
-    """Register the endpoint of an operator's file; return the exit code.
+    """Register the endpoint of an operator's file until a signal, and return the exit code.
 
     Raises:
-        OperatorError: the file, or one that it names, can't be used.
+        OperatorError: the file, or a file that it names, can't be used.
     """
     operator = load(file)
     if operator.membership is None or operator.registration is None:
@@ -55,12 +56,12 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; return its exit code."""
+    """Run the command and return its exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy.ephemeral_nodes.register",
-        description="Registers the server of [registration] with the service of [membership], and keeps it.",
+        description="Keeps the endpoint of [registration] registered with the service of [membership].",
     )
-    parser.add_argument("--operator", metavar="FILE", required=True, help="the operator's file")
+    parser.add_argument("--operator", metavar="FILE", required=True, help="path of the operator's file")
     arguments = parser.parse_args(argv)
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     try:
--- a/service_proxy/ephemeral_nodes/snapshot.py
+++ b/service_proxy/ephemeral_nodes/snapshot.py
@@ -1,10 +1,10 @@
-"""The endpoints as last known, in a file: written atomically, and refused where it is torn.
+"""Snapshot file of the last known endpoints, written atomically and refused if damaged.
 
     willowwing-nodes 1 <sha256 of the rest, in hex> <count>
-    one node's JSON a line
+    one node's JSON per line
 
-A file of another version, a torn one, or one with a line that can't be read gives nothing at all: half a list
-would look like a mass loss.
+A file of another version, a damaged file, or a file with one invalid line is refused as a whole, because a
+partial list would look like a mass loss.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 MAGIC = b"willowwing-nodes"
 VERSION = b"1"
-HEAD_FIELDS = 4  # magic, version, digest, count
+HEADER_FIELD_COUNT = 4  # Number of header fields: magic, version, digest, count.
 FIRST_BODY_LINE = 2
-MAX_FILE_BYTES = 64 << 20  # 20,000 nodes have 5 MB
+MAX_FILE_BYTES = 64 << 20  # Upper bound of a snapshot; 20,000 nodes have 5 MB.
 
 
 def encode(nodes: Iterable[EndpointNode]) -> bytes:
-    """Return the file's content."""
+    """Return the content of a snapshot file."""
     lines = [node.encode() for node in nodes]
     body = b"".join(line + b"\n" for line in lines)
     digest = hashlib.sha256(body).hexdigest().encode()
@@ -36,12 +36,12 @@
 
 
 def decode(data: bytes) -> list[EndpointNode]:
-    """Return the nodes of a file's content.
+    """Return the nodes of a snapshot's content.
 
     Raises:
-        InvalidSnapshotError: it can't be used as a whole.
+        InvalidSnapshotError: the content is invalid; no node is used.
     """
-    body = _check_head(data)
+    body = _check_header(data)
     nodes = []
     for number, line in enumerate(body.splitlines(), FIRST_BODY_LINE):
         try:
@@ -51,21 +51,23 @@
     return nodes
 
 
-def _check_head(data: bytes) -> bytes:
-    """Return what follows the head, once that agrees with it."""
-    head, newline, body = data.partition(b"\n")
-    fields = head.split(b" ")
-    if not newline or len(fields) != HEAD_FIELDS or fields[0] != MAGIC:
-        raise InvalidSnapshotError("it does not begin as a snapshot does")
+def _check_header(data: bytes) -> bytes:
+    """Check the header against the body, and return the body."""
+    header, newline, body = data.partition(b"\n")
+    fields = header.split(b" ")
+    if not newline or len(fields) != HEADER_FIELD_COUNT or fields[0] != MAGIC:
+        raise InvalidSnapshotError("the file does not begin with a snapshot header")
     _, version, digest, count = fields
     if version != VERSION:
         found = version.decode("latin-1")
-        raise InvalidSnapshotError(f"it has version {found:.20}, and {VERSION.decode()} is read")
+        raise InvalidSnapshotError(f"the file has version {found:.20}; supported: {VERSION.decode()}")
     if hashlib.sha256(body).hexdigest().encode() != digest:
-        raise InvalidSnapshotError("it is torn: its checksum is not that of its lines")
+        raise InvalidSnapshotError("the file is damaged: the checksum does not match the lines")
     lines = len(body.splitlines())
     if count != b"%d" % lines:
-        raise InvalidSnapshotError(f"it has {lines} lines and says {count.decode('latin-1'):.20}")
+        raise InvalidSnapshotError(
+            f"the file has {lines} lines; its header says {count.decode('latin-1'):.20}"
+        )
     return body
 
 
@@ -73,7 +75,7 @@
     raw = json.loads(line)
     name = raw.get("name") if isinstance(raw, dict) else None
     if not isinstance(name, str):
-        raise InvalidSnapshotError("no node with a name")
+        raise InvalidSnapshotError("the line is not a JSON object with a name")
     return name
 
 
@@ -81,21 +83,21 @@
     """Read a snapshot.
 
     Raises:
-        InvalidSnapshotError: it can't be used.
-        OSError: it can't be read; FileNotFoundError where there is none.
+        InvalidSnapshotError: the content is invalid.
+        OSError: the file can't be read; FileNotFoundError if it does not exist.
     """
     with path.open("rb") as source:
         data = source.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
-        raise InvalidSnapshotError(f"it is larger than {MAX_FILE_BYTES} bytes")
+        raise InvalidSnapshotError(f"the file is larger than {MAX_FILE_BYTES} bytes")
     return decode(data)
 
 
 def write(path: Path, nodes: Iterable[EndpointNode]) -> None:
-    """Replace a snapshot, once the new file is complete on the disk.
+    """Replace a snapshot after the new file is completely on the disk.
 
     Raises:
-        OSError: it could not be written; the old one is what it was.
+        OSError: the write failed; the old file is unchanged.
     """
     data = encode(nodes)
     handle, name = tempfile.mkstemp(prefix=path.name + ".", dir=path.parent)
--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -287,7 +287,7 @@
         return endpoint_list is not None
 
     def _log_notes(self) -> None:
-        for note in self.merger.drain_notes():
+        for note in self.merger.take_notes():
             log.info("%s", note)
 
     async def _run_periodic_checks(self) -> None:
--- a/service_proxy/ephemeral_nodes/source_reports.py
+++ b/service_proxy/ephemeral_nodes/source_reports.py
@@ -1,4 +1,4 @@
-"""What each source reports of each endpoint, and the indexes by address and by name. Pure."""
+"""Reports of each source on each endpoint, with indexes by address and by name. Pure."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from service_proxy.net.endpoint_list import Address, Endpoint
 from service_proxy.net.endpoint_sources import SourceHealth
 
-START_TOLERANCE_S = 2.0  # by which two sources' starts of one process may differ
-MEMBERSHIP = "membership"  # the ephemeral nodes
+START_TOLERANCE_S = 2.0  # Maximum difference between two sources' start times of the same process.
+MEMBERSHIP = "membership"  # Name of the source of ephemeral nodes.
 DISCOVERY = "discovery"
-SOURCE_ORDER = (MEMBERSHIP, DISCOVERY)  # who is believed first where none is fresher
+SOURCE_ORDER = (MEMBERSHIP, DISCOVERY)  # Precedence of sources with equal health.
 HEALTH_ORDER = (
     SourceHealth.UP_TO_DATE,
     SourceHealth.STALE,
@@ -23,11 +23,11 @@
 
 
 class ReportedStatus(Enum):
-    """What a source reports of an endpoint."""
+    """Status of an endpoint in a source's report."""
 
     READY = "ready"
     DRAINING = "draining"
-    LOST = "lost"  # its session ended: draining for a while, then gone
+    LOST = "lost"  # The endpoint's session ended: counts as draining for LOSS_WINDOW_S, then as gone.
     GONE = "gone"
 
 
@@ -36,28 +36,28 @@
 
 @dataclass(slots=True)
 class SourceReport:
-    """A source's last report of one endpoint. Times in s, monotonic."""
+    """Last report of a source on one endpoint; times in s, monotonic."""
 
     endpoint: Endpoint
     status: ReportedStatus
-    since: float  # when this status was reported
-    is_loss_withheld: bool = False  # a loss was reported, and is taken to be the source's own fault
+    since: float  # Time when this status was reported.
+    is_loss_withheld: bool = False  # Whether a reported loss is withheld as a probable fault of the source.
     withheld_since: float = 0.0
 
     @property
     def is_ready(self) -> bool:
-        """Whether the source says so, and no loss of it is withheld."""
+        """Whether the source reports the endpoint as ready and no loss of it is withheld."""
         return self.status is ReportedStatus.READY and not self.is_loss_withheld
 
     @property
     def started_at(self) -> float:
-        """When the endpoint's process started; 0: unknown."""
+        """Start time of the endpoint's process; 0: unknown."""
         return self.endpoint.entry.started_at
 
 
 @dataclass(slots=True)
 class SourceView:
-    """All that one source reports.
+    """All reports of one source.
 
     More than `mass_loss_share` of its endpoints lost within `mass_loss_window_s` is a mass loss.
     """
@@ -67,32 +67,35 @@
     mass_loss_window_s: float
     health: SourceHealth = SourceHealth.NEVER_RECEIVED
     reports: dict[str, SourceReport] = field(default_factory=dict)
-    loss_times: deque[float] = field(default_factory=deque)  # of the losses that counted
+    loss_times: deque[float] = field(default_factory=deque)  # Times of accepted losses.
     withheld_count: int = 0
-    ready_count: int = 0  # reports whose status is READY, those with a withheld loss among them
+    ready_count: int = 0  # Number of reports with status READY, including those with a withheld loss.
 
     def count_allowed_losses(self, now: float) -> int:
-        """Return how many more losses count now. The base is what was ready before those of the window."""
+        """Return how many further losses are accepted now.
+
+        The share refers to the endpoints that were ready before the losses of the current window.
+        """
         while self.loss_times and self.loss_times[0] <= now - self.mass_loss_window_s:
             self.loss_times.popleft()
         base = self.ready_count + len(self.loss_times)
         maximum = max(1, int(self.mass_loss_share * base)) - len(self.loss_times)
         return max(0, min(maximum, self.ready_count - 1))
 
-    def release(self, report: SourceReport) -> None:
-        """Withhold a loss no longer, if one is."""
+    def clear_withheld_loss(self, report: SourceReport) -> None:
+        """Clear the report's withheld loss, if there is one."""
         if report.is_loss_withheld:
             self.withheld_count -= 1
             report.is_loss_withheld = False
 
     def set_status(self, report: SourceReport, status: ReportedStatus, now: float) -> None:
-        """Change a report's status."""
+        """Set a report's status and the time of the change."""
         self.ready_count += (status is ReportedStatus.READY) - (report.status is ReportedStatus.READY)
         report.status = status
         report.since = now
 
-    def withheld_due(self, since: float) -> list[str]:
-        """Return the names whose losses are withheld since then or longer."""
+    def losses_withheld_since(self, since: float) -> list[str]:
+        """Return the names whose losses have been withheld since that time or longer."""
         return [
             name
             for name, report in self.reports.items()
@@ -101,22 +104,23 @@
 
 
 class ReportIndex:
-    """The views of all sources, and names by address and by case-folded name."""
+    """Reports of all sources, with names indexed by address and by case-folded name."""
 
     def __init__(self, sources: dict[str, SourceView]) -> None:
         self.sources = sources
         self.order = tuple(sources)
-        self.names_by_address: dict[Address, dict[str, None]] = {}  # names that any source has there
+        # Names that any source reports at the address.
+        self.names_by_address: dict[Address, dict[str, None]] = {}
         self.names_by_casefold: dict[str, dict[str, None]] = {}
 
     def reports_of(self, name: str) -> list[SourceReport]:
-        """Return the reports on a name, of any source."""
+        """Return the reports of all sources on a name."""
         return [
             report for source in self.sources.values() if (report := source.reports.get(name)) is not None
         ]
 
     def current_reports(self, name: str) -> list[tuple[SourceView, SourceReport]]:
-        """Return those that speak of the newest incarnation (rule 1), in the order of rule 5."""
+        """Return the reports on the newest incarnation (rule 1), in the order of rule 5."""
         found = [
             (source, report)
             for health in HEALTH_ORDER
@@ -130,24 +134,24 @@
             if report.started_at == 0.0 or report.started_at >= newest - START_TOLERANCE_S
         ]
 
-    def rank(self, name: str) -> int:
-        """Return the place in the order of the source that counts first for this name."""
+    def source_rank(self, name: str) -> int:
+        """Return the position in the source order of the name's first report by rule 5."""
         reports = self.current_reports(name)
         return self.order.index(reports[0][0].name) if reports else len(self.order)
 
-    def namesakes(self, name: str) -> Iterable[str]:
-        """Return the names that differ from this one in case at most."""
+    def case_variants(self, name: str) -> Iterable[str]:
+        """Return the names that are equal to this one when case is ignored, including the name itself."""
         return self.names_by_casefold.get(name.casefold(), ())
 
     def add(self, endpoint: Endpoint) -> None:
-        """Index an endpoint that a source reports."""
+        """Add a reported endpoint to the indexes."""
         self.names_by_address.setdefault(endpoint.address, {})[endpoint.name] = None
         self.names_by_casefold.setdefault(endpoint.name.casefold(), {})[endpoint.name] = None
 
     def remove_address(self, endpoint: Endpoint) -> list[str]:
-        """Remove an endpoint from its address, unless another report has it there.
+        """Remove an endpoint from the index of its address, unless another report has the same address.
 
-        Return the names that stay at the address, whose decisions may change.
+        Return the names that remain at the address, because their decisions may change.
         """
         names = self.names_by_address.get(endpoint.address)
         if names is None or any(
@@ -161,7 +165,7 @@
         return list(names)
 
     def remove_name(self, name: str) -> None:
-        """Forget a name that no source reports any more."""
+        """Remove a name that no source reports any more."""
         names = self.names_by_casefold.get(name.casefold())
         if names is not None:
             names.pop(name, None)
@@ -169,8 +173,8 @@
                 del self.names_by_casefold[name.casefold()]
 
     def dependent_names(self, name: str) -> Iterable[str]:
-        """Yield the name, and those whose decision may rest on it (rule 7)."""
+        """Yield the name and all names whose decision may depend on it (rule 7)."""
         yield name
-        yield from self.namesakes(name)
+        yield from self.case_variants(name)
         for report in self.reports_of(name):
             yield from self.names_by_address.get(report.endpoint.address, ())
--- a/service_proxy/ephemeral_nodes/watches.py
+++ b/service_proxy/ephemeral_nodes/watches.py
@@ -1,4 +1,4 @@
-"""The watches that a session has set, to be set again after a reconnect. Pure."""
+"""Watches of a session, stored to be set again after a reconnect. Pure."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(slots=True)
 class WatchRegistry:
-    """Absolute paths by the kind of their watch."""
+    """Absolute paths of a session's watches, by kind."""
 
     data: set[str] = field(default_factory=set)
-    exists: set[str] = field(default_factory=set)  # of znodes that did not exist
+    exists: set[str] = field(default_factory=set)  # Paths that did not exist when the watch was set.
     child: set[str] = field(default_factory=set)
-    recursive: set[str] = field(default_factory=set)  # persistent ones
+    recursive: set[str] = field(default_factory=set)  # Paths of persistent recursive watches.
 
     def clear(self) -> None:
-        """Forget all watches."""
+        """Remove all watches."""
         for paths in (self.data, self.exists, self.child, self.recursive):
             paths.clear()
 
     def on_event(self, event: records.WatcherEvent) -> None:
-        """Forget the one-shot watches that have fired."""
+        """Remove the one-shot watches that an event has consumed."""
         if event.type in (EventType.CREATED, EventType.DELETED, EventType.DATA_CHANGED):
             self.data.discard(event.path)
             self.exists.discard(event.path)
@@ -31,10 +31,10 @@
             self.child.discard(event.path)
 
     def encode_restore(self, last_zxid: int) -> bytes | None:
-        """Return the frame that sets all watches again; None where there are none.
+        """Return the frame that sets all watches again, or None if there are none.
 
-        The server fires at once what has changed since `last_zxid`, but not for persistent watches: who has
-        one reads again after a reconnect.
+        The server immediately sends the events of changes since `last_zxid`, but not for persistent watches.
+        A client with a persistent watch must read again after a reconnect.
         """
         one_shot = (sorted(self.data), sorted(self.exists), sorted(self.child))
         if self.recursive:
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -8,7 +8,7 @@
 
 from service_proxy.ephemeral_nodes import merger as module
 from service_proxy.ephemeral_nodes.merge_rules import LOSS_WINDOW_S
-from service_proxy.ephemeral_nodes.merger import END_MEMORY_S, WITHHOLD_S, EndpointListMerger
+from service_proxy.ephemeral_nodes.merger import END_RETENTION_S, MIN_WITHHOLD_S, EndpointListMerger
 from service_proxy.ephemeral_nodes.source_reports import (
     DISCOVERY,
     MEMBERSHIP,
@@ -93,8 +93,8 @@
         pair.merger.update(DISCOVERY, [entry("s-1"), entry("s-2"), entry("s-3")], pair.now)
         pair.take_changes(10.0)
         assert pair.states()["s-1"] is DRAINING
-    notes = [note for note in pair.merger.drain_notes() if "s-1" in note]
-    assert len(notes) == 1 and "source=membership reason=lost, which beats ready" in notes[0]
+    notes = [note for note in pair.merger.take_notes() if "s-1" in note]
+    assert len(notes) == 1 and "source=membership reason=lost, which overrides ready" in notes[0]
 
 
 def test_a_lost_session_that_nobody_contradicts_is_gone_after_the_window() -> None:
@@ -114,7 +114,7 @@
     pair.take_changes(LOSS_WINDOW_S + 1)
     pair.update(DISCOVERY, entry("s-1"))
     assert pair.states()["s-1"] is DRAINING
-    pair.take_changes(END_MEMORY_S * 2)
+    pair.take_changes(END_RETENTION_S * 2)
     assert pair.states()["s-1"] is DRAINING
 
 
@@ -122,7 +122,7 @@
     pair = MergerWithConsumer(*(f"s-{n}" for n in range(9)), both=False)
     pair.report_lost("s-1")
     pair.take_changes(LOSS_WINDOW_S)
-    pair.take_changes(END_MEMORY_S)
+    pair.take_changes(END_RETENTION_S)
     pair.take_changes(0.1)
     assert "s-1" not in pair.merger.sources[MEMBERSHIP].reports and not pair.merger.tombstones
     assert not any("s-1" in names for names in pair.merger.index.names_by_address.values())
@@ -236,9 +236,9 @@
     pair = MergerWithConsumer(*names, both=False)
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.take_changes()
-    pair.take_changes(WITHHOLD_S * 3)
+    pair.take_changes(MIN_WITHHOLD_S * 3)
     assert pair.serving() == set(names)
-    assert sum("mass_loss_withheld" in note for note in pair.merger.drain_notes()) == 1
+    assert sum("mass_loss_withheld" in note for note in pair.merger.take_notes()) == 1
 
 
 def test_a_trickle_takes_no_more_than_the_share_within_the_time() -> None:
@@ -285,7 +285,7 @@
     pair = MergerWithConsumer(*names, both=False)
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    pair.take_changes(WITHHOLD_S - 1)
+    pair.take_changes(MIN_WITHHOLD_S - 1)
     assert pair.serving() == set(names)
     pair.take_changes(2)
     assert pair.serving() == set(names[2:])
@@ -297,7 +297,7 @@
     pair.merger.replace_all(MEMBERSHIP, [], pair.now, ReportedStatus.LOST)
     pair.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
     pair.merger.set_health(MEMBERSHIP, SourceHealth.UNREACHABLE)
-    pair.take_changes(WITHHOLD_S * 10)
+    pair.take_changes(MIN_WITHHOLD_S * 10)
     assert pair.serving() == set(names)
 
 
@@ -358,7 +358,7 @@
     pair.merger.update(MEMBERSHIP, [entry("s-2", DRAINING)], pair.now)
     listing = pair.merger.take_changes(pair.now)
     assert listing is not None and [listed.name for listed in listing.endpoints] == ["s-2"]
-    assert [listed.name for listed in pair.merger.endpoints_in_force()] == [
+    assert [listed.name for listed in pair.merger.effective_endpoints()] == [
         "s-1",
         "s-2",
     ] and pair.merger.serving_count == 1
@@ -366,22 +366,22 @@
 
 def test_which_source_decided_is_noted_where_they_disagree() -> None:
     pair = MergerWithConsumer("s-1", "s-2", "s-3")
-    pair.merger.drain_notes()
+    pair.merger.take_notes()
     pair.update(DISCOVERY, entry("s-1", DRAINING))
     pair.update(DISCOVERY, entry("s-2", zone="b"))
     pair.update(DISCOVERY, entry("s-3", port=9))
-    assert pair.merger.drain_notes() == [
+    assert pair.merger.take_notes() == [
         "endpoint_decided endpoint=s-1 state=draining source=discovery "
-        "reason=draining, which beats ready (rule 2)",
+        "reason=draining, which overrides ready (rule 2)",
         "endpoint_decided endpoint=s-2 state=serving source=membership "
-        "reason=the sources give other zones or groups (rule 6)",
+        "reason=the sources report different zones or groups (rule 6)",
         "endpoint_decided endpoint=s-3 state=serving source=membership "
-        "reason=the sources give other addresses (rule 5)",
+        "reason=the sources report different addresses (rule 5)",
     ]
 
 
 def test_what_is_remembered_of_ends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MAX_REMEMBERED_ENDS", 5)
+    monkeypatch.setattr(module, "MAX_STORED_ENDS", 5)
     pair = MergerWithConsumer("s-x", "s-y", both=False)
     for number in range(50):
         pair.update(MEMBERSHIP, entry(f"s-{number}", DRAINING))
@@ -435,7 +435,7 @@
         if step[0] == "lose":
             base = merger.sources[MEMBERSHIP].ready_count + len(merger.sources[MEMBERSHIP].loss_times)
             assert len(before - pair.serving()) <= 2 * max(1, int(0.34 * base))  # twins in case end together
-        assert {listed.name: listed for listed in merger.endpoints_in_force()} == pair.in_force
+        assert {listed.name: listed for listed in merger.effective_endpoints()} == pair.in_force
         assert merger.serving_count == len(pair.serving())
         addresses = [pair.in_force[name].address for name in pair.serving()]
         assert len(addresses) == len(set(addresses))
