--- a/tests/ephemeral_nodes/source_harness.py
+++ b/tests/ephemeral_nodes/source_harness.py
@@ -1,4 +1,4 @@
-"""The source of ephemeral nodes before a consumer that records its lists, on the stand-in's sockets."""
+"""Harness for the source of ephemeral nodes, with a stand-in service and a recording consumer."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 from service_proxy.policy.events import EndpointState
 
 NAMES = [f"s-{number}" for number in range(9)]
-MODES = ["persistent", "one-shot"]  # of watches
+MODES = ["persistent", "one-shot"]  # Values of settings.watch.
 INITIAL_PORT = 9000
 
 
 class RecordingConsumer:
-    """In place of the dispatcher: records the lists that it is given, and the failures of discovery."""
+    """Replacement for the dispatcher that records the endpoint lists and discovery's failures."""
 
     def __init__(self, initial: EndpointList | None = None) -> None:
         self.initial_list = initial or EndpointList(0, True, [])
         self.states: dict[str, EndpointState] = {}
         self.list_count = 0
         self.failures = 0
-        self.fewest_serving = 0  # the fewest endpoints that served at once since a test set it
+        self.fewest_serving = 0  # Lowest number of endpoints serving at once since a test set it.
         self.discovery = cast(DiscoveryClient, SimpleNamespace(on_list=None, on_failed=None))
         self.ended_at: dict[str, float] = {}
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Record a list of changes."""
+        """Record an incremental list."""
         self.list_count += 1
         assert not endpoint_list.is_snapshot
         for item in endpoint_list.endpoints:
@@ -69,7 +69,7 @@
 
 
 def address_of(name: str) -> str:
-    """Return an address of its own for each name."""
+    """Return an address that is unique to the name."""
     return f"127.0.0.1:{PORTS.setdefault(name, 7000 + len(PORTS))}"
 
 
@@ -79,25 +79,25 @@
 
 
 def initial_list() -> EndpointList:
-    """Return the list of all NAMES that a proxy may start with."""
+    """Return a list of all NAMES for the start of a proxy."""
     nodes = [node(name, initial_address(name)) for name in NAMES]
     return EndpointList(1, True, [to_endpoint(entry, WALL_CLOCK_OFFSET_S) for entry in nodes])
 
 
 def accepted_connections(service: CoordinationService) -> int:
-    """Return how many connections all servers have accepted."""
+    """Return the number of connections that all servers have accepted."""
     return sum(server.accepted for server in service.servers)
 
 
 def expire(service: CoordinationService, name: str) -> None:
-    """End the session of a node."""
+    """Expire the session that owns a node."""
     service.run_step({"do": "expire", "path": f"{PATH}/{name}"})
 
 
 def register_node(
     service: CoordinationService, name: str, entry: EndpointNode | None = None, data: bytes | None = None
 ) -> None:
-    """Create a node of a session of its own, as a sidecar would."""
+    """Create a node with a session of its own, as a sidecar would."""
     parts = PATH.split("/")[1:]
     for count in range(1, len(parts) + 1):
         path = "/" + "/".join(parts[:count])
@@ -112,7 +112,7 @@
 
 
 class SourceUnderTest:
-    """A started source of one proxy and its consumer."""
+    """Started source of one proxy, with its consumer."""
 
     def __init__(self, settings: Settings, initial: EndpointList | None = None) -> None:
         self.consumer = RecordingConsumer(initial)
@@ -121,17 +121,17 @@
         self.source.start()
 
     async def wait_until_serving(self, names: list[str] | set[str]) -> None:
-        """Wait until just these endpoints serve."""
+        """Wait until exactly these endpoints serve."""
         await until(
             lambda: self.consumer.serving() == set(names), f"serving {names}, not {self.consumer.serving()}"
         )
 
     async def wait_until_fresh(self) -> None:
-        """Wait until the source's health is FRESH."""
+        """Wait until the source's health is UP_TO_DATE."""
         await until(lambda: self.health() is SourceHealth.UP_TO_DATE, "fresh")
 
     async def wait_until_withheld(self, count: int) -> None:
-        """Wait until so many losses are withheld."""
+        """Wait until exactly `count` losses are withheld."""
         membership = self.source.merger.sources["membership"]
         await until(lambda: membership.withheld_count == count, f"{count} withheld losses")
 
@@ -140,7 +140,7 @@
         return self.source.merger.sources["membership"].health
 
     def discover(self, *nodes: EndpointNode, is_snapshot: bool = True) -> None:
-        """Have discovery answer with these nodes."""
+        """Simulate a response of discovery with these nodes."""
         endpoints = [to_endpoint(entry, WALL_CLOCK_OFFSET_S) for entry in nodes]
         self.consumer.discovery.on_list(EndpointList(1, is_snapshot, endpoints))
 
@@ -149,7 +149,7 @@
 async def watching_source(
     watch: str = "auto", names: list[str] = NAMES, **more: Any
 ) -> AsyncIterator[tuple[CoordinationService, SourceUnderTest]]:
-    """Run a service with these nodes and a source that has read them; `more` are its settings."""
+    """Run a service with these nodes and a source that has read them; `more` are settings of the source."""
     async with ensemble() as service:
         for name in names:
             register_node(service, name)
@@ -164,7 +164,7 @@
 
 
 def operator_file(folder: Path, membership: Settings, **changes: object) -> Path:
-    """Write an operator's file with these settings, but for the changes."""
+    """Write an operator's file with these settings and changes."""
     settings = replace(membership, **changes)  # type: ignore[arg-type]
     servers = ", ".join(f'"{server}"' for server in settings.servers)
     file = folder / "operator.toml"
--- a/tests/ephemeral_nodes/test_jute.py
+++ b/tests/ephemeral_nodes/test_jute.py
@@ -1,4 +1,4 @@
-"""The wire, byte for byte: against a stock client library's own serialization, and as published."""
+"""Tests of the wire format against a stock client library's serialization and the published bytes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def framed(xid: int, op: int, record: bytes) -> bytes:
-    """As a client of the library writes it: length, xid, type, record."""
+    """Return the request as the client library sends it: length, xid, type and record."""
     data = kazoo.int_struct.pack(xid) + kazoo.int_struct.pack(op) + record
     whole: bytes = kazoo.int_struct.pack(len(data)) + data
     return whole
@@ -74,8 +74,9 @@
 
 
 def test_the_first_frame_has_the_published_bytes() -> None:
-    """A new session of 10 s, as the programmer's guide has clients begin: 44 bytes, with the read-only flag
-    45.
+    """Guard the first frame of a new session of 10 s, as in the programmer's guide.
+
+    The record has 44 bytes, and 45 with the read-only flag.
     """
     frame = records.ConnectRequest(0, 10_000, 0, bytes(16)).frame()
     published = (
@@ -114,7 +115,7 @@
 
 
 def test_add_watch_has_the_published_bytes() -> None:
-    """AddWatchRequest: the path, then the mode; 1 is persistent and recursive."""
+    """Guard the layout of AddWatchRequest: the path, then the mode; mode 1 is persistent and recursive."""
     frame = records.encode_request(
         2, OpCode.ADD_WATCH, records.encode_add_watch("/a", AddWatchMode.PERSISTENT_RECURSIVE)
     )
@@ -143,7 +144,7 @@
         jute.split_frames(bytearray(length + b"rest"))
 
 
-def test_frames_are_complete_however_their_bytes_come() -> None:
+def test_frames_are_complete_if_bytes_arrive_one_by_one() -> None:
     data = records.encode_request(1, OpCode.PING) + records.encode_request(
         2, OpCode.SYNC, records.encode_path("/a")
     )
@@ -155,7 +156,7 @@
     assert [RecordReader(frame).int32() for frame in found] == [1, 2] and not buffer
 
 
-def test_strings_that_are_no_utf8_and_vectors_without_end_are_malformed() -> None:
+def test_invalid_utf8_strings_and_oversized_vectors_are_malformed() -> None:
     with pytest.raises(errors.MalformedRecordError):
         RecordReader(RecordWriter().buffer(b"\xff").to_bytes()).string()
     source = RecordReader(RecordWriter().int32(1 << 30).to_bytes())
--- a/tests/ephemeral_nodes/test_program.py
+++ b/tests/ephemeral_nodes/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself with [membership] on: calls by the service's list, and SIGHUP while it is cut off."""
+"""Test of the proxy program with [membership]: requests follow its list, and SIGHUP changes the ensemble."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from service_proxy.ephemeral_nodes.endpoint_node import EndpointNode
 
 
-def operator(*services: CoordinationService) -> str:
+def operator_settings(*services: CoordinationService) -> str:
     servers = ", ".join('"{}:{}"'.format(*s.address) for service in services for s in service.servers)
     return (
         f'[membership]\nservers = [{servers}]\npath = "{PATH}"\nsession_timeout = 1.0\n'
@@ -27,63 +27,65 @@
     )
 
 
-async def count_requests_by_endpoint(callers: ClientPool, count: int) -> Counter[str]:
-    """So many calls of canje, all served; which nodos had them."""
-    before = len(callers.recorder.attempts)
+async def count_requests_by_endpoint(client_pool: ClientPool, count: int) -> Counter[str]:
+    """Send `count` requests of the class canje, and return the number of attempts per endpoint."""
+    before = len(client_pool.recorder.attempts)
     for _ in range(count):
-        callers.send(DEFAULT_CLASSES[2])
-    await until(lambda: not callers.open_requests, "the answers")
-    return Counter(attempt.endpoint for attempt in callers.recorder.attempts[before:])
+        client_pool.send(DEFAULT_CLASSES[2])
+    await until(lambda: not client_pool.open_requests, "the answers")
+    return Counter(attempt.endpoint for attempt in client_pool.recorder.attempts[before:])
 
 
-def has_logged(program: ProxyProcess, text: str) -> bool:
-    return text in program.log_file.read_text()
+def has_logged(proxy: ProxyProcess, text: str) -> bool:
+    return text in proxy.log_file.read_text()
 
 
 def test_requests_follow_the_service_and_sighup_changes_it_while_suspended() -> None:
     async def test() -> None:
-        ledger = Recorder()
-        registry = EndpointRegistry(ledger)
+        recorder = Recorder()
+        registry = EndpointRegistry(recorder)
         await registry.start()
-        nodos = {name: StubEndpoint(ledger, name) for name in ("s-1", "s-2", "s-3")}
+        stubs = {name: StubEndpoint(recorder, name) for name in ("s-1", "s-2", "s-3")}
         async with ensemble(1) as old, ensemble(1) as new:
-            for name, nodo in nodos.items():
-                await nodo.start()
-                register_node(old, name, EndpointNode(name, nodo.address, "a", "m", 1))
-            async with running_proxy("n0", registry.address, [], operator(old), ready=False) as program:
-                await until(program.is_ready, "ready")
-                await until(lambda: has_logged(program, "source=membership health=fresh"), "fresh")
-                callers = ClientPool(ledger, program.address, "n0", 1)
-                assert set(await count_requests_by_endpoint(callers, 30)) == set(nodos)
+            for name, stub in stubs.items():
+                await stub.start()
+                register_node(old, name, EndpointNode(name, stub.address, "a", "m", 1))
+            async with running_proxy(
+                "n0", registry.address, [], operator_settings(old), ready=False
+            ) as proxy:
+                await until(proxy.is_ready, "ready")
+                await until(lambda: has_logged(proxy, "source=membership health=fresh"), "fresh")
+                client_pool = ClientPool(recorder, proxy.address, "n0", 1)
+                assert set(await count_requests_by_endpoint(client_pool, 30)) == set(stubs)
                 old.run_step({"do": "expire", "path": f"{PATH}/s-1"})
                 await until(
-                    lambda: has_logged(program, "endpoints_in_use_decreased count=2 before=3"), "the drain"
+                    lambda: has_logged(proxy, "endpoints_in_use_decreased count=2 before=3"), "the drain"
                 )
-                assert set(await count_requests_by_endpoint(callers, 30)) == {"s-2", "s-3"}
+                assert set(await count_requests_by_endpoint(client_pool, 30)) == {"s-2", "s-3"}
 
                 old.run_step({"do": "partition", "mode": "reset"})
-                await until(lambda: has_logged(program, "state=SUSPENDED before=CONNECTED"), "SUSPENDED")
-                file = program.log_file.with_name("operator.toml")
-                file.write_text(operator(new) + "reed = 1\n")
-                program.process.send_signal(signal.SIGHUP)
-                await until(lambda: has_logged(program, "unknown key reed"), "the refusal")
-                assert set(await count_requests_by_endpoint(callers, 30)) == {"s-2", "s-3"}
+                await until(lambda: has_logged(proxy, "state=SUSPENDED before=CONNECTED"), "SUSPENDED")
+                file = proxy.log_file.with_name("operator.toml")
+                file.write_text(operator_settings(new) + "reed = 1\n")
+                proxy.process.send_signal(signal.SIGHUP)
+                await until(lambda: has_logged(proxy, "unknown key reed"), "the refusal")
+                assert set(await count_requests_by_endpoint(client_pool, 30)) == {"s-2", "s-3"}
                 for name in ("s-1", "s-2"):
-                    register_node(new, name, EndpointNode(name, nodos[name].address, "a", "m", 1))
-                file.write_text(operator(new))
-                program.process.send_signal(signal.SIGHUP)
-                await until(lambda: has_logged(program, "ensemble_changed"), "the move")
+                    register_node(new, name, EndpointNode(name, stubs[name].address, "a", "m", 1))
+                file.write_text(operator_settings(new))
+                proxy.process.send_signal(signal.SIGHUP)
+                await until(lambda: has_logged(proxy, "ensemble_changed"), "the move")
                 await until(
-                    lambda: has_logged(program, "endpoint_decided endpoint=s-3 state=draining source="),
+                    lambda: has_logged(proxy, "endpoint_decided endpoint=s-3 state=draining source="),
                     "s-3's end",
                 )
-                assert set(await count_requests_by_endpoint(callers, 30)) == {"s-1", "s-2"}
-                assert callers.status_codes == {200: 120}
-                program.process.send_signal(signal.SIGTERM)
-                assert await program.process.wait() == 0
+                assert set(await count_requests_by_endpoint(client_pool, 30)) == {"s-1", "s-2"}
+                assert client_pool.status_codes == {200: 120}
+                proxy.process.send_signal(signal.SIGTERM)
+                assert await proxy.process.wait() == 0
         registry.stop()
-        for nodo in nodos.values():
-            nodo.stop()
-        assert ledger.audit(IDEMPOTENCY_BY_CLASS) == []
+        for stub in stubs.values():
+            stub.stop()
+        assert recorder.audit(IDEMPOTENCY_BY_CLASS) == []
 
     run(test)
--- a/tests/ephemeral_nodes/test_register.py
+++ b/tests/ephemeral_nodes/test_register.py
@@ -1,6 +1,4 @@
-"""A node's side: registered, kept through expiry and reconnect, drained, deleted; taken over after a
-restart.
-"""
+"""Tests of the registrar: registration, expiry, reconnect, draining, deletion and takeover."""
 
 from __future__ import annotations
 
@@ -25,36 +23,38 @@
 
 
 def settings(service: CoordinationService, **more: object) -> Membership:
-    """Return the settings of a client of this service."""
+    """Return client settings for this service."""
     servers = tuple("{}:{}".format(*server.address) for server in service.servers)
     return Membership(servers, PATH, session_timeout=1.0, connect_timeout=0.3, **more)  # type: ignore[arg-type]
 
 
 def node(name: str = "s-1", address: str = "127.0.0.1:8081", since: int = 1000) -> EndpointNode:
-    """Return a node that is Ready; `since` is when its endpoint started (Unix time, ms)."""
+    """Return a node with the status Ready; `since` is the start time of its endpoint (Unix time, ms)."""
     return EndpointNode(name, address, "a", "m", 1, 1.0, since)
 
 
-def registrar(service: CoordinationService, of: EndpointNode | None = None, **more: object) -> Registrar:
-    found = Registrar(settings(service, **more), of or node(), Random(1))
+def start_registrar(
+    service: CoordinationService, entry: EndpointNode | None = None, **more: object
+) -> Registrar:
+    found = Registrar(settings(service, **more), entry or node(), Random(1))
     found.start()
     return found
 
 
 async def registered(
-    service: CoordinationService, of: EndpointNode | None = None, **more: object
+    service: CoordinationService, entry: EndpointNode | None = None, **more: object
 ) -> Registrar:
-    found = registrar(service, of, **more)
+    found = start_registrar(service, entry, **more)
     await asyncio.wait_for(found.registered.wait(), REGISTRATION_TIMEOUT_S)
     return found
 
 
-def has_reconnected(service: CoordinationService, taken: int) -> bool:
-    return sum(server.accepted for server in service.servers) > taken
+def has_reconnected(service: CoordinationService, accepted_before: int) -> bool:
+    return sum(server.accepted for server in service.servers) > accepted_before
 
 
-def has_registered(by: Registrar, times: int) -> bool:
-    return by.registrations == times
+def has_registered(registrar: Registrar, times: int) -> bool:
+    return registrar.registrations == times
 
 
 def registered_node(service: CoordinationService, name: str = "s-1") -> EndpointNode | None:
@@ -65,10 +65,10 @@
 def test_it_registers_drains_and_leaves() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            mine = registrar(service)
+            registrar = start_registrar(service)
             await until(lambda: registered_node(service) == node(), "the registration")
-            assert service.tree.nodes[f"{PATH}/s-1"].owner == mine.session.session_id
-            leaving = asyncio.ensure_future(mine.leave(0.2))
+            assert service.tree.nodes[f"{PATH}/s-1"].owner == registrar.session.session_id
+            leaving = asyncio.ensure_future(registrar.leave(0.2))
             await until(lambda: registered_node(service) == node().draining(), "the drain")
             await leaving
             assert registered_node(service) is None and not service.sessions
@@ -76,16 +76,16 @@
     run(test)
 
 
-def test_it_registers_again_after_an_expiry_though_the_endpoint_never_stopped() -> None:
+def test_it_registers_again_after_an_expiry_although_the_endpoint_keeps_running() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            mine = await registered(service)
+            registrar = await registered(service)
             for count in range(2, 5):
                 service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
                 assert registered_node(service) is None
-                await until(functools.partial(has_registered, mine, count), "again")
+                await until(functools.partial(has_registered, registrar, count), "again")
                 assert registered_node(service) == node()
-            mine.crash()
+            registrar.crash()
 
     run(test)
 
@@ -93,44 +93,44 @@
 def test_it_keeps_its_node_through_reconnects() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            mine = await registered(service)
+            registrar = await registered(service)
             for _ in range(3):
-                taken = sum(server.accepted for server in service.servers)
+                accepted_before = sum(server.accepted for server in service.servers)
                 service.run_step({"do": "drop"})
-                await until(functools.partial(has_reconnected, service, taken), "the reconnect")
-                await asyncio.wait_for(mine.registered.wait(), REGISTRATION_TIMEOUT_S)
-            assert mine.registrations == 1 and registered_node(service) == node()
-            mine.crash()
+                await until(functools.partial(has_reconnected, service, accepted_before), "the reconnect")
+                await asyncio.wait_for(registrar.registered.wait(), REGISTRATION_TIMEOUT_S)
+            assert registrar.registrations == 1 and registered_node(service) == node()
+            registrar.crash()
 
     run(test)
 
 
-def test_a_node_that_somebody_deleted_or_wrote_over_is_restored() -> None:
+def test_a_deleted_or_overwritten_node_is_restored() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            mine = await registered(service)
+            registrar = await registered(service)
             service.tree.delete(f"{PATH}/s-1", -1)
             await until(lambda: registered_node(service) == node(), "again")
             service.tree.set_data(f"{PATH}/s-1", b"{}", -1)
             await until(lambda: service.tree.nodes[f"{PATH}/s-1"].data == node().encode(), "again")
-            mine.crash()
+            registrar.crash()
 
     run(test)
 
 
 def test_a_restarted_endpoint_takes_over_its_node_in_one_step() -> None:
-    """The old session has not run out yet. Nobody who watches sees the name gone for longer than a change."""
+    """The old session has not expired yet; watchers must never see the name missing."""
 
     async def test() -> None:
         async with ensemble() as service:
             old = await registered(service)
             old.crash()
             before = service.tree.zxid
-            new = registrar(service, node(since=9000))
+            new = start_registrar(service, node(since=9000))
             await until(lambda: registered_node(service) == node(since=9000), "the take-over")
             assert service.tree.zxid == before + 2
-            number = service.tree.nodes[f"{PATH}/s-1"].owner
-            service.expire(next(n for n in service.sessions if n != number))
+            session_id = service.tree.nodes[f"{PATH}/s-1"].owner
+            service.expire(next(n for n in service.sessions if n != session_id))
             assert registered_node(service) == node(since=9000)
             new.crash()
 
@@ -141,14 +141,16 @@
     async def test() -> None:
         async with ensemble() as service:
             other = await registered(service, node(address="127.0.0.1:9"))
-            mine = registrar(service)
+            registrar = start_registrar(service)
             await until(lambda: len(service.sessions) == 2, "the session")
             await asyncio.sleep(0.2)
-            assert registered_node(service) == node(address="127.0.0.1:9") and not mine.registered.is_set()
+            assert (
+                registered_node(service) == node(address="127.0.0.1:9") and not registrar.registered.is_set()
+            )
             await other.leave(0.0)
-            await asyncio.wait_for(mine.registered.wait(), REGISTRATION_TIMEOUT_S)
+            await asyncio.wait_for(registrar.registered.wait(), REGISTRATION_TIMEOUT_S)
             assert registered_node(service) == node()
-            mine.crash()
+            registrar.crash()
 
     run(test)
 
@@ -156,26 +158,26 @@
 def test_draining_survives_an_expiry() -> None:
     async def test() -> None:
         async with ensemble() as service:
-            mine = await registered(service)
-            await mine.drain()
+            registrar = await registered(service)
+            await registrar.drain()
             service.run_step({"do": "expire", "path": f"{PATH}/s-1"})
-            await until(lambda: mine.registrations == 2, "again")
+            await until(lambda: registrar.registrations == 2, "again")
             assert registered_node(service) == node().draining()
-            mine.crash()
+            registrar.crash()
 
     run(test)
 
 
-def test_with_credentials_nobody_else_may_touch_its_node(tmp_path: Path) -> None:
+def test_with_credentials_the_acl_admits_the_creator_only(tmp_path: Path) -> None:
     async def test() -> None:
         file = tmp_path / "auth"
         file.write_text("u:p\n")
         async with ensemble() as service:
             service.credentials = {"u": "p"}
-            mine = await registered(service, auth_file=str(file))
+            registrar = await registered(service, auth_file=str(file))
             acl = service.tree.nodes[f"{PATH}/s-1"].acl
             assert [entry.scheme for entry in acl] == ["digest"] and acl[0].id.startswith("u:")
-            await mine.leave(0.0)
+            await registrar.leave(0.0)
 
     run(test)
 
@@ -221,7 +223,7 @@
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
         )
-        _, said = await process.communicate()
-        assert process.returncode == 2 and b"[registration] are needed" in said
+        _, stderr_output = await process.communicate()
+        assert process.returncode == 2 and b"[registration] are needed" in stderr_output
 
     run(test)
--- a/tests/ephemeral_nodes/test_session.py
+++ b/tests/ephemeral_nodes/test_session.py
@@ -1,6 +1,4 @@
-"""A session against the stand-in: states, reconnects, watches, expiry, credentials, a service that went
-back.
-"""
+"""Tests of a session with the stand-in service: states, reconnects, watches, credentials and restores."""
 
 from __future__ import annotations
 
@@ -29,7 +27,7 @@
 
 
 class RecordingClient:
-    """A session whose states and events are recorded."""
+    """Session with recorded states and events."""
 
     def __init__(self, service: CoordinationService, timeout: float = 2.0, **more: object) -> None:
         self.states: list[SessionState] = []
@@ -58,7 +56,7 @@
 
 @contextlib.asynccontextmanager
 async def ensemble(servers: int = 3, **more: bool) -> AsyncIterator[CoordinationService]:
-    """Run the stand-in with so many servers."""
+    """Run the stand-in service with this number of servers."""
     service = CoordinationService(servers, **more)
     await service.start()
     try:
@@ -67,8 +65,8 @@
         await service.stop()
 
 
-def has_moved(client: RecordingClient, left: tuple[str, int]) -> bool:
-    return client.session.server not in (None, left)
+def has_moved(client: RecordingClient, previous_server: tuple[str, int]) -> bool:
+    return client.session.server not in (None, previous_server)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -124,13 +122,13 @@
     async def test() -> None:
         async with ensemble() as service:
             plain = await connected(service)
-            rooted = await connected(service, chroot="/prod")
+            chrooted = await connected(service, chroot="/prod")
             await plain.session.ensure_path("/prod")
-            await rooted.session.get_children2("/", watch=True)
-            assert await rooted.session.create("/s-1", b"") == "/s-1"
+            await chrooted.session.get_children2("/", watch=True)
+            assert await chrooted.session.create("/s-1", b"") == "/s-1"
             assert await plain.session.exists("/prod/s-1") is not None
-            await until(lambda: rooted.events, "the watch")
-            assert rooted.events == [(EventType.CHILDREN_CHANGED, "/")]
+            await until(lambda: chrooted.events, "the watch")
+            assert chrooted.events == [(EventType.CHILDREN_CHANGED, "/")]
 
     run(test)
 
@@ -153,7 +151,7 @@
     run(test)
 
 
-def test_no_server_for_longer_than_the_session_is_lost_and_the_service_says_expired() -> None:
+def test_a_session_without_a_server_is_lost_and_expires_at_the_reconnect() -> None:
     async def test() -> None:
         async with ensemble() as service:
             client = await connected(service, timeout=0.4)
@@ -165,8 +163,8 @@
             service.run_step({"do": "heal"})
             await client.wait_for_state(SessionState.CONNECTED)
             assert client.session.session_id != number
-            kept = [s for s in client.states if s is not SessionState.CONNECTING]
-            assert kept == [
+            states = [s for s in client.states if s is not SessionState.CONNECTING]
+            assert states == [
                 SessionState.CONNECTED,
                 SessionState.SUSPENDED,
                 SessionState.LOST,
@@ -177,7 +175,7 @@
     run(test)
 
 
-def test_a_lost_leader_ends_no_session() -> None:
+def test_the_loss_of_the_leader_expires_no_session() -> None:
     async def test() -> None:
         async with ensemble() as service:
             client = await connected(service, timeout=0.4)
@@ -190,20 +188,20 @@
     run(test)
 
 
-def test_a_silent_server_is_left_after_two_thirds_of_the_session_timeout() -> None:
+def test_a_silent_server_is_disconnected_after_two_thirds_of_the_session_timeout() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
             client = await connected(service, timeout=0.6)
             loop = asyncio.get_running_loop()
-            begun = loop.time()
+            started_at = loop.time()
             service.run_step({"do": "partition", "mode": "silent"})
             await client.wait_for_state(SessionState.SUSPENDED)
-            assert 0.15 < loop.time() - begun < 5
+            assert 0.15 < loop.time() - started_at < 5
 
     run(test)
 
 
-def test_pings_keep_a_session_that_asks_nothing() -> None:
+def test_pings_keep_an_idle_session_connected() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
             client = await connected(service, timeout=0.3)
@@ -214,7 +212,7 @@
 
 
 def test_a_watch_that_fired_while_disconnected_fires_on_the_reconnect() -> None:
-    """One-shot watches are set again from the last zxid seen: what changed since is told at once."""
+    """One-shot watches are set again with the last zxid, and the server reports the changes since."""
 
     async def test() -> None:
         async with ensemble() as service:
@@ -247,7 +245,7 @@
     run(test)
 
 
-def test_a_persistent_recursive_watch_lives_through_reconnects_and_names_each_change() -> None:
+def test_a_persistent_recursive_watch_survives_reconnects_and_reports_each_change() -> None:
     async def test() -> None:
         async with ensemble() as service:
             client = await connected(service)
@@ -262,15 +260,15 @@
                 await other.session.set_data("/p/s-1", b"x")
                 await other.session.delete("/p/s-1")
             await until(lambda: len(client.events) == 6, "the events")
-            once = [
+            expected_events = [
                 (kind, "/p/s-1") for kind in (EventType.CREATED, EventType.DATA_CHANGED, EventType.DELETED)
             ]
-            assert client.events == once * 2
+            assert client.events == expected_events * 2
 
     run(test)
 
 
-def test_a_service_without_persistent_watches_says_so() -> None:
+def test_watch_recursive_returns_false_without_persistent_watches() -> None:
     async def test() -> None:
         async with ensemble(1, persistent_watches=False) as service:
             client = await connected(service)
@@ -279,27 +277,27 @@
     run(test)
 
 
-def test_a_zxid_that_goes_back_is_refused_until_the_operator_says_otherwise() -> None:
+def test_a_lower_zxid_is_refused_until_the_operator_confirms_it() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
             client = await connected(service)
             service.run_step({"do": "save"})
             await client.session.create("/a", b"")
-            seen = client.session.last_zxid
-            service.run_step({"do": "restore"})  # the server refuses a client that has seen more
+            zxid_before = client.session.last_zxid
+            service.run_step({"do": "restore"})  # The server refuses a client with a higher zxid.
             await client.wait_for_state(SessionState.SUSPENDED)
-            taken = service.servers[0].accepted
-            await until(lambda: service.servers[0].accepted >= taken + 3, "tries")
-            assert client.session.last_zxid == seen and client.states[-1] is not SessionState.CONNECTED
+            accepted_before = service.servers[0].accepted
+            await until(lambda: service.servers[0].accepted >= accepted_before + 3, "tries")
+            assert client.session.last_zxid == zxid_before and client.states[-1] is not SessionState.CONNECTED
             client.session.reset_zxid()
             await client.wait_for_state(SessionState.CONNECTED)
-            assert client.session.last_zxid < seen
+            assert client.session.last_zxid < zxid_before
 
     run(test)
 
 
-def test_a_server_whose_zxid_goes_back_is_left() -> None:
-    """It kept the connection, so that only the figure in its answers tells."""
+def test_a_server_with_a_lower_zxid_is_disconnected() -> None:
+    """The server keeps the connection, so the lower zxid is only visible in its replies."""
 
     async def test() -> None:
         async with ensemble(1) as service:
@@ -313,28 +311,28 @@
     run(test)
 
 
-def test_credentials_open_what_is_closed_and_bad_ones_end_it_for_good() -> None:
+def test_valid_credentials_grant_access_and_rejected_ones_stop_reconnects() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
             service.credentials = {"u": "p"}
             good = await connected(service, auth=b"u:p")
-            nobody = await connected(service)
+            unauthenticated = await connected(service)
             await good.session.create("/mine", b"x", acl=CREATOR_ACL)
             with pytest.raises(ServiceError, match="NO_AUTH"):
-                await nobody.session.get_data("/mine")
+                await unauthenticated.session.get_data("/mine")
             with pytest.raises(ServiceError) as refused:
-                await nobody.session.create("/other", b"", acl=CREATOR_ACL)
+                await unauthenticated.session.create("/other", b"", acl=CREATOR_ACL)
             assert refused.value.code == ErrorCode.INVALID_ACL
             bad = RecordingClient(service, auth=b"u:wrong")
             await bad.wait_for_state(SessionState.AUTH_FAILED)
-            taken = service.servers[0].accepted
+            accepted_before = service.servers[0].accepted
             await asyncio.sleep(0.3)
-            assert service.servers[0].accepted == taken
+            assert service.servers[0].accepted == accepted_before
 
     run(test)
 
 
-def test_a_read_only_server_serves_until_one_has_its_quorum_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_read_only_server_is_used_until_another_has_a_quorum(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "WRITABLE_CHECK_INITIAL_S", 0.1)
 
     async def test() -> None:
@@ -374,7 +372,7 @@
     run(test)
 
 
-def test_requests_beyond_the_bound_are_refused_and_a_break_fails_those_that_are_out(
+def test_requests_beyond_the_limit_are_refused_and_a_disconnect_fails_pending_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(module, "MAX_PENDING_REQUESTS", 5)
@@ -383,18 +381,18 @@
         async with ensemble(1) as service:
             client = await connected(service)
             service.run_step({"do": "slow", "seconds": 5})
-            out = [asyncio.ensure_future(client.session.exists("/")) for _ in range(5)]
+            pending = [asyncio.ensure_future(client.session.exists("/")) for _ in range(5)]
             await asyncio.sleep(0)
             with pytest.raises(TooManyRequestsError):
                 await client.session.exists("/")
             service.run_step({"do": "drop"})
-            ended = await asyncio.gather(*out, return_exceptions=True)
-            assert all(isinstance(fault, ConnectionLostError) for fault in ended)
+            ended = await asyncio.gather(*pending, return_exceptions=True)
+            assert all(isinstance(error, ConnectionLostError) for error in ended)
 
     run(test)
 
 
-GARBAGE = {
+INVALID_REPLIES = {
     "noise": b"HTTP/1.1 400 Bad Request\r\n\r\n",
     "endless": b"\x7f\xff\xff\xff",
     "short": b"\x00\x00\x00\x02ab",
@@ -402,8 +400,8 @@
 }
 
 
-@pytest.mark.parametrize("data", GARBAGE.values(), ids=GARBAGE)
-def test_a_peer_that_is_no_service_is_left(data: bytes) -> None:
+@pytest.mark.parametrize("data", INVALID_REPLIES.values(), ids=INVALID_REPLIES)
+def test_a_peer_with_invalid_replies_is_disconnected(data: bytes) -> None:
     async def test() -> None:
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(10)
@@ -416,9 +414,9 @@
         async with ensemble(1) as service:
             client = await connected(service)
             client.session.stop()
-            again = RecordingClient(service)
-            again.session.set_servers([peer.sockets[0].getsockname()[:2], service.servers[0].address])
-            await again.wait_for_state(SessionState.CONNECTED)
+            new_client = RecordingClient(service)
+            new_client.session.set_servers([peer.sockets[0].getsockname()[:2], service.servers[0].address])
+            await new_client.wait_for_state(SessionState.CONNECTED)
         peer.close()
 
     run(test)
--- a/tests/ephemeral_nodes/test_session_states.py
+++ b/tests/ephemeral_nodes/test_session_states.py
@@ -1,4 +1,4 @@
-"""The table of a session's states, row by row, and that no way leads out of it."""
+"""Tests of the table of session states: each pair of state and event, and closing in every state."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     next_state,
 )
 
-ONLY = {  # states in which little can happen
+EVENTS_BY_LIMITED_STATE = {  # Events by state, for the states that accept few events.
     SessionState.CLOSED: {SessionEvent.OPEN, SessionEvent.CLOSE},
     SessionState.EXPIRED: {SessionEvent.OPEN, SessionEvent.CLOSE},
     SessionState.AUTH_FAILED: {SessionEvent.DISCONNECTED, SessionEvent.CLOSE},
 }
-NEVER = {  # what can't come in states where the connection is up, or the session has begun
+IMPOSSIBLE_STATES_BY_EVENT = {  # The session is already connected or started in these states.
     SessionEvent.OPEN: set(SessionState) - {SessionState.CLOSED, SessionState.EXPIRED},
     SessionEvent.CONNECTED: set(USABLE_STATES),
     SessionEvent.CONNECTED_READ_ONLY: set(USABLE_STATES),
@@ -31,7 +31,9 @@
 
 
 def is_impossible(state: SessionState, event: SessionEvent) -> bool:
-    return event not in ONLY.get(state, set(SessionEvent)) or state in NEVER.get(event, set())
+    return event not in EVENTS_BY_LIMITED_STATE.get(
+        state, set(SessionEvent)
+    ) or state in IMPOSSIBLE_STATES_BY_EVENT.get(event, set())
 
 
 @pytest.mark.parametrize(("state", "event"), list(product(SessionState, SessionEvent)))
@@ -50,7 +52,7 @@
 def test_a_lost_connection_is_suspended_then_lost_and_expired_only_by_the_service() -> None:
     assert next_state(SessionState.CONNECTED, SessionEvent.DISCONNECTED) is SessionState.SUSPENDED
     assert next_state(SessionState.SUSPENDED, SessionEvent.TIMED_OUT) is SessionState.LOST
-    assert {happening for (_, happening), to in TRANSITIONS.items() if to is SessionState.EXPIRED} == {
+    assert {event for (_, event), to in TRANSITIONS.items() if to is SessionState.EXPIRED} == {
         SessionEvent.SESSION_EXPIRED
     }
     assert next_state(SessionState.LOST, SessionEvent.CONNECTED) is SessionState.CONNECTED
@@ -64,6 +66,6 @@
     )
 
 
-def test_every_state_is_reached_and_all_but_two_lead_on() -> None:
+def test_every_state_is_the_target_of_a_transition() -> None:
     reached = {to for (state, _), to in TRANSITIONS.items() if to is not state}
     assert reached == set(SessionState)
--- a/tests/ephemeral_nodes/test_snapshot.py
+++ b/tests/ephemeral_nodes/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot file: whole or refused, whatever was cut off or turned in it."""
+"""Tests of the snapshot file: a truncated or changed file is refused as a whole."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     assert snapshot.read(file) == [] and list(tmp_path.iterdir()) == [file]
 
 
-def test_cut_at_any_byte_it_is_refused() -> None:
+def test_a_file_truncated_at_any_byte_is_refused() -> None:
     data = snapshot.encode(NODES)
     for size in range(len(data)):
         with pytest.raises(InvalidSnapshotError):
             snapshot.decode(data[:size])
 
 
-def test_with_any_byte_changed_it_is_refused() -> None:
+def test_a_file_with_any_byte_changed_is_refused() -> None:
     data = snapshot.encode(NODES[:2])
-    for place in range(len(data)):
-        torn = bytearray(data)
-        torn[place] ^= 0x01
+    for offset in range(len(data)):
+        damaged = bytearray(data)
+        damaged[offset] ^= 0x01
         with pytest.raises(InvalidSnapshotError):
-            snapshot.decode(bytes(torn))
+            snapshot.decode(bytes(damaged))
 
 
-def test_a_good_checksum_over_bad_nodes_is_refused(tmp_path: Path) -> None:
+def test_a_valid_checksum_over_invalid_nodes_is_refused(tmp_path: Path) -> None:
     for line in (b"{}", b"[]", b"{", b'{"name":"s-1"}'):
         body = line + b"\n"
         data = b"willowwing-nodes 1 %s 1\n" % hashlib.sha256(body).hexdigest().encode() + body
@@ -50,10 +50,10 @@
     file = tmp_path / "nodes"
     snapshot.write(file, NODES)
 
-    def full(handle: int) -> None:
+    def fail_with_full_disk(handle: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("os.fsync", full)
+    monkeypatch.setattr("os.fsync", fail_with_full_disk)
     with pytest.raises(OSError, match="No space"):
         snapshot.write(file, NODES[:1])
     assert snapshot.read(file) == NODES and list(tmp_path.iterdir()) == [file]
--- a/tests/ephemeral_nodes/test_source_availability.py
+++ b/tests/ephemeral_nodes/test_source_availability.py
@@ -1,4 +1,4 @@
-"""The source while the service or discovery is unreachable, at a reload, and from a snapshot."""
+"""Tests of the source with an unreachable service or discovery, at a reload, and from a snapshot."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from service_proxy.operator_file import OperatorError
 
 
-def test_the_service_unreachable_from_the_start_leaves_discoverys_list() -> None:
+def test_discoverys_list_is_used_while_the_service_is_unreachable_from_the_start() -> None:
     async def test() -> None:
         initial = initial_list()
         async with ensemble() as service:
@@ -45,7 +45,7 @@
                 register_node(service, name, node(name, initial_address(name)))
             service.run_step({"do": "heal"})
             await proxy.wait_until_fresh()
-            # The service never listed the others: their absence removes nobody.
+            # The service never listed the other names, so their absence removes no endpoint.
             assert proxy.consumer.serving() == {*NAMES, "s-new"}
             proxy.source.stop()
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("mode", ["silent", "reset"])
 @pytest.mark.parametrize("watch", MODES)
-def test_unreachable_for_longer_than_the_session_the_list_stays_and_catches_up(watch: str, mode: str) -> None:
+def test_the_list_stays_while_the_service_is_unreachable_and_is_updated_later(watch: str, mode: str) -> None:
     async def test() -> None:
         async with watching_source(watch) as (service, proxy):
             service.run_step({"do": "partition", "mode": mode})
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("watch", MODES)
-def test_a_watch_that_fired_unseen_and_a_delete_and_create_between_two_readings(watch: str) -> None:
+def test_missed_watch_events_and_a_recreation_are_detected_after_a_reconnect(watch: str) -> None:
     async def test() -> None:
         async with watching_source(watch) as (service, proxy):
             service.run_step({"do": "lose_watches", "on": True})
@@ -143,7 +143,7 @@
     run(test)
 
 
-def test_the_snapshot_serves_a_start_without_the_service_and_a_torn_one_is_refused(tmp_path: Path) -> None:
+def test_a_start_without_the_service_uses_the_snapshot_and_refuses_a_damaged_one(tmp_path: Path) -> None:
     async def test() -> None:
         file = tmp_path / "nodes"
         async with watching_source(snapshot=str(file)) as (service, proxy):
@@ -162,7 +162,7 @@
             proxy.source.stop()
             file.write_bytes(file.read_bytes()[:-5])
             proxy = SourceUnderTest(settings(unreachable, snapshot=str(file)))
-            await proxy.wait_until_serving(["s-2"])  # the torn file is not used
+            await proxy.wait_until_serving(["s-2"])  # The damaged file is not used.
             proxy.source.stop()
 
     run(test)
@@ -198,13 +198,13 @@
             assert proxy.consumer.serving() == {*NAMES, "s-p"}
             list_count = proxy.consumer.list_count
             proxy.discover(node("s-p"), is_snapshot=False)
-            # The policy learns that its watch was answered, though nothing changed.
+            # The policy receives a response to its poll, although nothing has changed.
             assert proxy.consumer.list_count > list_count
 
     run(test)
 
 
-def test_credentials_that_are_refused_keep_the_list_and_new_ones_are_read_on_sighup(tmp_path: Path) -> None:
+def test_rejected_credentials_keep_the_list_and_new_ones_are_read_on_sighup(tmp_path: Path) -> None:
     async def test() -> None:
         auth = tmp_path / "auth"
         auth.write_text("u:wrong")
@@ -229,7 +229,7 @@
     run(test)
 
 
-def test_a_path_that_is_not_there_yet_is_waited_for() -> None:
+def test_a_missing_path_is_watched_until_it_is_created() -> None:
     async def test() -> None:
         async with ensemble(1) as service:
             proxy = SourceUnderTest(settings(service, reread_jitter=0.0))
--- a/tests/ephemeral_nodes/test_source_losses.py
+++ b/tests/ephemeral_nodes/test_source_losses.py
@@ -1,4 +1,4 @@
-"""The source and its lists: ended sessions, draining nodes, and losses that are withheld."""
+"""Tests of the source's lists: ended sessions, draining nodes and withheld losses."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("watch", MODES)
-def test_back_within_the_drain_window_under_the_same_and_under_a_new_name(watch: str) -> None:
+def test_registration_within_the_drain_window_under_the_old_and_a_new_name(watch: str) -> None:
     async def test() -> None:
         async with watching_source(watch) as (service, proxy):
             expire(service, "s-1")
@@ -69,14 +69,14 @@
     run(test)
 
 
-def test_a_session_that_expires_while_the_node_still_answers_drains_it_though_discovery_lists_it() -> None:
+def test_an_expired_session_drains_its_node_although_discovery_still_lists_it() -> None:
     async def test() -> None:
         async with watching_source() as (service, proxy):
             all_nodes = [node(name, address_of(name)) for name in NAMES]
             proxy.discover(*all_nodes)
             expire(service, "s-3")
             await proxy.wait_until_serving(set(NAMES) - {"s-3"})
-            for _ in range(5):  # discovery goes on to list it
+            for _ in range(5):  # Discovery keeps listing the endpoint.
                 proxy.discover(*all_nodes)
                 await asyncio.sleep(0.3)
                 assert proxy.consumer.serving() == set(NAMES) - {"s-3"}
@@ -104,7 +104,7 @@
 
 
 def test_all_sessions_expiring_in_one_burst_remove_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One by one in the service's order: they are collected and decided on together."""
+    """Sessions expire one by one; their losses must be collected and reported together."""
     monkeypatch.setattr(source, "LOSS_BATCH_S", 1.0)
 
     async def test() -> None:
@@ -118,10 +118,13 @@
     run(test)
 
 
-def test_a_node_that_comes_while_losses_are_collected_does_not_split_their_batch(
+def test_a_new_node_while_losses_are_collected_does_not_split_their_batch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The new node is reported at once while losses are collected; one by one, three would be accepted."""
+    """A new node is published at once while losses are collected.
+
+    Losses reported one by one would not all be withheld: three would be accepted.
+    """
     monkeypatch.setattr(source, "LOSS_BATCH_S", 0.5)
 
     async def test() -> None:
@@ -137,7 +140,9 @@
     run(test)
 
 
-def test_a_node_that_is_back_before_its_loss_is_decided_is_not_lost(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_registered_again_before_its_loss_is_reported_is_not_lost(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(source, "LOSS_BATCH_S", 0.5)
 
     async def test() -> None:
@@ -151,7 +156,7 @@
     run(test)
 
 
-def test_a_zxid_that_goes_back_is_refused_and_the_list_stays_until_sighup(tmp_path: Path) -> None:
+def test_a_lower_zxid_is_refused_and_the_list_stays_until_sighup(tmp_path: Path) -> None:
     async def test() -> None:
         async with watching_source() as (service, proxy):
             service.run_step({"do": "save"})
@@ -159,7 +164,7 @@
             await proxy.wait_until_serving(set(NAMES) - {"s-1"})
             # A notification carries no zxid; the response to the next ping does.
             await until(lambda: proxy.source.session.last_zxid == service.tree.zxid, "the zxid")
-            service.run_step({"do": "restore"})  # with s-1
+            service.run_step({"do": "restore"})  # The restored data contains s-1.
             accepted = accepted_connections(service)
             await until(lambda: accepted_connections(service) > accepted + 3, "connection attempts")
             assert proxy.consumer.serving() == set(NAMES) - {"s-1"}
--- a/tests/ephemeral_nodes/test_source_reads.py
+++ b/tests/ephemeral_nodes/test_source_reads.py
@@ -1,4 +1,4 @@
-"""The source's reads: their rate, their jitter, and nodes that can't be used."""
+"""Tests of the source's reads: rate, jitter and unusable nodes."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 @pytest.mark.parametrize("watch", MODES)
-def test_a_flood_of_changes_costs_a_bounded_number_of_reads(watch: str) -> None:
-    """1,000 changes at once, of one node and of all: reads stay within the rate, the last data count."""
+def test_many_changes_cause_a_bounded_number_of_reads(watch: str) -> None:
+    """After 1,000 changes spread over all nodes, reads stay within the rate and the last data is used."""
 
     async def test() -> None:
         async with watching_source(watch, reads_per_s=100.0) as (service, proxy):
@@ -54,8 +54,8 @@
     run(test)
 
 
-def test_many_new_nodes_are_one_read_of_the_children() -> None:
-    """One getChildren for many changes, after a jitter: many proxies must not each read many times."""
+def test_many_new_nodes_cause_few_reads_of_the_children() -> None:
+    """Many changes must cause one getChildren after a jitter, because each of many proxies reads."""
 
     async def test() -> None:
         async with watching_source("one-shot", reads_per_s=1000.0) as (service, proxy):
@@ -91,7 +91,7 @@
             for name in UNUSUAL_NAMES:
                 register_node(service, name)
             service.tree.create(f"{PATH}/plain", node("plain").encode(), list(OPEN_ACL), 0, 0)
-            # Names that no correct service would list: with a / and a NUL.
+            # Names that no correct service lists: one with a /, one with a NUL.
             service.tree.nodes[PATH].children |= {"a/b", "a\x00b"}
             service.run_step({"do": "drop"})
             await proxy.wait_until_serving({*NAMES, *UNUSUAL_NAMES})
@@ -102,6 +102,7 @@
             hidden = [
                 record.getMessage() for record in caplog.records if "node_hidden" in record.getMessage()
             ]
-            assert len(hidden) == 5, hidden  # each is logged once, though read three times
+            # Each problem is logged once, although the node is read three times.
+            assert len(hidden) == 5, hidden
 
     run(test)
