--- a/service_proxy/ephemeral_nodes/children_reader.py
+++ b/service_proxy/ephemeral_nodes/children_reader.py
@@ -20,7 +20,7 @@
 
 MAX_READS_IN_FLIGHT = 64
 READ_BURST_S = 0.05  # Time during which unused reads of the bounded rate accumulate for a burst.
-# Mean wait after a failed read while the connection is up; the wait is 50 % to 150 % of it.
+# Mean wait after a failed read while the connection is up; an actual wait is 50 % to 150 % of the mean.
 READ_RETRY_S = 1.0
 ONE_SHOT = "one-shot"  # Values of settings.watch.
 PERSISTENT = "persistent"
@@ -67,7 +67,7 @@
     def on_connected(self, session: Session) -> None:
         """Prepare for a new connection of the session; call `run` afterwards."""
         # One-shot watches are set again with the last zxid, and the server then reports the changes since.
-        # Persistent watches don't report them.
+        # Persistent watches don't report such changes.
         self.may_have_missed_changes = self.may_have_missed_changes or not session.watches.data
         self.read_names()
 
--- a/service_proxy/ephemeral_nodes/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -3,9 +3,9 @@
 The caller passes the time with each call. This module implements rule 4, mass loss: if more than a share of a
 source's endpoints is lost within a time window, the source itself is assumed to be faulty. The loss that
 would exceed the share is withheld, and the previous report stays effective. A withheld loss is cleared if the
-source lists the name again or if another source reports its end. After MIN_WITHHOLD_S, it is accepted if the
-source is fresh and so few losses are withheld that they are not a mass loss. The loss of a source's last
-endpoint is always withheld.
+source lists the name again or if another source reports its end. After MIN_WITHHOLD_S, the loss is accepted
+if the source is fresh and so few losses are withheld that they are not a mass loss. The loss of a source's
+last endpoint is always withheld.
 """
 
 from __future__ import annotations
@@ -271,7 +271,8 @@
 def _stable_start(before: EndpointEntry, after: EndpointEntry) -> float:
     """Return the start time to publish.
 
-    It stays the same within one incarnation, because a changed start time would look like a restart.
+    The start time stays the same within one incarnation, because a changed start time would look like a
+    restart.
     """
     is_same = abs(after.started_at - before.started_at) <= START_TOLERANCE_S or after.started_at == 0.0
     return before.started_at if is_same else after.started_at
--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-# Time in which losses are collected, so that a burst is judged as one. It is part of the 2 s drain window.
+# Time in which losses are collected, so that a burst is judged as one; part of the 2 s drain window.
 LOSS_BATCH_S = 0.1
 TICK_INTERVAL_S = 0.25  # Interval between checks of loss windows, withheld losses and the snapshot.
 SNAPSHOT_INTERVAL_S = 5.0  # Minimum time between two writes of the snapshot file.
@@ -78,7 +78,7 @@
         self.session = self._create_session(settings, read_credentials(settings))
         # Names of collected losses, reported together at `losses_due_at`.
         self.pending_losses: dict[str, None] = {}
-        # Monotonic time. A flush that runs earlier for another reason leaves the collected losses pending.
+        # Monotonic time to report the collected losses; an earlier flush leaves the losses pending.
         self.losses_due_at = 0.0
         self.flush_timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
