--- a/service_proxy/sidecar/__main__.py
+++ b/service_proxy/sidecar/__main__.py
@@ -1,16 +1,17 @@
-"""The command: check descriptions, alone and as one fleet; write what one says; explain a code.
+"""Command line of the sidecar: check, write, show, compare, migrate, run and try out descriptions.
 
     python -m service_proxy.sidecar check FILE... [--environment NAME] [--json | --sarif]
     python -m service_proxy.sidecar write FILE -o DIR [--environment NAME] [--force]
-    python -m service_proxy.sidecar show FILE [--environment NAME]   each value in force, and where it is from
-    python -m service_proxy.sidecar diff OLD NEW    what changes for a call of each class, and for each tier
+    python -m service_proxy.sidecar show FILE [--environment NAME]   each effective value and its origin
+    python -m service_proxy.sidecar diff OLD NEW    effects of a change on each class and tier
     python -m service_proxy.sidecar schema             JSON Schema of a description
-    python -m service_proxy.sidecar explain CODE
-    python -m service_proxy.sidecar migrate FILE... [--in-place]      to this format; comments and order stay
+    python -m service_proxy.sidecar explain CODE       the meaning of a finding's code
+    python -m service_proxy.sidecar migrate FILE... [--in-place] to the latest format; comments and order stay
     python -m service_proxy.sidecar run FILE [--host NAME] [--tier NAME] [--environment NAME]
-    python -m service_proxy.sidecar try FILE [--seconds S] [--rate N]  all of it here, with embedded stand-ins
+    python -m service_proxy.sidecar try FILE [--seconds S] [--rate N]  all sidecars here, with stand-ins
 
-Exit code 0: nothing wrong (warnings may be); 1: findings; 2: a file can't be read, or the call is wrong.
+Several files are checked alone and as one fleet. Exit code 0: no errors (there may be warnings); 1: findings;
+2: a file can't be read, or the command line is invalid.
 """
 
 from __future__ import annotations
@@ -34,18 +35,18 @@
 
 EXIT_OK = 0
 EXIT_FINDINGS = 1
-EXIT_UNREADABLE = 2  # a file can't be read, or the call is wrong
+EXIT_UNREADABLE = 2  # a file can't be read, or the command line is invalid
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line; return the exit code."""
+    """Run the command line and return the exit code."""
     arguments = create_parser().parse_args(argv)
     command: Callable[[argparse.Namespace], int] = arguments.run_command
     return command(arguments)
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Return the parser; each command sets `run_command`."""
+    """Return the argument parser; each command sets `run_command`."""
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy.sidecar",
         description=__doc__,
@@ -62,58 +63,64 @@
     check_parser = commands.add_parser("check", help="check descriptions, alone and as one fleet")
     check_parser.add_argument("files", nargs="+", metavar="FILE")
     check_parser.add_argument(
-        "--environment", default="", metavar="NAME", help="lay NAME's overlay over each file"
+        "--environment", default="", metavar="NAME", help="apply NAME's overlay to each file"
     )
-    form = check_parser.add_mutually_exclusive_group()
-    form.add_argument("--json", action="store_true")
-    form.add_argument("--sarif", action="store_true")
+    output_format = check_parser.add_mutually_exclusive_group()
+    output_format.add_argument("--json", action="store_true")
+    output_format.add_argument("--sarif", action="store_true")
     check_parser.set_defaults(run_command=_check)
-    show_parser = commands.add_parser("show", help="each value in force, and where it is from")
+    show_parser = commands.add_parser("show", help="show each effective value and its origin")
     show_parser.add_argument("files", nargs=1, metavar="FILE")
     show_parser.add_argument("--environment", default="", metavar="NAME")
     show_parser.set_defaults(run_command=_read)
-    diff_parser = commands.add_parser("diff", help="what a change does to a call of each class")
+    diff_parser = commands.add_parser("diff", help="show the effects of a change on each class and tier")
     diff_parser.add_argument("files", nargs=2, metavar="FILE")
     diff_parser.add_argument("--environment", default="", metavar="NAME")
     diff_parser.set_defaults(run_command=_read)
-    schema_parser = commands.add_parser("schema", help="JSON Schema of a description")
+    schema_parser = commands.add_parser("schema", help="print the JSON Schema of a description")
     schema_parser.set_defaults(run_command=_schema)
-    explain_parser = commands.add_parser("explain", help="what a code means")
+    explain_parser = commands.add_parser("explain", help="explain the code of a finding")
     explain_parser.add_argument("code", metavar="CODE")
     explain_parser.set_defaults(run_command=_explain)
 
 
 def _add_writing_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     write_parser = commands.add_parser(
-        "write", help="write the files of each sidecar; only what passes check"
+        "write", help="write the files of each sidecar if the description passes check"
     )
     write_parser.add_argument("files", nargs=1, metavar="FILE")
     write_parser.add_argument("-o", dest="folder", type=Path, required=True, metavar="DIR")
     write_parser.add_argument("--environment", default="", metavar="NAME")
-    write_parser.add_argument("--force", action="store_true", help="also over files that were edited by hand")
+    write_parser.add_argument(
+        "--force", action="store_true", help="also replace files that were edited by hand"
+    )
     write_parser.set_defaults(run_command=_write)
-    migrate_parser = commands.add_parser("migrate", help="bring files of an older format up to date")
+    migrate_parser = commands.add_parser(
+        "migrate", help="convert files of an older format to the current one"
+    )
     migrate_parser.add_argument("files", nargs="+", metavar="FILE")
     migrate_parser.add_argument(
-        "--in-place", action="store_true", help="write each file anew; else they are shown"
+        "--in-place", action="store_true", help="rewrite each file instead of printing the result"
     )
     migrate_parser.set_defaults(run_command=_migrate)
 
 
 def _add_running_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    run_parser = commands.add_parser("run", help="the sidecar for real, until SIGTERM")
+    run_parser = commands.add_parser("run", help="run a sidecar until SIGTERM")
     run_parser.add_argument("file", metavar="FILE")
     run_parser.add_argument(
-        "--host", default="", metavar="NAME", help="of the [[sidecar]]; else this machine's"
+        "--host", default="", metavar="NAME", help="host of the [[sidecar]]; default: this machine's"
     )
     run_parser.add_argument("--tier", default="", metavar="NAME")
     run_parser.add_argument("--environment", default="", metavar="NAME")
     run_parser.set_defaults(run_command=_run)
-    try_parser = commands.add_parser("try", help="run all sidecars here, with embedded stand-ins and calls")
+    try_parser = commands.add_parser(
+        "try", help="run all sidecars here, with embedded stand-ins and requests"
+    )
     try_parser.add_argument("file", metavar="FILE")
     try_parser.add_argument("--environment", default="", metavar="NAME")
     try_parser.add_argument("--seconds", type=float, default=10.0)
-    try_parser.add_argument("--rate", type=float, default=40.0, help="calls a second")
+    try_parser.add_argument("--rate", type=float, default=40.0, help="requests per second")
     try_parser.set_defaults(run_command=_try)
 
 
@@ -133,7 +140,7 @@
     name = arguments.code.upper()
     code = CODES.get(name)
     if code is None:
-        print(f"no code {arguments.code}; known are {', '.join(CODES)}", file=sys.stderr)
+        print(f"unknown code {arguments.code}; known codes are {', '.join(CODES)}", file=sys.stderr)
         return EXIT_UNREADABLE
     suffix = " (warning)" if code.is_warning else ""
     print(f"{name}: {code.title}{suffix}\n\n{code.explanation}")
@@ -146,13 +153,16 @@
 
 
 def _run(arguments: argparse.Namespace) -> int:
-    from service_proxy.sidecar.running import run  # the event loop is for this command alone
+    from service_proxy.sidecar.running import run  # only this command needs the event loop
 
     return run(arguments)
 
 
 def _read(arguments: argparse.Namespace) -> int:
-    """Show or compare; also descriptions that break a rule, since the question may be why."""
+    """Run `show` or `diff`.
+
+    Descriptions that break a rule are accepted too, because these commands help to find the cause.
+    """
     loaded: list[tuple[LayeredReader, Description]] = []
     for file in arguments.files:
         try:
@@ -169,7 +179,7 @@
             print(line)
         return EXIT_OK
     layers, description = loaded[0]
-    for path, value in explain.effective(description):
+    for path, value in explain.effective_values(description):
         origin = layers.origins.get(path)
         source = f"{origin.file}:{origin.place.line}" if origin is not None else "default"
         shown = ", ".join(value) if isinstance(value, tuple) else value
@@ -178,7 +188,7 @@
 
 
 def _migrate(arguments: argparse.Namespace) -> int:
-    """All files or none: one that can't be brought up to date leaves the others as they are."""
+    """Migrate all files or none: if one file can't be migrated, no file is changed."""
     changed: dict[str, str] = {}
     problems: list[Problem] = []
     for file in arguments.files:
@@ -205,7 +215,7 @@
 
 
 def _try(arguments: argparse.Namespace) -> int:
-    """Run the harness's trial in place of this process: the stand-ins come with a checkout only."""
+    """Replace this process by the harness's trial; its stand-ins are part of a source checkout only."""
     problems = [
         problem for problem in check([arguments.file], arguments.environment) if not problem.is_warning
     ]
@@ -213,7 +223,7 @@
         sys.stdout.write(report.as_text(problems))
         return exit_code_of(problems)
     if importlib.util.find_spec("harness") is None:
-        print("try needs the folder harness of a checkout: call it from there", file=sys.stderr)
+        print("try needs the folder harness of a source checkout: run it from there", file=sys.stderr)
         return EXIT_UNREADABLE
     command = [sys.executable, "-m", "harness.trial", arguments.file, "--environment", arguments.environment]
     command += ["--seconds", str(arguments.seconds), "--rate", str(arguments.rate)]
@@ -221,7 +231,7 @@
 
 
 def _write(arguments: argparse.Namespace) -> int:
-    """Only what passes check is written, read at this moment and not when it was checked last."""
+    """Write the files of a description if it passes the check, which reads the current file again."""
     problems = check(arguments.files, arguments.environment)
     sys.stdout.write(report.as_text(problems))
     code = exit_code_of(problems)
@@ -229,15 +239,15 @@
         return code
     _, description = load(arguments.files[0], arguments.environment)
     if description is None:
-        print(f"{arguments.files[0]} changed while it was read; call again", file=sys.stderr)
+        print(f"{arguments.files[0]} changed while it was read; run the command again", file=sys.stderr)
         return EXIT_UNREADABLE
     try:
-        problems_of_folder = write(description, arguments.folder, arguments.force)
+        folder_problems = write(description, arguments.folder, arguments.force)
     except OSError as error:
         print(f"{arguments.folder}: nothing was written: {error.strerror}", file=sys.stderr)
         return EXIT_UNREADABLE
-    sys.stdout.write(report.as_text(problems_of_folder))
-    return exit_code_of(problems_of_folder)
+    sys.stdout.write(report.as_text(folder_problems))
+    return exit_code_of(folder_problems)
 
 
 if __name__ == "__main__":
--- a/service_proxy/sidecar/admission.py
+++ b/service_proxy/sidecar/admission.py
@@ -1,7 +1,8 @@
-"""Admission of requests for the application beside this sidecar: start, queue or reject. Pure.
+"""Admission of requests for the application beside the sidecar: start, queue or reject each request. Pure.
 
-One table has the states of the application. The concurrency limit is its slots, or a part of them during the
-slow start after a restart, which clients can't know of. Time is passed in, in seconds; the caller acts on the
+TRANSITIONS lists the states of the application and the effect of each signal. The concurrency limit is the
+number of slots. During the slow start after a restart of the application it is a share of the slots, because
+clients have no way to detect the restart. The caller passes the current time in seconds and acts on the
 decisions.
 """
 
@@ -11,31 +12,32 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-# Of Retry-After: the first for an application that is down, the second for one that is busy.
+# Bounds of Retry-After in seconds: the maximum applies to an application that is down, the minimum to one
+# that is busy.
 MAX_RETRY_AFTER_S = 1.0
 MIN_RETRY_AFTER_S = 0.05
-LATENCY_SMOOTHING = 0.1  # weight of the newest latency in the mean
+LATENCY_SMOOTHING = 0.1  # weight of the newest latency in the smoothed mean
 
 
 class ApplicationState(Enum):
-    """The states of the application, as far as the sidecar knows."""
+    """State of the application, as derived from health checks and connections."""
 
-    STARTING = "starting"  # has not been healthy yet
+    STARTING = "starting"  # no health check has succeeded yet
     UP = "up"
-    SUSPECT = "suspect"  # a connection broke or a probe timed out: the next probe decides
-    SLOW = "slow"  # accepts connections, and probes time out
-    UNREADY = "unready"  # answers probes with an error
+    SUSPECT = "suspect"  # a connection broke or a health check timed out; the next health check decides
+    SLOW = "slow"  # accepts connections, but health checks time out
+    UNREADY = "unready"  # answers health checks with an error
     DOWN = "down"  # refuses connections
 
 
 class ApplicationSignal(Enum):
-    """What a probe or a request showed."""
+    """Result of a health check or a request that can change the state of the application."""
 
-    HEALTHY = "healthy"  # a probe was answered with 2xx
-    UNHEALTHY = "unhealthy"  # a probe was answered with anything else
-    SILENT = "silent"  # a probe had no answer in time
-    REFUSED = "refused"  # no connection came up
-    BROKEN = "broken"  # a connection ended during a request or a probe
+    HEALTHY = "healthy"  # a health check was answered with 2xx
+    UNHEALTHY = "unhealthy"  # a health check was answered with any other status
+    SILENT = "silent"  # a health check timed out
+    REFUSED = "refused"  # no connection could be opened
+    BROKEN = "broken"  # a connection ended during a request or a health check
 
 
 STATE = ApplicationState
@@ -84,14 +86,14 @@
         SIGNAL.BROKEN: STATE.DOWN,
     },
 }
-# In which the application gets requests.
+# States in which new requests are sent to the application.
 ACCEPTING_STATES = frozenset((ApplicationState.UP, ApplicationState.SUSPECT))
 
 
 class AdmissionDecision(Enum):
-    """The decision on a new request."""
+    """Decision on a new request."""
 
-    START = "start"  # send it to the application now
+    START = "start"  # send the request to the application now
     QUEUE = "queue"
     REJECT = "reject"
 
@@ -101,7 +103,7 @@
 
 @dataclass(slots=True)
 class QueuedRequest(Generic[T]):
-    """A request that waits for a slot."""
+    """Request that waits for a slot."""
 
     request: T
     priority_weight: float
@@ -109,7 +111,7 @@
 
 
 class ApplicationAdmission(Generic[T]):
-    """Admission for one application; each request is started, rejected or removed once."""
+    """Admission control of one application. Each request is started, rejected or removed exactly once."""
 
     def __init__(
         self,
@@ -125,15 +127,16 @@
         self.slow_start_window = slow_start_window if warm_up else 0.0
         self.state = ApplicationState.STARTING
         self.draining = False
-        self.in_flight = 0  # requests that the application has
+        self.in_flight = 0  # requests that occupy a slot
         self.queue: list[QueuedRequest[T]] = []  # in the order of arrival
-        self.mean_latency = MIN_RETRY_AFTER_S  # s, smoothed
-        self.warming_up_since = float("-inf")  # the start of the last slow start
-        self.was_down_while_starting = False  # then it started after this sidecar
-        self.all_connections_broke = False  # then it may have restarted between two probes
+        self.mean_latency = MIN_RETRY_AFTER_S  # smoothed, in seconds
+        self.warming_up_since = float("-inf")  # time at which the last slow start began
+        self.was_down_while_starting = False  # true if the application started after the sidecar
+        # True if the application may have restarted between two health checks.
+        self.all_connections_broke = False
 
     def on_signal(self, signal: ApplicationSignal, now: float) -> ApplicationState:
-        """Apply what a health check or a request showed; return the new state.
+        """Apply the result of a health check or a request, and return the new state.
 
         A restart of the application begins its slow start.
         """
@@ -152,22 +155,25 @@
             self.all_connections_broke = False
         return self.state
 
-    def on_connection_broken(self, survivors: int, now: float) -> ApplicationState:
-        """Apply that a connection ended during a request, while `survivors` others are open.
+    def on_connection_broken(self, other_connections: int, now: float) -> ApplicationState:
+        """Apply the end of a connection during a request, while `other_connections` are open.
 
-        Without survivors the application may have restarted between two health checks.
+        If no other connection is open, the application may have restarted between two health checks.
         """
-        if not survivors:
+        if not other_connections:
             self.all_connections_broke = True
         return self.on_signal(ApplicationSignal.BROKEN, now)
 
     @property
     def is_accepting(self) -> bool:
-        """Whether new requests are welcome."""
+        """Whether new requests are accepted."""
         return self.state in ACCEPTING_STATES and not self.draining
 
     def concurrency_limit(self, now: float) -> int:
-        """Return the requests that it may have at a time: one at least, to show that it is healthy."""
+        """Return the maximum number of requests in flight.
+
+        The limit is at least 1, because a request in flight can show that the application is healthy.
+        """
         if self.slow_start_window <= 0.0:
             return self.slots
         progress = min(1.0, max(0.0, (now - self.warming_up_since) / self.slow_start_window))
@@ -182,9 +188,9 @@
     def offer(
         self, request: T, priority_weight: float, deadline: float, now: float
     ) -> tuple[AdmissionDecision, T | None]:
-        """Decide on a new request; return the queued request that it displaces, if any.
+        """Decide on a new request, and return the queued request that it displaces, if any.
 
-        The displaced one was never started, so it can be rejected.
+        The displaced request was never started, so it can be rejected.
         """
         if self.state not in ACCEPTING_STATES:
             return AdmissionDecision.REJECT, None
@@ -202,15 +208,15 @@
         return AdmissionDecision.QUEUE, displaced
 
     def on_request_end(self, latency: float | None) -> None:
-        """Release a slot; `latency` is None where the application never had the request."""
+        """Release a slot; `latency` is None if the application never received the request."""
         self.in_flight -= 1
         if latency is not None:
             self.mean_latency += LATENCY_SMOOTHING * (latency - self.mean_latency)
 
     def next_request(self, now: float) -> T | None:
-        """Return the next request to start, if there is a slot for one.
+        """Return the next queued request to start, or None if no slot is free.
 
-        One past its deadline is not started: its deadline timer rejects it.
+        A request past its deadline is not started. Its deadline timer rejects it.
         """
         if self.state not in ACCEPTING_STATES:
             return None
@@ -222,7 +228,7 @@
         return None
 
     def remove_queued(self, request: T) -> bool:
-        """Remove a request that waits no longer; return whether it was queued."""
+        """Remove a request that no longer waits, and return whether it was queued."""
         for index, queued in enumerate(self.queue):
             if queued.request is request:
                 del self.queue[index]
@@ -230,7 +236,7 @@
         return False
 
     def take_rejected(self) -> list[T]:
-        """Empty the queue of an application that accepts no requests; return what to reject."""
+        """Empty the queue if the application accepts no requests, and return the requests to reject."""
         if self.state in ACCEPTING_STATES:
             return []
         rejected = [queued.request for queued in self.queue]
@@ -238,7 +244,11 @@
         return rejected
 
     def retry_after(self, now: float) -> float:
-        """Return the seconds after which to retry: when the queue is served, or it may be up again."""
+        """Return the seconds after which a client should retry.
+
+        The value is the expected time until the queue is processed, or the maximum if the application is not
+        accepting requests.
+        """
         if self.state not in ACCEPTING_STATES:
             return MAX_RETRY_AFTER_S
         wait = self.mean_latency * (len(self.queue) + 1) / self.concurrency_limit(now)
--- a/service_proxy/sidecar/call_graph.py
+++ b/service_proxy/sidecar/call_graph.py
@@ -1,4 +1,4 @@
-"""The graph of calls between tiers, over one description or several. Pure."""
+"""Graph of calls between tiers, over one description or several. Pure."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from service_proxy.sidecar.model import Description
 
-# By tier, the tiers that it calls, each with the description that names it.
+# The tiers that each tier calls, each with the description that names it.
 CallGraph = dict[str, list[tuple[str, Description]]]
 
 
 def build_call_graph(descriptions: Iterable[Description]) -> CallGraph:
-    """Gather the calls of all descriptions."""
+    """Return the graph of the calls of all descriptions."""
     graph: CallGraph = defaultdict(list)
     for description in descriptions:
         for name, tier in description.tiers.items():
@@ -21,7 +21,7 @@
 
 
 def tiers_below(graph: CallGraph, start: str) -> set[str]:
-    """Find all tiers that a request to this one may reach."""
+    """Return all tiers that a request to the start tier may reach."""
     found: set[str] = set()
     unvisited = [start]
     while unvisited:
@@ -33,7 +33,10 @@
 
 
 def call_depth(graph: CallGraph, name: str, visited: frozenset[str] = frozenset()) -> int:
-    """Return the longest path of calls from this tier, in tiers, itself included; cycles are not followed."""
+    """Return the number of tiers on the longest path of calls from this tier, itself included.
+
+    Cycles are not followed.
+    """
     if name in visited:
         return 0
     depths = [call_depth(graph, called, visited | {name}) for called, _ in graph.get(name, ())]
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -1,4 +1,4 @@
-"""The check of files: descriptions, the platform's JSON and operators' files, alone and as one fleet."""
+"""Check of files: descriptions, the platform's JSON and operators' files, each alone and all as one fleet."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from service_proxy.operator_file.loader import load as load_operator
 from service_proxy.operator_file.positions import find_positions, place_of
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, read_text
-from service_proxy.operator_file.schema import TABLES as OPERATORS
+from service_proxy.operator_file.schema import TABLES as OPERATOR_TABLES
 from service_proxy.sidecar.description import LayeredReader, load
 from service_proxy.sidecar.fleet_checks import check_fleet
 from service_proxy.sidecar.model import Description
 from service_proxy.sidecar.platform import Platform
 from service_proxy.sidecar.write import has_digest, was_edited
 
-UNREADABLE = ("C001",)
+UNREADABLE_CODES = ("C001",)
 
 
 def check(files: list[str], environment: str) -> list[Problem]:
@@ -50,14 +50,18 @@
     problems += compare_fleets(operators)
     for platform in platforms:
         problems += platform.compare_with([description for _, description in readable])
-    unique = {str(problem): problem for problem in problems}  # an included file's fault is one, not several
+    # A problem of an included file is reported once, not once per including file.
+    unique = {str(problem): problem for problem in problems}
     return sorted(
         unique.values(), key=lambda problem: (problem.file, problem.line, problem.column, problem.code)
     )
 
 
 def compare_fleets(operators: list[Operator]) -> list[Problem]:
-    """Return the contradictions of several operators' files on one fleet, or on two of one name."""
+    """Return the contradictions between several operators' files.
+
+    Files that name the same fleet have to agree on its timing. Two fleets must not have the same name.
+    """
     problems = []
     first_by_name: dict[str, Operator] = {}
     for operator in operators:
@@ -95,37 +99,33 @@
 
 
 def find_edits(file: str) -> list[Problem]:
-    """Return a problem if a written file was edited. Raises OperatorError where it can't be read."""
+    """Return a problem if a written file was edited. Raises OperatorError if the file can't be read."""
     try:
         with open(file, "rb") as source:
             content = source.read(MAX_FILE_BYTES)
     except OSError as error:
         raise OperatorError(
-            [
-                Problem(
-                    file, 1, "C001", f"can't be read: {error.strerror}", "name a file as `write` makes them"
-                )
-            ]
+            [Problem(file, 1, "C001", f"can't be read: {error.strerror}", "name a file that `write` made")]
         ) from None
     if not has_digest(content, file):
         if file.endswith(".service"):
-            text = "is no unit of this tool's: it has no digest at its head"
-            return [Problem(file, 1, "C008", text, "name one that `write` made")]
+            text = "is not a unit file of this tool: its first line has no digest"
+            return [Problem(file, 1, "C008", text, "name a unit file that `write` made")]
         return []
     if not was_edited(content, file):
         return []
-    remedy = "put the change into the description, and write it anew"
+    remedy = "put the change into the description, and write the file again"
     return [Problem(file, 1, "C008", "was edited by hand since it was written", remedy)]
 
 
 def is_operator_file(file: str) -> bool:
-    """Tell whether a TOML file is an operator's and no description, by its tables."""
+    """Return whether a TOML file is an operator's file and not a description, judging by its tables."""
     _, raw = read_text(file)
-    return bool(raw.keys() & OPERATORS.keys()) and "format" not in raw
+    return bool(raw.keys() & OPERATOR_TABLES.keys()) and "format" not in raw
 
 
 def exit_code_of(problems: list[Problem]) -> int:
     """Return the exit code for these problems."""
-    if any(problem.code in UNREADABLE for problem in problems):
+    if any(problem.code in UNREADABLE_CODES for problem in problems):
         return 2
     return 1 if any(not problem.is_warning for problem in problems) else 0
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -1,8 +1,8 @@
-"""Reads a description: its file, its includes, the overlay of an environment, and declared variables.
+"""Reader of a description: its file, its includes, the overlay of an environment, and declared variables.
 
 Later layers override earlier ones key by key: the included files in their order, the file itself, the overlay
 (`NAME.ENVIRONMENT.toml` beside `NAME.toml`). Tables are merged; a list or an array of tables is replaced.
-Each value has its origin, so that a finding names the file and line to change.
+The origin of each value is recorded, so that a finding names the file and line to change.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 from service_proxy.sidecar.description_checks import check_description
 from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
 
-MAX_FILES = 32  # of one description with its includes
-MAX_DEPTH = 32  # of tables within tables; the format has 4
+MAX_FILES = 32  # maximum number of files of one description, with its includes
+MAX_DEPTH = 32  # maximum nesting depth of tables and lists; the format needs 4
 VARIABLE = re.compile(r"\$\{([^}]*)\}")
-ODD_NUMBER = re.compile(r"=\s*(0[xob][0-9a-fA-F_]+)")
+NON_DECIMAL_NUMBER = re.compile(r"=\s*(0[xob][0-9a-fA-F_]+)")
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """The file and position that a value comes from."""
+    """File and position that a value comes from."""
 
     file: str
     place: Place
 
 
 class LayeredReader(TableReader):
-    """A reader of several files, of which later ones override earlier ones."""
+    """Reader of several files, of which later ones override earlier ones."""
 
     def __init__(self, file: str) -> None:
         super().__init__(file, "")
@@ -45,34 +45,34 @@
         self.origins: dict[Path, Origin] = {(): Origin(file, Place(1, 1))}
 
     def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
-        """Add a problem at the place that the path's value comes from."""
+        """Add a problem at the origin of the path's value."""
         origin = self.origin(path)
         self.problems.append(Problem(origin.file, origin.place.line, code, text, remedy, origin.place.column))
 
     def origin(self, path: Path) -> Origin:
-        """Return the origin of a value, or of the table that it would be in."""
+        """Return the origin of a value, or of the innermost existing table if the value is missing."""
         while path not in self.origins:
             path = path[:-1]
         return self.origins[path]
 
     def add_layer(self, file: str, text: str, raw: Mapping[str, Any]) -> None:
-        """Add a file, which overrides the earlier ones."""
+        """Add a file that overrides the earlier ones."""
         places = find_positions(text)
         self._merge(self.raw, raw, (), file, places)
 
     def _merge(
-        self, into: dict[str, Any], raw: Mapping[str, Any], path: Path, file: str, places: dict[Path, Place]
+        self, target: dict[str, Any], raw: Mapping[str, Any], path: Path, file: str, places: dict[Path, Place]
     ) -> None:
         for name, value in raw.items():
             key_path = (*path, name)
             if isinstance(value, Mapping):
-                below = into.get(name)
-                if not isinstance(below, dict):
-                    below = into[name] = {}
+                nested = target.get(name)
+                if not isinstance(nested, dict):
+                    nested = target[name] = {}
                 self.origins.setdefault(key_path, Origin(file, place_of(places, key_path)))
-                self._merge(below, value, key_path, file, places)
+                self._merge(nested, value, key_path, file, places)
                 continue
-            into[name] = value
+            target[name] = value
             for replaced in [replaced for replaced in self.origins if replaced[: len(key_path)] == key_path]:
                 del self.origins[replaced]
             self.origins[key_path] = Origin(file, place_of(places, key_path))
@@ -83,7 +83,7 @@
 
 
 def overlay_of(file: str, environment: str) -> str:
-    """Return the name of the environment's overlay."""
+    """Return the path of the environment's overlay."""
     path = FilePath(file)
     return str(path.with_name(f"{path.stem}.{environment}{path.suffix}"))
 
@@ -93,14 +93,14 @@
 ) -> tuple[LayeredReader, Description | None]:
     """Read a description with its includes, overlay and variables.
 
-    Return the layers with all problems found, and the description where it can be built. Raises OperatorError
-    where a file can't be read at all.
+    Return the layers with all problems found, and the description, or None if it can't be built. Raises
+    OperatorError if a file can't be read at all.
     """
     layers = LayeredReader(file)
-    for name, (text, raw) in _files(layers, file).items():
+    for name, (text, raw) in _read_files(layers, file).items():
         _check_depth(name, raw)
         for number, line in enumerate(text.splitlines(), 1):
-            number_literal = ODD_NUMBER.search(line.split("#", 1)[0])
+            number_literal = NON_DECIMAL_NUMBER.search(line.split("#", 1)[0])
             if number_literal:
                 problem = Problem(
                     name,
@@ -121,8 +121,8 @@
     return layers, build(layers)
 
 
-def _files(layers: LayeredReader, file: str) -> dict[str, tuple[str, dict[str, Any]]]:
-    """Return the included files, then the file itself: text and TOML of each, read once."""
+def _read_files(layers: LayeredReader, file: str) -> dict[str, tuple[str, dict[str, Any]]]:
+    """Return the text and TOML of the included files and then of the file itself, each read once."""
     found: dict[str, tuple[str, dict[str, Any]]] = {}
     root = FilePath(file).resolve().parent
 
@@ -138,17 +138,19 @@
                 layers.add_problem(
                     ("include",),
                     "C006",
-                    f"{entry} leads out of {root.name}",
+                    f"{entry} is outside the folder {root.name}",
                     "put the file into the description's folder",
                 )
             elif str(path) in (*including, name):
-                layers.add_problem(("include",), "C006", f"{entry} includes itself", "take it out")
+                layers.add_problem(("include",), "C006", f"{entry} includes itself", "remove it")
             elif len(found) >= MAX_FILES:
-                layers.add_problem(("include",), "C006", f"more than {MAX_FILES} files", "include fewer")
+                layers.add_problem(
+                    ("include",), "C006", f"the description has more than {MAX_FILES} files", "include fewer"
+                )
                 return
             elif not path.is_file():
                 layers.add_problem(
-                    ("include",), "C006", f"{entry} is not there", "write the name of a file here"
+                    ("include",), "C006", f"{entry} does not exist", "write the name of an existing file here"
                 )
             else:
                 read_file(str(path), (*including, name))
@@ -159,13 +161,15 @@
 
 
 def _check_depth(file: str, raw: object) -> None:
-    """Refuse tables and lists that are nested too deep, without recursion. Raises OperatorError."""
+    """Raise OperatorError if tables and lists are nested too deep; the check works without recursion."""
     level: list[object] = [raw]
     for _ in range(MAX_DEPTH):
         level = [item for entry in level for item in _elements(entry)]
         if not level:
             return
-    raise OperatorError([Problem(file, 1, "C003", f"nested deeper than {MAX_DEPTH}", "flatten it")])
+    raise OperatorError(
+        [Problem(file, 1, "C003", f"tables or lists are nested deeper than {MAX_DEPTH}", "flatten them")]
+    )
 
 
 def _elements(entry: object) -> list[object]:
@@ -204,13 +208,13 @@
     layers.raw = walk(layers.raw, ())
 
 
-Tables = dict[str, dict[str, Any]]  # of a description: the entries of each table by name
+Tables = dict[str, dict[str, Any]]  # entries of each table of a description, by table and entry name
 
 
 def build(layers: LayeredReader) -> Description | None:
-    """Return the typed description, or None where problems prevent it.
+    """Return the typed description, or None if problems prevent it.
 
-    Findings of the description as one are added to the layers' problems.
+    The findings of checks between values are added to the layers' problems.
     """
     raw = layers.raw
     top = _read_top(layers)
@@ -221,7 +225,7 @@
         defaults = {}
     tables = _read_tables(layers, defaults)
     _add_default_routes(layers, tables, defaults)
-    sidecars = list(_sidecars(layers, raw.get("sidecar", [])))
+    sidecars = list(_read_sidecars(layers, raw.get("sidecar", [])))
     _check_membership_tables(layers, tables, sidecars)
     if top is None or features is None or any(not problem.is_warning for problem in layers.problems):
         return None
@@ -242,7 +246,7 @@
 
 
 def _read_top(layers: LayeredReader) -> Top | None:
-    """Read the keys before the first table, and the format among them."""
+    """Read the keys before the first table, and check the format."""
     raw = layers.raw
     top_names = {entry.name for entry in fields(Top)}
     known_names = top_names | set(TABLES) | {"budgets", "defaults", "features", "sidecar"}
@@ -251,19 +255,19 @@
     top = layers.read_table(Top, {name: raw[name] for name in raw.keys() & top_names}, ())
     if top is not None and top.format != FORMAT:
         remedy = "run migrate" if top.format < FORMAT else f"write format = {FORMAT}"
-        text = f"format {top.format}, and this program reads {FORMAT}"
+        text = f"the file has format {top.format}, but this program reads format {FORMAT}"
         layers.add_problem(("format",), "C005", text, remedy)
     return top
 
 
 def _read_tables(layers: LayeredReader, defaults: dict[str, Any]) -> Tables:
-    """Read the tables with named entries; a route has the defaults for the keys that it lacks."""
+    """Read the tables with named entries; a key that a route does not set has its value from [defaults]."""
     found: Tables = {}
     for table, cls in TABLES.items():
         found[table] = {}
         entries = layers.raw.get(table, {})
         if not isinstance(entries, dict):
-            layers.add_problem((table,), "S104", f"{table} is no table", f"write a line [{table}.NAME]")
+            layers.add_problem((table,), "S104", f"{table} is not a table", f"write a line [{table}.NAME]")
             continue
         for name, entry in entries.items():
             if table == "route" and isinstance(entry, dict):
@@ -275,7 +279,7 @@
 
 
 def _add_default_routes(layers: LayeredReader, tables: Tables, defaults: dict[str, Any]) -> None:
-    """Give each class without a route one by the defaults, with their places."""
+    """Add a route with the default values and their origins for each class without a route."""
     for name in tables["class"]:
         if name in tables["route"] or name in layers.raw.get("route", {}):
             continue
@@ -300,16 +304,18 @@
             check_registration(layers, membership, membership_path, registration_path)
 
 
-def _sidecars(layers: LayeredReader, entries: Any) -> Iterator[Sidecar]:
+def _read_sidecars(layers: LayeredReader, entries: Any) -> Iterator[Sidecar]:
     if not isinstance(entries, list):
-        layers.add_problem(("sidecar",), "S104", "sidecar is no array of tables", "write a line [[sidecar]]")
+        layers.add_problem(
+            ("sidecar",), "S104", "sidecar is not an array of tables", "write a line [[sidecar]]"
+        )
         return
     for number, entry in enumerate(entries):
         path = ("sidecar", str(number))
         outbound = entry.get("outbound", {}) if isinstance(entry, dict) else {}
         if not isinstance(outbound, dict):
             layers.add_problem(
-                (*path, "outbound"), "S104", "outbound is no table", 'write outbound.TIER = "HOST:PORT"'
+                (*path, "outbound"), "S104", "outbound is not a table", 'write outbound.TIER = "HOST:PORT"'
             )
             continue
         is_valid = True
--- a/service_proxy/sidecar/description_checks.py
+++ b/service_proxy/sidecar/description_checks.py
@@ -1,4 +1,7 @@
-"""The checks of one description by itself: findings with their paths. Pure."""
+"""Checks of one description by itself, beyond types and ranges. Pure.
+
+Findings have the path of the value.
+"""
 
 from __future__ import annotations
 
@@ -36,15 +39,15 @@
     """Check the names of classes, tiers and tenants."""
     for table, names in (("class", d.classes), ("tier", d.tiers), ("tenant", d.tenants)):
         for name in names:
-            fault = find_name_problem(name)
-            if fault:
+            problem = find_name_problem(name)
+            if problem:
                 yield Finding(
-                    d.file, (table, name), "S108", f"the name {name!r} {fault}", "write it in ASCII"
+                    d.file, (table, name), "S108", f"the name {name!r} {problem}", "write it in ASCII"
                 )
 
 
 def _check_tier_references(d: Description) -> Iterator[Finding]:
-    """Check that tiers name classes and tiers that are described."""
+    """Check that the classes and tiers that a tier names are described."""
     for name, tier in d.tiers.items():
         for cls in tier.classes:
             if cls not in d.classes:
@@ -53,7 +56,7 @@
                     ("tier", name, "classes"),
                     "F306",
                     f"no class {cls} is described",
-                    f"add a table [class.{cls}], or take it out here",
+                    f"add a table [class.{cls}], or remove it here",
                 )
         for called in tier.calls:
             if called not in d.tiers:
@@ -62,12 +65,12 @@
                     ("tier", name, "calls"),
                     "F306",
                     f"no tier {called} is described",
-                    f"add a table [tier.{called}], or take it out here",
+                    f"add a table [tier.{called}], or remove it here",
                 )
 
 
 def _check_class_references(d: Description) -> Iterator[Finding]:
-    """Check that each class is served, and that each route is of a class."""
+    """Check that each class is served by a tier, and that each route belongs to a class."""
     served = {cls for tier in d.tiers.values() for cls in tier.classes}
     for cls in d.classes:
         if d.tiers and cls not in served:
@@ -85,7 +88,7 @@
                 ("route", route),
                 "F306",
                 f"a route for {route}, which is no class",
-                f"add a table [class.{route}], or take the route out",
+                f"add a table [class.{route}], or remove the route",
             )
 
 
@@ -100,13 +103,13 @@
             f"add a table [tier.{sidecar.tier}]",
         )
         return
-    yield from _check_place(d, path, sidecar, tier)
+    yield from _check_zone_and_listeners(d, path, sidecar, tier)
     yield from _check_descriptors(d, path, sidecar)
     yield from _check_outbound(d, path, sidecar, tier)
 
 
-def _check_place(d: Description, path: Path, sidecar: Sidecar, tier: Tier) -> Iterator[Finding]:
-    """Check its zone, and that there is a listener for each tier that its own calls."""
+def _check_zone_and_listeners(d: Description, path: Path, sidecar: Sidecar, tier: Tier) -> Iterator[Finding]:
+    """Check the sidecar's zone, and that it has an outbound listener for each tier that its tier calls."""
     if sidecar.zone not in tier.zones:
         yield Finding(
             d.file,
@@ -121,13 +124,13 @@
                 d.file,
                 path,
                 "S103",
-                f"{sidecar.tier} calls {called}, and no listener is for it",
+                f"{sidecar.tier} calls {called}, but no outbound listener is configured for that tier",
                 f'write {called} = "127.0.0.1:PORT" in its outbound',
             )
 
 
 def _check_descriptors(d: Description, path: Path, sidecar: Sidecar) -> Iterator[Finding]:
-    """Check that its descriptors suffice for its listeners and slots."""
+    """Check that the sidecar's file descriptors suffice for its listeners and slots."""
     share = sidecar.sockets // (len(sidecar.outbound) + 1)
     if share < MIN_DESCRIPTORS:
         min_sockets = MIN_DESCRIPTORS * (len(sidecar.outbound) + 1)
@@ -152,7 +155,7 @@
 
 
 def _check_outbound(d: Description, path: Path, sidecar: Sidecar, tier: Tier) -> Iterator[Finding]:
-    """Check that each outbound listener is for a tier that is called and can be found."""
+    """Check that the tier of each outbound listener is called and has a discovery address."""
     for called in sidecar.outbound:
         if called in d.tiers and not d.padron(called):
             instead = f'write padron = "HOST:PORT" in [tier.{called}], or before the first table'
@@ -160,7 +163,7 @@
                 d.file,
                 (*path, "outbound", called),
                 "S103",
-                f"nobody tells the nodes of {called}: there is no padron",
+                f"no discovery is configured for the nodes of {called}: padron is missing",
                 instead,
             )
         if called not in tier.calls:
@@ -169,19 +172,19 @@
                 (*path, "outbound", called),
                 "S107",
                 f"{sidecar.tier} never calls {called}",
-                f"take it out, or name {called} in the tier's `calls`",
+                f"remove it, or name {called} in the tier's `calls`",
             )
 
 
 def _check_classes(d: Description) -> Iterator[Finding]:
-    """Check each class's own values against one another."""
+    """Check the values of each class against one another."""
     for name, cls in d.classes.items():
         if cls.aim > cls.deadline:
             yield Finding(
                 d.file,
                 ("class", name, "aim"),
                 "S107",
-                "its aim lies behind its deadline",
+                "the aim is later than the deadline",
                 f"write an aim of at most {cls.deadline:g} s",
             )
         if cls.effect == "by-key" and not cls.window:
@@ -189,17 +192,21 @@
                 d.file,
                 ("class", name),
                 "S103",
-                "repeats are dropped by key, and not for how long",
+                "repeats are dropped by key, but window, the time to drop them for, is missing",
                 'write window = "6s"',
             )
         if cls.effect != "by-key" and cls.window:
             yield Finding(
-                d.file, ("class", name, "window"), "S107", f"{cls.effect} has no window", "take it out"
+                d.file,
+                ("class", name, "window"),
+                "S107",
+                f"a class with effect {cls.effect} has no window",
+                "remove it",
             )
 
 
 def _check_rule_two(d: Description) -> Iterator[Finding]:
-    """Check that no route may have the effect of its class twice."""
+    """Check that no route allows a request to have the effect of its class twice."""
     for name, cls in d.classes.items():
         route = d.routes.get(name)
         if route is None:
@@ -207,18 +214,18 @@
         example = rule_model.rule_two(name, cls, route)
         if example is not None:
             safe = {"repeatable": "always", "once": "never-ran", "by-key": "by-key"}[cls.effect]
-            key = "hedge" if "while one is out" in example.events[-1] else "retry"
+            key = "hedge" if "while one is in flight" in example.events[-1] else "retry"
             instead = "write hedge = false" if key == "hedge" else f'write retry = "{safe}"'
             if cls.effect == "by-key" and key == "retry":
                 instead += f', retry_within = "{cls.group}" and retry_for = "{cls.window:g}s" at most'
             text = f"{name} may have its effect twice: {example}"
             if key == "hedge":
-                text = f"{name} may have two attempts out: {example}"
+                text = f"{name} may have two attempts in flight: {example}"
             yield Finding(d.file, ("route", name, key), RULES[2], text, instead)
 
 
 def _check_tier_rules(d: Description) -> Iterator[Finding]:
-    """Check rules 1, 3 and 4 by each tier's values."""
+    """Check rules 1, 3 and 4 with the values of each tier."""
     for tier_name, tier in d.tiers.items():
         path = ("tier", tier_name)
         slowest = max(
@@ -247,7 +254,7 @@
 
 
 def _check_key_scopes(d: Description) -> Iterator[Finding]:
-    """Check that a scope of keys means something in a tier."""
+    """Check that no class deduplicates keys per zone in a tier with only one zone."""
     for name, tier in d.tiers.items():
         for cls_name in tier.classes:
             cls = d.classes.get(cls_name)
@@ -256,13 +263,13 @@
                     d.file,
                     ("class", cls_name, "group"),
                     "F308",
-                    f"{name} has one zone, and {cls_name} is dropped by zone",
+                    f"{name} has one zone, and repeats of {cls_name} are dropped per zone",
                     'write group = "all", or add the other zones',
                 )
 
 
 def _check_tenants(d: Description) -> Iterator[Finding]:
-    """Check that the tenants' shares add up to 1 at most."""
+    """Check that the shares of the tenants add up to at most 1."""
     total = sum(tenant.share for tenant in d.tenants.values())
     if total > 1.0 + 1e-9:
         last = list(d.tenants)[-1]
@@ -284,7 +291,7 @@
             d.file,
             ("budgets", "attempts"),
             "S107",
-            f"a tree of calls may have {budgets.attempts} attempts, and attempts_over_tiers says "
+            f"a tree of calls may have {budgets.attempts} attempts, but attempts_over_tiers is "
             f"{d.top.attempts_over_tiers}",
             f"write {d.top.attempts_over_tiers} or fewer",
         )
@@ -293,7 +300,7 @@
 
 
 def _check_attempts_of_tree(d: Description, budgets: Budgets) -> Iterator[Finding]:
-    """Check that the attempts of a tree reach each of its calls, and its hops the deepest tier."""
+    """Check that the attempts of a call tree reach each of its calls, and its hops the deepest tier."""
     max_depth = max((call_depth(build_call_graph([d]), name) for name in d.tiers), default=1)
     max_attempts = max((route.attempts for route in d.routes.values()), default=1)
     if max_depth <= MAX_HOPS and not covers_call_tree(
@@ -315,21 +322,21 @@
             d.file,
             ("budgets",),
             "S107",
-            f"{max_depth} tiers, and a budget passes {MAX_HOPS}",
+            f"calls pass {max_depth} tiers, but a budget is propagated over at most {MAX_HOPS}",
             "call fewer tiers one below another",
         )
 
 
 def _check_edge(d: Description, budgets: Budgets) -> Iterator[Finding]:
-    """Check that nothing behind an application calls itself the edge."""
+    """Check that no sidecar behind an application is configured as the edge."""
     for sidecar in d.sidecars:
         if budgets.edge and sidecar.outbound:
             yield Finding(
                 d.file,
                 ("budgets", "edge"),
                 "S107",
-                f"{sidecar.tier} on {sidecar.host} stands behind an application: with edge = true "
-                "its calls would begin anew",
-                "leave it out; it is for the proxy before the first tier",
+                f"{sidecar.tier} on {sidecar.host} is behind an application: with edge = true "
+                "its calls would start new budgets",
+                "remove it; edge is for the proxy before the first tier",
             )
             return
--- a/service_proxy/sidecar/explain.py
+++ b/service_proxy/sidecar/explain.py
@@ -1,4 +1,4 @@
-"""What a description means: its schema, effective values with their origins, what a change does. Pure."""
+"""Schema, effective values and comparison of descriptions. Pure."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def table_schema(cls: type) -> dict[str, Any]:
-    """Return the JSON Schema of one table, from the fields that the reader reads."""
+    """Return the JSON Schema of one table, generated from the fields that the reader uses."""
     properties: dict[str, Any] = {}
     required = []
     for entry in dataclasses.fields(cls):
@@ -41,7 +41,7 @@
 
 
 def schema() -> dict[str, Any]:
-    """Return the JSON Schema (draft 2020-12) of a description; it has types and names, not ranges."""
+    """Return the JSON Schema (draft 2020-12) of a description, with types and names but without ranges."""
     document = table_schema(Top)
     for name, cls in TABLES.items():
         entry = table_schema(cls)
@@ -59,8 +59,8 @@
     return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": "willowwing", **document}
 
 
-def effective(description: Description) -> Iterator[tuple[tuple[str, ...], Any]]:
-    """Yield each value in force, defaults too, with its path. Times in seconds."""
+def effective_values(description: Description) -> Iterator[tuple[tuple[str, ...], Any]]:
+    """Yield each effective value, defaults included, with its path. Times are in seconds."""
     for entry in dataclasses.fields(Top):
         yield (entry.name,), getattr(description.top, entry.name)
     for entry in dataclasses.fields(Features):
@@ -90,52 +90,54 @@
 
 
 def behaviour(cls: Class, route: Route) -> dict[str, Any]:
-    """Return what the settings mean for a request of a class."""
+    """Return the meaning of the settings for a request of a class."""
     retries = route.attempts - 1
-    after_break = retries if route.retry in ("by-key", "always") else 0
+    retries_after_break = retries if route.retry in ("by-key", "always") else 0
     found: dict[str, Any] = {
         "attempts after one that never ran": retries if route.retry != "never" else 0,
-        "attempts after a broken connection": after_break,
-        "two attempts out at once": route.hedge and route.attempts > 1,
+        "attempts after a broken connection": retries_after_break,
+        "two attempts in flight at once": route.hedge and route.attempts > 1,
         "answered within": f"{cls.deadline:g} s",
-        "worth its full worth within": f"{cls.aim:g} s",
+        "has its full worth within": f"{cls.aim:g} s",
         "worth": f"{cls.worth:g}",
         "a second execution": {"repeatable": "does no harm", "once": "does harm"}.get(
             cls.effect, f"is dropped by its {cls.group} for {cls.window:g} s"
         ),
     }
-    if after_break and route.retry == "by-key":
-        found["where after a broken connection"] = f"in its {route.retry_within}, {route.retry_for:g} s long"
-    elif after_break:
-        found["where after a broken connection"] = "anywhere, until its deadline"
+    if retries_after_break and route.retry == "by-key":
+        found["where to retry after a broken connection"] = (
+            f"in its {route.retry_within}, for {route.retry_for:g} s"
+        )
+    elif retries_after_break:
+        found["where to retry after a broken connection"] = "anywhere, until its deadline"
     return found
 
 
 def tier_behaviour(tier: Tier) -> dict[str, Any]:
-    """Return what a tier's values mean for its requests."""
+    """Return the meaning of a tier's values for its requests."""
     return {
-        "new calls after a drain was told": f"for {tier.drain:g} s",
+        "new requests after a drain begins": f"for {tier.drain:g} s",
         "killed after SIGTERM": f"{tier.stop_after:g} s",
-        "cold servers get": f"{tier.push:g} times what they can do",
+        "servers that warm up get": f"{tier.push:g} times their capacity",
         "nodes": tier.nodes,
         "zones": ", ".join(tier.zones),
         "classes": ", ".join(tier.classes),
         "calls": ", ".join(tier.calls) or "nothing",
-        "nodes are told by": " and ".join(
+        "nodes are discovered by": " and ".join(
             ["the padron", *(["ephemeral nodes"] if tier.membership is not None else [])]
         ),
     }
 
 
 def differences(old: Description, new: Description) -> Iterator[str]:
-    """Yield what a change of the description means for each class and tier, one line each."""
+    """Yield the effects of a change of the description on each class and tier, one line each."""
     for name in sorted(old.classes.keys() | new.classes.keys()):
         if name not in new.classes or name not in old.classes:
-            yield f"{name}: {'no longer taken' if name in old.classes else 'new'}"
+            yield f"{name}: {'no longer served' if name in old.classes else 'new'}"
             continue
         before = behaviour(old.classes[name], old.routes[name])
         after = behaviour(new.classes[name], new.routes[name])
-        yield from _changed(name, before, after)
+        yield from _format_changes(name, before, after)
         example = rule_model.rule_two(name, new.classes[name], new.routes[name])
         if example is not None and rule_model.rule_two(name, old.classes[name], old.routes[name]) is None:
             yield f"{name}: breaks rule 2: {example}"
@@ -143,14 +145,16 @@
         if name not in new.tiers or name not in old.tiers:
             yield f"tier {name}: {'gone' if name in old.tiers else 'new'}"
             continue
-        yield from _changed(f"tier {name}", tier_behaviour(old.tiers[name]), tier_behaviour(new.tiers[name]))
+        yield from _format_changes(
+            f"tier {name}", tier_behaviour(old.tiers[name]), tier_behaviour(new.tiers[name])
+        )
         for rule, find_example in ((3, rule_model.rule_three), (4, rule_model.rule_four)):
             example = find_example(name, new.tiers[name])
             if example is not None and find_example(name, old.tiers[name]) is None:
                 yield f"tier {name}: breaks rule {rule}: {example}"
 
 
-def _changed(name: str, before: dict[str, Any], after: dict[str, Any]) -> Iterator[str]:
+def _format_changes(name: str, before: dict[str, Any], after: dict[str, Any]) -> Iterator[str]:
     for key in {**before, **after}:
         if before.get(key) != after.get(key):
             yield f"{name}: {key}: {_format_value(before.get(key))} -> {_format_value(after.get(key))}"
--- a/service_proxy/sidecar/findings.py
+++ b/service_proxy/sidecar/findings.py
@@ -1,4 +1,4 @@
-"""A finding in a description, before its place in a file is known. Pure."""
+"""Finding in a description, before its position in a file is resolved. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """A problem at a path of a description, without its place in a file."""
+    """Problem at a path of a description, without its position in a file."""
 
     file: str
     path: Path
--- a/service_proxy/sidecar/fleet_checks.py
+++ b/service_proxy/sidecar/fleet_checks.py
@@ -1,4 +1,4 @@
-"""The checks of several descriptions as one fleet: contradictions, ports, connections. Pure."""
+"""Checks of several descriptions as one fleet: contradictions, ports, connections. Pure."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from service_proxy.operator_file.positions import Path
 from service_proxy.sidecar.call_graph import build_call_graph, call_depth, tiers_below
 from service_proxy.sidecar.findings import Finding
-from service_proxy.sidecar.model import Description, is_any
+from service_proxy.sidecar.model import Description, is_unspecified_address
 
-TIER_FACTS = ("zones", "nodes", "connections", "drain", "cold_from", "cold_for", "survives", "push")
+SHARED_TIER_KEYS = ("zones", "nodes", "connections", "drain", "cold_from", "cold_for", "survives", "push")
 MIN_ATTEMPTS_TO_RETRY = 2
 
 
@@ -20,13 +20,13 @@
     yield from _check_connections(descriptions)
     yield from _check_same_classes(descriptions)
     yield from _check_same_tiers(descriptions)
-    yield from _check_rings(descriptions)
+    yield from _check_call_cycles(descriptions)
     yield from _check_multiplied_attempts(descriptions)
     yield from _check_key_windows(descriptions)
 
 
 def _check_ports(descriptions: Iterable[Description]) -> Iterator[Finding]:
-    claimed: dict[tuple[str, str], list[tuple[str, str, str]]] = defaultdict(list)
+    listeners_by_port: dict[tuple[str, str], list[tuple[str, str, str]]] = defaultdict(list)
     for d in descriptions:
         for number, sidecar in enumerate(d.sidecars):
             sidecar_path: Path = ("sidecar", str(number))
@@ -36,46 +36,50 @@
             listeners.append(((*sidecar_path, "application"), sidecar.application, "its application"))
             for path, address, role in listeners:
                 host, _, port = address.rpartition(":")
-                for other_host, other_role, claimed_by in claimed[sidecar.host, port]:
-                    if other_host == host or is_any(other_host) or is_any(host):
+                for other_host, other_role, owner in listeners_by_port[sidecar.host, port]:
+                    if (
+                        other_host == host
+                        or is_unspecified_address(other_host)
+                        or is_unspecified_address(host)
+                    ):
                         yield Finding(
                             d.file,
                             path,
                             "F301",
-                            f"{role} on {sidecar.host} wants {address}, and {other_role} of {claimed_by} has "
+                            f"{role} on {sidecar.host} needs {address}, but {other_role} of {owner} uses "
                             f"{other_host}:{port}",
                             "give one of them another port",
                         )
                         break
-                claimed[sidecar.host, port].append((host, role, f"{d.top.application} ({d.file})"))
+                listeners_by_port[sidecar.host, port].append((host, role, f"{d.top.application} ({d.file})"))
 
 
 def _check_connections(descriptions: list[Description]) -> Iterator[Finding]:
-    """Check the connections that all sidecars together may open to a node, `per_node` each."""
-    opened: dict[str, int] = defaultdict(int)
+    """Check the connections that all sidecars together may open to a node, `per_node` for each sidecar."""
+    max_connections: dict[str, int] = defaultdict(int)
     for d in descriptions:
         for sidecar in d.sidecars:
             for called in sidecar.outbound:
-                opened[called] += sidecar.per_node
+                max_connections[called] += sidecar.per_node
     for d in descriptions:
         for name, tier in d.tiers.items():
-            if opened[name] > tier.connections:
+            if max_connections[name] > tier.connections:
                 yield Finding(
                     d.file,
                     ("tier", name, "connections"),
                     "F304",
-                    f"all sidecars may open {opened[name]} connections to a node of {name}, which "
-                    f"takes {tier.connections}",
+                    f"all sidecars may open {max_connections[name]} connections to a node of {name}, which "
+                    f"accepts {tier.connections}",
                     "lower per_node of the callers",
                 )
 
 
 def _check_same_classes(descriptions: list[Description]) -> Iterator[Finding]:
-    """Check that a class has one idempotency and one deadline everywhere."""
-    first: dict[str, Description] = {}
+    """Check that a class has the same idempotency and the same deadline in all descriptions."""
+    first_description: dict[str, Description] = {}
     for d in descriptions:
         for name, cls in d.classes.items():
-            other = first.setdefault(name, d)
+            other = first_description.setdefault(name, d)
             if other is d:
                 continue
             other_class = other.classes[name]
@@ -94,19 +98,19 @@
                     d.file,
                     ("class", name, "deadline"),
                     "F302",
-                    f"{name} is given up after {cls.deadline:g} s here and {other_class.deadline:g} s in "
+                    f"{name} has a deadline of {cls.deadline:g} s here and {other_class.deadline:g} s in "
                     f"{other.file}",
-                    "give it one deadline; budgets shorten it inside",
+                    "give it one deadline; budgets shorten it for inner tiers",
                 )
 
 
 def _check_same_tiers(descriptions: list[Description]) -> Iterator[Finding]:
-    """Check that all descriptions agree on a tier's endpoints and their limits."""
-    first: dict[str, Description] = {}
+    """Check that all descriptions agree on the endpoints of a tier and their limits."""
+    first_description: dict[str, Description] = {}
     for d in descriptions:
         for name, tier in d.tiers.items():
-            other = first.setdefault(name, d)
-            for key in TIER_FACTS:
+            other = first_description.setdefault(name, d)
+            for key in SHARED_TIER_KEYS:
                 own_value = getattr(tier, key)
                 other_value = getattr(other.tiers[name], key)
                 if own_value != other_value:
@@ -120,9 +124,9 @@
 
 
 def _check_key_windows(descriptions: list[Description]) -> Iterator[Finding]:
-    """Check that inner tiers remember keys for as long as an outer one may send them again.
+    """Check that inner tiers record keys for as long as an outer tier may retry with them.
 
-    Each time the outer application sends its request to the inner tier with the same key.
+    Each retry of the outer tier makes its application call the inner tier again with the same key.
     """
     calls = build_call_graph(descriptions)
     reported = set()
@@ -144,21 +148,21 @@
                 ):
                     other_class = inner.classes.get(name) if called in inner.tiers else None
                     if inner is outer or other_class is None or name not in inner.tiers[called].classes:
-                        continue  # within one description rule 2 covers it
-                    is_forgotten = other_class.effect == "by-key" and other_class.window < last_retry
-                    if is_forgotten and (inner.file, name) not in reported:
+                        continue  # rule 2 covers a pair of tiers within one description
+                    expires_too_early = other_class.effect == "by-key" and other_class.window < last_retry
+                    if expires_too_early and (inner.file, name) not in reported:
                         reported.add((inner.file, name))
                         yield Finding(
                             inner.file,
                             ("class", name, "window"),
                             "F309",
                             f"{called} drops repeats of {name} for {other_class.window:g} s, and {start} "
-                            f"({outer.file}) sends it again for {last_retry:g} s",
+                            f"({outer.file}) retries them for {last_retry:g} s",
                             f'write window = "{last_retry:g}s" or more',
                         )
 
 
-def _check_rings(descriptions: list[Description]) -> Iterator[Finding]:
+def _check_call_cycles(descriptions: list[Description]) -> Iterator[Finding]:
     calls = build_call_graph(descriptions)
     reported: set[frozenset[str]] = set()
     for start in calls:
@@ -173,18 +177,18 @@
                         ("tier", name, "calls"),
                         "F303",
                         f"{' calls '.join((*chain, called))}",
-                        f"take {called} out here",
+                        f"remove {called} here",
                     )
                 elif called not in chain:
                     stack.append((called, (*chain, called), d))
 
 
 def _check_multiplied_attempts(descriptions: list[Description]) -> Iterator[Finding]:
-    """Check the attempts of a class over the tiers that its requests pass, multiplied."""
+    """Check the product of a class's attempts over all tiers that its requests pass."""
     calls = build_call_graph(descriptions)
     for d in descriptions:
         if d.budgets is not None:
-            continue  # these bound the tree of requests
+            continue  # budgets bound the attempts of the whole call tree
         for start, tier in d.tiers.items():
             for cls in tier.classes:
                 route = d.routes.get(cls)
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -1,8 +1,9 @@
 """The inbound side: accepts requests for the application beside the sidecar and responds to their clients.
 
-admission.py decides what is started, queued and rejected; this module has the sockets: health checks of the
-application, the deadline timers, and the responses. To its clients the sidecar is the endpoint, and follows
-the protocol: 503 with `X-Rejected: 1` where the application never had the request, and only then.
+admission.py decides which requests are started, queued and rejected. This module does the I/O: health checks
+of the application, deadline timers and responses. For its clients the sidecar is the endpoint and follows the
+protocol of endpoints: it responds 503 with `X-Rejected: 1` if, and only if, the application never received
+the request.
 """
 
 from __future__ import annotations
@@ -38,32 +39,34 @@
 
 log = logging.getLogger(__name__)
 
-HEALTH_CHECK_INTERVAL_S = 0.5  # between health checks of a healthy application
-FAST_HEALTH_CHECK_INTERVAL_S = 0.05  # between those of another
-HEALTH_CHECK_TIMEOUT_S = 0.4  # a slow application is detected within an interval and two of these
+HEALTH_CHECK_INTERVAL_S = 0.5  # interval for an application that is up
+FAST_HEALTH_CHECK_INTERVAL_S = 0.05  # interval for an application in any other state
+HEALTH_CHECK_TIMEOUT_S = 0.4  # a slow application is detected within one interval and two timeouts
 CONNECT_TIMEOUT_S = 0.25
-HEALTH_CHECK_CONNECTIONS = 2  # beside those of requests: a check's, and the last one's while it ends
-IDLE_TIMEOUT_S = 4.0  # after which an idle connection to the application is closed
-DEADLINE_MARGIN_S = 0.01  # by which a response is sent before its client gives up
+# Connections beyond those of requests: one for the current health check, and the one of the previous health
+# check while it closes.
+HEALTH_CHECK_CONNECTIONS = 2
+IDLE_TIMEOUT_S = 4.0  # an idle connection to the application is closed after this time
+DEADLINE_MARGIN_S = 0.01  # a response is sent this long before its client's deadline
 REJECTED_HEADERS = ((b"x-rejected", b"1"),)
-REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report"}  # the sidecar has a load report of its own
+REMOVED_RESPONSE_HEADERS = HOP_BY_HOP | {b"x-load-report"}  # the sidecar sends its own load report
 IDEMPOTENCY_BY_EFFECT = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by-key": Idempotency.IDEMPOTENT_WITH_KEY,
     "once": Idempotency.NOT_IDEMPOTENT,
 }
-FIRST_REDIRECTION = 300  # status codes from here on are no success
-APPLICATION_ENDPOINT_ID = 1  # its number among the upstreams, which are one
+FIRST_REDIRECTION = 300  # first status code of responses that are not a success
+APPLICATION_ENDPOINT_ID = 1  # endpoint id of the application, which is the cluster's only endpoint
 
 
 def format_health_check(sidecar: Sidecar) -> bytes:
-    """Write the health check's request."""
+    """Return the bytes of the health check's request."""
     lines = f"GET {sidecar.health} HTTP/1.1", f"Host: {sidecar.application}", "", ""
     return "\r\n".join(lines).encode()
 
 
 class InboundRequest:
-    """A request that was accepted and awaits its response."""
+    """Request that was accepted and has no response yet."""
 
     __slots__ = (
         "attempt",
@@ -88,7 +91,7 @@
 
 
 def create_application_cluster(sidecar: Sidecar, sockets: int) -> UpstreamCluster:
-    """Return the upstream cluster whose one endpoint is the application."""
+    """Return the upstream cluster whose only endpoint is the application."""
     max_connections = int(sockets * UPSTREAM_DESCRIPTOR_SHARE) + HEALTH_CHECK_CONNECTIONS
     cluster = UpstreamCluster(CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, max_connections)
     address = parse_address(sidecar.application)
@@ -98,7 +101,7 @@
 
 
 class InboundListener:
-    """The listener before the application of one [[sidecar]]; the handler of its HTTP server."""
+    """Inbound listener of one [[sidecar]]; handles the requests of its HTTP server."""
 
     def __init__(
         self,
@@ -122,15 +125,16 @@
         self.cluster = create_application_cluster(sidecar, sockets)
         self.application_pool = self.cluster.pools[APPLICATION_ENDPOINT_ID]
         self.health_check_request = format_health_check(sidecar)
-        # By X-Call-Id, until the application is done with it, too.
+        # Requests by X-Call-Id. An entry stays until the application's attempt has ended, even if the client
+        # has disconnected.
         self.requests: dict[bytes, InboundRequest] = {}
-        self.unanswered = 0
-        self.abandoned = 0  # requests without a client whose slots are still in use
-        self.is_closed = False  # accepts nothing any more
-        self.end_by = float("inf")  # monotonic, s
+        self.unanswered_count = 0
+        self.abandoned_count = 0  # requests without a client whose slots are still in use
+        self.is_closed = False  # true if no new requests are accepted
+        self.drain_deadline = float("inf")  # monotonic time in seconds by which all requests are answered
         self.health_check_timer: asyncio.TimerHandle | None = None
         self.health_check_in_flight = False
-        self.state_changed = asyncio.Event()  # the application's state has changed
+        self.state_changed = asyncio.Event()  # set on each change of the application's state
         pages = {b"/healthz": self._health_response, b"/load": self._load_response}
         effects = {name: IDEMPOTENCY_BY_EFFECT[cls.effect] for name, cls in self.classes.items()}
         self.server = HttpServer(
@@ -138,12 +142,12 @@
         )
 
     async def start(self) -> None:
-        """Check the application and listen. Raises OSError where it can't listen."""
+        """Start the health checks and the listener. Raises OSError if the listener can't be opened."""
         self._check_health()
         await self.server.listen(*parse_address(self.sidecar.inbound))
 
     def stop(self) -> None:
-        """End the health checks."""
+        """Stop the health checks."""
         if self.health_check_timer is not None:
             self.health_check_timer.cancel()
 
@@ -191,7 +195,8 @@
             self._on_signal(ApplicationSignal.HEALTHY if is_healthy else ApplicationSignal.UNHEALTHY)
         elif status is AttemptStatus.TIMEOUT:
             self._on_signal(ApplicationSignal.SILENT)
-        elif status is not AttemptStatus.NOT_SENT:  # which was never sent
+        # A health check that was not sent shows nothing about the application.
+        elif status is not AttemptStatus.NOT_SENT:
             self._on_signal(ApplicationSignal.BROKEN)
         self._schedule_health_check()
 
@@ -209,9 +214,9 @@
     def _on_signal(self, signal: ApplicationSignal) -> None:
         before = self.admission.state
         now = time.monotonic()
-        self._on_state(before, self.admission.on_signal(signal, now), now)
+        self._on_state_change(before, self.admission.on_signal(signal, now), now)
 
-    def _on_state(self, before: ApplicationState, state: ApplicationState, now: float) -> None:
+    def _on_state_change(self, before: ApplicationState, state: ApplicationState, now: float) -> None:
         if state is before:
             return
         address = self.sidecar.application
@@ -227,17 +232,20 @@
         """Start, queue or reject a request."""
         now = time.monotonic()
         if self.is_closed or request.id in self.requests:
-            # The application still has one of this id; this one never reached it.
+            # Either the listener is closed, or a request with this id is in progress. The application never
+            # received the new request.
             reason = b"draining\n" if self.is_closed else b"this X-Call-Id is in use\n"
             writer.respond(503, self._rejection_headers(now), reason)
             return None
         cls = self.classes[request.class_name]
         deadline = min(
-            request.received_at + min(request.time_budget, cls.deadline) - DEADLINE_MARGIN_S, self.end_by
+            request.received_at + min(request.time_budget, cls.deadline) - DEADLINE_MARGIN_S,
+            self.drain_deadline,
         )
         inbound = InboundRequest(request, writer, deadline)
         priority_weight = cls.worth
-        filtered = apply_filters(self.filters, request, lambda: None)  # only its client waits for it
+        # The callback does nothing, because only the client waits for the request.
+        filtered = apply_filters(self.filters, request, lambda: None)
         if isinstance(filtered, Rejection):
             writer.respond(503, self._rejection_headers(now), filtered.body)
             return None
@@ -251,7 +259,7 @@
             writer.respond(503, self._rejection_headers(now), self._rejection_reason())
             return None
         self.requests[request.id] = inbound
-        self.unanswered += 1
+        self.unanswered_count += 1
         inbound.deadline_timer = self.loop.call_later(max(0.0, deadline - now), self._on_deadline, inbound)
         if displaced is not None:
             self._reject(displaced, b"others are worth more\n")
@@ -266,10 +274,10 @@
         return b"the application is %s\n" % state.value.encode()
 
     def client_disconnected(self, inbound: InboundRequest) -> None:
-        """End a request whose client has left.
+        """Cancel a request whose client has disconnected.
 
-        A queued one is not started; the connection of one in flight is closed, so that no attempt is in
-        flight without a client.
+        A queued request is not started. The connection of a request in flight is closed, so that no attempt
+        is in flight without a client.
         """
         if not inbound.is_open:
             return
@@ -280,22 +288,22 @@
             self._abandon(inbound, inbound.attempt)
 
     def _abandon(self, inbound: InboundRequest, attempt: UpstreamAttempt) -> None:
-        """End an attempt whose client has left.
+        """Cancel an attempt whose client has disconnected.
 
-        Its slot stays in use for the mean latency: an application that does not notice the closed connection
-        works on.
+        The slot stays in use for the mean latency, because an application that does not detect the closed
+        connection continues to process the request.
         """
         if not attempt.sent:
             attempt.cancel()
             return
         time_left = inbound.started_at + self.admission.mean_latency - time.monotonic()
-        self.abandoned += 1
-        self.admission.in_flight += 1  # in place of the one that ends now
+        self.abandoned_count += 1
+        self.admission.in_flight += 1  # replaces the request that ends now
         self.loop.call_later(max(0.0, time_left), self._release_slot)
         attempt.cancel()
 
     def _release_slot(self) -> None:
-        self.abandoned -= 1
+        self.abandoned_count -= 1
         now = time.monotonic()
         self.admission.on_request_end(None)
         self._start_queued(now)
@@ -326,7 +334,7 @@
             self._start_attempt(inbound, now)
 
     def _on_attempt_end(self, inbound: InboundRequest, attempt: UpstreamAttempt) -> None:
-        """Handle that the application has finished a request, or never had it."""
+        """Handle the end of an attempt, whether or not the application received the request."""
         now = time.monotonic()
         status = attempt.status
         assert status is not None
@@ -338,12 +346,12 @@
             self._respond_by_outcome(inbound, attempt, status, now)
         before = self.admission.state
         if status is AttemptStatus.RESET:
-            self._on_state(
+            self._on_state_change(
                 before, self.admission.on_connection_broken(len(self.application_pool.connections), now), now
             )
             self._schedule_health_check(0.0)
         elif status is AttemptStatus.CONNECT_FAILED:
-            self._on_state(before, self.admission.on_signal(ApplicationSignal.REFUSED, now), now)
+            self._on_state_change(before, self.admission.on_signal(ApplicationSignal.REFUSED, now), now)
             self._schedule_health_check(FAST_HEALTH_CHECK_INTERVAL_S)
         self._start_queued(now)
 
@@ -370,14 +378,14 @@
         body: bytes,
         is_application_response: bool = False,
     ) -> None:
-        """Respond; `is_application_response`: the application has finished the request."""
+        """Send a response; `is_application_response` is true if the application has completed the request."""
         for filter_state in inbound.filter_states:
             headers += filter_state.response_headers()
         self._finish(inbound, is_application_response)
         inbound.writer.respond(status_code, headers, body)
 
     def _reject(self, inbound: InboundRequest, reason: bytes) -> None:
-        """Reject a request that was queued and never started."""
+        """Reject a queued request that was never started."""
         del self.requests[inbound.request.id]
         if inbound.is_open:
             self._respond(inbound, 503, self._rejection_headers(time.monotonic()), reason)
@@ -388,16 +396,20 @@
         return (*REJECTED_HEADERS, (b"retry-after", b"%.3f" % self.admission.retry_after(now)))
 
     def _on_deadline(self, inbound: InboundRequest, is_recheck: bool = False) -> None:
-        """End a request at its deadline: it is queued, or its attempt would end just after."""
+        """End a request at its deadline, whether it is queued or in flight.
+
+        An attempt in flight would reach its own timeout shortly afterwards.
+        """
         if not inbound.is_open:
             return
         if not is_recheck and time.monotonic() > inbound.deadline + LOOP_STALL_S:
-            # The event loop stalled, and timers run before sockets: the response may have arrived.
+            # The event loop stalled, and its timers run before its sockets. The response may have arrived
+            # already.
             inbound.deadline_timer = self.loop.call_later(LOOP_TURN_S, self._on_deadline, inbound, True)
             return
         attempt = inbound.attempt
         if attempt is None:
-            self.admission.remove_queued(inbound)  # unless it was skipped just now
+            self.admission.remove_queued(inbound)  # the request may have been skipped and removed just before
             self._reject(inbound, b"waited for as long as its caller would\n")
             return
         if attempt.sent:
@@ -409,35 +421,38 @@
         attempt.end(AttemptStatus.TIMEOUT if attempt.sent else AttemptStatus.NOT_SENT)
 
     def _finish(self, inbound: InboundRequest, answered: bool) -> None:
-        """End the request; unless `answered`, the application's work on it is lost."""
+        """Close the request; if `answered` is false, the application's work on the request is lost."""
         inbound.is_open = False
         self._end_filters(inbound, answered)
-        self.unanswered -= 1
+        self.unanswered_count -= 1
         if inbound.deadline_timer is not None:
             inbound.deadline_timer.cancel()
 
     def update(self, sidecar: Sidecar) -> None:
-        """Apply slots, queue and health check of a reread description."""
+        """Apply the slots, queue size and health check of a reloaded description."""
         self.sidecar = sidecar
         self.admission.slots = sidecar.slots
         self.admission.max_queued = sidecar.waiting
         self.health_check_request = format_health_check(sidecar)
         self._start_queued(time.monotonic())
 
-    def drain(self, end_by: float) -> None:
-        """Fail health checks, go on serving, and answer all requests by `end_by` (monotonic, s)."""
+    def drain(self, drain_deadline: float) -> None:
+        """Fail health checks, continue to serve requests, and answer all of them by the deadline.
+
+        `drain_deadline` is in monotonic seconds.
+        """
         self.admission.draining = True
-        self.end_by = end_by
+        self.drain_deadline = drain_deadline
         for inbound in self.requests.values():
-            if inbound.is_open and inbound.deadline > end_by:
+            if inbound.is_open and inbound.deadline > drain_deadline:
                 assert inbound.deadline_timer is not None
                 inbound.deadline_timer.cancel()
-                inbound.deadline = end_by
+                inbound.deadline = drain_deadline
                 inbound.deadline_timer = self.loop.call_later(
-                    max(0.0, end_by - time.monotonic()), self._on_deadline, inbound
+                    max(0.0, drain_deadline - time.monotonic()), self._on_deadline, inbound
                 )
 
     def close(self) -> None:
-        """Reject new requests, and stop listening."""
+        """Reject new requests and stop listening."""
         self.is_closed = True
         self.server.stop_listening()
--- a/service_proxy/sidecar/migrate.py
+++ b/service_proxy/sidecar/migrate.py
@@ -1,7 +1,7 @@
-"""Migrates a description of an older format line by line: comments and order are preserved. Pure.
+"""Migration of a description from an older format, line by line, preserving comments and order. Pure.
 
-Each step goes from one format to the next. A file without `format` (an include, an overlay) is taken to have
-the oldest one.
+Each step migrates from one format to the next. A file without `format` (an include, an overlay) is treated as
+having the oldest format.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 Step = Callable[[str, Lines, Mapping[str, Any]], Iterator[Problem]]
 
 
-def _rename(file: str, lines: Lines, place: Place, old: str, new: str) -> Problem | None:
-    """Rename the key at a place, quoted or not; return a problem where it can't be identified."""
+def _rename_key(file: str, lines: Lines, place: Place, old: str, new: str) -> Problem | None:
+    """Rename the key at a position, quoted or not; return a problem if the key can't be identified there."""
     line = lines[place.line - 1]
     before = line[: place.column - 1]
     from_key = line[place.column - 1 :]
     found = re.match(rf"""({old}|"{old}"|'{old}')(?=\s*[=.])""", from_key)
     if found is None:
-        text = f"{old} is called {new} by now, and can't be renamed by a program here"
+        text = f"{old} is called {new} in the current format, but can't be renamed automatically here"
         return Problem(file, place.line, "C005", text, f"write {new} in place of {old}", place.column)
     lines[place.line - 1] = before + new + from_key[found.end() :]
     return None
 
 
 def rename_listen(file: str, lines: Lines, raw: Mapping[str, Any]) -> Iterator[Problem]:
-    """1 to 2: [[sidecar]] `listen` is `inbound`, beside `outbound`."""
+    """Migrate format 1 to 2: rename `listen` of [[sidecar]] to `inbound`, because `outbound` was added."""
     places = find_positions("".join(lines))
     sidecars = raw.get("sidecar", [])
     for number, sidecar in enumerate(sidecars if isinstance(sidecars, list) else []):
         if isinstance(sidecar, Mapping) and "listen" in sidecar:
             path: Path = ("sidecar", str(number), "listen")
             place = places.get(path) or places.get(path[:-1]) or places.get(path[:1], Place(1, 1))
-            problem = _rename(file, lines, place, "listen", "inbound")
+            problem = _rename_key(file, lines, place, "listen", "inbound")
             if problem is not None:
                 yield problem
 
@@ -49,7 +49,9 @@
 
 
 def migrate(file: str, text: str) -> tuple[str, list[Problem]]:
-    """Return the text in this program's format, or unchanged with the problems that prevent it.
+    """Return the text in the current format.
+
+    If problems prevent the migration, the text is returned unchanged, with the problems.
 
     Raises tomllib.TOMLDecodeError, a ValueError.
     """
@@ -57,7 +59,7 @@
     version = raw.get("format", min(STEPS))
     if type(version) is not int or not min(STEPS) <= version <= FORMAT:
         place = find_positions(text).get(("format",), Place(1, 1))
-        message = f"format {version!r} is none that this program knows"
+        message = f"format {version!r} is not supported by this program"
         return text, [Problem(file, place.line, "C005", message, f"write format = {FORMAT}", place.column)]
     lines = text.splitlines(keepends=True)
     problems: list[Problem] = []
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -1,8 +1,8 @@
-"""The typed description of an application: its tables, their keys, and what each may be. Pure.
+"""Typed description of an application: its tables, their keys, and the valid values of each key. Pure.
 
-A class has the effect of a second execution (`effect`, which its owner knows); a route has what a sidecar
-*may do* with it (`retry`). rule_model.py finds whether the one breaks the other. Times are in
-seconds.
+A class declares the effect of a second execution (`effect`), which its owner defines. A route declares what
+a sidecar *may do* with requests of the class (`retry`). rule_model.py finds whether the route's permissions
+break the rules for the class. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def one_of(choices: tuple[str, ...]) -> object:
-    """Return a check that a value is one of these."""
+    """Return a check that a value is one of the choices."""
 
     def check(value: str) -> str | None:
         return (
@@ -35,18 +35,18 @@
 
 
 def find_name_problem(value: str) -> str | None:
-    """Return the problem of a name, or None."""
+    """Return the problem of a name, or None if the name is valid."""
     if NAME.fullmatch(value):
         return None
     non_ascii = next((character for character in value if not character.isascii()), "")
     if non_ascii:
-        return f"holds U+{ord(non_ascii):04X}, which may look like another letter"
-    return "must be small letters, digits, - and _, with a letter first"
+        return f"contains U+{ord(non_ascii):04X}, which may look like another letter"
+    return "must consist of lowercase letters, digits, - and _, and start with a letter"
 
 
 def _find_names_problem(value: tuple[str, ...]) -> str | None:
     problem = next((f"{name!r} {problem}" for name in value if (problem := find_name_problem(name))), None)
-    return problem or ("names one thing twice" if len(set(value)) != len(value) else None)
+    return problem or ("names an entry twice" if len(set(value)) != len(value) else None)
 
 
 def _find_health_path_problem(value: str) -> str | None:
@@ -54,8 +54,8 @@
     return None if is_valid else 'must be a path such as "/healthz"'
 
 
-def is_any(host: str) -> bool:
-    """Tell whether the address stands for all of a host's: 0.0.0.0 and [::]."""
+def is_unspecified_address(host: str) -> bool:
+    """Return whether an address is 0.0.0.0 or [::], which stands for all addresses of a host."""
     try:
         return ipaddress.ip_address(host.strip("[]")).is_unspecified
     except ValueError:
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Class:
-    """[class.NAME]: a class of requests, as its owner knows it."""
+    """[class.NAME]: properties of a class of requests, as its owner defines them."""
 
     effect: str = key(str, '"once"', check=one_of(EFFECTS))  # type: ignore[arg-type]
     aim: float = key(Duration, '"500ms"', check=between(0.001, 3600))
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """[defaults] and [route.CLASS]: what a sidecar may do with a class."""
+    """[defaults] and [route.CLASS]: what a sidecar may do with requests of a class."""
 
     retry: str = key(str, '"never-ran"', "never-ran", one_of(RETRIES))  # type: ignore[arg-type]
     retry_within: str = key(str, '"zone"', "zone", one_of(GROUPS))  # type: ignore[arg-type]
@@ -87,7 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tier:
-    """[tier.NAME]: the endpoints of a tier as their operator knows them, and how sidecars treat them."""
+    """[tier.NAME]: properties of a tier's endpoints, and their treatment by sidecars.
+
+    The operator of the endpoints defines the values.
+    """
 
     zones: tuple[str, ...] = key(tuple, '["zone-a", "zone-b"]', check=_find_names_problem)
     classes: tuple[str, ...] = key(tuple, '["read", "order"]', check=_find_names_problem)
@@ -100,15 +103,15 @@
     cold_for: float = key(Duration, '"24s"', 24.0, between(0, 3600))
     survives: float = key(float, "3.0", 3.0, between(1, 1000))
     push: float = key(float, "2.0", 2.0, between(0.01, 1000))
-    # Where a sidecar learns of its nodes: the padron (this one, else the description's), and beside it
-    # ephemeral nodes, in the terms of the operator's file.
+    # Address of the discovery that lists the tier's nodes; empty: the description's `padron` is used.
+    # `membership` additionally lists them as ephemeral nodes, with the keys of the operator's file.
     padron: str = key(str, '"10.2.0.1:8500"', "", find_optional_address_problem)
     membership: Membership | None = key(Membership, "", None)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """[tenant.NAME]: a tenant's share."""
+    """[tenant.NAME]: share and quota of a tenant."""
 
     share: float = key(float, "0.5", check=between(0, 1))
     quota_per_s: float = key(float, "100.0", 0.0, between(0, 1e9))
@@ -116,11 +119,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Sidecar:
-    """[[sidecar]]: one beside each application.
+    """[[sidecar]]: one sidecar; each application has one beside it.
 
-    `inbound` is its listener before the application, whose health it checks at `health` and which it gives
-    `slots` requests at a time, while `waiting` more may be queued; `outbound` has a listener for each tier
-    that the application calls.
+    `inbound` is the listener in front of the application. The sidecar checks the application's health at
+    `health`, sends it at most `slots` requests at a time, and queues at most `waiting` more. `outbound` has a
+    listener for each tier that the application calls.
     """
 
     host: str = key(str, '"h-1"', check=find_name_problem)
@@ -140,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    """[features]: what the sidecars use of what the nodes and the platform offer."""
+    """[features]: optional features of nodes and platform that the sidecars use."""
 
     probes: bool = key(bool, "true", True)
     load_reports: str = key(str, '"probe"', "probe", one_of(REPORTS))  # type: ignore[arg-type]
@@ -166,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Description:
-    """An application's description, with includes and overlay; routes have their defaults."""
+    """Description of an application after includes, overlay and route defaults are applied."""
 
     file: str
     top: Top
@@ -179,5 +182,5 @@
     budgets: Budgets | None = None
 
     def padron(self, tier: str) -> str:
-        """Return the address of the discovery of a tier's nodes."""
+        """Return the address of the discovery that lists a tier's nodes."""
         return self.tiers[tier].padron or self.top.padron
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -1,7 +1,8 @@
-"""Checks a platform's JSON (DEPLOY, EDGE_CONFIG): its form, its settings, and the four rules.
+"""Checks of a platform's JSON (DEPLOY, EDGE_CONFIG): its structure, its settings and the four rules.
 
-The JSON says how a class is treated and not whether it is idempotent. Where a description is checked along
-with it, the class's effect is known, and the same model finds whether the treatment breaks a rule.
+The JSON defines how requests of a class are treated, but not whether the class is idempotent. If a
+description is checked along with the JSON, the description defines the effect of the class, and rule_model.py
+finds whether the treatment breaks a rule.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
     "name listen discovery seed limits peer_listen peers peers_all known settings written forms".split()
 )
 TOKEN = re.compile(r'\s*("(?:[^"\\]|\\.)*"|[{}\[\],:]|[^\s{}\[\],:"]+)')
-RETRIES = {"repeatable": "always", "by_key": "by-key", "once": "never-ran"}
-SETTING = re.compile(r"setting (?:class (?P<cls>\S+) )?(?P<path>[\w.]+)")
+RETRY_BY_EFFECT = {"repeatable": "always", "by_key": "by-key", "once": "never-ran"}
+SETTING_PATTERN = re.compile(r"setting (?:class (?P<cls>\S+) )?(?P<path>[\w.]+)")
 
 
 class DuplicateKeyError(ValueError):
-    """A key that an object gives twice; JSON readers use the last one without an error."""
+    """Error: a JSON object contains a key twice. JSON readers use the last one without an error."""
 
 
 def _to_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -41,32 +42,32 @@
 
 
 def json_positions(text: str) -> dict[Path, Place]:
-    """Return the places of keys and elements of an accepted JSON text."""
+    """Return the positions of keys and elements in a JSON text that the JSON parser has accepted."""
     found: dict[Path, Place] = {(): Place(1, 1)}
-    stack: list[list[Any]] = []  # of [kind, key or index, whether a key is due]
-    at = 0
-    while token := TOKEN.match(text, at):
-        at = token.end()
+    stack: list[list[Any]] = []  # open containers, each as [kind, key or index, whether a key follows]
+    offset = 0
+    while token := TOKEN.match(text, offset):
+        offset = token.end()
         value = token[1]
         start = token.start(1)
         line = text.count("\n", 0, start) + 1
         place = Place(line, start - text.rfind("\n", 0, start))
-        inside = stack[-1] if stack else None
+        container = stack[-1] if stack else None
         if value in "}]":
             stack.pop()
             continue
         if value == ",":
-            assert inside is not None
-            if inside[0] == "[":
-                inside[1] += 1
+            assert container is not None
+            if container[0] == "[":
+                container[1] += 1
             else:
-                inside[2] = True
+                container[2] = True
             continue
         if value == ":":
             continue
-        if inside is not None and inside[0] == "{" and inside[2]:
-            inside[1] = json.loads(value)
-            inside[2] = False
+        if container is not None and container[0] == "{" and container[2]:
+            container[1] = json.loads(value)
+            container[2] = False
             found.setdefault(tuple(str(entry[1]) for entry in stack), place)
             continue
         path = tuple(str(entry[1]) for entry in stack)
@@ -77,12 +78,12 @@
 
 
 class Platform:
-    """A platform's JSON with its problems. Raises OperatorError where it can't be read."""
+    """Platform's JSON and the problems found in it. Raises OperatorError if the file can't be read."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        remedy = "name a file as `write` makes them"
+        remedy = "name a file that `write` made"
         try:
             with open(file, "rb") as source:
                 data = source.read(MAX_FILE_BYTES + 1)
@@ -97,31 +98,35 @@
         except DuplicateKeyError as error:
             places = [found.start() for found in re.finditer(re.escape(json.dumps(str(error))), text)]
             line = text.count("\n", 0, places[1] if len(places) > 1 else 0) + 1
-            raise self._unreadable("C002", f"gives {error} twice", "take one of them out", line) from None
+            raise self._unreadable(
+                "C002", f"has the key {error} twice", "remove one of the two", line
+            ) from None
         except json.JSONDecodeError as error:
-            text_of = f"is no JSON: {error.msg}"
-            raise self._unreadable("C002", text_of, "mend this line", error.lineno, error.colno) from None
+            message = f"is not JSON: {error.msg}"
+            raise self._unreadable("C002", message, "correct this line", error.lineno, error.colno) from None
         except (UnicodeDecodeError, RecursionError):
-            raise self._unreadable("C004", "is no UTF-8, or nested too deep", "save it as UTF-8") from None
+            raise self._unreadable(
+                "C004", "is not UTF-8, or is nested too deep", "save it as UTF-8"
+            ) from None
         self._check()
 
     def _unreadable(self, code: str, text: str, remedy: str, line: int = 1, column: int = 1) -> OperatorError:
         return OperatorError([Problem(self.file, line, code, text, remedy, column)])
 
     def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
-        """Add a problem at a path."""
+        """Add a problem at the position of a path."""
         place = place_of(self.places, path)
         self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
     @property
     def settings(self) -> Mapping[str, Any]:
-        """The object `settings`, or an empty one."""
+        """The object `settings` of the JSON, or an empty one if it is missing."""
         found = self.raw.get("settings") if isinstance(self.raw, dict) else None
         return found if isinstance(found, dict) else {}
 
     def _check(self) -> None:
         if not isinstance(self.raw, dict) or not self.settings:
-            self.add_problem((), "S103", "there is no object settings", 'write {"settings": {...}, ...}')
+            self.add_problem((), "S103", "the object settings is missing", 'write {"settings": {...}, ...}')
             return
         for key in self.raw.keys() - TOP_LEVEL_KEYS:
             self.add_problem((key,), "S101", f"unknown key {key}", suggest_name(key, TOP_LEVEL_KEYS))
@@ -135,7 +140,7 @@
             read_settings(flatten_settings(self.raw["settings"]))
         except (ValueError, TypeError, AttributeError) as error:
             self.add_problem(
-                self._path_of(str(error)), "S105", str(error), "write a value that the platform's page has"
+                self._path_of(str(error)), "S105", str(error), "write a value that the platform's page allows"
             )
         limits = self.settings.get("policy_limits", {})
         if (
@@ -144,7 +149,9 @@
             and limits.get("send_cap", 1) != 1
         ):
             path = ("settings", "policy_limits", "may_duplicate")
-            self.add_problem(path, "R202", "two attempts of a call may be out at once", "write false")
+            self.add_problem(
+                path, "R202", "two attempts of a request may be in flight at once", "write false"
+            )
         contract = self.settings.get("contract", {})
         grace = contract.get("drain_grace", 0) if isinstance(contract, dict) else 0
         if isinstance(grace, int | float) and grace > rule_model.MAX_DRAIN_S:
@@ -152,13 +159,13 @@
             self.add_problem(
                 path,
                 "R203",
-                f"something new may go to a draining server for {grace:g} s",
+                f"new requests may be sent to a draining server for {grace:g} s",
                 "write 2.0 or less",
             )
 
     def _path_of(self, text: str) -> Path:
-        """Return the path of the setting that the reader's message names."""
-        found = SETTING.match(text)
+        """Return the path of the setting that an error message of read_settings names."""
+        found = SETTING_PATTERN.match(text)
         if not found:
             return ("settings",)
         parts = tuple(found["path"].split("."))
@@ -169,7 +176,7 @@
         return ("settings", *parts)
 
     def compare_with(self, descriptions: list[Description]) -> Iterator[Problem]:
-        """Yield a problem for each class whose treatment breaks a rule by its description."""
+        """Yield a problem for each class whose treatment breaks rule 2 according to its description."""
         described: dict[str, tuple[Class, Description]] = {}
         for description in descriptions:
             for name, cls in description.classes.items():
@@ -182,7 +189,7 @@
                 continue
             cls, description = described[grade["name"]]
             route = Route(
-                RETRIES.get(str(grade.get("effect")), "never-ran"),
+                RETRY_BY_EFFECT.get(str(grade.get("effect")), "never-ran"),
                 str(grade.get("group", "all")),
                 float(grade.get("window", 0.0)),
                 int(limits.get("send_cap", 1)),
@@ -190,6 +197,8 @@
             example = rule_model.rule_two(grade["name"], cls, route)
             if example is not None:
                 path = ("settings", "grades", str(number), "effect")
-                text = f"{grade['name']} is {cls.effect} by {description.file}; treated so, {example}"
-                self.add_problem(path, "R202", text, "write it anew from its description")
+                text = (
+                    f"{grade['name']} is {cls.effect} by {description.file}; with this treatment, {example}"
+                )
+                self.add_problem(path, "R202", text, "write the file again from its description")
         yield from self.problems[before:]
--- a/service_proxy/sidecar/report.py
+++ b/service_proxy/sidecar/report.py
@@ -1,4 +1,4 @@
-"""Findings as text for people, JSON for tools, and SARIF 2.1.0 (OASIS) for editors and CI. Pure."""
+"""Output of findings: text for people, JSON for tools, and SARIF 2.1.0 (OASIS) for editors and CI. Pure."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def as_text(problems: Iterable[Problem]) -> str:
-    """Write findings as a compiler does."""
+    """Return the findings as text, in the format of compiler messages."""
     return "".join(f"{problem}\n" for problem in problems)
 
 
 def as_json(problems: Iterable[Problem]) -> str:
-    """Write findings as a JSON list."""
+    """Return the findings as a JSON list."""
     found = [
         {
             "file": problem.file,
@@ -35,7 +35,7 @@
 
 
 def as_sarif(problems: Iterable[Problem]) -> str:
-    """Write findings as SARIF 2.1.0."""
+    """Return the findings as SARIF 2.1.0."""
     found = list(problems)
     rules = [
         {
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -1,8 +1,8 @@
-"""The process `run`: the inbound and outbound listeners of one sidecar beside its application.
+"""The `run` command: the inbound and outbound listeners of one sidecar beside its application.
 
-It checks its description before it opens a socket, and again on SIGHUP: a file that check refuses changes
-nothing. At SIGTERM the inbound side ends first, since the application needs the outbound listeners while it
-has requests.
+The description is checked before any socket is opened, and again on SIGHUP. A file that fails the check
+changes nothing. At SIGTERM the inbound side ends first, because the application needs the outbound listeners
+while it processes requests.
 """
 
 from __future__ import annotations
@@ -39,20 +39,21 @@
 from service_proxy.sidecar.admission import ACCEPTING_STATES, ApplicationState
 from service_proxy.sidecar.checking import check, exit_code_of
 from service_proxy.sidecar.description import load
-from service_proxy.sidecar.explain import effective
+from service_proxy.sidecar.explain import effective_values
 from service_proxy.sidecar.inbound import IDEMPOTENCY_BY_EFFECT, InboundListener
 from service_proxy.sidecar.model import Description, Sidecar
 from service_proxy.sidecar.write import platform
 
 log = logging.getLogger("service_proxy.sidecar")
 
-RESPONSE_MARGIN_S = 0.4  # by which the last responses are sent before SIGKILL
-MAX_LOGGED_FINDINGS = 3  # findings in one line of the log
-RELOADABLE_KEYS = frozenset(("padron", "slots", "waiting", "health"))  # by SIGHUP
+RESPONSE_MARGIN_S = 0.4  # the last responses are sent this long before SIGKILL
+MAX_LOGGED_FINDINGS = 3  # findings per log line
+# Keys that a reload on SIGHUP can change.
+RELOADABLE_KEYS = frozenset(("padron", "slots", "waiting", "health"))
 
 
 class DescriptionRejectedError(Exception):
-    """The description can't be run: what check found."""
+    """Error: the description has findings of the checks, so it can't be run."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__(f"{len(problems)} findings")
@@ -69,12 +70,15 @@
             raise DescriptionRejectedError(error.problems) from None
         if description is not None:
             return description
-        problems = layers.problems  # it changed since
+        problems = layers.problems  # the file changed after the check
     raise DescriptionRejectedError(problems)
 
 
 def choose_sidecar(description: Description, host: str, tier: str) -> Sidecar:
-    """Return the one [[sidecar]] that is this machine's. Raises DescriptionRejectedError."""
+    """Return the [[sidecar]] table that matches the host and tier. Raises DescriptionRejectedError.
+
+    If several tables match and no host is given, the table of this machine's host name is used.
+    """
     found = [
         sidecar
         for sidecar in description.sidecars
@@ -87,12 +91,20 @@
     names = ", ".join(f"--host {entry.host} --tier {entry.tier}" for entry in description.sidecars[:8])
     text = f"{len(found) or 'no'} sidecars are for host {host or 'any'} and tier {tier or 'any'}"
     raise DescriptionRejectedError(
-        [Problem(description.file, 1, "S107", text, f"say which: {names or 'there is none'}")]
+        [
+            Problem(
+                description.file,
+                1,
+                "S107",
+                text,
+                f"name one of the described sidecars: {names or 'there is none'}",
+            )
+        ]
     )
 
 
 def listener_limits(sidecar: Sidecar) -> tuple[int, float]:
-    """Return the descriptors and MB of each listener."""
+    """Return the file descriptors and the memory in MB that each listener may use."""
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = sidecar.sockets if soft == resource.RLIM_INFINITY else min(sidecar.sockets, soft)
     listeners = len(sidecar.outbound) + 1
@@ -100,7 +112,7 @@
 
 
 def outbound_config(description: Description, sidecar: Sidecar, called: str) -> ProxyConfig:
-    """Return the configuration of the proxy towards a tier. Raises ConfigError."""
+    """Return the configuration of the proxy that sends requests to a tier. Raises ConfigError."""
     sockets, memory_mb = listener_limits(sidecar)
     raw = platform(description, sidecar, called)
     raw["limits"] = {"sockets": sockets, "memory_mb": memory_mb}
@@ -112,7 +124,7 @@
 
 
 def request_classes(description: Description, tier: str) -> dict[str, RequestClass]:
-    """Return the classes that the application serves, as deadline propagation knows them."""
+    """Return the request classes that the application serves, in the form that deadline propagation uses."""
     found = {}
     for name in description.tiers[tier].classes:
         cls = description.classes[name]
@@ -123,7 +135,7 @@
 
 
 class RunningSidecar:
-    """One sidecar's parts, from their start until the end."""
+    """Inbound listener, outbound proxies and registration of one running sidecar."""
 
     def __init__(self, description: Description, sidecar: Sidecar) -> None:
         self.description = description
@@ -150,9 +162,9 @@
         self.registration_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start all listeners, the outbound ones first: the application may need them at once.
+        """Start all listeners, the outbound ones first, because the application may need them at once.
 
-        Raises OSError, with the address, where a listener's is taken.
+        Raises OSError, with the address, if the address of a listener is in use.
         """
         for proxy in self.outbound.values():
             await proxy.start()
@@ -161,44 +173,45 @@
             self.registration_task = asyncio.get_running_loop().create_task(self._keep_registered())
 
     async def _keep_registered(self) -> None:
-        """Keep the endpoint's node up to date.
+        """Keep the endpoint's ephemeral node up to date.
 
-        It is created once the application is healthy, says Terminating while it is not, and then has a new
-        start time.
+        The node is created once the application is healthy. Its status is Terminating while the application
+        does not accept requests. When the application accepts requests again, the node has a new start time.
         """
         assert self.registrar is not None
         inbound = self.inbound
         node = self.registrar.node
-        begun = False
-        ready = False
+        registrar_started = False
+        is_ready = False
         while True:
             inbound.state_changed.clear()
             state = inbound.admission.state
-            if state is ApplicationState.UP and not ready:
-                since_ms = int(time.time() * 1000) if begun else node.since_ms
+            if state is ApplicationState.UP and not is_ready:
+                since_ms = int(time.time() * 1000) if registrar_started else node.since_ms
                 self.registrar.update(dataclasses.replace(node, since_ms=since_ms))
-                if not begun:
+                if not registrar_started:
                     self.registrar.start()
-                begun = True
-                ready = True
-            elif ready and state not in ACCEPTING_STATES:
+                registrar_started = True
+                is_ready = True
+            elif is_ready and state not in ACCEPTING_STATES:
                 self.registrar.update(self.registrar.node.draining())
-                ready = False
+                is_ready = False
             await inbound.state_changed.wait()
 
     def reload(self, description: Description, sidecar: Sidecar) -> list[str]:
-        """Apply a reread description; return the keys that have changed and can't while it runs.
+        """Apply a reloaded description, and return the changed keys that can't change while the sidecar runs.
 
-        If there are any, nothing is applied; nor where the key file can't be used: OperatorError.
+        If there are such keys, nothing is applied. Raises OperatorError if the key file can't be used; then
+        nothing is applied either.
         """
-        values = dict(effective(self.description))
-        unchangeable = []
-        for path, value in effective(description):
+        values = dict(effective_values(self.description))
+        not_reloadable = []
+        for path, value in effective_values(description):
             if values.pop(path, None) != value and path[-1] not in RELOADABLE_KEYS:
-                unchangeable.append(".".join(path))
-        unchangeable += [".".join(path) for path in values]
-        if unchangeable:
-            return unchangeable
+                not_reloadable.append(".".join(path))
+        not_reloadable += [".".join(path) for path in values]
+        if not_reloadable:
+            return not_reloadable
         if self.budgets is not None:
             self.budgets.reread_keys()
         self.description = description
@@ -209,20 +222,20 @@
         return []
 
     async def drain(self) -> None:
-        """Answer all accepted requests, before the SIGKILL `stop_after` s from now."""
+        """Answer all accepted requests before the SIGKILL, which follows `stop_after` seconds from now."""
         tier = self.description.tiers[self.sidecar.tier]
         now = time.monotonic()
-        end_by = now + tier.stop_after - RESPONSE_MARGIN_S
-        self.inbound.drain(end_by)
+        drain_deadline = now + tier.stop_after - RESPONSE_MARGIN_S
+        self.inbound.drain(drain_deadline)
         for proxy in self.outbound.values():
-            proxy.end_all_by(end_by)
+            proxy.end_all_by(drain_deadline)
         if self.registration_task is not None and self.registrar is not None:
             self.registration_task.cancel()
             self.registrar.update(self.registrar.node.draining())
-        # Clients learn late that it drains, and may send requests until then.
-        await asyncio.sleep(min(tier.drain, max(0.0, end_by - time.monotonic())))
+        # Clients are notified of the drain with a delay and may send requests until then.
+        await asyncio.sleep(min(tier.drain, max(0.0, drain_deadline - time.monotonic())))
         self.inbound.close()
-        await drain_server(self.inbound.server, lambda: self.inbound.unanswered > 0)
+        await drain_server(self.inbound.server, lambda: self.inbound.unanswered_count > 0)
         for proxy in self.outbound.values():
             proxy.server.stop_listening()
             await proxy.wait_until_drained()
@@ -237,14 +250,14 @@
 
 
 def join_findings(problems: list[Problem]) -> str:
-    """Write findings as one line of the log."""
+    """Return the findings as one line for the log."""
     lines = [" | ".join(str(problem).splitlines()) for problem in problems[:MAX_LOGGED_FINDINGS]]
     more = f" (and {len(problems) - MAX_LOGGED_FINDINGS} more)" if len(problems) > MAX_LOGGED_FINDINGS else ""
     return "; ".join(lines) + more
 
 
 def reload_description(running: RunningSidecar, options: Any) -> None:
-    """Reread the description on SIGHUP; nothing of a rejected one is applied."""
+    """Reload the description on SIGHUP; nothing of a rejected description is applied."""
     try:
         description = read_description(options.file, options.environment)
         sidecar = choose_sidecar(description, running.sidecar.host, running.sidecar.tier)
@@ -252,24 +265,24 @@
         log.error("reload_rejected error=%s", join_findings(error.problems))
         return
     try:
-        unchangeable = running.reload(description, sidecar)
+        not_reloadable = running.reload(description, sidecar)
     except OperatorError as error:
         log.error("reload_rejected error=%s", join_findings(error.problems))
         return
-    if unchangeable:
-        names = ", ".join(unchangeable[:MAX_LOGGED_FINDINGS]) + (
-            f" and {len(unchangeable) - MAX_LOGGED_FINDINGS} more"
-            if unchangeable[MAX_LOGGED_FINDINGS:]
+    if not_reloadable:
+        names = ", ".join(not_reloadable[:MAX_LOGGED_FINDINGS]) + (
+            f" and {len(not_reloadable) - MAX_LOGGED_FINDINGS} more"
+            if not_reloadable[MAX_LOGGED_FINDINGS:]
             else ""
         )
-        reason = f"{options.file}: S109: {names} can't change while it runs: start it anew"
+        reason = f"{options.file}: S109: {names} can't change while the sidecar runs: restart it"
         log.error("reload_rejected error=%s", reason)
         return
     log.info("reload_accepted file=%s", options.file)
 
 
 def status_lines(running: RunningSidecar) -> Iterator[str]:
-    """Yield what is printed once the sidecar runs."""
+    """Yield the lines that are printed when the sidecar has started."""
     sidecar = running.sidecar
     yield f"inbound {sidecar.inbound} for the application at {sidecar.application}"
     for called, address in sorted(sidecar.outbound.items()):
@@ -278,29 +291,30 @@
 
 
 async def serve(description: Description, sidecar: Sidecar, options: Any) -> None:
-    """Run the sidecar until SIGTERM or SIGINT, and drain it."""
+    """Run the sidecar until SIGTERM or SIGINT, then drain it."""
     loop = asyncio.get_running_loop()
-    term = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, term.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     running = RunningSidecar(description, sidecar)
     loop.add_signal_handler(signal.SIGHUP, reload_description, running, options)
     await running.start()
     freeze_long_lived_objects()
     for line in status_lines(running):
         print(line, flush=True)
-    await term.wait()
+    await stop_requested.wait()
     await running.drain()
     running.stop()
 
 
 def run(options: Any) -> int:
-    """Run a sidecar by file, environment, host and tier.
+    """Run the sidecar that the file, environment, host and tier select.
 
-    Return exit code 0 after SIGTERM, 1 for findings or an address that is taken, 2 where a file can't be
+    Return exit code 0 after SIGTERM, 1 for findings or an address that is in use, and 2 if a file can't be
     read.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # one during the start: the new file is read anyway
+    # A SIGHUP during the start is ignored, because the start reads the current file anyway.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     log.setLevel(logging.INFO)
     try:
@@ -314,7 +328,7 @@
     except ConfigError as error:
         print(f"{options.file}: {error}", file=sys.stderr)
         return 2
-    except OperatorError as error:  # a file that the description names
+    except OperatorError as error:  # raised for a file that the description names
         sys.stderr.write(report.as_text(error.problems))
         return exit_code_of(error.problems)
     except OSError as error:
--- a/service_proxy/sidecar/toml.py
+++ b/service_proxy/sidecar/toml.py
@@ -1,4 +1,4 @@
-"""Typed tables back into TOML: what the tool writes in the operator's and the description's formats. Pure."""
+"""Writer of typed tables as TOML, in the operator's and the description's formats. Pure."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from service_proxy.sidecar.model import FORMAT, Description
 
 
-def value_of(kind: Any, value: Any) -> str:
-    """One value as TOML 1.0 has it. JSON's strings are basic strings of TOML's, but for DEL."""
+def format_value(kind: Any, value: Any) -> str:
+    """Return a value as TOML 1.0.
+
+    JSON strings are valid basic strings of TOML, except for the character DEL.
+    """
     if kind is Duration:
         return f'"{value:.6f}'.rstrip("0").rstrip(".") + 's"'
     if kind is tuple:
-        return "[" + ", ".join(value_of(str, item) for item in value) + "]"
+        return "[" + ", ".join(format_value(str, item) for item in value) + "]"
     if kind is float:
         return repr(float(value))
     if kind is bool:
@@ -26,10 +29,10 @@
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007F")
 
 
-def table(value: Any, header: str) -> Iterator[str]:
-    """Yield the lines of a table and of those within it.
+def format_table(value: Any, header: str) -> Iterator[str]:
+    """Yield the lines of a table and of its nested tables.
 
-    Keys at their default are left out, as are tables that are off.
+    Keys with their default value are omitted, and so are nested tables that are not set.
     """
     inner = []
     yield header
@@ -41,25 +44,28 @@
                 inner.append((entry.name, found))
         elif kind is dict:
             for name, item in found.items():
-                yield f"{entry.name}.{name} = {value_of(str, item)}"
+                yield f"{entry.name}.{name} = {format_value(str, item)}"
         elif found != entry.default or header.startswith("[route"):
-            yield f"{entry.name} = {value_of(kind, found)}"
+            yield f"{entry.name} = {format_value(kind, found)}"
     yield ""
     for name, found in inner:
-        yield from table(found, f"[{header.strip('[]')}.{name}]")
+        yield from format_table(found, f"[{header.strip('[]')}.{name}]")
 
 
 def description_text(d: Description) -> str:
-    """A description that reads as this one: includes, overlays, variables and defaults are worked in."""
+    """Return a TOML text that is read as an equal description.
+
+    Includes, overlays, variables and defaults are resolved in the text.
+    """
     lines = [f"format = {FORMAT}"]
     for entry in dataclasses.fields(d.top):
         found = getattr(d.top, entry.name)
         if entry.name not in ("format", "include", "variables") and found != entry.default:
-            lines.append(f"{entry.name} = {value_of(entry.metadata['kind'], found)}")
+            lines.append(f"{entry.name} = {format_value(entry.metadata['kind'], found)}")
     lines.append("")
-    lines += table(d.features, "[features]")
+    lines += format_table(d.features, "[features]")
     if d.budgets is not None:
-        lines += table(d.budgets, "[budgets]")
+        lines += format_table(d.budgets, "[budgets]")
     for name, entries in (
         ("class", d.classes),
         ("route", d.routes),
@@ -67,7 +73,7 @@
         ("tenant", d.tenants),
     ):
         for key, value in entries.items():
-            lines += table(value, f"[{name}.{key}]")
+            lines += format_table(value, f"[{name}.{key}]")
     for sidecar in d.sidecars:
-        lines += table(sidecar, "[[sidecar]]")
+        lines += format_table(sidecar, "[[sidecar]]")
     return "\n".join(lines)
--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -1,11 +1,12 @@
-"""Write the files of a description: units, and the configuration of plain proxies.
+"""Writer of a description's files: units, and the configuration of plain proxies.
 
-For each sidecar a unit, and for each tier that it calls the platform's JSON, the operator's file and a unit,
-for installations that run a plain proxy for each tier instead of the sidecar.
+Each sidecar has a unit. Each tier that it calls has the platform's JSON, the operator's file and a unit, for
+installations that run a plain proxy per tier instead of the sidecar.
 
-The same input gives the same bytes. The folder is replaced atomically: a new one is made beside it and
-renamed. A file that was edited by hand (by its digest), one that was not written here and a link are refused
-unless forced; then the old folder stays beside the new one.
+The same input produces the same bytes. The folder is replaced atomically: a new folder is created beside the
+old one and renamed. A file that was edited by hand (its digest differs), a file that this tool did not write
+and a link are refused unless the write is forced. After a forced write the old folder stays beside the new
+one.
 """
 
 from __future__ import annotations
@@ -21,30 +22,30 @@
 
 from service_proxy.operator_file.reader import Problem
 from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier
-from service_proxy.sidecar.toml import table
+from service_proxy.sidecar.toml import format_table
 
 DIGEST_KEY = "written"
-# The tool's old name stays in the first lines: earlier versions recognize the files of a folder by it.
+# The tool's old name stays in the first line of files: earlier versions recognize their files by this name.
 WRITTEN_BY = "granitepoint.sidecar"
 DIGEST_HEAD = f"# written by {WRITTEN_BY}, sha256 ".encode()
 IDEMPOTENCY_BY_EFFECT = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
-# The treatment of a request follows from its route; its form (method, key) from its class.
+# The route determines the treatment of a request. The class determines its form (method, key).
 IDEMPOTENCY_BY_RETRY = {"never": "once", "never-ran": "once", "by-key": "by_key", "always": "repeatable"}
 CONNECT_TIMEOUT_S = 0.25
 IDLE_TIMEOUT_S = 15.0
 QUANTUM_S = 0.005
-MAX_OPEN_REQUESTS = 4000  # of one listener
+MAX_OPEN_REQUESTS = 4000  # maximum number of open requests of one listener
 REPORTS = {"probe": "on_probe", "answer": "inline", "none": "off"}
 
 
 def files(description: Description) -> dict[str, bytes]:
-    """Return the content of all files that are written, by relative path."""
+    """Return the content of all files to write, by relative path."""
     contents: dict[str, bytes] = {}
     for sidecar in description.sidecars:
-        home = f"{sidecar.host}/{sidecar.tier}"
+        base_path = f"{sidecar.host}/{sidecar.tier}"
         plain_units = []
         for called in sorted(sidecar.outbound):
-            stem = f"{home}-{called}"
+            stem = f"{base_path}-{called}"
             plain_units.append(f"willowwing-{sidecar.tier}-{called}.service")
             contents[f"{stem}.json"] = with_json_digest(platform(description, sidecar, called))
             membership = description.tiers[called].membership
@@ -57,29 +58,31 @@
                 )
             if operator_tables:
                 contents[f"{stem}.operator.toml"] = with_head_digest(toml_tables(**operator_tables))
-            contents[f"{stem}.service"] = with_head_digest(unit(sidecar, called, stem, bool(operator_tables)))
+            contents[f"{stem}.service"] = with_head_digest(
+                plain_proxy_unit(sidecar, called, stem, bool(operator_tables))
+            )
         membership = description.tiers[sidecar.tier].membership
         if sidecar.registration is not None and membership is not None:
             tables = toml_tables(membership=membership, registration=sidecar.registration)
-            contents[f"{home}.operator.toml"] = with_head_digest(tables)
-        contents[f"{home}.service"] = with_head_digest(sidecar_unit(description, sidecar, plain_units))
+            contents[f"{base_path}.operator.toml"] = with_head_digest(tables)
+        contents[f"{base_path}.service"] = with_head_digest(sidecar_unit(description, sidecar, plain_units))
     return dict(sorted(contents.items()))
 
 
 def balancer_number(description: Description, sidecar: Sidecar, called: str) -> tuple[int, int]:
-    """Return the sidecar's number among those that call the tier, and how many these are."""
+    """Return the index of the sidecar among those that call the tier, and the number of these sidecars."""
     callers = [candidate for candidate in description.sidecars if called in candidate.outbound]
     return callers.index(sidecar), len(callers)
 
 
 def toml_tables(**tables: Any) -> bytes:
-    """Write tables as TOML."""
-    lines = [line for name, value in tables.items() for line in table(value, f"[{name}]")]
+    """Return tables as TOML."""
+    lines = [line for name, value in tables.items() for line in format_table(value, f"[{name}]")]
     return "\n".join(lines).encode()
 
 
 def platform(description: Description, sidecar: Sidecar, called: str) -> dict[str, Any]:
-    """Return the platform's configuration (DEPLOY) of the sidecar's proxy towards one tier."""
+    """Return the platform's configuration (DEPLOY) of the sidecar's proxy for one tier."""
     tier = description.tiers[called]
     names = [name for name in tier.classes if name in description.classes]
     routes = {name: description.routes.get(name, Route()) for name in names}
@@ -99,15 +102,15 @@
 ) -> dict[str, Any]:
     """Return the `settings` of the platform's configuration."""
     tier = description.tiers[called]
-    order = list(description.tiers)
+    tier_names = list(description.tiers)
     number, sidecars = balancer_number(description, sidecar, called)
     features = description.features
     max_attempts = max((route.attempts for route in routes.values()), default=1)
     return {
         "balancers": sidecars,
         "me": number,
-        "stage": order.index(called),
-        "stages": order,
+        "stage": tier_names.index(called),
+        "stages": tier_names,
         "zone": sidecar.zone,
         "dcs": list(tier.zones),
         "discovery": "ask",
@@ -124,7 +127,7 @@
 
 
 def _grade(name: str, cls: Class, route: Route) -> dict[str, Any]:
-    """Return one entry of the settings' `grades`: a class as its route treats it."""
+    """Return one entry of the settings' `grades`: a class with the treatment that its route defines."""
     effect = IDEMPOTENCY_BY_RETRY[route.retry]
     grade: dict[str, Any] = {
         "name": name,
@@ -165,15 +168,15 @@
     }
 
 
-def canonical(body: dict[str, Any]) -> bytes:
-    """Write JSON in the one form that digests are taken of."""
+def canonical_json(body: dict[str, Any]) -> bytes:
+    """Return JSON in the canonical form for which digests are computed."""
     return json.dumps(body, indent=1, ensure_ascii=False).encode()
 
 
 def with_json_digest(body: dict[str, Any]) -> bytes:
-    """Return JSON with a digest of the rest as its first key."""
-    digest_entry = {"by": WRITTEN_BY, "sha256": hashlib.sha256(canonical(body)).hexdigest()}
-    return canonical({DIGEST_KEY: digest_entry, **body}) + b"\n"
+    """Return JSON whose first key is a digest of the remaining content."""
+    digest_entry = {"by": WRITTEN_BY, "sha256": hashlib.sha256(canonical_json(body)).hexdigest()}
+    return canonical_json({DIGEST_KEY: digest_entry, **body}) + b"\n"
 
 
 def with_head_digest(body: bytes) -> bytes:
@@ -182,12 +185,12 @@
 
 
 def digest(body: bytes) -> bytes:
-    """Return the SHA-256 of a body, as hex."""
+    """Return the SHA-256 digest of a body as hexadecimal digits."""
     return hashlib.sha256(body).hexdigest().encode()
 
 
-def _service(sidecar: Sidecar, title: str, unit_lines: str, command: str, stop_after: float) -> bytes:
-    """Return a systemd unit (systemd.service(5)); nothing installs it."""
+def _format_unit(sidecar: Sidecar, title: str, unit_lines: str, command: str, stop_after: float) -> bytes:
+    """Return a systemd unit (systemd.service(5)); the tool does not install it."""
     return (
         f"[Unit]\nDescription=willowwing {title}\nAfter=network.target\n{unit_lines}\n"
         f"[Service]\n{command}"
@@ -198,29 +201,34 @@
     ).encode()
 
 
-def unit(sidecar: Sidecar, called: str, stem: str, operator: bool) -> bytes:
-    """Return the unit of a plain proxy towards one tier."""
-    operator_option = f" --operator /etc/willowwing/{stem}.operator.toml" if operator else ""
+def plain_proxy_unit(sidecar: Sidecar, called: str, stem: str, has_operator_file: bool) -> bytes:
+    """Return the unit of a plain proxy for one tier."""
+    operator_option = f" --operator /etc/willowwing/{stem}.operator.toml" if has_operator_file else ""
     command = (
         f"Environment=EDGE_CONFIG=/etc/willowwing/{stem}.json\n"
         f"ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy{operator_option}\n"
     )
-    return _service(sidecar, f"proxy of {sidecar.tier} on {sidecar.host}, towards {called}", "", command, 5.0)
+    return _format_unit(
+        sidecar, f"proxy of {sidecar.tier} on {sidecar.host}, towards {called}", "", command, 5.0
+    )
 
 
 def sidecar_unit(description: Description, sidecar: Sidecar, plain_units: list[str]) -> bytes:
-    """Return the unit of the sidecar as one process, which excludes the plain proxies: it has their ports."""
+    """Return the unit of the sidecar as one process.
+
+    The unit conflicts with those of the plain proxies, because the sidecar listens on their ports.
+    """
     command = (
         "ExecStart=/opt/willowwing/.venv/bin/python -m service_proxy.sidecar run "
         f"/etc/willowwing/{description.top.application}.toml --host {sidecar.host} --tier {sidecar.tier}\n"
     )
     conflicts = f"Conflicts={' '.join(plain_units)}\n" if plain_units else ""
     title = f"sidecar of {sidecar.tier} on {sidecar.host}"
-    return _service(sidecar, title, conflicts, command, description.tiers[sidecar.tier].stop_after)
+    return _format_unit(sidecar, title, conflicts, command, description.tiers[sidecar.tier].stop_after)
 
 
 def has_digest(content: bytes, name: str) -> bool:
-    """Tell whether a file has a digest of this tool, valid or not."""
+    """Return whether a file has a digest of this tool, valid or not."""
     if name.endswith(".json"):
         try:
             return DIGEST_KEY in json.loads(content)
@@ -230,12 +238,12 @@
 
 
 def was_edited(content: bytes, name: str) -> bool:
-    """Tell whether a file's digest is missing or not that of its content."""
+    """Return whether a file's digest is missing or does not match its content."""
     if name.endswith(".json"):
         try:
             body = json.loads(content)
             digest_entry = body.pop(DIGEST_KEY)
-            return bool(digest_entry["sha256"] != hashlib.sha256(canonical(body)).hexdigest())
+            return bool(digest_entry["sha256"] != hashlib.sha256(canonical_json(body)).hexdigest())
         except (ValueError, KeyError, TypeError, AttributeError):
             return True
     head, _, body = content.partition(b"\n")
@@ -243,19 +251,29 @@
 
 
 def find_edited_files(folder: Path) -> list[Problem]:
-    """Return a problem for each file in the folder that overwriting it would lose."""
+    """Return a problem for each file in the folder whose changes would be lost if it were overwritten."""
     if folder.is_symlink() or (folder.exists() and not folder.is_dir()):
-        return [Problem(str(folder), 1, "C008", "is a link or no folder", "name a folder, or one to be made")]
+        return [
+            Problem(
+                str(folder),
+                1,
+                "C008",
+                "is a link, or not a folder",
+                "name a folder, or a path where one can be created",
+            )
+        ]
     problems = []
     for path in sorted(folder.rglob("*")) if folder.exists() else ():
         if path.is_symlink():
             problems.append(
-                Problem(str(path), 1, "C008", "is a link, which may lead anywhere", "take it away")
+                Problem(
+                    str(path), 1, "C008", "is a link, which may point outside the folder", "remove the link"
+                )
             )
         elif path.is_file() and was_edited(path.read_bytes(), path.name):
-            text = "was edited by hand, or not written here"
+            text = "was edited by hand, or not written by this tool"
             problems.append(
-                Problem(str(path), 1, "C008", text, "put the change into the description, or --force")
+                Problem(str(path), 1, "C008", text, "put the change into the description, or use --force")
             )
     return problems
 
@@ -278,9 +296,9 @@
 
 
 def write(description: Description, folder: Path, force: bool = False) -> list[Problem]:
-    """Replace the folder atomically; return the problems that prevent it.
+    """Replace the folder atomically, and return the problems that prevent it.
 
-    Raises OSError, and then nothing has changed.
+    Raises OSError; then nothing has changed.
     """
     problems = find_edited_files(folder)
     if problems and (not force or folder.is_symlink() or not folder.is_dir()):
--- a/tests/sidecar/description_files.py
+++ b/tests/sidecar/description_files.py
@@ -1,4 +1,4 @@
-"""Descriptions on disk, for the tests of the tool: the plain one of the corpus, as it is or changed."""
+"""Description files for the tests: the plain description of the corpus, unchanged or modified."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write_description(folder: Path, name: str = "app.toml", text: str = PLAIN) -> str:
-    """Write a description, or a part of one, into the folder; return its path."""
+    """Write a description, or a part of a description, into the folder; return its path."""
     file = folder / name
     file.write_text(text)
     return str(file)
@@ -27,5 +27,5 @@
 
 
 def good_descriptions() -> list[Path]:
-    """Return the corpus's descriptions that have to be accepted."""
+    """Return the paths of the corpus's valid descriptions."""
     return sorted((CORPUS / "good").glob("*.toml"))
--- a/tests/sidecar/inbound_harness.py
+++ b/tests/sidecar/inbound_harness.py
@@ -1,4 +1,4 @@
-"""An inbound listener over loopback before an application that a test scripts."""
+"""Inbound listener over loopback, with an application whose behaviour a test scripts."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 async def never_respond(_request: ReceivedRequest, _writer: asyncio.StreamWriter) -> None:
-    """Handle a request as an application that hangs."""
+    """Never respond, as an application that hangs."""
     await asyncio.Event().wait()
 
 
 async def reset_connection(_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Handle a request as an application that crashes under it."""
+    """Abort the connection, as an application that crashes during a request."""
     writer.transport.abort()
 
 
 def respond_after(release: asyncio.Event) -> RequestHandler:
-    """Return a handler that responds 200 once the event is set."""
+    """Return a handler that responds 200 after the event is set."""
 
     async def handle(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
@@ -49,7 +49,7 @@
 
 
 def describe_one_sidecar(**changes: Any) -> Description:
-    """Describe one sidecar of the tier nucleo, which calls no other tier."""
+    """Return a description with one sidecar of the tier nucleo, which calls no other tier."""
     layers = LayeredReader("app.toml")
     layers.add_layer("app.toml", PLAIN, tomllib.loads(PLAIN))
     description = build(layers)
@@ -59,30 +59,31 @@
 
 
 class InboundUnderTest:
-    """A running inbound listener and its application."""
+    """Running inbound listener and its application."""
 
     def __init__(self, listener: InboundListener, application: EndpointServer) -> None:
         self.listener = listener
         self.application = application
-        self.open_clients: list[Client] = []  # a connection without a reference would be closed
+        # References that keep the connections open: a connection without a reference would be closed.
+        self.open_clients: list[Client] = []
 
     @property
     def state(self) -> ApplicationState:
-        """The state of the application, as the listener has it."""
+        """State of the application, as recorded by the listener."""
         return self.listener.admission.state
 
     async def connect(self) -> Client:
-        """Open a connection."""
+        """Open a connection to the listener."""
         host, _, port = self.listener.sidecar.inbound.rpartition(":")
         return Client(*await asyncio.open_connection(host, int(port)))
 
     async def request(self, class_name: str, request_id: str, budget: str = "1000m") -> Response:
-        """Send a request on a connection of its own; return the response."""
+        """Send a request on a new connection and return the response."""
         client = await self.connect()
         return await client.request(class_name, request_id, budget)
 
     async def start_canje(self) -> Client:
-        """Send the first request and wait until the application has it; return its connection."""
+        """Send the first request, wait until the application has received it, and return its connection."""
         client = await self.connect()
         self.open_clients.append(client)
         client.send("canje", "1" * 16, "5000m")
@@ -90,7 +91,7 @@
         return client
 
     async def queue_canje(self, budget: str = "5000m") -> Client:
-        """Send a request for which there is no slot; return its connection."""
+        """Send a request while no slot is free, wait until it is queued, and return its connection."""
         client = await self.connect()
         self.open_clients.append(client)
         client.send("canje", "2" * 16, budget)
@@ -98,17 +99,17 @@
         return client
 
     async def get(self, path: str) -> tuple[int, bytes]:
-        """Return status code and body of a page of the listener's own."""
+        """Return the status code and body of a page that the listener itself serves."""
         client = await self.connect()
         page = await client.send_raw(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         return page.status_code, page.body
 
     async def wait_for_state(self, state: ApplicationState) -> None:
-        """Wait until the listener has found the application in this state."""
+        """Wait until the listener has recorded this state of the application."""
         await until(lambda: self.state is state, f"{state}, not {self.state}")
 
     async def wait_for_received(self, count: int) -> None:
-        """Wait until the application has received so many requests."""
+        """Wait until the application has received `count` requests."""
         await until(lambda: self.application.received_count == count, f"{count} requests received")
 
     async def wait_for_queued(self) -> None:
@@ -116,7 +117,7 @@
         await until(lambda: self.listener.admission.queue, "a queued request")
 
     async def wait_for_open_requests(self, count: int) -> None:
-        """Wait until the listener has so many open requests."""
+        """Wait until the listener has `count` open requests."""
         await until(lambda: len(self.listener.requests) == count, f"{count} open requests")
 
 
@@ -124,7 +125,10 @@
 async def running_inbound(
     handle: RequestHandler = respond_ok, started: bool = True, **changes: Any
 ) -> AsyncIterator[InboundUnderTest]:
-    """Run a listener before an application, which is up unless not `started`; `changes` are the sidecar's."""
+    """Run a listener and its application, which listens unless `started` is false.
+
+    `changes` replaces keys of the [[sidecar]] table.
+    """
     application = EndpointServer(handle)
     if started:
         await application.start()
@@ -145,13 +149,13 @@
 
 
 def assert_rejected(answer: Response) -> None:
-    """Check that the response says that the application never had the request."""
+    """Check that the response marks the request as never received by the application."""
     assert answer.status_code == 503
     assert answer.headers["x-rejected"] == "1"
 
 
 class RecordingResponseWriter:
-    """A response writer that records status codes."""
+    """Response writer that records status codes."""
 
     def __init__(self) -> None:
         self.codes: list[int] = []
@@ -161,16 +165,16 @@
         self.codes.append(code)
 
     def stream(self, _headers: Any, _length: int | None, _source: Any) -> None:
-        """Fail: an application's response is buffered until it is complete."""
+        """Fail, because the response of an application has to be buffered until it is complete."""
         raise AssertionError("the response was streamed")
 
     def has_client_left(self) -> bool:
-        """Tell that the client stays."""
+        """Return False: the client stays connected."""
         return False
 
 
 def create_request(request_id: bytes, budget: float, class_name: str = "canje") -> Request:
-    """Return a parsed request, received now."""
+    """Return a parsed request with the current time as its arrival."""
     head = b"POST /%s HTTP/1.1\r\nhost: x\r\nx-call-id: %s\r\n" % (class_name.encode(), request_id)
     body = RequestBody.of(b"")
     return Request(request_id, class_name, budget, "", "", 0.0, False, head, body, time.monotonic())
--- a/tests/sidecar/test_admission.py
+++ b/tests/sidecar/test_admission.py
@@ -1,4 +1,4 @@
-"""The application's states and the concurrency limit: the table of transitions, limits at their edges."""
+"""Admission for the application: the table of state transitions, the queue and the concurrency limit."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def admission_of_running_application(
     slots: int = 4, max_queued: int = 2, initial_share: float = 0.25, slow_start_window: float = 10.0
 ) -> ApplicationAdmission[str]:
-    """Return the admission of an application that ran before the sidecar, so is not warming up."""
+    """Return the admission of an application that was running before the sidecar and is not warming up."""
     admission: ApplicationAdmission[str] = ApplicationAdmission(
         slots, max_queued, initial_share, slow_start_window, True
     )
@@ -182,12 +182,14 @@
 @pytest.mark.parametrize(
     ("signals", "is_warming_up"),
     [
-        ([ApplicationSignal.HEALTHY], False),  # it ran before the sidecar, nobody knows for how long
-        ([ApplicationSignal.REFUSED, ApplicationSignal.HEALTHY], True),  # it started after the sidecar
+        # The application was running before the sidecar, for an unknown time.
+        ([ApplicationSignal.HEALTHY], False),
+        # The application started after the sidecar.
+        ([ApplicationSignal.REFUSED, ApplicationSignal.HEALTHY], True),
         (
             [ApplicationSignal.HEALTHY, ApplicationSignal.UNHEALTHY, ApplicationSignal.HEALTHY],
             False,
-        ),  # the same process
+        ),  # the application was not restarted
         (
             [
                 ApplicationSignal.HEALTHY,
@@ -208,7 +210,7 @@
         ),
     ],
 )
-def test_which_return_counts_as_a_restart(signals: list[ApplicationSignal], is_warming_up: bool) -> None:
+def test_which_signals_indicate_a_restart(signals: list[ApplicationSignal], is_warming_up: bool) -> None:
     admission: ApplicationAdmission[str] = ApplicationAdmission(8, 0, 0.25, 10.0, True)
     for signal in signals:
         admission.on_signal(signal, 50.0)
@@ -271,18 +273,19 @@
 def test_each_request_has_one_outcome_and_the_bounds_hold(
     steps: list[tuple[str, float, float]],
 ) -> None:
-    """In any order of events: never more in flight than slots, nor more queued than places; each request has
-    one of these outcomes: started, rejected, displaced, dropped, left by its client, or still queued.
+    """Guards against requests without exactly one outcome and exceeded bounds, in any order of events.
+
+    The outcomes are: started, rejected, displaced, expired, removed after a disconnect, or still queued.
     """
     admission = admission_of_running_application(slots=3, max_queued=2)
     started: list[str] = []
     ended: list[str] = []
     now = 0.0
-    for number, (kind, weight, spare) in enumerate(steps):
+    for number, (kind, weight, value) in enumerate(steps):
         now += 0.1
         if kind == "offer":
             request = f"c{number}"
-            decision, displaced = admission.offer(request, weight, now + spare, now)
+            decision, displaced = admission.offer(request, weight, now + value, now)
             if decision is AdmissionDecision.START:
                 started.append(request)
             elif decision is AdmissionDecision.REJECT:
@@ -294,17 +297,17 @@
             ended.append(started.pop(0))
             admission.on_request_end(0.1)
         elif kind == "leave" and admission.queue:
-            request = admission.queue[int(spare * (len(admission.queue) - 1))].request
+            request = admission.queue[int(value * (len(admission.queue) - 1))].request
             assert admission.remove_queued(request)
             ended.append(request)
         elif kind == "signal":
-            admission.on_signal(list(ApplicationSignal)[int(spare * len(ApplicationSignal))], now)
+            admission.on_signal(list(ApplicationSignal)[int(value * len(ApplicationSignal))], now)
             ended += admission.take_rejected()
         queued_before = [queued.request for queued in admission.queue]
         while (next_request := admission.next_request(now)) is not None:
             started.append(next_request)
         still_queued = [queued.request for queued in admission.queue]
-        # The rest was past its deadline.
+        # The remaining requests were past their deadlines.
         ended += [name for name in queued_before if name not in started and name not in still_queued]
         assert admission.in_flight == len(started) <= 3
         assert len(admission.queue) <= 2
--- a/tests/sidecar/test_corpus.py
+++ b/tests/sidecar/test_corpus.py
@@ -1,4 +1,4 @@
-"""The corpus: each broken description is refused with the expected line and code, each good one accepted."""
+"""Corpus: broken descriptions are refused with the expected line and code, and good ones are accepted."""
 
 from __future__ import annotations
 
@@ -48,4 +48,4 @@
     assert main(["check", write_description(tmp_path, text=text)]) == 1
     output = capsys.readouterr().out
     assert output.count("error[") == 4
-    assert output.count("  help: ") == 4  # nodes is missing, too
+    assert output.count("  help: ") == 4  # the fourth finding is the missing key nodes
--- a/tests/sidecar/test_description.py
+++ b/tests/sidecar/test_description.py
@@ -1,4 +1,4 @@
-"""Files, includes, overlays, variables; several descriptions as one fleet; and the output of `check`."""
+"""Files, includes, overlays and variables of descriptions; checks of a fleet; and the output of `check`."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def places_of_message(problems: list[Problem], message: str) -> list[tuple[int, str]]:
-    """Return line and code of the problems that have this message."""
+    """Return line and code of the problems whose text contains the message."""
     return [(problem.line, problem.code) for problem in problems if message in problem.text]
 
 
@@ -108,7 +108,7 @@
     assert [problem.code for problem in layers.problems] == ["S107"]
 
 
-def test_files_that_cannot_be_read(tmp_path: Path) -> None:
+def test_unreadable_files_are_reported(tmp_path: Path) -> None:
     large = tmp_path / "large.toml"
     large.write_bytes(b"# " + b"a" * (10 << 20))
     assert large.stat().st_size > MAX_FILE_BYTES
@@ -117,8 +117,8 @@
     assert main(["check", str(tmp_path / "nowhere.toml")]) == 2
 
 
-def test_a_file_without_permission(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tests may run as root, which may read everything: the system's refusal is simulated."""
+def test_a_file_without_read_permission_is_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The error is simulated, because tests may run as root, which can read every file."""
     file = write_description(tmp_path)
 
     def refuse(*_: object) -> None:
@@ -151,7 +151,7 @@
     assert "one.toml" in problems[0].text
 
 
-def test_a_class_that_differs_between_two_descriptions(tmp_path: Path) -> None:
+def test_a_class_that_differs_between_two_descriptions_is_reported(tmp_path: Path) -> None:
     first = write_description(tmp_path, "one.toml", PLAIN_WITHOUT_SIDECARS)
     text = PLAIN_WITHOUT_SIDECARS
     second = write_description(
@@ -167,15 +167,20 @@
     ]
 
 
-def test_a_tier_that_differs_between_two_descriptions(tmp_path: Path) -> None:
+def test_a_tier_that_differs_between_two_descriptions_is_reported(tmp_path: Path) -> None:
     text = PLAIN_WITHOUT_SIDECARS
     first = write_description(tmp_path, "one.toml", text)
     second = write_description(tmp_path, "two.toml", text.replace("nodes = 40", "nodes = 41"))
     assert findings_of(first, second) == [("two.toml", 44, "F310")]
 
 
-def test_an_inner_tier_that_forgets_a_key_while_the_outer_one_still_retries(tmp_path: Path) -> None:
-    """Each file alone obeys rule 2: the inner tier retries for 2 s and drops repeats for 3 s."""
+def test_an_inner_tier_that_drops_repeats_for_less_time_than_the_outer_tier_retries_is_reported(
+    tmp_path: Path,
+) -> None:
+    """Guards against an inner tier that drops repeats for less time than the outer tier retries.
+
+    Each file alone complies with rule 2: the inner tier retries for 2 s and drops repeats for 3 s.
+    """
     text = PLAIN_WITHOUT_SIDECARS
     outer = write_description(tmp_path, "outer.toml", text)
     inner_text = text.replace('window = "6s"', 'window = "3s"').replace(
@@ -191,7 +196,7 @@
 @pytest.mark.parametrize(
     ("replaced", "replacement", "line", "code", "message"),
     [
-        ('padron = "10.2.0.1:8500"\n', "", 58, "S103", "nobody tells the nodes of nucleo"),
+        ('padron = "10.2.0.1:8500"\n', "", 58, "S103", "no discovery is configured for the nodes of nucleo"),
         ('tier = "portal"\n', 'tier = "portal"\nsockets = 100\n', 57, "S107", "leave 50 for each listener"),
         ('tier = "portal"\n', 'tier = "portal"\nslots = 300\n', 57, "S107", "leave 204"),
         ('tier = "portal"\n', 'tier = "portal"\nhealth = "up"\n', 57, "S105", "must be a path"),
@@ -220,7 +225,7 @@
         ),
     ],
 )
-def test_what_a_sidecar_needs(
+def test_an_incomplete_or_invalid_sidecar_is_reported_at_its_line(
     tmp_path: Path, replaced: str, replacement: str, line: int, code: str, message: str
 ) -> None:
     text = PLAIN.replace(replaced, replacement, 1)
@@ -235,14 +240,16 @@
     ("extra_key", "line", "code", "message"),
     [
         ("attempts = 3\n", 7, "S107", "3 attempts don't reach every call of 2 tiers that make 2 calls each"),
-        ("attempts = 13\n", 7, "S107", "attempts_over_tiers says 12"),
-        ("edge = true\n", 7, "S107", "portal on h-1 stands behind an application"),
+        ("attempts = 13\n", 7, "S107", "attempts_over_tiers is 12"),
+        ("edge = true\n", 7, "S107", "portal on h-1 is behind an application"),
         ('mark = "Portal"\n', 7, "S105", "must be a tier's name"),
         ("passes = 0\n", 7, "S105", "must lie between 1 and 4"),
         ("attempt = 3\n", 7, "S101", "unknown key attempt"),
     ],
 )
-def test_budgets_that_cant_work(tmp_path: Path, extra_key: str, line: int, code: str, message: str) -> None:
+def test_invalid_budgets_are_reported_at_their_line(
+    tmp_path: Path, extra_key: str, line: int, code: str, message: str
+) -> None:
     valid = PLAIN.replace("[class.stock]", BUDGETS + "\n[class.stock]", 1)
     assert check([write_description(tmp_path, text=valid)], "") == []
     text = PLAIN.replace("[class.stock]", BUDGETS + extra_key + "\n[class.stock]", 1)
@@ -251,14 +258,17 @@
 
 
 def test_budgets_bound_the_attempts_over_tiers(tmp_path: Path) -> None:
-    """Four attempts at each of two tiers are 16, over the bound of 12; of one tree they are 12."""
+    """Guards against a false F307: 4 attempts at each of 2 tiers are 16, over the bound of 12.
+
+    With budgets the whole call tree has at most 12 attempts.
+    """
     text = PLAIN.replace("[route.stock]", "[route.stock]\nattempts = 4", 1)
     assert "F307" in {problem.code for problem in check([write_description(tmp_path, text=text)], "")}
     text = text.replace("[class.stock]", BUDGETS + "\n[class.stock]", 1)
     assert check([write_description(tmp_path, text=text)], "") == []
 
 
-def test_a_cycle_of_calls_over_two_descriptions(tmp_path: Path) -> None:
+def test_a_cycle_of_calls_over_two_descriptions_is_reported(tmp_path: Path) -> None:
     text = PLAIN_WITHOUT_SIDECARS
     first = write_description(tmp_path, "one.toml", text)
     second = write_description(
@@ -301,7 +311,7 @@
         assert meaning.explanation in page, code
 
 
-def test_the_program_checks_from_outside(tmp_path: Path) -> None:
+def test_check_runs_as_a_process(tmp_path: Path) -> None:
     file = write_description(tmp_path)
     command = [sys.executable, "-m", "service_proxy.sidecar", "check", file]
     completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
--- a/tests/sidecar/test_earlier_version.py
+++ b/tests/sidecar/test_earlier_version.py
@@ -1,7 +1,7 @@
-"""A folder that the version of the old package name wrote, read by this one.
+"""Compatibility with a folder that an earlier version wrote under the old package name.
 
-`fixtures/written_by_granitepoint/h-1` is one host's folder as `python -m granitepoint.sidecar write
-deploy/application.toml -o DIR` wrote it before the package was renamed.
+`fixtures/written_by_granitepoint/h-1` is the folder of one host, written by `python -m granitepoint.sidecar
+write deploy/application.toml -o DIR` before the package was renamed.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def started_module(unit: Path) -> str:
-    """The module that a unit file starts."""
+    """Return the module that a unit file starts."""
     (module,) = re.findall(r"^ExecStart=\S+ -m (\S+)", unit.read_text(), re.M)
     return str(module)
 
@@ -104,7 +104,7 @@
     module = started_module(FIXTURE / name)
     spec = importlib.util.find_spec(module)
     assert spec is not None
-    if spec.submodule_search_locations is not None:  # a package: `-m` runs its __main__
+    if spec.submodule_search_locations is not None:  # `-m` runs the __main__ module of a package
         assert importlib.util.find_spec(f"{module}.__main__") is not None
     command = [sys.executable, "-m", module, *(["run"] if module.endswith(".sidecar") else []), "--help"]
     completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30, check=False)
--- a/tests/sidecar/test_explain.py
+++ b/tests/sidecar/test_explain.py
@@ -1,4 +1,4 @@
-"""schema, show and diff: generated from the one model; diff in terms of requests."""
+"""Tests of `schema`, `show` and `diff`, which are generated from the same model."""
 
 from __future__ import annotations
 
@@ -61,13 +61,13 @@
     assert lines == [
         "canje: attempts after one that never ran: 2 -> 1",
         "canje: attempts after a broken connection: 0 -> 1",
-        "canje: where after a broken connection: - -> anywhere, until its deadline",
+        "canje: where to retry after a broken connection: - -> anywhere, until its deadline",
         "canje: breaks rule 2: 1. canje is sent to a1 at 0 s; 2. its connection to a1 breaks before the "
         "answer; 3. canje is sent again to a1 at 0 s: it may run twice",
         "stock: worth: 12 -> 6",
-        "tier nucleo: new calls after a drain was told: for 2 s -> for 3 s",
-        "tier nucleo: breaks rule 3: 1. a server of nucleo is told to drain at 0 s; 2. a call is sent to it "
-        "at 3 s, which `drain` allows, and 2 s is the limit",
+        "tier nucleo: new requests after a drain begins: for 2 s -> for 3 s",
+        "tier nucleo: breaks rule 3: 1. a server of nucleo begins to drain at 0 s; 2. a request is sent to "
+        "it at 3 s, which `drain` allows, but the limit is 2 s",
     ]
     assert main(["diff", before, before]) == 0
     assert capsys.readouterr().out == ""
--- a/tests/sidecar/test_inbound_drain.py
+++ b/tests/sidecar/test_inbound_drain.py
@@ -1,4 +1,4 @@
-"""The end of the inbound listener: health checks, requests in flight, deadlines."""
+"""Drain of the inbound listener: health checks, requests in flight, deadlines."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/test_inbound_health.py
+++ b/tests/sidecar/test_inbound_health.py
@@ -1,4 +1,4 @@
-"""The inbound listener before an application that is down, slow, unready, crashed or restarted."""
+"""Inbound listener with an application that is down, slow, unready, crashed or restarted."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from service_proxy.sidecar.admission import ApplicationSignal, ApplicationState
 
 
-def test_requests_for_an_application_that_is_not_there_are_rejected_at_once() -> None:
+def test_requests_for_an_application_that_is_not_running_are_rejected_at_once() -> None:
     async def test() -> None:
         async with running_inbound(started=False) as inbound:
             assert await inbound.get("/healthz") == (503, b"the application is starting\n")
@@ -45,7 +45,7 @@
             inbound.application.health_answer = True
             await inbound.wait_for_state(ApplicationState.UP)
             assert (await inbound.request("canje", "2" * 16)).status_code == 200
-            # The same process: it is not warming up.
+            # The application was not restarted, so it is not warming up.
             assert inbound.listener.admission.concurrency_limit(0.0) == inbound.listener.sidecar.slots
 
     run_async(test())
@@ -75,9 +75,9 @@
             for writer in inbound.application.writers:
                 writer.transport.abort()
             answers = [await client.response() for client in clients]
-            # At once, not at their deadline after 5 s.
+            # The responses arrive at once, not at the deadlines after 5 s.
             assert asyncio.get_running_loop().time() - started_at < 2.5
-            assert [answer.status_code for answer in answers[:2]] == [502, 502]  # they may have run
+            assert [answer.status_code for answer in answers[:2]] == [502, 502]  # the requests may have run
             assert all("x-rejected" not in answer.headers for answer in answers[:2])
             await inbound.wait_for_state(ApplicationState.DOWN)
             for answer in answers[2:]:
@@ -86,7 +86,8 @@
             await inbound.application.start()
             await inbound.wait_for_state(ApplicationState.UP)
             now = asyncio.get_running_loop().time()
-            assert inbound.listener.admission.concurrency_limit(now) == 1  # of 2, at 16%
+            # The initial share is 16% of 2 slots, and the limit is at least 1.
+            assert inbound.listener.admission.concurrency_limit(now) == 1
             assert (await inbound.request("canje", "f" * 16)).status_code == 200
 
     run_async(test())
@@ -94,9 +95,10 @@
 
 @pytest.mark.parametrize("another_stays", [False, True])
 def test_a_restart_between_two_probes_is_detected_by_all_connections_breaking(another_stays: bool) -> None:
-    """The listener is there all the time, as with a supervisor that starts the next process at once.
+    """Guards against an undetected restart when a supervisor starts the next process at once.
 
-    Where `another_stays`, a connection of another request stays open: it was one connection's end.
+    The application's listener never refuses a connection. If `another_stays`, the connection of another
+    request stays open, so the end of one connection does not indicate a restart.
     """
 
     async def handle(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
@@ -124,12 +126,15 @@
 
 
 def test_an_application_without_a_listener_stays_down_though_idle_connections_answer() -> None:
-    """It drains: open connections are served, new ones are refused, and its state must not flap."""
+    """Guards against a flapping state of a draining application.
+
+    Open connections are still served while new connections are refused.
+    """
 
     async def test() -> None:
         async with running_inbound(slots=4) as inbound:
             clients = [await inbound.connect() for _ in range(2)]
-            for client in clients:  # two idle connections
+            for client in clients:  # leaves two idle connections open
                 client.send("canje", f"{id(client):016x}")
             assert [(await client.response()).status_code for client in clients] == [200, 200]
             assert inbound.application.server is not None
--- a/tests/sidecar/test_inbound_queue.py
+++ b/tests/sidecar/test_inbound_queue.py
@@ -1,4 +1,4 @@
-"""The inbound queue over loopback: slots, priorities, deadlines, clients that leave, reloaded slots."""
+"""Inbound queue over loopback: slots, priorities, deadlines, disconnects, reloaded slots."""
 
 from __future__ import annotations
 
@@ -69,7 +69,10 @@
 
 
 def test_a_request_skipped_in_the_queue_is_still_answered_once() -> None:
-    """Its deadline comes as a slot gets free: it is not started, and its timer rejects it."""
+    """Guards against a request without a response: its deadline passes while a slot becomes free.
+
+    The request is not started, and its deadline timer rejects it.
+    """
     release = asyncio.Event()
 
     async def test() -> None:
@@ -88,7 +91,10 @@
 
 
 def test_a_disconnect_removes_a_queued_request_and_ends_the_attempt_of_one_in_flight() -> None:
-    """Its slot stays taken for the mean latency: the application may not notice and work on."""
+    """Guards against overload by abandoned requests that the application still processes.
+
+    The slot stays in use for the mean latency, because the application may not detect the closed connection.
+    """
 
     async def test() -> None:
         async with running_inbound(never_respond, slots=1, waiting=4) as inbound:
@@ -99,9 +105,9 @@
             queued.writer.close()
             await until(lambda: not inbound.listener.admission.queue)
             in_flight.writer.close()
-            await until(lambda: not inbound.listener.unanswered)
+            await until(lambda: not inbound.listener.unanswered_count)
             assert inbound.listener.admission.in_flight == 1
-            assert inbound.listener.abandoned == 1
+            assert inbound.listener.abandoned_count == 1
             assert not inbound.listener.requests
             pool = inbound.listener.application_pool
             await until(lambda: len(pool.connections) <= len(pool.idle), "only idle connections")
--- a/tests/sidecar/test_inbound_responses.py
+++ b/tests/sidecar/test_inbound_responses.py
@@ -1,4 +1,4 @@
-"""What clients get through the inbound listener: forwarded responses, failures, rejections."""
+"""Responses of the inbound listener to its clients: forwarded responses, failures, rejections."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     async def test() -> None:
         async with running_inbound(handle) as inbound:
             client = await inbound.connect()
-            for number in range(2):  # the first response leaves the connection usable
+            for number in range(2):  # the connection stays usable after the first response
                 answer = await client.request("canje", f"{number:016x}")
                 assert (answer.status_code, answer.headers["x-own"]) == (code, "1")
                 assert answer.body == (b"" if code in (204, 304) else b"own")
@@ -69,7 +69,10 @@
 
 
 def test_a_request_that_may_have_run_is_never_marked_as_rejected() -> None:
-    """The connection breaks after the request: 502 at once, without X-Rejected."""
+    """Guards against a retry of an executed request: the connection breaks after the request was sent.
+
+    The response is 502 at once, without X-Rejected.
+    """
 
     async def test() -> None:
         async with running_inbound(reset_connection) as inbound:
@@ -82,7 +85,7 @@
     run_async(test())
 
 
-def test_a_slow_application_is_answered_for_at_the_deadline() -> None:
+def test_a_request_to_a_slow_application_is_answered_504_at_its_deadline() -> None:
     async def test() -> None:
         async with running_inbound(never_respond) as inbound:
             started_at = asyncio.get_running_loop().time()
--- a/tests/sidecar/test_migrate.py
+++ b/tests/sidecar/test_migrate.py
@@ -1,4 +1,4 @@
-"""From an older format: valid files read as before, comments stay, and what can't be migrated is reported."""
+"""Migration from an older format: values and comments are preserved, and unmigratable keys are reported."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 
 
 @pytest.mark.parametrize("file", FORMAT_1, ids=lambda path: path.stem)
-def test_a_file_of_format_1_becomes_the_same_as_the_one_of_format_2(file: Path, tmp_path: Path) -> None:
+def test_migrating_a_file_of_format_1_gives_the_bytes_of_the_same_file_of_format_2(
+    file: Path, tmp_path: Path
+) -> None:
     with file.open(newline="") as source:
         text = source.read()
     migrated, problems = migrate(str(file), text)
     assert problems == []
     with (file.parent.parent / "good" / file.name).open(newline="") as source:
-        assert migrated == source.read()  # to the byte: comments, order, ends of lines
+        assert migrated == source.read()  # equal bytes: comments, order and line endings are preserved
 
 
 def test_a_file_of_format_1_is_refused_with_the_remedy() -> None:
@@ -37,7 +39,7 @@
 def test_a_key_that_cannot_be_renamed_is_reported_and_no_file_is_changed(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """An array of inline tables on one line: the scan finds the line, not the column."""
+    """Guards against a partial migration: in an array of inline tables the key's column can't be found."""
     text = PLAIN.split("[[sidecar]]")[0].replace("format = 2", "format = 1")
     text = text.replace(
         'padron = "10.2.0.1:8500"',
@@ -94,7 +96,8 @@
 def test_a_folder_without_write_permission_leaves_the_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def refuse(*_: object, **__: object) -> None:  # tests may run as root, which has all permissions
+    # The error is simulated, because tests may run as root, which has all permissions.
+    def refuse(*_: object, **__: object) -> None:
         raise PermissionError(13, "Permission denied")
 
     text = PLAIN.replace("format = 2", "format = 1").replace("inbound", "listen")
--- a/tests/sidecar/test_platform.py
+++ b/tests/sidecar/test_platform.py
@@ -1,4 +1,4 @@
-"""check of the other files: the platform's JSON, alone and against a description, and the operator's file."""
+"""Tests of `check` for the platform's JSON, alone and against a description, and for the operator's file."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def write_platform_file(tmp_path: Path) -> Path:
-    """Write the plain description's files; return the platform's JSON of its one outbound tier."""
+    """Write the files of the plain description; return the path of the JSON for its one outbound tier."""
     assert main(["write", write_description(tmp_path), "-o", str(tmp_path / "out")]) == 0
     return tmp_path / "out/h-1/portal-nucleo.json"
 
 
 def edit_json(file: Path, edit: Callable[[Any], object]) -> str:
-    """Edit the file's JSON, without the digest that this tool writes; return its path."""
+    """Edit the JSON and remove the digest that the tool wrote; return the path."""
     raw = json.loads(file.read_text())
     raw.pop("written", None)
     edit(raw)
@@ -45,7 +45,7 @@
 def test_a_canje_made_repeatable_by_hand_breaks_rule_2(tmp_path: Path) -> None:
     file = write_platform_file(tmp_path)
     edit_json(file, lambda raw: raw["settings"]["grades"][2].update(effect="repeatable"))
-    assert check([str(file)], "") == []  # the JSON alone does not say what the class is
+    assert check([str(file)], "") == []  # the JSON alone does not define the effect of the class
     (problem,) = check([str(file), str(tmp_path / "app.toml")], "")
     assert problem.code == "R202"
     assert "canje is once by" in problem.text
@@ -76,7 +76,7 @@
     assert problem.code == code
     assert problem.remedy
     if text_of_line == '"objective": -1':
-        return  # the reader calls the key by another name, so its grade is reported
+        return  # the settings reader names the key differently, so the line of its grade is reported
     assert problem.line == lines_with(file, text_of_line)[0], str(problem)
 
 
--- a/tests/sidecar/test_rule_model.py
+++ b/tests/sidecar/test_rule_model.py
@@ -1,4 +1,4 @@
-"""The model of the four rules: what it finds, that its examples are real, that what it accepts is safe."""
+"""Model of the four rules: the breaches that it finds, its counterexamples, and the accepted settings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     )
 
 
-def test_a_keyed_request_leaves_its_zone_its_cell_or_its_window() -> None:
+def test_a_keyed_retry_outside_its_zone_its_cell_or_its_window_breaks_rule_2() -> None:
     anywhere = rule_two("reserva", RESERVA, replace(KEYED, retry_within="all"))
     assert anywhere is not None
     assert "outside the zone" in anywhere.events[-1]
@@ -37,10 +37,10 @@
     assert cells is not None
     assert "outside the cell" in cells.events[-1]
     assert "a3" in cells.events[-1]
-    forgotten = rule_two("reserva", replace(RESERVA, window=2.0), KEYED)
-    assert forgotten is not None
-    assert "forgotten" in forgotten.events[-1]
-    assert forgotten.events[2] == "2.001 s have passed since the first try"
+    expired = rule_two("reserva", replace(RESERVA, window=2.0), KEYED)
+    assert expired is not None
+    assert "its key has expired" in expired.events[-1]
+    assert expired.events[2] == "2.001 s have passed since the first attempt"
 
 
 def test_a_deadline_before_the_end_of_the_window_is_safe() -> None:
@@ -53,15 +53,15 @@
 def test_two_attempts_in_flight_break_the_rule_for_every_class(cls: Class) -> None:
     example = rule_two("x", cls, Route("never", hedge=True))
     assert example is not None
-    assert example.events[-1].endswith("a second attempt while one is out")
+    assert example.events[-1].endswith("a second attempt while one is in flight")
     assert rule_two("x", cls, Route("never", hedge=True, attempts=1)) is None
 
 
 def test_all_combinations_agree_with_the_rule_as_written() -> None:
-    """The search against the rule in one sentence.
+    """Compare the search with the second rule, written as one expression.
 
-    A class that is not idempotent is resent only where nothing may have run, a keyed one only within its
-    group and window, and one attempt is in flight at a time.
+    A class that is not idempotent is retried only if nothing may have run, and a class that is idempotent
+    with a key only within its group and window. At most one attempt is in flight at a time.
     """
     scope = {"cell": 0, "zone": 1, "all": 2}
     count = 0
@@ -94,11 +94,11 @@
     assert count == 5832
 
 
-def test_the_other_rules() -> None:
+def test_rules_1_3_and_4() -> None:
     assert rule_one("canje", CANJE, TIER) is None
     killed = rule_one("canje", CANJE, replace(TIER, stop_after=5.0))
     assert killed is not None
-    assert "SIGKILL comes 5 s later" in killed.events[-1]
+    assert "the host sends SIGKILL 5 s later" in killed.events[-1]
     assert rule_three("portal", TIER) is None
     assert rule_three("portal", replace(TIER, drain=MAX_DRAIN_S)) is None
     assert rule_three("portal", replace(TIER, drain=2.5)) is not None
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process: starts that are refused, SIGHUP, SIGTERM, and which requests still pass then."""
+"""The sidecar as a process: refused starts, SIGHUP, SIGTERM, and the requests that are served meanwhile."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SidecarAddresses:
-    """The addresses of one sidecar of the tier portal, of its application and of its discovery."""
+    """Addresses of one sidecar of the tier portal, of its application and of its discovery."""
 
     def __init__(self, application: str, discovery: str) -> None:
         self.inbound = f"127.0.0.1:{free_port()}"
@@ -48,7 +48,7 @@
 
 
 class SidecarProcess:
-    """A running sidecar process."""
+    """Running sidecar process."""
 
     def __init__(
         self, process: asyncio.subprocess.Process, addresses: SidecarAddresses, file: Path, log: Path
@@ -59,17 +59,17 @@
         self.log = log
 
     async def connect(self, address: str) -> Client:
-        """Open a connection to one of its listeners."""
+        """Open a connection to a listener of the sidecar."""
         host, _, port = address.rpartition(":")
         return Client(*await asyncio.open_connection(host, int(port)))
 
     async def request(self, address: str, class_name: str, request_id: str) -> Response:
-        """Send a request to one of its listeners on a connection of its own; return the response."""
+        """Send a request to a listener of the sidecar on a new connection; return the response."""
         client = await self.connect(address)
         return await client.request(class_name, request_id)
 
     async def health_status(self, address: str) -> int:
-        """Return the status code of a listener's health check, or 0 without a response."""
+        """Return the status code of a listener's health check, or 0 if there is no response."""
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             client = await self.connect(address)
             response = await client.send_raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -78,13 +78,13 @@
         return 0
 
     async def wait_until_healthy(self, address: str) -> None:
-        """Wait until a listener's health check is 200."""
+        """Wait until a listener's health check responds 200."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while await self.health_status(address) != 200:
                 await asyncio.sleep(0.02)
 
     async def wait_for_log(self, text: str, count: int = 1) -> str:
-        """Wait until the log has the text so many times; return the last line with it."""
+        """Wait until the log contains the text `count` times; return the last line with the text."""
         await until(lambda: self.log.read_text().count(text) >= count, text)
         return next(line for line in reversed(self.log.read_text().splitlines()) if text in line)
 
@@ -96,7 +96,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def exit_code(self) -> int:
-        """Wait for the end of the process."""
+        """Wait for the process to exit and return its exit code."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
@@ -114,9 +114,10 @@
 async def running_sidecar(
     folder: Path, application: EndpointServer, nucleo: EndpointServer, tables: str = "", ready: bool = True
 ) -> AsyncIterator[SidecarProcess]:
-    """Run the plain description's sidecar of portal beside this application, before one endpoint of nucleo.
+    """Run the plain description's sidecar of the tier portal with an application and one endpoint of nucleo.
 
-    `tables`: what its description has beside the plain one; `ready`: wait until its listeners are healthy.
+    `tables` is added to the plain description. If `ready`, the listeners are healthy when the sidecar is
+    yielded.
     """
     for endpoint in (application, nucleo):
         if not endpoint.address:
@@ -170,7 +171,7 @@
 def test_a_description_that_check_refuses_is_not_started(
     tmp_path: Path, replaced: str, replacement: str, code: str, line: int
 ) -> None:
-    """`run` checks the file itself: it may have changed since `check`."""
+    """Guards against a description that was changed after `check` accepted it."""
 
     async def test() -> None:
         file = write_description(tmp_path, text=PLAIN.replace(replaced, replacement))
@@ -218,7 +219,7 @@
     run_async(test())
 
 
-def test_its_health_is_that_of_the_application(tmp_path: Path) -> None:
+def test_the_inbound_health_check_fails_while_the_application_is_not_ready(tmp_path: Path) -> None:
     async def test() -> None:
         application = EndpointServer()
         application.health_answer = False
@@ -291,7 +292,7 @@
 
 
 def test_after_sigterm_the_application_may_send_requests_until_its_own_are_answered(tmp_path: Path) -> None:
-    """Were the outbound side stopped first, the request in flight would fail without it."""
+    """Guards against outbound listeners that close before the application has answered its requests."""
 
     async def test() -> None:
         drained = asyncio.Event()
@@ -310,7 +311,7 @@
             client.send("canje", "1" * 16, "6000m")
             await next_request(application)
             sidecar.process.terminate()
-            async with asyncio.timeout(TEST_TIMEOUT_S):  # until it accepts nothing new: 2 s later
+            async with asyncio.timeout(TEST_TIMEOUT_S):  # the inbound listener closes 2 s after SIGTERM
                 while await sidecar.health_status(sidecar.addresses.inbound):
                     await asyncio.sleep(0.05)
             drained.set()
@@ -333,8 +334,8 @@
     run_async(test())
 
 
-def test_its_node_is_registered_drains_and_is_registered_again_with_the_application(tmp_path: Path) -> None:
-    """Ephemeral nodes: [tier.portal.membership] and [sidecar.registration]."""
+def test_the_ephemeral_node_follows_the_health_of_the_application(tmp_path: Path) -> None:
+    """The node is configured with [tier.portal.membership] and [sidecar.registration]."""
 
     async def test() -> None:
         service = CoordinationService()
@@ -371,7 +372,7 @@
             await until(lambda: status() == "Terminating", "drains with its application")
             application.health_answer = True
             await until(lambda: status() == "Ready", "registered again")
-            # A later start: its clients have it warm up.
+            # The new start time makes clients treat the endpoint as warming up.
             assert service.tree.nodes[path].data != first_data
             sidecar.process.terminate()
             await until(lambda: status() == "Terminating", "says that it leaves")
--- a/tests/sidecar/test_write.py
+++ b/tests/sidecar/test_write.py
@@ -1,4 +1,4 @@
-"""What is written: the same bytes each time, read by the proxy's own reader, and no edit by hand is lost."""
+"""Tests of `write`: reproducible files that the proxy's reader accepts, and no loss of edits by hand."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def write_folder(tmp_path: Path, text: str = PLAIN) -> Path:
-    """Write a description's files; return their folder."""
+    """Write the files of a description; return their folder."""
     folder = tmp_path / "out"
     assert main(["write", write_description(tmp_path, text=text), "-o", str(folder)]) == 0
     return folder
 
 
 def outbound_config(folder: Path) -> ProxyConfig:
-    """Read the written configuration of the proxy from portal to nucleo."""
+    """Return the written configuration of the proxy from portal to nucleo."""
     return load_config({"EDGE_CONFIG": str(folder / "h-1/portal-nucleo.json")})
 
 
@@ -112,7 +112,7 @@
 
 
 def test_a_route_stricter_than_its_class_keeps_the_form_of_requests(tmp_path: Path) -> None:
-    """A keyed class that is retried only where it never ran is still sent with its key."""
+    """Guards against a lost key if the route retries only what never ran: requests still have their key."""
     text = PLAIN.replace('retry = "by-key"\nretry_within = "zone"\nretry_for = "6s"', 'retry = "never-ran"')
     text = text.replace('retry = "always"', 'retry = "never"\nattempts = 2')
     config = outbound_config(write_folder(tmp_path, text))
@@ -176,7 +176,7 @@
     assert read_tree(tmp_path / ".out.old") == before
 
 
-def test_white_space_is_no_edit_of_the_json(tmp_path: Path) -> None:
+def test_a_change_of_white_space_in_the_json_is_not_an_edit(tmp_path: Path) -> None:
     folder = write_folder(tmp_path)
     file = folder / "h-1" / "portal-nucleo.json"
     file.write_text(json.dumps(json.loads(file.read_text())))
