--- a/granitepoint/__init__.py
+++ b/granitepoint/__init__.py
@@ -1,7 +1,7 @@
 """Deprecated name of the package `service_proxy`.
 
-Unit files and scripts that earlier versions wrote call `python -m granitepoint...`. Each module of this
-package runs the program that has taken its place, and logs that the old name is deprecated.
+Unit files and scripts of earlier versions call `python -m granitepoint...`. Each module of this package runs
+the program that replaces it, and logs that the old name is deprecated.
 """
 
 from __future__ import annotations
--- a/service_proxy/__init__.py
+++ b/service_proxy/__init__.py
@@ -1,7 +1,7 @@
-"""The public interface of the decision module: events in, actions out.
+"""Public interface of the decision module, which receives events and returns actions.
 
-A `Balancer` decides for one proxy which endpoint gets a request, whether it is retried and what is rejected.
-Who drives it carries out its actions; `service_proxy.net` does so on sockets,
+A `Balancer` decides for one proxy which endpoint gets a request, whether the request is retried and whether
+it is rejected. The caller of the balancer executes its actions: `service_proxy.net` on sockets,
 `service_proxy.simulator_adapter` in a simulation.
 """
 
--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -1,7 +1,7 @@
-"""One proxy as a process: it reads the configuration, starts, reloads on SIGHUP and drains on SIGTERM.
+"""One proxy process: reads the configuration, starts the proxy, reloads on SIGHUP and drains on SIGTERM.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 where an address can't be listened at, 2 for a configuration or an
-operator's file that can't be used.
+Exit codes: 0 after SIGTERM or SIGINT, 1 if the proxy can't listen at an address, 2 if the configuration or
+the operator's file can't be used.
 """
 
 from __future__ import annotations
@@ -35,34 +35,37 @@
 EXIT_CANNOT_LISTEN = 1
 EXIT_INVALID_CONFIGURATION = 2
 
-# After SIGTERM, at which the listener closes: load balancers have taken notice by then.
+# Delay from SIGTERM to the earliest close of the listener. Load balancers detect the drain within this time.
 LISTENER_GRACE_S = 0.6
-MAX_DEADLINE_WAIT_S = 3.0  # of the longest deadline that the platform waits for after SIGTERM
-KILL_GRACE_S = 0.7  # that it waits beyond that
-KILL_MARGIN_S = 0.4  # before its SIGKILL, by which all requests are answered
-HANDOVER_IDLE_S = 1.5  # after SIGTERM, for which clients may reuse idle connections where a successor runs
-CLOSE_CONNECTIONS_S = 1.0  # before the last response is due, in which each response closes its connection
-DEFAULT_HOP = "edge"  # the hop identifier, where [budgets] names none
+MAX_DEADLINE_WAIT_S = 3.0  # Upper bound of the longest deadline, which the platform waits for after SIGTERM.
+KILL_GRACE_S = 0.7  # Time from the longest deadline (at most MAX_DEADLINE_WAIT_S) to the platform's SIGKILL.
+KILL_MARGIN_S = 0.4  # Time before the platform's SIGKILL by which all requests must be answered.
+# Time after SIGTERM in which clients may reuse idle connections if a successor process runs.
+HANDOVER_IDLE_S = 1.5
+# Time before the last response is due in which each response closes its connection.
+CLOSE_CONNECTIONS_S = 1.0
+DEFAULT_HOP = "edge"  # Hop identifier of deadline propagation if [budgets] names none.
 
 HELP = """\
-One proxy before a tier of services. Where it listens, whom it asks for backends and the platform's settings
-come from the environment: EDGE_CONFIG (a JSON file, needed), EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY, which
-override what the file says. SIGHUP rereads the files, SIGTERM drains and ends."""
+One proxy in front of a tier of services. The environment gives the listen address, the discovery address and
+the platform's settings: EDGE_CONFIG (path of a JSON file, required), and EDGE_NAME, EDGE_LISTEN and
+EDGE_DISCOVERY, which override the file's values. SIGHUP rereads the files; SIGTERM drains and stops."""
 
 
 async def drain(proxy: Proxy) -> None:
-    """Answer what is in flight and what still comes, then return, ahead of the platform's SIGKILL.
+    """Drain the proxy and return before the platform's SIGKILL.
 
-    Clients go on using a connection that stays open, and are served on it for as long as all can still be
-    answered before the SIGKILL: their other proxies may be few, or restarting too. Then each response closes
-    its connection and the idle ones are closed.
+    Requests in flight and new requests are answered. Clients go on using open connections. The proxy serves
+    requests on these connections for as long as every request can still be answered before the SIGKILL,
+    because a client's other proxies may be few or may be restarting too. After that, each response closes its
+    connection, and idle connections are closed.
     """
     longest = max(cls.deadline for cls in proxy.dispatcher.settings.classes)
     drain_s = min(longest, MAX_DEADLINE_WAIT_S) + KILL_GRACE_S - KILL_MARGIN_S
     started_at = time.monotonic()
     proxy.end_all_by(started_at + drain_s)
     if proxy.admin is not None and proxy.admin.has_successor:
-        await proxy.admin.hand_over()
+        await proxy.admin.hand_over_listener()
         close_at = started_at + HANDOVER_IDLE_S
     else:
         close_at = started_at + drain_s - CLOSE_CONNECTIONS_S
@@ -72,18 +75,22 @@
 
 
 async def _close_listener(proxy: Proxy, close_at: float) -> None:
-    """Close the listener once clients have taken notice, by `close_at` (monotonic, s) at the latest."""
+    """Close the listener after the grace period, once no connection waits to be accepted.
+
+    The listener closes at `close_at` (monotonic, s) at the latest.
+    """
     await asyncio.sleep(LISTENER_GRACE_S)
     while proxy.server.has_pending_accept and time.monotonic() < close_at:
-        await asyncio.sleep(LOOP_TURN_S)  # after a stall of this process, above all
+        await asyncio.sleep(LOOP_TURN_S)  # connections are queued mainly after a stall of this process
     proxy.server.stop_listening()
 
 
 def reload(proxy: Proxy, operator_file: str | None) -> None:
-    """Take over changed files (SIGHUP); one that can't be used changes nothing.
+    """Apply changed files after SIGHUP; a file that can't be used changes nothing.
 
-    Of the platform's configuration the discovery address, with an admin service the settings too; of the
-    operator's file what its subsystems say may change.
+    From the platform's configuration, the discovery address is applied, and with an admin service the
+    settings too. From the operator's file, each subsystem applies the keys that can change while the proxy
+    runs.
     """
     try:
         _reload_configuration(proxy)
@@ -104,7 +111,7 @@
 
 
 def create_proxy(config: ProxyConfig, operator: Operator | None) -> Proxy:
-    """Return the proxy of this process, with the parts that the operator's file turns on.
+    """Return the proxy of this process, with the subsystems that the operator's file enables.
 
     Raises:
         ConfigError: the configuration can't be used.
@@ -129,14 +136,14 @@
 
 
 async def serve(config: ProxyConfig, operator: Operator | None) -> None:
-    """Run one proxy until SIGTERM or SIGINT, and drain it."""
+    """Run one proxy until SIGTERM or SIGINT, then drain it."""
     loop = asyncio.get_running_loop()
     terminated = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, terminated.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, terminated.set)
     proxy = create_proxy(config, operator)
     operator_file = operator.file if operator is not None else None
-    # Before the proxy is ready, since SIGHUP may come from then on.
+    # Installed before the proxy is ready, because SIGHUP may arrive as soon as the proxy is ready.
     loop.add_signal_handler(signal.SIGHUP, reload, proxy, operator_file)
     await proxy.start()
     freeze_long_lived_objects()
@@ -146,18 +153,20 @@
 
 
 def parse_arguments(argv: list[str] | None) -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m service_proxy", description=HELP, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument(
-        "--operator", metavar="FILE", help="the operator's file (deploy/operator.toml shows it); none: off"
+        "--operator",
+        metavar="FILE",
+        help="the operator's file (example: deploy/operator.toml); omitted: its parts are off",
     )
     return parser.parse_args(argv)
 
 
 def run(operator: Operator | None) -> int:
-    """Run one proxy by the environment's configuration; return the program's exit code."""
+    """Run one proxy with the configuration from the environment, and return the program's exit code."""
     try:
         config = load_config(os.environ)
         asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(config, operator))
@@ -174,14 +183,14 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; return its exit code."""
-    # One that comes while the program starts finds the new file read.
+    """Run the program and return its exit code."""
+    # A SIGHUP during startup is ignored, because the files are read after this point.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     arguments = parse_arguments(argv)
     configure_logging()
     if arguments.operator is None:
         return run(None)
-    from service_proxy.operator_file import OperatorError  # not imported where it is off
+    from service_proxy.operator_file import OperatorError  # imported only if an operator's file is given
     from service_proxy.operator_file import load as load_operator
 
     try:
--- a/service_proxy/admin/__init__.py
+++ b/service_proxy/admin/__init__.py
@@ -1,6 +1,6 @@
-"""Daily operation: the admin server, maintenance by hand, metrics, settings updates and hot restarts.
+"""Daily operation: the admin server, maintenance, metrics, settings updates and hot restarts.
 
-In use where the platform's configuration names a `console` address; else nothing of it is imported.
-`service.py` ties the parts together; `routes.py`, `maintenance.py`, `metrics.py` and `settings_update.py` are
-pure, the others perform I/O.
+The package is used if the platform's configuration names a `console` address; otherwise nothing of it is
+imported. `service.py` connects the parts. `routes.py`, `maintenance.py`, `metrics.py` and
+`settings_update.py` are pure; the other modules perform I/O.
 """
--- a/service_proxy/admin/errors.py
+++ b/service_proxy/admin/errors.py
@@ -8,7 +8,7 @@
 
 
 class UnknownEndpointError(AdminError):
-    """No source lists an endpoint of this name, and none of this name is in maintenance."""
+    """Raised for an endpoint name that no source lists and that is not in maintenance."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"no endpoint is named {name!r:.80}")
@@ -16,7 +16,7 @@
 
 
 class MaintenanceLimitError(AdminError):
-    """As many endpoints as the record may hold are in maintenance."""
+    """Raised if the largest number of endpoints that the record may contain is already in maintenance."""
 
     def __init__(self, name: str, maximum: int) -> None:
         super().__init__(f"{maximum} endpoints are in maintenance; {name!r:.80} can't be added")
@@ -25,15 +25,15 @@
 
 
 class InvalidRecordError(AdminError, ValueError):
-    """A shared record can't be used; nothing of it is taken over."""
+    """Raised for a shared record that can't be used; nothing of the record is applied."""
 
 
 class InvalidSettingsUpdateError(AdminError, ValueError):
-    """A configuration file that was read again can't be used; the settings in force stay.
+    """Raised for a reread configuration file that can't be used; the settings in force stay.
 
     Attributes:
-        path: the offending key, as `settings.grades.0.deadline`; empty where it is the file as a whole.
-        problem: what is wrong with it.
+        path: the invalid key, such as `settings.grades.0.deadline`; empty if the file as a whole is invalid.
+        problem: what is wrong with the key or the file.
     """
 
     def __init__(self, problem: str, path: str = "") -> None:
--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -1,8 +1,8 @@
-"""Which endpoints are in maintenance, as an overlay on the endpoint lists. Pure: each call brings the time.
+"""Maintenance of endpoints, as an overlay on the endpoint lists. Pure: the caller passes the time.
 
-An endpoint in maintenance drains, whatever a source lists. One that was put back is taken to have started at
-that moment, since it was most likely restarted meanwhile and the list tells so late. So the policy's
-own rules on draining and on slow start hold for both.
+An endpoint in maintenance drains, whatever state a source lists. A reinstated endpoint counts as started at
+the moment of its reinstatement, because it was most likely restarted during maintenance and the endpoint list
+reports the restart late. Both therefore follow the policy's own rules on draining and on slow start.
 """
 
 from __future__ import annotations
@@ -16,31 +16,32 @@
 from service_proxy.net.endpoint_list import Endpoint, EndpointList
 from service_proxy.policy.events import EndpointState
 
-MAX_ENDPOINTS_IN_MAINTENANCE = 4096  # a site has hundreds at most
+MAX_ENDPOINTS_IN_MAINTENANCE = 4096  # a site has hundreds of endpoints at most
 RECORD_VERSION = 1
 
 
 class MaintenanceOverlay:
-    """The endpoints that the staff took out of use, and those that came back lately.
+    """Endpoints in maintenance and recently reinstated endpoints, applied to the endpoint lists.
 
-    Times are wall times in s, since they outlive the process. `wall_offset`: wall less monotonic time, s;
-    `slow_start_window_s`: for how long an endpoint that came back counts as warming up.
+    Times are wall times in s, because they outlive the process. `wall_offset` is wall time minus monotonic
+    time, in s. `slow_start_window_s` is the time for which a reinstated endpoint counts as warming up.
     """
 
     def __init__(self, wall_offset: float, slow_start_window_s: float) -> None:
         self.wall_offset = wall_offset
         self.slow_start_window_s = slow_start_window_s
-        self.in_maintenance: dict[str, float] = {}  # since when, by name
-        self.reinstated_at: dict[str, float] = {}  # by name
-        self.endpoints: dict[str, Endpoint] = {}  # as the sources list them now
-        self.awaiting_reinstatement: set[str] = set()  # put back while no source listed them as serving
+        self.in_maintenance: dict[str, float] = {}  # start of the maintenance, by endpoint name
+        self.reinstated_at: dict[str, float] = {}  # time of the reinstatement, by endpoint name
+        self.endpoints: dict[str, Endpoint] = {}  # endpoints by name, as the sources list them now
+        # reinstated endpoints that no source lists as serving yet
+        self.awaiting_reinstatement: set[str] = set()
 
-    # What the staff ask for
+    # Requests of the staff
     def start_maintenance(self, name: str, now: float) -> EndpointList:
-        """Drain an endpoint; a second request for the same one changes nothing. Return what changes.
+        """Drain an endpoint, and return the list entries that change; a repeated request changes nothing.
 
         Raises:
-            UnknownEndpointError: nothing has this name.
+            UnknownEndpointError: no endpoint has this name.
             MaintenanceLimitError: MAX_ENDPOINTS_IN_MAINTENANCE are in maintenance.
         """
         self._check_known(name)
@@ -53,10 +54,10 @@
         return self._update([name])
 
     def end_maintenance(self, name: str, now: float) -> EndpointList:
-        """Put an endpoint back, however often it was taken out. Return what changes.
+        """Reinstate an endpoint and return the list entries that change; one call ends repeated requests.
 
         Raises:
-            UnknownEndpointError: nothing has this name.
+            UnknownEndpointError: no endpoint has this name.
         """
         self._check_known(name)
         if self.in_maintenance.pop(name, None) is None:
@@ -69,7 +70,7 @@
 
     # Endpoint lists
     def apply(self, listing: EndpointList) -> EndpointList:
-        """Note what a source lists, and return the list as it is in force."""
+        """Record the endpoints that a source lists, and return the list with maintenance applied."""
         if listing.is_snapshot:
             self.endpoints = {}
         for endpoint in listing.endpoints:
@@ -79,15 +80,15 @@
                 self.endpoints[endpoint.name] = endpoint
         if not self.in_maintenance and not self.reinstated_at:
             return listing
-        in_force = [self._in_force(endpoint) for endpoint in listing.endpoints]
-        return EndpointList(listing.version, listing.is_snapshot, in_force)
+        overridden = [self._override_endpoint(endpoint) for endpoint in listing.endpoints]
+        return EndpointList(listing.version, listing.is_snapshot, overridden)
 
     def _reinstate(self, reinstated_at: Mapping[str, float]) -> EndpointList:
         self.reinstated_at |= reinstated_at
         self.awaiting_reinstatement.update(reinstated_at)
         return self._update(reinstated_at)
 
-    def _in_force(self, endpoint: Endpoint) -> Endpoint:
+    def _override_endpoint(self, endpoint: Endpoint) -> Endpoint:
         entry = endpoint.entry
         if endpoint.name in self.in_maintenance:
             if entry.state is not EndpointState.SERVING:
@@ -103,29 +104,30 @@
         return replace(endpoint, entry=replace(entry, started_at=started_at, reinstated=reinstated))
 
     def _update(self, names: Iterable[str]) -> EndpointList:
-        """Return a list that changes only the endpoints of these names."""
+        """Return an update with only the endpoints of these names."""
         listed = [self.endpoints[name] for name in names if name in self.endpoints]
-        return EndpointList(0, False, [self._in_force(endpoint) for endpoint in listed])
+        return EndpointList(0, False, [self._override_endpoint(endpoint) for endpoint in listed])
 
     def count_unavailable(self, avoided: set[int]) -> int:
         """Count the listed endpoints that get no requests.
 
-        They are in maintenance, or the policy avoids them (`avoided`: their endpoint ids).
+        An endpoint gets no requests if it is in maintenance or if the policy avoids it (`avoided`: endpoint
+        ids).
         """
         return sum(
             name in self.in_maintenance or endpoint.entry.endpoint_id in avoided
             for name, endpoint in self.endpoints.items()
         )
 
-    # From one process to the next
+    # Transfer to the next process
     def restore(self, in_maintenance: Mapping[str, float]) -> None:
-        """Take over a record that outlives the machine; what is known here counts first."""
+        """Restore maintenance from a record that outlives the machine; known state takes precedence."""
         for name, since in in_maintenance.items():
             if name not in self.reinstated_at and len(self.in_maintenance) < MAX_ENDPOINTS_IN_MAINTENANCE:
                 self.in_maintenance.setdefault(name, since)
 
     def encode_record(self, now: float) -> str:
-        """Return what `apply_record` reads, here or in the process that follows."""
+        """Return the record that `apply_record` reads, in this process or in the next one."""
         self.reinstated_at = {
             name: at for name, at in self.reinstated_at.items() if now - at < self.slow_start_window_s
         }
@@ -133,14 +135,14 @@
         return json.dumps(record)
 
     def apply_record(self, text: str) -> EndpointList:
-        """Take over what this or another process encoded. Return what changes.
+        """Apply a record that this or another process encoded, and return the list entries that change.
 
         Raises:
-            ValueError: it is no record; nothing has changed.
+            ValueError: the text is not a valid record; nothing has changed.
         """
         raw = json.loads(text)
         if not isinstance(raw, Mapping) or raw.get("version") != RECORD_VERSION:
-            raise InvalidRecordError("not a record of maintenance")
+            raise InvalidRecordError("not a valid maintenance record")
         in_maintenance = _read_times(raw.get("out"))
         reinstated_at = _read_times(raw.get("back"))
         out_of_service = [name for name in in_maintenance if name not in self.in_maintenance]
@@ -153,10 +155,10 @@
 
 
 def _read_times(raw: Any) -> dict[str, float]:
-    """Read times by name; there are no more of them than endpoints may be in maintenance."""
+    """Return times by endpoint name; raise InvalidRecordError if they exceed the maintenance limit."""
     if not isinstance(raw, Mapping) or len(raw) > MAX_ENDPOINTS_IN_MAINTENANCE:
-        raise InvalidRecordError("not a record of maintenance")
+        raise InvalidRecordError("not a valid maintenance record")
     try:
         return {str(name): float(at) for name, at in raw.items()}
     except (TypeError, OverflowError) as error:
-        raise InvalidRecordError(f"not a record of maintenance: {error}") from None
+        raise InvalidRecordError(f"not a valid maintenance record: {error}") from None
--- a/service_proxy/admin/metrics.py
+++ b/service_proxy/admin/metrics.py
@@ -1,6 +1,6 @@
-"""The metrics of a process, counted from its start, in statsd's line format (name:value|type). Pure.
+"""Metrics of a process, counted from its start, in statsd's line format (name:value|type). Pure.
 
-The names of the metrics are the platform's.
+The platform defines the names of the metrics.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Metrics:
-    """Requests by class and outcome (`net.downstream.RequestCounter`), and reloads of the configuration."""
+    """Counters of requests by class and outcome (`net.downstream.RequestCounter`) and of reloads."""
 
     def __init__(self) -> None:
         self.requests_by_class: dict[str, Counter[str]] = {}
@@ -30,11 +30,11 @@
         self.add_request_class(cls)[OUTCOME_BY_STATUS.get(code, FAILURE)] += 1
 
     def add_request_class(self, cls: str) -> Counter[str]:
-        """Show the class from now on, also while its counts are 0; return its counts."""
+        """Include the class in the metrics, even while its counts are 0, and return its counts."""
         return self.requests_by_class.setdefault(cls, Counter())
 
     def render(self, gauges: dict[str, int], counters: dict[str, int]) -> str:
-        """Return all metrics, and these, sorted, one a line."""
+        """Return the lines of all counted metrics and of `gauges` and `counters`, sorted."""
         counts = {
             f"calls.{cls}.{outcome}": by_outcome[outcome]
             for cls, by_outcome in self.requests_by_class.items()
--- a/service_proxy/admin/process_generations.py
+++ b/service_proxy/admin/process_generations.py
@@ -1,7 +1,8 @@
-"""The processes of one proxy, one after another or two beside each other: who precedes and follows whom.
+"""Processes of one proxy, in sequence or side by side: each finds its predecessor and its successor.
 
-Each holds a lock (flock(2)) on a file of its own in $TMPDIR, numbered upwards. The kernel drops the lock with
-the process, however that ends, so a file that nobody has locked is of a process that has ended.
+Each process holds a lock (flock(2)) on its own file in $TMPDIR. The files are numbered upwards. The kernel
+releases the lock when the process ends, however it ends, so an unlocked file belongs to a process that has
+ended.
 """
 
 from __future__ import annotations
@@ -11,16 +12,18 @@
 import os
 from pathlib import Path
 
-MAX_NUMBER_ATTEMPTS = 100  # numbers tried by a process that starts; others may start at the same moment
-# Predecessors that are looked for: no more than two processes run, and gaps are of those that ended.
+# numbers that a starting process tries; other processes may start at the same moment
+MAX_NUMBER_ATTEMPTS = 100
+# Lower numbers among which a predecessor is searched. No more than two processes run, and the numbers between
+# them belong to processes that have ended.
 PREDECESSOR_RANGE = 3
 LOCK_FILE_MODE = 0o600
 
 
 class ProcessGenerations:
-    """This process's place among the processes of its proxy.
+    """Position of this process among the processes of its proxy.
 
-    `path_stem`: the path of the lock files without their numbers. Raises OSError where no file can be made.
+    `path_stem` is the path of the lock files without their numbers. Raises OSError if no file can be created.
     """
 
     def __init__(self, path_stem: Path) -> None:
@@ -30,13 +33,13 @@
         self._remove_files_of_ended_processes()
 
     def _create_lock_file(self) -> tuple[int, int]:
-        """Return the number of the file and its descriptor."""
+        """Create the lock file, and return its number and its descriptor."""
         first = 1 + max(self._numbers(), default=0)
         for number in range(first, first + MAX_NUMBER_ATTEMPTS):
             with contextlib.suppress(FileExistsError):
                 flags = os.O_CREAT | os.O_EXCL | os.O_RDWR
                 return number, os.open(self._path(number), flags, LOCK_FILE_MODE)
-        raise OSError(f"no number is free for {self.path_stem}")
+        raise OSError(f"no unused process number was found for {self.path_stem}")
 
     def _remove_files_of_ended_processes(self) -> None:
         for number in self._numbers():
@@ -67,21 +70,21 @@
             os.close(descriptor)
 
     def has_successor(self) -> bool:
-        """Return whether a process that started later runs."""
+        """Return whether a process that started later is running."""
         number = self.number + 1
-        while self._path(number).exists():  # numbers have no gaps above a process that runs
+        while self._path(number).exists():  # numbers above that of a running process have no gaps
             if self._is_running(number):
                 return True
             number += 1
         return False
 
     def has_predecessor(self) -> bool:
-        """Return whether the process before this one runs."""
+        """Return whether a process that started earlier is running."""
         first = max(1, self.number - PREDECESSOR_RANGE)
         return any(self._is_running(number) for number in range(first, self.number))
 
     def release(self) -> None:
-        """Give up this process's place: the others no longer count it."""
+        """Remove this process's lock file, so that the other processes no longer count this process."""
         with contextlib.suppress(OSError):
             self._path(self.number).unlink()
             os.close(self.lock_fd)
--- a/service_proxy/admin/routes.py
+++ b/service_proxy/admin/routes.py
@@ -1,6 +1,7 @@
-"""The routes of the admin server ("console" in the platform's pages), apart from its sockets. Pure.
+"""Routes of the admin server ("console" in the platform's pages), separate from its sockets. Pure.
 
-Paths, methods and texts are the platform's (DAYS, "The second address"): operators' scripts read them.
+The platform defines the paths, methods and texts (DAYS, "The second address"), and operators' scripts read
+them.
 """
 
 from __future__ import annotations
@@ -9,14 +10,14 @@
 from typing import NamedTuple, Protocol
 from urllib.parse import unquote_to_bytes
 
-MAX_NAME_BYTES = 256  # of an endpoint's name in a path, after percent-decoding
+MAX_NAME_BYTES = 256  # bytes of an endpoint's name in a path, after percent-decoding
 READ_PATHS = (b"healthcheck", b"stats")
 ENDPOINT_ACTIONS = (b"maint", b"ready")
 ENDPOINT_PATH_PARTS = 3  # backends/ID/ACTION
 
 
 class AdminResponse(NamedTuple):
-    """A response as plain text: 2xx says yes, 4xx and 5xx say no."""
+    """Plain-text response; a 2xx status reports success, a 4xx or 5xx status reports failure."""
 
     status: HTTPStatus
     text: str
@@ -32,7 +33,7 @@
 
 
 class AdminHandler(Protocol):
-    """Answers the requests that `route` recognises."""
+    """Handler of the requests that `route` recognises."""
 
     def health(self) -> AdminResponse:
         """Return whether this process serves requests."""
@@ -41,14 +42,14 @@
         """Return the metrics of this process."""
 
     def start_maintenance(self, name: str) -> AdminResponse:
-        """Drain the endpoint `name` until `end_maintenance`."""
+        """Drain the endpoint `name` until `end_maintenance` is called."""
 
     def end_maintenance(self, name: str) -> AdminResponse:
-        """Put the endpoint `name` back into use."""
+        """Reinstate the endpoint `name`."""
 
 
 def route(handler: AdminHandler, method: bytes, target: bytes) -> AdminResponse:
-    """Let `handler` answer one request, or say why it is none of the admin server's."""
+    """Return the response of `handler` to one request, or an error response if no route matches."""
     path = target.partition(b"?")[0]
     parts = path.split(b"/")[1:] if path.startswith(b"/") else []
     if len(parts) == 1 and parts[0] in READ_PATHS:
--- a/service_proxy/admin/server.py
+++ b/service_proxy/admin/server.py
@@ -1,7 +1,7 @@
-"""The admin server: HTTP/1.1 on an address of its own, one request a connection.
+"""Admin server: HTTP/1.1 at its own address, with one request per connection.
 
-Bounded: beyond MAX_CONNECTIONS the connection that has waited longest without a complete request is closed,
-so that clients who hold connections keep nobody out.
+Connections are bounded: beyond MAX_CONNECTIONS the connection that has waited longest without a complete
+request is closed, so that clients that keep connections open can't block other clients.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 16
-MAX_REQUEST_BYTES = 8 * 1024  # of a request, with its head
-REQUEST_TIMEOUT_S = 5.0  # from the connect to a complete request
-RESPONSE_TIMEOUT_S = 1.0  # in which a response must have been read
-SWEEP_INTERVAL_S = 0.5  # between looks for connections whose time is up
+MAX_REQUEST_BYTES = 8 * 1024  # bytes of a request, including its head
+REQUEST_TIMEOUT_S = 5.0  # from the accepted connection to a complete request
+RESPONSE_TIMEOUT_S = 1.0  # time for the client to read the response
+SWEEP_INTERVAL_S = 0.5  # interval between checks for overdue connections
 LISTEN_BACKLOG = 64
 
 REQUEST_TOO_LARGE = AdminResponse(HTTPStatus.BAD_REQUEST, "the call does not end\n")
@@ -32,7 +32,7 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection with one request."""
+    """Connection that carries one request."""
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
@@ -41,25 +41,25 @@
         self.target = b""
         self.received_bytes = 0
         self.response: AdminResponse | None = None
-        self.phase_started_at = 0.0  # monotonic, s: when it was accepted, then when it was answered
+        self.phase_started_at = 0.0  # monotonic, s: time of the accept, later of the response
 
     # asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server, which may close another connection for it."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        """Register the connection with the server, which may close another connection to make room."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's own transport class
         self.phase_started_at = time.monotonic()
         self.server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Leave the server."""
+        """Remove the connection from the server."""
         self.transport = None
         self.parser = None
         self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the request, and answer it once it is complete or can't become so."""
+        """Parse the request, and answer it once it is complete or can no longer be completed."""
         if self.response is not None:
-            return  # what follows the request is read, so that the response arrives, and dropped
+            return  # data after the request is read, so that the response arrives, and is discarded
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
@@ -73,11 +73,11 @@
 
     # httptools.HttpRequestParser
     def on_url(self, part: bytes) -> None:
-        """Take a piece of the request's target."""
+        """Append a part of the request's target."""
         self.target += part
 
     def on_message_complete(self) -> None:
-        """Route the request; a second one on the connection is ignored."""
+        """Route the request; a second request on the connection is ignored."""
         if self.response is not None:
             return
         try:
@@ -111,7 +111,7 @@
 
 
 class AdminServer:
-    """The listener and its connections."""
+    """Listener of the admin server, and its connections."""
 
     def __init__(self, handler: AdminHandler) -> None:
         self.handler = handler
@@ -121,10 +121,10 @@
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, at: Address) -> None:
-        """Accept connections at this address.
+        """Accept connections at the address `at`.
 
         Raises:
-            OSError: the address can't be listened at.
+            OSError: the server can't listen at the address.
         """
         self.listener = await self.loop.create_server(
             lambda: AdminConnection(self), *at, backlog=LISTEN_BACKLOG
@@ -141,7 +141,7 @@
             connection.abort()
 
     def add(self, connection: AdminConnection) -> None:
-        """Take in a new connection; where there are too many, close the oldest without a request."""
+        """Add a new connection; at MAX_CONNECTIONS close the oldest connection without a complete request."""
         if len(self.connections) >= MAX_CONNECTIONS:
             first = next(iter(self.connections))
             oldest = next((other for other in self.connections if other.response is None), first)
--- a/service_proxy/admin/service.py
+++ b/service_proxy/admin/service.py
@@ -1,6 +1,6 @@
-"""The admin service of one proxy: what the admin server's requests and SIGHUP do, and hot restarts.
+"""Admin service of one proxy, which handles the admin server's requests, SIGHUP and hot restarts.
 
-It ties the parts of this package to the proxy's dispatcher and listener, and decides nothing of its own:
+The service connects the parts of this package to the proxy's dispatcher and listener. It makes no decisions;
 `maintenance.py` and `settings_update.py` do.
 """
 
@@ -38,11 +38,13 @@
 
 log = logging.getLogger(__name__)
 
-LIMIT_SHARE_OF_TWO = 0.5  # of the limits, while a second process of this proxy runs
-READY_TIMEOUT_S = 3.0  # for which a second process waits for its endpoint list before it listens
-ACCEPT_QUEUE_DRAIN_S = 0.25  # for which connections that were queued at a listener before may still come up
-# Between looks at the record and the other processes: maintenance that another process of this proxy was
-# asked for holds here too.
+# share of the limits that this process uses while a second process of this proxy runs
+LIMIT_SHARE_OF_TWO = 0.5
+READY_TIMEOUT_S = 3.0  # longest wait of a second process for its endpoint list before it listens
+# time in which connections that are already queued at a closing listener are still accepted
+ACCEPT_QUEUE_DRAIN_S = 0.25
+# Interval at which the maintenance record is read and other processes are looked up, so that maintenance
+# requested from another process of this proxy takes effect here too.
 POLL_INTERVAL_S = 0.1
 PATH_DIGEST_BYTES = 8
 OK = AdminResponse(HTTPStatus.OK, "ok\n")
@@ -51,10 +53,10 @@
 
 
 def shared_file_path(config: ProxyConfig, suffix: str) -> Path:
-    """Return the path of a file that the processes of this proxy alone share, in $TMPDIR.
+    """Return the path of a file in $TMPDIR that only the processes of this proxy share.
 
-    The name keeps the package's old name: during a hot restart from an earlier version, the old and the new
-    process find each other and the record of maintenance by it.
+    The file name contains the package's former name, because during a hot restart from an earlier version the
+    old and the new process find each other and the maintenance record by this file name.
     """
     identity = f"{config.name} {config.listen}".encode()
     digest = hashlib.blake2b(identity, digest_size=PATH_DIGEST_BYTES).hexdigest()
@@ -62,13 +64,13 @@
 
 
 class AdminService:
-    """Daily operation of one proxy; `routes.AdminHandler` for its admin server.
+    """Daily operation of one proxy, and the `routes.AdminHandler` of its admin server.
 
-    Owns the admin server, the maintenance overlay with its shared record, the metrics, and this process's
-    generation. Raises OSError where $TMPDIR can't be written.
+    The service owns the admin server, the maintenance overlay with its shared record, the metrics, and this
+    process's generation. Raises OSError if $TMPDIR can't be written.
     """
 
-    file_descriptors = MAX_CONNECTIONS + 1  # of the admin server
+    file_descriptors = MAX_CONNECTIONS + 1  # descriptors of the admin server
 
     def __init__(self, config: ProxyConfig) -> None:
         self.config = config
@@ -79,7 +81,7 @@
             self.metrics.add_request_class(cls.name)
         self.maintenance_record = SharedRecord(shared_file_path(config, "maintenance"))
         self.generations = ProcessGenerations(shared_file_path(config, "process"))
-        self.other_process_runs = False  # of this proxy
+        self.other_process_runs = False  # whether another process of this proxy runs
         self.server = AdminServer(self)
         self.dispatcher: RequestDispatcher | None = None
         self.downstream: HttpServer | None = None
@@ -88,7 +90,7 @@
         self._read_maintenance_record()
 
     async def start(self, dispatcher: RequestDispatcher, downstream: HttpServer) -> None:
-        """Start the admin server; beside another process, wait until requests can be served.
+        """Start the admin server; if another process runs, wait until this process can serve requests.
 
         Raises:
             OSError: the admin server can't listen.
@@ -99,8 +101,8 @@
         await self.server.listen(self.config.admin_address)
         self._poll()
         if self.other_process_runs:
-            # Connections that go to this process are served from its first moment, else they had better go
-            # to the one before.
+            # This process must serve its connections from the first one on; until then, connections should
+            # go to the previous process.
             deadline = time.monotonic() + READY_TIMEOUT_S
             while not dispatcher.cluster.is_ready and time.monotonic() < deadline:
                 await asyncio.sleep(POLL_INTERVAL_S)
@@ -116,13 +118,14 @@
     # Hot restart
     @property
     def has_successor(self) -> bool:
-        """Whether the process that is to take this one's place runs."""
+        """Whether the process that is to replace this one runs."""
         return self.generations.has_successor()
 
-    async def hand_over(self) -> None:
-        """Close the listener, where another process listens at its address.
+    async def hand_over_listener(self) -> None:
+        """Close the listener while another process listens at the same address.
 
-        What was queued at this one is still accepted, and clients come back to the other.
+        Connections that are queued at this listener are still accepted, and clients reconnect to the other
+        process.
         """
         assert self.downstream is not None
         self.downstream.is_draining = True
@@ -139,19 +142,19 @@
             self._set_limits(LIMIT_SHARE_OF_TWO if other_process_runs else 1.0)
 
     def _set_limits(self, share: float) -> None:
-        """Take this share of the limits: they hold for both processes together."""
+        """Apply this share of the limits, because the limits cover both processes together."""
         assert self.dispatcher is not None
         assert self.downstream is not None
         log.info("limit_share_changed share=%.2f other_process_runs=%s", share, self.other_process_runs)
         self.downstream.set_resource_share(share)
         self.dispatcher.set_resource_share(share)
         if not self.other_process_runs and self.downstream.listener is not None:
-            # The program that the process before attached outlives it.
+            # The program that the previous process attached outlives that process.
             reuse_port.balance_by_hash(self.downstream.fileno)
 
     # routes.AdminHandler
     def health(self) -> AdminResponse:
-        """Answer OK while this process listens, does not drain, and has endpoints to send requests to."""
+        """Return OK while this process listens, does not drain, and has endpoints to send requests to."""
         downstream = self.downstream
         dispatcher = self.dispatcher
         if downstream is None or dispatcher is None or downstream.listener is None or downstream.is_draining:
@@ -173,16 +176,17 @@
         return AdminResponse(HTTPStatus.OK, self.metrics.render(gauges, counters))
 
     def start_maintenance(self, name: str) -> AdminResponse:
-        """Drain an endpoint, here and in the processes that share the record."""
+        """Drain an endpoint, in this process and in the processes that share the record."""
         return self._change_maintenance(name, ends=False)
 
     def end_maintenance(self, name: str) -> AdminResponse:
-        """Put an endpoint back, here and in the processes that share the record."""
+        """Reinstate an endpoint, in this process and in the processes that share the record."""
         return self._change_maintenance(name, ends=True)
 
     def _change_maintenance(self, name: str, ends: bool) -> AdminResponse:
-        """Write the record before the response, so that a yes holds whatever becomes of this process."""
-        self._read_maintenance_record()  # or what another process wrote a moment ago would be undone
+        """Change maintenance; a record written before the response makes the change outlive this process."""
+        # Without this read, a change that another process wrote a moment ago would be undone.
+        self._read_maintenance_record()
         now = time.time()
         change = self.maintenance.end_maintenance if ends else self.maintenance.start_maintenance
         try:
@@ -198,7 +202,7 @@
         return OK
 
     def _read_maintenance_record(self) -> None:
-        """Take over what another process of this proxy was asked for."""
+        """Apply the maintenance that was requested from another process of this proxy."""
         try:
             text = self.maintenance_record.read_if_changed()
             if text is not None:
@@ -212,9 +216,9 @@
 
     # SIGHUP
     def reload(self, environ: Mapping[str, str]) -> Address:
-        """Take over the new settings; return where discovery is by the file.
+        """Apply the new settings, and return the discovery address that the file names.
 
-        New request classes hold at once, the rest TRANSITION_S later.
+        New request classes take effect at once, all other settings TRANSITION_S later.
 
         Raises:
             ConfigError: the file can't be used; nothing has changed.
--- a/service_proxy/admin/settings_update.py
+++ b/service_proxy/admin/settings_update.py
@@ -1,6 +1,7 @@
-"""Whether a configuration that is read again can be used, and what is in force until it is. Pure.
+"""Validation of a reread configuration file, and the settings during the transition to it. Pure.
 
-A new file is compared with the one in use: what that has and this lacks is most likely lost, not meant.
+A new file is compared with the running one: a key that only the running file has was most likely lost by
+accident, not removed on purpose.
 """
 
 from __future__ import annotations
@@ -14,23 +15,24 @@
 from service_proxy.admin.errors import InvalidSettingsUpdateError
 from service_proxy.policy.settings_types import Settings
 
-TRANSITION_S = 0.8  # for which clients' requests may still be of the file before
+TRANSITION_S = 0.8  # time in which clients may still send requests according to the previous file
 STARTUP_ONLY_KEYS = frozenset(("known", "seed"))
-POSITIVE_CLASS_KEYS = ("deadline", "objective", "attempts")  # of a request class, where it has them
+# keys of a request class whose values must be positive if present
+POSITIVE_CLASS_KEYS = ("deadline", "objective", "attempts")
 
 
 def parse_update(text: str, running: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the new file's object; `running` is the one in use.
+    """Return the object of the new file; `running` is the object in use.
 
     Raises:
-        InvalidSettingsUpdateError: it can't be used; the message names the key.
+        InvalidSettingsUpdateError: the file can't be used; the message names the key.
     """
     try:
         new = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise InvalidSettingsUpdateError(f"no JSON: {error}") from None
+        raise InvalidSettingsUpdateError(f"the file is not valid JSON: {error}") from None
     if not isinstance(new, dict):
-        raise InvalidSettingsUpdateError("no JSON object")
+        raise InvalidSettingsUpdateError("the file is not a JSON object")
     _check_object(new, running, "")
     _check_numbers(new["settings"])
     return new
@@ -61,21 +63,25 @@
 def _check_shape(new: Any, before: Any, path: str) -> None:
     if isinstance(before, Mapping):
         if not isinstance(new, Mapping):
-            raise InvalidSettingsUpdateError("is no object", path)
+            raise InvalidSettingsUpdateError("is not an object", path)
         _check_object(new, before, path)
     elif isinstance(before, list):
         if not isinstance(new, list):
-            raise InvalidSettingsUpdateError("is no list", path)
+            raise InvalidSettingsUpdateError("is not a list", path)
         if before and all(isinstance(item, Mapping) for item in before):
             _check_items(new, before, path)
 
 
 def _check_items(new: list[Any], running: list[Mapping[str, Any]], path: str) -> None:
-    """Check the objects of a list: they may come and go; each has the keys that all of its kind have had."""
+    """Check the objects of a list; objects may be added and removed.
+
+    Each object needs the keys that all running objects with the same effect have. If no running object has
+    that effect, the object needs the keys that all running objects have.
+    """
     for index, item in enumerate(new):
         item_path = f"{path}.{index}"
         if not isinstance(item, Mapping):
-            raise InvalidSettingsUpdateError("is no object", item_path)
+            raise InvalidSettingsUpdateError("is not an object", item_path)
         same_effect = [before for before in running if before.get("effect") == item.get("effect")] or running
         required = set.intersection(*(set(before) for before in same_effect))
         missing = sorted(required - set(item))
@@ -91,7 +97,7 @@
 
 
 def transitional_settings(running: Settings, new: Settings) -> Settings:
-    """Return what is in force until the new settings are: the running ones, and the classes that appear."""
+    """Return the settings in force during the transition: the running ones plus the new request classes."""
     known = {cls.name for cls in running.classes}
     added = [cls for cls in new.classes if cls.name not in known]
     return dataclasses.replace(running, classes=[*running.classes, *added])
--- a/service_proxy/admin/shared_record.py
+++ b/service_proxy/admin/shared_record.py
@@ -1,4 +1,4 @@
-"""A small record in $TMPDIR that the processes of one proxy share, also one and the next."""
+"""Small record in $TMPDIR that concurrent and successive processes of one proxy share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Tells one writing of the record from another."""
+    """Version of the record file, which differs after each write."""
 
     inode: int
     modified_ns: int
@@ -20,17 +20,17 @@
 
 
 class SharedRecord:
-    """One record, replaced atomically: a reader sees the one before or the new one, never a part of one."""
+    """Record that is replaced atomically: a reader sees the previous or the new text as a whole."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.last_version: FileVersion | None = None  # that was read or written last
+        self.last_version: FileVersion | None = None  # version that this process read or wrote last
 
     def write(self, text: str) -> None:
         """Replace the record.
 
         Raises:
-            OSError: it could not be written; the record is what it was.
+            OSError: the record could not be written and is unchanged.
         """
         temporary = self.path.with_suffix(f".{os.getpid()}")
         try:
@@ -42,11 +42,11 @@
             raise
 
     def read_if_changed(self) -> str | None:
-        """Return the record where another process has written it since, else None.
+        """Return the record if another process has written it since the last call, else None.
 
         Raises:
-            OSError: it could not be read.
-            ValueError: it is larger than MAX_RECORD_BYTES, or no UTF-8.
+            OSError: the record could not be read.
+            ValueError: the record is larger than MAX_RECORD_BYTES, or is not UTF-8.
         """
         try:
             stat = os.stat(self.path)
@@ -55,7 +55,7 @@
         version = _version(stat)
         if version == self.last_version:
             return None
-        self.last_version = version  # one that can't be read is reported once
+        self.last_version = version  # set before the read, so that an unreadable record is reported once
         if version.size_bytes > MAX_RECORD_BYTES:
             raise InvalidRecordError(f"{self.path.name} is too large")
         return self.path.read_text(encoding="utf-8")
--- a/service_proxy/clock.py
+++ b/service_proxy/clock.py
@@ -1,7 +1,7 @@
-"""The clocks of a process, as one object that the composition root hands to whoever reads a time.
+"""Clocks of a process as one object, which the composition root passes to every part that reads a time.
 
-Modules that decide are given times as numbers; only those that drive them read this. A test harness can put
-another one in its place.
+Modules that make decisions receive times as numbers, and only their drivers read this object. A test harness
+can substitute another clock.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 
 class Clock:
-    """The machine's clocks."""
+    """Clocks of the machine."""
 
     def monotonic(self) -> float:
-        """Return s on a clock that only goes forward; it means nothing outside this process's machine."""
+        """Return the time in s of a clock that never goes back; comparable only on this machine."""
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Return s since 1970 by the machine's clock, which may be wrong and may go back."""
+        """Return the time in s since 1970 by the machine's clock, which may be wrong and may go back."""
         return time.time()
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -1,8 +1,8 @@
-"""The composition root: puts a proxy together from its parts, starts it, reloads, drains and stops it.
+"""Composition root: creates the parts of a proxy, and starts, reloads, drains and stops the proxy.
 
-The one place that knows every part; `python -m service_proxy` makes one proxy, a sidecar one for each tier
-that its application calls. A part that is off is not imported, so the imports stand in the functions that
-create it.
+This is the only module that depends on every part. `python -m service_proxy` creates one proxy; a sidecar
+creates one proxy for each tier that its application calls. A part that is off is not imported, so each part
+is imported in the function that creates it.
 """
 
 from __future__ import annotations
@@ -38,43 +38,42 @@
 
 log = logging.getLogger("service_proxy")
 
-DRAIN_POLL_INTERVAL_S = 0.01  # between looks whether all requests are answered
-# For the last responses to be read. With __main__.KILL_MARGIN_S it stays ahead of the SIGKILL, also where the
-# process is held up for the operators' 0.15 s.
+DRAIN_POLL_INTERVAL_S = 0.01  # interval between checks whether all requests are answered
+# Time in which clients can read the last responses. It is shorter than __main__.KILL_MARGIN_S, so the proxy
+# ends before the SIGKILL even if the process stalls for the operators' 0.15 s.
 LAST_BYTES_GRACE_S = 0.2
-# Objects allocated before a collection of the youngest generation, and collections of each generation before
-# one of the next: few, since what lives long is frozen.
+# Objects allocated before a collection of the youngest generation, then collections of each generation before
+# one collection of the next. Collections are rare, because long-lived objects are frozen.
 GC_THRESHOLDS = (50_000, 20, 50)
 
 ListOverlay = Callable[[EndpointList], EndpointList]
 
 
 class Proxy:
-    """One tier's proxy in this process: it accepts requests at its listener and balances them over the tier.
+    """Proxy of one tier in this process, which accepts requests and balances them over the tier's endpoints.
 
-    Owns the dispatcher, the listener and the parts that are on:
+    The proxy owns the dispatcher, the listener and the parts that are on:
 
     - `dispatcher`: the policy, the endpoint list in force, the upstream connection pools, discovery.
     - `server`: the listener and the downstream connections.
-    - `admin`: the admin server, maintenance, metrics; None where the platform names no address for it.
+    - `admin`: the admin server, maintenance, metrics; None if the platform names no address for it.
     - `recovery`: the records that outlive the process, and the phase of a recovery.
     - `fleet`: this process's member of the fleet.
     - `websocket`: WebSocket sessions and tunnels.
-    - `subsystems`: all parts that the operator's file turns on, in the order in which they start.
+    - `subsystems`: all parts that the operator's file enables, in the order in which they start.
 
     Args:
         config: the platform's configuration of the process.
-        membership: where ephemeral nodes are a source of endpoints; None: off.
+        membership: settings of ephemeral nodes as a source of endpoints; None: off.
         budgets: the deadline propagation that the listeners of a process share; None: off.
-        called: the name of the tier, where budgets are on and it is known.
-        websocket: the sessions' settings; None: off.
-        fleet: the membership's settings; None: off.
-        fleet_keys: that authenticate the fleet's datagrams.
-        recovery: the recovery's settings; None: off.
+        called: the name of the tier, if budgets are on and the name is known.
+        websocket: settings of WebSocket sessions; None: off.
+        fleet: settings of the fleet's membership; None: off.
+        fleet_keys: keys that authenticate the fleet's datagrams.
+        recovery: settings of the recovery; None: off.
 
     Raises:
-        ConfigError: the list that it is to begin with can't be used, or a part can't be had with these
-            settings.
+        ConfigError: the initial endpoint list can't be used, or a part can't be created with these settings.
         OSError: the admin service can't write to $TMPDIR.
     """
 
@@ -89,7 +88,7 @@
         fleet_keys: Sequence[bytes] = (),
         recovery: RecoverySettings | None = None,
     ) -> None:
-        """Create all parts; none of them runs yet."""
+        """Create all parts without starting them."""
         self.config = config
         process_config = config
         if websocket is not None:
@@ -117,7 +116,7 @@
             self.subsystems.append(self.websocket)
 
     def _list_overlays(self) -> list[ListOverlay]:
-        """Return what acts on endpoint lists, in this order: what is known of an outage, then maintenance."""
+        """Return the overlays on endpoint lists in their order: recovery from an outage, then maintenance."""
         overlays: list[ListOverlay] = []
         if self.recovery is not None:
             overlays.append(self.recovery.override_list)
@@ -125,7 +124,7 @@
             overlays.append(self.admin.maintenance.apply)
         if self.recovery is not None and self.admin is not None:
             self.admin.maintenance.restore(self.recovery.in_maintenance)
-            # From here on staff put an endpoint back into service by the admin service.
+            # From now on staff end an endpoint's maintenance through the admin service.
             self.recovery.endpoint_override.in_maintenance = frozenset()
         return overlays
 
@@ -146,14 +145,14 @@
     def _attach_recovery(self, recovery: Recovery) -> None:
         admin = self.admin
         dispatcher = self.dispatcher
-        fleet = self.fleet  # the membership view, the datagram channel and the member's metadata
+        fleet = self.fleet  # source of the membership view, the datagram channel and the member's metadata
 
-        def put_in_force(listing: EndpointList) -> None:
+        def apply_list(listing: EndpointList) -> None:
             dispatcher.apply_overridden_list(
                 admin.maintenance.apply(listing) if admin is not None else listing
             )
 
-        recovery.attach(dispatcher, put_in_force, fleet, fleet, fleet)
+        recovery.attach(dispatcher, apply_list, fleet, fleet, fleet)
         if admin is not None:
             recovery.current_maintenance = lambda: admin.maintenance.in_maintenance
         dispatcher.on_attempt_outcome = recovery.on_attempt_end
@@ -164,7 +163,7 @@
         """Start all parts, the listener last.
 
         Raises:
-            OSError: an address can't be listened at.
+            OSError: the proxy can't listen at an address.
         """
         self.dispatcher.start()
         for subsystem in self.subsystems:
@@ -174,12 +173,12 @@
         await self.server.listen(*self.config.listen, reuse_port=self.admin is not None)
 
     def move_discovery(self, discovery: Address) -> None:
-        """Ask discovery at another address from now on."""
+        """Change the address of discovery from now on."""
         log.info("discovery_address_changed address=%s:%d", *discovery)
         self.dispatcher.discovery.change_address(discovery)
 
     def reload_subsystems(self, operator_file: str) -> None:
-        """Take over what may change of the operator's file.
+        """Apply the keys of the operator's file that can change while the proxy runs.
 
         A subsystem whose table can't be used keeps its settings.
         """
@@ -190,7 +189,7 @@
                 log.error("subsystem_reload_rejected error=%s", " | ".join(str(error).splitlines()))
 
     def end_all_by(self, end_by: float) -> None:
-        """Begin to drain: all requests and sessions end by `end_by` (monotonic, s)."""
+        """Start draining: all requests and sessions end by `end_by` (monotonic, s)."""
         self.dispatcher.set_shutdown_deadline(end_by)
         if self.websocket is not None:
             self.websocket.drain(end_by)
@@ -198,7 +197,7 @@
             self.fleet.drain()
 
     async def wait_until_drained(self) -> None:
-        """Close each connection with its next response; return when nothing is left to be answered."""
+        """Close each connection with its next response, and return when all requests are answered."""
         await drain_server(self.server, self._has_unanswered, self.dispatcher.shutdown_deadline)
 
     def _has_unanswered(self) -> bool:
@@ -216,12 +215,12 @@
 
 
 def _log_at_info(package: str) -> None:
-    """Have a package's INFO lines written: they are few, or bounded by the package itself."""
+    """Enable a package's INFO log lines, which are few or are bounded by the package itself."""
     logging.getLogger(package).setLevel(logging.INFO)
 
 
 def create_admin_service(config: ProxyConfig) -> AdminService | None:
-    """Return the admin service, or None where the platform names no address for it."""
+    """Return the admin service, or None if the platform names no address for it."""
     if config.admin_address is None:
         return None
     from service_proxy.admin.service import AdminService
@@ -232,26 +231,25 @@
 def create_endpoint_source(
     settings: Membership, dispatcher: RequestDispatcher, config: ProxyConfig
 ) -> Subsystem:
-    """Return the source of endpoints that reads ephemeral nodes; it feeds the dispatcher."""
+    """Return the source of endpoints that reads ephemeral nodes and updates the dispatcher."""
     from service_proxy.ephemeral_nodes.source import EphemeralNodeSource
 
-    # Its lines say which source decided: docs/operators/ephemeral.md.
+    # The INFO lines report which source decided: docs/operators/ephemeral.md.
     _log_at_info("service_proxy.ephemeral_nodes")
     return EphemeralNodeSource(settings, dispatcher, config)
 
 
 def create_registrar(membership: Membership, registration: Registration, since_ms: int) -> Registrar:
-    """Return what keeps this machine's endpoint registered; it is not started yet."""
+    """Return a registrar, not yet started, which keeps this machine's endpoint registered."""
     from service_proxy.ephemeral_nodes.registrar import create_registrar
 
     return create_registrar(membership, registration, since_ms)
 
 
 def create_deadline_propagation(settings: BudgetSettings, hop: str) -> BudgetPropagation:
-    """Return the deadline propagation of a process, for all its listeners.
+    """Return the deadline propagation of a process, shared by all its listeners.
 
-    `hop`: the hop identifier, where the settings name none. Raises OperatorError where the key file can't be
-    used.
+    `hop` is the hop identifier if the settings name none. Raises OperatorError if the key file can't be used.
     """
     from service_proxy.deadlines.propagation import BudgetPropagation
 
@@ -262,14 +260,14 @@
 def create_fleet(
     settings: FleetSettings, config: ProxyConfig, dispatcher: RequestDispatcher, keys: Sequence[bytes]
 ) -> FleetService | None:
-    """Return the fleet's member, or None where the platform allows no messages between proxies.
+    """Return the fleet's member, or None if the platform allows no messages between proxies.
 
-    There nothing of the package is imported.
+    Without a member nothing of the fleet package is imported.
     """
     if not (config.settings.can_message_peers or settings.own_network):
         log.error(
             "fleet_disabled reason=the platform's settings (policy_limits.peers) allow no messages between "
-            "proxies; on an installation of its own write own_network = true"
+            "proxies; without such a platform, write own_network = true in [fleet]"
         )
         return None
     from service_proxy.clock import Clock
@@ -280,7 +278,7 @@
 
 
 def create_recovery(settings: RecoverySettings, config: ProxyConfig) -> Recovery:
-    """Return the recovery, with its store read."""
+    """Create the recovery and read its store."""
     from service_proxy.clock import Clock
     from service_proxy.recovery.service import Recovery
 
@@ -289,10 +287,10 @@
 
 
 def reserve_for_websocket(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
-    """Return the configuration less the descriptors and memory of the sessions.
+    """Return the configuration minus the descriptors and memory reserved for WebSocket sessions.
 
     Raises:
-        ConfigError: they leave too little.
+        ConfigError: the remaining descriptors or memory are too few.
     """
     from service_proxy.websocket.listener import reserve_resources
 
@@ -302,10 +300,12 @@
 def create_websocket_listener(
     settings: WebSocket, config: ProxyConfig, dispatcher: RequestDispatcher, server: HttpServer
 ) -> WebSocketListener:
-    """Return the WebSocket listener, attached to the HTTP listener. `config`: of the whole process.
+    """Return the WebSocket listener, attached to the HTTP listener.
+
+    `config` is the configuration of the whole process.
 
     Raises:
-        ConfigError: a tunnel's request class can't be one.
+        ConfigError: a request class that is listed as a tunnel can't be served as a tunnel.
     """
     from service_proxy.websocket.listener import WebSocketListener
 
@@ -313,7 +313,7 @@
 
 
 def chain_overlays(overlays: Sequence[ListOverlay]) -> ListOverlay | None:
-    """Return one overlay that applies these in turn, or None where there are none."""
+    """Return one overlay that applies `overlays` in turn, or None if there are none."""
     if not overlays:
         return None
     if len(overlays) == 1:
@@ -330,7 +330,7 @@
 def outer_filters(
     budgets: BudgetPropagation | None, called: str, config: ProxyConfig, recovery: Recovery | None = None
 ) -> tuple[RequestFilter, ...]:
-    """Return what acts on a request before the policy, in this order."""
+    """Return the filters that apply to a request before the policy, in their order."""
     filters: tuple[RequestFilter, ...] = () if recovery is None else (recovery.filter,)
     if budgets is None:
         return filters
@@ -343,7 +343,7 @@
 def inner_filters(
     budgets: BudgetPropagation | None, classes: dict[str, RequestClass]
 ) -> tuple[RequestFilter, ...]:
-    """Return what acts on a request before it goes to the application beside a sidecar."""
+    """Return the filters that apply to a request before a sidecar forwards it to the application."""
     if budgets is None:
         return ()
     from service_proxy.deadlines.inbound import InboundFilter
@@ -352,27 +352,28 @@
 
 
 async def drain_server(server: HttpServer, has_unanswered: Callable[[], bool], end_by: float = 0.0) -> None:
-    """Answer what a listener has accepted, and give the last bytes time to leave.
+    """Answer the requests that a listener has accepted, then wait until their last bytes are sent.
 
-    `end_by`: the moment (monotonic, s) by which all that is decided here has been answered. A response that
-    still comes on LAST_BYTES_GRACE_S later is broken off, and its client can tell; 0: there is no such time.
+    `end_by` (monotonic, s) is the time by which every request that this process decides on is answered; 0: no
+    such time. A response that is still being sent LAST_BYTES_GRACE_S later is aborted, and its client can
+    detect the truncation.
     """
     server.is_draining = True
     server.close_idle()
-    give_up_at = end_by + LAST_BYTES_GRACE_S if end_by else math.inf
-    while has_unanswered() and time.monotonic() < give_up_at:
+    abort_at = end_by + LAST_BYTES_GRACE_S if end_by else math.inf
+    while has_unanswered() and time.monotonic() < abort_at:
         server.close_idle(include_partial=True)
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-    # The last bytes may still be on their way to a slow peer, or a request to this process.
-    give_up_at = min(give_up_at, max(end_by, time.monotonic()) + LAST_BYTES_GRACE_S)
-    while server.connections and time.monotonic() < give_up_at:
+    # The last bytes may still be in transit to a slow client, or a new request in transit to this process.
+    abort_at = min(abort_at, max(end_by, time.monotonic()) + LAST_BYTES_GRACE_S)
+    while server.connections and time.monotonic() < abort_at:
         server.close_idle(include_partial=True)
         await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     server.abort_closing()
 
 
 def freeze_long_lived_objects() -> None:
-    """Exempt what is alive now from garbage collection, so that the pauses of requests stay short."""
+    """Exempt all objects alive now from garbage collection, so that it pauses requests only briefly."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/service_proxy/log_setup.py
+++ b/service_proxy/log_setup.py
@@ -1,4 +1,4 @@
-"""The log of a process: where it goes, its form, and a bound on lines of one kind."""
+"""Logging of a process: the output stream, the format, and a rate limit on lines of one kind."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import time
 from collections import Counter
 
-MAX_LOG_RECORDS = 20  # of one kind, in each window
+MAX_LOG_RECORDS = 20  # records of one message template per window
 LOG_WINDOW_S = 10.0
 LOG_FORMAT = "%(levelname)s %(name)s: %(message)s"
 
 
 class LogRateLimit(logging.Filter):
-    """Passes MAX_LOG_RECORDS records of one message template in each LOG_WINDOW_S.
+    """Filter that passes MAX_LOG_RECORDS records of one message template per LOG_WINDOW_S.
 
-    A flood of bad input must not become a flood of log lines.
+    The limit keeps a flood of bad input from causing a flood of log lines.
     """
 
     def __init__(self) -> None:
@@ -29,11 +29,11 @@
         if now >= self.window_ends_at:
             self.window_ends_at = now + LOG_WINDOW_S
             self.counts.clear()
-        self.counts[record.msg] += 1  # the template, not the text
+        self.counts[record.msg] += 1  # counted by template, not by formatted text
         return self.counts[record.msg] <= MAX_LOG_RECORDS
 
 
 def configure_logging() -> None:
-    """Write log lines to standard error, with a rate limit."""
+    """Configure logging to standard error with a rate limit."""
     logging.basicConfig(stream=sys.stderr, format=LOG_FORMAT)
     logging.getLogger().handlers[0].addFilter(LogRateLimit())
--- a/service_proxy/operator_file/__init__.py
+++ b/service_proxy/operator_file/__init__.py
@@ -1,8 +1,8 @@
-"""The operator's file: one typed, frozen object, or errors with file and line.
+"""Reader of the operator's file: returns one typed, frozen object, or raises errors with file and line.
 
-`loader` reads a file, by `reader` into the tables of `schema`; `value_checks` and `contradictions` find the
-problems, `positions` their lines; `codes` explains each kind of finding; `key_file` reads the keys that a
-table names. Importing this package imports no subsystem.
+`loader` reads a file, using `reader`, into the tables of `schema`. `value_checks` and `contradictions` find
+problems, and `positions` finds their lines. `codes` explains each kind of finding. `key_file` reads the keys
+that a table names. Importing this package imports no subsystem.
 """
 
 from service_proxy.operator_file.loader import load
--- a/service_proxy/operator_file/codes.py
+++ b/service_proxy/operator_file/codes.py
@@ -1,7 +1,7 @@
-"""The codes of all findings: what each means, and what to do. One table; the operators' page is made of it.
+"""Codes of all findings, with their meaning and remedy. The operators' page is made from this one table.
 
-C: the file itself. S: a key and its value. R: one of the four rules. F: several files as one fleet.
-A finding whose title ends in `(warning)` is reported, and the file accepted.
+C: the file itself. S: a key and its value. R: one of the four rules. F: several files checked as one fleet.
+A finding whose title ends in `(warning)` is reported, and the file is accepted.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FindingCode:
-    """What a code of a finding means."""
+    """Meaning of a finding's code."""
 
     title: str
     explanation: str
--- a/service_proxy/operator_file/contradictions.py
+++ b/service_proxy/operator_file/contradictions.py
@@ -1,4 +1,4 @@
-"""Contradictions within a table or between two, checked once each value is valid by itself."""
+"""Checks for contradictions within a table or between two, run after each value is valid by itself."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from service_proxy.operator_file.reader import TableReader
 from service_proxy.operator_file.schema import Fleet, Membership, WebSocket
 
-MAX_REREAD_JITTER_S = 1.5  # of the 2 s in which a lost endpoint must get its last request
-MIN_SUSPICION_PERIODS = 1.0  # a probe with its helpers takes nearly one
-MIN_MEMORY_SUSPICIONS = 10  # for which the dead are remembered
+MAX_REREAD_JITTER_S = 1.5  # upper bound, because a lost endpoint must get its last request within 2 s
+MIN_SUSPICION_PERIODS = 1.0  # a probe with its indirect probes takes nearly one period
+MIN_MEMORY_SUSPICIONS = 10  # suspicion times for which dead members are remembered, at least
 
 
 def check_membership(reader: TableReader, membership: object, path: Path) -> None:
@@ -28,7 +28,7 @@
         reader.add_problem(
             (*path, "reread_jitter"),
             "S107",
-            "reread_jitter takes the 2 s in which a lost node must get its last call",
+            "reread_jitter leaves too little of the 2 s in which a lost node must get its last call",
             "write reread_jitter = 1.5 or less",
         )
 
@@ -59,21 +59,21 @@
         reader.add_problem(
             path,
             "S107",
-            "[websocket] with neither messages nor tunnels serves nobody",
+            "[websocket] has neither messages nor tunnels, so it accepts no session",
             'write messages = ["pantalla"], or leave the table out',
         )
     for name in sorted(set(table.messages) & set(table.tunnels)):
         reader.add_problem(
             (*path, "tunnels"),
             "S107",
-            f"{name} is a route of messages and of tunnels",
+            f"{name} is listed both in messages and in tunnels",
             "give each route one mode",
         )
     if table.burst < table.messages_per_s / 10:
         reader.add_problem(
             (*path, "burst"),
             "S107",
-            "burst holds less than 0.1 s of messages_per_s",
+            "burst is less than 0.1 s of messages_per_s",
             f"write burst = {table.messages_per_s / 10:g} or more",
         )
     _check_websocket_limits(reader, table, path)
@@ -85,21 +85,21 @@
             reader.add_problem(
                 (*path, name),
                 "S107",
-                f"{name} is over sessions = {table.sessions}",
+                f"{name} is greater than sessions = {table.sessions}",
                 f"write {name} = {table.sessions} or less",
             )
     if table.unread_bytes < table.message_bytes:
         reader.add_problem(
             (*path, "unread_bytes"),
             "S107",
-            "unread_bytes is under message_bytes: one long outcome would close its session",
+            "unread_bytes is less than message_bytes: one long response would close its session",
             f"write unread_bytes = {table.message_bytes} or more",
         )
     if table.ping_timeout > table.ping_every:
         reader.add_problem(
             (*path, "ping_every"),
             "S107",
-            "ping_timeout is over ping_every: a silent peer would be awaited past its next ping",
+            "ping_timeout is longer than ping_every: the next ping would be due before the timeout",
             f"write ping_every = {table.ping_timeout:g} or more, or less ping_timeout",
         )
 
@@ -112,15 +112,16 @@
         reader.add_problem(
             (*path, "suspicion"),
             "S107",
-            "suspicion is shorter than a probe round: who is slow once is dead before it is asked again",
+            "suspicion is shorter than a probe round: a member that is slow once would be declared dead "
+            "before its next probe",
             "write suspicion = 3.0, or at least 1.0",
         )
     if table.memory < MIN_MEMORY_SUSPICIONS * table.suspicion * table.period:
         reader.add_problem(
             (*path, "memory"),
             "S107",
-            "memory is shorter than ten suspicions: the dead would be forgotten while some still "
-            "hold them for alive, and come back",
+            "memory is shorter than ten suspicions: a dead member would be discarded while other members "
+            "still list it as alive, and would reappear",
             f"write memory = {10 * table.suspicion * table.period:g} or more",
         )
     _check_fleet_members(reader, table, path)
@@ -133,15 +134,15 @@
         reader.add_problem(
             (*path, "members"),
             "S107",
-            "a fleet with one member, itself, has nobody to see",
-            "name the others, or leave the table out",
+            "members lists only this proxy, so the fleet has no other member",
+            "list the other members, or leave the table out",
         )
     if table.own_network and not (table.listen and table.members):
         missing = "listen" if not table.listen else "members"
         reader.add_problem(
             (*path, "own_network"),
             "S107",
-            f"own_network = true without {missing}: the platform is not asked, and nobody else says it",
+            f"own_network = true without {missing}: the platform's value is not used and no other is given",
             'write listen = "HOST:PORT" and members = [...]',
         )
 
@@ -155,12 +156,17 @@
         try:
             ip_address = ipaddress.IPv4Address(host)
         except ValueError:
-            reader.add_problem(path, "S105", f"{host} is no IPv4 address", "write numbers; there is no DNS")
+            reader.add_problem(
+                path,
+                "S105",
+                f"{host} is not an IPv4 address",
+                "write a numeric address; names are not resolved",
+            )
             continue
         if not ip_address.is_unspecified and not any(ip_address in network for network in networks):
             reader.add_problem(
                 (*path, "networks"),
                 "S107",
-                f"{host} lies in none of the networks, so its datagrams would be dropped",
-                f'add "{host}/32", or the network that it is in',
+                f"{host} is in none of the networks, so its datagrams would be dropped",
+                f'add "{host}/32", or the network that contains the address',
             )
--- a/service_proxy/operator_file/loader.py
+++ b/service_proxy/operator_file/loader.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file into one typed object."""
+"""Loader of an operator's file, which returns one typed object."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def load(file: str) -> Operator:
-    """Read an operator's file.
+    """Return the tables of an operator's file as one typed object.
 
     Raises:
-        OperatorError: with all problems of the file.
+        OperatorError: the file has problems; the error contains all of them.
     """
     text, raw = read_text(file)
     reader = TableReader(file, text)
--- a/service_proxy/operator_file/positions.py
+++ b/service_proxy/operator_file/positions.py
@@ -1,7 +1,7 @@
-"""The positions of keys in a TOML text: tomllib returns values, not lines.
+"""Positions of keys in a TOML text, because tomllib returns values without their lines.
 
-A scan over lines, not a parser: tomllib has accepted the text before, so only headers, keys, strings and
-brackets have to be distinguished. A key that the scan can't place gets its table's line.
+This module scans lines and does not parse TOML: tomllib has accepted the text before, so only headers, keys,
+strings and brackets have to be distinguished. A key that the scan can't locate gets its table's line.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A position in a text; both numbers count from 1, the column in characters."""
+    """Position in a text; both numbers count from 1, and the column counts characters."""
 
     line: int
     column: int
 
 
 def find_positions(text: str) -> dict[Path, Place]:
-    """Return the places of tables and keys.
+    """Return the positions of tables and keys.
 
-    An element of an array of tables has its index in the array as a part: `("sidecar", "0", "host")`.
+    The path of an element of an array of tables contains its index in the array: `("sidecar", "0", "host")`.
     """
     scanner = _Scanner()
     for number, line in enumerate(text.splitlines(), 1):
@@ -44,17 +44,17 @@
 
 
 class _Scanner:
-    """Scans the lines of a text that tomllib has accepted."""
+    """Scanner of the lines of a text that tomllib has accepted."""
 
     def __init__(self) -> None:
         self.places: dict[Path, Place] = {(): Place(1, 1)}
         self.array_sizes: dict[Path, int] = {}
         self.table: Path = ()
-        self.open_brackets = 0  # behind a key
-        self.closing_quotes = ""  # of a string over several lines
+        self.open_brackets = 0  # open brackets in the value of the last key
+        self.closing_quotes = ""  # closing quotes of an unfinished multi-line string
 
     def scan_line(self, number: int, line: str) -> None:
-        """Note the places of the tables and keys on the line."""
+        """Record the positions of the tables and keys on the line."""
         remainder = line
         place = Place(number, len(line) - len(line.lstrip()) + 1)
         if self.closing_quotes:
@@ -75,7 +75,7 @@
 
     def _enter_table(self, parts: Path, is_array: bool, place: Place) -> None:
         table: Path = ()
-        for part in parts:  # a table below an array's element belongs to its last one
+        for part in parts:  # a table below an array of tables belongs to the array's last element
             table += (part,)
             if table in self.array_sizes and table != parts:
                 table += (str(self.array_sizes[table] - 1),)
@@ -93,7 +93,7 @@
             self.places.setdefault(path, place)
 
     def _before_multiline_string(self, remainder: str) -> str:
-        """Return the part before a multi-line string, and note the quotes that close the string."""
+        """Return the part before a multi-line string, and record the quotes that close the string."""
         for quotes in MULTILINE_QUOTES:
             if quotes in remainder:
                 remainder, _, after_quotes = remainder.partition(quotes)
@@ -109,7 +109,7 @@
 
 
 def place_of(found: dict[Path, Place], path: Path) -> Place:
-    """Return the place of the key, or of the nearest table round it."""
+    """Return the position of the key at `path`, or of the nearest table that encloses the key."""
     while path not in found:
         path = path[:-1]
     return found[path]
--- a/service_proxy/operator_file/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -1,6 +1,7 @@
-"""Reads a TOML text into frozen dataclasses: types, ranges and unknown keys, each with file and line.
+"""Reader of a TOML text into frozen dataclasses.
 
-A table is a dataclass whose fields are made by `key()`. All problems of a file are found in one reading.
+The reader reports wrong types, values out of range and unknown keys, each with file and line. A table is a
+dataclass whose fields are made by `key()`. One reading finds all problems of a file.
 """
 
 from __future__ import annotations
@@ -17,38 +18,41 @@
 from service_proxy.operator_file.codes import CODES
 from service_proxy.operator_file.positions import Path, find_positions, place_of
 
-MAX_FILE_BYTES = 1 << 20  # of an operator's file; a larger file is something else
+MAX_FILE_BYTES = 1 << 20  # a larger file is not an operator's file
 TOML_ERROR_PLACE = re.compile(r"^(.*) \(at (?:line (\d+), column (\d+)|end of document)\)$")
 
 T = TypeVar("T")
-Check = Callable[[Any], str | None]  # what is wrong, as "must ...", or None
+Check = Callable[[Any], str | None]  # returns the problem of a value as "must ...", or None
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One finding, with its place and what to do."""
+    """Finding with its position and its remedy."""
 
     file: str
     line: int
-    code: str  # of codes.CODES
+    code: str  # key of codes.CODES
     text: str  # what is wrong
     remedy: str  # what to write instead
     column: int = 1
 
     @property
     def is_warning(self) -> bool:
-        """Whether the file is accepted all the same."""
+        """Whether the file is accepted despite the finding."""
         return CODES[self.code].is_warning
 
     def __str__(self) -> str:
-        """As compilers write it."""
+        """Return the finding in the format of compiler messages."""
         severity = "warning" if self.is_warning else "error"
         first_line = f"{self.file}:{self.line}:{self.column}: {severity}[{self.code}]: {self.text}"
         return f"{first_line}\n  help: {self.remedy}"
 
 
 class OperatorError(ValueError):
-    """The operator's file can't be used. `problems` has one entry or more, in the order of their lines."""
+    """Raised for an operator's file that can't be used.
+
+    `problems` has at least one entry; the entries are sorted by file and line.
+    """
 
     def __init__(self, problems: list[Problem]) -> None:
         self.problems = sorted(problems, key=lambda problem: (problem.file, problem.line, problem.column))
@@ -56,7 +60,7 @@
 
 
 class Duration:
-    """The kind of a time with its unit, such as "500ms"; read as seconds."""
+    """Kind of a time with its unit, such as "500ms", which is read as seconds."""
 
 
 KIND_NAMES = {float: "a number", int: "a whole number", str: "a string", bool: "true or false"}
@@ -65,13 +69,13 @@
 
 
 def key(kind: type, text: str, default: Any = dataclasses.MISSING, check: Check | None = None) -> Any:
-    """Return a field of a table.
+    """Return the dataclass field of one key of a table.
 
     Args:
-        kind: str, int, float, bool, tuple (of strings), Duration or the dataclass of a table within it.
-        text: what to write, as an example.
-        default: the value where the key is left out; none: the key is required.
-        check: of the value, once it has its kind.
+        kind: str, int, float, bool, tuple (of strings), Duration, or the dataclass of a nested table.
+        text: an example of the value, for the remedy of a problem.
+        default: the value if the key is left out; without a default the key is required.
+        check: a check of the value, run after the value has its kind.
     """
     return dataclasses.field(
         **({} if default is dataclasses.MISSING else {"default": default}),
@@ -80,7 +84,7 @@
 
 
 def between(minimum: float, maximum: float) -> Check:
-    """Return a check of a number."""
+    """Return a check that a number lies between `minimum` and `maximum`."""
 
     def check(value: float) -> str | None:
         return None if minimum <= value <= maximum else f"must lie between {minimum:g} and {maximum:g}"
@@ -89,7 +93,7 @@
 
 
 class TableReader:
-    """One reading of one file; gathers its problems."""
+    """Reader of the tables of one file, which collects the file's problems."""
 
     def __init__(self, file: str, text: str) -> None:
         self.file = file
@@ -97,12 +101,12 @@
         self.places = find_positions(text)
 
     def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
-        """Add a problem of the key at `path`."""
+        """Record a problem of the key at `path`."""
         place = place_of(self.places, path)
         self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
     def read_table(self, cls: type[T], raw: object, path: Path) -> T | None:
-        """Return `raw` as an object of `cls`; None where problems were found."""
+        """Return `raw` as an object of `cls`, or None if it has problems."""
         name = ".".join(path)
         if not isinstance(raw, Mapping):
             self.add_problem(
@@ -110,7 +114,7 @@
             )
             return None
         fields = {field.name: field for field in dataclasses.fields(cls)}  # type: ignore[arg-type]
-        before = len(self.problems)
+        problems_before = len(self.problems)
         for unknown in raw.keys() - fields.keys():
             text = f"unknown key {unknown} in [{name}]"
             self.add_problem((*path, unknown), "S101", text, suggest_name(unknown, fields))
@@ -124,7 +128,7 @@
                     )
                 continue
             kind = field.metadata["kind"]
-            if isinstance(kind, type) and dataclasses.is_dataclass(kind):  # a table within this one
+            if isinstance(kind, type) and dataclasses.is_dataclass(kind):  # nested table
                 values[field.name] = self.read_table(kind, raw[field.name], (*path, field.name))
                 continue
             value, code, problem = _convert(kind, raw[field.name])
@@ -133,21 +137,21 @@
                 code = "S105"
                 problem = check(value)
             if problem is not None:
-                path_of = (*path, field.name)
-                self.add_problem(path_of, code, f"{field.name} {problem}", f"write {field.name} = {text}")
+                field_path = (*path, field.name)
+                self.add_problem(field_path, code, f"{field.name} {problem}", f"write {field.name} = {text}")
             values[field.name] = value
-        return cls(**values) if len(self.problems) == before else None
+        return cls(**values) if len(self.problems) == problems_before else None
 
 
 def suggest_name(unknown: str, known_names: Iterable[str]) -> str:
-    """Return the closest known name, as the remedy for an unknown one."""
+    """Return a remedy for an unknown name: the closest known name, or the list of known names."""
     names = sorted(known_names)
     closest = difflib.get_close_matches(unknown, names, 1)
     return f"write {closest[0]}" if closest else "leave it out; known are " + ", ".join(names)
 
 
 def _convert(kind: type, raw: Any) -> tuple[Any, str, str | None]:
-    """Return the value, and the code and text of its problem, if any."""
+    """Return the value and the code and text of its problem; the text is None for a valid value."""
     if kind is Duration:
         return _parse_duration(raw)
     if kind is float and type(raw) in (int, float):
@@ -167,17 +171,17 @@
         return raw, code, f'is a time and needs its unit, as in "{raw}ms" or "{raw}s"'
     found = DURATION.fullmatch(raw)
     if not found:
-        return raw, "S106", f"is no time: {raw!r:.40}; the units are ms, s and min, with no space before them"
+        return raw, "S106", f"is not a time: {raw!r:.40}; units are ms, s and min, with no space before them"
     return float(found[1]) * UNIT_SECONDS[found[2]], "", None
 
 
 def read_text(file: str) -> tuple[str, dict[str, Any]]:
-    """Return the file's text and its TOML.
+    """Return the file's text and its parsed TOML.
 
     Raises:
-        OperatorError: it can't be read, or is no TOML.
+        OperatorError: the file can't be read, is too large, or is not valid TOML.
     """
-    remedy = "name a TOML file as deploy/operator.toml is one"
+    remedy = "name a TOML file such as deploy/operator.toml"
     try:
         with open(file, "rb") as source:
             data = source.read(MAX_FILE_BYTES + 1)
@@ -194,7 +198,7 @@
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
-        raise OperatorError([Problem(file, line, "C004", "is no UTF-8 here", "save it as UTF-8")]) from None
+        raise OperatorError([Problem(file, line, "C004", "is not UTF-8 here", "save it as UTF-8")]) from None
     try:
         return text, tomllib.loads(text)
     except RecursionError:
@@ -205,5 +209,5 @@
         if place_match and place_match[2]:
             line, column = int(place_match[2]), int(place_match[3])
         reason = place_match[1] if place_match else str(error)
-        problem = Problem(file, line, "C002", f"is no TOML: {reason}", "mend this line", column)
+        problem = Problem(file, line, "C002", f"is no TOML: {reason}", "correct this line", column)
         raise OperatorError([problem]) from None
--- a/service_proxy/operator_file/schema.py
+++ b/service_proxy/operator_file/schema.py
@@ -1,4 +1,4 @@
-"""The tables of the operator's file: one frozen dataclass for each subsystem.
+"""Tables of the operator's file: one frozen dataclass per subsystem.
 
 The fields have the names of the file's keys. A table that is left out is None, and its subsystem is not
 imported. Times are in seconds.
@@ -27,12 +27,12 @@
     find_watch_problem,
 )
 
-MIN_MASS_LOSS_SHARE = 0.05  # below it the end of a single node would be taken for a mass loss
+MIN_MASS_LOSS_SHARE = 0.05  # with a smaller share the loss of a single node would count as a mass loss
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """[membership]: ephemeral nodes of a coordination service as a source of servers."""
+    """[membership]: ephemeral nodes of a coordination service as a source of endpoints."""
 
     servers: tuple[str, ...] = key(tuple, '["127.0.0.1:2181"]', check=find_servers_problem)
     path: str = key(str, '"/zones/front"', check=find_path_problem)
@@ -68,7 +68,7 @@
 
     keys_file: str = key(str, '"/etc/willowwing/budget-keys" (a file with a line "ID HEX")')
     mark: str = key(str, '"front" (this tier; "edge" before the first)', "", find_mark_problem)
-    edge: bool = key(bool, "true (callers are outside: what they say of budgets is stripped)", False)
+    edge: bool = key(bool, "true (clients are external: their budget headers are removed)", False)
     attempts: int = key(int, "12", 12, between(1, 9999))
     calls_per_request: int = key(int, "2", 2, between(1, 64))
     passes: int = key(int, "1", 1, between(1, 4))
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WebSocket:
-    """[websocket]: sessions of callers, as messages that are calls or as tunnels to a node."""
+    """[websocket]: client sessions, either as messages that are requests or as tunnels to an endpoint."""
 
     messages: tuple[str, ...] = key(tuple, '["pantalla"] (first part of the path)', (), find_routes_problem)
     tunnels: tuple[str, ...] = key(
@@ -99,7 +99,7 @@
     reconnect_spread: float = key(float, "5.0", 5.0, between(0.1, 600))
     deflate: bool = key(bool, "true (permessage-deflate, from clients)", False)
     deflate_window_bits: int = key(int, "11", 11, between(9, 15))
-    deflate_ratio: float = key(float, "50.0 (bytes unpacked for each that came)", 50.0, between(1, 1032))
+    deflate_ratio: float = key(float, "50.0 (decompressed bytes per received byte)", 50.0, between(1, 1032))
 
 
 PRIVATE_NETWORKS = ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")  # RFC 1918, RFC 1122
@@ -107,41 +107,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """[fleet]: a view of the fleet that its members keep themselves."""
+    """[fleet]: the membership view that the fleet's members maintain themselves."""
 
     name: str = key(
         str,
-        '"front-east" (the same at all its members, and no other fleet\'s)',
+        '"front-east" (the same at all members, and unique to this fleet)',
         check=find_fleet_name_problem,
     )
     listen: str = key(
-        str, '"10.0.0.4:7946" (else `peer_listen` of the platform)', "", find_optional_address_problem
+        str, '"10.0.0.4:7946" (default: `peer_listen` of the platform)', "", find_optional_address_problem
     )
     address: str = key(
-        str, '"10.0.0.4:7946" (where others reach it, if elsewhere)', "", find_optional_address_problem
+        str, '"10.0.0.4:7946" (if others use another address than listen)', "", find_optional_address_problem
     )
     members: tuple[str, ...] = key(tuple, '["10.0.0.4:7946", "10.0.0.5:7946"]', (), find_members_problem)
     networks: tuple[str, ...] = key(
-        tuple, '["10.0.0.0/8"] (where members may be)', PRIVATE_NETWORKS, find_networks_problem
+        tuple, '["10.0.0.0/8"] (networks that members may be in)', PRIVATE_NETWORKS, find_networks_problem
     )
-    own_network: bool = key(bool, "true (no platform here whose word on peers counts)", False)
+    own_network: bool = key(bool, "true (there is no platform that sets policy_limits.peers)", False)
     period: float = key(float, "1.0", 1.0, between(0.05, 60))
     suspicion: float = key(float, "3.0 (periods, of a fleet of up to 9)", 3.0, between(0.1, 60))
     memory: float = key(float, "600.0", 600.0, between(1, 86_400))
-    counts: bool = key(bool, "true (who lives counts in place of the settings' number)", True)
+    counts: bool = key(bool, "true (live members replace the settings' number of proxies)", True)
 
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """[recovery]: the state that survives this process, for the return after a power loss."""
+    """[recovery]: the state that survives this process, for the recovery after a power loss."""
 
-    store: str = key(str, '"/var/lib/willowwing/p0" (a folder of this proxy\'s own)', "", find_folder_problem)
+    store: str = key(str, '"/var/lib/willowwing/p0" (a folder of this proxy only)', "", find_folder_problem)
     machine_mark: str = key(
         str, '"/etc/machine-id" (the same for one machine)', "/etc/machine-id", find_folder_problem
     )
     boot_mark: str = key(
         str,
-        '"/proc/sys/kernel/random/boot_id" (another after each boot)',
+        '"/proc/sys/kernel/random/boot_id" (changes with each boot)',
         "/proc/sys/kernel/random/boot_id",
         find_folder_problem,
     )
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """All tables of a file; `file` is its path."""
+    """All tables of an operator's file; `file` is the file's path."""
 
     file: str
     membership: Membership | None = None
--- a/service_proxy/operator_file/value_checks.py
+++ b/service_proxy/operator_file/value_checks.py
@@ -1,6 +1,6 @@
 """Checks of single values of the operator's file.
 
-Each returns why a value can't be used, as "must ...", or None for a valid one.
+Each check returns the problem of the value, as "must ...", or None for a valid value.
 """
 
 from __future__ import annotations
@@ -8,16 +8,16 @@
 import ipaddress
 import re
 
-MAX_SERVERS = 9  # of an ensemble
+MAX_SERVERS = 9  # servers of one ensemble
 MAX_PORT = 65535
 MAX_FLEET_NAME_BYTES = 64
-FIRST_PRINTABLE = 0x20  # below it and from 0x7F to 0x9F are control characters
+FIRST_PRINTABLE = 0x20  # characters below 0x20 and from 0x7F to 0x9F are control characters
 FIRST_C1_CONTROL = 0x7F
 LAST_C1_CONTROL = 0x9F
 
 
 def find_path_problem(value: str) -> str | None:
-    """Check a path of the service."""
+    """Check the path of a znode."""
     parts = value.split("/")
     if not value.startswith("/") or (value != "/" and any(part in ("", ".", "..") for part in parts[1:])):
         return "must be a path such as /zones/front, without an empty part"
@@ -30,12 +30,12 @@
 
 
 def find_chroot_problem(value: str) -> str | None:
-    """Check a chroot, or none."""
+    """Check a chroot; an empty value means no chroot."""
     return None if value == "" else find_path_problem(value)
 
 
 def find_address_problem(value: str) -> str | None:
-    """Check host:port with a number as port."""
+    """Check an address of the form host:port with a numeric port."""
     host, colon, port = value.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         return f"must hold host:port, not {value!r:.60}"
@@ -43,7 +43,7 @@
 
 
 def find_servers_problem(value: tuple[str, ...]) -> str | None:
-    """Check the servers of an ensemble."""
+    """Check the addresses of an ensemble's servers."""
     if not 1 <= len(value) <= MAX_SERVERS:
         return f"must name 1 to {MAX_SERVERS} servers"
     if len(set(value)) != len(value):
@@ -52,12 +52,12 @@
 
 
 def find_watch_problem(value: str) -> str | None:
-    """Check a kind of watches."""
+    """Check the kind of watches."""
     return None if value in ("auto", "persistent", "one-shot") else "must be auto, persistent or one-shot"
 
 
 def find_mark_problem(value: str) -> str | None:
-    """Check a hop identifier, or none."""
+    """Check a hop identifier; an empty value means no identifier."""
     return None if re.fullmatch(r"|[a-z][a-z0-9_-]{0,62}", value) else "must be a tier's name"
 
 
@@ -74,33 +74,33 @@
 
 
 def find_routes_problem(value: tuple[str, ...]) -> str | None:
-    """Check routes."""
+    """Check the names of WebSocket routes."""
     if any(not re.fullmatch(r"[A-Za-z0-9_-]{1,64}", name) for name in value):
         return "must hold first parts of paths: letters, digits, - and _"
-    return "names one twice" if len(set(value)) != len(value) else None
+    return "names a route twice" if len(set(value)) != len(value) else None
 
 
 def find_origins_problem(value: tuple[str, ...]) -> str | None:
-    """Check origins of browsers."""
+    """Check the origins of browsers."""
     if any(not re.fullmatch(r"null|[a-z][a-z0-9+.-]*://[^/\s]{1,253}", name) for name in value):
-        return "must hold origins such as https://kiosk.example, in small letters, without a path"
+        return "must hold origins such as https://kiosk.example, in lowercase letters, without a path"
     return None
 
 
 def find_protocols_problem(value: tuple[str, ...]) -> str | None:
-    """Check subprotocols."""
+    """Check the names of WebSocket subprotocols."""
     if any(not re.fullmatch(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]{1,64}", name) for name in value):
         return "must hold tokens of 1 to 64 characters"
     return None
 
 
 def find_optional_address_problem(value: str) -> str | None:
-    """Check an address, or none."""
+    """Check an optional address; an empty value means no address."""
     return find_address_problem(value) if value else None
 
 
 def find_members_problem(value: tuple[str, ...]) -> str | None:
-    """Check addresses of members."""
+    """Check the addresses of fleet members."""
     if len(set(value)) != len(value):
         return "names an address twice"
     return next((problem for problem in map(find_address_problem, value) if problem), None)
@@ -124,5 +124,5 @@
 
 
 def find_folder_problem(value: str) -> str | None:
-    """Check an absolute path, or none."""
-    return None if not value or value.startswith("/") else "must be a path from the root"
+    """Check an absolute path; an empty value means no path."""
+    return None if not value or value.startswith("/") else "must be an absolute path"
--- a/service_proxy/settings.py
+++ b/service_proxy/settings.py
@@ -1,7 +1,7 @@
-"""The one reader of the platform's settings: flat path=value pairs in, one typed `Settings` out.
+"""Reader of the platform's settings, which turns flat path=value pairs into one typed `Settings`.
 
-The simulator's adapter and the real proxy both read them here. No I/O: who has the pairs brings them. The
-names of the platform's pages are translated to the policy's own here and nowhere else.
+The simulator adapter and the real proxy both use this reader. It performs no I/O: the caller supplies the
+pairs. Only this module translates the names of the platform's pages to the policy's own names.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
 TEXT = "a text"
 INTEGER = "a whole number"
 NUMBER = "a number"
-TRUTH_VALUE = "true or false"
+BOOLEAN = "true or false"
 LIST_OF_OBJECTS = "[{...}]"
 
 
 class FieldError(Exception):
-    """A field is missing or can't be read; the message names it and says what to write."""
+    """Missing or unreadable field; the message names the field and says what to write."""
 
 
 def _missing(key: str, remedy: str) -> FieldError:
@@ -69,14 +69,16 @@
 
 
 class _SingleValues(Fields):
-    """Pairs of which each may be read as one value only where it is one.
+    """Fields that raise FieldError if a key is read as one value but holds an object or a list.
 
-    An object or a list in its place must not pass for a value that was left out.
+    An object or a list in place of a value must not be treated as a value that was left out.
     """
 
     def __init__(self, pairs: Fields) -> None:
         super().__init__(pairs)
-        self.parents = {path[:at] for path in pairs for at, sign in enumerate(path) if sign == "."}
+        self.parents = {
+            path[:index] for path in pairs for index, character in enumerate(path) if character == "."
+        }
 
     def _check(self, key: object) -> None:
         if key in self.parents and not super().__contains__(key):
@@ -97,7 +99,7 @@
 
 
 def field_text(fields: Fields, key: str) -> str:
-    """Return a field's text; raise FieldError if it is missing."""
+    """Return a field's text; raise FieldError if the field is missing."""
     try:
         return fields[key]
     except KeyError:
@@ -105,7 +107,7 @@
 
 
 def field_integer(fields: Fields, key: str) -> int:
-    """Return a field's whole number; raise FieldError if it is missing or none."""
+    """Return a field's whole number; raise FieldError if the field is missing or not a whole number."""
     try:
         return int(fields[key])
     except KeyError:
@@ -115,12 +117,18 @@
 
 
 def field_integer_or(fields: Fields, key: str, default: int) -> int:
-    """Return a field's whole number, or the default if it is missing; raise FieldError if it is none."""
+    """Return a field's whole number, or the default if the field is missing.
+
+    Raise FieldError if the field is not a whole number.
+    """
     return field_integer(fields, key) if key in fields else default
 
 
 def field_number(fields: Fields, key: str, default: float | None = None) -> float:
-    """Return a field's finite number, or the default; raise FieldError if there is neither."""
+    """Return a field's finite number, or the default if the field is missing.
+
+    Raise FieldError if the field is not a finite number, or is missing and has no default.
+    """
     text = fields.get(key)
     if text is None:
         if default is None:
@@ -130,13 +138,16 @@
         value = float(text)
     except ValueError:
         raise _unreadable(key, "is not a number", text, NUMBER) from None
-    if value - value != 0.0:  # quicker than math.isfinite: this reads every event of the simulator
+    if value - value != 0.0:  # faster than math.isfinite; this function reads every event of the simulator
         raise _unreadable(key, "is not finite", text, NUMBER)
     return value
 
 
-def field_truth(fields: Fields, key: str, default: bool | None = None) -> bool:
-    """Return a field's truth value, or the default; raise FieldError if there is neither."""
+def field_boolean(fields: Fields, key: str, default: bool | None = None) -> bool:
+    """Return a field's boolean, or the default if the field is missing.
+
+    Raise FieldError if the field is not a boolean, or is missing and has no default.
+    """
     text = fields.get(key)
     if text is None and default is not None:
         return default
@@ -144,26 +155,22 @@
         return True
     if text in ("0", "false"):
         return False
-    raise (
-        _missing(key, TRUTH_VALUE)
-        if text is None
-        else _unreadable(key, "is not a truth value", text, TRUTH_VALUE)
-    )
+    raise (_missing(key, BOOLEAN) if text is None else _unreadable(key, "is not a boolean", text, BOOLEAN))
 
 
 def _count(fields: Fields, key: str, default: int | None = None) -> int:
     """Return the length of a list of objects."""
     is_list = key + ".count" in fields
-    plain = dict.get(fields, key)
-    if not is_list and plain:  # the simulator writes an empty list as an empty text
-        raise _unreadable(key, "is no list of objects", plain, LIST_OF_OBJECTS)
+    text = dict.get(fields, key)
+    if not is_list and text:  # the simulator writes an empty list as an empty text
+        raise _unreadable(key, "is no list of objects", text, LIST_OF_OBJECTS)
     if not is_list and default is None:
         raise _missing(key, LIST_OF_OBJECTS)
     return field_integer_or(fields, key + ".count", default or 0)
 
 
 def _choice(fields: Fields, key: str, choices: Mapping[str, T], default: str) -> T:
-    """Return what one of some words stands for; the default word stands for a missing or empty field."""
+    """Return the choice that a field's word names; a missing or empty field counts as the default word."""
     text = fields.get(key, "") or default
     if text not in choices:
         raise _unreadable(key, "is out of range", text, " or ".join(choices))
@@ -178,7 +185,7 @@
 
 
 def read_idempotency(effect: str) -> Idempotency:
-    """Return what a page's word for an effect stands for; raise ValueError for another word."""
+    """Return the idempotency that the platform's word for an effect names; raise ValueError if unknown."""
     try:
         return IDEMPOTENCY_BY_EFFECT[effect]
     except KeyError:
@@ -190,7 +197,7 @@
 
 
 class _Setting(NamedTuple):
-    """Where a field of the policy's settings stands in the platform's, and how it is read there."""
+    """Mapping of a field of the policy's settings to its platform key and the function that reads it."""
 
     field: str
     key: str
@@ -205,8 +212,8 @@
     return lambda fields, key: field_integer_or(fields, key, default)
 
 
-def _truth(default: bool) -> Callable[[Fields, str], bool]:
-    return lambda fields, key: field_truth(fields, key, default)
+def _boolean(default: bool) -> Callable[[Fields, str], bool]:
+    return lambda fields, key: field_boolean(fields, key, default)
 
 
 def _text(default: str) -> Callable[[Fields, str], str]:
@@ -222,7 +229,7 @@
 
 
 def _tier_count(fields: Fields, key: str) -> int:
-    """Return the number of tiers: those that are listed, or as many as this tier's index needs."""
+    """Return the number of listed tiers or, if none is listed, the number that this tier's index implies."""
     return len(_names(fields, key)) or field_integer_or(fields, "stage", 0) + 1
 
 
@@ -252,7 +259,7 @@
     return SCOPES_BY_GROUP[text]
 
 
-# Keys relative to grades.N. and tenants.N.
+# Keys are relative to grades.N. and tenants.N.
 CLASS_SETTINGS = (
     _Setting("name", "name", _class_name),
     _Setting("idempotency", "effect", _one_of(IDEMPOTENCY_BY_EFFECT)),
@@ -262,7 +269,7 @@
     _Setting("late_weight_share", "late_worth", _number(0.0)),
     _Setting("idempotency_scope", "group", _idempotency_scope),
     _Setting("idempotency_window", "window", _number(0.0)),
-    _Setting("stream", "stream", _truth(False)),
+    _Setting("stream", "stream", _boolean(False)),
     _Setting("objective_stretch", "aim_stretch", _number(0.0)),
     _Setting("max_attempts", "attempts", _integer(0)),
 )
@@ -283,17 +290,17 @@
     _Setting("quantum", "quantum", _number(0.0)),
     _Setting("max_poll_interval", "contract.must_ask_in", _number(10.0)),
     _Setting("max_attempts", "policy_limits.send_cap", field_integer),
-    _Setting("can_hedge", "policy_limits.may_duplicate", field_truth),
-    _Setting("can_cancel", "policy_limits.may_cancel", field_truth),
-    _Setting("can_check_health", "policy_limits.probes", field_truth),
-    _Setting("can_message_peers", "policy_limits.peers", _truth(False)),
+    _Setting("can_hedge", "policy_limits.may_duplicate", field_boolean),
+    _Setting("can_cancel", "policy_limits.may_cancel", field_boolean),
+    _Setting("can_check_health", "policy_limits.probes", field_boolean),
+    _Setting("can_message_peers", "policy_limits.peers", _boolean(False)),
     _Setting("max_open_requests", "policy_limits.most_held", _integer(0)),
-    _Setting("clients_flag_retries", "callers.marks_retry", _truth(False)),
-    _Setting("can_send_retry_after", "policy_limits.retry_after", _truth(False)),
+    _Setting("clients_flag_retries", "callers.marks_retry", _boolean(False)),
+    _Setting("can_send_retry_after", "policy_limits.retry_after", _boolean(False)),
     _Setting("max_retry_after", "policy_limits.max_retry_after", _number(0.0)),
     _Setting("over_quota_weight_share", "over_share_worth", _number(1.0)),
     _Setting("weight_by_work", "worth_by", _any_of(WEIGHTS_BY_WORK, "request")),
-    _Setting("propagates_deadline", "specifics.passes_deadline", _truth(False)),
+    _Setting("propagates_deadline", "specifics.passes_deadline", _boolean(False)),
     _Setting("load_report_fields", "report.names", _load_report_fields),
     _Setting("load_report_source", "report.via", _any_of(LOAD_REPORT_SOURCES, "on_probe")),
     _Setting("weight_meaning", "weights", _any_of(WEIGHT_MEANINGS, "nominal")),
@@ -325,10 +332,10 @@
 
 
 def read_settings(params: Fields) -> Settings:
-    """Return the settings from flat path=value pairs.
+    """Return the settings from flat path=value pairs; unknown keys are skipped.
 
-    Unknown keys are skipped. Raises ValueError for the first key that is missing, can't be read or is out of
-    range; the message names the platform's key and says what to write.
+    Raises ValueError for the first key that is missing, can't be read or is out of range. The message names
+    the platform's key and says what to write.
     """
     fields = _SingleValues(params)
     try:
@@ -346,12 +353,12 @@
 
 
 def _read(
-    make: Callable[..., T], settings: tuple[_Setting, ...], fields: Fields, prefix: str, **lists: list[Any]
+    create: Callable[..., T], settings: tuple[_Setting, ...], fields: Fields, prefix: str, **lists: list[Any]
 ) -> T:
-    """Make an object of the policy's settings; a value out of range is reported by the platform's key."""
+    """Return an object of the policy's settings; report a value out of range under the platform's key."""
     values = {setting.field: setting.read(fields, prefix + setting.key) for setting in settings}
     try:
-        return make(**lists, **values)
+        return create(**lists, **values)
     except InvalidSettingError as error:
         keys = LISTS_BY_FIELD | {setting.field: prefix + setting.key for setting in settings}
         raise FieldError(
--- a/service_proxy/simulator_adapter.py
+++ b/service_proxy/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""The simulator's wire on standard input and output: one Balancer for each proxy of the simulation.
+"""Adapter between the simulator's line protocol on standard input and output and one Balancer per proxy.
 
-The adapter decides nothing: it reads lines as events, hands them to the policy, and writes its actions as
-lines. Each batch begins with a `tick` and ends with `your_turn`; the reply ends with `eor`.
+The adapter makes no decisions: it reads lines as events, passes the events to the policy, and writes the
+policy's actions as lines. Each batch begins with a `tick` line and ends with a `your_turn` line; the reply
+ends with an `eor` line.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
     LOAD_REPORT_FIELDS,
     FieldError,
     Fields,
+    field_boolean,
     field_integer,
     field_integer_or,
     field_number,
     field_text,
-    field_truth,
     read_settings,
 )
 
@@ -40,13 +41,13 @@
     "FAILED": api.ListScope.FAILED,
 }
 END_OF_BATCH = "your_turn"
-ENTRY_TAG = "m"  # of a line with one entry of an endpoint list
-MISPLACED_TAGS = (ENTRY_TAG, "tick", "eor")  # known tags that must not stand within a batch
+ENTRY_TAG = "m"  # tag of a line that holds one entry of an endpoint list
+MISPLACED_TAGS = (ENTRY_TAG, "tick", "eor")  # known tags that must not occur within a batch
 NO_VALUE = "-"
 
-# The garbage collector runs seldom: what a batch leaves behind is freed by reference counts.
+# The garbage collector runs rarely, because reference counts free the objects of a batch.
 GC_THRESHOLDS = (50_000, 20, 50)
-MAX_LINE_SHOWN = 300  # characters of a malformed line in the error message
+MAX_LINE_SHOWN = 300  # characters of a malformed line that the error message shows
 
 EXIT_OK = 0
 EXIT_MALFORMED_INPUT = 2
@@ -86,7 +87,7 @@
 def _endpoint_entry(line: str) -> api.EndpointEntry:
     tag, *parts = line.split(" ")
     if tag != ENTRY_TAG:
-        raise FieldError("a list entry was due")
+        raise FieldError("expected a list entry")
     fields = _split(parts)
     state = field_text(fields, "state")
     if state not in ENDPOINT_STATES:
@@ -109,8 +110,8 @@
         field_number(fields, "time_budget"),
         fields.get("party", ""),
         field_number(fields, "estimate", 0.0),
-        field_truth(fields, "resent", False),
-        field_truth(fields, "write", False),
+        field_boolean(fields, "resent", False),
+        field_boolean(fields, "write", False),
         fields.get("route_key", ""),
     )
 
@@ -122,7 +123,7 @@
         field_integer(fields, "backend"),
         _status(fields),
         field_number(fields, "cost_time"),
-        field_truth(fields, "final", False),
+        field_boolean(fields, "final", False),
         _load_report(fields),
     )
 
@@ -174,7 +175,7 @@
 
 
 def write_action(who: str, action: api.Action) -> str:
-    """Return one action of the proxy `who` as a line of the simulator's wire."""
+    """Return one action of the proxy `who` as a line of the simulator's protocol."""
     return ACTION_WRITERS[type(action)](who, action)
 
 
@@ -241,14 +242,14 @@
 
 
 class SimulatorAdapter:
-    """The simulated proxies of this process, and the endpoint lists that events refer to by slot."""
+    """Simulated proxies of this process, and the endpoint lists that events refer to by slot."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self.source = source
         self.sink = sink
         self.balancers: dict[str, Balancer] = {}
         self.endpoint_lists: dict[int, list[api.EndpointEntry]] = {}
-        self.pending: dict[str, list[api.Event]] = {}  # events of this batch, by proxy
+        self.pending: dict[str, list[api.Event]] = {}  # events of this batch by proxy
         self.replies: list[str] = []
         self.line = ""  # the last line read, for error messages
         self.now = 0.0
@@ -260,7 +261,7 @@
         }
 
     def run(self) -> None:
-        """Serve batches until the end of input; raise FieldError or ValueError for malformed input."""
+        """Process batches until the end of input; raise FieldError or ValueError for malformed input."""
         while True:
             line = self._next_line()
             if line is None:
@@ -269,7 +270,7 @@
                 continue
             tag, _, arguments = line.partition(" ")
             if tag != "tick":
-                raise FieldError("a tick was due")
+                raise FieldError("expected a tick line")
             fields = _split(arguments.split(" "))
             self.now = field_number(fields, "clock")
             sequence = field_text(fields, "seq")
@@ -287,22 +288,22 @@
             return None
         if not line.endswith("\n"):
             self.line = line
-            raise FieldError("the line is cut short")
+            raise FieldError("the line is truncated: its newline is missing")
         self.line = line = line.rstrip("\r\n")
         return line
 
     def _read_batch(self) -> None:
-        """Read lines up to the end of the batch; events are read here, since most lines are events."""
+        """Read lines up to the end of the batch; events are parsed here, because most lines are events."""
         readline = self.source.readline
         event_readers = EVENT_READERS
         pending = self.pending
         while True:
             line = readline()
             if not line:
-                raise FieldError("the batch is cut short: your_turn is missing")
+                raise FieldError("the batch is truncated: your_turn is missing")
             if line[-1] != "\n":
                 self.line = line
-                raise FieldError("the line is cut short")
+                raise FieldError("the line is truncated: its newline is missing")
             self.line = line = line[:-1]
             parts = line.split(" ")
             tag = parts[0]
@@ -325,7 +326,7 @@
         if reader is not None:
             reader(_split(parts[1:]))
         elif not tag or tag in MISPLACED_TAGS:
-            raise FieldError("an event was due")
+            raise FieldError("expected an event")
 
     def _start_proxy(self, fields: Fields) -> None:
         who = field_text(fields, "who")
@@ -348,7 +349,7 @@
         for _ in range(count):
             line = self._next_line()
             if line is None:
-                raise FieldError("the batch is cut short: a list entry is missing")
+                raise FieldError("the batch is truncated: a list entry is missing")
             entries.append(_endpoint_entry(line))
         self.endpoint_lists[slot] = entries
 
@@ -362,7 +363,7 @@
         if scope is not api.ListScope.FAILED:
             slot = field_integer(fields, "slot")
             if slot not in self.endpoint_lists:
-                raise FieldError(f"field slot names no list: {slot}")
+                raise FieldError(f"field slot refers to an unknown endpoint list: {slot}")
             entries = self.endpoint_lists[slot]
         if who in self.balancers:
             version = field_integer_or(fields, "stamp", 0)
@@ -373,7 +374,7 @@
         try:
             for action in self.balancers[who].handle(self.now, events):
                 self.replies.append(write_action(who, action))
-        except Exception as error:  # noqa: BLE001 - the simulator is told, and the other proxies go on
+        except Exception as error:  # noqa: BLE001 - reported to the simulator; the other proxies continue
             traceback.print_exc(file=sys.stderr)
             text = " ".join(f"{type(error).__name__}: {error}".split())
             self.replies.append(f"fatal who={who} words={text}")
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server, metrics, maintenance and settings updates, through the program itself."""
+"""Tests of the admin server, metrics, maintenance and settings updates through a proxy process."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ProxyWithAdmin(ProxyUnderTest):
-    """A proxy with an admin server."""
+    """Proxy process with an admin server."""
 
     admin_address: tuple[str, int]
 
@@ -49,7 +49,7 @@
             head = f"{method} {target} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
             writer.write(head.encode() + data)
             response = Response(*await read_message(reader))
-            assert await reader.read() == b""  # one request a connection
+            assert await reader.read() == b""  # the server closes the connection after one request
             writer.close()
             return response
 
@@ -73,11 +73,17 @@
 
 @contextlib.asynccontextmanager
 async def proxy_with_admin(
-    backends: dict[str, EndpointServer], discovery: DiscoveryServer, **changes: Any
+    endpoint_servers: dict[str, EndpointServer], discovery: DiscoveryServer, **changes: Any
 ) -> AsyncIterator[ProxyWithAdmin]:
-    for backend in backends.values():
-        await backend.start()
-    known = endpoint_list(1, *(endpoint_entry(name, backend.address) for name, backend in backends.items()))
+    for endpoint_server in endpoint_servers.values():
+        await endpoint_server.start()
+    known = endpoint_list(
+        1,
+        *(
+            endpoint_entry(name, endpoint_server.address)
+            for name, endpoint_server in endpoint_servers.items()
+        ),
+    )
     listen = free_port()
     console = free_port()
     with tempfile.TemporaryDirectory() as folder:
@@ -86,19 +92,19 @@
         process = await start_proxy(raw, folder, TMPDIR=folder)
         try:
             await wait_until_ready(("127.0.0.1", listen))
-            made = ProxyWithAdmin(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
-            made.admin_address = "127.0.0.1", console
-            yield made
+            running_proxy = ProxyWithAdmin(process, ("127.0.0.1", listen), Path(folder) / "config.json", raw)
+            running_proxy.admin_address = "127.0.0.1", console
+            yield running_proxy
         finally:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-            for backend in backends.values():
-                await backend.stop()
+            for endpoint_server in endpoint_servers.values():
+                await endpoint_server.stop()
 
 
 class RecordingHandler:
-    """Records the requests that it is handed."""
+    """Handler that records the requests routed to it."""
 
     def __init__(self) -> None:
         self.requests: list[str] = []
@@ -166,110 +172,113 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def behave(seen: Any, writer: asyncio.StreamWriter) -> None:
-            if seen.target.startswith("/canje"):
+        async def respond(request: Any, writer: asyncio.StreamWriter) -> None:
+            if request.target.startswith("/canje"):
                 await gate.wait()
-            code = b"500 X" if seen.target.startswith("/reserva") else b"200 X"
+            code = b"500 X" if request.target.startswith("/reserva") else b"200 X"
             writer.write(b"HTTP/1.1 " + code + b"\r\nContent-Length: 2\r\n\r\nok")
 
         discovery = await DiscoveryServer().start()
-        backend = EndpointServer(behave)
-        async with proxy_with_admin({"s-1": backend}, discovery, **patient_settings()) as node:
-            caller = await node.connect()
-            slow_client = await node.connect()
+        endpoint_server = EndpointServer(respond)
+        async with proxy_with_admin({"s-1": endpoint_server}, discovery, **patient_settings()) as proxy:
+            client = await proxy.connect()
+            slow_client = await proxy.connect()
             for n in range(3):
-                assert (await caller.request("stock", f"a{n}", PATIENT_BUDGET)).status_code == 200
-            assert (await caller.request("reserva", "b")).status_code != 200
-            assert (await caller.request("nosuch", "c")).status_code == 404
+                assert (await client.request("stock", f"a{n}", PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("reserva", "b")).status_code != 200
+            assert (await client.request("nosuch", "c")).status_code == 404
             slow_client.send("canje", "d", PATIENT_BUDGET)
-            while (await next_request(backend)).headers["x-call-id"] != "d":
+            while (await next_request(endpoint_server)).headers["x-call-id"] != "d":
                 pass
-            found = await node.metrics()
+            found = await proxy.metrics()
             assert found["inflight"] == 1 and found["hosts_listed"] == 1
             assert found["calls.stock.success"] == 3 and found["calls.canje.success"] == 0
             assert found["calls.reserva.success"] == 0
             assert found["calls.reserva.busy"] + found["calls.reserva.failure"] == 1
-            assert found["backend_calls"] == backend.received_count
+            assert found["backend_calls"] == endpoint_server.received_count
             gate.set()
             assert (await slow_client.response()).status_code == 200
-            found = await node.metrics()
+            found = await proxy.metrics()
             assert found["calls.canje.success"] == 1 and found["inflight"] == 0
 
     run_async(test())
 
 
-def test_the_admin_server_answers_beside_clients_that_hold_its_connections() -> None:
-    """More connections than it holds, each with half a request."""
+def test_the_admin_server_answers_while_slow_clients_occupy_its_connections() -> None:
+    """Clients open more connections than the admin server allows, and send half a request on each."""
 
     async def test() -> None:
         discovery = await DiscoveryServer().start()
-        backend = EndpointServer()
-        async with proxy_with_admin({"s-1": backend}, discovery) as node:
-            held = [await asyncio.open_connection(*node.admin_address) for _ in range(MAX_CONNECTIONS + 4)]
-            for _, writer in held:
+        endpoint_server = EndpointServer()
+        async with proxy_with_admin({"s-1": endpoint_server}, discovery) as proxy:
+            open_connections = [
+                await asyncio.open_connection(*proxy.admin_address) for _ in range(MAX_CONNECTIONS + 4)
+            ]
+            for _, writer in open_connections:
                 writer.write(b"GET /sta")
-            begun = asyncio.get_running_loop().time()
-            assert (await node.admin("GET /healthcheck")).status_code == 200
-            assert asyncio.get_running_loop().time() - begun < 1.0
-            assert (await node.admin("POST /nothing")).status_code == 404
-            assert (await node.admin("GET /" + "x" * 9000)).status_code in (
+            started_at = asyncio.get_running_loop().time()
+            assert (await proxy.admin("GET /healthcheck")).status_code == 200
+            assert asyncio.get_running_loop().time() - started_at < 1.0
+            assert (await proxy.admin("POST /nothing")).status_code == 404
+            assert (await proxy.admin("GET /" + "x" * 9000)).status_code in (
                 400,
                 404,
-            )  # by how it came in pieces
-            for _, writer in held:
+            )  # the status depends on how the request is split into reads
+            for _, writer in open_connections:
                 writer.close()
 
     run_async(test())
 
 
-def test_an_endpoint_in_maintenance_gets_nothing_and_a_request_soon_after_it_is_back() -> None:
+def test_an_endpoint_gets_no_requests_in_maintenance_and_one_soon_after_it() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         one = EndpointServer()
         two = EndpointServer()
-        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as node:
-            assert (await node.admin("POST /backends/s-9/maint")).status_code == 404
+        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as proxy:
+            assert (await proxy.admin("POST /backends/s-9/maint")).status_code == 404
             for _ in range(2):
-                assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
+                assert (await proxy.admin("POST /backends/s-1/maint")).status_code == 200
             before = one.received_count
             discovery.publish(
                 2, endpoint_entry("s-1", one.address), endpoint_entry("s-2", two.address), snapshot=True
             )
             while "?from=2&hold_ms=" not in await discovery.polls.get():
                 pass
-            caller = await node.connect()  # not idle for as long as the first poll may take
+            # opened late, because the first poll may take longer than the idle timeout of a connection
+            client = await proxy.connect()
             for n in range(20):
-                assert (await caller.request("canje", f"a{n}", budget=PATIENT_BUDGET)).status_code == 200
-            assert one.received_count == before and (await node.metrics())["hosts_down"] == 1
-            assert (await node.admin("POST /backends/s-1/ready")).status_code == 200
-            assert (await caller.request("canje", "b", budget=PATIENT_BUDGET)).status_code == 200
-            assert one.received_count == before + 1 and (await node.metrics())["hosts_down"] == 0
+                assert (await client.request("canje", f"a{n}", budget=PATIENT_BUDGET)).status_code == 200
+            assert one.received_count == before and (await proxy.metrics())["hosts_down"] == 1
+            assert (await proxy.admin("POST /backends/s-1/ready")).status_code == 200
+            assert (await client.request("canje", "b", budget=PATIENT_BUDGET)).status_code == 200
+            assert one.received_count == before + 1 and (await proxy.metrics())["hosts_down"] == 0
 
     run_async(test())
 
 
-def test_maintenance_goes_on_in_the_process_that_follows() -> None:
+def test_maintenance_continues_in_the_next_process() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         one = EndpointServer()
         two = EndpointServer()
-        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as node:
-            assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
-            node.process.kill()
-            await node.process.wait()
-            folder = str(node.config_path.parent)
-            node.process = await start_proxy(node.initial_config, folder, TMPDIR=folder)
+        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as proxy:
+            assert (await proxy.admin("POST /backends/s-1/maint")).status_code == 200
+            proxy.process.kill()
+            await proxy.process.wait()
+            folder = str(proxy.config_path.parent)
+            proxy.process = await start_proxy(proxy.initial_config, folder, TMPDIR=folder)
             try:
-                await wait_until_ready(node.address)
+                await wait_until_ready(proxy.address)
                 before = one.received_count
-                caller = await node.connect()
+                client = await proxy.connect()
                 for n in range(10):
-                    assert (await caller.request("stock", f"a{n}", PATIENT_BUDGET)).status_code == 200
+                    assert (await client.request("stock", f"a{n}", PATIENT_BUDGET)).status_code == 200
                 assert one.received_count == before
-                assert (await node.metrics())["hosts_down"] == 1
+                assert (await proxy.metrics())["hosts_down"] == 1
             finally:
-                node.process.kill()
-                await node.process.wait()
+                proxy.process.kill()
+                await proxy.process.wait()
 
     run_async(test())
 
@@ -281,37 +290,38 @@
     return classes
 
 
-def test_a_reload_takes_new_and_stricter_classes_and_requests_in_flight_keep_theirs() -> None:
+def test_a_reload_applies_new_and_stricter_classes_but_not_to_requests_in_flight() -> None:
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def behave(seen: Any, writer: asyncio.StreamWriter) -> None:
-            if seen.headers["x-call-id"] == "held":
+        async def respond(request: Any, writer: asyncio.StreamWriter) -> None:
+            if request.headers["x-call-id"] == "held":
                 await gate.wait()
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
 
         discovery = await DiscoveryServer().start()
-        backend = EndpointServer(behave)
-        async with proxy_with_admin({"s-1": backend}, discovery, **patient_settings()) as node:
-            caller = await node.connect()
-            slow_client = await node.connect()
+        endpoint_server = EndpointServer(respond)
+        async with proxy_with_admin({"s-1": endpoint_server}, discovery, **patient_settings()) as proxy:
+            client = await proxy.connect()
+            slow_client = await proxy.connect()
             slow_client.send("canje", "held", budget=PATIENT_BUDGET)
-            assert (await next_request(backend)).headers["x-call-id"] == "held"
+            assert (await next_request(endpoint_server)).headers["x-call-id"] == "held"
             classes = [g for g in request_classes(stock={"effect": "once"}) if g["name"] != "canje"]
             classes.append({**classes[0], "name": "express"})
-            node.reload(settings={**node.initial_config["settings"], "grades": classes})
-            await node.until_metric("reconfig_ok", 1)
-            assert (await caller.request("express", "e", PATIENT_BUDGET)).status_code == 200  # at once
+            proxy.reload(settings={**proxy.initial_config["settings"], "grades": classes})
+            await proxy.until_metric("reconfig_ok", 1)
+            # new classes take effect at once
+            assert (await client.request("express", "e", PATIENT_BUDGET)).status_code == 200
             served = 0
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                while (code := (await caller.request("canje", "x", PATIENT_BUDGET)).status_code) != 404:
+                while (code := (await client.request("canje", "x", PATIENT_BUDGET)).status_code) != 404:
                     served += code == 200
                     await asyncio.sleep(0.02)
             head = b"POST /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: s\r\nX-Budget: 9000m\r\n"
-            assert (await caller.send_raw(head + b"Content-Length: 0\r\n\r\n")).status_code == 200
+            assert (await client.send_raw(head + b"Content-Length: 0\r\n\r\n")).status_code == 200
             gate.set()
             assert (await slow_client.response()).status_code == 200
-            found = await node.metrics()
+            found = await proxy.metrics()
             assert found["calls.canje.success"] == served + 1 and found["calls.express.success"] == 1
 
     run_async(test())
@@ -320,21 +330,21 @@
 def test_an_invalid_file_changes_nothing_and_is_counted() -> None:
     async def test() -> None:
         discovery = await DiscoveryServer().start()
-        backend = EndpointServer()
-        async with proxy_with_admin({"s-1": backend}, discovery) as node:
-            cut = json.dumps(node.initial_config)[:-20]
-            nought = {
-                **node.initial_config,
+        endpoint_server = EndpointServer()
+        async with proxy_with_admin({"s-1": endpoint_server}, discovery) as proxy:
+            truncated = json.dumps(proxy.initial_config)[:-20]
+            zero_deadline = {
+                **proxy.initial_config,
                 "settings": {
-                    **node.initial_config["settings"],
+                    **proxy.initial_config["settings"],
                     "grades": request_classes(stock={"deadline": 0}),
                 },
             }
-            for n, text in enumerate(["", cut, json.dumps(nought)], 1):
-                node.reload(text=text)
-                await node.until_metric("reconfig_failed", n)
-            assert (await (await node.connect()).request("stock", "a")).status_code == 200
-            assert (await node.metrics())["reconfig_ok"] == 0
+            for n, text in enumerate(["", truncated, json.dumps(zero_deadline)], 1):
+                proxy.reload(text=text)
+                await proxy.until_metric("reconfig_failed", n)
+            assert (await (await proxy.connect()).request("stock", "a")).status_code == 200
+            assert (await proxy.metrics())["reconfig_ok"] == 0
 
     run_async(test())
 
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""A second process replaces the first: locks, reuse-port balancing, and no request is lost."""
+"""Tests of hot restarts: process locks, reuse-port balancing, and no request lost during a replacement."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 from service_proxy.admin import reuse_port
 from service_proxy.admin.process_generations import ProcessGenerations
 
-CONNECTIONS_PER_STEP = 40  # connections in each half of the steering test
+CONNECTIONS_PER_STEP = 40  # connections opened in each step of the reuse-port test
 
 
-def test_each_process_knows_its_predecessor_and_successor(tmp_path: Path) -> None:
+def test_each_process_detects_its_predecessor_and_successor(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     first = ProcessGenerations(stem)
     assert not first.has_successor() and not first.has_predecessor()
@@ -50,7 +50,7 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_a_process_that_died_is_not_counted_though_its_file_is_left(tmp_path: Path) -> None:
+def test_a_process_that_crashed_is_not_counted_although_its_lock_file_remains(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     code = (
         "import os\n"
@@ -60,17 +60,17 @@
         "os._exit(9)\n"
     )
     assert subprocess.run([sys.executable, "-c", code], timeout=TEST_TIMEOUT_S).returncode == 9
-    left = stem.with_name("x.process.1")
-    assert left.exists()
-    here = ProcessGenerations(stem)
-    assert here.number == 2 and not here.has_predecessor() and not left.exists()
-    other = ProcessGenerations(stem)
-    os.close(other.lock_fd)  # as its end would
-    assert stem.with_name("x.process.3").exists() and not here.has_successor()
-    here.release()
+    lock_file = stem.with_name("x.process.1")
+    assert lock_file.exists()
+    current = ProcessGenerations(stem)
+    assert current.number == 2 and not current.has_predecessor() and not lock_file.exists()
+    successor = ProcessGenerations(stem)
+    os.close(successor.lock_fd)  # as the kernel does when the process ends
+    assert stem.with_name("x.process.3").exists() and not current.has_successor()
+    current.release()
 
 
-def test_a_file_of_another_name_is_not_a_process(tmp_path: Path) -> None:
+def test_a_file_with_another_name_is_not_counted_as_a_process(tmp_path: Path) -> None:
     stem = tmp_path / "x.process"
     for name in ("x.process.one", "x.process", "y.process.7"):
         (tmp_path / name).write_text("")
@@ -101,8 +101,11 @@
         count += 1
 
 
-def test_new_connections_go_to_the_second_listener_and_to_the_last_one_left() -> None:
-    """Each step counts who got what; by hash both get some (the chance of none is one in 2 to the 40)."""
+def test_new_connections_go_to_the_second_listener_or_to_the_only_one() -> None:
+    """Count the connections that each listener accepts in each step.
+
+    By hash both listeners get some; the chance that one gets none is one in 2 to the 40.
+    """
     with listener() as one:
         port = one.getsockname()[1]
 
@@ -116,7 +119,7 @@
         assert reuse_port.prefer_second_listener(one.fileno())
         connect()
         assert (count_accepted(one), count_accepted(two)) == (0, CONNECTIONS_PER_STEP)
-        two.close()  # it crashed: nobody is second
+        two.close()  # the second process crashes, so no second listener is left
         connect()
         assert count_accepted(one) == CONNECTIONS_PER_STEP
         with listener(port) as three:
@@ -125,11 +128,11 @@
             assert reuse_port.balance_by_hash(three.fileno())
             connect()
             assert count_accepted(one) and count_accepted(three)
-            assert not reuse_port.balance_by_hash(three.fileno())  # there is none any more
+            assert not reuse_port.balance_by_hash(three.fileno())  # the program is already detached
 
 
-def test_under_load_a_hot_restart_loses_no_request_and_takes_over_maintenance() -> None:
-    """Callers that use connections once and callers that keep them, over three upgrades in a row."""
+def test_a_hot_restart_under_load_loses_no_request_and_keeps_maintenance() -> None:
+    """One-shot and keep-alive clients send requests during three restarts in a row."""
 
     async def test() -> None:
         discovery = await DiscoveryServer().start()
@@ -156,42 +159,45 @@
                         except OSError:
                             await asyncio.sleep(0.02)
 
-            codes: list[int] = []
+            status_codes: list[int] = []
             stop = asyncio.Event()
 
-            async def keeps(name: str) -> None:
-                caller: Client | None = None
+            async def send_requests(name: str) -> None:
+                client: Client | None = None
                 n = 0
                 while not stop.is_set():
-                    if caller is None:
-                        caller = Client(*await asyncio.open_connection("127.0.0.1", listen))
-                    answer = await caller.request("stock", f"{name}{n}", PATIENT_BUDGET)
-                    codes.append(answer.status_code)
+                    if client is None:
+                        client = Client(*await asyncio.open_connection("127.0.0.1", listen))
+                    response = await client.request("stock", f"{name}{n}", PATIENT_BUDGET)
+                    status_codes.append(response.status_code)
                     n += 1
-                    if answer.headers.get("connection") == "close" or name.startswith("once"):
-                        caller.writer.close()
-                        caller = None
+                    if response.headers.get("connection") == "close" or name.startswith("once"):
+                        client.writer.close()
+                        client = None
                     await asyncio.sleep(0.03)
 
             try:
-                node = await start()
-                assert (await node.admin("POST /backends/s-1/maint")).status_code == 200
-                callers = [
-                    asyncio.create_task(keeps(f"{kind}{n}")) for kind in ("once", "kept") for n in range(4)
+                current_proxy = await start()
+                assert (await current_proxy.admin("POST /backends/s-1/maint")).status_code == 200
+                clients = [
+                    asyncio.create_task(send_requests(f"{kind}{n}"))
+                    for kind in ("once", "kept")
+                    for n in range(4)
                 ]
                 for _ in range(3):
-                    old = node
-                    node = await start()
-                    assert (await node.metrics())["hosts_down"] == 1
-                    old.terminate()
-                    assert await old.exit_code() == 0
+                    previous_proxy = current_proxy
+                    current_proxy = await start()
+                    assert (await current_proxy.metrics())["hosts_down"] == 1
+                    previous_proxy.terminate()
+                    assert await previous_proxy.exit_code() == 0
                 stop.set()
-                await asyncio.gather(*callers)  # none met a connection that ended on its request
-                assert len(codes) > 100 and set(codes) == {200}
+                # no client met a connection that was closed during its request
+                await asyncio.gather(*clients)
+                assert len(status_codes) > 100 and set(status_codes) == {200}
                 assert one.received_count == 0
-                assert (await node.admin("POST /backends/s-1/ready")).status_code == 200
-                caller = Client(*await asyncio.open_connection("127.0.0.1", listen))
-                assert (await caller.request("stock", "back", PATIENT_BUDGET)).status_code == 200
+                assert (await current_proxy.admin("POST /backends/s-1/ready")).status_code == 200
+                client = Client(*await asyncio.open_connection("127.0.0.1", listen))
+                assert (await client.request("stock", "back", PATIENT_BUDGET)).status_code == 200
                 assert one.received_count == 1
                 names = {path.name.rpartition(".")[2] for path in Path(folder).glob("granitepoint-*")}
                 assert names == {"maintenance", str(len(running))}
--- a/tests/admin/test_maintenance.py
+++ b/tests/admin/test_maintenance.py
@@ -1,4 +1,4 @@
-"""The maintenance overlay on endpoint lists, its record, and the file that two processes share."""
+"""Tests of the maintenance overlay on endpoint lists, its record, and the file that two processes share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from service_proxy.net.endpoint_list import Endpoint, EndpointList, endpoint_id_of
 from service_proxy.policy.events import EndpointEntry, EndpointState
 
-WALL_OFFSET = 1000.0  # wall less monotonic, s
+WALL_OFFSET = 1000.0  # wall time minus monotonic time, s
 SERVING = EndpointState.SERVING
 DRAINING = EndpointState.DRAINING
 REMOVED = EndpointState.REMOVED
@@ -27,83 +27,87 @@
     )
 
 
-def endpoint_list(*backends: Endpoint, is_snapshot: bool = True) -> EndpointList:
-    return EndpointList(1, is_snapshot, list(backends))
+def endpoint_list(*endpoints: Endpoint, is_snapshot: bool = True) -> EndpointList:
+    return EndpointList(1, is_snapshot, list(endpoints))
 
 
 def overlay_of(*names: str) -> MaintenanceOverlay:
-    made = MaintenanceOverlay(WALL_OFFSET, slow_start_window_s=20.0)
-    made.apply(endpoint_list(*(endpoint(name) for name in names)))
-    return made
+    overlay = MaintenanceOverlay(WALL_OFFSET, slow_start_window_s=20.0)
+    overlay.apply(endpoint_list(*(endpoint(name) for name in names)))
+    return overlay
 
 
-def state_by_name(of: EndpointList) -> dict[str, EndpointState]:
-    return {backend.name: backend.entry.state for backend in of.endpoints}
+def state_by_name(listing: EndpointList) -> dict[str, EndpointState]:
+    return {listed.name: listed.entry.state for listed in listing.endpoints}
 
 
-def test_an_endpoint_in_maintenance_drains_whatever_is_listed_until_it_is_put_back() -> None:
-    made = overlay_of("a", "b")
-    assert state_by_name(made.start_maintenance("a", 2000.0)) == {"a": DRAINING}
-    assert state_by_name(made.apply(endpoint_list(endpoint("a"), endpoint("b")))) == {
+def test_an_endpoint_in_maintenance_drains_whatever_is_listed_until_it_is_reinstated() -> None:
+    overlay = overlay_of("a", "b")
+    assert state_by_name(overlay.start_maintenance("a", 2000.0)) == {"a": DRAINING}
+    assert state_by_name(overlay.apply(endpoint_list(endpoint("a"), endpoint("b")))) == {
         "a": DRAINING,
         "b": SERVING,
     }
-    assert state_by_name(made.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))) == {
+    assert state_by_name(overlay.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))) == {
         "a": REMOVED
     }
-    assert state_by_name(made.apply(endpoint_list(endpoint("a", started_at=990.0), is_snapshot=False))) == {
-        "a": DRAINING
-    }
-    assert state_by_name(made.end_maintenance("a", 2005.0)) == {"a": SERVING}
-    assert state_by_name(made.apply(endpoint_list(endpoint("a"), endpoint("b")))) == {
+    assert state_by_name(
+        overlay.apply(endpoint_list(endpoint("a", started_at=990.0), is_snapshot=False))
+    ) == {"a": DRAINING}
+    assert state_by_name(overlay.end_maintenance("a", 2005.0)) == {"a": SERVING}
+    assert state_by_name(overlay.apply(endpoint_list(endpoint("a"), endpoint("b")))) == {
         "a": SERVING,
         "b": SERVING,
     }
 
 
 def test_a_second_start_changes_nothing_and_one_end_undoes_both() -> None:
-    made = overlay_of("a")
-    made.start_maintenance("a", 2000.0)
-    made.start_maintenance("a", 2001.0)
-    assert made.in_maintenance == {"a": 2000.0}
-    made.end_maintenance("a", 2002.0)
-    assert not made.in_maintenance
-    assert made.end_maintenance("a", 2003.0).endpoints == []  # in use already: nothing starts anew
-    assert made.reinstated_at == {"a": 2002.0}
-
-
-def test_an_endpoint_that_came_back_warms_up_from_that_moment_and_is_reinstated_once() -> None:
-    made = overlay_of("a")
-    made.start_maintenance("a", 2000.0)
-    (back,) = made.end_maintenance("a", 2010.0).endpoints
-    assert back.entry.started_at == 2010.0 - WALL_OFFSET and back.entry.reinstated
-    (again,) = made.apply(endpoint_list(endpoint("a", started_at=1005.0))).endpoints  # its restart, told late
-    assert again.entry.started_at == 2010.0 - WALL_OFFSET and not again.entry.reinstated
-    (later,) = made.apply(endpoint_list(endpoint("a", started_at=1500.0))).endpoints
-    assert later.entry.started_at == 1500.0  # a later restart of its own
-
-
-def test_an_endpoint_listed_again_after_it_was_put_back_is_still_reinstated() -> None:
-    made = overlay_of("a")
-    made.start_maintenance("a", 2000.0)
-    made.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))
-    assert made.end_maintenance("a", 2003.0).endpoints == []
-    (back,) = made.apply(endpoint_list(endpoint("a"), is_snapshot=False)).endpoints
-    assert back.entry.reinstated and back.entry.state is SERVING
-
-
-def test_an_unknown_name_is_refused_and_one_in_maintenance_is_known_though_unlisted() -> None:
-    made = overlay_of("a")
+    overlay = overlay_of("a")
+    overlay.start_maintenance("a", 2000.0)
+    overlay.start_maintenance("a", 2001.0)
+    assert overlay.in_maintenance == {"a": 2000.0}
+    overlay.end_maintenance("a", 2002.0)
+    assert not overlay.in_maintenance
+    # already in use: slow start does not begin again
+    assert overlay.end_maintenance("a", 2003.0).endpoints == []
+    assert overlay.reinstated_at == {"a": 2002.0}
+
+
+def test_a_reinstated_endpoint_warms_up_from_its_reinstatement_and_is_flagged_once() -> None:
+    overlay = overlay_of("a")
+    overlay.start_maintenance("a", 2000.0)
+    (reinstated_endpoint,) = overlay.end_maintenance("a", 2010.0).endpoints
+    assert (
+        reinstated_endpoint.entry.started_at == 2010.0 - WALL_OFFSET and reinstated_endpoint.entry.reinstated
+    )
+    # the list reports its restart late
+    (relisted,) = overlay.apply(endpoint_list(endpoint("a", started_at=1005.0))).endpoints
+    assert relisted.entry.started_at == 2010.0 - WALL_OFFSET and not relisted.entry.reinstated
+    (later,) = overlay.apply(endpoint_list(endpoint("a", started_at=1500.0))).endpoints
+    assert later.entry.started_at == 1500.0  # a later restart, unrelated to the maintenance
+
+
+def test_an_endpoint_relisted_after_its_reinstatement_is_still_flagged_as_reinstated() -> None:
+    overlay = overlay_of("a")
+    overlay.start_maintenance("a", 2000.0)
+    overlay.apply(endpoint_list(endpoint("a", REMOVED), is_snapshot=False))
+    assert overlay.end_maintenance("a", 2003.0).endpoints == []
+    (reinstated_endpoint,) = overlay.apply(endpoint_list(endpoint("a"), is_snapshot=False)).endpoints
+    assert reinstated_endpoint.entry.reinstated and reinstated_endpoint.entry.state is SERVING
+
+
+def test_an_unknown_name_is_rejected_but_an_unlisted_one_in_maintenance_is_known() -> None:
+    overlay = overlay_of("a")
     with pytest.raises(UnknownEndpointError):
-        made.start_maintenance("b", 2000.0)
+        overlay.start_maintenance("b", 2000.0)
     with pytest.raises(UnknownEndpointError):
-        made.end_maintenance("b", 2000.0)
-    made.start_maintenance("a", 2000.0)
-    made.apply(endpoint_list())
-    made.start_maintenance("a", 2001.0)
-    made.end_maintenance("a", 2002.0)
+        overlay.end_maintenance("b", 2000.0)
+    overlay.start_maintenance("a", 2000.0)
+    overlay.apply(endpoint_list())
+    overlay.start_maintenance("a", 2001.0)
+    overlay.end_maintenance("a", 2002.0)
     with pytest.raises(UnknownEndpointError):
-        made.start_maintenance("a", 2003.0)
+        overlay.start_maintenance("a", 2003.0)
 
 
 def test_the_next_process_takes_over_maintenance_and_reinstatements() -> None:
@@ -112,17 +116,17 @@
     old.start_maintenance("a", 2000.0)
     assert state_by_name(new.apply_record(old.encode_record(2000.0))) == {"a": DRAINING}
     old.end_maintenance("a", 2004.0)
-    (back,) = new.apply_record(old.encode_record(2004.0)).endpoints
+    (reinstated_endpoint,) = new.apply_record(old.encode_record(2004.0)).endpoints
     assert (
-        back.entry.state is SERVING
-        and back.entry.reinstated
-        and back.entry.started_at == 2004.0 - WALL_OFFSET
+        reinstated_endpoint.entry.state is SERVING
+        and reinstated_endpoint.entry.reinstated
+        and reinstated_endpoint.entry.started_at == 2004.0 - WALL_OFFSET
     )
     assert new.apply_record(old.encode_record(2004.0)).endpoints == []  # unchanged
     first = MaintenanceOverlay(WALL_OFFSET, 20.0)
-    first.apply_record(old.encode_record(2004.0))  # before it has any list
+    first.apply_record(old.encode_record(2004.0))  # before the process has an endpoint list
     assert first.apply(endpoint_list(endpoint("a"))).endpoints[0].entry.started_at == 2004.0 - WALL_OFFSET
-    assert json.loads(old.encode_record(2024.1))["back"] == {}  # warm by now
+    assert json.loads(old.encode_record(2024.1))["back"] == {}  # no longer warming up
 
 
 @pytest.mark.parametrize(
@@ -140,11 +144,11 @@
     ],
 )
 def test_an_invalid_record_changes_nothing(text: str) -> None:
-    made = overlay_of("a")
-    made.start_maintenance("a", 2000.0)
+    overlay = overlay_of("a")
+    overlay.start_maintenance("a", 2000.0)
     with pytest.raises(ValueError):
-        made.apply_record(text)
-    assert set(made.in_maintenance) == {"a"}
+        overlay.apply_record(text)
+    assert set(overlay.in_maintenance) == {"a"}
 
 
 NAMES = st.sampled_from("abc")
@@ -164,8 +168,8 @@
 def test_an_endpoint_in_maintenance_never_serves_whatever_is_requested_and_listed(
     steps: list[tuple[str, object]],
 ) -> None:
-    """Also over any number of hot restarts: the last request on each name decides."""
-    made = overlay_of(*"abc")
+    """The last request for each name decides, also after any number of hot restarts."""
+    overlay = overlay_of(*"abc")
     expected_in_use = dict.fromkeys("abc", True)
     now = 2000.0
     last_states: dict[str, EndpointState] = {}
@@ -173,22 +177,22 @@
         now += 1
         try:
             if action == "out":
-                last_states |= state_by_name(made.start_maintenance(str(subject), now))
+                last_states |= state_by_name(overlay.start_maintenance(str(subject), now))
                 expected_in_use[str(subject)] = False
             elif action == "back":
-                last_states |= state_by_name(made.end_maintenance(str(subject), now))
+                last_states |= state_by_name(overlay.end_maintenance(str(subject), now))
                 expected_in_use[str(subject)] = True
             elif action == "list":
                 assert isinstance(subject, set)
-                last_states = state_by_name(made.apply(endpoint_list(*map(endpoint, sorted(subject)))))
+                last_states = state_by_name(overlay.apply(endpoint_list(*map(endpoint, sorted(subject)))))
             else:
-                following = overlay_of(*made.endpoints)
-                following.apply_record(made.encode_record(now))
-                following.apply(endpoint_list(*made.endpoints.values()))
-                made = following
+                next_overlay = overlay_of(*overlay.endpoints)
+                next_overlay.apply_record(overlay.encode_record(now))
+                next_overlay.apply(endpoint_list(*overlay.endpoints.values()))
+                overlay = next_overlay
         except UnknownEndpointError:
-            assert subject not in made.endpoints and subject not in made.in_maintenance
-        assert set(made.in_maintenance) == {name for name, serves in expected_in_use.items() if not serves}
+            assert subject not in overlay.endpoints and subject not in overlay.in_maintenance
+        assert set(overlay.in_maintenance) == {name for name, serves in expected_in_use.items() if not serves}
         assert all(expected_in_use[name] == (state is SERVING) for name, state in last_states.items())
 
 
@@ -197,7 +201,7 @@
     two = SharedRecord(tmp_path / "x.record")
     assert one.read_if_changed() is None
     one.write("1")
-    assert one.read_if_changed() is None  # its own
+    assert one.read_if_changed() is None  # written by this process itself
     assert two.read_if_changed() == "1" and two.read_if_changed() is None
     two.write("2")
     assert one.read_if_changed() == "2"
--- a/tests/admin/test_settings_update.py
+++ b/tests/admin/test_settings_update.py
@@ -1,4 +1,4 @@
-"""Which new configuration files are rejected, and what is in force until a valid one is. Pure."""
+"""Tests of the configuration files that are rejected, and of the settings during a transition. Pure."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 def running_with(path: str, value: Any) -> str:
     raw = copy.deepcopy(RUNNING)
-    at: Any = raw
-    *way, last = path.split(".")
-    for part in way:
-        at = at[int(part)] if isinstance(at, list) else at[part]
+    container: Any = raw
+    *parents, last = path.split(".")
+    for part in parents:
+        container = container[int(part)] if isinstance(container, list) else container[part]
     if value is None:
-        del at[last]
+        del container[last]
     else:
-        at[last] = value
+        container[last] = value
     return json.dumps(raw)
 
 
@@ -86,15 +86,15 @@
 
 
 def test_request_classes_can_be_added_and_removed() -> None:
-    few = copy.deepcopy(RUNNING)
-    few["settings"]["grades"] = few["settings"]["grades"][:1]
-    assert parse_update(json.dumps(few), RUNNING) == few
-    assert parse_update(json.dumps(RUNNING), few) == RUNNING
+    fewer_classes = copy.deepcopy(RUNNING)
+    fewer_classes["settings"]["grades"] = fewer_classes["settings"]["grades"][:1]
+    assert parse_update(json.dumps(fewer_classes), RUNNING) == fewer_classes
+    assert parse_update(json.dumps(RUNNING), fewer_classes) == RUNNING
 
 
-def test_in_the_transition_the_classes_of_both_files_are_known_and_old_ones_as_they_were() -> None:
+def test_the_transition_has_the_classes_of_both_files_and_keeps_the_old_ones_unchanged() -> None:
     raw = copy.deepcopy(RUNNING["settings"])
-    raw["grades"][0]["effect"] = "once"  # stricter
+    raw["grades"][0]["effect"] = "once"  # stricter than the running class
     del raw["grades"][1]
     raw["grades"].append({**raw["grades"][0], "name": "express"})
     running, new = (read_settings(flatten_settings(one)) for one in (RUNNING["settings"], raw))
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: each problem is reported with file, line and remedy, before any socket opens."""
+"""Tests of the operator's file: problems are reported with file, line and remedy before a socket opens."""
 
 from __future__ import annotations
 
@@ -21,21 +21,33 @@
 # By case: the text, the line of its first problem, and a part of the message.
 BROKEN: dict[str, tuple[str, int, str]] = {
     "a fleet without a name": ("[fleet]\n", 1, "lacks name"),
-    "a suspicion under a round": (FLEET + "suspicion = 0.5\n", 3, "shorter than a probe round"),
-    "a memory under its suspicions": (FLEET + "memory = 20\n", 3, "shorter than ten suspicions"),
-    "a fleet of one": (FLEET + 'listen = "10.0.0.4:1"\nmembers = ["10.0.0.4:1"]\n', 4, "nobody to see"),
-    "its own network, and nobody in it": (FLEET + "own_network = true\n", 3, "without listen"),
+    "suspicion shorter than a probe round": (FLEET + "suspicion = 0.5\n", 3, "shorter than a probe round"),
+    "memory shorter than ten suspicions": (FLEET + "memory = 20\n", 3, "shorter than ten suspicions"),
+    "a fleet with one member": (
+        FLEET + 'listen = "10.0.0.4:1"\nmembers = ["10.0.0.4:1"]\n',
+        4,
+        "has no other member",
+    ),
+    "own_network without listen": (FLEET + "own_network = true\n", 3, "without listen"),
     "a member outside the networks": (FLEET + 'members = ["8.8.8.8:1", "10.0.0.4:1"]\n', 1, "in none of"),
-    "a member with a name": (FLEET + 'members = ["proxy-a:1", "10.0.0.4:1"]\n', 1, "is no IPv4 address"),
-    "no network": (FLEET + 'networks = ["10.0.0.1/8"]\n', 3, "must hold IPv4 networks"),
-    "no TOML": ("[membership\n", 1, "is no TOML"),
+    "a member given by host name": (
+        FLEET + 'members = ["proxy-a:1", "10.0.0.4:1"]\n',
+        1,
+        "is not an IPv4 address",
+    ),
+    "a network with host bits": (FLEET + 'networks = ["10.0.0.1/8"]\n', 3, "must hold IPv4 networks"),
+    "unclosed header": ("[membership\n", 1, "is no TOML"),
     "no value": ("[membership]\nservers =\n", 2, "is no TOML"),
-    "twice": (MEMBERSHIP + 'path = "/b"\n', 4, "is no TOML"),
+    "a key given twice": (MEMBERSHIP + 'path = "/b"\n', 4, "is no TOML"),
     "unknown table": ("[membershp]\n", 1, "unknown table or key membershp"),
     "key outside a table": ('path = "/a"\n' + MEMBERSHIP, 1, "unknown table or key path"),
     "unknown key": (MEMBERSHIP + "\nsesion_timeout = 3\n", 5, "write session_timeout"),
-    "no table": ("membership = 3\n", 1, "membership is no table"),
-    "lacks a key": ('[membership]\nservers = ["127.0.0.1:2181"]\n', 1, 'write path = "/zones/front"'),
+    "a number for a table": ("membership = 3\n", 1, "membership is no table"),
+    "a required key missing": (
+        '[membership]\nservers = ["127.0.0.1:2181"]\n',
+        1,
+        'write path = "/zones/front"',
+    ),
     "string for a number": (MEMBERSHIP + 'session_timeout = "6"\n', 4, "must be a number"),
     "true for a number": (MEMBERSHIP + "session_timeout = true\n", 4, "must be a number"),
     "number for a flag": (MEMBERSHIP + "read_only = 1\n", 4, "must be true or false"),
@@ -45,16 +57,20 @@
     "a server without a port": (MEMBERSHIP.replace(":2181", ""), 2, "must hold host:port"),
     "a port too high": (MEMBERSHIP.replace(":2181", ":70000"), 2, "must hold host:port"),
     "relative path": (MEMBERSHIP.replace("/salas/", "salas/"), 3, "must be a path"),
-    "path with an end": (MEMBERSHIP.replace("portal", "portal/"), 3, "must be a path"),
+    "path with a trailing slash": (MEMBERSHIP.replace("portal", "portal/"), 3, "must be a path"),
     "path with a control character": (MEMBERSHIP.replace("portal", "por\\u0001tal"), 3, "control characters"),
     "time of nan": (MEMBERSHIP + "session_timeout = nan\n", 4, "is not finite"),
     "time too short": (MEMBERSHIP + "session_timeout = 0.1\n", 4, "between 0.2 and 120"),
     "share above one": (MEMBERSHIP + "mass_loss_share = 1.5\n", 4, "between 0.05 and 1"),
     "unknown watch": (MEMBERSHIP + 'watch = "always"\n', 4, "must be auto, persistent or one-shot"),
-    "connect longer than the session": (MEMBERSHIP + "connect_timeout = 6.5\n", 4, "at most 2"),
-    "jitter that takes the drain": (MEMBERSHIP + "reread_jitter = 2\n", 4, "1.5 or less"),
-    "registration alone": ('[registration]\nname = "s"\naddress = "127.0.0.1:1"\n', 1, "write a table"),
-    "registration read-only": (
+    "connect_timeout above session_timeout": (MEMBERSHIP + "connect_timeout = 6.5\n", 4, "at most 2"),
+    "reread_jitter above the limit": (MEMBERSHIP + "reread_jitter = 2\n", 4, "1.5 or less"),
+    "registration without membership": (
+        '[registration]\nname = "s"\naddress = "127.0.0.1:1"\n',
+        1,
+        "write a table",
+    ),
+    "registration with read_only": (
         MEMBERSHIP + 'read_only = true\n[registration]\nname = "s"\naddress = "127.0.0.1:1"\n',
         4,
         "write read_only = false",
@@ -64,12 +80,12 @@
         5,
         "without /",
     ),
-    "address, no port": (
+    "address without a port": (
         MEMBERSHIP + '[registration]\nname = "a"\naddress = "x"\n',
         6,
         "must hold host:port",
     ),
-    "websocket for nobody": ("[websocket]\n", 1, 'write messages = ["pantalla"]'),
+    "websocket without routes": ("[websocket]\n", 1, 'write messages = ["pantalla"]'),
     "a route with a slash": ('[websocket]\nmessages = ["a/b"]\n', 2, "first parts of paths"),
     "a route in both modes": (WEBSOCKET + 'tunnels = ["pantalla"]\n', 3, "give each route one mode"),
     "an origin with a path": (WEBSOCKET + 'origins = ["https://k.example/"]\n', 3, "without a path"),
@@ -80,15 +96,19 @@
         4,
         "burst = 100 or more",
     ),
-    "more of a tenant than of all": (WEBSOCKET + "sessions_per_tenant = 257\n", 3, "tenant = 256 or less"),
-    "an outcome longer than what may wait": (
+    "more sessions per tenant than in total": (
+        WEBSOCKET + "sessions_per_tenant = 257\n",
+        3,
+        "tenant = 256 or less",
+    ),
+    "unread_bytes below message_bytes": (
         WEBSOCKET + "unread_bytes = 2000\n",
         3,
         "unread_bytes = 65536 or more",
     ),
-    "pongs awaited past the next ping": (WEBSOCKET + "ping_every = 2.0\n", 3, "write ping_every = 5 or more"),
-    "a window of 8 bits": (WEBSOCKET + "deflate_window_bits = 8\n", 3, "between 9 and 15"),
-    "a line far down, in a list": (
+    "ping_timeout above ping_every": (WEBSOCKET + "ping_every = 2.0\n", 3, "write ping_every = 5 or more"),
+    "a deflate window of 8 bits": (WEBSOCKET + "deflate_window_bits = 8\n", 3, "between 9 and 15"),
+    "a key after a list over several lines": (
         MEMBERSHIP.replace('["127.0.0.1:2181"]', '[\n  "127.0.0.1:2181", # one\n  "[::1]:2182",\n]')
         + "reed = 1\n",
         7,
@@ -165,7 +185,7 @@
 
 
 def test_the_example_in_deploy_is_valid(tmp_path: Path) -> None:
-    """All its tables are commented out; with their keys uncommented it is accepted, too."""
+    """The example's tables are commented out; the example with its keys uncommented is accepted, too."""
     example = ROOT / "deploy" / "operator.toml"
     assert load(str(example)).membership is None
     lines = example.read_text(encoding="utf-8").splitlines()
@@ -182,7 +202,7 @@
 
 
 def run_program(*arguments: str, environ: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
-    """Run `python -m service_proxy` to its end."""
+    """Run `python -m service_proxy` until it exits."""
     command = [sys.executable, "-m", "service_proxy", *arguments]
     return subprocess.run(
         command, cwd=ROOT, env=environ or {}, capture_output=True, text=True, timeout=60, check=False
@@ -199,7 +219,7 @@
 
 
 def test_an_unusable_key_file_is_exit_code_2_with_file_and_remedy(tmp_path: Path) -> None:
-    """The key file is read once the operator's file itself is valid."""
+    """The key file is read after the operator's file itself is found valid."""
     keys = tmp_path / "keys"
     keys.touch(0o600)
     keys.write_text("no key at all\n")
@@ -222,7 +242,7 @@
 
 
 def test_without_the_file_no_subsystem_is_imported() -> None:
-    """A subsystem that is off is not even imported."""
+    """A subsystem that is off must not be imported."""
     code = (
         "import sys, service_proxy.__main__ as m\n"
         "import service_proxy.net.dispatcher, service_proxy.net.downstream\n"
--- a/tests/test_deprecated_names.py
+++ b/tests/test_deprecated_names.py
@@ -1,4 +1,4 @@
-"""Commands under the package's old name: they run what took their place, and say that they are deprecated."""
+"""Tests of commands under the package's old name, which run the new commands and log a deprecation."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def run_both(old: str, *arguments: str, text: str = "") -> subprocess.CompletedProcess[str]:
-    """Runs the old and the new command; the new one's outcome, once the old one's is seen to be the same."""
+    """Run the old and the new command, check that both have the same outcome, and return the new one's."""
     new = RENAMED[old]
     done_old = run(old, *arguments, text=text)
     done_new = run(new, *arguments, text=text)
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines have one form, and the table for the one on call names each of them with its level."""
+"""Checks that log lines have one form, and that the on-call table lists each of them with its level."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "service_proxy"
 TABLE = ROOT / "docs" / "operators" / "oncall.md"
-# An event, then fields; free text may follow in brackets.
+# An event, followed by fields; free text may follow in brackets.
 FORM = re.compile(r"[a-z]+(_[a-z]+)*( [a-z_]+=\S.*)?", re.S)
 LEVELS = {"debug", "info", "warning", "error", "exception"}
 ROW = re.compile(r"^\| `([a-z_]+)` \| (info|warning|error|varies) \|", re.M)
-# Built elsewhere and handed to the logger whole; the functions and messages there are looked at instead.
+# Templates that are built elsewhere and passed to the logger whole, by file. The functions and messages that
+# build these templates are checked instead.
 BUILT_ELSEWHERE = {"fleet/service.py": "line.text", "ephemeral_nodes/source.py": "'%s'"}
 
 
 class LogCall(NamedTuple):
-    """One call of a logger, or one line that is built for it."""
+    """One call of a logger, or one line that is built for a logger."""
 
     place: str
     level: str
@@ -28,7 +29,7 @@
 
 
 def text_of(node: ast.expr) -> str:
-    """Return a string, with %s in place of what an f-string puts in."""
+    """Return a string, with %s in place of each expression of an f-string."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return node.value
     if isinstance(node, ast.JoinedStr):
@@ -52,7 +53,7 @@
 
 
 def fleet_lines() -> Iterator[LogCall]:
-    """The functions of fleet/log_lines.py: each is named after its event."""
+    """Yield the lines of fleet/log_lines.py, where each function has the name of its event."""
     file = PACKAGE / "fleet" / "log_lines.py"
     for function in ast.parse(file.read_text(encoding="utf-8")).body:
         if isinstance(function, ast.FunctionDef):
@@ -63,7 +64,7 @@
 
 
 def merger_notes() -> Iterator[LogCall]:
-    """What the merger of endpoint lists notes; all of it is written at one level."""
+    """Yield the lines that the merger of endpoint lists records; all of them are written at one level."""
     file = PACKAGE / "ephemeral_nodes" / "merger.py"
     for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
         if isinstance(node, ast.JoinedStr) and FORM.fullmatch(text_of(node)) and "=" in text_of(node):
@@ -76,8 +77,8 @@
 
 
 def test_each_line_is_an_event_with_fields() -> None:
-    odd = [call for call in all_lines() if not FORM.fullmatch(call.template)]
-    assert odd == []
+    malformed = [call for call in all_lines() if not FORM.fullmatch(call.template)]
+    assert malformed == []
 
 
 def test_the_table_names_each_event_with_its_level() -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over a hand-written transcript."""
+"""Tests of the simulator adapter with a hand-written transcript."""
 
 from __future__ import annotations
 
