--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -66,7 +66,7 @@
         config: the platform's configuration of the process.
         membership: settings of ephemeral nodes as a source of endpoints; None: off.
         budgets: the deadline propagation that the listeners of a process share; None: off.
-        called: the name of the tier, if budgets are on and the name is known.
+        tier_name: the name of the tier, if budgets are on and the name is known.
         websocket: settings of WebSocket sessions; None: off.
         fleet: settings of the fleet's membership; None: off.
         fleet_keys: keys that authenticate the fleet's datagrams.
@@ -82,7 +82,7 @@
         config: ProxyConfig,
         membership: Membership | None,
         budgets: BudgetPropagation | None = None,
-        called: str = "",
+        tier_name: str = "",
         websocket: WebSocket | None = None,
         fleet: FleetSettings | None = None,
         fleet_keys: Sequence[bytes] = (),
@@ -95,7 +95,7 @@
             config = reserve_for_websocket(config, websocket)
         self.admin = create_admin_service(config)
         self.recovery = create_recovery(recovery, config) if recovery is not None else None
-        filters = outer_filters(budgets, called, config, self.recovery)
+        filters = outer_filters(budgets, tier_name, config, self.recovery)
         self.dispatcher = RequestDispatcher(config, filters, chain_overlays(self._list_overlays()))
         self.subsystems: list[Subsystem] = []
         if membership is not None:
@@ -328,7 +328,7 @@
 
 
 def outer_filters(
-    budgets: BudgetPropagation | None, called: str, config: ProxyConfig, recovery: Recovery | None = None
+    budgets: BudgetPropagation | None, tier_name: str, config: ProxyConfig, recovery: Recovery | None = None
 ) -> tuple[RequestFilter, ...]:
     """Return the filters that apply to a request before the policy, in their order."""
     filters: tuple[RequestFilter, ...] = () if recovery is None else (recovery.filter,)
@@ -337,7 +337,7 @@
     from service_proxy.deadlines.outbound import OutboundFilter
 
     classes = {cls.name: cls for cls in config.settings.classes}
-    return (*filters, OutboundFilter(budgets, called, classes, config.settings.max_attempts))
+    return (*filters, OutboundFilter(budgets, tier_name, classes, config.settings.max_attempts))
 
 
 def inner_filters(
