--- a/service_proxy/deadlines/__init__.py
+++ b/service_proxy/deadlines/__init__.py
@@ -1,6 +1,7 @@
-"""Deadline propagation: the time, attempts and priority that a request has left, passed down its calls.
+"""Deadline propagation: passes the time, attempts and priority that a request has left down its calls.
 
-The modules that decide are pure: `header` (what travels), `request_budget` (who may spend what),
-`correlation` (which request a call belongs to), `latency_estimate` (what a class takes). `key_file` reads the
-keys; `filters` connects all of them to the request dispatcher.
+Modules that only decide, without I/O: `header` (encoding of the budget header), `request_budget` (allocation
+and spending of attempts), `correlation` (assignment of calls to requests) and `latency_estimate` (usual
+latency of a class). `propagation` has the state that a process shares, and `inbound` and `outbound` are the
+request dispatcher's filters. The keys are read by operator_file.key_file.
 """
--- a/service_proxy/deadlines/correlation.py
+++ b/service_proxy/deadlines/correlation.py
@@ -1,14 +1,15 @@
-"""Find the request for which an application makes a call. Pure; bounded.
+"""Bounded table that finds the request for which an application makes a call. Does no I/O.
 
-The header that the application copied decides; else the ids and keys of the two, in a fixed order:
+If the application copied the header, the header decides. Otherwise the ids and keys of call and request
+decide, in a fixed order:
 
 1. `Tier-Budget: ref;...` names the request.
-2. The call's X-Call-Id is the request's, or begins with it and one of `.-:/`.
+2. The call's X-Call-Id equals the request's, or begins with the request's id and one of `.-:/`.
 3. The call has the Idempotency-Key of exactly one open request of its class.
 
-Requests stay known for a while after their end, so that calls for one that is over are rejected and not taken
-for unknown ones. What is evicted from the table is unknown: its calls have their class's deadline, as without
-budgets.
+Requests stay in the table for a while after their end, so that calls for an ended request are rejected and
+not treated as calls for an unknown request. An evicted request is unknown: its calls have the deadline of
+their class, as without budgets.
 """
 
 from __future__ import annotations
@@ -18,22 +19,25 @@
 
 from service_proxy.deadlines.request_budget import RequestBudget
 
-MAX_REQUESTS = 4096  # open and ended; the one that ended first is evicted, then the oldest open one
-BYTES_PER_REQUEST = 900  # about, in all tables with its budget: benchmarks/budgets.py measures it
-RETENTION_S = 10.0  # after its end for which a request is known: longer than its calls are of use
-MAX_ID_BYTES = 128  # of an id or key that is looked up; a longer one correlates with nothing
+# Open and ended requests in the table; the request that ended first is evicted, then the oldest open one.
+MAX_REQUESTS = 4096
+# Approximate memory of a request with its budget in all tables, measured by benchmarks/budgets.py.
+BYTES_PER_REQUEST = 900
+# Time for which a request stays in the table after its end; longer than its calls are of use.
+RETENTION_S = 10.0
+MAX_ID_BYTES = 128  # Length of an id or key that is looked up; a longer one correlates with no request.
 ID_SEPARATORS = b".-:/"
 
 
 @dataclass(slots=True, eq=False)
 class CorrelatedRequest:
-    """A request that the application has, or had.
+    """Request that the application is processing or has processed.
 
     Attributes:
-        reference: that this process gave to the application for it.
-        request_id: its X-Call-Id.
-        ended_at: monotonic, s; None while it is open.
-        is_abandoned: it ended because nobody waits for it; else it was answered.
+        reference: Reference that this process gave to the application for the request.
+        request_id: X-Call-Id of the request.
+        ended_at: Monotonic time of the end, s; None while the request is open.
+        is_abandoned: Whether the request ended because no client waits for it; otherwise it was answered.
     """
 
     reference: str
@@ -46,10 +50,10 @@
 
 
 class CorrelationTable:
-    """The requests of one process by reference, id and key.
+    """Requests of one process by reference, id and key.
 
     Attributes:
-        evicted_count: requests that were evicted for want of room.
+        evicted_count: Requests that were evicted because the table was full.
     """
 
     def __init__(self, max_requests: int = MAX_REQUESTS) -> None:
@@ -57,7 +61,7 @@
         self.by_reference: dict[str, CorrelatedRequest] = {}
         self.by_request_id: dict[bytes, CorrelatedRequest] = {}
         self.by_key: dict[tuple[str, bytes], list[CorrelatedRequest]] = {}
-        # References, oldest first.
+        # References in order, oldest first.
         self.open: OrderedDict[str, None] = OrderedDict()
         self.ended: OrderedDict[str, None] = OrderedDict()
         self.evicted_count = 0
@@ -73,7 +77,7 @@
         request_class: str,
         budget: RequestBudget,
     ) -> CorrelatedRequest:
-        """Add a request that the application is about to get."""
+        """Add a request before it is sent to the application."""
         while len(self.by_reference) >= self.max_requests:
             self._remove(next(iter(self.ended or self.open)))
             self.evicted_count += 1
@@ -87,7 +91,7 @@
         return request
 
     def end(self, request: CorrelatedRequest, now: float) -> None:
-        """Note that a request was answered or that nobody waits for it any more."""
+        """Record that a request was answered or that no client waits for it."""
         is_known = self.by_reference.get(request.reference) is request
         if request.ended_at is None and is_known:
             request.ended_at = now
@@ -96,7 +100,7 @@
         self.expire(now)
 
     def expire(self, now: float) -> None:
-        """Remove what ended more than RETENTION_S ago."""
+        """Remove the requests that ended more than RETENTION_S ago."""
         while self.ended:
             reference = next(iter(self.ended))
             ended_at = self.by_reference[reference].ended_at
@@ -111,28 +115,28 @@
         if self.by_request_id.get(request.request_id) is request:
             del self.by_request_id[request.request_id]
         class_and_key = (request.request_class, request.idempotency_key)
-        same_key = self.by_key.get(class_and_key)
-        if same_key is not None and request in same_key:
-            same_key.remove(request)
-            if not same_key:
+        requests_with_key = self.by_key.get(class_and_key)
+        if requests_with_key is not None and request in requests_with_key:
+            requests_with_key.remove(request)
+            if not requests_with_key:
                 del self.by_key[class_and_key]
 
     def find(
         self, reference: str | None, request_id: bytes, idempotency_key: bytes, request_class: str
     ) -> CorrelatedRequest | None:
-        """Return the request that a call is made for; None where that is unknown."""
+        """Return the request for which a call is made, or None if that request is unknown."""
         if reference is not None:
             return self.by_reference.get(reference)
         request = self._find_by_id(request_id)
         if request is None and idempotency_key:
-            same_key = self.by_key.get((request_class, idempotency_key), ())
-            still_open = [request for request in same_key if request.ended_at is None]
-            if len(still_open) == 1:
-                request = still_open[0]
+            requests_with_key = self.by_key.get((request_class, idempotency_key), ())
+            open_requests = [request for request in requests_with_key if request.ended_at is None]
+            if len(open_requests) == 1:
+                request = open_requests[0]
         return request
 
     def _find_by_id(self, request_id: bytes) -> CorrelatedRequest | None:
-        """Return the request of this id, or of its longest prefix that ends before a separator."""
+        """Return the request with this id, or with the id's longest prefix that ends before a separator."""
         if len(request_id) > MAX_ID_BYTES:
             return None
         request = self.by_request_id.get(request_id)
--- a/service_proxy/deadlines/header.py
+++ b/service_proxy/deadlines/header.py
@@ -1,4 +1,4 @@
-"""The header field that carries a budget between sidecars, byte by byte, with its MAC. Pure.
+"""Header field that carries a budget between sidecars, byte by byte, with its MAC. Does no I/O.
 
     Tier-Budget: 1;t=1200000;o=500000;a=4;w=12000;c=read;p=edge.front;i=9b1f03aa5c7e2d41;k=k1;m=<32 hex>
 
@@ -11,18 +11,21 @@
     key     = 1*16( LOWER / DIGIT )
     mac     = 32HEXLOW
 
-`t`: microseconds that the receiver may take, counted from when it has the head: time left, not an instant, so
-no two clocks have to agree. `o`: the same until the outermost request's latency objective, after which its
-priority weight is less. `a`: attempts that the receiver and all below it may make. `w`: priority weight in
-thousandths. `c`: the class of the outermost request. `m`: the first 16 bytes of HMAC-SHA256 (RFC 2104, RFC
-6234) over the value up to `;m=`, LF, and the request's X-Call-Id, so that a value is of no use on another
-request.
-
-Back with an answer: `Tier-Budget: 1;s=3;q=81000`: attempts that were used of `a`, and microseconds from the
-whole request to the answer.
-
-To an application, and from it with the calls that it makes for that request: `Tier-Budget: ref;<16 hex>`, a
-reference that only its own sidecar knows.
+- `t`: time that the receiver may take, in microseconds, counted from the receipt of the head. A duration
+  instead of an instant does not require synchronized clocks.
+- `o`: time until the latency objective of the outermost request, in microseconds, counted like `t`. After
+  the objective, the priority weight of the outermost request is lower.
+- `a`: attempts that the receiver and all tiers below the receiver may make.
+- `w`: priority weight in thousandths.
+- `c`: class of the outermost request.
+- `m`: first 16 bytes of HMAC-SHA256 (RFC 2104, RFC 6234) over the value up to `;m=`, LF, and the request's
+  X-Call-Id. The X-Call-Id makes a copied value invalid on another request.
+
+The response carries `Tier-Budget: 1;s=3;q=81000`: the attempts that were used of `a`, and the microseconds
+from the receipt of the whole request to the response.
+
+An application receives `Tier-Budget: ref;<16 hex>` and copies the field to the calls that it makes for that
+request. Only the application's own sidecar can resolve the reference.
 """
 
 from __future__ import annotations
@@ -35,14 +38,14 @@
 
 FIELD_NAME = b"tier-budget"
 MAX_VALUE_BYTES = 512
-MAX_HOPS = 8  # hop identifiers in a path
-MAX_TIME_S = 3600.0  # more is no request's time
-MAX_ATTEMPTS = 9999  # of a tree of calls
-MAX_PRIORITY_WEIGHT = 1e6  # as the settings of a class may have
+MAX_HOPS = 8  # Hop identifiers in a path.
+MAX_TIME_S = 3600.0  # Upper bound of a request's remaining time.
+MAX_ATTEMPTS = 9999  # Attempts of a tree of calls.
+MAX_PRIORITY_WEIGHT = 1e6  # Largest priority weight that the settings of a class may have.
 MAC_BYTES = 16
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS = 1e6  # Microseconds per second.
 MAX_TIME_US = int(MAX_TIME_S * MICROSECONDS)
-THOUSANDTHS = 1e3  # in one
+THOUSANDTHS = 1e3  # Thousandths per unit.
 MAX_WEIGHT_THOUSANDTHS = int(MAX_PRIORITY_WEIGHT * THOUSANDTHS)
 MAC_PREFIX = b";m="
 NUMBER = rb"(0|[1-9][0-9]{0,14})"
@@ -52,33 +55,33 @@
     rb"1;t=%b;o=%b;a=%b;w=%b;c=(%b);p=%b;i=([0-9a-f]{16});k=([a-z0-9]{1,16});m=([0-9a-f]{32})"
     % (NUMBER, NUMBER, NUMBER, NUMBER, NAME, PATH)
 )
-MAC_GROUP = 9  # of VALUE
+MAC_GROUP = 9  # Number of the MAC's group in VALUE.
 USAGE = re.compile(rb"1;s=" + NUMBER + rb";q=" + NUMBER)
 REFERENCE = re.compile(rb"ref;([0-9a-f]{16})")
 
-Keys = Mapping[bytes, bytes]  # by id; the first signs, all are accepted
+Keys = Mapping[bytes, bytes]  # Keys by id; the first key signs, and all keys are accepted.
 
 
 class DeadlinePropagationError(Exception):
-    """Base class of what goes wrong with budgets on the wire."""
+    """Base class of the errors of budget headers."""
 
 
 class MalformedBudgetError(DeadlinePropagationError, ValueError):
-    """A header value is no budget, or not one for this request; the message says why."""
+    """Error raised if a header value is no valid budget of this request; the message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetHeader:
-    """What a request has left, as it travels.
+    """Remaining budget of a request, as sent in the header.
 
     Attributes:
-        remaining_time: for the receiver, s.
-        remaining_objective: until the outermost request's latency objective, s.
-        attempts: that the receiver and all below it may make.
-        priority_weight: of the outermost request.
-        request_class: of the outermost request.
-        path: hop identifiers that the request has passed.
-        tree_id: of all calls that the outermost request causes.
+        remaining_time: Time that the receiver may take, s.
+        remaining_objective: Time until the latency objective of the outermost request, s.
+        attempts: Attempts that the receiver and all tiers below the receiver may make.
+        priority_weight: Priority weight of the outermost request.
+        request_class: Class of the outermost request.
+        path: Hop identifiers that the request has passed.
+        tree_id: Id of all calls that the outermost request causes.
     """
 
     remaining_time: float
@@ -91,19 +94,19 @@
 
 
 class Usage(NamedTuple):
-    """What a receiver used: attempts, and the time from the whole request to the answer, s."""
+    """Attempts that a receiver used, and the time from the whole request to the response, s."""
 
     attempts: int
     service_time: float
 
 
 def sign_value(unsigned: bytes, request_id: bytes, key: bytes) -> bytes:
-    """Return the MAC of a value, in hexadecimal digits."""
+    """Return the MAC of a value in hexadecimal digits."""
     return hmac.digest(key, unsigned + b"\n" + request_id, "sha256")[:MAC_BYTES].hex().encode()
 
 
 def encode_budget(budget: BudgetHeader, request_id: bytes, keys: Keys) -> bytes:
-    """Return the value for the request of this X-Call-Id; numbers are cut to the largest that is allowed."""
+    """Return the value for the request with this X-Call-Id; numbers are limited to the allowed range."""
     key_id = next(iter(keys))
     unsigned = b"1;t=%d;o=%d;a=%d;w=%d;c=%s;p=%s;i=%s;k=%s" % (
         max(0, min(int(budget.remaining_time * MICROSECONDS), MAX_TIME_US)),
@@ -119,29 +122,31 @@
 
 
 def decode_budget(value: bytes, request_id: bytes, keys: Keys) -> BudgetHeader:
-    """Return the budget of a value that came with the request of this X-Call-Id.
+    """Return the budget of a value that arrived with the request with this X-Call-Id.
 
     Raises:
-        MalformedBudgetError: it is not of the form, or its MAC is not that of a known key and this request.
+        MalformedBudgetError: The value is malformed, or its MAC matches no known key and this request.
     """
     if len(value) > MAX_VALUE_BYTES:
-        raise MalformedBudgetError(f"longer than {MAX_VALUE_BYTES} bytes")
+        raise MalformedBudgetError(f"the value is longer than {MAX_VALUE_BYTES} bytes")
     match = VALUE.fullmatch(value)
     if match is None:
-        raise MalformedBudgetError("not of the form 1;t=..;a=..;w=..;c=..;p=..;i=..;k=..;m=..")
+        raise MalformedBudgetError(
+            "the value is not of the form 1;t=..;o=..;a=..;w=..;c=..;p=..;i=..;k=..;m=.."
+        )
     time, objective, attempts, weight, request_class, path, tree_id, key_id, mac = match.groups()
     key = keys.get(key_id)
     if key is None:
-        raise MalformedBudgetError(f"key {key_id.decode()} is not known")
+        raise MalformedBudgetError(f"key {key_id.decode()} is not known, add it to the key file")
     unsigned = value[: match.start(MAC_GROUP) - len(MAC_PREFIX)]
     if not hmac.compare_digest(sign_value(unsigned, request_id, key), mac):
-        raise MalformedBudgetError("its MAC is not that of this call")
+        raise MalformedBudgetError("the MAC does not match this request")
     if (
         max(int(time), int(objective)) > MAX_TIME_US
         or int(attempts) > MAX_ATTEMPTS
         or int(weight) > MAX_WEIGHT_THOUSANDTHS
     ):
-        raise MalformedBudgetError("a number is larger than any budget")
+        raise MalformedBudgetError("a number exceeds the limit of its field")
     return BudgetHeader(
         remaining_time=int(time) / MICROSECONDS,
         remaining_objective=int(objective) / MICROSECONDS,
@@ -154,12 +159,12 @@
 
 
 def encode_usage(attempts: int, service_time: float) -> bytes:
-    """Return the value that goes back with an answer."""
+    """Return the value that a response carries."""
     return b"1;s=%d;q=%d" % (max(0, attempts), max(0, int(service_time * MICROSECONDS)))
 
 
 def decode_usage(value: bytes, granted_attempts: int) -> Usage | None:
-    """Return what a receiver used; None where it says nothing usable, or more than it was granted."""
+    """Return the usage that a receiver reports, or None if the value is malformed or exceeds the grant."""
     match = USAGE.fullmatch(value) if len(value) <= MAX_VALUE_BYTES else None
     if match is None or int(match[1]) > granted_attempts:
         return None
@@ -167,19 +172,19 @@
 
 
 def encode_reference(reference: str) -> bytes:
-    """Return the value that names a request to its application."""
+    """Return the value that names a request to the application."""
     return b"ref;" + reference.encode()
 
 
 def decode_reference(value: bytes) -> str | None:
-    """Return the reference that an application copied; None where the value is none."""
+    """Return the reference that an application copied, or None if the value is no reference."""
     match = REFERENCE.fullmatch(value) if len(value) <= MAX_VALUE_BYTES else None
     return match[1].decode() if match is not None else None
 
 
 def exceeds_hop_limit(path: tuple[str, ...], hop_id: str, max_passes: int) -> bool:
-    """Return whether a request that has passed these hops may not pass one again.
+    """Return whether a request that has passed these hops must not pass `hop_id` again.
 
-    The path holds ancestors alone, so a tier that two branches call (a diamond) stands on each of them once.
+    The path has only ancestors, so a tier that two branches call (a diamond) appears once in each path.
     """
     return len(path) >= MAX_HOPS or path.count(hop_id) >= max_passes
--- a/service_proxy/deadlines/inbound.py
+++ b/service_proxy/deadlines/inbound.py
@@ -1,6 +1,7 @@
-"""The filter before the application: it reads the budget that a request brings.
+"""Filter before the application, which reads the budget of an incoming request.
 
-It gives the application a reference to the request, so that the calls made for that request are found.
+The filter gives the application a reference to the request, so that calls made for that request can be
+assigned to it.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class InboundFilter(ClassLatencies):
-    """net.request_filters.RequestFilter before the application."""
+    """Filter (net.request_filters.RequestFilter) before the application."""
 
     consumed_headers = CONSUMED_HEADERS
 
@@ -44,7 +45,7 @@
         request: Request,
         _abandon: Callable[[], None],
     ) -> InboundRequestState | Rejection:
-        """Take in the budget that a request brings, or start one; reject loops and too short deadlines."""
+        """Read or create the budget of a request; reject loops and requests whose deadline is too short."""
         propagation = self.propagation
         request_class = self.classes[request.class_name]
         now = time.monotonic()
@@ -73,7 +74,7 @@
         return InboundRequestState(self, request, budget, request_class, received is not None)
 
     def _received_budget(self, request: Request) -> header.BudgetHeader | None:
-        """Return the budget that a request brings; a header that is none counts as none."""
+        """Return the budget in the request's header, or None if there is no valid budget header."""
         try:
             value = budget_value(request)
             if value is not None:
@@ -84,7 +85,7 @@
 
 
 class InboundRequestState:
-    """net.request_filters.RequestFilterState of a request that the application has, or is about to get."""
+    """State (net.request_filters.RequestFilterState) of a request to the application."""
 
     max_attempts = 0
     cancels_on_disconnect = True
@@ -115,12 +116,12 @@
         return header.FIELD_NAME + b": " + header.encode_reference(reference) + b"\r\n"
 
     def on_attempt_end(self, attempt: UpstreamAttempt, status: AttemptStatus) -> None:
-        """Learn from an answer how long the class takes."""
+        """Record the latency of the class after a successful response."""
         if status is AttemptStatus.OK:
             self.filter.latencies[self.request_class.name].record(attempt.elapsed)
 
     def response_headers(self) -> HeaderFields:
-        """Return what the answer says of the attempts and the time that were used."""
+        """Return the header with the attempts and the time that were used."""
         if not self.has_budget_header:
             return NO_HEADERS
         used = self.budget.spent + self.budget.reserved
@@ -128,10 +129,11 @@
         return ((header.FIELD_NAME, header.encode_usage(used, service_time)),)
 
     def on_request_end(self, was_answered: bool) -> None:
-        """Close the budget, and end what is under way for a request that nobody waits for."""
+        """Close the budget, and cancel open calls of the request if no client waits for the request."""
         propagation = self.filter.propagation
         now = time.monotonic()
-        # Answered in time, what goes on is the application's own; else it is for nobody.
+        # After a response in time, open calls are the application's own; otherwise no client waits for their
+        # results.
         is_abandoned = not was_answered or now >= self.budget.deadline
         propagation.close(self.budget, is_abandoned)
         if self.correlated is not None:
--- a/service_proxy/deadlines/latency_estimate.py
+++ b/service_proxy/deadlines/latency_estimate.py
@@ -1,7 +1,7 @@
-"""How long a class's requests and the way to a receiver usually take, learned from answers. Pure.
+"""Estimates of a class's usual latency and of the transit time to a receiver, from responses. Does no I/O.
 
-A request whose remaining time can't cover the usual latency of its class is rejected before any work: most of
-what is started with less is work for nobody.
+A request whose remaining time can't cover the usual latency of its class is rejected before any work,
+because most requests started with less time end after their deadline.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 from bisect import insort
 from collections import deque
 
-SAMPLES = 64  # latest ones that count
-MIN_SAMPLES = 20  # before which nothing is estimated
-# A time in which only this share of the requests was answered fails three times of four.
+SAMPLES = 64  # Number of latest samples that an estimate uses.
+MIN_SAMPLES = 20  # Number of samples below which there is no estimate.
+# Quantile used as threshold: with only this time left, three of four requests miss their deadline.
 QUARTILE = 0.25
-# Share of the requests below it that are started all the same: else a class that became fast goes unnoticed.
+# Share of the requests below the threshold that start anyway; without it, a faster class would go undetected.
 EXPLORATION_SHARE = 0.02
-TRANSIT_SMOOTHING = 0.1  # weight of the latest sample
-MAX_TRANSIT_S = 0.5  # one way; what takes longer is queueing elsewhere
+TRANSIT_SMOOTHING = 0.1  # Weight of the latest sample.
+MAX_TRANSIT_S = 0.5  # Upper bound of a one-way sample; a longer time is caused by queueing elsewhere.
 
 
 class LatencyEstimate:
-    """The latest latencies of one class, s."""
+    """Estimate from the latest latencies of one class, s."""
 
     __slots__ = ("exploration_credit", "latest", "sorted")
 
@@ -30,7 +30,7 @@
         self.exploration_credit = 0.0
 
     def record(self, latency: float) -> None:
-        """Add a sample, and drop the oldest of more than SAMPLES."""
+        """Add a sample, and discard the oldest sample if there are more than SAMPLES."""
         if len(self.latest) == SAMPLES:
             self.sorted.remove(self.latest.popleft())
         self.latest.append(latency)
@@ -38,16 +38,16 @@
 
     @property
     def lower_quartile(self) -> float:
-        """The latency of the fastest quarter of the requests, s; 0 until there are enough samples."""
+        """Return the latency of the fastest quarter of the requests, s; 0 until there are enough samples."""
         if len(self.sorted) < MIN_SAMPLES:
             return 0.0
         return self.sorted[int(QUARTILE * len(self.sorted))]
 
     def is_sufficient(self, remaining_time: float) -> bool:
-        """Return whether a request with so much time left (s) is to be started.
+        """Return whether a request with this remaining time (s) should start.
 
-        Of those that have too little a small share is started all the same, so that an estimate that is too
-        high can't keep itself alive.
+        A small share of the requests with too little time starts anyway. Without new samples, an estimate
+        that is too high would stay too high, because requests with less time would never start.
         """
         if remaining_time <= 0:
             return False
@@ -61,7 +61,7 @@
 
 
 class TransitEstimate:
-    """The time to a receiver, one way, s: half of what an exchange takes beyond the receiver's work."""
+    """Estimate of the one-way time to a receiver, s: half of an exchange's time without the service time."""
 
     __slots__ = ("mean",)
 
@@ -69,6 +69,6 @@
         self.mean = 0.0
 
     def record(self, elapsed: float, service_time: float) -> None:
-        """Add a sample: the time of an exchange, and what the receiver says that it took, s."""
-        one_way = min(MAX_TRANSIT_S, max(0.0, (elapsed - service_time) / 2))
-        self.mean += TRANSIT_SMOOTHING * (one_way - self.mean)
+        """Add a sample: the time of an exchange, and the service time that the receiver reports, s."""
+        transit_time = min(MAX_TRANSIT_S, max(0.0, (elapsed - service_time) / 2))
+        self.mean += TRANSIT_SMOOTHING * (transit_time - self.mean)
--- a/service_proxy/deadlines/outbound.py
+++ b/service_proxy/deadlines/outbound.py
@@ -1,4 +1,4 @@
-"""The filter towards a tier: it finds the request that a call is made for, and sends its budget along."""
+"""Filter towards a tier, which finds the request of a call and sends the request's budget with the call."""
 
 from __future__ import annotations
 
@@ -24,15 +24,17 @@
 from service_proxy.policy.settings_types import RequestClass
 from service_proxy.policy.settings_types import Settings as ProxySettings
 
-DEADLINE_MARGIN_S = 0.002  # by which a time on the wire is less than what is left: a turn of each event loop
+# Difference between the time left and the time sent in the header, which covers one turn of each event loop.
+DEADLINE_MARGIN_S = 0.002
 
 
 class OutboundFilter(ClassLatencies):
-    """net.request_filters.RequestFilter towards one tier.
+    """Filter (net.request_filters.RequestFilter) towards one tier.
 
     Attributes:
-        upstream_hop_id: of the tier; "" where that is not known.
-        max_attempts: that any call may have.
+        upstream_hop_id: Hop identifier of the tier; "" if unknown.
+        max_attempts: Upper bound of the attempts of any call.
+        transit: Estimate of the transit time to the tier.
     """
 
     consumed_headers = CONSUMED_HEADERS
@@ -51,12 +53,12 @@
         self.transit = TransitEstimate()
 
     def on_settings_update(self, settings: ProxySettings) -> None:
-        """Use these settings from now on."""
+        """Apply new settings."""
         super().on_settings_update(settings)
         self.max_attempts = settings.max_attempts
 
-    def on_request(self, request: Request, give_up: Callable[[], None]) -> OutboundCallState | Rejection:
-        """Allocate a budget to a call, of its request's where that is known; or reject the call."""
+    def on_request(self, request: Request, abandon: Callable[[], None]) -> OutboundCallState | Rejection:
+        """Allocate a budget to a call, if possible from its request's budget, or reject the call."""
         request_class = self.classes[request.class_name]
         now = time.monotonic()
         parent = self._find_parent(request)
@@ -67,12 +69,15 @@
             allocated = self._allocate(parent, request_class, now)
         if isinstance(allocated, Rejection):
             return allocated
-        call = OutboundCallState(self, request, allocated, request_class, give_up)
+        call = OutboundCallState(self, request, allocated, request_class, abandon)
         self.propagation.open_calls[id(allocated)] = call
         return call
 
     def _find_parent(self, request: Request) -> CorrelatedRequest | None:
-        """Return the request that a call is made for, unless that was answered: then the call is its own."""
+        """Return the request for which a call is made, or None if the request is unknown or was answered.
+
+        A call that starts after its request was answered has a budget of its own.
+        """
         if self.propagation.settings.edge:
             return None
         try:
@@ -81,7 +86,7 @@
             return None
         reference = header.decode_reference(value) if value is not None else None
         if value is not None and reference is None:
-            return None  # something else stands there, which this process did not write
+            return None  # This process did not write the value, because the value is no reference.
         parent = self.propagation.correlation.find(
             reference, request.id, request.idempotency_key, request.class_name
         )
@@ -111,7 +116,7 @@
 
 
 class OutboundCallState:
-    """net.request_filters.RequestFilterState of a call towards a tier, with its budget."""
+    """State (net.request_filters.RequestFilterState) of a call towards a tier, with the call's budget."""
 
     cancels_on_disconnect = True
 
@@ -121,13 +126,13 @@
         request: Request,
         budget: RequestBudget,
         request_class: RequestClass,
-        give_up: Callable[[], None],
+        abandon: Callable[[], None],
     ) -> None:
         self.filter = filter
         self.request = request
         self.budget = budget
         self.request_class = request_class
-        self.give_up = give_up
+        self.abandon = abandon
         self.deadline = budget.deadline
         self.weight_share = filter.weight_share(budget, request_class)
         if budget.parent is not None:
@@ -139,7 +144,7 @@
         self.grant: AttemptGrant | None = None
 
     def on_attempt_start(self, timeout: float) -> bytes | None:
-        """Return the header line for an attempt that is sent now; None: no attempt is left."""
+        """Return the header line for an attempt that is sent now, or None if no attempt is left."""
         now = time.monotonic()
         budget = self.budget
         filter = self.filter
@@ -150,7 +155,7 @@
         self.started_attempts += 1
         self.grant = grant
         margin = filter.transit.mean + DEADLINE_MARGIN_S
-        sent = header.BudgetHeader(
+        sent_budget = header.BudgetHeader(
             min(timeout, budget.deadline - now) - margin,
             budget.objective_at - now - margin,
             grant.attempts,
@@ -159,16 +164,16 @@
             budget.path,
             budget.tree_id,
         )
-        value = header.encode_budget(sent, self.request.id, filter.propagation.keys)
+        value = header.encode_budget(sent_budget, self.request.id, filter.propagation.keys)
         return header.FIELD_NAME + b": " + value + b"\r\n"
 
     def on_attempt_end(self, attempt: UpstreamAttempt, status: AttemptStatus) -> None:
-        """Settle the attempt's grant by what its answer says, and learn how long it took."""
+        """Settle the attempt's grant with the reported usage, and record the latency."""
         grant = self.grant
         self.grant = None
         if grant is None:
             return
-        usage = _usage_of(attempt, grant.attempts)
+        usage = _reported_usage(attempt, grant.attempts)
         if usage is not None:
             self.filter.transit.record(attempt.elapsed, usage.service_time)
         if status is AttemptStatus.OK:
@@ -177,18 +182,18 @@
         grant.settle(usage.attempts if usage is not None else None, may_have_run)
 
     def response_headers(self) -> HeaderFields:
-        """Add nothing to the answer."""
+        """Return no headers."""
         return NO_HEADERS
 
     def on_request_end(self, was_answered: bool) -> None:
-        """Close the budget, and end what is under way for a call that nobody waits for."""
+        """Close the budget, and cancel open calls below it if no client waits for this call."""
         propagation = self.filter.propagation
         propagation.open_calls.pop(id(self.budget), None)
         propagation.close(self.budget, not was_answered)
 
 
-def _usage_of(attempt: UpstreamAttempt, granted_attempts: int) -> header.Usage | None:
-    """Return what the answer of an attempt says that it used; None where it says nothing usable."""
+def _reported_usage(attempt: UpstreamAttempt, granted_attempts: int) -> header.Usage | None:
+    """Return the usage that the response of an attempt reports, or None if there is no valid report."""
     if not attempt.status_code:
         return None
     values = [value for name, value in attempt.response_headers if name == header.FIELD_NAME]
--- a/service_proxy/deadlines/propagation.py
+++ b/service_proxy/deadlines/propagation.py
@@ -1,4 +1,4 @@
-"""The state of deadline propagation that all listeners of one process share."""
+"""State of deadline propagation that all listeners of one process share."""
 
 from __future__ import annotations
 
@@ -22,35 +22,35 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WEIGHT_SHARE = 1000.0  # of its class's priority weight that a call can be given
-IDENTIFIER_BYTES = 8  # of a reference or tree id
+MAX_WEIGHT_SHARE = 1000.0  # Upper bound of a call's weight, relative to its class's priority weight.
+IDENTIFIER_BYTES = 8  # Length of a reference or tree id.
 CONSUMED_HEADERS = frozenset((header.FIELD_NAME,))
 NO_HEADERS: HeaderFields = ()
 
 
 class OpenCall(Protocol):
-    """A call that is under way for a request of this process."""
+    """Open call for a request of this process."""
 
-    def give_up(self) -> None:
-        """End it at once."""
+    def abandon(self) -> None:
+        """Cancel the call at once."""
 
 
 class BudgetPropagation:
-    """Budgets of one process: net.endpoint_sources.Subsystem.
+    """Budgets of one process (net.endpoint_sources.Subsystem).
 
     Attributes:
-        hop_id: of this tier, in paths.
-        keys: that sign and verify the header.
-        correlation: requests that the application has or had.
-        open_calls: calls towards other tiers, by the identity of their budget.
-        rejected_loops: requests that were rejected at the hop limit.
+        hop_id: Hop identifier of this tier in paths.
+        keys: Keys that sign and verify the header.
+        correlation: Requests that the application is processing or has processed.
+        open_calls: Open calls towards other tiers, by the identity of their budget.
+        rejected_loops: Number of requests that were rejected at the hop limit.
     """
 
     def __init__(self, settings: Settings, hop_id: str) -> None:
-        """`hop_id`: of this tier, where the settings name none.
+        """Read the keys. `hop_id` is this tier's hop identifier, unless the settings name one.
 
         Raises:
-            OperatorError: the key file can't be used.
+            OperatorError: The key file is invalid or not readable.
         """
         self.settings = settings
         self.hop_id = settings.mark or hop_id
@@ -62,32 +62,32 @@
     # net.endpoint_sources.Subsystem
 
     def start(self) -> None:
-        """Nothing runs by itself."""
+        """Start nothing, because there are no background tasks."""
 
     def stop(self) -> None:
-        """Nothing runs by itself."""
+        """Stop nothing, because there are no background tasks."""
 
     def reload(self, file: str) -> None:
-        """Read the keys again, on SIGHUP; anything else needs a start.
+        """Read the keys again, on SIGHUP; any other change needs a restart.
 
         Raises:
-            OperatorError: the file says something else, or the keys can't be used; nothing has changed then.
+            OperatorError: Another setting has changed, or the keys are invalid; no change is applied.
         """
         if load(file).budgets != self.settings:
-            text = "[budgets] has changed, and only its keys can while the proxy runs"
-            raise OperatorError([Problem(file, 1, "S109", text, "start the proxy anew")])
+            text = "[budgets] has changed, but only its keys can change while the proxy runs"
+            raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
         self.reread_keys()
 
     def reread_keys(self) -> None:
         """Read the keys again.
 
         Raises:
-            OperatorError: they can't be used; the old ones stay.
+            OperatorError: The new keys are invalid; the old keys stay in use.
         """
         self.keys = read_keys(self.settings.keys_file)
 
     def new_root(self, request_class: RequestClass, deadline: float, now: float) -> RequestBudget:
-        """Return the budget of a request that brings none: a new tree of calls."""
+        """Return the budget of a request that arrived without one, as the root of a new tree of calls."""
         return root_budget(
             self.settings.attempts,
             deadline,
@@ -99,39 +99,39 @@
         )
 
     def close(self, budget: RequestBudget, is_abandoned: bool) -> None:
-        """Close a budget; where nobody waits any more, also end what is under way below it."""
+        """Close a budget; if no client waits for the request, also cancel the open calls below the budget."""
         for closed in budget.close():
             call = self.open_calls.pop(id(closed), None)
             if call is not None and is_abandoned:
-                call.give_up()
+                call.abandon()
 
     def reject_loop(self, path: tuple[str, ...], hop_id: str) -> Rejection:
-        """Count and log a request at the hop limit; return its rejection."""
+        """Count and log a request at the hop limit; return the rejection of the request."""
         self.rejected_loops += 1
         full_path = " > ".join((*path, hop_id))
-        remedy = "take the way back out of the configuration"
+        remedy = "remove the route back to a tier already on the path from the configuration"
         log.warning('loop_rejected path="%s" remedy="%s"', full_path, remedy)
         return Rejection(b"loop: " + full_path.encode() + b"\n")
 
 
 class ClassLatencies:
-    """The classes that a filter knows, with the latency estimate of each."""
+    """Request classes of a filter, with the latency estimate of each class."""
 
     def __init__(self, classes: Mapping[str, RequestClass]) -> None:
         self.classes = dict(classes)
         self.latencies = {name: LatencyEstimate() for name in classes}
 
     def on_settings_update(self, settings: ProxySettings) -> None:
-        """Use these settings. Requests under way may be of a class that is gone, so its estimate stays."""
+        """Apply new settings; estimates of removed classes stay, because open requests may use them."""
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         for name in self.classes:
             self.latencies.setdefault(name, LatencyEstimate())
 
     def weight_share(self, budget: RequestBudget, request_class: RequestClass) -> float:
-        """Return a request's share of its class's priority weight.
+        """Return the request's weight as a multiple of its class's priority weight.
 
-        It is what the outermost request's answer is worth at the earliest instant at which this one usually
-        ends.
+        The request's weight is the priority weight of the outermost request's answer at the earliest time
+        at which this request usually ends.
         """
         if request_class.priority_weight <= 0:
             return 1.0
@@ -140,11 +140,11 @@
 
 
 def budget_value(request: Request) -> bytes | None:
-    """Return the value of the request's header; None where there is none.
+    """Return the value of the request's budget header, or None if there is none.
 
     Raises:
-        header.MalformedBudgetError: there are several.
+        header.MalformedBudgetError: The request has several budget headers.
     """
     if len(request.consumed) > 1:
-        raise header.MalformedBudgetError("given twice")
+        raise header.MalformedBudgetError("the request has more than one budget header")
     return request.consumed[0][1] if request.consumed else None
--- a/service_proxy/deadlines/request_budget.py
+++ b/service_proxy/deadlines/request_budget.py
@@ -1,40 +1,44 @@
-"""A tree of request budgets in one process: deadline, attempts and priority weight. Pure.
+"""Tree of request budgets in one process: deadline, attempts and priority weight. Does no I/O.
 
-A request has a budget; a call that is made for it gets a child budget, with attempts that are reserved in
-its parent and returned unspent when the call ends. Exactly one place debits: `grant_attempt`, for the attempt
-that is sent. What travels with that attempt is granted to the receiver until it says what it used; a receiver
-that says nothing although the attempt may have run has used all of it.
+A request has a budget. A call that is made for the request gets a child budget, whose attempts are reserved
+in the parent budget; unspent attempts return to the parent when the call ends. Only `grant_attempt` debits a
+budget, for the attempt that is sent. The attempts sent in that attempt's header are granted to the receiver
+until the receiver reports its usage. A receiver without a report has used the whole grant if the attempt may
+have run.
 
-Invariant, for each budget at all times: allowance = available + reserved + spent, none negative.
+Invariant for each budget at all times: allowance = available + reserved + spent, and none is negative.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-LATE_WEIGHT_SHARE = 0.05  # of its priority weight that a request has after its latency objective
+LATE_WEIGHT_SHARE = 0.05  # Share of a request's priority weight that remains after the latency objective.
 
 
 def child_allowance(available: int, remaining_calls: int) -> int:
-    """Return the attempts for the next of so many calls: an equal share, rounded up; the last gets all."""
+    """Return the attempts for the next of the remaining calls: an equal share, rounded up.
+
+    The last call gets all available attempts.
+    """
     return -(-available // max(1, remaining_calls))
 
 
 def downstream_allowance(available: int, remaining_attempts: int) -> int:
-    """Return the attempts that travel with the next of so many attempts.
+    """Return the attempts to grant with the next of the remaining attempts.
 
-    They are half of what is left after it, since what isn't used is returned with its answer, and the other
-    half is enough for one more attempt that is lost; the last one gets all.
+    The result is half of the attempts that are left after the next one. Unused attempts return with the
+    response, and the other half suffices for one more attempt that is lost. The last attempt gets all.
     """
     rest = available - 1
     return rest if remaining_attempts <= 1 else -(-rest // 2)
 
 
 def completion_factor(calls_expected: int, calls_before: int) -> float:
-    """Return by how much a call's priority rises with the calls that were made before it for its request.
+    """Return the factor of a call's priority, which grows with the calls already made for the same request.
 
-    The request's priority weight is for all of them, and less of its work is left. A first call that is
-    rejected has cost nothing; a last one costs all calls before it.
+    The request's priority weight covers all of its calls, and each further call has less remaining work. The
+    rejection of a first call wastes nothing; the rejection of a last call wastes all calls before that call.
     """
     return calls_expected / max(1, calls_expected - calls_before)
 
@@ -42,7 +46,8 @@
 def covers_call_tree(attempts: int, tiers: int, calls_per_request: int, attempts_per_call: int) -> bool:
     """Return whether each call of a tree in which nothing fails gets an attempt.
 
-    The tree has so many tiers, each of whose applications makes so many calls to the next, one after another.
+    The tree has `tiers` tiers. Each tier's application makes `calls_per_request` calls to the next tier, one
+    after another.
     """
     return _covers_subtree(_test_budget(attempts), tiers, calls_per_request, attempts_per_call)
 
@@ -71,18 +76,19 @@
 
 @dataclass(slots=True, eq=False)
 class RequestBudget:
-    """What one request or call has left. Instants are on one monotonic clock, s.
+    """Remaining budget of one request or call. Instants are on one monotonic clock, s.
 
     Attributes:
-        allowance: attempts that it has in all.
-        deadline: instant after which nobody waits.
-        objective_at: instant until which it has its whole priority weight.
-        request_class: of the outermost request.
-        path: hop identifiers that the request has passed.
-        tree_id: of all calls that the outermost request causes.
-        children: open child budgets, by identity.
-        child_count: calls that were made for it so far.
-        spent, reserved: attempts.
+        allowance: Total number of attempts.
+        deadline: Instant after which no client waits.
+        objective_at: Instant until which the request has its whole priority weight.
+        request_class: Class of the outermost request.
+        path: Hop identifiers that the request has passed.
+        tree_id: Id of all calls that the outermost request causes.
+        children: Open child budgets, by identity.
+        child_count: Number of calls made for the request so far.
+        spent: Attempts that were used.
+        reserved: Attempts that are granted or reserved for calls.
     """
 
     allowance: int
@@ -101,7 +107,7 @@
 
     @property
     def available(self) -> int:
-        """Attempts that can be spent or reserved."""
+        """Return the number of attempts that can be spent or reserved."""
         return self.allowance - self.reserved - self.spent
 
     def priority_weight_at(self, now: float) -> float:
@@ -109,9 +115,10 @@
         return self.priority_weight if now < self.objective_at else self.priority_weight * LATE_WEIGHT_SHARE
 
     def allocate_child(self, calls_expected: int, now: float) -> RequestBudget | None:
-        """Return a budget for a further call, of so many expected in all.
+        """Return a budget for a further call, or None if this budget has nothing left to allocate.
 
-        None where this budget is closed, its deadline has passed or no attempt is available.
+        The result is None if this budget is closed, its deadline has passed or no attempt is available.
+        `calls_expected` is the expected total number of calls.
         """
         if not self.is_open or now >= self.deadline or self.available < 1:
             return None
@@ -132,9 +139,9 @@
         return child
 
     def grant_attempt(self, attempts_expected: int) -> AttemptGrant | None:
-        """Debit an attempt that is sent now, and reserve what travels with it.
+        """Debit an attempt that is sent now, and reserve its grant; return None if no attempt is available.
 
-        So many attempts may come in all, this one among them. None where no attempt is available.
+        `attempts_expected` is the expected number of attempts, including this one.
         """
         if not self.is_open or self.available < 1:
             return None
@@ -144,10 +151,10 @@
         return AttemptGrant(self, granted)
 
     def close(self) -> list[RequestBudget]:
-        """Return what is available to the parent; what is still granted counts as spent.
+        """Return the available attempts to the parent budget; attempts still granted count as spent.
 
         Returns:
-            The budgets of calls below it that were open and are closed by now: their work is for nobody.
+            Budgets of open calls below this budget, which are now closed. No client waits for these calls.
         """
         if not self.is_open:
             return []
@@ -165,28 +172,28 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptGrant:
-    """The attempts that travelled with one attempt, until its end."""
+    """Attempts granted with one attempt, until the attempt ends."""
 
     budget: RequestBudget
     attempts: int
     is_open: bool = True
 
     def settle(self, spent: int | None, may_have_run: bool) -> None:
-        """Return what the receiver did not use.
+        """Return the unused attempts of the grant to the budget.
 
         Args:
-            spent: by the receiver's answer; None where it says nothing. A receiver that answered without
-                saying it knows of no budgets, and has used nothing of this one.
-            may_have_run: there was no answer and the attempt may have run, so work may go on below: all of it
-                counts as spent.
+            spent: Attempts that the receiver reports as used; None without a report. A receiver that answers
+                without a report does not support budgets and has used none of the grant.
+            may_have_run: Whether there was no answer and the attempt may have run. Work may continue
+                below, so the whole grant counts as spent.
         """
         if not self.is_open:
             return
         self.is_open = False
         if not self.budget.is_open:
-            return  # it counted as spent when the budget was closed
-        unknown = self.attempts if may_have_run else 0
-        used = min(self.attempts, spent if spent is not None else unknown)
+            return  # The grant was counted as spent when the budget was closed.
+        assumed_spent = self.attempts if may_have_run else 0
+        used = min(self.attempts, spent if spent is not None else assumed_spent)
         self.budget.reserved -= self.attempts
         self.budget.spent += used
 
--- a/service_proxy/websocket/connection.py
+++ b/service_proxy/websocket/connection.py
@@ -1,7 +1,7 @@
-"""One side of a WebSocket on a transport: reads in slices, writes, closes, notices when the peer is silent.
+"""One side of a WebSocket on a transport: reads in slices, writes, closes, and detects a silent peer.
 
-It decides nothing: closing_handshake.TRANSITIONS says what a close frame, a violation or a lost connection
-does; its owner says what becomes of messages.
+This module makes no decisions. closing_handshake.TRANSITIONS defines the effect of a close frame, a
+violation or a lost connection, and the connection's owner decides how messages are processed.
 """
 
 from __future__ import annotations
@@ -22,50 +22,52 @@
 )
 from service_proxy.websocket.session_limits import TokenBucket
 
-MAX_FRAMES_PER_TURN = 128  # that are processed in one turn of the loop; the rest waits for the next
-# Pings and pongs that a peer may send.
+# Frames of one connection processed in one turn of the event loop; further frames wait for the next turn.
+MAX_FRAMES_PER_TURN = 128
+# Rate and burst of the pings and pongs that a peer may send.
 CONTROL_FRAMES_PER_S = 20.0
 CONTROL_FRAME_BURST = 40.0
-CLOSE_TIMEOUT_S = 1.0  # for the peer's close frame, and then for the end of the connection
-HIGH_WATER_BYTES = 16 * 1024  # unsent bytes at which there is backpressure
-POLICY_VIOLATION = 1008  # close code
+CLOSE_TIMEOUT_S = 1.0  # Wait for the peer's close frame, and the further wait for the end of the connection.
+HIGH_WATER_BYTES = 16 * 1024  # Unsent bytes at which backpressure starts.
+POLICY_VIOLATION = 1008  # WebSocket close code (RFC 6455, 7.4.1).
 
 
 class ConnectionOwner(Protocol):
-    """Whose side it is."""
+    """Receiver of the messages and events of one side of a WebSocket."""
 
     def on_fragment(self, fragment: MessageFragment) -> None:
-        """Take a part of a message."""
+        """Process a part of a message."""
 
     def on_closed(self, code: int, reason: str) -> None:
-        """Take note that no message comes any more and none can be sent. Called once.
+        """Handle the end of the message exchange: no further message can be received or sent. Called once.
 
-        The code is that of the peer's close frame, of a violation, or ABNORMAL where there was neither.
+        `code` is the code of the peer's close frame or of a violation, or ABNORMAL if there was neither.
         """
 
     def on_connection_lost(self) -> None:
-        """Take note that the connection itself has ended. Called once, after `on_closed`."""
+        """Handle the end of the transport's connection. Called once, after `on_closed`."""
 
     def on_backpressure(self, is_blocked: bool) -> None:
-        """Take note that the peer has stopped reading, or reads again."""
+        """Handle that the peer has stopped reading (`is_blocked`), or has started to read again."""
 
     def on_ping_timeout(self) -> None:
-        """Take note that the peer has not answered a ping in time."""
+        """Handle that the peer has not answered a ping in time."""
 
 
 class WebSocketConnection(asyncio.BufferedProtocol):
     """One side of a WebSocket. Times are monotonic, s.
 
     Attributes:
-        state: of the closing handshake.
-        received_at: when the peer sent something last.
-        pinged_at: when the ping was sent that has no answer yet; 0: there is none.
-        closing_since: when the state OPEN was left.
-        is_paused: the owner takes nothing for now.
-        is_read_scheduled: a further turn will process what was received.
-        pending_pong: data of the last ping that is to be answered.
-        has_violated_protocol: it ended by the peer's fault.
-        stalled_bytes, stalled_since: unsent at the last check, and since when it has not become less.
+        state: State of the closing handshake.
+        received_at: Time at which the last data of the peer was read.
+        pinged_at: Time at which the unanswered ping was sent; 0 if no ping is unanswered.
+        closing_since: Time at which the state OPEN was left.
+        is_paused: Whether the owner accepts no messages at present.
+        is_read_scheduled: Whether a later turn of the event loop will process data that was already received.
+        pending_pong: Data of the last ping that has to be answered.
+        has_violated_protocol: Whether a violation by the peer has ended the connection.
+        stalled_bytes: Unsent bytes at the last check.
+        stalled_since: Time since which the number of unsent bytes has not decreased.
     """
 
     __slots__ = (
@@ -96,14 +98,15 @@
         read_buffer: memoryview,
         is_server: bool,
     ) -> None:
-        """Take over a transport.
+        """Attach this side to a transport and become the transport's protocol.
 
         Args:
-            transport: whose opening handshake is done.
-            codec: of its frames.
-            owner: of this side.
-            read_buffer: shared by all connections; what is read is processed at once.
-            is_server: this side is the connection's server, and ends it first (RFC 6455, 7.1.1).
+            transport: Transport whose opening handshake is complete.
+            codec: Codec of the connection's frames.
+            owner: Receiver of this side's messages and events.
+            read_buffer: Buffer shared by all connections; data that was read is processed at once.
+            is_server: Whether this side is the connection's server, which ends the connection first
+                (RFC 6455, 7.1.1).
         """
         now = time.monotonic()
         self.transport: asyncio.Transport | None = transport
@@ -133,21 +136,21 @@
         return self.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Process what was read."""
+        """Process the bytes that were read into the buffer."""
         self.received_at = time.monotonic()
         if self.state is ClosingState.CLOSED:
-            return  # read so that the connection ends in order, and dropped
+            return  # The data is read so that the connection ends in order, and is discarded.
         self.codec.receive(self.read_buffer[:nbytes])
         self._process()
 
     def receive_surplus(self, data: bytes) -> None:
-        """Take in what came right behind the opening handshake."""
+        """Process data that was read together with the opening handshake."""
         if data:
             self.codec.receive(data)
             self.schedule_read()
 
     def schedule_read(self) -> None:
-        """Process what was received in a further turn of the loop."""
+        """Schedule the processing of received data for a later turn of the event loop."""
         if not self.is_read_scheduled and self.transport is not None:
             self.is_read_scheduled = True
             asyncio.get_running_loop().call_soon(self._scheduled_read)
@@ -172,13 +175,14 @@
         self._update_reading()
 
     def _process_frames(self) -> bool:
-        """Process the frames of one turn; return False if their number was the limit."""
+        """Process the frames of one turn; return False if the limit of frames per turn was reached."""
         remaining = MAX_FRAMES_PER_TURN
         for event in self.codec.events():
             if self.state is ClosingState.CLOSED:
                 break
             if isinstance(event, MessageFragment):
-                if self.state is ClosingState.OPEN:  # after our close frame only theirs counts
+                # After this side's close frame, only the peer's close frame matters.
+                if self.state is ClosingState.OPEN:
                     self.owner.on_fragment(event)
             elif isinstance(event, PingFrame | PongFrame):
                 self._on_control_frame(event)
@@ -194,10 +198,11 @@
         if not self.control_bucket.take(self.received_at, CONTROL_FRAMES_PER_S, CONTROL_FRAME_BURST):
             raise ProtocolViolationError(POLICY_VIOLATION, "too many pings")
         if isinstance(event, PingFrame):
-            self.pending_pong = event.data  # the latest one may stand for all (RFC 6455, 5.5.3)
+            # One pong may answer several pings if it carries the data of the latest ping (RFC 6455, 5.5.3).
+            self.pending_pong = event.data
 
     def set_paused(self, is_paused: bool) -> None:
-        """Stop or continue to hand messages to the owner."""
+        """Stop or resume passing messages to the owner."""
         self.is_paused = is_paused
         if not is_paused:
             self.schedule_read()
@@ -219,33 +224,33 @@
             self.transport.write(data)
 
     def send(self, data: str | bytes, is_last: bool = True) -> bool:
-        """Send a message, or its next part; return False if nothing can be sent any more."""
+        """Send a message or its next part; return False if the connection can no longer send."""
         if self.state is not ClosingState.OPEN:
             return False
         self._write(self.codec.encode_fragment(data, is_last))
         return True
 
     def pause_writing(self) -> None:
-        """Tell the owner that the peer has stopped reading."""
+        """Notify the owner that the peer has stopped reading."""
         self.owner.on_backpressure(True)
 
     def resume_writing(self) -> None:
-        """Tell the owner that the peer reads again."""
+        """Notify the owner that the peer reads again."""
         self.owner.on_backpressure(False)
 
     @property
     def unsent_bytes(self) -> int:
-        """What the peer has not read."""
+        """Return the number of bytes written that the peer has not read."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     @property
     def buffered_bytes(self) -> int:
-        """What this side may hold: what the peer has not read, and what was read and not processed."""
+        """Return the largest possible number of unsent and of received unprocessed bytes of this side."""
         unprocessed = len(self.read_buffer) if self.is_paused or self.is_read_scheduled else 0
         return self.unsent_bytes + unprocessed
 
     def stalled_for(self, now: float) -> float:
-        """Return for how long the peer has read nothing of what is unsent, s; to be called regularly."""
+        """Return for how long the peer has read none of the unsent bytes, s. Has to be called regularly."""
         unsent_bytes = self.unsent_bytes
         if not unsent_bytes or unsent_bytes < self.stalled_bytes:
             self.stalled_since = now
@@ -259,18 +264,18 @@
         self._transition(ClosingEvent.CLOSE_REQUESTED, code, reason)
 
     def fail(self, code: int, reason: str = "") -> None:
-        """End the connection: the peer has broken the protocol or a limit."""
+        """End the connection because the peer has violated the protocol or a limit."""
         self.has_violated_protocol = self.state is ClosingState.OPEN
         self._transition(ClosingEvent.PROTOCOL_VIOLATION, code, reason)
 
     def _transition(self, event: ClosingEvent, code: int, reason: str) -> None:
-        before = self.state
-        self.state, action = TRANSITIONS[before, event]
+        previous_state = self.state
+        self.state, action = TRANSITIONS[previous_state, event]
         if action is ClosingAction.NONE:
             if event is ClosingEvent.CONNECTION_LOST:
                 self._notify_closed(ABNORMAL, "")
             return
-        if before is ClosingState.OPEN:
+        if previous_state is ClosingState.OPEN:
             self.closing_since = time.monotonic()
         if action is ClosingAction.ECHO_CLOSE:
             self._write(self.codec.encode_close(code, ""))
@@ -282,7 +287,10 @@
         self._notify_closed(code, reason)
 
     def _end(self) -> None:
-        """End the connection as its server, or wait for that as its client; neither for long."""
+        """End the connection as its server, or wait for the peer to end the connection.
+
+        `check_liveness` limits the wait.
+        """
         transport = self.transport
         if transport is None:
             return
@@ -303,17 +311,20 @@
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        """Let the transport close once all is written."""
+        """Return False so that the transport closes after all data is written."""
         return False
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Take note of the connection's end."""
+        """Record the end of the connection and notify the owner."""
         self.transport = None
         self._transition(ClosingEvent.CONNECTION_LOST, ABNORMAL, "")
         self.owner.on_connection_lost()
 
     def check_liveness(self, now: float, ping_every: float, ping_timeout: float) -> None:
-        """Send pings, and end what does not end by itself; to be called regularly. Times in s."""
+        """Send pings and abort connections whose closing handshake has timed out. Has to be called regularly.
+
+        Times are in s.
+        """
         if self.transport is None:
             return
         if self.state is not ClosingState.OPEN:
@@ -321,7 +332,8 @@
             if now > self.closing_since + CLOSE_TIMEOUT_S * timeouts:
                 self._transition(ClosingEvent.TIMED_OUT, ABNORMAL, "")
                 self.abort()
-        elif self.is_paused:  # what it sends is not processed, so a pong can't be noticed
+        # Frames of the peer are not processed during a pause, so a pong could not be detected.
+        elif self.is_paused:
             self.pinged_at = 0.0
             self.received_at = now
         elif self.pinged_at:
--- a/service_proxy/websocket/errors.py
+++ b/service_proxy/websocket/errors.py
@@ -1,5 +1,5 @@
-"""The base class of what goes wrong on a WebSocket."""
+"""Base class of the errors of WebSocket connections."""
 
 
 class WebSocketError(Exception):
-    """The peer has done something that this side does not accept; the message says what."""
+    """Error for an action of the peer that this side does not accept; the message describes the action."""
--- a/service_proxy/websocket/frame_codec.py
+++ b/service_proxy/websocket/frame_codec.py
@@ -1,8 +1,9 @@
-"""Encode and decode the frames of one connection: wsproto with limits of our own. Pure.
+"""Frame encoder and decoder of one connection: wsproto with additional limits. Does no I/O.
 
-What RFC 6455 requires of each frame (masks, reserved bits, shortest lengths, UTF-8, fragments, close codes)
-is wsproto's; what a proxy can't do without is added here: how long a message may be, announced or so far, and
-in how many fragments it may come. No more is decoded at a time than the caller takes.
+wsproto enforces the rules of RFC 6455 for each frame: masks, reserved bits, shortest lengths, UTF-8,
+fragments and close codes. This module adds the limits that a proxy needs: the length of a message (both the
+announced length and the sum so far) and the number of its fragments. The decoder decodes only as many
+frames at a time as the caller requests.
 """
 
 from __future__ import annotations
@@ -23,17 +24,17 @@
 
 from service_proxy.websocket.errors import WebSocketError
 
-MAX_FRAGMENTS = 1024  # frames of one message
-MAX_REASON_BYTES = 123  # bytes of a close frame's reason (RFC 6455, 5.5)
-NO_STATUS = 1005  # a close frame without a code; never on the wire
-ABNORMAL = 1006  # no close frame at all; never on the wire
+MAX_FRAGMENTS = 1024  # Frames per message.
+MAX_REASON_BYTES = 123  # Length of the reason in a close frame (RFC 6455, 5.5).
+NO_STATUS = 1005  # Code of a close frame without a code; never on the wire.
+ABNORMAL = 1006  # Code of a connection that ended without a close frame; never on the wire.
 
 
 class ProtocolViolationError(WebSocketError):
-    """The peer has broken the protocol or a limit.
+    """Error raised when the peer has violated the protocol or a limit.
 
     Attributes:
-        close_code: with which the connection ends.
+        close_code: Close code with which the connection ends.
     """
 
     def __init__(self, code: int, text: str) -> None:
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageFragment:
-    """A part of a message: str of a text, bytes of a binary message; `is_last`: the message ends with it."""
+    """Part of a message: str of a text message, bytes of a binary one; `is_last` marks the last part."""
 
     data: str | bytes
     is_last: bool
@@ -51,21 +52,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PingFrame:
-    """A ping, to be answered with the same data."""
+    """Ping frame, which has to be answered with a pong of the same data."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class PongFrame:
-    """A pong."""
+    """Pong frame."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseFrame:
-    """A close frame; its code is NO_STATUS where it has none."""
+    """Close frame; `code` is NO_STATUS if the frame has no code."""
 
     code: int
     reason: str
@@ -75,28 +76,28 @@
 
 
 class NegotiatedExtension(Extension):
-    """An extension that is in force from the start: the opening handshake is not wsproto's here."""
+    """Extension that is always enabled, because wsproto does not perform the opening handshake here."""
 
     def enabled(self) -> bool:
-        """Return whether it is in force."""
+        """Return whether the extension is enabled, which is always the case."""
         return True
 
     def offer(self) -> bool | str:
-        """Return what a client offers: nothing."""
+        """Return False because the opening handshake, not wsproto, offers extensions."""
         return False
 
 
 class _MessageLimits(NegotiatedExtension):
-    """Checks each frame's header before any of its payload is read."""
+    """Limits of a message, checked at each frame's header before any of the frame's payload is read."""
 
     name = "bounds"
 
     def __init__(self, max_message_bytes: int) -> None:
         self.max_message_bytes = max_message_bytes
-        # Of the message that is being received:
-        self.announced = 0
-        self.frames = 0
-        self.fault: ProtocolViolationError | None = None
+        # Announced payload bytes and frames so far of the message that is being received.
+        self.announced_bytes = 0
+        self.frame_count = 0
+        self.violation: ProtocolViolationError | None = None
 
     def frame_inbound_header(
         self, _proto: FrameDecoder | FrameProtocol, opcode: Opcode, _rsv: RsvBits, payload_length: int
@@ -104,46 +105,46 @@
         if opcode.iscontrol():
             return RsvBits(False, False, False)
         if opcode is not Opcode.CONTINUATION:
-            self.announced = 0
-            self.frames = 0
-        self.announced += payload_length
-        self.frames += 1
-        if self.announced > self.max_message_bytes:
-            self.fault = ProtocolViolationError(1009, f"a message of over {self.max_message_bytes} bytes")
+            self.announced_bytes = 0
+            self.frame_count = 0
+        self.announced_bytes += payload_length
+        self.frame_count += 1
+        if self.announced_bytes > self.max_message_bytes:
+            self.violation = ProtocolViolationError(1009, f"a message of over {self.max_message_bytes} bytes")
             return CloseReason.MESSAGE_TOO_BIG
-        if self.frames > MAX_FRAGMENTS:
-            self.fault = ProtocolViolationError(1008, f"a message in over {MAX_FRAGMENTS} frames")
+        if self.frame_count > MAX_FRAGMENTS:
+            self.violation = ProtocolViolationError(1008, f"a message in over {MAX_FRAGMENTS} frames")
             return CloseReason.POLICY_VIOLATION
         return RsvBits(False, False, False)
 
 
 class FrameCodec:
-    """Frames of one connection. A client (towards an endpoint) masks what it sends."""
+    """Encoder and decoder of one connection's frames. A client (towards an endpoint) masks its frames."""
 
     __slots__ = ("_frames", "_limits")
 
     def __init__(self, is_client: bool, max_message_bytes: int, extensions: Sequence[Extension] = ()) -> None:
-        """`max_message_bytes`: of a message, as it is on the wire."""
+        """Create the codec; `max_message_bytes` limits a message as it is on the wire."""
         self._limits = _MessageLimits(max_message_bytes)
         self._frames = FrameProtocol(is_client, [self._limits, *extensions])
 
     def receive(self, data: bytes | memoryview) -> None:
-        """Take in what was read from the connection."""
+        """Decode data that was read from the connection."""
         self._frames.receive_bytes(data)
 
     def events(self) -> Iterator[FrameEvent]:
-        """Yield what was received, one by one; a caller that stops early gets the rest at the next call.
+        """Yield the received frames one by one; a caller that stops early gets the rest at the next call.
 
         Raises:
-            ProtocolViolationError: the peer has broken the protocol or a limit.
+            ProtocolViolationError: The peer has violated the protocol or a limit.
         """
         try:
             for frame in self._frames.received_frames():
                 yield self._event(frame)
-        except ParseFailed as fault:
-            found = self._limits.fault
-            self._limits.fault = None
-            raise (found or ProtocolViolationError(int(fault.code), str(fault))) from None
+        except ParseFailed as violation:
+            limit_violation = self._limits.violation
+            self._limits.violation = None
+            raise (limit_violation or ProtocolViolationError(int(violation.code), str(violation))) from None
 
     @staticmethod
     def _event(frame: Frame) -> FrameEvent:
@@ -159,19 +160,19 @@
         return MessageFragment(payload, frame.frame_finished and frame.message_finished)
 
     def encode_fragment(self, data: str | bytes, is_last: bool = True) -> bytes:
-        """Return the frame of a message, or of its next part."""
+        """Return the frame of a message or of its next part."""
         return bytes(self._frames.send_data(data, is_last))
 
     def encode_ping(self, data: bytes) -> bytes:
-        """Return a ping frame."""
+        """Return an encoded ping frame."""
         return bytes(self._frames.ping(data))
 
     def encode_pong(self, data: bytes) -> bytes:
-        """Return a pong frame."""
+        """Return an encoded pong frame."""
         return bytes(self._frames.pong(data))
 
     def encode_close(self, code: int, reason: str = "") -> bytes:
-        """Return a close frame; it is empty for a code that is never on the wire."""
+        """Return a close frame; the frame is empty if the code must never be on the wire."""
         if code in (NO_STATUS, ABNORMAL):
             return bytes(self._frames.close())
         return bytes(self._frames.close(code, reason))
--- a/service_proxy/websocket/listener.py
+++ b/service_proxy/websocket/listener.py
@@ -1,6 +1,6 @@
-"""The WebSocket listener: who may upgrade, all sessions and tunnels, liveness, drains, and the end.
+"""WebSocket listener: admission of upgrades, all sessions and tunnels, liveness checks, drains and shutdown.
 
-Its settings are the operator's table [websocket]; routes are the first part of a path, as everywhere.
+The settings are the operator's table [websocket]. A route is the first part of a path, as for HTTP requests.
 """
 
 from __future__ import annotations
@@ -47,71 +47,80 @@
 
 log = logging.getLogger(__name__)
 
-READ_BUFFER_BYTES = 16 * 1024  # bytes that are read at once, and so the most that one side holds unread
-MAX_NUMBER_DIGITS = 15  # of an outcome's number in the query
-SWEEP_INTERVAL_S = 0.25  # s between looks at all sessions
-MAX_STALL_S = 5.0  # s in which who takes nothing of what waits for it is closed with 1008
-DRAIN_SPAN_S = 0.8  # s over which the sessions of a draining endpoint are closed; rule 3 has 2 s for all
-MAX_CLOSES_PER_TURN = 64  # sessions that are closed in one turn
-DRAIN_STEP_S = 0.02  # s between such turns, at the most
-SESSION_MEMORY_MB = 0.024  # MB that a session may cost at rest, both sides of a tunnel
-UNREAD_MEMORY_SHARE = 0.25  # of the memory beyond the program's own, for what clients have not taken yet
-OUTCOME_SHARE = 0.25  # of that pool, for outcomes that are kept
-MIN_HTTP_MEMORY_MB = 8  # MB that callers over HTTP have left
+# Bytes per read, and therefore the most received bytes that one side buffers unprocessed.
+READ_BUFFER_BYTES = 16 * 1024
+MAX_NUMBER_DIGITS = 15  # Digits of an outcome's number in the query.
+SWEEP_INTERVAL_S = 0.25  # Time between two checks of all sessions.
+MAX_STALL_S = 5.0  # Time after which a client that reads none of its unsent bytes is closed with 1008.
+# Time over which the sessions of a draining endpoint are closed. Rule 3 (R203) allows 2 s for the whole
+# drain.
+DRAIN_SPAN_S = 0.8
+MAX_CLOSES_PER_TURN = 64  # Sessions closed in one turn of the event loop.
+DRAIN_STEP_S = 0.02  # Longest time between two turns that close sessions.
+SESSION_MEMORY_MB = 0.024  # Memory of one idle session, including both sides of a tunnel.
+# Share of the memory above BASE_MEMORY_MB that may buffer data that clients have not read.
+UNREAD_MEMORY_SHARE = 0.25
+OUTCOME_SHARE = 0.25  # Share of the unread memory that may hold stored outcomes.
+MIN_HTTP_MEMORY_MB = 8  # Memory that has to remain for HTTP requests.
 
 
 def reserve_resources(config: ProxyConfig, settings: WebSocket) -> ProxyConfig:
-    """Return the configuration with the descriptors and memory that the sessions leave.
+    """Return the configuration with the descriptors and memory that remain after those of the sessions.
 
     Raises:
-        ConfigError: they leave too little.
+        ConfigError: Too few descriptors or too little memory would remain.
     """
-    each = 2 if settings.tunnels else 1
-    sockets = config.max_descriptors - each * settings.sessions
+    descriptors_per_session = 2 if settings.tunnels else 1
+    sockets = config.max_descriptors - descriptors_per_session * settings.sessions
     pool_mb = unread_limit(config) / 1e6
     memory_mb = config.memory_mb - settings.sessions * SESSION_MEMORY_MB - pool_mb
     if sockets < MIN_DESCRIPTORS or memory_mb < BASE_MEMORY_MB + MIN_HTTP_MEMORY_MB:
-        by_sockets = (config.max_descriptors - MIN_DESCRIPTORS) // each
-        by_memory = int(
+        max_by_sockets = (config.max_descriptors - MIN_DESCRIPTORS) // descriptors_per_session
+        max_by_memory = int(
             (config.memory_mb - pool_mb - BASE_MEMORY_MB - MIN_HTTP_MEMORY_MB) / SESSION_MEMORY_MB
         )
         raise ConfigError(
-            f"[websocket] sessions = {settings.sessions} does not go into "
+            f"[websocket] sessions = {settings.sessions} does not fit into "
             f"{config.max_descriptors} descriptors and "
-            f"{config.memory_mb:g} MB: write sessions = {max(0, min(by_sockets, by_memory))} or less"
+            f"{config.memory_mb:g} MB: write sessions = {max(0, min(max_by_sockets, max_by_memory))} or less"
         )
     return replace(config, max_descriptors=sockets, memory_mb=memory_mb)
 
 
 def unread_limit(config: ProxyConfig) -> int:
-    """Return the bytes that all clients together may leave unread. `config`: of the whole process."""
+    """Return how many bytes all clients together may leave unread. `config` is that of the whole process."""
     return int((config.memory_mb - BASE_MEMORY_MB) * UNREAD_MEMORY_SHARE * 1e6)
 
 
 class WebSocketListener:
-    """net.downstream.UpgradeHandler, session_host.SessionHost and net.endpoint_sources.Subsystem.
+    """Listener of all WebSocket connections, which implements UpgradeHandler, SessionHost and Subsystem.
+
+    The protocols are net.downstream.UpgradeHandler, session_host.SessionHost, net.endpoint_sources.Subsystem.
 
     Attributes:
-        connections: the clients' sides, and the endpoints' sides of tunnels.
-        tunnels: by the endpoint's connection pool.
-        unread_by_connection: bytes that peers have not read; unread_bytes: of all together.
-        drain_deadline: monotonic, s, while this proxy drains.
+        connections: The clients' sides of all sessions, and the endpoints' sides of tunnels.
+        tunnels: Tunnels by the endpoint's connection pool.
+        unread_by_connection: Bytes that each peer has not read.
+        unread_bytes: Bytes that all peers together have not read.
+        drain_deadline: Monotonic time at which the drain of this proxy ends, s.
     """
 
     def __init__(
         self, settings: WebSocket, config: ProxyConfig, dispatcher: RequestDispatcher, server: HttpServer
     ) -> None:
-        """`config`: of the whole process.
+        """Register the listener at the HTTP server and the dispatcher. `config` is that of the whole process.
 
         Raises:
-            ConfigError: a tunnel's class is not idempotent or unknown.
+            ConfigError: The class of a tunnel is unknown or not idempotent.
         """
         self.settings = settings
         self.dispatcher = dispatcher
         self.server = server
         for cls in settings.tunnels:
             if dispatcher.idempotency_by_class.get(cls) is not Idempotency.IDEMPOTENT:
-                raise ConfigError(f"[websocket] tunnels: {cls} is no repeatable class of the settings")
+                raise ConfigError(
+                    f"[websocket] tunnels: {cls} is unknown or not an idempotent class of the settings"
+                )
         self.loop = asyncio.get_running_loop()
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.max_unread_bytes = unread_limit(config)
@@ -134,7 +143,7 @@
     # net.endpoint_sources.Subsystem
 
     def start(self) -> None:
-        """Start the regular checks."""
+        """Start the periodic checks."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
@@ -145,17 +154,21 @@
             peer.abort()
 
     def reload(self, file: str) -> None:
-        """Take in new limits and times, on SIGHUP.
+        """Apply new limits and times, on SIGHUP.
 
         Raises:
-            OperatorError: what can't change has changed; nothing is taken in then.
+            OperatorError: A setting that needs a restart has changed; no setting is applied then.
         """
         new = load(file).websocket
-        fixed = ("messages", "tunnels", "sessions")
-        late = [name for name in fixed if new is None or getattr(new, name) != getattr(self.settings, name)]
-        if new is None or late:
-            text = f"[websocket] {', '.join(late)} can't change while the proxy runs"
-            raise OperatorError([Problem(file, 1, "S109", text, "start the proxy anew")])
+        fixed_settings = ("messages", "tunnels", "sessions")
+        changed_settings = [
+            name
+            for name in fixed_settings
+            if new is None or getattr(new, name) != getattr(self.settings, name)
+        ]
+        if new is None or changed_settings:
+            text = f"[websocket] {', '.join(changed_settings)} can't change while the proxy runs"
+            raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
         self.settings = new
         self.spread.span = new.reconnect_spread
 
@@ -167,7 +180,7 @@
     # net.downstream.UpgradeHandler
 
     def start_upgrade(self, connection: DownstreamConnection, upgrade: UpgradeRequest) -> object | None:
-        """Answer, or take the connection over, or return the request that decides on it."""
+        """Answer the upgrade, take over the connection, or return the request that decides on the upgrade."""
         try:
             return self._open_session(connection, upgrade)
         except HandshakeRejectedError as rejection:
@@ -222,7 +235,7 @@
         protocol: bytes,
         owner: ConnectionOwner,
     ) -> WebSocketConnection:
-        """Send the client's 101; return its connection."""
+        """Send the 101 response to the client and return the client's WebSocket connection."""
         extension = b""
         extensions = []
         settings = self.settings
@@ -256,7 +269,7 @@
         if resumed is None:
             max_sessions = 2 * self.settings.sessions
             while len(registry.sessions) >= max_sessions and self.message_sessions.evict_detached():
-                pass  # detached sessions are bounded, too
+                pass  # The number of detached sessions is limited as well.
             session = registry.create(secrets.token_urlsafe(16), tenant, None)
             previous = None
         else:
@@ -281,7 +294,7 @@
     ) -> object | None:
         headers = [pair for pair in upgrade.headers if pair[0] not in HANDSHAKE_FIELDS]
         names = {name for name, _ in headers}
-        if b"x-call-id" not in names:  # a browser sends none
+        if b"x-call-id" not in names:  # Browsers send no X-Call-Id.
             headers.append((b"x-call-id", b"ws-" + secrets.token_hex(8).encode()))
         if b"x-budget" not in names:
             headers.append((b"x-budget", b"%dm" % int(self.dispatcher.deadline_by_class[cls] * 1e3)))
@@ -300,38 +313,38 @@
         return self.dispatcher.start_request(request, tunnel)
 
     def add_tunnel(self, tunnel: Tunnel) -> None:
-        """Note a tunnel that is open from now on."""
+        """Register a tunnel that is now open."""
         upstream = tunnel.upstream
         upstream_connection = tunnel.endpoint_side.connection
         assert upstream is not None
         assert upstream_connection is not None
         self.connections[upstream_connection] = None
         self.tunnels.setdefault(upstream, {})[tunnel] = None
-        if not upstream.is_serving:  # it was told to drain while the handshake went on
+        if not upstream.is_serving:  # The endpoint started to drain, or was removed, during the handshake.
             self.on_endpoint_leaving(upstream)
 
     def remove_tunnel(self, tunnel: Tunnel, upstream: ConnectionPool) -> None:
-        """Note that a tunnel's endpoint side is closed."""
-        here = self.tunnels.get(upstream)
-        if here is not None:
-            here.pop(tunnel, None)
-            if not here:
+        """Unregister a tunnel whose connection to the endpoint has ended."""
+        tunnels_of_pool = self.tunnels.get(upstream)
+        if tunnels_of_pool is not None:
+            tunnels_of_pool.pop(tunnel, None)
+            if not tunnels_of_pool:
                 del self.tunnels[upstream]
 
     def remove_session(self, client: str, tenant: str) -> None:
-        """Note that a client's connection is closed, or was rejected after all."""
+        """Release the place of a session whose connection has ended or whose handshake was rejected."""
         self.limits.remove(client, tenant)
 
     # Unread bytes.
 
     def on_write(self, peer: WebSocketConnection) -> None:
-        """Note a write; over the limit on unread bytes of all, the connection with the most is closed."""
+        """Update the unread bytes after a write, and close the connections with the most above the limit."""
         self._update_unread(peer)
         while self.unread_bytes > self.max_unread_bytes and self.unread_by_connection:
             largest = max(self.unread_by_connection, key=self.unread_by_connection.__getitem__)
             largest.fail(1008, "what it was sent is not read, and there is no room for more")
             largest.abort()
-            self._forget_unread(largest)
+            self._remove_unread(largest)
 
     def _update_unread(self, peer: WebSocketConnection) -> None:
         unread_bytes = peer.buffered_bytes
@@ -341,7 +354,7 @@
         else:
             self.unread_by_connection.pop(peer, None)
 
-    def _forget_unread(self, peer: WebSocketConnection) -> None:
+    def _remove_unread(self, peer: WebSocketConnection) -> None:
         self.unread_bytes -= self.unread_by_connection.pop(peer, 0)
 
     # Regular checks.
@@ -353,11 +366,12 @@
         for peer in list(self.connections):
             if peer.transport is None:
                 del self.connections[peer]
-                self._forget_unread(peer)
+                self._remove_unread(peer)
                 continue
             peer.check_liveness(now, settings.ping_every, settings.ping_timeout)
             if peer.stalled_for(now) > MAX_STALL_S and peer.is_server:
-                peer.fail(1008, "what it was sent is not read")  # it has 2 s to read that, at least
+                # The peer has at least 2 s to read the close frame before the connection is aborted.
+                peer.fail(1008, "what it was sent is not read")
         for peer in list(self.unread_by_connection):
             self._update_unread(peer)
         self.message_sessions.sweep(now)
@@ -374,19 +388,19 @@
             self.loop.call_later(DRAIN_SPAN_S * number / len(tunnels), tunnel.close_for_drain, 1012)
 
     def drain(self, deadline: float) -> None:
-        """Stop: close tunnels over the time that there is, and a message session once it has all outcomes."""
+        """Drain this proxy: close tunnels over the time left, message sessions after their last outcome."""
         if self.is_draining:
             return
         self.is_draining = True
         self.drain_deadline = deadline
         span = max(0.0, min(DRAIN_SPAN_S, deadline - time.monotonic() - 2 * DRAIN_STEP_S))
-        tunnels = [tunnel for of_endpoint in self.tunnels.values() for tunnel in of_endpoint]
+        tunnels = [tunnel for endpoint_tunnels in self.tunnels.values() for tunnel in endpoint_tunnels]
         for number, tunnel in enumerate(tunnels):
             self.loop.call_later(span * number / len(tunnels), tunnel.close_for_drain, 1001)
         self._close_idle_sessions()
 
     def _close_idle_sessions(self) -> None:
-        """Close sessions without pending messages, some at a time, until all are closed."""
+        """Close sessions without pending messages, a limited number per turn, until all are closed."""
         is_last_turn = time.monotonic() > self.drain_deadline - 2 * DRAIN_STEP_S
         closes = 0
         has_open_sessions = False
@@ -404,7 +418,7 @@
 
     @property
     def has_pending_closes(self) -> bool:
-        """Whether some session still waits for an outcome or its close, and there is time for it."""
+        """Whether a session still waits for an outcome or its close before the drain's deadline."""
         return time.monotonic() < self.drain_deadline and any(
             peer.transport is not None for peer in self.connections
         )
--- a/service_proxy/websocket/message_framing.py
+++ b/service_proxy/websocket/message_framing.py
@@ -1,8 +1,8 @@
-"""The messages of message mode: JSON texts, one object each. docs/operators/websocket.md is their page. Pure.
+"""Encoding of message mode: JSON texts of one object each, documented in docs/operators/websocket.md.
 
-From a client: `{"id": "9b1f", "class": "read", "budget_ms": 480, "path": "/place/7?x=1", "key": "...",
-"subject": "...", "again": true, "body": "...", "seen": 12}`; id and class are required. To a client: a hello
-first, then one outcome for each accepted message.
+This module does no I/O. A client's message is `{"id": "9b1f", "class": "read", "budget_ms": 480,
+"path": "/place/7?x=1", "key": "...", "subject": "...", "again": true, "body": "...", "seen": 12}`, of which
+id and class are required. A client receives first a hello, then one outcome for each accepted message.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 
 MAX_ID_CHARACTERS = 64
 MAX_BUDGET_MS = 3_600_000
-MILLISECONDS = 1e3  # in a second
+MILLISECONDS = 1e3  # Milliseconds per second.
 ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
-FIELD = re.compile(r"[!-+\--:<-~]{1,256}")  # ASCII without space, comma, semicolon: for a header
+# ASCII without space, comma and semicolon, so that the text can be sent in a header field.
+FIELD = re.compile(r"[!-+\--:<-~]{1,256}")
 PATH = re.compile(r"[/?][A-Za-z0-9\-._~%!$&'()*+,;=:@/?\[\]|{}]{0,2047}|")
 KNOWN_FIELDS = frozenset(("id", "class", "budget_ms", "path", "key", "subject", "again", "body", "seen"))
 REJECTED_CODES = (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE)
@@ -27,10 +28,10 @@
 
 
 class MalformedMessageError(WebSocketError):
-    """A client's message can't be used; the text says why.
+    """Error raised for a client's message that cannot be processed; the text gives the reason.
 
     Attributes:
-        message_id: "" where that could not be read.
+        message_id: Id of the message, or "" if the id could not be read.
     """
 
     def __init__(self, text: str, message_id: str = "") -> None:
@@ -40,11 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientMessage:
-    """A client's message, which becomes a request.
+    """Message of a client, which becomes a request.
 
     Attributes:
-        time_budget: s; None: the class's deadline.
-        acknowledged: outcomes up to this number were read by the client; -1: it does not say.
+        time_budget: Time budget of the request, s; None stands for the deadline of the class.
+        acknowledged: The client has read the outcomes up to this number; -1 if the message has no number.
     """
 
     message_id: str
@@ -62,16 +63,16 @@
     """Parse a client's message.
 
     Raises:
-        MalformedMessageError: it can't be used.
+        MalformedMessageError: The message cannot be processed.
     """
     raw, message_id = _parse_object(text)
     class_name = raw.get("class")
     if not isinstance(class_name, str) or not class_name:
         raise MalformedMessageError('"class" must be the name of a class', message_id)
     time_budget = _time_budget(raw, message_id)
-    path = _text(raw, "path", message_id, PATH)
-    idempotency_key = _text(raw, "key", message_id, FIELD)
-    subject = _text(raw, "subject", message_id, FIELD)
+    path = _text_field(raw, "path", message_id, PATH)
+    idempotency_key = _text_field(raw, "key", message_id, FIELD)
+    subject = _text_field(raw, "subject", message_id, FIELD)
     body = raw.get("body", "")
     is_retry = raw.get("again", False)
     acknowledged = raw.get("seen", NOT_ACKNOWLEDGED)
@@ -91,9 +92,9 @@
 
 
 def _parse_object(text: str) -> tuple[dict[str, object], str]:
-    """Return a message's fields and its id."""
+    """Return a message's fields and id."""
     try:
-        raw = json.loads(text, object_pairs_hook=_object)
+        raw = json.loads(text, object_pairs_hook=_object_without_repeated_names)
     except (ValueError, RecursionError):
         raise MalformedMessageError("no JSON, or a name twice") from None
     if not isinstance(raw, dict):
@@ -107,8 +108,8 @@
     return raw, message_id
 
 
-def _object(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Build an object; a name that stands twice would have two readings."""
+def _object_without_repeated_names(pairs: list[tuple[str, object]]) -> dict[str, object]:
+    """Build an object, or raise ValueError for a repeated name, because its value would be ambiguous."""
     found = dict(pairs)
     if len(found) < len(pairs):
         raise ValueError("a name twice")
@@ -125,9 +126,9 @@
     return budget / MILLISECONDS
 
 
-def _text(raw: dict[str, object], name: str, message_id: str, form: re.Pattern[str]) -> str:
+def _text_field(raw: dict[str, object], name: str, message_id: str, pattern: re.Pattern[str]) -> str:
     value = raw.get(name, "")
-    if not isinstance(value, str) or (value and not form.fullmatch(value)):
+    if not isinstance(value, str) or (value and not pattern.fullmatch(value)):
         raise MalformedMessageError(f'"{name}" is malformed or too long', message_id)
     return value
 
@@ -140,11 +141,11 @@
     """Return the first message on each connection.
 
     Args:
-        token: of the session.
-        resumed: it was there before.
-        resume_within: time for which it waits for its client, s.
-        open_ids: messages of the session that still have no outcome.
-        lost: outcomes that the client may not have read and that are not stored any more.
+        token: Token of the session.
+        resumed: Whether the session existed before this connection.
+        resume_within: Time for which a detached session can be resumed, s.
+        open_ids: Ids of the session's messages that have no outcome yet.
+        lost: Number of outcomes that the client may not have read and that are no longer stored.
     """
     return _json(
         {
@@ -168,12 +169,12 @@
     """Return the outcome of a message.
 
     Args:
-        number: of the outcome in its session.
-        message_id: of the message.
-        status_code: of the answer.
-        body: of the answer.
-        retry_after: time that a rejected client should wait, s; 0: it is not said.
-        is_body_dropped: the body was too long to be stored.
+        number: Number of the outcome in its session.
+        message_id: Id of the message.
+        status_code: Status code of the response.
+        body: Body of the response.
+        retry_after: Time that a rejected client should wait, s; 0 omits the field.
+        is_body_dropped: Whether the body was too long to be stored.
     """
     fields: dict[str, object] = {
         "n": number,
@@ -200,5 +201,5 @@
 
 
 def encode_error(error: MalformedMessageError) -> str:
-    """Return the answer to a message that was not accepted. It has no number: it is no outcome."""
+    """Return the reply to a message that was not accepted; a reply that is no outcome has no number."""
     return _json({"id": error.message_id, "error": str(error)})
--- a/service_proxy/websocket/message_session.py
+++ b/service_proxy/websocket/message_session.py
@@ -1,7 +1,7 @@
-"""Message mode: each message of a client is a request that goes through the policy like any other.
+"""Message mode: each message of a client is a request that the policy handles like any other request.
 
-The session is not pinned to an endpoint: a drained or lost endpoint is the policy's matter, request by
-request. What a session keeps is decided in session_registry; what a message is, in message_framing.
+A session is not pinned to an endpoint: the policy handles a drained or lost endpoint request by request.
+session_registry decides what a session stores, and message_framing defines the form of a message.
 """
 
 from __future__ import annotations
@@ -33,22 +33,25 @@
     Outcome,
 )
 
-MAX_MALFORMED_MESSAGES = 8  # of one connection before it is closed
-# Close codes.
+MAX_MALFORMED_MESSAGES = 8  # Malformed messages per connection before the connection is closed.
+# WebSocket close codes (RFC 6455, 7.4.1).
 NORMAL = 1000
 GOING_AWAY = 1001
 UNSUPPORTED_DATA = 1003
 MESSAGE_TOO_BIG = 1009
-SESSION_END_CODES = (NORMAL, NO_STATUS)  # with which a client ends its session, not only its connection
-TOO_MANY_PENDING_RETRY_S = 1.0  # after which a client with too many pending messages may retry
+# Close codes with which a client ends its session as well as its connection.
+SESSION_END_CODES = (NORMAL, NO_STATUS)
+TOO_MANY_PENDING_RETRY_S = 1.0  # Retry delay sent to a client that has too many pending messages.
 
 
 class MessageResponseWriter:
-    """net.downstream.ResponseWriter of one message: one outcome, to the connection that the session has then.
+    """ResponseWriter (net.downstream) of one message: sends one outcome to the session's current connection.
 
     Attributes:
-        request_handle: the dispatcher's, once it has the request.
-        source, parts, size: of an answer that is streamed.
+        request_handle: The dispatcher's handle of the request, after the request was dispatched.
+        source: Source of a streamed response.
+        parts: Parts of a streamed response so far.
+        size: Length of these parts in bytes.
     """
 
     __slots__ = ("message_id", "parts", "request_handle", "session", "sessions", "size", "source")
@@ -63,44 +66,44 @@
         self.size = 0
 
     def respond(self, code: int, headers: Any, body: bytes) -> None:
-        """Settle the message with a whole answer."""
+        """Settle the message with a complete response."""
         retry_after = next((float(value) for name, value in headers if name == b"retry-after"), 0.0)
         self.sessions.settle(self.session, self.message_id, code, body, retry_after)
 
     def stream(self, _headers: Any, length: int | None, source: ResponseSource) -> None:
-        """Collect an answer that is streamed: an outcome has it whole or not at all."""
+        """Collect a streamed response, because an outcome carries either the whole body or no body."""
         self.source = source
         source.stream_to(self)
         if length is not None and length > MAX_OUTCOME_BYTES:
-            self._reject_length()
+            self._fail_as_too_long()
 
     def has_client_left(self) -> bool:
-        """Tell that it is waited for: a message's outcome outlives the connection that it came on."""
+        """Return False: a message's outcome outlives the connection on which the message arrived."""
         return False
 
     def write(self, data: bytes) -> None:
-        """Collect a part of the answer."""
+        """Collect a part of the response."""
         if self.source is None:
             return
         self.size += len(data)
         if self.size > MAX_OUTCOME_BYTES:
-            self._reject_length()
+            self._fail_as_too_long()
         else:
             self.parts.append(bytes(data))
 
     def finish(self) -> None:
-        """Settle the message: the answer is complete."""
+        """Settle the message with the collected response, which is complete."""
         if self.source is not None:
             self.source = None
             self.sessions.settle(self.session, self.message_id, OK, b"".join(self.parts))
 
     def fail(self) -> None:
-        """Settle the message: the answer will never be complete."""
+        """Settle the message as failed because the response broke off."""
         if self.source is not None:
             self.source = None
             self.sessions.settle(self.session, self.message_id, BAD_GATEWAY, b"the answer broke off\n")
 
-    def _reject_length(self) -> None:
+    def _fail_as_too_long(self) -> None:
         source = self.source
         self.source = None
         self.parts.clear()
@@ -110,7 +113,7 @@
         self.sessions.settle(self.session, self.message_id, BAD_GATEWAY, text)
 
     def cancel(self, dispatcher: Any) -> None:
-        """End the work: nobody waits for it any more."""
+        """Cancel the request or its streamed response, because no client waits for the outcome."""
         source = self.source
         self.source = None
         if source is not None:
@@ -120,12 +123,13 @@
 
 
 class MessageConnection:
-    """One connection of a session: connection.ConnectionOwner.
+    """One connection of a session (connection.ConnectionOwner).
 
     Attributes:
-        client: its address.
-        parts, size: of a message that comes in fragments.
-        malformed_count: messages that could not be used.
+        client: Address of the client.
+        parts: Fragments so far of a message that arrives in several fragments.
+        size: Length of these fragments in characters.
+        malformed_count: Messages of this connection that could not be processed.
     """
 
     __slots__ = ("bucket", "client", "connection", "malformed_count", "parts", "session", "sessions", "size")
@@ -141,7 +145,7 @@
         self.bucket = TokenBucket(sessions.listener.settings.burst, now)
 
     def on_fragment(self, fragment: MessageFragment) -> None:
-        """Collect a message, and hand it on when it is whole."""
+        """Collect the fragments of a message and process the message when it is complete."""
         assert self.connection is not None
         if not isinstance(fragment.data, str):
             self.connection.fail(UNSUPPORTED_DATA, "messages here are texts")
@@ -151,7 +155,7 @@
             self.parts = self.parts or []
             self.parts.append(text)
             self.size += len(text)
-            # Decompressed, it may be more than was received.
+            # A decompressed message can be longer than its received bytes.
             if self.size > self.sessions.listener.settings.message_bytes:
                 self.connection.fail(MESSAGE_TOO_BIG, "the message is too long")
                 return
@@ -168,22 +172,22 @@
         self.sessions.on_connection_closed(self, code)
 
     def on_connection_lost(self) -> None:
-        """Count the connection no longer."""
+        """Release the session's place in the limits."""
         self.sessions.listener.remove_session(self.client, self.session.tenant)
 
     def on_backpressure(self, is_blocked: bool) -> None:
-        """Take no more messages from a client that reads no outcomes."""
+        """Pause reading messages while the client does not read outcomes."""
         assert self.connection is not None
         self.connection.set_paused(is_blocked)
 
     def on_ping_timeout(self) -> None:
-        """Leave a half-open connection."""
+        """Close and abort a half-open connection."""
         assert self.connection is not None
         self.connection.close(GOING_AWAY, "no pong")
         self.connection.abort()
 
     def send(self, text: str) -> bool:
-        """Send a message; return False if it may not arrive."""
+        """Send a message; return False if the message was not sent because the connection is closed."""
         listener = self.sessions.listener
         connection = self.connection
         if connection is None or not connection.send(text):
@@ -203,7 +207,7 @@
         self.registry = listener.registry
 
     def start(self, connection: MessageConnection, resumed: bool, acknowledged: int) -> None:
-        """Send the hello, and the outcomes that a resumed session's client has not read."""
+        """Send the hello, then the outcomes that the client of a resumed session has not read."""
         session = connection.session
         self.registry.acknowledge(session, acknowledged)
         outcomes, lost = session.unacknowledged(acknowledged)
@@ -215,7 +219,7 @@
             connection.send(outcome.text)
 
     def on_message(self, connection: MessageConnection, text: str) -> None:
-        """Accept a message, or answer one that is a repeat or malformed."""
+        """Accept a message, or answer a repeated or malformed one."""
         now = time.monotonic()
         try:
             message = message_framing.parse_message(text)
@@ -225,11 +229,11 @@
         session = connection.session
         if message.acknowledged >= 0:
             self.registry.acknowledge(session, message.acknowledged)
-        status, known = session.status_of(message.message_id)
+        status, stored_outcome = session.status_of(message.message_id)
         if status is MessageStatus.PENDING:
-            return  # its only outcome is still to come
-        if known is not None:
-            connection.send(known.text)
+            return  # The only outcome of the message will be sent when the request ends.
+        if stored_outcome is not None:
+            connection.send(stored_outcome.text)
             return
         writer = MessageResponseWriter(self, session, message.message_id)
         session.pending[message.message_id] = writer
@@ -250,7 +254,7 @@
         message: message_framing.ClientMessage,
         now: float,
     ) -> None:
-        """Dispatch a new message, within the limits of its session."""
+        """Dispatch a new message, or reject the message if a limit of its session is exceeded."""
         settings = self.listener.settings
         session = connection.session
         message_id = message.message_id
@@ -268,7 +272,7 @@
     def _dispatch(
         self, writer: MessageResponseWriter, message: message_framing.ClientMessage, now: float
     ) -> None:
-        """Hand a message to the dispatcher as a request."""
+        """Pass a message to the dispatcher as a request."""
         session = writer.session
         idempotency = self.listener.dispatcher.idempotency_by_class.get(message.class_name)
         if idempotency is None:
@@ -276,24 +280,24 @@
             return
         method = b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"
         try:
-            request = self._request(session, message, method, now)
+            request = self._build_request(session, message, method, now)
         except BadRequestError as error:
             self.settle(session, message.message_id, error.status_code, f"{error}\n".encode())
             return
         try:
             writer.request_handle = self.listener.dispatcher.start_request(request, writer)
         except Exception:  # noqa: BLE001 - one message must not end its session
-            self.listener.log_failure("a message could not be taken")
+            self.listener.log_failure("a message could not be dispatched")
             if message.message_id in session.pending:
                 self.settle(session, message.message_id, INTERNAL_SERVER_ERROR, b"internal error\n")
 
-    def _request(
+    def _build_request(
         self, session: MessageSession, message: message_framing.ClientMessage, method: bytes, now: float
     ) -> Request:
         """Build the request of a message.
 
         Raises:
-            BadRequestError: it is none.
+            BadRequestError: The message does not form a valid request.
         """
         dispatcher = self.listener.dispatcher
         deadline = dispatcher.deadline_by_class[message.class_name]
@@ -329,7 +333,7 @@
         body: bytes,
         retry_after: float = 0.0,
     ) -> None:
-        """Send the only outcome of a message, and store it for a client that resumes."""
+        """Send the only outcome of a message, and store the outcome for a client that resumes the session."""
         number = session.settle(message_id)
         text = message_framing.encode_outcome(number, message_id, status_code, body, retry_after)
         stored = text
@@ -343,27 +347,27 @@
             connection.send(text)
 
     def on_connection_closed(self, connection: MessageConnection, code: int) -> None:
-        """End the session where its client says so; else let the client come back."""
+        """End the session if its client or a drain ends the session; otherwise keep it for a resume."""
         session = connection.session
         if session.connection is not connection:
-            return  # another connection has it by now
+            return  # Another connection has already resumed the session.
         if code in SESSION_END_CODES or self.listener.is_draining:
             self.end(session)
         else:
             self.registry.detach(session, time.monotonic())
 
     def end(self, session: MessageSession) -> None:
-        """Remove a session, and cancel its pending messages."""
+        """Remove a session and cancel its pending messages."""
         for writer in self.registry.end(session):
             writer.cancel(self.listener.dispatcher)
 
     def sweep(self, now: float) -> None:
-        """End the sessions whose client has not come back in time."""
+        """End the detached sessions whose client has not resumed them in time."""
         for session in self.registry.expired(now, self.listener.settings.resume_within):
             self.end(session)
 
     def evict_detached(self) -> bool:
-        """End the session that waits longest for its client; return whether there was one."""
+        """End the session that has been detached the longest; return whether there was a detached session."""
         oldest = self.registry.oldest_detached()
         if oldest is not None:
             self.end(oldest)
--- a/service_proxy/websocket/opening_handshake.py
+++ b/service_proxy/websocket/opening_handshake.py
@@ -1,4 +1,4 @@
-"""The opening handshake of both sides (RFC 6455, 4.1 and 4.2). Pure."""
+"""Opening handshake of both sides (RFC 6455, 4.1 and 4.2), without I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 from service_proxy.websocket.errors import WebSocketError
 
-GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # RFC 6455, 1.3
+# Suffix of the key that is hashed for Sec-WebSocket-Accept (RFC 6455, 1.3).
+GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 VERSION = b"13"
 KEY_BYTES = 16
-MAX_SUBPROTOCOLS = 16  # subprotocols that one request may offer
+MAX_SUBPROTOCOLS = 16  # Subprotocols that one request may offer.
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]{1,64}")
-HANDSHAKE_FIELDS = frozenset(  # of the handshake with one side; they say nothing to the other
+# Header fields that concern the handshake with one side only, and that are not forwarded to the other side.
+HANDSHAKE_FIELDS = frozenset(
     b"sec-websocket-key sec-websocket-version sec-websocket-extensions sec-websocket-protocol "
     b"sec-websocket-accept".split()
 )
@@ -25,7 +27,7 @@
 
 
 class HandshakeRejectedError(WebSocketError):
-    """The handshake is answered with this status code and these headers; the connection stays HTTP."""
+    """Error that rejects a handshake with this status code and headers; the connection stays HTTP."""
 
     def __init__(self, code: int, text: str, headers: Headers = ()) -> None:
         super().__init__(text)
@@ -35,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OpeningRequest:
-    """A well-formed request for a WebSocket."""
+    """Well-formed request for a WebSocket."""
 
     key: bytes
-    origin: bytes  # b"": a program that is no browser
-    protocols: tuple[bytes, ...]  # offered, the client's favourite first
-    extensions: bytes  # as they came, joined
+    origin: bytes  # Empty if the client is a program other than a browser.
+    protocols: tuple[bytes, ...]  # Offered subprotocols in the client's order of preference.
+    extensions: bytes  # Received values of Sec-WebSocket-Extensions, joined by commas.
 
 
 def accept_key(key: bytes) -> bytes:
-    """Return what proves that the key was read as a WebSocket's (RFC 6455, 4.2.2, step 5.4)."""
+    """Return the proof that the server has read the key as a WebSocket key (RFC 6455, 4.2.2, step 5.4)."""
     return base64.b64encode(hashlib.sha1(key + GUID, usedforsecurity=False).digest())
 
 
@@ -54,12 +56,12 @@
 
 
 def field_elements(headers: Headers, name: bytes) -> list[bytes]:
-    """Return the elements of a list field (RFC 9110, 5.6.1), without the empty ones."""
+    """Return the elements of a list field (RFC 9110, 5.6.1) without the empty ones."""
     found = [part.strip(b" \t") for value in field_values(headers, name) for part in value.split(b",")]
     return [part for part in found if part]
 
 
-def _one(headers: Headers, name: bytes) -> bytes:
+def _single_value(headers: Headers, name: bytes) -> bytes:
     found = field_values(headers, name)
     if len(found) > 1:
         raise HandshakeRejectedError(400, f"more than one {name.decode()}")
@@ -67,10 +69,10 @@
 
 
 def parse_opening(method: bytes, version: str, headers: Headers, has_body: bool) -> OpeningRequest:
-    """Check a request for a WebSocket; its header names are in lower case.
+    """Check a request for a WebSocket, whose header names are in lower case, and return its handshake fields.
 
     Raises:
-        HandshakeRejectedError: it is not well formed.
+        HandshakeRejectedError: The request is not well formed.
     """
     if method != b"GET" or version != "1.1":
         raise HandshakeRejectedError(400, "a WebSocket is asked for with GET and HTTP/1.1")
@@ -80,11 +82,11 @@
         raise HandshakeRejectedError(400, "no upgrades but to websocket")
     if b"upgrade" not in (option.lower() for option in field_elements(headers, b"connection")):
         raise HandshakeRejectedError(400, "Connection does not name Upgrade")
-    if _one(headers, b"sec-websocket-version") != VERSION:
+    if _single_value(headers, b"sec-websocket-version") != VERSION:
         raise HandshakeRejectedError(
             426, "Sec-WebSocket-Version is not 13", ((b"sec-websocket-version", VERSION),)
         )
-    key = _one(headers, b"sec-websocket-key")
+    key = _single_value(headers, b"sec-websocket-key")
     try:
         nonce = base64.b64decode(key, validate=True)
     except binascii.Error:
@@ -96,17 +98,19 @@
         raise HandshakeRejectedError(400, "Sec-WebSocket-Protocol offers too many, or one twice")
     if any(not TOKEN.fullmatch(protocol) for protocol in protocols):
         raise HandshakeRejectedError(400, "Sec-WebSocket-Protocol holds what is no token")
-    origin = _one(headers, b"origin")
+    origin = _single_value(headers, b"origin")
     return OpeningRequest(
         key, origin, tuple(protocols), b", ".join(field_values(headers, b"sec-websocket-extensions"))
     )
 
 
 def check_origin(opening: OpeningRequest, allowed: Iterable[str]) -> None:
-    """Check the origin of the page, which a browser can't forge (RFC 6455, 10.2); no names: all are allowed.
+    """Check the origin of the page, which a browser does not let a page forge (RFC 6455, 10.2).
+
+    An empty list allows every origin.
 
     Raises:
-        HandshakeRejectedError: the origin is not allowed.
+        HandshakeRejectedError: The origin is not allowed.
     """
     names = [name.encode() for name in allowed]
     if names and opening.origin and opening.origin.lower() not in names:
@@ -114,7 +118,7 @@
 
 
 def choose_subprotocol(opening: OpeningRequest, served: Iterable[str]) -> bytes:
-    """Return the first offered subprotocol that is served; b"": none, which a client may reject."""
+    """Return the first offered subprotocol that is served, or b"" if none is. A client may reject b""."""
     names = {name.encode() for name in served}
     return next((protocol for protocol in opening.protocols if protocol in names), b"")
 
@@ -135,40 +139,41 @@
 
 
 class ClientHandshake:
-    """The client's side of a handshake with an endpoint, for one attempt at a time.
+    """Client side of a handshake with an endpoint, for one attempt at a time.
 
     Attributes:
-        protocols: from which the endpoint may choose.
+        protocols: Subprotocols from which the endpoint may choose.
+        key: Sec-WebSocket-Key of the latest attempt.
     """
 
     __slots__ = ("key", "protocols")
 
     def __init__(self, protocols: tuple[bytes, ...]) -> None:
-        self.protocols = protocols  # that the endpoint may choose from
+        self.protocols = protocols
         self.key = b""
 
     def request_headers(self, nonce: bytes) -> bytes:
-        """Return the header lines of the next attempt. `nonce`: 16 random bytes, new for each."""
+        """Return the header lines of the next attempt; `nonce` is 16 random bytes, new for each attempt."""
         self.key = base64.b64encode(nonce)
-        more = b""
+        protocol_line = b""
         if self.protocols:
-            more = b"sec-websocket-protocol: " + b", ".join(self.protocols) + b"\r\n"
+            protocol_line = b"sec-websocket-protocol: " + b", ".join(self.protocols) + b"\r\n"
         return (
             b"connection: Upgrade\r\nupgrade: websocket\r\nsec-websocket-version: 13\r\n"
-            b"sec-websocket-key: " + self.key + b"\r\n" + more
+            b"sec-websocket-key: " + self.key + b"\r\n" + protocol_line
         )
 
     def verify_response(self, headers: Headers) -> str | None:
-        """Return what is wrong with a 101's headers (RFC 6455, 4.1, steps 2 to 6), or None."""
+        """Return the fault in the headers of a 101 response (RFC 6455, 4.1, steps 2 to 6), or None."""
         if [option.lower() for option in field_elements(headers, b"upgrade")] != [b"websocket"]:
             return "Upgrade is not websocket"
         if b"upgrade" not in (option.lower() for option in field_elements(headers, b"connection")):
             return "Connection does not name Upgrade"
         if field_values(headers, b"sec-websocket-accept") != [accept_key(self.key)]:
-            return "Sec-WebSocket-Accept does not prove the key"
+            return "Sec-WebSocket-Accept does not match the sent key"
         if field_elements(headers, b"sec-websocket-extensions"):
-            return "an extension that nobody offered"
+            return "the response has an extension that was not offered"
         chosen = field_elements(headers, b"sec-websocket-protocol")
         if len(chosen) > 1 or any(protocol not in self.protocols for protocol in chosen):
-            return "a subprotocol that nobody offered"
+            return "the response has a subprotocol that was not offered"
         return None
--- a/service_proxy/websocket/permessage_deflate.py
+++ b/service_proxy/websocket/permessage_deflate.py
@@ -1,7 +1,7 @@
-"""permessage-deflate (RFC 7692) with bounded memory and growth: no state outlives a message.
+"""permessage-deflate (RFC 7692) with bounded memory and expansion, and without state between messages.
 
-Both sides' context is given up after each message, so that an idle session holds no window; a decompressed
-message may be so many times as long as what was received, and no more.
+Both sides discard their compression context after each message, so that an idle session keeps no window.
+The ratio of a decompressed message to its received bytes is limited.
 """
 
 from __future__ import annotations
@@ -14,15 +14,18 @@
 from service_proxy.websocket.frame_codec import NegotiatedExtension
 
 EXTENSION = "permessage-deflate"
-MIN_COMPRESSED_BYTES = 256  # of a message; to compress a shorter one costs more than it saves
-MIN_ALLOWED_BYTES = 16 * 1024  # to which any message may be decompressed, whatever its ratio
-EMPTY_BLOCK_TAIL = b"\x00\x00\xff\xff"  # what a sender leaves off (RFC 7692, 7.2.1)
-CHUNK_BYTES = 16 * 1024  # that are decompressed at once
-MIN_OFFERED_BITS = 8  # of a window (RFC 7692, 7.1.2)
-MIN_WINDOW_BITS = 9  # zlib has no raw window of 8
+# Shortest message that is compressed; compressing a shorter message costs more than it saves.
+MIN_COMPRESSED_BYTES = 256
+MIN_ALLOWED_BYTES = 16 * 1024  # Decompressed bytes allowed for any message, regardless of the ratio.
+# Last bytes of a compressed message, which the sender omits (RFC 7692, 7.2.1).
+EMPTY_BLOCK_TAIL = b"\x00\x00\xff\xff"
+CHUNK_BYTES = 16 * 1024  # Decompressed bytes per step.
+MIN_OFFERED_BITS = 8  # Smallest window that a client may offer (RFC 7692, 7.1.2).
+MIN_WINDOW_BITS = 9  # Smallest raw window of zlib, which has none of 8 bits.
 MAX_WINDOW_BITS = 15
-MAX_MEMORY_LEVEL = 8  # of zlib's compressor; a smaller window takes a smaller one
-BITS_BEYOND_LEVEL = 6  # by which the window's bits are more than that level
+# Highest memory level of zlib's compressor that is used; a smaller window needs a lower level.
+MAX_MEMORY_LEVEL = 8
+WINDOW_BITS_MINUS_MEMORY_LEVEL = 6  # Difference between the window's bits and the memory level.
 PARAMETERS = frozenset(
     (
         b"server_no_context_takeover",
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeflateParameters:
-    """What both sides have agreed on."""
+    """Parameters on which both sides have agreed."""
 
     client_window_bits: int
     server_window_bits: int
@@ -51,7 +54,7 @@
 
 
 def negotiate(offers: bytes, max_window_bits: int) -> DeflateParameters | None:
-    """Return what the first acceptable offer of a client leads to (RFC 7692, 7.1); None: no offer is."""
+    """Return the parameters of a client's first acceptable offer (RFC 7692, 7.1), or None if none is."""
     for offer in offers.split(b","):
         name, *parts = [part.strip() for part in offer.split(b";")]
         if name != EXTENSION.encode():
@@ -64,7 +67,7 @@
 
 
 def _parse_parameters(parts: list[bytes]) -> dict[bytes, bytes] | None:
-    """Return an offer's parameters; None if one is unknown or stands twice."""
+    """Return an offer's parameters, or None if one is unknown or repeated."""
     parameters: dict[bytes, bytes] = {}
     for part in parts:
         name, _, value = part.partition(b"=")
@@ -81,7 +84,8 @@
     if server is None or client is None or server < MIN_WINDOW_BITS:
         return None
     if b"client_max_window_bits" not in parameters and max_window_bits < MAX_WINDOW_BITS:
-        return None  # the client can't be told to use a smaller window, and a larger one is not held
+        # This offer does not let the server limit the client's window, and this side keeps no larger window.
+        return None
     client = max(MIN_WINDOW_BITS, min(client, max_window_bits))
     return DeflateParameters(client, min(server, max_window_bits))
 
@@ -94,18 +98,25 @@
 
 
 class PerMessageDeflate(NegotiatedExtension):
-    """The extension of one connection, on the server's side; wsproto calls it for each frame.
+    """permessage-deflate on one connection, on the server's side; wsproto calls its methods for each frame.
 
     Attributes:
-        decompressor: while a compressed message is received.
-        received_bytes, decompressed_bytes: of that message.
-        is_control_frame: the current frame is one.
+        decompressor: Decompressor while a compressed message is being received.
+        received_bytes: Compressed bytes of that message so far.
+        decompressed_bytes: Decompressed bytes of that message so far.
+        is_control_frame: Whether the current frame is a control frame.
     """
 
     name = EXTENSION
 
     def __init__(self, parameters: DeflateParameters, max_message_bytes: int, max_ratio: float) -> None:
-        """`max_message_bytes`: of a decompressed message; `max_ratio`: decompressed to received bytes."""
+        """Create the extension.
+
+        Args:
+            parameters: Negotiated parameters.
+            max_message_bytes: Limit of a decompressed message.
+            max_ratio: Limit of the ratio of decompressed to received bytes.
+        """
         self.parameters = parameters
         self.max_message_bytes = max_message_bytes
         self.max_ratio = max_ratio
@@ -121,10 +132,10 @@
         rsv: RsvBits,
         _payload_length: int,
     ) -> CloseReason | RsvBits:
-        """Take note of a frame that starts a compressed message."""
+        """Prepare for a compressed message at the header of the message's first frame."""
         self.is_control_frame = opcode.iscontrol()
         if rsv.rsv1 and (self.is_control_frame or opcode is Opcode.CONTINUATION):
-            return CloseReason.PROTOCOL_ERROR  # RFC 7692, 6.1: only on a message's first frame
+            return CloseReason.PROTOCOL_ERROR  # RFC 7692, 6.1 allows the bit only on a message's first frame.
         if rsv.rsv1:
             self.decompressor = zlib.decompressobj(-self.parameters.client_window_bits)
             self.received_bytes = 0
@@ -162,19 +173,19 @@
         """Decompress the end of a message."""
         if self.decompressor is None or self.is_control_frame or not fin:
             return None
-        rest = self._decompress(self.decompressor, EMPTY_BLOCK_TAIL)
+        last_part = self._decompress(self.decompressor, EMPTY_BLOCK_TAIL)
         self.decompressor = None
-        return rest
+        return last_part
 
     def frame_outbound(
         self, _proto: FrameDecoder | FrameProtocol, opcode: Opcode, rsv: RsvBits, data: bytes, fin: bool
     ) -> tuple[RsvBits, bytes]:
-        """Compress a message that is sent in one frame and long enough."""
+        """Compress a message that is sent in one frame and has at least MIN_COMPRESSED_BYTES."""
         is_unfragmented = fin and opcode in (Opcode.TEXT, Opcode.BINARY)
         if not is_unfragmented or len(data) < MIN_COMPRESSED_BYTES:
             return rsv, data
         bits = self.parameters.server_window_bits
-        level = min(MAX_MEMORY_LEVEL, bits - BITS_BEYOND_LEVEL)
+        level = min(MAX_MEMORY_LEVEL, bits - WINDOW_BITS_MINUS_MEMORY_LEVEL)
         compressor = zlib.compressobj(wbits=-bits, memLevel=level)
         compressed = compressor.compress(data) + compressor.flush(zlib.Z_SYNC_FLUSH)
         return RsvBits(True, rsv.rsv2, rsv.rsv3), compressed.removesuffix(EMPTY_BLOCK_TAIL)
--- a/service_proxy/websocket/reconnect_spread.py
+++ b/service_proxy/websocket/reconnect_spread.py
@@ -1,8 +1,8 @@
-"""The delays that clients get whose session ends, so that they don't reconnect at one instant. Pure.
+"""Reconnect delays for clients whose session ends, so that the clients do not reconnect at one instant.
 
-Each next one lies a golden section of the span further on: however many there are, they fill the span evenly
-(a Weyl sequence: n of them leave no 100 ms with more than its share and two). The start is random, so that
-proxies differ.
+The position of each delay is the previous position plus the golden section of the span, so any number of
+delays fills the span evenly (a Weyl sequence: among n delays, no 100 ms contain more than their share plus
+two). The first position is random, so that proxies differ. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 
 
 class ReconnectSpread:
-    """Yields delays that are spread evenly over a span.
+    """Sequence of delays that are spread evenly over a span.
 
     Attributes:
-        span: s over which clients are spread.
+        span: Time over which clients are spread, s.
+        position: Latest delay as a share of the span.
     """
 
     def __init__(self, seed: int, span: float) -> None:
@@ -30,5 +31,5 @@
 
 
 def close_reason(delay: float) -> str:
-    """Return the reason of a close frame that says when to reconnect (docs/operators/websocket.md)."""
+    """Return the reason of a close frame with the time to reconnect (docs/operators/websocket.md)."""
     return f"reconnect in {delay:.2f} s"
--- a/service_proxy/websocket/session_host.py
+++ b/service_proxy/websocket/session_host.py
@@ -1,4 +1,4 @@
-"""What a session or tunnel uses of the listener that it belongs to."""
+"""Interface of the listener to its sessions and tunnels."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SessionHost(Protocol):
-    """The listener, as its sessions and tunnels know it."""
+    """Part of the listener that sessions and tunnels use."""
 
     settings: WebSocket
     dispatcher: RequestDispatcher
@@ -31,19 +31,19 @@
         protocol: bytes,
         owner: ConnectionOwner,
     ) -> WebSocketConnection:
-        """Send the client's 101; return its connection."""
+        """Send the 101 response to the client and return the client's WebSocket connection."""
 
     def add_tunnel(self, tunnel: Any) -> None:
-        """Note a tunnel that is open from now on."""
+        """Register a tunnel that is now open."""
 
     def remove_tunnel(self, tunnel: Any, upstream: ConnectionPool) -> None:
-        """Note that a tunnel's endpoint side is closed."""
+        """Unregister a tunnel whose connection to the endpoint has ended."""
 
     def remove_session(self, client: str, tenant: str) -> None:
-        """Note that a client's connection is closed, or was rejected after all."""
+        """Release the place of a session whose connection has ended or whose handshake was rejected."""
 
     def on_write(self, connection: WebSocketConnection) -> None:
-        """Note a write."""
+        """Update the unread bytes of a connection after a write."""
 
     def log_failure(self, message: str) -> None:
         """Log the exception that is being handled."""
--- a/service_proxy/websocket/session_limits.py
+++ b/service_proxy/websocket/session_limits.py
@@ -1,4 +1,4 @@
-"""How many sessions there may be, and how fast a client may send. Pure: the caller brings the time."""
+"""Limits on the number of sessions and on the message rate of a client. The caller passes the time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """A token bucket. Times are monotonic, s."""
+    """Token bucket. Times are monotonic, s."""
 
     __slots__ = ("tokens", "updated_at")
 
@@ -15,12 +15,12 @@
         self.updated_at = now
 
     def take(self, now: float, rate: float, burst: float) -> bool:
-        """Take a token; return whether there was one.
+        """Take a token and return whether one was available.
 
         Args:
-            now: a clock that steps back gives no tokens.
-            rate: new tokens per second.
-            burst: tokens at most.
+            now: Current time; a clock that steps back adds no tokens.
+            rate: New tokens per second.
+            burst: Maximum number of tokens.
         """
         self.tokens = min(burst, self.tokens + max(0.0, now - self.updated_at) * rate)
         self.updated_at = now
@@ -35,7 +35,7 @@
 
 
 class SessionLimits:
-    """Counts sessions by proxy, client and tenant, those in their opening handshake among them."""
+    """Numbers of sessions per proxy, client and tenant, including sessions in their opening handshake."""
 
     def __init__(self) -> None:
         self.open_count = 0
@@ -45,7 +45,7 @@
     def exceeded_scope(
         self, client: str, tenant: str, max_sessions: int, max_per_client: int, max_per_tenant: int
     ) -> str | None:
-        """Return whose limit one more session would exceed: proxy, client or tenant; None: nobody's."""
+        """Return the scope whose limit one more session would exceed (proxy, client or tenant), or None."""
         if self.open_count >= max_sessions:
             return "proxy"
         if self.count_by_client[client] >= max_per_client:
@@ -55,13 +55,13 @@
         return None
 
     def add(self, client: str, tenant: str) -> None:
-        """Count a session."""
+        """Count a new session."""
         self.open_count += 1
         self.count_by_client[client] += 1
         self.count_by_tenant[tenant] += 1
 
     def remove(self, client: str, tenant: str) -> None:
-        """Count a session no longer."""
+        """Remove a session from the counts."""
         self.open_count -= 1
         for counter, name in ((self.count_by_client, client), (self.count_by_tenant, tenant)):
             counter[name] -= 1
--- a/service_proxy/websocket/session_registry.py
+++ b/service_proxy/websocket/session_registry.py
@@ -1,9 +1,10 @@
-"""Sessions of message mode: pending messages, stored outcomes, and who may resume a session. Pure.
+"""Sessions of message mode: pending messages, stored outcomes, and rules for resuming a session.
 
-A message is accepted once: while it is pending, a repeat of its id joins it; after, its stored outcome is
-sent again under the same number. A session whose connection ends without a goodbye waits for its client for a
-stated time; outcomes of that time, and stored ones that the client has not acknowledged, are sent when it is
-back. The caller brings the time (s, monotonic).
+A message is executed only once. A repeat of the id of a pending message starts no second request; after the
+outcome, a repeat receives the stored outcome under the same number. A session whose connection ends without
+a normal close waits a stated time for its client to resume. The outcomes of that time, and the stored
+outcomes that the client has not acknowledged, are sent when the client resumes. This module does no I/O;
+the caller passes the time (s, monotonic).
 """
 
 from __future__ import annotations
@@ -13,22 +14,23 @@
 from enum import Enum
 from typing import Any
 
-MAX_STORED_OUTCOMES = 32  # of a session
-MAX_STORED_BYTES = 8 * 1024  # of a session's outcomes together, but for the last one
-MAX_OUTCOME_BYTES = 64 * 1024  # of one that is stored with its body
+MAX_STORED_OUTCOMES = 32  # Stored outcomes per session.
+# Bytes of a session's stored outcomes together; the last outcome may exceed the limit.
+MAX_STORED_BYTES = 8 * 1024
+MAX_OUTCOME_BYTES = 64 * 1024  # Size of an outcome that is stored with its body.
 
 
 class MessageStatus(Enum):
-    """What is known of a message's id."""
+    """State of a message id in a session."""
 
     NEW = "new"
-    PENDING = "pending"  # its outcome is still to come
-    ANSWERED = "answered"  # its outcome is stored
+    PENDING = "pending"  # The message has no outcome yet.
+    ANSWERED = "answered"  # The outcome of the message is stored.
 
 
 @dataclass(slots=True)
 class Outcome:
-    """The outcome of a message, as text of the message that is sent."""
+    """Outcome of a message, with the text that is sent to the client."""
 
     number: int
     message_id: str
@@ -36,16 +38,16 @@
 
 
 class MessageSession:
-    """One client's session, over however many connections.
+    """Session of one client, over any number of connections.
 
     Attributes:
-        pending: by message id, with who works on it.
-        outcomes: stored ones by number, oldest first.
-        stored_bytes: of these.
-        last_number: of the last outcome.
-        last_lost: the highest number that is not stored any more and was not acknowledged.
-        connection: that it is attached to, if any.
-        detached_at: when it lost the last one.
+        pending: Response writers of the pending messages, by message id.
+        outcomes: Stored outcomes by number, oldest first.
+        stored_bytes: Bytes of the stored outcomes.
+        last_number: Number of the last outcome.
+        last_lost: Highest number of an outcome that was discarded without acknowledgement.
+        connection: Connection to which the session is attached, if any.
+        detached_at: Time at which the last connection ended.
     """
 
     __slots__ = (
@@ -72,7 +74,7 @@
         self.detached_at = 0.0
 
     def status_of(self, message_id: str) -> tuple[MessageStatus, Outcome | None]:
-        """Return whether a message is new, and its stored outcome if there is one."""
+        """Return the status of a message id, and the stored outcome if there is one."""
         if message_id in self.pending:
             return MessageStatus.PENDING, None
         for outcome in self.outcomes.values():
@@ -81,37 +83,38 @@
         return MessageStatus.NEW, None
 
     def settle(self, message_id: str) -> int:
-        """End a pending message; return the number of its only outcome."""
+        """Remove a pending message; return the number of the message's only outcome."""
         del self.pending[message_id]
         self.last_number += 1
         return self.last_number
 
     def acknowledge(self, number: int) -> int:
-        """Forget what the client has read, up to this number; return the bytes that are freed."""
-        freed = 0
+        """Discard the outcomes up to this number, which the client has read; return the freed bytes."""
+        freed_bytes = 0
         for acknowledged in [stored for stored in self.outcomes if stored <= number]:
-            freed += self._forget(acknowledged)
-        return freed
+            freed_bytes += self._discard(acknowledged)
+        return freed_bytes
 
     def store(self, outcome: Outcome, available_bytes: int) -> int:
-        """Store an outcome for a client that resumes; older ones give way.
+        """Store an outcome for a client that resumes the session; discard older outcomes above the limits.
 
         Args:
-            outcome: of a settled message.
-            available_bytes: that all sessions together may still store.
+            outcome: Outcome of a settled message.
+            available_bytes: Bytes that all sessions together may still store.
 
         Returns:
-            By how much the stored bytes of this session have grown.
+            The growth of this session's stored bytes.
         """
         before = self.stored_bytes
         self.outcomes[outcome.number] = outcome
         self.stored_bytes += len(outcome.text)
         while len(self.outcomes) > 1 and self._exceeds_limits(before + available_bytes):
             oldest = next(iter(self.outcomes))
-            self._forget(oldest)
+            self._discard(oldest)
             self.last_lost = max(self.last_lost, oldest)
-        if self.stored_bytes - before > max(0, available_bytes):  # not even this one
-            self._forget(outcome.number)
+        # The bytes available do not suffice even for this outcome.
+        if self.stored_bytes - before > max(0, available_bytes):
+            self._discard(outcome.number)
             self.last_lost = outcome.number
         return self.stored_bytes - before
 
@@ -119,13 +122,13 @@
         exceeds_count = len(self.outcomes) > MAX_STORED_OUTCOMES
         return exceeds_count or self.stored_bytes > min(MAX_STORED_BYTES, max_bytes)
 
-    def _forget(self, number: int) -> int:
+    def _discard(self, number: int) -> int:
         size = len(self.outcomes.pop(number).text)
         self.stored_bytes -= size
         return size
 
     def unacknowledged(self, number: int) -> tuple[list[Outcome], int]:
-        """Return the outcomes after this number, and how many of these are lost."""
+        """Return the stored outcomes after this number, and how many after this number are lost."""
         outcomes = [outcome for outcome in self.outcomes.values() if outcome.number > number]
         return outcomes, max(0, self.last_lost - number)
 
@@ -134,8 +137,8 @@
     """All sessions of this proxy, by token.
 
     Attributes:
-        max_bytes: of stored outcomes, of all sessions together.
-        detached: sessions without a connection, longest first.
+        max_bytes: Limit of the stored outcomes of all sessions together.
+        detached: Sessions without a connection, the longest detached first.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -145,7 +148,7 @@
         self.detached: dict[MessageSession, None] = {}
 
     def create(self, token: str, tenant: str, connection: object) -> MessageSession:
-        """Add a session."""
+        """Create and add a session."""
         session = MessageSession(token, tenant)
         session.connection = connection
         self.sessions[token] = session
@@ -155,8 +158,8 @@
         """Attach a session to another connection.
 
         Returns:
-            The session, and the connection that it is taken from, if it still had one. None: there is none
-            of this token, or it is another tenant's.
+            The session and its previous connection, if the session still had one. None if no session has this
+            token, or if the session belongs to another tenant.
         """
         session = self.sessions.get(token)
         if session is None or session.tenant != tenant:
@@ -167,37 +170,37 @@
         return session, previous
 
     def detach(self, session: MessageSession, now: float) -> None:
-        """Note that a session's connection has ended without a goodbye."""
+        """Record that a session's connection has ended without a normal close."""
         session.connection = None
         session.detached_at = now
         self.detached[session] = None
 
     def end(self, session: MessageSession) -> list[Any]:
-        """Remove a session; return who still works on its messages."""
+        """Remove a session; return the response writers of its pending messages."""
         self.sessions.pop(session.token, None)
         self.detached.pop(session, None)
         self.stored_bytes -= session.stored_bytes
         session.stored_bytes = 0
         session.outcomes.clear()
-        work = list(session.pending.values())
+        pending_writers = list(session.pending.values())
         session.pending.clear()
-        return work
+        return pending_writers
 
     def store(self, session: MessageSession, outcome: Outcome) -> None:
-        """Store an outcome as far as there are bytes left."""
+        """Store an outcome if enough bytes are available."""
         self.stored_bytes += session.store(outcome, self.max_bytes - self.stored_bytes)
 
     def acknowledge(self, session: MessageSession, number: int) -> None:
-        """Forget what a session's client has read."""
+        """Discard the outcomes that a session's client has read."""
         self.stored_bytes -= session.acknowledge(number)
 
     def expired(self, now: float, resume_within: float) -> Iterator[MessageSession]:
-        """Yield the sessions whose client has not come back in time (s)."""
+        """Yield the sessions that no client has resumed within `resume_within` (s)."""
         for session in list(self.detached):
             if session.detached_at + resume_within > now:
                 return
             yield session
 
     def oldest_detached(self) -> MessageSession | None:
-        """Return the session that gives way to another."""
+        """Return the session that has been detached the longest, which is the first to be evicted."""
         return next(iter(self.detached), None)
--- a/service_proxy/websocket/tunnel.py
+++ b/service_proxy/websocket/tunnel.py
@@ -1,8 +1,8 @@
-"""Tunnel mode: a session pinned to the endpoint that the policy picked, with backpressure both ways.
+"""Tunnel mode: a session pinned to the endpoint that the policy has chosen, with backpressure both ways.
 
-To the dispatcher it is a request of a stream class whose answer is a 101; from then on the policy knows that
-the stream has started, and at its end what came of it. Each side's frames are decoded, checked and encoded
-anew.
+For the dispatcher, a tunnel is a request of a stream class whose response is a 101. The policy is notified
+when the stream starts, and is notified of its outcome when the stream ends. The frames of each side are
+decoded, checked and encoded again.
 """
 
 from __future__ import annotations
@@ -24,15 +24,17 @@
 from service_proxy.websocket.session_host import SessionHost
 from service_proxy.websocket.session_limits import TokenBucket
 
-CLOSE_GRACE_S = 0.4  # for an endpoint's close frame when it must be left: rule 3 has 2 s for all
-# Close codes.
+# Wait for an endpoint's close frame when a drain closes a tunnel. Rule 3 (R203) allows 2 s for the whole
+# drain.
+CLOSE_GRACE_S = 0.4
+# WebSocket close codes (RFC 6455, 7.4.1).
 GOING_AWAY = 1001
 INTERNAL_ERROR = 1011
 SERVICE_RESTART = 1012
 
 
 class TunnelSide:
-    """One end of a tunnel: connection.ConnectionOwner."""
+    """One side of a tunnel (connection.ConnectionOwner)."""
 
     __slots__ = ("connection", "is_client", "tunnel")
 
@@ -50,28 +52,33 @@
         self.tunnel.on_side_closed(self, code, reason)
 
     def on_connection_lost(self) -> None:
-        """Take note that this side's connection has ended."""
+        """Record that this side's connection has ended."""
         self.connection = None
         self.tunnel.on_side_lost(self)
 
     def on_backpressure(self, is_blocked: bool) -> None:
-        """Read no more from the other side while this one's peer does not read."""
+        """Pause reading from the other side while this side's peer does not read."""
         other = self.tunnel.other(self).connection
         if other is not None and other.state is ClosingState.OPEN:
             other.set_paused(is_blocked)
 
     def on_ping_timeout(self) -> None:
-        """Leave a half-open connection."""
+        """Abort a half-open connection."""
         self.tunnel.on_ping_timeout(self)
 
 
 class Tunnel:
-    """net.downstream.ResponseWriter for the handshake, net.protocols.UpgradeNegotiation for its attempts.
+    """Tunnel between a client and an endpoint, which implements ResponseWriter and UpgradeNegotiation.
+
+    It is the net.downstream.ResponseWriter of the handshake and the net.protocols.UpgradeNegotiation of the
+    handshake's attempts.
 
     Attributes:
-        downstream, opening, handshake: of the client's request, until the 101.
-        upstream_connection: to the endpoint, as the connection pool counts it.
-        notify_end: tells the policy the end, once.
+        downstream: Connection of the client's request, until the 101 response.
+        opening: Handshake fields of the client's request, until the 101 response.
+        handshake: Handshake with the endpoint, until the 101 response.
+        upstream_connection: Connection to the endpoint, as counted by the connection pool.
+        notify_end: Callback that reports the end of the stream to the policy; called once.
     """
 
     __slots__ = (
@@ -105,26 +112,26 @@
 
     @property
     def upstream(self) -> ConnectionPool | None:
-        """The endpoint's connection pool, while there is a connection."""
+        """Connection pool of the endpoint, while there is a connection."""
         return self.upstream_connection.pool if self.upstream_connection is not None else None
 
     # net.downstream.ResponseWriter
 
     def respond(self, code: int, headers: Any, body: bytes) -> None:
-        """Reject the client's handshake: no endpoint took it.
+        """Reject the client's handshake because no endpoint has accepted the handshake.
 
-        The connection stays HTTP, and ends, for what comes behind may be frames.
+        The connection stays HTTP and ends, because the client's further bytes may be frames.
         """
         self.listener.remove_session(self.client_address, self.tenant)
         self.downstream.respond(BAD_GATEWAY if code == OK else code, headers, body)
 
     def stream(self, _headers: Any, _length: int | None, source: Any) -> None:
-        """Reject the client's handshake: the endpoint answered something else."""
+        """Reject the client's handshake because the endpoint's response was not a 101."""
         source.discard()
         self.respond(BAD_GATEWAY, (), b"the node answered with no WebSocket\n")
 
     def has_client_left(self) -> bool:
-        """Tell whether the client has closed before the 101."""
+        """Return whether the client has closed the connection before the 101 response."""
         return self.downstream is not None and bool(self.downstream.has_client_left())
 
     # net.protocols.UpgradeNegotiation
@@ -135,12 +142,12 @@
         return self.handshake.request_headers(os.urandom(KEY_BYTES))
 
     def verify_response(self, headers: list[tuple[bytes, bytes]]) -> str | None:
-        """Return what is wrong with a 101; None: nothing."""
+        """Return the fault in the headers of a 101 response, or None if there is none."""
         assert self.handshake is not None
         return self.handshake.verify_response(headers)
 
     def client_disconnected(self) -> None:
-        """Take note that the client has left before the 101."""
+        """Release the place of the session because the client has disconnected before the 101 response."""
         self.listener.remove_session(self.client_address, self.tenant)
 
     def upgraded(
@@ -150,7 +157,7 @@
         surplus: bytes,
         on_end: Callable[[AttemptStatus], None],
     ) -> None:
-        """Start to forward: an endpoint has accepted the handshake."""
+        """Start to forward frames after an endpoint has accepted the handshake."""
         listener = self.listener
         transport = connection.transport
         opening = self.opening
@@ -196,7 +203,7 @@
     # Closing.
 
     def on_side_closed(self, side: TunnelSide, code: int, reason: str) -> None:
-        """Close the other side, and tell the policy what came of the stream."""
+        """Close the other side and report the outcome of the stream to the policy."""
         if side.is_client:
             self._close_endpoint(code, reason)
             self.report_end(AttemptStatus.OK)
@@ -218,7 +225,7 @@
         endpoint = self.endpoint_side.connection
         if client is None:
             return
-        if code == ABNORMAL:  # the endpoint is lost
+        if code == ABNORMAL:  # The connection to the endpoint is lost.
             client.close(SERVICE_RESTART, close_reason(self.listener.spread.next_delay()))
         elif endpoint is not None and endpoint.has_violated_protocol:
             client.close(INTERNAL_ERROR, "the node sent what can't be read")
@@ -226,7 +233,7 @@
             client.close(code, reason)
 
     def on_side_lost(self, side: TunnelSide) -> None:
-        """Take note that a side's connection has ended."""
+        """Release what belongs to a side whose connection has ended."""
         if side.is_client:
             self.listener.remove_session(self.client_address, self.tenant)
         elif self.upstream_connection is not None:
@@ -236,14 +243,14 @@
             upstream_connection.connection_lost(None)
 
     def report_end(self, status: AttemptStatus) -> None:
-        """Tell the policy the end of the stream, the first time."""
+        """Report the end of the stream to the policy; further calls have no effect."""
         notify_end = self.notify_end
         self.notify_end = None
         if notify_end is not None:
             notify_end(status)
 
     def on_ping_timeout(self, side: TunnelSide) -> None:
-        """Leave a half-open connection, and close the other side."""
+        """Abort a half-open connection and close the other side."""
         connection = side.connection
         if connection is None:
             return
@@ -257,9 +264,9 @@
         connection.abort()
 
     def close_for_drain(self, code: int) -> None:
-        """Close the tunnel, since its endpoint or this proxy drains; the client learns when to reconnect."""
+        """Close the tunnel for a drain; the client receives a reconnect delay in the close reason."""
         if self.client_side.connection is not None:
-            # And with it the endpoint's side, in on_side_closed.
+            # on_side_closed then closes the endpoint's side.
             self.client_side.connection.close(code, close_reason(self.listener.spread.next_delay()))
         endpoint = self.endpoint_side.connection
         if endpoint is not None:
--- a/tests/deadlines/test_chain.py
+++ b/tests/deadlines/test_chain.py
@@ -1,4 +1,4 @@
-"""The hard cases over real sidecars: a chain on loopback, judged by what its applications recorded."""
+"""Tests of deadline propagation over a chain of real sidecars, checked by its applications' records."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("extends_ids", [False, True])
 def test_budget_reaches_the_inner_tier_by_the_header_or_by_the_ids(extends_ids: bool) -> None:
-    """The application passes no deadline on, so its call would have its class's 1.5 s."""
+    """The application passes no deadline on, so a call without a budget would have its class's 1.5 s."""
 
     async def test() -> None:
         profile = replace(PROFILE, copies_budget_header=not extends_ids, extends_ids=extends_ids)
@@ -70,27 +70,27 @@
             deadlines: list[float] = []
             inner = host(chain, "nucleo").application
 
-            async def look(incoming: IncomingRequest) -> bool:
+            async def record_deadline(incoming: IncomingRequest) -> bool:
                 deadlines.append(incoming.deadline - time.monotonic())
                 return True
 
-            inner.handler = look
+            inner.handler = record_deadline
             assert await call(chain, budget=0.5) == 200 and 0.0 < deadlines[0] < 0.5
             assert violations(chain) == []
 
     run(test())
 
 
-def test_call_without_header_and_with_ids_of_its_own_is_as_without_budgets() -> None:
+def test_call_without_header_and_with_unrelated_ids_has_its_class_deadline() -> None:
     async def test() -> None:
         async with running_chain(2, 1, profile=replace(PROFILE, copies_budget_header=False)) as chain:
             deadlines: list[float] = []
 
-            async def look(incoming: IncomingRequest) -> bool:
+            async def record_deadline(incoming: IncomingRequest) -> bool:
                 deadlines.append(incoming.deadline - time.monotonic())
                 return True
 
-            host(chain, "nucleo").application.handler = look
+            host(chain, "nucleo").application.handler = record_deadline
             assert await call(chain, budget=0.5) == 200 and 0.5 < deadlines[0] < CLASSES["canje"].deadline
 
     run(test())
@@ -107,8 +107,7 @@
 
 
 def test_call_whose_deadline_passes_in_the_queue_is_never_started() -> None:
-    """One server with two slots, both taken by a paused application: the third waits, and its caller
-    leaves."""
+    """A paused application has both slots of the only server; a third call waits until its client leaves."""
 
     async def test() -> None:
         async with running_chain(2, 1, profile=PROFILE) as chain:
@@ -116,7 +115,8 @@
             inner.paused_until = time.monotonic() + 1.0
             codes = await asyncio.gather(*(call(chain, budget=0.4) for _ in range(5)))
             assert set(codes) <= {502, 503, 504}
-            await asyncio.sleep(1.0)  # until the pause is over: work for nobody would begin now
+            # The pause ends meanwhile; a call that was not abandoned would start now.
+            await asyncio.sleep(1.0)
             assert chain.late_attempts(0.02) == [] and executions(chain).total() == len(
                 [
                     a
@@ -145,7 +145,8 @@
                 lambda: all(a.ended_at < float("inf") for a in chain.deployment.recorder.attempts),
                 "all ended",
             )
-            assert time.monotonic() - started_at < 0.8  # not the end of the pause, nor of its time
+            # The attempts end before the end of the pause and before their deadline.
+            assert time.monotonic() - started_at < 0.8
             await asyncio.sleep(max(0.0, inner.paused_until - time.monotonic()) + 0.1)
             assert not any(
                 a.executed for a in chain.deployment.recorder.attempts if a.endpoint.startswith("nucleo")
@@ -159,7 +160,7 @@
         async with running_chain(2, 2, profile=PROFILE) as chain:
             inner = [host(chain, "nucleo", number).application for number in range(2)]
 
-            async def breaks(incoming: IncomingRequest) -> bool:
+            async def abort_connections(incoming: IncomingRequest) -> bool:
                 for application in inner:
                     for connection in list(application.connections):
                         if connection.transport is not None:
@@ -167,16 +168,15 @@
                 return True
 
             for application in inner:
-                application.handler = breaks
+                application.handler = abort_connections
             assert await call(chain) in (502, 504)
             assert executions(chain)["edge-00000001", "nucleo"] == 1 and violations(chain) == []
 
     run(test())
 
 
-def test_deadline_in_the_middle_of_a_retry_ends_it() -> None:
-    """Each attempt of a repeatable read is cut after 0.1 s: the one under way when the time is up is the
-    last."""
+def test_deadline_during_a_retry_ends_the_retry() -> None:
+    """Each attempt of a repeatable read ends after 0.1 s. The attempt at the deadline must be the last."""
 
     async def test() -> None:
         async with running_chain(2, 2, profile=PROFILE) as chain:
@@ -195,7 +195,7 @@
     run(test())
 
 
-def test_second_of_two_sequential_calls_has_what_the_first_left() -> None:
+def test_second_of_two_sequential_calls_has_the_time_left_by_the_first() -> None:
     async def test() -> None:
         profile = replace(
             PROFILE, requests_per_tier=2, service_time_by_tier={"portal": 0.004, "nucleo": 0.25}
@@ -203,11 +203,11 @@
         async with running_chain(2, 1, profile=profile) as chain:
             deadlines: list[float] = []
 
-            async def look(incoming: IncomingRequest) -> bool:
+            async def record_deadline(incoming: IncomingRequest) -> bool:
                 deadlines.append(incoming.deadline - time.monotonic())
                 return True
 
-            host(chain, "nucleo").application.handler = look
+            host(chain, "nucleo").application.handler = record_deadline
             assert await call(chain, budget=1.0) == 200
             assert deadlines[0] - deadlines[1] >= 0.25 and deadlines[0] < 0.76
 
@@ -220,7 +220,7 @@
         async with running_chain(tiers, 1, misroute=True) as chain:
             assert await call(chain) != 200
             assert max(chain.depth(a.request_id) for a in chain.deployment.recorder.attempts) <= 3
-            assert max(executions(chain).values()) == 1  # no tier executed it twice
+            assert max(executions(chain).values()) == 1  # No tier executed the request twice.
             await until(chain.reported_loops, "the path is logged")
             logs = [host.log_file.read_text() for host in chain.deployment.hosts]
             log = next(text for text in logs if ": loop_rejected path=" in text)
@@ -234,7 +234,7 @@
         async with running_chain(2, 2, skew=True, profile=PROFILE) as chain:
             started_at = time.monotonic()
             codes: list[int] = []
-            while time.monotonic() < started_at + 2.5:  # the step comes after 2 s
+            while time.monotonic() < started_at + 2.5:  # The clock steps after 2 s.
                 codes += await asyncio.gather(*(call(chain, cls) for cls in CLASSES))
             assert set(codes) == {200} and violations(chain) == []
 
@@ -242,7 +242,7 @@
 
 
 def test_keys_are_rotated_while_calls_go_on() -> None:
-    """What the module refuses on a busy machine is its own matter; no call may lose its budget to a key."""
+    """Rejections on a busy machine don't matter here, but no call may lose its budget because of a key."""
 
     async def test() -> None:
         async with running_chain(2, 1, profile=PROFILE) as chain:
@@ -256,24 +256,26 @@
                     ProxyProcess(host.process, parse_address(host.sidecar.inbound), host.log_file)
                 )
 
-            async def served(more: int) -> None:
-                wanted = clients.status_codes[200] + more
-                await until(lambda: clients.status_codes[200] >= wanted, "calls with these keys")
+            async def wait_for_served_calls(more: int) -> None:
+                target_count = clients.status_codes[200] + more
+                await until(lambda: clients.status_codes[200] >= target_count, "calls with these keys")
 
             async def rotate(text: str) -> None:
                 chain.key_file.write_text(text)
                 for program in programs:
                     program.process.send_signal(signal.SIGHUP)
-                    for _ in range(2):  # what is asked after the signal may share one turn with it, not two
+                    # A request after the signal may be processed in the signal's loop iteration; a second
+                    # request can't be.
+                    for _ in range(2):
                         await until(program.is_ready, "an answer after the signal")
-                    await served(3)  # while some have these keys and others don't
+                    await wait_for_served_calls(3)  # Some processes have the new keys and others do not.
 
             old = chain.key_file.read_text()
             new = "k2 " + "cd" * 16 + "\n"
             calling = asyncio.create_task(clients.run(30.0, 60.0, wait_and_close=False))
             for text in (old + new, new + old, new):
                 await rotate(text)
-            await served(20)
+            await wait_for_served_calls(20)
             calling.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await calling
--- a/tests/deadlines/test_correlation.py
+++ b/tests/deadlines/test_correlation.py
@@ -1,4 +1,4 @@
-"""The correlation table: by reference, id and key, in this order; retention and eviction."""
+"""Tests of the correlation table: precedence of reference, id and key; retention and eviction."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
     assert table.find(None, call, b"", "stock") is None
 
 
-def test_longest_matching_id_wins() -> None:
+def test_longest_matching_id_is_found() -> None:
     table = CorrelationTable()
     add_request(table, "short", b"ab")
     longer = add_request(table, "long", b"ab.1")
     assert table.find(None, b"ab.1.2", b"", "stock") is longer
 
 
-def test_key_counts_while_exactly_one_open_request_of_the_class_has_it() -> None:
+def test_key_finds_the_only_open_request_of_the_class_with_it() -> None:
     table = CorrelationTable()
     one = add_request(table, "r1", b"a", b"key", "reserva")
     assert table.find(None, b"zz", b"key", "reserva") is one
     assert table.find(None, b"zz", b"key", "otro") is None
-    two = add_request(table, "r2", b"b", b"key", "reserva")  # a client's retry: a new id with the same key
+    two = add_request(table, "r2", b"b", b"key", "reserva")  # A client's retry has a new id and the same key.
     assert table.find(None, b"zz", b"key", "reserva") is None
     table.end(one, 1.0)
     assert table.find(None, b"zz", b"key", "reserva") is two
@@ -72,7 +72,7 @@
     assert not table.by_request_id and not table.by_key and not table.ended and not table.open
 
 
-def test_full_table_evicts_first_what_ended_first_then_the_oldest() -> None:
+def test_full_table_evicts_the_first_ended_request_then_the_oldest_open_one() -> None:
     table = CorrelationTable(max_requests=3)
     one, two, three = (add_request(table, f"r{n}", b"call%d" % n, b"k%d" % n) for n in range(3))
     table.end(two, 1.0)
@@ -81,7 +81,7 @@
     add_request(table, "r4", b"call4")
     assert table.find("r0", b"", b"", "stock") is None and table.find("r2", b"", b"", "stock") is three
     assert (len(table), table.evicted_count) == (3, 2)
-    table.end(one, 2.0)  # it was evicted: nothing to end
+    table.end(one, 2.0)  # The request was evicted, so there is nothing to end.
     assert len(table) == 3 and len(table.by_request_id) == 3
 
 
@@ -92,9 +92,9 @@
     assert table.find(None, b"a" * (MAX_ID_BYTES + 1), b"", "stock") is None
 
 
-def test_shared_id_belongs_to_the_later_request_and_survives_the_first_ones_end() -> None:
+def test_shared_id_finds_the_later_request_after_the_first_is_evicted() -> None:
     table = CorrelationTable(max_requests=2)
     add_request(table, "r1", b"ab")
     later = add_request(table, "r2", b"ab")
-    add_request(table, "r3", b"cd")  # evicts r1
+    add_request(table, "r3", b"cd")  # This request evicts r1.
     assert table.find(None, b"ab", b"", "stock") is later
--- a/tests/deadlines/test_deadline_filters.py
+++ b/tests/deadlines/test_deadline_filters.py
@@ -1,4 +1,4 @@
-"""The inbound and outbound filters: received budgets, correlation, what is sent and what answers report."""
+"""Tests of the inbound and outbound filters: received and sent budgets, correlation, reported usage."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 
 
 def do_nothing() -> None:
-    """Give up a call without effect."""
+    """Abandon a call without effect."""
 
 
 class SidecarFilters:
-    """The budgets of one sidecar: `inner` before its application, `outer` towards the tier that it calls."""
+    """Filters of one sidecar: `inbound` before its application, `outbound` towards the tier that it calls."""
 
     def __init__(
         self, folder: Path, hop_id: str = "portal", upstream_hop_id: str = "nucleo", **changes: Any
@@ -62,7 +62,7 @@
         self.outbound = OutboundFilter(self.propagation, upstream_hop_id, CLASSES, 3)
 
     def request(self, value: bytes | None, **more: Any) -> InboundRequestState:
-        """Return the state of a request with this value that is handed to the application."""
+        """Return the state of an incoming request with this header value."""
         state = self.inbound.on_request(request(value=value, **more), do_nothing)
         assert isinstance(state, InboundRequestState), state
         return state
@@ -86,13 +86,13 @@
     value: bytes | None = None,
     values: tuple[bytes, ...] = (),
 ) -> Request:
-    """A request as the listener reads it, with these values of Tier-Budget."""
+    """Return a request as the listener parses it, with these values of Tier-Budget."""
     headers = [(b"host", b"x"), (b"x-call-id", id), (b"x-budget", b"%dm" % (budget * 1000))]
     if cls == "reserva":
         headers.append((b"idempotency-key", key or id))
     headers += [(header.FIELD_NAME, one) for one in values or (() if value is None else (value,))]
     method = b"GET" if cls == "stock" else b"POST"
-    made = parse_request(
+    parsed = parse_request(
         method,
         b"/" + cls.encode(),
         headers,
@@ -101,8 +101,8 @@
         IDEMPOTENCY,
         InboundFilter.consumed_headers,
     )
-    assert header.FIELD_NAME not in made.head
-    return made
+    assert header.FIELD_NAME not in parsed.head
+    return parsed
 
 
 def received_value(
@@ -123,14 +123,14 @@
 def start_attempt(
     state: OutboundCallState, timeout: float = 5.0, id: bytes = b"9b1f03aa5c7e2d41"
 ) -> BudgetHeader:
-    """Start the next attempt; return the budget that it carries."""
+    """Start the next attempt; return the budget in the attempt's header."""
     lines = state.on_attempt_start(timeout)
     assert lines is not None
     return header.decode_budget(lines.removeprefix(b"tier-budget: ").removesuffix(b"\r\n"), id, KEYS)
 
 
 class EndedAttempt:
-    """An upstream attempt that ended so."""
+    """Upstream attempt that has ended with this response."""
 
     def __init__(self, code: int = 200, value: bytes | None = None, elapsed: float = 0.1) -> None:
         self.status_code = code
@@ -259,7 +259,8 @@
         state = sidecar.call(None, id=b"abc.1", cls="stock")
     else:
         state = sidecar.call(None, id=b"x", cls="reserva", key=b"K")
-    assert state.budget.parent is inner.budget and state.max_attempts == 3  # of 6, for the first of 2 calls
+    # Half of 6 attempts, because the call is the first of 2.
+    assert state.budget.parent is inner.budget and state.max_attempts == 3
     assert state.deadline == inner.deadline and state.weight_share == pytest.approx(
         5.0 / CLASSES[state.request_class.name].priority_weight
     )
@@ -294,7 +295,7 @@
     reference = sidecar.reference(inner)
     first = sidecar.call(reference, id=b"1")
     start_attempt(first, id=b"1")
-    end_attempt(first, EndedAttempt(0), AttemptStatus.RESET)  # with what it was granted
+    end_attempt(first, EndedAttempt(0), AttemptStatus.RESET)  # The attempt used its whole grant.
     assert first.max_attempts == 2 and first.on_attempt_start(1.0) is None
     first.on_request_end(True)
     second = sidecar.call(reference, id=b"2")
@@ -307,19 +308,21 @@
     one = sidecar.request(received_value(b"one"), id=b"one", cls="reserva", key=b"K")
     two = sidecar.request(received_value(b"two", time_left=0.7), id=b"two", cls="reserva", key=b"K")
     references = sidecar.reference(one), sidecar.reference(two)
-    assert sidecar.call(None, id=b"x", cls="reserva", key=b"K").budget.parent is None  # of which? unknown
+    # Two open requests have the key, so the call's request is unknown.
+    assert sidecar.call(None, id=b"x", cls="reserva", key=b"K").budget.parent is None
     assert sidecar.call(references[1], id=b"y", cls="reserva", key=b"K").budget.parent is two.budget
     one.on_request_end(False)
     assert sidecar.call(None, id=b"z", cls="reserva", key=b"K").budget.parent is two.budget
 
 
-# What is sent, and what answers report.
+# Sent budgets and reported usage.
 def test_remaining_time_on_the_wire_is_reduced_by_the_transit_time(tmp_path: Path) -> None:
     edge = SidecarFilters(tmp_path, "edge", edge=True)
     for _ in range(200):
         state = edge.call(None)
         start_attempt(state)
-        end_attempt(state, EndedAttempt(200, header.encode_usage(1, 0.060), 0.100))  # 20 ms each way
+        # The transit takes 20 ms each way.
+        end_attempt(state, EndedAttempt(200, header.encode_usage(1, 0.060), 0.100))
     budget = start_attempt(edge.call(None), 1.0)
     assert 0.96 < budget.remaining_time < 0.98
 
@@ -330,8 +333,9 @@
         (EndedAttempt(200, header.encode_usage(1, 0.05)), AttemptStatus.OK, 10),
         (EndedAttempt(503, header.encode_usage(0, 0.0)), AttemptStatus.REJECTED, 11),
         (EndedAttempt(500, header.encode_usage(6, 0.05)), AttemptStatus.ERROR, 5),
-        (EndedAttempt(200), AttemptStatus.OK, 11),  # a receiver of a version without budgets
-        (EndedAttempt(200, b"1;s=7;q=1"), AttemptStatus.OK, 11),  # more than it was granted: not believed
+        (EndedAttempt(200), AttemptStatus.OK, 11),  # The receiver has a version without budgets.
+        # A report of more attempts than were granted is ignored.
+        (EndedAttempt(200, b"1;s=7;q=1"), AttemptStatus.OK, 11),
         (EndedAttempt(0), AttemptStatus.RESET, 5),
         (EndedAttempt(0), AttemptStatus.TIMEOUT, 5),
         (EndedAttempt(0), AttemptStatus.CANCELLED, 5),
@@ -379,13 +383,13 @@
     abandoned: list[str] = []
     out = sidecar.call(sidecar.reference(inner), lambda: abandoned.append("out"), id=b"1")
     inner.on_request_end(True)
-    assert abandoned == [] and out.on_attempt_start(1.0) is None  # but it starts no attempt
+    assert abandoned == [] and out.on_attempt_start(1.0) is None  # A further attempt is not started.
 
 
 def test_weight_falls_after_the_outermost_latency_objective(tmp_path: Path) -> None:
     sidecar = SidecarFilters(tmp_path)
     inner = sidecar.request(received_value(remaining_objective=0.0, priority_weight=4.0))
-    assert inner.weight_share == pytest.approx(0.2)  # a twentieth of 4
+    assert inner.weight_share == pytest.approx(0.2)  # One twentieth of 4.
     assert sidecar.call(sidecar.reference(inner), id=b"x").weight_share == pytest.approx(0.2)
 
 
@@ -400,7 +404,7 @@
     assert shares == [1.0, 2.0, 2.0]
 
 
-def test_weight_counts_at_the_earliest_usual_end(tmp_path: Path) -> None:
+def test_weight_is_taken_at_the_earliest_usual_end(tmp_path: Path) -> None:
     sidecar = SidecarFilters(tmp_path)
     for _ in range(MIN_SAMPLES):
         sidecar.inbound.latencies["canje"].record(0.4)
@@ -478,7 +482,7 @@
 
 
 def test_package_never_reads_the_wall_clock() -> None:
-    """A clock that steps by an hour can't matter."""
+    """Deadlines must not depend on the wall clock, because it can step by an hour."""
     files = list((Path(__file__).parent.parent.parent / "service_proxy" / "deadlines").glob("*.py"))
     assert {"propagation.py", "inbound.py", "outbound.py"} <= {file.name for file in files}
     for file in files:
--- a/tests/deadlines/test_ends.py
+++ b/tests/deadlines/test_ends.py
@@ -1,6 +1,6 @@
-"""Deadlines at a plain proxy with [budgets] on.
+"""Tests of deadlines at a plain proxy with [budgets].
 
-While connecting, before the answer, beyond the window in which a keyed request may be retried, and when its
+The deadline passes during the connect or before the answer, the retry window of a keyed request ends, or the
 client leaves.
 """
 
@@ -46,29 +46,29 @@
     discovery.server.close()
 
 
-async def caller_of(program: ProxyProcess) -> Client:
+async def connect_client(program: ProxyProcess) -> Client:
     return Client(*await asyncio.open_connection(*program.address))
 
 
 def test_deadline_while_connecting_is_a_rejection_and_nothing_was_sent() -> None:
-    """The listener's queue is full, so a connect neither comes up nor fails."""
+    """The listener's queue is full, so a connect neither succeeds nor fails."""
 
     async def test() -> None:
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
-            fill = [socket.socket() for _ in range(4)]
-            for one in fill:
+            queue_fillers = [socket.socket() for _ in range(4)]
+            for one in queue_fillers:
                 one.setblocking(False)
                 one.connect_ex(listener.getsockname())
-            at = f"127.0.0.1:{listener.getsockname()[1]}"
+            listener_address = f"127.0.0.1:{listener.getsockname()[1]}"
             limits = {**SETTINGS["policy_limits"], "connect_timeout": 5.0, "probes": False}
-            async with edge([at], policy_limits=limits) as program:
-                caller = await caller_of(program)
+            async with edge([listener_address], policy_limits=limits) as program:
+                caller = await connect_client(program)
                 started_at = time.monotonic()
                 assert (await caller.request("canje", "a" * 16, budget="300m")).status_code == 503
                 assert time.monotonic() - started_at < 0.5
-            for one in fill:
+            for one in queue_fillers:
                 one.close()
 
     run_async(test())
@@ -77,16 +77,16 @@
 @pytest.mark.parametrize("cls", ["stock", "canje"])
 def test_deadline_before_the_answer_ends_the_attempt_and_starts_no_other(cls: str) -> None:
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-            """It has the last byte, and says nothing."""
+        async def handle_request(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            """Receive the request and send no response."""
 
-        backend = await EndpointServer(behave).start()
+        backend = await EndpointServer(handle_request).start()
         async with edge([backend.address]) as program:
-            caller = await caller_of(program)
+            caller = await connect_client(program)
             code = (await caller.request(cls, "a" * 16, budget="400m")).status_code
             assert code in (502, 504) or (code == 503 and cls == "stock")
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                await backend.closed_connections.get()  # the attempt is given up on the wire, too
+                await backend.closed_connections.get()  # The attempt's connection is closed as well.
             count = backend.received_count
             await asyncio.sleep(0.4)
             assert backend.received_count == count and (count == 1 or cls == "stock")
@@ -97,14 +97,14 @@
 
 def test_unsafe_call_whose_client_left_after_it_may_have_run_runs_no_second_time() -> None:
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def handle_request(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
-            writer.transport.abort()  # after the caller has gone
+            writer.transport.abort()  # The client has left before.
 
-        one = await EndpointServer(behave).start()
-        two = await EndpointServer(behave).start()
+        one = await EndpointServer(handle_request).start()
+        two = await EndpointServer(handle_request).start()
         async with edge([one.address, two.address]) as program:
-            caller = await caller_of(program)
+            caller = await connect_client(program)
             caller.send("canje", "a" * 16, budget="5000m")
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while one.received_count + two.received_count == 0:
@@ -112,7 +112,7 @@
             caller.writer.transport.abort()
             await asyncio.sleep(0.5)
             assert one.received_count + two.received_count == 1
-            assert (await (await caller_of(program)).request("nosuch", "b" * 16)).status_code == 404
+            assert (await (await connect_client(program)).request("nosuch", "b" * 16)).status_code == 404
         await one.stop()
         await two.stop()
 
@@ -123,10 +123,10 @@
 def test_keyed_call_is_retried_only_within_its_window_whatever_its_budget_has_left(
     window: float, attempts: int
 ) -> None:
-    """Its connection breaks 0.4 s after it may have run; the budget has more than 3 s then."""
+    """The connection breaks 0.4 s after the call may have run, when the budget has more than 3 s left."""
 
     async def test() -> None:
-        async def behave(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def handle_request(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if backend.received_count == 1:
                 await asyncio.sleep(0.4)
                 writer.transport.abort()
@@ -137,9 +137,9 @@
         for grade in grades:
             if grade["name"] == "reserva":
                 grade["window"] = window
-        backend = await EndpointServer(behave).start()
+        backend = await EndpointServer(handle_request).start()
         async with edge([backend.address], grades=grades) as program:
-            caller = await caller_of(program)
+            caller = await connect_client(program)
             caller.send("reserva", "a" * 16, budget="4000m")
             await next_request(backend)
             code = (await caller.response()).status_code
--- a/tests/deadlines/test_header.py
+++ b/tests/deadlines/test_header.py
@@ -1,4 +1,4 @@
-"""The header: byte by byte, and everything that is malformed."""
+"""Tests of the budget header: its bytes, and malformed values."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     value = encode_budget(BUDGET, REQUEST_ID, KEYS)
     head, _, mac = value.rpartition(b";m=")
     assert head == b"1;t=1200000;o=500000;a=4;w=12000;c=stock;p=edge.portal;i=00ff00ff00ff00ff;k=k1"
-    # By another implementation: printf '%s\n%s' HEAD CALL | openssl dgst -sha256 -hmac KEY
+    # Computed with another implementation: printf '%s\n%s' HEAD CALL | openssl dgst -sha256 -hmac KEY
     assert mac == b"c57e680af3485ef249d5e34ef7688a5c"
 
 
@@ -160,7 +160,7 @@
     [
         (b"1;s=3;q=81000", 4, (3, 0.081)),
         (b"1;s=0;q=0", 0, (0, 0.0)),
-        (b"1;s=5;q=81000", 4, None),  # more than it was granted: not believed
+        (b"1;s=5;q=81000", 4, None),  # A report of more attempts than were granted is ignored.
         (b"1;s=-1;q=1", 4, None),
         (b"1;s=1", 4, None),
         (b"", 4, None),
@@ -185,11 +185,12 @@
         (("edge",), "portal", 1, False),
         (("edge", "portal", "nucleo"), "portal", 1, True),
         (("a", "b", "c"), "a", 1, True),
-        (("edge", "portal", "nucleo"), "common", 1, False),  # a diamond: each branch has it once
+        # In a diamond, the path of each branch has the tier once.
+        (("edge", "portal", "nucleo"), "common", 1, False),
         (("edge", "portal", "common"), "common", 1, True),
-        (("edge", "common", "portal"), "common", 2, False),  # where the operator allows it twice
+        (("edge", "common", "portal"), "common", 2, False),  # The operator's settings allow two passes.
         (("edge", "common", "portal", "common"), "common", 2, True),
-        (tuple("abcdefgh"), "i", 1, True),  # longer than any chain may be
+        (tuple("abcdefgh"), "i", 1, True),  # The path already has the largest number of hops.
     ],
 )
 def test_hop_limit(path: tuple[str, ...], hop_id: str, max_passes: int, is_loop: bool) -> None:
--- a/tests/deadlines/test_latency_estimate.py
+++ b/tests/deadlines/test_latency_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of a class's latency and of the transit time."""
+"""Tests of the estimates of a class's latency and of the transit time."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         transit.record(0.120, 0.100)
     assert transit.mean == pytest.approx(0.010, rel=0.01)
     for _ in range(200):
-        transit.record(0.1, 0.2)  # it reports a longer time than the exchange took
+        transit.record(0.1, 0.2)  # The receiver reports a longer time than the exchange took.
     assert transit.mean == pytest.approx(0.0, abs=1e-3)
     for _ in range(200):
         transit.record(60.0, 0.0)
--- a/tests/deadlines/test_request_budget.py
+++ b/tests/deadlines/test_request_budget.py
@@ -1,4 +1,4 @@
-"""The tree of budgets: no attempt is created, none goes below zero, each is debited once."""
+"""Tests of the tree of budgets: no attempt is created or negative, and each attempt is debited once."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert (budget.spent, grant.attempts, budget.available) == (1, 6, 5)
     grant.settle(1, False)
     assert (budget.spent, budget.reserved, budget.available) == (2, 0, 10)
-    grant.settle(3, False)  # a second report of the same attempt is ignored
+    grant.settle(3, False)  # A second report of the same attempt is ignored.
     assert budget.available == 10
 
 
@@ -45,8 +45,8 @@
     [
         (0, False, 11),
         (2, False, 9),
-        (None, False, 11),  # answered without a report: knows of no budgets
-        (None, True, 5),  # no answer, may have run: work may go on below
+        (None, False, 11),  # Answer without a report: the receiver does not support budgets.
+        (None, True, 5),  # No answer, but the attempt may have run: work may continue below.
         (2, True, 9),
     ],
 )
@@ -70,7 +70,7 @@
     assert second is not None and second.allowance == 2 and budget.available == 0
     start_attempt(second)
     second.close()
-    assert (budget.spent, budget.available) == (4, 0)  # what is granted at its end counts as spent
+    assert (budget.spent, budget.available) == (4, 0)  # Attempts still granted at the end count as spent.
 
 
 @pytest.mark.parametrize(
@@ -109,7 +109,7 @@
     assert budget.allocate_child(2, 9.999) is not None and budget.allocate_child(2, 10.0) is None
 
 
-def test_little_weight_is_left_after_the_latency_objective() -> None:
+def test_late_weight_share_applies_after_the_latency_objective() -> None:
     budget = outermost(9, objective_at=5.0)
     child = budget.allocate_child(1, 0.0)
     assert child is not None
@@ -128,10 +128,10 @@
     assert child.allocate_child(1, 0.0) is None
     spent = budget.spent
     grant.settle(0, False)
-    assert budget.spent == spent == grandchild.spent == 1 + grant.attempts  # what was granted counts as spent
+    assert budget.spent == spent == grandchild.spent == 1 + grant.attempts  # Granted attempts count as spent.
 
 
-def test_closing_twice_returns_nothing_twice() -> None:
+def test_closing_twice_returns_the_attempts_once() -> None:
     budget = outermost(6)
     child = budget.allocate_child(1, 0.0)
     assert child is not None and child.allowance == 6
--- a/tests/websocket/test_codec.py
+++ b/tests/websocket/test_codec.py
@@ -1,4 +1,4 @@
-"""The frame codec, without a socket: limits, violations, deflate, and seeded fuzzing."""
+"""Tests of the frame codec without a socket: limits, violations, deflate, and seeded fuzzing."""
 
 from __future__ import annotations
 
@@ -57,10 +57,11 @@
         (frame(8, struct.pack("!H", 1005)), 1002),
         (frame(8, struct.pack("!H", 999)), 1002),
         (frame(8, struct.pack("!H", 1000) + b"\xff"), 1007),
-        (frame(1, length=b"\x7e\x00\x05"), 1002),  # 5 bytes need no extended length
+        (frame(1, length=b"\x7e\x00\x05"), 1002),  # A payload of 5 bytes must not use the extended length.
         (frame(1, length=b"\x7f" + struct.pack("!Q", 500)), 1002),
         (frame(1, length=b"\x7f" + struct.pack("!Q", 1 << 63)), 1002),
-        (frame(2, length=b"\x7f" + struct.pack("!Q", 1 << 62)), 1009),  # known by its header alone
+        # The header alone announces a message that is too long.
+        (frame(2, length=b"\x7f" + struct.pack("!Q", 1 << 62)), 1009),
         (frame(2, b"x" * 600, fin=False) + frame(0, b"x" * 401), 1009),
         (frame(2, fin=False) + frame(0, fin=False) * MAX_FRAGMENTS, 1008),
     ],
@@ -78,7 +79,7 @@
     assert sum(fragment.is_last for fragment in fragments) == 3
 
 
-def test_a_character_may_lie_across_fragments_and_pings_between_them() -> None:
+def test_fragments_may_split_a_character_and_have_pings_between_them() -> None:
     codec = FrameCodec(False, 1000)
     codec.receive(frame(1, b"a\xc3", fin=False) + frame(9, b"p") + frame(0, b"\xb1") + frame(10, b"q"))
     events = list(codec.events())
@@ -97,7 +98,7 @@
     assert len(list(codec.events())) >= 2
 
 
-def test_one_byte_at_a_time_reads_the_same() -> None:
+def test_frames_received_byte_by_byte_decode_the_same() -> None:
     data = (
         frame(1, b"hola", fin=False)
         + frame(9)
@@ -136,9 +137,9 @@
     assert set(TRANSITIONS) == set(product(ClosingState, ClosingEvent))
     for (state, _), (after, action) in TRANSITIONS.items():
         states = list(ClosingState)
-        assert states.index(after) >= states.index(state)  # no transition goes back
+        assert states.index(after) >= states.index(state)  # No transition returns to an earlier state.
         sends = action in (ClosingAction.SEND_CLOSE, ClosingAction.ECHO_CLOSE, ClosingAction.SEND_ERROR)
-        assert not sends or state is ClosingState.OPEN  # one close frame, ever
+        assert not sends or state is ClosingState.OPEN  # At most one close frame is sent.
         assert action is not ClosingAction.SEND_CLOSE or after is ClosingState.CLOSING
     for state, events in product(ClosingState, product(ClosingEvent, repeat=4)):
         sent = 0
@@ -148,12 +149,12 @@
         assert sent <= 1
 
 
-# deflate
+# Tests of permessage-deflate.
 @pytest.mark.parametrize(
     ("offer", "bits", "agreed"),
     [
         (b"permessage-deflate", 15, DeflateParameters(15, 15)),
-        (b"permessage-deflate", 11, None),  # the client offers no smaller window
+        (b"permessage-deflate", 11, None),  # The client's offer does not allow a smaller window.
         (b"permessage-deflate; client_max_window_bits", 11, DeflateParameters(11, 11)),
         (
             b"permessage-deflate; client_max_window_bits=9; server_max_window_bits=10",
@@ -207,7 +208,8 @@
 @pytest.mark.parametrize(
     ("data", "code"),
     [
-        (frame(2, compress(b"\0" * 60_000), rsv=4), 1009),  # over 50 times what was received
+        # The message expands to more than 50 times its received bytes.
+        (frame(2, compress(b"\0" * 60_000), rsv=4), 1009),
         (frame(0, b"", rsv=4), 1002),
         (frame(9, b"", rsv=4), 1002),
         (frame(2, b"\xff\xff\xff", rsv=4), 1007),
@@ -222,7 +224,7 @@
 
 
 def test_a_decompression_bomb_never_exceeds_the_memory_limit() -> None:
-    data = compress(b"\0" * (40 << 20))  # 40 MB in 40 kB
+    data = compress(b"\0" * (40 << 20))  # 40 MB compressed to 40 kB.
     codec = deflate_codec(ratio=1032.0, max_bytes=256 * 1024)
     tracemalloc.start()
     try:
--- a/tests/websocket/test_handshake.py
+++ b/tests/websocket/test_handshake.py
@@ -1,4 +1,4 @@
-"""The opening handshake as server and as client, without a socket."""
+"""Tests of the opening handshake as server and as client, without a socket."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     parse_opening,
 )
 
-KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # RFC 6455, 1.3
+KEY = b"dGhlIHNhbXBsZSBub25jZQ=="  # Example key of RFC 6455, 1.3.
 VALID_HEADERS = (
     (b"host", b"x"),
     (b"upgrade", b"websocket"),
@@ -28,7 +28,7 @@
 
 
 def headers_with(**fields: bytes | None) -> list[tuple[bytes, bytes]]:
-    """Return VALID_HEADERS with these fields replaced; None removes one."""
+    """Return VALID_HEADERS with these fields replaced; None removes a field."""
     names = {name.replace("_", "-").encode(): value for name, value in fields.items()}
     unchanged = [pair for pair in VALID_HEADERS if pair[0] not in names]
     return unchanged + [(name, value) for name, value in names.items() if value is not None]
@@ -122,7 +122,7 @@
     return list(headers.items())
 
 
-def test_an_endpoints_101_must_prove_that_it_read_the_key() -> None:
+def test_an_endpoints_101_must_match_the_sent_key() -> None:
     handshake = ClientHandshake((b"a",))
     lines = handshake.request_headers(b"n" * 16)
     assert b"sec-websocket-key: " + base64.b64encode(b"n" * 16) + b"\r\n" in lines
@@ -140,5 +140,5 @@
     ):
         assert handshake.verify_response(response_headers(handshake, **wrong)), wrong
     previous = response_headers(handshake)
-    handshake.request_headers(b"m" * 16)  # the next attempt has its own key
+    handshake.request_headers(b"m" * 16)  # The next attempt has its own key.
     assert handshake.verify_response(previous)
--- a/tests/websocket/test_listener.py
+++ b/tests/websocket/test_listener.py
@@ -1,4 +1,4 @@
-"""Limits over all sessions, the end of a tunnel, and the scripted faults of the test endpoint."""
+"""Tests of the limits over all sessions, the end of a tunnel, and the test endpoint's scripted faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class BufferingConnection:
-    """A connection as far as WebSocketListener.on_write knows it."""
+    """Connection with only the parts that WebSocketListener.on_write uses."""
 
     def __init__(self, buffered_bytes: int) -> None:
         self.buffered_bytes = buffered_bytes
@@ -38,7 +38,7 @@
 
 
 class UnreadConnection(BufferingConnection):
-    """A connection whose other side reads nothing."""
+    """Connection whose peer reads nothing."""
 
     def __init__(self) -> None:
         super().__init__(0)
@@ -64,7 +64,7 @@
     connections[0].buffered_bytes = 350
     listener.on_write(connections[0])
     assert listener.unread_bytes == 950
-    connections[2].buffered_bytes = 260  # 1,010 in all
+    connections[2].buffered_bytes = 260  # The total is 1,010 bytes.
     listener.on_write(connections[2])
     assert [connection.close_code for connection in connections] == [0, 1008, 0]
     assert listener.unread_bytes == 610
@@ -114,7 +114,7 @@
 def test_the_policy_is_notified_once_of_the_end_of_a_tunnel(
     end: Callable[[Tunnel], None], status: AttemptStatus
 ) -> None:
-    """It counts the sessions of an endpoint until then."""
+    """A repeated or missing notification would falsify the policy's count of an endpoint's sessions."""
     tunnel = Tunnel.__new__(Tunnel)
     notified = list[AttemptStatus]()
     tunnel.client_side, tunnel.endpoint_side = TunnelSide(tunnel, True), TunnelSide(tunnel, False)
@@ -130,7 +130,7 @@
 
 
 def test_messages_are_subject_to_deadline_propagation(tmp_path: Path) -> None:
-    """The filters see a message as a request: one with less time than its class takes is rejected unsent."""
+    """A message is a request for the filters: one with less time than its class takes is rejected unsent."""
     keys = tmp_path / "keys"
     keys.touch(0o600)
     keys.write_text("k1 " + "ab" * 16 + "\n")
--- a/tests/websocket/test_messages.py
+++ b/tests/websocket/test_messages.py
@@ -1,4 +1,4 @@
-"""Message mode through a running proxy: each accepted message has exactly one outcome, whatever fails."""
+"""Tests of message mode through a running proxy: one outcome per accepted message in any failure."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
 
 
 def test_a_repeat_of_an_id_is_the_same_message() -> None:
-    """While it is open, and after: one request, and the outcome under one number."""
+    """A repeated id, sent before or after the outcome, must not cause a second request or a second number."""
 
     async def test() -> None:
         async with running_websocket_proxy(service_time=0.3) as deployment:
@@ -120,7 +120,7 @@
             assert await client.read_json() == first
             assert first["outcome"] == "served"
             send_request(client, "b")
-            assert (await client.read_json())["id"] == "b"  # no second outcome of a
+            assert (await client.read_json())["id"] == "b"  # The message `a` has no second outcome.
             assert len(attempts(deployment, "a")) == 1
 
     run_test(test())
@@ -142,7 +142,7 @@
     run_test(test())
 
 
-def test_clients_of_message_mode_do_not_see_an_endpoint_drain() -> None:
+def test_an_endpoint_drain_does_not_affect_clients_of_message_mode() -> None:
     async def test() -> None:
         async with running_websocket_proxy(
             endpoint_count=2, config=UNLIMITED, service_time=0.02
@@ -166,7 +166,7 @@
 
 
 async def keep_sending(client_pool: WebSocketClientPool, seconds: float) -> None:
-    """Send the usual mix of classes, one message after another over all clients."""
+    """Send the usual mix of classes over all clients, one message after another."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         for client in client_pool.clients:
@@ -174,7 +174,7 @@
         await asyncio.sleep(0.1)
 
 
-def test_an_unsafe_message_whose_endpoint_dies_fails_once() -> None:
+def test_an_unsafe_message_whose_endpoint_is_lost_fails_once() -> None:
     async def test() -> None:
         async with running_websocket_proxy(
             endpoint_count=2, config=UNLIMITED, service_time=5.0
@@ -195,7 +195,7 @@
     run_test(test())
 
 
-def test_a_keyed_message_whose_endpoint_dies_is_retried_in_its_zone_alone() -> None:
+def test_a_keyed_message_whose_endpoint_is_lost_is_retried_only_in_its_zone() -> None:
     async def test() -> None:
         async with running_websocket_proxy(
             endpoint_count=3, config=UNLIMITED, service_time=0.6
@@ -228,7 +228,7 @@
 
 
 def test_an_outcome_pending_at_a_disconnect_is_sent_on_the_sessions_next_connection() -> None:
-    """The first connection is reset while the endpoint works on the message."""
+    """The client's connection is reset while the endpoint processes the message."""
 
     async def test() -> None:
         async with running_websocket_proxy(config=UNLIMITED, service_time=0.4) as deployment:
@@ -267,9 +267,9 @@
             two, greeting = await open_session(deployment, resume_query(opened, 1))
             assert (await two.read_json())["n"] == 2
             three, greeting = await open_session(deployment, resume_query(opened, 2))
-            assert (await two.read_close())[0] == 1008  # its session is on another connection
+            assert (await two.read_close())[0] == 1008  # The session was resumed on another connection.
             send_request(three, "c")
-            assert (await three.read_json())["id"] == "c"  # no outcome was sent again
+            assert (await three.read_json())["id"] == "c"  # No outcome was sent again.
 
     run_test(test())
 
@@ -282,7 +282,7 @@
             send_request(client, "a", "canje")
             await until(lambda: attempts(deployment, "a"), "the endpoint has the request")
             client.abort()
-            await asyncio.sleep(0.9)  # 0.3 s, and 0.25 s between checks
+            await asyncio.sleep(0.9)  # The session expires after 0.3 s, and the checks run every 0.25 s.
             resumed, greeting = await open_session(deployment, resume_query(opened, 0))
             assert greeting["resumed"] is False
             assert greeting["session"] != opened["session"]
@@ -332,7 +332,7 @@
 
             async def flood() -> None:
                 for n in range(20_000):
-                    send_request(slow, f"{n}", "nada")  # fails at once
+                    send_request(slow, f"{n}", "nada")  # An unknown class fails at once.
                     if n % 50 == 0:
                         await slow.writer.drain()
                         await asyncio.sleep(0)
@@ -341,7 +341,7 @@
             for n in range(50):
                 send_request(quick, f"q{n}")
                 assert (await quick.read_json())["outcome"] == "served"
-            assert deployment.proxy.resident_mb() - resident_before < 12.0  # MB
+            assert deployment.proxy.resident_mb() - resident_before < 12.0  # Limit in MB.
             await flooding
 
     run_test(test())
@@ -404,6 +404,6 @@
             assert "sessions" in deployment.proxy.log_file.read_text()
             await deployment.reload(CONFIG + "ping_every = -1.0\n")
             send_request(client, "c")
-            assert (await client.read_json())["outcome"] == "refused"  # the limits are those of before
+            assert (await client.read_json())["outcome"] == "refused"  # The previous limits still apply.
 
     run_test(test())
