--- a/tests/websocket/test_sessions.py
+++ b/tests/websocket/test_sessions.py
@@ -1,4 +1,4 @@
-"""Session registry, message framing, limits and reconnect delays, without a socket."""
+"""Tests of the session registry, message framing, limits and reconnect delays, without a socket."""
 
 from __future__ import annotations
 
@@ -176,7 +176,8 @@
     now = 0.0
     numbers: dict[tuple[int, str], set[int]] = {}
     created_count = 0
-    incarnations: dict[str, int] = {}  # sessions by token, numbered in the order of their creation
+    # Number of the current session of each token, in the order of creation.
+    incarnations: dict[str, int] = {}
     for event, token_number, message, size in steps:
         now += 1.0
         token = str(token_number)
@@ -231,7 +232,7 @@
     assert math.isclose(bucket.time_until_token(2.0), 0.5)
     assert bucket.take(100.5, 2.0, 5.0)
     assert not bucket.take(100.5, 2.0, 5.0)
-    assert not bucket.take(50.0, 2.0, 5.0)  # a clock that steps back
+    assert not bucket.take(50.0, 2.0, 5.0)  # The clock steps back.
     assert sum(bucket.take(1000.0, 2.0, 5.0) for _ in range(20)) == 5
 
 
--- a/tests/websocket/test_tunnels.py
+++ b/tests/websocket/test_tunnels.py
@@ -1,4 +1,4 @@
-"""Tunnels through a running proxy: directions, closes, drains, silence and limits; audited."""
+"""Tests of tunnels through a running proxy: directions, closes, drains, silent peers and limits, audited."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 def test_close_frames_that_cross_end_both_sides() -> None:
-    """The endpoint closes at the message that the client's own close frame follows."""
+    """The endpoint sends its close frame after a message that the client's own close frame follows."""
 
     async def test() -> None:
         async with running_websocket_proxy((ScriptedFault("close", after=1),)) as deployment:
@@ -164,7 +164,7 @@
 
 
 async def assert_drained(deployment: WebSocketDeployment, notified_at: float, client: RawClient) -> None:
-    """Assert that the client is closed with 1012 and the endpoint has no session in time."""
+    """Assert that the client is closed with 1012 and that the endpoint has no session in time."""
     code, reason = await client.read_close()
     assert code == 1012
     assert RECONNECT_REASON.fullmatch(reason)
@@ -226,7 +226,7 @@
 def test_a_101_after_the_drain_opens_no_session_beyond_the_drain_time() -> None:
     async def test() -> None:
         async with running_websocket_proxy((ScriptedFault("late"),)) as deployment:
-            for _ in range(20):  # until the notification arrives during a handshake
+            for _ in range(20):  # Repeats until the drain's notification arrives during a handshake.
                 client = await deployment.start_handshake()
                 await until(
                     lambda: any(a.ended_at > 1e9 for a in deployment.recorder.attempts), "it has a request"
@@ -245,7 +245,7 @@
 
 
 def test_sessions_of_a_restarted_endpoint_are_closed() -> None:
-    """The same name, started again: sessions of the old process are not the new one's."""
+    """Sessions of an endpoint's previous process are not sessions of a new process with the same name."""
 
     async def test() -> None:
         async with running_websocket_proxy() as deployment:
@@ -287,7 +287,7 @@
     run_test(test())
 
 
-def test_an_endpoint_that_goes_silent_after_its_101_times_out() -> None:
+def test_an_endpoint_that_stops_sending_after_its_101_times_out() -> None:
     async def test() -> None:
         async with running_websocket_proxy(
             (ScriptedFault("silent", session=1, after=0),), config=FAST_PINGS
@@ -297,7 +297,8 @@
             code, reason = await client.read_close()
             assert code == 1012
             assert RECONNECT_REASON.fullmatch(reason)
-            # 0.4 s to the ping, 0.4 s for its pong, 0.25 s between checks, and a busy machine.
+            # 0.4 s until the ping, 0.4 s until its timeout, 0.25 s between checks, and a margin for a busy
+            # machine.
             assert 0.75 < time.monotonic() - started_at < 4.0
             await deployment.wait_for_no_session()
 
@@ -340,7 +341,7 @@
 
 
 def test_a_slow_client_delays_no_other_and_is_closed_at_its_limit() -> None:
-    """It reads no reply: the proxy buffers a bounded part, and the others are served meanwhile."""
+    """A client that reads no reply may fill a bounded buffer only, and must not delay other clients."""
 
     async def test() -> None:
         async with running_websocket_proxy(config=UNLIMITED_RATE) as deployment:
@@ -352,7 +353,7 @@
             max_latency = 0.0
 
             async def flood() -> None:
-                for _ in range(400):  # 24 MB, and as much echoed
+                for _ in range(400):  # 24 MB, and the same amount echoed.
                     slow.send_bytes(data)
                     await slow.writer.drain()
 
@@ -364,7 +365,7 @@
                 max_latency = max(max_latency, time.monotonic() - sent_at)
                 await asyncio.sleep(0.01)
             assert max_latency < 1.0
-            assert deployment.proxy.resident_mb() - resident_before < 12.0  # MB
+            assert deployment.proxy.resident_mb() - resident_before < 12.0  # Limit in MB.
             await deployment.wait_for_session_count(1)
             slow.resume_reading()
             assert (await slow.read_close())[0] == 1008
@@ -388,7 +389,7 @@
                     await client.writer.drain()
 
             sending = asyncio.create_task(send())
-            for text in texts[1:]:  # the first one makes it slow
+            for text in texts[1:]:  # The first message makes the client slow.
                 assert await client.read_text() == "n-0 " + text
             await sending
             assert deployment.endpoints[0].messages == texts
--- a/tests/websocket/test_upgrade.py
+++ b/tests/websocket/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Opening handshakes at the proxy's listener: accepted, rejected, and no request smuggled behind one."""
+"""Tests of opening handshakes at the proxy's listener: accepted, rejected, and without request smuggling."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("path", ["/pantalla", "/vigia"])
 def test_frames_before_the_101_open_no_session(path: str) -> None:
-    """Directly behind the request, in the same segment; and while an endpoint has not answered yet."""
+    """Frames may arrive in the same segment as the request, or before the endpoint has answered."""
 
     async def test() -> None:
         async with running_websocket_proxy((ScriptedFault("no-answer"),)) as deployment:
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("kind", ["decline", "plain", "wrong-key", "extension", "reject"])
 def test_an_endpoint_that_declines_leaves_no_tunnel(kind: str) -> None:
-    """Not even where the client sends on as if there were one."""
+    """A client that continues as if a tunnel were open must not smuggle a request."""
 
     async def test() -> None:
         async with running_websocket_proxy((ScriptedFault(kind),)) as deployment:
@@ -106,7 +106,8 @@
             client.send_bytes(SMUGGLED_REQUEST)
             assert await client.is_closed()
             assert not any(a.request_id == "smuggled" for a in deployment.recorder.attempts)
-            again = await deployment.start_handshake("/vigia")  # its session is free again
+            # The session of the declined handshake has been released.
+            again = await deployment.start_handshake("/vigia")
             assert " 101 " not in await again.read_head()
 
     run_test(test())
@@ -139,7 +140,7 @@
             assert rejection.startswith("HTTP/1.1 503 ")
             assert "retry-after: " in rejection
             first.close()
-            for client in (second, third):  # they stay open
+            for client in (second, third):  # These sessions stay open.
                 assert not client.writer.is_closing()
             await deployment.wait_for_free_session(tenant)
 
@@ -161,7 +162,7 @@
 
 
 def test_exhausted_descriptors_affect_neither_sessions_nor_requests() -> None:
-    """Sessions have descriptors of their own; idle connections use up the rest."""
+    """Idle connections use up the other descriptors, while sessions have reserved descriptors."""
 
     async def test() -> None:
         config = CONFIG.replace("sessions = 64", "sessions = 40")
@@ -173,7 +174,7 @@
                 client.send(f"x{number}")
                 assert await client.read_text() == f"n-0 x{number}"
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                while True:  # the oldest idle connections are closed from 0.3 s on
+                while True:  # The oldest idle connections are closed after 0.3 s.
                     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                         messages = await deployment.connect("/pantalla")
                         break
@@ -192,7 +193,7 @@
         with pytest.raises(RuntimeError, match="write sessions = 480 or less"):
             async with running_websocket_proxy(config=CONFIG.replace("sessions = 64", "sessions = 100000")):
                 pass
-        with pytest.raises(RuntimeError, match="canje is no repeatable class"):
+        with pytest.raises(RuntimeError, match="canje is unknown or not an idempotent class"):
             async with running_websocket_proxy(config=CONFIG.replace("vigia", "canje")):
                 pass
 
--- a/tests/websocket/test_websockets_library.py
+++ b/tests/websocket/test_websockets_library.py
@@ -1,4 +1,4 @@
-"""The stock client and server of the library `websockets`, unmodified, on both sides of the proxy."""
+"""Tests of the proxy with the unmodified client and server of the library `websockets`."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
                 await client.send(text)
                 assert await client.recv() == "n-0 " + text
             with pytest.raises(ConnectionClosed) as closed:
-                await client.send("\0" * 60_000)  # 60 kB in 70 bytes
+                await client.send("\0" * 60_000)  # 60 kB compressed to 70 bytes.
                 await client.recv()
             assert closed.value.rcvd is not None
             assert closed.value.rcvd.code == 1009
--- a/tests/websocket/websocket_test_harness.py
+++ b/tests/websocket/websocket_test_harness.py
@@ -1,4 +1,4 @@
-"""The test harness of WebSocket: a proxy before endpoints that echo, and a raw client."""
+"""Test harness for WebSocket: a proxy with echo endpoints, and a client that sends raw frames."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class WebSocketDeployment:
-    """A proxy, its endpoints, and the registry that it polls."""
+    """Proxy, its endpoints, and the registry that the proxy polls."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
         return entry(endpoint.name, endpoint.address, **fields)
 
     def set_status(self, endpoint: WebSocketEndpoint, status: str) -> None:
-        """Put the endpoint into the registry with this status."""
+        """Store the endpoint with this status in the registry."""
         self.registry.put(self.entry(endpoint, status=status))
 
     async def notify_status(self, endpoint: WebSocketEndpoint, status: str) -> float:
-        """Set a status other than ready; return when the proxy was notified of it (monotonic, s)."""
+        """Set a status other than ready; return when the proxy was notified of the status (monotonic, s)."""
         seen = len(self.recorder.notifications)
         self.set_status(endpoint, status)
 
@@ -77,14 +77,16 @@
         return notification_times()[0]
 
     async def reload(self, config: str) -> None:
-        """Write another operator's file and send SIGHUP; return when the proxy has read it."""
+        """Replace the operator's file and send SIGHUP; return after the proxy has read the file."""
         (self.proxy.log_file.parent / "operator.toml").write_text(config)
         self.proxy.process.send_signal(signal.SIGHUP)
-        for _ in range(2):  # a request after the signal may share one loop iteration with it, not two
+        # One request after the signal may be processed in the same loop iteration as the signal; a second
+        # can't be.
+        for _ in range(2):
             await until(self.proxy.is_ready, "an answer after the signal")
 
     def violations(self) -> list[str]:
-        """Return the violations of the four rules by the recorder's audit."""
+        """Return the violations of the four rules that the recorder's audit finds."""
         idempotency = {**IDEMPOTENCY_BY_CLASS, "vigia": Idempotency("repeatable")}
         return [str(violation) for violation in self.recorder.audit(idempotency)]
 
@@ -95,7 +97,7 @@
         return client
 
     async def connect(self, path: str = "/vigia", headers: str = "") -> RawClient:
-        """Open a WebSocket connection: a tunnel, unless `path` is that of message mode."""
+        """Open a WebSocket connection: a tunnel, unless `path` is a path of message mode."""
         client = await self.start_handshake(path, headers)
         assert (await client.read_head()).startswith("HTTP/1.1 101 ")
         return client
@@ -109,7 +111,7 @@
         return next(endpoint for endpoint in self.endpoints if endpoint.name == name)
 
     async def wait_for_session_count(self, count: int) -> None:
-        """Wait until the first endpoint has so many sessions."""
+        """Wait until the first endpoint has this number of sessions."""
         await until(
             lambda: len(self.endpoints[0].open_sessions) == count, f"{count} sessions at the endpoint"
         )
@@ -126,7 +128,7 @@
 
 
 class RawClient:
-    """A client that can send what the protocol forbids."""
+    """Client that can send frames that the protocol forbids."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -135,7 +137,7 @@
         self.received_frames: list[Frame] = []
 
     def send_handshake(self, path: str, headers: str = "", key: str = "") -> None:
-        """Send an opening handshake; `key`: in place of a random one."""
+        """Send an opening handshake; a given `key` replaces the random one."""
         key = key or base64.b64encode(os.urandom(16)).decode()
         self.writer.write(
             f"GET {path} HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
@@ -148,7 +150,7 @@
             return (await self.reader.readuntil(b"\r\n\r\n")).decode()
 
     def send(self, data: str | bytes, is_last: bool = True) -> None:
-        """Send a message, or a fragment of one."""
+        """Send a message or a fragment of a message."""
         self.writer.write(bytes(self.frames.send_data(data, is_last)))
 
     def send_close(self, code: int, reason: str = "") -> None:
@@ -156,11 +158,11 @@
         self.writer.write(bytes(self.frames.close(code, reason)))
 
     def send_bytes(self, data: bytes) -> None:
-        """Write these bytes, whatever they are."""
+        """Write these bytes without any check."""
         self.writer.write(data)
 
     async def read_frame(self) -> Frame:
-        """Return the next frame; pings are answered and passed over."""
+        """Answer pings, and return the next frame that is not a ping."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 if self.received_frames:
@@ -202,7 +204,7 @@
         return results_of(await self.read_outcomes(count))
 
     async def read_close(self) -> tuple[int, str]:
-        """Return code and reason of the close frame; messages before it are passed over."""
+        """Skip messages until the close frame; return the close frame's code and reason."""
         while True:
             frame = await self.read_frame()
             if frame.opcode is Opcode.CLOSE:
@@ -210,7 +212,7 @@
                 return int(frame.payload[0]), frame.payload[1]
 
     async def is_closed(self) -> bool:
-        """Return True when the connection ends; raise TimeoutError if it doesn't."""
+        """Return True when the connection ends, or raise TimeoutError if the connection stays open."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 while await self.reader.read(65536):
@@ -218,11 +220,11 @@
             return True
 
     def pause_reading(self) -> None:
-        """Read nothing from the socket any more."""
+        """Stop reading from the socket."""
         self.writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     def resume_reading(self) -> None:
-        """Read from the socket again."""
+        """Resume reading from the socket."""
         self.writer.transport.resume_reading()  # type: ignore[attr-defined]
 
     def abort(self) -> None:
@@ -235,7 +237,7 @@
 
 
 def results_of(outcomes: dict[str, Any]) -> dict[str, str]:
-    """Return what became of each message: served, refused or failed."""
+    """Return the result of each message: served, refused or failed."""
     return {id: outcome["outcome"] for id, outcome in outcomes.items()}
 
 
@@ -247,14 +249,14 @@
     service_time: float = 0.002,
     overrides: dict[str, Any] | None = None,
 ) -> AsyncIterator[WebSocketDeployment]:
-    """Run a proxy before endpoints that echo.
+    """Run a proxy with echo endpoints.
 
     Args:
-        faults: of each endpoint in turn.
-        endpoint_count: endpoints, if more than `faults`.
-        config: the operator's file.
-        service_time: s that an endpoint takes for a request.
-        overrides: fields of the proxy's JSON.
+        faults: Scripted faults of each endpoint in order.
+        endpoint_count: Number of endpoints, if larger than the number of `faults`.
+        config: Content of the operator's file.
+        service_time: Time that an endpoint takes for a request, s.
+        overrides: Fields of the proxy's JSON configuration to replace.
     """
     recorder = Recorder()
     registry = EndpointRegistry(recorder)
@@ -283,12 +285,12 @@
 
 
 def max_in_100_ms(times: list[float]) -> int:
-    """Return how many of these fall within 100 ms, at most."""
+    """Return the largest number of these times within any 100 ms."""
     return max(sum(1 for time in times if start <= time < start + 0.1) for start in times)
 
 
 def run_test(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test, which fails after TEST_TIMEOUT_S."""
+    """Run a test, and fail the test after TEST_TIMEOUT_S."""
 
     async def bounded() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
