--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks with assertions, each run by `python -m benchmarks.NAME`; see benchmarks/report.py."""
+"""Benchmarks that check their figures. `python -m benchmarks.NAME` runs one; see benchmarks/report.py."""
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,12 +1,16 @@
-"""Deadline propagation: a chain at 1.5 times its capacity, with and without; loops; the budget model.
+"""Benchmark of deadline propagation: overload with and without time budgets, loops, and the budget model.
 
     python -m benchmarks.budgets [--short] [--seed N] [--json FILE]
 
-Two tiers of real sidecars on loopback, called without a proxy before them, budgets on and off in turns: a
-calm phase, then an overloaded one in which endpoints of the inner tier hang. Applications pass no deadline on
-by themselves, as those of the site, and copy the budget's header. Who worked on which request when is the
-applications' own record. Then loops by misroute over one, two and three tiers; seeded random histories of
-request budgets; CPU per request of a plain proxy, off and on, in turns; memory of the correlation table.
+The overload part runs two tiers of real sidecars on loopback at 1.5 times their capacity. Clients call the
+first tier without a proxy in between, and budgets are switched on and off in alternate runs. Each run has a
+calm phase and an overloaded phase in which endpoints of the inner tier hang. The applications propagate no
+deadline themselves, like the applications of the site, and only copy the budget header. The applications'
+own records say which application worked on which request and when.
+
+The other parts are loops caused by misrouting over one, two and three tiers, seeded random histories of
+request budgets, the CPU per request of a plain proxy with budgets off and on in alternate turns, and the
+memory of the correlation table.
 """
 
 from __future__ import annotations
@@ -47,42 +51,46 @@
 from service_proxy.net.http_status import OK, SERVICE_UNAVAILABLE
 
 HOSTS = 2
-CALLS_EACH = 2  # of an application of the first tier to the inner one, one after another
-CLIENT_BUDGET_SHARES = (0.5, 1.0)  # of its class's deadline for which a client waits
-CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICE_TIMES["nucleo"] / CALLS_EACH  # requests/s
-CALM_LOAD = 0.5  # of the capacity
+# Requests that a first-tier application sends to the inner tier per request, one after another.
+CALLS_EACH = 2
+CLIENT_BUDGET_SHARES = (0.5, 1.0)  # Shares of the request class's deadline that a client waits.
+CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICE_TIMES["nucleo"] / CALLS_EACH  # Requests per second.
+CALM_LOAD = 0.5  # Share of the capacity.
 OVERLOAD = 1.5
 PHASE_S = 15.0
 SHORT_PHASE_S = 4.5
-WARM_UP_S = 1.5  # of requests before, which don't count
-TURNS = 3  # with budgets on, and as many off
+WARM_UP_S = 1.5  # Duration of the uncounted requests before the first phase.
+TURNS = 3  # Number of runs with budgets on, and number of runs with budgets off.
 SHORT_TURNS = 1
-HANGS = 6  # in an overloaded phase
+HANGS = 6  # Number of hangs in an overloaded phase.
 SHORT_HANGS = 2
-HANG_S = 1.0  # for which an endpoint takes calls and answers none
-LATE_START_TOLERANCE_S = 0.02  # after the client's deadline: two processes' scheduling
-LOOP_REQUESTS = 60  # in each kind of loop
+HANG_S = 1.0  # Duration of one hang, in which an endpoint accepts requests and answers none.
+# Accepted start of work after the client's deadline, because two processes are scheduled separately.
+LATE_START_TOLERANCE_S = 0.02
+LOOP_REQUESTS = 60  # Requests per kind of loop.
 SHORT_LOOP_REQUESTS = 10
 MAX_LOOP_HOPS = 3
 HISTORIES = 100_000
 SHORT_HISTORIES = 2_000
-CPU_REQUESTS = 8000  # of the measurement of CPU, each turn
+CPU_REQUESTS = 8000  # Requests per turn of the CPU measurement.
 SHORT_CPU_REQUESTS = 400
-MAX_CALM_LOSS = 0.02  # of the weight share: what two calm phases may differ by
-SETTLING_S = 0.5  # in which work that nobody waits for shows
+MAX_CALM_LOSS = 0.02  # Accepted difference between the weight shares of two calm phases.
+SETTLING_S = 0.5  # Wait after a phase until work on abandoned requests has been recorded.
 
 
 @dataclass(slots=True)
 class PhaseResult:
-    """What came of one load phase. Times of work are in s.
+    """Results of one load phase. Times of work are in seconds.
 
     Attributes:
         offered_weight, timely_weight: priority weights of all requests, and of those answered within their
             latency objective.
-        late_starts: by how much work was started after its client's deadline.
-        abandoned_work: after its request had ended.
-        inner_work, useful_inner_work: of the inner tier, and of it for requests that were answered in time.
-        work, wasted_work: of all applications, and of it for requests that were not served.
+        late_starts: delays between the client's deadline and the start of work that began after the deadline.
+        abandoned_work: time of work on requests that had already ended.
+        inner_work, useful_inner_work: work of the inner tier, and the part of this work for requests that
+            were answered within their latency objective.
+        work, wasted_work: work of all applications, and the part of this work for requests that were not
+            served.
     """
 
     offered_weight: float = 0.0
@@ -101,12 +109,12 @@
 
     @property
     def timely_share(self) -> float:
-        """Share of the weight that was answered within its latency objective."""
+        """Return the share of the priority weight that was answered within the latency objective."""
         return self.timely_weight / self.offered_weight if self.offered_weight else 0.0
 
 
 def judge_phase(chain: Chain, started_at: float, ended_at: float, result: PhaseResult) -> None:
-    """Add up the requests that came in this span, by the recorder."""
+    """Add the requests that clients sent between two times to the result, based on the recorder."""
     recorder = chain.deployment.recorder
     requests = {
         sent.request_id: sent
@@ -121,18 +129,20 @@
         if root is not None and attempt.executed:
             judge_work(attempt, root, answers.get(root.request_id), result)
     late = chain.late_attempts(LATE_START_TOLERANCE_S)
-    result.late_starts += [by for attempt, by in late if chain.root_request(attempt.request_id) in requests]
+    result.late_starts += [
+        delay for attempt, delay in late if chain.root_request(attempt.request_id) in requests
+    ]
     counts = chain.attempts_by_root()
     result.max_attempts = max([result.max_attempts, *(counts[request_id] for request_id in requests)])
 
 
 def is_served(answer: ReceivedAnswer | None) -> bool:
-    """Return whether a client got its answer."""
+    """Return whether a client received a successful answer."""
     return answer is not None and answer.status_code == OK and not answer.client_gave_up
 
 
 def judge_request(request: SentRequest, answer: ReceivedAnswer | None, result: PhaseResult) -> None:
-    """Add one client's request."""
+    """Add one client request to the result."""
     request_class = CLASSES[request.class_name]
     result.requests += 1
     result.offered_weight += request_class.worth
@@ -148,7 +158,7 @@
 def judge_work(
     attempt: RecordedAttempt, request: SentRequest, answer: ReceivedAnswer | None, result: PhaseResult
 ) -> None:
-    """Add the work of one application on a request."""
+    """Add one application's work on a request to the result."""
     result.work += attempt.work
     request_end = answer.received_at if answer is not None else request.deadline
     result.abandoned_work += max(
@@ -166,7 +176,7 @@
 async def run_phases(
     has_budgets: bool, duration: float, hangs: int, seed: int, calm: PhaseResult, overload: PhaseResult
 ) -> None:
-    """Run a chain through both phases, with the same requests at the same moments whether on or off."""
+    """Run a chain through both phases. Requests and their send times are the same with budgets on and off."""
     profile = ApplicationProfile(
         CALLS_EACH,
         propagates_deadline=False,
@@ -183,7 +193,7 @@
         spans = []
         await clients.run(
             WARM_UP_S, CALM_LOAD * CAPACITY, wait_and_close=False
-        )  # until the estimates are there
+        )  # Requests until the proxies have their estimates.
         for load in (CALM_LOAD, OVERLOAD):
             started_at = loop.time()
             sending = asyncio.create_task(clients.run(duration, load * CAPACITY, wait_and_close=False))
@@ -204,7 +214,7 @@
 
 
 async def hang_inner_tier(chain: Chain, duration: float, hangs: int) -> None:
-    """Let the applications of the inner tier hang, one after another, spread over a phase."""
+    """Make the applications of the inner tier hang one after another, spread over a phase."""
     inner = [host.application for host in chain.deployment.hosts if host.sidecar.tier == "nucleo"]
     for number in range(hangs):
         await asyncio.sleep(duration / (hangs + 1) - (HANG_S if number else 0.0))
@@ -213,7 +223,7 @@
 
 
 async def measure_overload(report: BenchmarkReport) -> None:
-    """Compare both phases with budgets on and off, in turns."""
+    """Compare both phases with budgets on and off, in alternate runs."""
     duration, turns, hangs = (
         (SHORT_PHASE_S, SHORT_TURNS, SHORT_HANGS) if report.short else (PHASE_S, TURNS, HANGS)
     )
@@ -221,7 +231,7 @@
     for number in range(turns):
         for has_budgets in (True, False) if number % 2 == 0 else (False, True):
             await run_phases(has_budgets, duration, hangs, report.seed + number, *results[has_budgets])
-    unit = f"sidecars; {CAPACITY:.0f} calls a second at the most; {duration:g} s a half"
+    unit = f"sidecars; capacity {CAPACITY:.0f} requests/s; {duration:g} s per phase"
     report.record("chain", HOSTS * 2, unit)
     for has_budgets, (calm, overload) in results.items():
         prefix = "on" if has_budgets else "off"
@@ -232,18 +242,30 @@
 
 
 def report_phase(report: BenchmarkReport, prefix: str, result: PhaseResult) -> None:
-    """Print the figures of one phase."""
-    served = f"served {result.served}, refused {result.rejected}"
+    """Record the figures of one phase."""
+    served = f"requests, served {result.served}, rejected {result.rejected}"
     report.record(f"{prefix}_calls", result.requests, served)
-    report.record(f"{prefix}_worth", result.timely_share, "of the worth asked for, in time")
-    report.record(f"{prefix}_wasted", result.wasted_work, f"s of {result.work:.2f} s of work")
-    report.record(f"{prefix}_for_nobody", result.abandoned_work, "s of work after its request's end")
-    inner = f"s of the inner tier, {result.useful_inner_work:.2f} of it in time"
+    report.record(
+        f"{prefix}_worth",
+        result.timely_share,
+        "of the offered priority weight, answered within the latency objective",
+    )
+    report.record(
+        f"{prefix}_wasted",
+        result.wasted_work,
+        f"s of {result.work:.2f} s of work, for requests that were not served",
+    )
+    report.record(f"{prefix}_for_nobody", result.abandoned_work, "s of work after the end of its request")
+    inner = f"s of work in the inner tier, {result.useful_inner_work:.2f} s of it answered in time"
     report.record(f"{prefix}_inner", result.inner_work, inner)
     latest = max(result.late_starts, default=0.0)
-    late = f"works for nobody, the latest {latest:.3f} s"
+    late = f"executions started after the client's deadline, the latest {latest:.3f} s late"
     report.record(f"{prefix}_begun_late", len(result.late_starts), late)
-    report.record(f"{prefix}_attempts", result.max_attempts, "that reached an application, at the most")
+    report.record(
+        f"{prefix}_attempts",
+        result.max_attempts,
+        "attempts of one request that reached an application, at most",
+    )
     report.check(not result.violations, f"{prefix}: rules broken: {result.violations[:2]}")
 
 
@@ -254,25 +276,26 @@
     calm_off: PhaseResult,
     over_off: PhaseResult,
 ) -> None:
-    """Check that budgets save work and cost nothing."""
+    """Check that budgets save work and cost no weight in the calm phase."""
     late = len(calm_on.late_starts) + len(over_on.late_starts)
-    report.check(not late, f"{late} works were begun for nobody with budgets on")
+    report.check(not late, f"{late} executions started after the client's deadline with budgets on")
     is_less_abandoned = over_on.abandoned_work < over_off.abandoned_work
-    report.check(is_less_abandoned, "no less work was done for nobody with budgets on")
+    report.check(is_less_abandoned, "budgets did not reduce the work on ended requests")
     is_less_wasted = over_on.wasted_work < over_off.wasted_work
-    report.check(is_less_wasted, "no less work was wasted with budgets on")
+    report.check(is_less_wasted, "budgets did not reduce the wasted work")
     is_calm_unchanged = calm_on.timely_share >= calm_off.timely_share - MAX_CALM_LOSS
-    report.check(is_calm_unchanged, "the calm half lost worth with budgets on")
+    report.check(is_calm_unchanged, "budgets reduced the timely weight share of the calm phase")
     is_more_timely = over_on.timely_share > over_off.timely_share
-    report.check(is_more_timely, "the overloaded half gained no worth with budgets on")
+    report.check(is_more_timely, "budgets did not raise the timely weight share of the overloaded phase")
     attempts = max(calm_on.max_attempts, over_on.max_attempts)
     report.check(
-        attempts <= ATTEMPTS_PER_TREE, f"a request had {attempts} attempts, and its tree {ATTEMPTS_PER_TREE}"
+        attempts <= ATTEMPTS_PER_TREE,
+        f"a request had {attempts} attempts, allowed are {ATTEMPTS_PER_TREE} per tree",
     )
 
 
 async def measure_loops(report: BenchmarkReport) -> None:
-    """Misroute chains of one to three tiers back to their first."""
+    """Run chains of one to three tiers whose last tier is misrouted back to the first tier."""
     requests = SHORT_LOOP_REQUESTS if report.short else LOOP_REQUESTS
     for tiers in (1, 2, 3):
         async with running_chain(tiers, 1, misroute=True) as chain:
@@ -289,16 +312,20 @@
             )
             logged = chain.reported_loops()
             max_hops = max(hops, default=0)
-            report.record(f"loop_{tiers}_hops", max_hops, f"of {requests} calls; told {logged}")
+            report.record(
+                f"loop_{tiers}_hops",
+                max_hops,
+                f"hops at most over {requests} requests; reported loops {logged}",
+            )
             is_stopped = clients.status_codes[OK] == 0 and max_hops <= MAX_LOOP_HOPS
-            report.check(is_stopped, f"loop of {tiers} went on")
-            report.check(hops and logged, f"no line names the loop of {tiers}")
+            report.check(is_stopped, f"the loop over {tiers} tiers was not stopped")
+            report.check(hops and logged, f"no log line reports the loop over {tiers} tiers")
             is_single = max(runs.values(), default=0) == 1
-            report.check(is_single, f"a server worked twice on a call in a loop of {tiers}")
+            report.check(is_single, f"an endpoint executed a request twice in the loop over {tiers} tiers")
 
 
 def measure_histories(report: BenchmarkReport) -> None:
-    """Play random histories of request budgets."""
+    """Run random histories of request budgets and record their violations."""
     count = SHORT_HISTORIES if report.short else HISTORIES
     violations: list[str] = []
     sent_attempts = 0
@@ -306,14 +333,14 @@
         history = play_history(report.seed * 1_000_003 + number)
         sent_attempts += history.sent_attempts
         violations += history.violations
-    report.record("histories", count, f"of the accounts, with {sent_attempts} attempts")
-    unit = "times negative, made from nothing, or debited twice"
+    report.record("histories", count, f"histories of request budgets, with {sent_attempts} attempts")
+    unit = "violations: budgets negative, created from nothing, or debited twice"
     report.record("histories_broken", len(violations), unit)
-    report.check(not violations, f"the accounts broke: {violations[:2]}")
+    report.check(not violations, f"request budgets are inconsistent: {violations[:2]}")
 
 
 async def measure_cpu(report: BenchmarkReport) -> None:
-    """Measure the CPU per request of a plain proxy at the edge, off and on, in turns."""
+    """Measure the CPU per request of a plain edge proxy with budgets off and on, in alternate turns."""
     requests, turns = (SHORT_CPU_REQUESTS, 2) if report.short else (CPU_REQUESTS, 7)
     recorder = Recorder()
     discovery = EndpointRegistry(recorder)
@@ -341,29 +368,31 @@
     for endpoint in endpoints:
         endpoint.stop()
     for name, samples in costs.items():
-        report.record(f"cpu_{name}", median(samples), "us a call")
+        report.record(f"cpu_{name}", median(samples), "us per request")
     report.record("cpu_on_to_off", median(costs["on"]) / median(costs["off"]), "times")
 
 
 def measure_memory(report: BenchmarkReport) -> None:
-    """Measure the memory of the correlation table when it is full."""
+    """Measure the memory of a full correlation table."""
     tracemalloc.start()
     table = CorrelationTable()
     for number in range(table.max_requests):
-        # Reference and tree id are different strings, as in the proxy.
+        # The reference and the tree ID are separate string objects, as in the proxy.
         budget = root_budget(12, 1.0, 1.0, 1.0, "reserva", f"{number:016x}")
         table.add(f"{number:016x}", b"%016x" % number, b"key-%012x" % number, "reserva", budget)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     each = size / table.max_requests
-    unit = f"MB of {table.max_requests} requests, {each:.0f} bytes each"
+    unit = f"MB for {table.max_requests} requests, {each:.0f} bytes per request"
     report.record("correlation_full", size / 2**20, unit)
     is_documented = each <= BYTES_PER_REQUEST
-    report.check(is_documented, f"a request takes {each:.0f} bytes, and {BYTES_PER_REQUEST} are documented")
+    report.check(
+        is_documented, f"a request takes {each:.0f} bytes, the documented bound is {BYTES_PER_REQUEST}"
+    )
 
 
 async def measure(report: BenchmarkReport, _arguments: argparse.Namespace) -> None:
-    """Measure all parts."""
+    """Run all parts of the benchmark."""
     measure_histories(report)
     measure_memory(report)
     await measure_cpu(report)
--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -1,9 +1,10 @@
-"""Ephemeral nodes: sessions lost, partitions and an empty service under traffic, audited; memory and CPU.
+"""Benchmark of ephemeral nodes under traffic: lost sessions, partitions, an empty service, memory and CPU.
 
     python -m benchmarks.ephemeral [--short] [--seed N] [--json FILE]
 
-Two proxies read the stand-in's ephemeral nodes beside the registry; a third, in the same run, has the
-registry alone. `ephemeral_fleet` has the script, `ephemeral_audit` the checks.
+Two proxies read the ephemeral nodes of the coordination service in addition to the registry. A third proxy in
+the same run reads the registry only. `ephemeral_fleet` contains the script of the faults, `ephemeral_audit`
+the checks.
 """
 
 from __future__ import annotations
@@ -36,16 +37,16 @@
 
 FULL = Size(87, 400.0, 40, (60.0, 8.0, 8.0, 4.0, 4.0), 14.0, 2.5)
 SHORT = Size(24, 90.0, 6, (3.0, 2.0), 3.5, 1.0)
-LISTED = 10_000  # nodes, for memory
-CHANGES = 1000  # of the list, for CPU
+LISTED = 10_000  # Number of listed nodes in the memory measurement and in the CPU measurement.
+CHANGES = 1000  # Number of list changes in the CPU measurement.
 CHANGE_INTERVAL_S = 0.001
 MASS_LOSS_WINDOW_S = 10.0
-SETTLING_S = 2.0  # of the proxies before the traffic
+SETTLING_S = 2.0  # Wait after the start of the proxies, before the traffic.
 READ_TIMEOUT_S = 60.0
 
 
 def operator_file(servers: str, proxy: str) -> str:
-    """Return the operator's file of a proxy: [membership] for those that read the service."""
+    """Return the operator file of a proxy, with [membership] if the proxy reads the coordination service."""
     if proxy not in MEMBERSHIP_PROXIES:
         return ""
     return (
@@ -56,7 +57,7 @@
 
 
 async def start_proxies(stack: contextlib.AsyncExitStack, fleet: EphemeralFleet) -> dict[str, ProxyProcess]:
-    """Start the proxies; the stack ends them."""
+    """Start the proxies. The exit stack stops them."""
     assert fleet.settings is not None
     servers = ", ".join(f'"{server}"' for server in fleet.settings.servers)
     known = [fleet.list_entry(name) for name in fleet.endpoints]
@@ -78,17 +79,17 @@
 
 
 async def send_requests(clients: ClientPool, until_done: asyncio.Future[None], rate: float) -> None:
-    """Send requests at the rate until the script has ended, then wait for the last responses."""
+    """Send requests at the given rate until the script has ended, then wait for the last answers."""
     while not until_done.done():
         await clients.run(1.0, rate, wait_and_close=False)
     await clients.run(0.0, rate)
 
 
 async def measure_faults(report: BenchmarkReport) -> None:
-    """Run the script under traffic, and check what became of it."""
+    """Run the script under traffic and check the results."""
     size = SHORT if report.short else FULL
     report.record("nodes", size.nodes, "nodos")
-    report.record("rate", size.rate, "calls a second, over three proxies")
+    report.record("rate", size.rate, "requests/s over three proxies")
     fleet = EphemeralFleet(size, report.seed)
     await fleet.start()
     run = Run(fleet)
@@ -115,18 +116,18 @@
 
 
 def numbered_node(number: int) -> EndpointNode:
-    """Return one of many nodes."""
+    """Return the node with the given number, with a distinct name and address."""
     address = f"127.0.{number >> 8}.{number & 255}:8081"
     return EndpointNode(f"s-{number:05d}", address, "abc"[number % 3], "m", 1)
 
 
 def has_read_all(proxy: ProxyProcess) -> bool:
-    """Tell whether the proxy has logged that its source is fresh."""
+    """Return whether the proxy has logged that its membership source is fresh."""
     return "source=membership health=fresh" in proxy.log_file.read_text()
 
 
 async def resident_mb_with(count: int) -> float:
-    """Return the resident memory of a proxy that has read so many nodes, MB."""
+    """Return the resident memory in MB of a proxy that has read `count` nodes."""
     service = CoordinationService(1)
     ((host, port),) = await service.start()
     service.tree.create("/many", b"", list(OPEN_ACL), 0, 0)
@@ -147,15 +148,15 @@
 
 
 async def measure_memory(report: BenchmarkReport) -> None:
-    """Measure a proxy with 10,000 listed nodes beside one with a single one."""
+    """Measure the memory of a proxy with 10,000 listed nodes and of a proxy with one node."""
     with_one = await resident_mb_with(1)
     with_all = await resident_mb_with(LISTED)
-    report.record("memory_of_10000_nodes", with_all - with_one, "MB more than with one")
-    report.record("memory_with_10000_nodes", with_all, "MB in all")
+    report.record("memory_of_10000_nodes", with_all - with_one, "MB more than with one node")
+    report.record("memory_with_10000_nodes", with_all, "MB in total")
 
 
 def measure_cpu(report: BenchmarkReport) -> None:
-    """Measure the CPU time of 1,000 changes of a list of 10,000 nodes."""
+    """Measure the CPU time of 1,000 changes to a list of 10,000 nodes."""
     cache = ChildrenCache()
     merger = EndpointListMerger(MASS_LOSS_SHARE, MASS_LOSS_WINDOW_S)
     nodes = [numbered_node(number) for number in range(LISTED)]
@@ -172,17 +173,18 @@
             merger.update(MEMBERSHIP, [to_endpoint(node.draining(), 0.0)], now)
         merger.take_changes(now)
     elapsed = time.process_time() - started_at
-    report.record("cpu_of_1000_changes", elapsed, "s, each given out alone")
+    report.record("cpu_of_1000_changes", elapsed, "s, changes applied one at a time")
 
 
 async def measure(report: BenchmarkReport, _options: argparse.Namespace) -> None:
-    """Run all parts."""
+    """Run all parts of the benchmark."""
     await measure_faults(report)
     await measure_memory(report)
     measure_cpu(report)
 
 
 if __name__ == "__main__":
-    # Registrations that lose their sessions log it. Not in measure(): a test that runs it reads its log.
+    # Suppresses the warnings of registrations that lose their sessions. The level isn't set in measure(),
+    # because a test that calls measure() reads its log.
     logging.getLogger("service_proxy").setLevel(logging.CRITICAL)
     sys.exit(run_benchmark("ephemeral", measure))
--- a/benchmarks/ephemeral_fleet.py
+++ b/benchmarks/ephemeral_fleet.py
@@ -1,8 +1,9 @@
-"""The fleet of the benchmark of ephemeral nodes: endpoints, their registrations, the service, the registry.
+"""Fleet of the ephemeral nodes benchmark: endpoints, registrations, coordination service and registry.
 
-Half of the lost sessions are of endpoints that go on responding (the registry lists them as Terminating, 0.7
-to 4.3 s late), half of endpoints that fall silent (listed as Gone, 5.5 to 11 s late). Each comes back after a
-while, warming up. Between the losses the ensemble is cut off, and in the end it is empty after a restore.
+Half of the lost sessions belong to endpoints that still respond; the registry lists these endpoints as
+Terminating 0.7 to 4.3 s late. The other half belong to endpoints that stop responding; the registry lists
+these endpoints as Gone 5.5 to 11 s late. Each endpoint returns after the downtime and warms up. The ensemble
+is partitioned between the losses, and empty at the end after a restore.
 """
 
 from __future__ import annotations
@@ -26,34 +27,34 @@
 
 PARENT = "/salas/portal"
 ZONES = "abc"
-SERVERS = 3  # of the ensemble
-LEAVING_DELAY_S = (0.7, 4.3)  # by which the registry is late to list an endpoint as Terminating
-SILENT_DELAY_S = (5.5, 11.0)  # the same for Gone
-RECENT_S = 3.0  # within which a proxy must have sent to an endpoint that is in use
-SESSION_TIMEOUT_S = 1.5  # of a registration
+SERVERS = 3  # Number of servers in the ensemble.
+LEAVING_DELAY_S = (0.7, 4.3)  # Range of the delay until the registry lists an endpoint as Terminating.
+SILENT_DELAY_S = (5.5, 11.0)  # Range of the delay until the registry lists an endpoint as Gone.
+RECENT_S = 3.0  # Longest time since the last request of a proxy that counts as a user of the endpoint.
+SESSION_TIMEOUT_S = 1.5  # Session timeout of a registration.
 CONNECT_TIMEOUT_S = 0.4
 REGISTRATION_TIMEOUT_S = 20.0
 MIN_SERVICE_TIME_S = 0.005
 SERVICE_TIME_SPREAD_S = 0.02
-EMPTY_LIST_S = 3.0  # for which the proxies read the empty list
+EMPTY_LIST_S = 3.0  # Time for the proxies to read the empty list.
 RETURN_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The size of a run."""
+    """Size of a run."""
 
     nodes: int
-    rate: float  # requests a second, over the three proxies
+    rate: float  # Requests per second over the three proxies.
     expiries: int
-    partitions: tuple[float, ...]  # s
-    downtime: float  # s until an endpoint whose session was lost comes back
-    spacing: float  # s between two expiries
+    partitions: tuple[float, ...]  # Durations of the partitions in seconds.
+    downtime: float  # Seconds from a session loss until the endpoint is available again.
+    spacing: float  # Mean seconds between two session losses.
 
 
 @dataclass(slots=True)
 class LostSession:
-    """A session that was lost, and when each proxy last sent to its endpoint before that came back."""
+    """Lost session, and each proxy's last request to its endpoint before the endpoint restarted."""
 
     name: str
     lost_at: float = 0.0
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A time in which the service was cut off or empty."""
+    """Time span in which the coordination service was partitioned or empty."""
 
     name: str
     started_at: float
@@ -70,7 +71,7 @@
 
 
 class EphemeralFleet:
-    """The endpoints, the registrations of their sidecars, the service and the registry."""
+    """Endpoints, the registrations of their sidecars, the coordination service and the registry."""
 
     def __init__(self, size: Size, seed: int) -> None:
         self.size = size
@@ -81,14 +82,15 @@
         self.endpoints: dict[str, StubEndpoint] = {}
         self.registrars: dict[str, Registrar] = {}
         self.lost_sessions: list[LostSession] = []
-        self.down: set[str] = set()  # endpoints whose sessions were lost
-        self.deleted: set[str] = set()  # those of them whose nodes are not there
-        self.notified: set[tuple[str, str]] = set()  # proxy and name, of the present loss
+        self.down: set[str] = set()  # Names of the endpoints with a lost session.
+        self.deleted: set[str] = set()  # Names of the down endpoints whose nodes are deleted.
+        # Pairs of proxy and endpoint name that have been notified of the present loss.
+        self.notified: set[tuple[str, str]] = set()
         self.windows: list[Window] = []
         self.settings: Membership | None = None
 
     async def start(self) -> None:
-        """Start everything; return once all endpoints are registered."""
+        """Start everything, and return after all endpoints are registered."""
         addresses = await self.service.start()
         await self.registry.start()
         self.settings = Membership(
@@ -110,7 +112,7 @@
             await asyncio.wait_for(registrar.registered.wait(), REGISTRATION_TIMEOUT_S)
 
     def list_entry(self, name: str, status: str = "Ready") -> dict[str, object]:
-        """Return an endpoint as the registry lists it."""
+        """Return an endpoint's entry in the registry's list."""
         endpoint = self.endpoints[name]
         return entry(name, endpoint.address, zone=endpoint.zone, status=status, since_ms=endpoint.since_ms)
 
@@ -124,10 +126,10 @@
         self.registrars[name] = registrar
 
     def on_sent(self, connection: ServiceConnection, event: int, names: list[str]) -> None:
-        """Record what the service has written: a deletion, a creation, or (event 0) all names."""
+        """Record the names that the service has written: deleted, created, or (event 0) all names."""
         proxy = next((user.partition(":")[0] for user in connection.users), "")
         if not proxy:
-            return  # the connection of a registration
+            return  # The connection belongs to a registration, not to a proxy.
         now = time.monotonic()
         deleted = names
         if event != EventType.DELETED:
@@ -145,7 +147,10 @@
         self.recorder.notifications.append(Notification(name, now, "ready", MEMBERSHIP, proxy))
 
     async def lose_session(self, name: str, silent: bool) -> None:
-        """End an endpoint's session; have it back after a while, warming up, under the same name."""
+        """End an endpoint's session, and restart the endpoint after the downtime.
+
+        The endpoint keeps its name and warms up after the restart.
+        """
         endpoint = self.endpoints[name]
         self.down.add(name)
         endpoint.silent = silent
@@ -168,7 +173,7 @@
         self.down.discard(name)
 
     def endpoints_in_use(self) -> list[str]:
-        """Return the endpoints that the greatest number of proxies have lately sent to."""
+        """Return the endpoints that the greatest number of proxies have recently sent requests to."""
         since = time.monotonic() - RECENT_S
         users = {
             name: sum(sent_at > since for sent_at in endpoint.last_request_by_proxy.values())
@@ -185,30 +190,31 @@
             parent = self.service.tree.nodes.get(PARENT)
             return parent is not None and len(parent.children) == len(self.endpoints) - len(self.down)
 
-        await until(are_registered, "the registrations", RETURN_TIMEOUT_S)
+        await until(are_registered, "all endpoints that are up are registered", RETURN_TIMEOUT_S)
 
     async def settle(self, pending: list[asyncio.Task[None]]) -> None:
-        """Wait until all endpoints are back, at the service and at the registry."""
+        """Wait until all endpoints have returned and are registered."""
         await asyncio.gather(*pending)
         pending.clear()
         await self.wait_until_registered()
         await asyncio.sleep(self.size.spacing)
 
     async def partition(self, duration: float, mode: str) -> None:
-        """Cut the ensemble off from everybody."""
+        """Partition the ensemble from all of its clients."""
         started_at = time.monotonic()
         self.service.run_step({"do": "partition", "mode": mode})
         await asyncio.sleep(duration)
         self.windows.append(Window(f"partition of {duration:g} s", started_at, time.monotonic()))
-        # Sidecars could not renew their sessions either: without a leader none has run out.
+        # No session has expired: sidecars could not renew sessions, but without a leader no session expires.
         self.service.run_step({"do": "heal"})
         await self.wait_until_registered()
 
     async def empty_ensemble(self) -> None:
-        """Restore the ensemble from nothing, and have all endpoints register again."""
+        """Restore the ensemble without data, and register all endpoints again."""
         started_at = time.monotonic()
         for registrar in self.registrars.values():
-            registrar.crash()  # none is back before the proxies have read the empty list
+            # Stopped, so that no endpoint registers before the proxies have read the empty list.
+            registrar.crash()
         self.service.run_step({"do": "empty"})
         await asyncio.sleep(EMPTY_LIST_S)
         for name in self.endpoints:
@@ -217,12 +223,12 @@
         await self.wait_until_registered()
 
     async def run_script(self) -> None:
-        """Lose sessions one after another, with the partitions between them and the empty ensemble last."""
+        """End sessions one after another, with partitions in between and the empty ensemble at the end."""
         size = self.size
         pending: list[asyncio.Task[None]] = []
         partitions = {
-            (place + 1) * size.expiries // (len(size.partitions) + 2): duration
-            for place, duration in enumerate(size.partitions)
+            (index + 1) * size.expiries // (len(size.partitions) + 2): duration
+            for index, duration in enumerate(size.partitions)
         }
         for number in range(size.expiries):
             silent = bool(number % 2)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,15 @@
-"""The view of the fleet, at scale and under faults.
+"""Benchmark of the fleet's membership view, at scale and under faults.
 
     python -m benchmarks.fleet [--short] [--seed N] [--only PART ...]
 
-Parts: `real` (processes behind the fault relay, with requests; the four rules audited), `scale` (the same
-protocol in virtual time), `seeds` (random schedules with an oracle), `against` (plain SWIM, and heartbeats to
-all), `model` (the table of states, exhaustively, with planted faults), `fuzz`, `cost` (CPU of a request, on
-and off).
+Parts:
+    real: real processes behind the fault relay, with requests; audits the four rules.
+    scale: the same protocol in virtual time.
+    seeds: random schedules that an oracle checks.
+    against: comparison with plain SWIM and with heartbeats to all members.
+    model: exhaustive check of the state table, with planted faults.
+    fuzz: garbage and damaged datagrams.
+    cost: CPU per request with the fleet protocol on and off.
 """
 
 from __future__ import annotations
@@ -32,19 +36,19 @@
 from service_proxy.fleet.wire import AUTH_TAG_BYTES
 
 PARTS = ("real", "scale", "seeds", "against", "model", "fuzz", "cost")
-MAX_RECORDED = 5000  # datagrams of a fleet that are damaged
-TRUNCATED_SHARE = 0.1  # of the damaged datagrams
-MAX_GROWTH_MB = 8  # of memory, in the second half
+MAX_RECORDED = 5000  # Bound of the recorded datagrams that the fuzzer damages.
+TRUNCATED_SHARE = 0.1  # Share of the damaged datagrams that are also truncated.
+MAX_GROWTH_MB = 8  # Accepted memory growth in the second half of the fuzzing.
 
 
 def check_model(report: BenchmarkReport, _seed: int) -> None:
-    """Visit all states of the model, and look for the planted faults. There is no chance in it."""
+    """Explore all states of the model, and check that each planted fault is found. Nothing is random."""
     state_model.MAX_MESSAGES = 1 if report.short else 2
     started_at = time.monotonic()
     try:
-        report.record("model_states", state_model.explore(), "states, exhaustively")
+        report.record("model_states", state_model.explore(), "states explored, which are all")
     except state_model.InvariantViolationError as error:
-        report.check(False, f"the table: {error}")
+        report.check(False, f"the state table breaks an invariant: {error}")
     report.record("model_span", time.monotonic() - started_at, "s")
     missed = []
     for name, rules in state_model.MUTATIONS.items():
@@ -53,14 +57,14 @@
             missed.append(name)
         except state_model.InvariantViolationError:
             continue
-    report.record("model_planted", len(state_model.MUTATIONS), f"faults planted, {len(missed)} not found")
+    report.record("model_planted", len(state_model.MUTATIONS), f"planted faults, {len(missed)} not found")
     report.check(not missed, f"planted faults that were not found: {missed}")
 
 
 def fuzzed_datagram(
     random: Random, recorded: list[bytes], authenticator: MessageAuthenticator, is_garbage: bool
 ) -> bytes:
-    """Return garbage, or a datagram with bytes changed and its tag made right again."""
+    """Return garbage, or a recorded datagram with changed bytes and a valid authentication tag."""
     data = bytearray(random.randbytes(random.randint(0, 300)) if is_garbage else random.choice(recorded))
     for _ in range(random.randint(0, 8)):
         if data:
@@ -71,7 +75,7 @@
 
 
 def fuzz_datagrams(report: BenchmarkReport, seed: int) -> None:
-    """Send garbage and damaged datagrams to a member."""
+    """Send garbage and damaged datagrams to a member, and check its answers and its memory."""
     count = 5_000 if report.short else 100_000
     random = Random(seed)
     authenticator = MessageAuthenticator()
@@ -85,8 +89,8 @@
     fleet.run(12.0)
     protocol = fleet.members[0].protocol
     assert protocol is not None
-    longer = 0
-    raised = 0
+    longer_answers = 0
+    exception_count = 0
     answered = 0
     rss_at_half = 0
     for number in range(count):
@@ -94,24 +98,24 @@
         protocol.take_effects()
         try:
             protocol.receive_datagram(fleet.now + number * 1e-4, address_of(1 + number % 7), sent)
-        except Exception as error:  # noqa: BLE001  # any exception is what this looks for
-            raised += 1
+        except Exception as error:  # noqa: BLE001  # The fuzzing looks for any exception.
+            exception_count += 1
             print(f"fuzz {number}: {error!r}")
         answers = protocol.take_effects().datagrams
         answered += bool(answers)
-        longer += any(len(answer) > len(sent) for _, answer in answers)
+        longer_answers += any(len(answer) > len(sent) for _, answer in answers)
         if number == count // 2:
             rss_at_half = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     grown_mb = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - rss_at_half) / 1024
     report.record("fuzz", count, f"datagrams, {answered} answered")
     report.record("fuzz_memory", grown_mb, "MB more in the second half")
-    report.check(not raised, f"{raised} exceptions")
-    report.check(not longer, f"{longer} answers were longer than their questions")
-    report.check(grown_mb < MAX_GROWTH_MB, f"memory grew by {grown_mb:.1f} MB")
+    report.check(not exception_count, f"{exception_count} fuzzed datagrams raised exceptions")
+    report.check(not longer_answers, f"{longer_answers} answers were longer than their requests")
+    report.check(grown_mb < MAX_GROWTH_MB, f"memory grew by {grown_mb:.1f} MB while datagrams were fuzzed")
 
 
 class RecordedReport(BenchmarkReport):
-    """Records the figures of a part in a process of its own, to be reported in one."""
+    """Report of a part that runs in its own process. The main process copies its figures and failures."""
 
     def __init__(self, short: bool, seed: int) -> None:
         super().__init__("fleet", short, seed)
@@ -119,11 +123,11 @@
         self.failures: list[str] = []
 
     def record(self, name: str, value: float | str, unit: str = "") -> None:
-        """Keep a figure."""
+        """Store a figure."""
         self.recorded.append((name, value, unit))
 
     def check(self, passed: object, message: str) -> None:
-        """Keep a claim that failed."""
+        """Store the message of a failed check."""
         if not passed:
             self.failures.append(message)
 
@@ -145,9 +149,9 @@
 
 
 async def measure(report: BenchmarkReport, options: argparse.Namespace) -> None:
-    """Run the parts that were asked for.
+    """Run the requested parts.
 
-    Those on real processes have the cores to themselves, but in the short form.
+    In the full form, the parts with real processes run while no other part uses the cores.
     """
     parts = [part for part in PARTS if part in (options.only or PARTS)]
     with ProcessPoolExecutor(WORKERS, multiprocessing.get_context("spawn")) as pool:
@@ -171,7 +175,7 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Add this benchmark's arguments to the command line."""
-    parser.add_argument("--only", nargs="+", choices=PARTS, help="these parts alone")
+    parser.add_argument("--only", nargs="+", choices=PARTS, help="run only these parts")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_baselines.py
+++ b/benchmarks/fleet_baselines.py
@@ -1,6 +1,6 @@
-"""The fleet's membership view against plain SWIM and heartbeats to all, with slow members.
+"""Comparison of the fleet's membership view with plain SWIM and with heartbeats to all members.
 
-In virtual time.
+The comparison runs in virtual time and includes slow members.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from service_proxy.fleet.protocol import MembershipProtocol
 from service_proxy.fleet.timing import ProtocolTiming
 
-SHORT_SUSPICION = 2.0  # periods: short enough that slow members are declared dead
+SHORT_SUSPICION = 2.0  # Suspicion multiplier in periods, short enough that slow members are declared dead.
 
 
 class FixedSuspicion(ProtocolTiming):
-    """A suspicion lasts as long as the shortest of ours, whoever else shares it."""
+    """Protocol timing whose suspicions always last the minimum time, regardless of confirmations."""
 
     def suspicion_timeout(self, living: int, _confirmations: int) -> float:
-        """Return the shortest suspicion, s."""
+        """Return the shortest suspicion in seconds."""
         return self.min_suspicion(living)
 
 
 class PlainSwim(MembershipProtocol):
-    """SWIM without Lifeguard's extensions and ours.
+    """SWIM without the extensions of Lifeguard and of this program.
 
-    No local health, no confirmations, no early word to the suspect, no last probe, and no notice of its own
-    stall.
+    It has no local health, no confirmations, no early notification of the suspect, no last probe, and no
+    detection of its own stalls.
     """
 
     def _advance_clock(self, now: float) -> None:
@@ -61,114 +61,125 @@
 
 
 class Heartbeats:
-    """Each sends a heartbeat to all others each period; who is silent for three is dead."""
+    """Baseline in which each member sends a heartbeat to all members in each period.
 
-    SILENT = 3.0  # periods
-    SIZE = 60  # bytes of a heartbeat: name, incarnation, phase, checksum
+    A member that has been silent for more than SILENT_PERIODS is declared dead.
+    """
+
+    SILENT_PERIODS = 3.0
+    HEARTBEAT_BYTES = 60  # Bytes of one heartbeat: name, incarnation, phase and checksum.
 
     def __init__(self, members: int, seed: int, slow: dict[int, list[tuple[float, float]]]) -> None:
         self.random = Random(seed)
         self.members = members
         self.slow = slow
-        self.false = 0
+        self.false_deaths = 0
         self.bytes = 0
 
     def run(self, periods: int) -> None:
-        """Run so many periods."""
+        """Simulate the given number of periods."""
         last_heartbeat = [[0.0] * self.members for _ in range(self.members)]
         dead: set[tuple[int, int]] = set()
         for period in range(1, periods + 1):
             for sender in range(self.members):
-                if self._still(sender, period):
+                if self._is_suspended(sender, period):
                     continue
                 for receiver in range(self.members):
                     if receiver != sender:
-                        self.bytes += self.SIZE
+                        self.bytes += self.HEARTBEAT_BYTES
                         last_heartbeat[receiver][sender] = period
                         dead.discard((receiver, sender))
             for receiver in range(self.members):
-                if self._still(receiver, period):
+                if self._is_suspended(receiver, period):
                     continue
                 for sender in range(self.members):
                     silent = period - last_heartbeat[receiver][sender]
-                    if sender != receiver and silent > self.SILENT and (receiver, sender) not in dead:
+                    if sender != receiver and silent > self.SILENT_PERIODS and (receiver, sender) not in dead:
                         dead.add((receiver, sender))
-                        self.false += 1
+                        self.false_deaths += 1
 
-    def _still(self, member: int, at: float) -> bool:
+    def _is_suspended(self, member: int, at: float) -> bool:
         return any(start <= at < end for start, end in self.slow.get(member, ()))
 
 
-SlowSpells = dict[int, list[tuple[float, float]]]  # by member, from and until
+SuspensionsByMember = dict[
+    int, list[tuple[float, float]]
+]  # Start and end times of the suspensions, by member.
 
 
-def slow_spells(members: int, share: float, periods: float, seed: int) -> SlowSpells:
-    """Return when slow processes stand still: most of the time, in pieces, as with little CPU."""
+def suspensions_of_slow_members(members: int, share: float, periods: float, seed: int) -> SuspensionsByMember:
+    """Return the suspensions of slow members, which are suspended most of the time, as if short of CPU."""
     random = Random(f"slow {seed}")
-    spells_by_member: SlowSpells = {}
+    suspensions_by_member: SuspensionsByMember = {}
     for member in random.sample(range(members), max(1, int(members * share))):
         at = random.uniform(0, 2)
-        spells = []
+        suspensions = []
         while at < periods:
-            lasts = random.uniform(0.3, 3.6)
-            spells.append((at, at + lasts))
-            at += lasts + random.uniform(0.05, 0.6)
-        spells_by_member[member] = spells
-    return spells_by_member
+            duration = random.uniform(0.3, 3.6)
+            suspensions.append((at, at + duration))
+            at += duration + random.uniform(0.05, 0.6)
+        suspensions_by_member[member] = suspensions
+    return suspensions_by_member
 
 
 def count_false_deaths(
-    make: Callable[..., MembershipProtocol], members: int, periods: float, seed: int
+    make_protocol: Callable[..., MembershipProtocol], members: int, periods: float, seed: int
 ) -> tuple[int, int, float]:
-    """Return false deaths of healthy members, of slow ones, and bytes a member and period."""
+    """Return the false deaths of healthy members and of slow members, and the bytes per member and period."""
     fleet = VirtualFleet(
-        members, ProtocolTiming(period=1.0, suspicion_multiplier=SHORT_SUSPICION), seed, make_protocol=make
+        members,
+        ProtocolTiming(period=1.0, suspicion_multiplier=SHORT_SUSPICION),
+        seed,
+        make_protocol=make_protocol,
     )
     fleet.adopt()
-    slow = slow_spells(members, 0.05, periods, seed)
-    for member, spells in slow.items():
-        for start, end in spells:
+    slow = suspensions_of_slow_members(members, 0.05, periods, seed)
+    for member, suspensions in slow.items():
+        for start, end in suspensions:
             fleet.schedule(start, fleet.suspend, member)
             fleet.schedule(end, fleet.resume, member)
     healthy_deaths = 0
     slow_deaths = 0
-    names = {fleet.members[member].name for member in slow}
+    slow_names = {fleet.members[member].name for member in slow}
 
-    def watch(_member: VirtualMember, change: MembershipChange) -> None:
+    def count_deaths(_member: VirtualMember, change: MembershipChange) -> None:
         nonlocal healthy_deaths, slow_deaths
         if change.after is MemberState.DEAD:
-            slow_deaths += change.entry.name in names
-            healthy_deaths += change.entry.name not in names
+            slow_deaths += change.entry.name in slow_names
+            healthy_deaths += change.entry.name not in slow_names
 
-    fleet.on_change = watch
+    fleet.on_change = count_deaths
     fleet.run(periods)
     return healthy_deaths, slow_deaths, fleet.bytes / members / periods
 
 
 def measure_baselines(report: BenchmarkReport, seed: int) -> None:
-    """Compare false deaths and bytes with both baselines."""
+    """Compare the false deaths and the bytes with both baselines."""
     members, periods = (40, 40.0) if report.short else (100, 120.0)
     ours = count_false_deaths(MembershipProtocol, members, periods, seed)
-    plain = count_false_deaths(PlainSwim, members, periods, seed)
-    beats = Heartbeats(members, seed, slow_spells(members, 0.05, periods, seed))
-    beats.run(int(periods))
-    beating = beats.bytes / members / periods
-    report.record("against_members", members, f"members, one of twenty slow, {periods:.0f} periods")
+    plain_swim = count_false_deaths(PlainSwim, members, periods, seed)
+    heartbeats = Heartbeats(members, seed, suspensions_of_slow_members(members, 0.05, periods, seed))
+    heartbeats.run(int(periods))
+    heartbeat_bytes = heartbeats.bytes / members / periods
+    report.record("against_members", members, f"members, one in twenty slow, {periods:.0f} periods")
     report.record(
         "against_healthy",
-        f"{ours[0]} ours, {plain[0]} plain SWIM",
-        "views in which a healthy member was dead",
+        f"{ours[0]} ours, {plain_swim[0]} plain SWIM",
+        "false deaths of healthy members, over all views",
     )
     report.record(
         "against_slow",
-        f"{ours[1]} ours, {plain[1]} plain SWIM, {beats.false} heartbeats",
-        "views in which a slow member was dead",
+        f"{ours[1]} ours, {plain_swim[1]} plain SWIM, {heartbeats.false_deaths} heartbeats",
+        "false deaths of slow members, over all views",
     )
     report.record(
         "against_bytes",
-        f"{ours[2]:.0f} ours, {plain[2]:.0f} plain SWIM, {beating:.0f} heartbeats",
-        "bytes a member and period",
+        f"{ours[2]:.0f} ours, {plain_swim[2]:.0f} plain SWIM, {heartbeat_bytes:.0f} heartbeats",
+        "bytes per member and period",
     )
     report.check(ours[0] == 0, f"{ours[0]} healthy members were declared dead")
-    report.check(ours[0] + ours[1] < plain[0] + plain[1], "plain SWIM has no more false deaths than ours")
-    report.check(ours[2] < beating, "heartbeats to all cost no more than ours")
+    report.check(
+        ours[0] + ours[1] < plain_swim[0] + plain_swim[1],
+        "ours doesn't have fewer false deaths than plain SWIM",
+    )
+    report.check(ours[2] < heartbeat_bytes, "ours doesn't send fewer bytes than heartbeats to all members")
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -1,6 +1,6 @@
-"""The fleet's benchmark in virtual time: cost and speed by size.
+"""Fleet benchmark in virtual time: cost and speed by fleet size, and random schedules of faults.
 
-And random schedules of faults with an oracle.
+An oracle checks the random schedules.
 """
 
 from __future__ import annotations
@@ -20,71 +20,79 @@
 from service_proxy.fleet.member_table import MembershipChange
 from service_proxy.fleet.timing import ProtocolTiming
 
-MAX_BYTES_RATIO = 1.5  # bytes a member and period at the largest size, against the smallest
-WORKERS = 4  # processes that play schedules
-GLOBAL_SHARE = 0.3  # of faults of links, that are of all links
-MAX_SCRIPT_PERIODS = 120  # until a script is over
+# Accepted ratio of the bytes per member and period at the largest size to those at the smallest size.
+MAX_BYTES_RATIO = 1.5
+WORKERS = 4  # Number of processes that run schedules.
+GLOBAL_SHARE = 0.3  # Share of the link faults that affect all links.
+MAX_SCRIPT_PERIODS = 120  # Longest accepted duration of a script.
 
 
-def crashed(fleet: VirtualFleet, number: int, patience: float = 60.0) -> tuple[float, float]:
-    """Return the periods from a crash to its being known, and from first suspicion to first verdict."""
-    known: dict[str, float] = {}
+def measure_crash(fleet: VirtualFleet, number: int, timeout: float = 60.0) -> tuple[float, float]:
+    """Return the periods from a crash to its detection, and from the first suspicion to the first verdict."""
+    detected: dict[str, float] = {}
     suspected: list[float] = []
     name = fleet.members[number].name
 
-    def watch(member: VirtualMember, change: MembershipChange) -> None:
+    def record_verdicts(member: VirtualMember, change: MembershipChange) -> None:
         if change.entry.name == name and change.after is MemberState.DEAD:
-            known.setdefault(member.name, fleet.now)
+            detected.setdefault(member.name, fleet.now)
         elif change.entry.name == name and change.after is MemberState.SUSPECT:
             suspected.append(fleet.now)
 
-    fleet.on_change = watch
+    fleet.on_change = record_verdicts
     at = fleet.now
     fleet.kill(number)
     living = len(fleet.living)
-    while len(known) < living and fleet.now < at + patience:
+    while len(detected) < living and fleet.now < at + timeout:
         fleet.run(fleet.now + 0.1)
     fleet.on_change = None
-    if len(known) < living:
+    if len(detected) < living:
         return math.inf, 0.0
-    return max(known.values()) - at, min(known.values()) - min(suspected)
+    return max(detected.values()) - at, min(detected.values()) - min(suspected)
 
 
 def measure_scale(report: BenchmarkReport, seed: int) -> None:
-    """Measure bytes, memory and the time until a crash is known, by the size of the fleet."""
+    """Measure bytes, memory and the time until a crash is detected, for each size of the fleet."""
     sizes = (37, 200) if report.short else (37, 200, 1000, 10_000)
     bytes_at: dict[int, float] = {}
-    known_at: dict[int, float] = {}
+    detected_beyond_suspicion: dict[int, float] = {}
     for size in sizes:
         gc.collect()
-        before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+        rss_before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
         fleet = VirtualFleet(size, ProtocolTiming(period=1.0), seed)
         fleet.adopt()
-        gc.freeze()  # at 10,000 members a collection looks through a hundred million entries
+        # Excludes the fleet from garbage collection, which at 10,000 members scans a hundred million entries.
+        gc.freeze()
         started_at = fleet.now
-        sent = fleet.bytes
+        bytes_before = fleet.bytes
         count = fleet.datagrams
-        known, suspicion = crashed(fleet, 1)
-        fleet.run(started_at + 30.0)  # one crash each 30 periods
+        detected, suspicion = measure_crash(fleet, 1)
+        fleet.run(started_at + 30.0)  # The fleet has one crash per 30 periods.
         periods = fleet.now - started_at
-        bytes_at[size] = (fleet.bytes - sent) / size / periods
-        known_at[size] = known - suspicion
-        used = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024 / size
+        bytes_at[size] = (fleet.bytes - bytes_before) / size / periods
+        detected_beyond_suspicion[size] = detected - suspicion
+        used_mb = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - rss_before) / 1024 / size
         sent_each = (fleet.datagrams - count) / size / periods
-        report.record(f"scale_{size}_datagrams", sent_each, "a member and period")
-        report.record(f"scale_{size}_bytes", bytes_at[size], "a member and period")
-        report.record(f"scale_{size}_known", known, "periods from a crash to all")
-        report.record(f"scale_{size}_beyond", known_at[size], "periods of these beyond its suspicion")
-        report.record(f"scale_{size}_memory", used * 1024, "kB a member")
+        report.record(f"scale_{size}_datagrams", sent_each, "datagrams per member and period")
+        report.record(f"scale_{size}_bytes", bytes_at[size], "bytes per member and period")
+        report.record(f"scale_{size}_known", detected, "periods from a crash to its detection by all members")
+        report.record(
+            f"scale_{size}_beyond", detected_beyond_suspicion[size], "periods of these after the suspicion"
+        )
+        report.record(f"scale_{size}_memory", used_mb * 1024, "kB per member")
         report.check(fleet.is_converged(), f"views of {size} members were not equal after a crash")
         del fleet
         gc.unfreeze()
     ratio = bytes_at[sizes[-1]] / bytes_at[sizes[0]]
-    report.record("scale_ratio", ratio, f"bytes at {sizes[-1]} members against {sizes[0]}")
-    report.check(ratio <= MAX_BYTES_RATIO, f"bytes grow {ratio:.2f} times")
-    slope = (known_at[sizes[-1]] - known_at[sizes[0]]) / math.log10(sizes[-1] / sizes[0])
-    fit = known_at[sizes[0]] - slope * math.log10(sizes[0])
-    report.record("scale_fit", f"{fit:.2f} + {slope:.2f} log10 N", "periods beyond the suspicion")
+    report.record(
+        "scale_ratio", ratio, f"times the bytes per member at {sizes[-1]} members, compared with {sizes[0]}"
+    )
+    report.check(ratio <= MAX_BYTES_RATIO, f"bytes per member grow {ratio:.2f} times with the fleet")
+    slope = (detected_beyond_suspicion[sizes[-1]] - detected_beyond_suspicion[sizes[0]]) / math.log10(
+        sizes[-1] / sizes[0]
+    )
+    fit = detected_beyond_suspicion[sizes[0]] - slope * math.log10(sizes[0])
+    report.record("scale_fit", f"{fit:.2f} + {slope:.2f} log10 N", "periods after the suspicion")
 
 
 def random_schedule(seed: int, members: int) -> FaultScript:
@@ -120,31 +128,30 @@
 
 
 class Oracle(VirtualFaultTarget):
-    """Records whom a view declares dead without a cause, beside whom it brings back."""
+    """Fault target that records false deaths without a cause, in addition to resurrections."""
 
     def __init__(self, fleet: VirtualFleet, script: FaultScript) -> None:
         super().__init__(fleet)
-        self.wrong: list[str] = []
-        self.excuse = any(f.do in ("partition", "cut", "stop", "clock") for f in script.faults)
+        self.failures: list[str] = []
+        self.allows_false_deaths = any(f.do in ("partition", "cut", "stop", "clock") for f in script.faults)
 
     def record_change(self, member: VirtualMember, change: MembershipChange) -> None:
-        """Take in a change of a member's view."""
+        """Record a change in a member's view, and check a declared death for its cause."""
         super().record_change(member, change)
-        if change.after is not MemberState.DEAD or self.excuse:
+        if change.after is not MemberState.DEAD or self.allows_false_deaths:
             return
         for subject in self.fleet.living:
             protocol = subject.protocol
             if protocol is None or subject.suspended or subject.name != change.entry.name:
                 continue
             if protocol.incarnation.process == change.entry.incarnation.process:
-                self.wrong.append(f"{member.name} buried {subject.name}, which lives, without a cause")
+                self.failures.append(
+                    f"{member.name} declared {subject.name} dead, which is alive, without a cause"
+                )
 
 
 def judge_schedule(seed: int) -> tuple[str, float]:
-    """Return what is wrong with a run by this seed (empty: nothing).
-
-    And the periods that it took to settle.
-    """
+    """Return the failures of a run with this seed (empty if none), and the periods that it took to settle."""
     members = 5 + seed % 12
     fleet = VirtualFleet(members, ProtocolTiming(period=1.0), seed)
     for number in range(members):
@@ -157,8 +164,8 @@
     while not player.is_finished:
         fleet.run(fleet.now + 0.5)
         if fleet.now > MAX_SCRIPT_PERIODS:
-            return "the script never ended", 0.0
-    for member in fleet.members:  # who was stopped for good by two faults that crossed
+            return "the script did not end", 0.0
+    for member in fleet.members:  # Resumes members that two overlapping faults left suspended.
         fleet.resume(member.number)
     started_at = fleet.now
     while not fleet.is_converged() and fleet.now < started_at + 60:
@@ -166,28 +173,29 @@
     settling = fleet.now - started_at
     if not fleet.is_converged():
         return "views are not equal after 60 periods", settling
-    return "; ".join((oracle.wrong + oracle.resurrections)[:2]), settling
+    return "; ".join((oracle.failures + oracle.resurrections)[:2]), settling
 
 
 def measure_schedules(report: BenchmarkReport, seed: int) -> None:
-    """Play random schedules of faults, each judged by the oracle."""
+    """Run random schedules of faults, each checked by the oracle."""
     count = 40 if report.short else 1000
-    wrong: list[str] = []
+    failures: list[str] = []
     settling = []
     numbers = [seed * 100_000 + number for number in range(count)]
     with ProcessPoolExecutor(WORKERS, multiprocessing.get_context("spawn")) as pool:
         judgements = list(pool.map(judge_schedule, numbers, chunksize=10))
-    for number, (what, span) in zip(numbers, judgements, strict=True):
+    for number, (failure, span) in zip(numbers, judgements, strict=True):
         settling.append(span)
-        if what:
-            wrong.append(f"seed {number}: {what}")
+        if failure:
+            failures.append(f"seed {number}: {failure}")
     settling.sort()
     late = sum(span > MAX_SETTLING for span in settling)
     report.record("seeds", count, "random schedules")
     report.record("seeds_settled", settling[len(settling) // 2], "periods after the last fault, median")
     report.record("seeds_settled_worst", settling[-1], "periods")
-    report.record("seeds_late", late, f"of them took over {MAX_SETTLING:.0f} periods")
-    report.check(not wrong, f"{len(wrong)} broken: {wrong[:3]}")
+    report.record("seeds_late", late, f"schedules took over {MAX_SETTLING:.0f} periods to settle")
+    report.check(not failures, f"{len(failures)} schedules failed: {failures[:3]}")
     report.check(
-        not late, f"{late} of {count} took over {MAX_SETTLING:.0f} periods, {settling[-1]:.1f} at worst"
+        not late,
+        f"{late} of {count} schedules took over {MAX_SETTLING:.0f} periods to settle, worst {settling[-1]:.1f}",
     )
--- a/benchmarks/per_call.py
+++ b/benchmarks/per_call.py
@@ -1,11 +1,11 @@
-"""CPU per request of the proxy, against a bare relay on the same kind of loop, in turns.
+"""Benchmark of the proxy's CPU per request, compared in turns with a bare relay on the same kind of loop.
 
     python -m benchmarks.per_call [--short] [--against CHECKOUT]
 
-Each turn drives the same requests through the relay, the proxy with all parts off, the proxy with
-[membership] on (its service has 87 nodes and changes nothing) and, with --against, the proxy of another
-checkout. What is compared is the ratio to the relay's cost in the same turn, so that a slow machine is no
-slow proxy.
+Each turn sends the same requests through the relay, the proxy with all optional parts off, the proxy with
+[membership] on (its coordination service has 87 nodes and changes none) and, with --against, the proxy of
+another checkout. The compared figure is the ratio to the relay's cost in the same turn, so that the speed of
+the machine has no influence.
 """
 
 from __future__ import annotations
@@ -42,29 +42,30 @@
 REQUESTS_PER_TURN_SHORT = 2500
 TURN_TIMEOUT_S = 120
 ENDPOINTS = 4
-MAX_UNSERVED_SHARE = 0.001  # a machine that stands still for a moment has a few rejected, as it should
+# Share of requests. A brief stall of the machine makes the proxy reject a few requests, as it should.
+MAX_UNSERVED_SHARE = 0.001
 COORDINATION_SERVERS = 3
-NODES = 87  # in the coordination service
+NODES = 87  # Number of nodes in the coordination service.
 NS_PER_S = 1e9
 US_PER_S = 1e6
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the time on a CPU of the process's threads (proc/PID/task/*/schedstat)."""
+    """Return the CPU time of all threads of the process (/proc/PID/task/*/schedstat)."""
     files = Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(file.read_text().split()[0]) for file in files) / NS_PER_S
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A process that is measured."""
+    """Measured process and its address."""
 
     pid: int
     address: tuple[str, int]
 
 
 class _Client(asyncio.Protocol):
-    """Sends the next request once the last is answered."""
+    """Client connection that sends the next request after the answer to the previous request."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
@@ -99,7 +100,7 @@
 
 
 class Load:
-    """So many requests over a few connections, each with one request at a time."""
+    """Fixed number of requests over a few connections, with one request at a time per connection."""
 
     def __init__(self, name: str, requests: int) -> None:
         self.name = name
@@ -110,7 +111,11 @@
         self.done = asyncio.Event()
 
     async def run(self, address: tuple[str, int]) -> None:
-        """Send all of them; raises TimeoutError."""
+        """Send all requests.
+
+        Raises:
+            TimeoutError: the requests took longer than TURN_TIMEOUT_S.
+        """
         loop = asyncio.get_running_loop()
         for _ in range(CONNECTIONS):
             await loop.create_connection(lambda: _Client(self), *address)
@@ -120,7 +125,7 @@
 
 @contextlib.asynccontextmanager
 async def running_relay(to: str) -> AsyncIterator[Target]:
-    """Start the bare relay towards an endpoint."""
+    """Start the bare relay to an endpoint, and stop the relay on exit."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "harness.tcp_relay", "--to", to, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
@@ -135,7 +140,7 @@
 
 
 def register_nodes(service: CoordinationService, endpoints: list[StubEndpoint]) -> None:
-    """Register the endpoints and others that drain, so that requests go where they go without it."""
+    """Register the endpoints, and draining nodes that leave the choice of endpoints unchanged."""
     service.tree.create("/portal", b"", list(OPEN_ACL), 0, 0)
     service.sessions[1] = SessionRecord(1, b"", 1e9, time.monotonic())
     for number in range(NODES):
@@ -147,17 +152,17 @@
 
 
 class Measurement:
-    """CPU per request of each target, turn by turn."""
+    """CPU per request of each target, for each turn."""
 
     def __init__(self, targets: dict[str, Target], requests: int) -> None:
         self.targets = targets
-        self.requests = requests  # of one turn of each
-        self.costs: dict[str, list[float]] = {name: [] for name in targets}  # us a request
+        self.requests = requests  # Requests per turn and target.
+        self.costs: dict[str, list[float]] = {name: [] for name in targets}  # Microseconds per request.
         self.served = 0
         self.sent = 0
 
     async def run_turn(self, turn: int) -> None:
-        """Drive all targets, in an order that changes each turn; the first one warms them up."""
+        """Send the requests to all targets. The order changes each turn, and the first turn is a warm-up."""
         names = list(self.targets) if turn % 2 else list(reversed(self.targets))
         for name in names:
             target = self.targets[name]
@@ -172,9 +177,9 @@
 
     def report(self, report: BenchmarkReport) -> None:
         """Record the figures and check them."""
-        report.record("calls", self.sent, "calls in all")
+        report.record("calls", self.sent, "requests in total")
         for name, costs in self.costs.items():
-            report.record(f"{name}_cpu", median(costs), "us a call")
+            report.record(f"{name}_cpu", median(costs), "us per request")
         relay = self.costs["relay"]
         ratios = {
             name: [cost / bare for cost, bare in zip(costs, relay, strict=True)]
@@ -185,24 +190,26 @@
             spread = f"times, {min(values):.2f} to {max(values):.2f}"
             report.record(f"{name}_to_relay", median(values), spread)
         unserved = self.sent - self.served
-        report.record("not_served", unserved, "calls")
+        report.record("not_served", unserved, "requests")
         is_enough_served = unserved <= MAX_UNSERVED_SHARE * self.sent
-        report.check(is_enough_served, f"{unserved} of {self.sent} calls were not served")
+        report.check(is_enough_served, f"{unserved} of {self.sent} requests were not served")
         if "against" in ratios:
             compare(report, ratios["off"], ratios["against"])
 
 
 def compare(report: BenchmarkReport, current: list[float], other: list[float]) -> None:
-    """Check that this checkout costs no more than the other, within the noise of the turns."""
+    """Check that this checkout costs no more than the other checkout, within the noise of the turns."""
     noise = max(max(values) - min(values) for values in (current, other))
     difference = median(current) - median(other)
     report.record("off_over_against", difference, "times the relay")
-    report.record("noise", noise, "times the relay, the widest spread of the turns")
-    report.check(difference <= noise, f"off costs {difference:.2f} relays more than the other checkout")
+    report.record("noise", noise, "times the relay, the largest spread over the turns")
+    report.check(
+        difference <= noise, f"the proxy costs {difference:.2f} times the relay more than the other checkout"
+    )
 
 
 async def measure(report: BenchmarkReport, options: argparse.Namespace) -> None:
-    """Start all targets, drive them in turns and report."""
+    """Start all targets, measure them in turns and report the figures."""
     recorder = Recorder()
     registry = EndpointRegistry(recorder)
     await registry.start()
@@ -236,8 +243,10 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add this benchmark's own arguments."""
-    parser.add_argument("--against", type=Path, metavar="CHECKOUT", help="another checkout of the program")
+    """Add this benchmark's arguments to the command line."""
+    parser.add_argument(
+        "--against", type=Path, metavar="CHECKOUT", help="other checkout of the program to compare with"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,13 +1,17 @@
-"""Recovery of the whole fleet from a power loss.
+"""Benchmark of the recovery of the whole fleet from a power loss.
 
     python -m benchmarks.recovery [--short] [--seed N] [--only PART ...]
 
-Parts: `points` (a recorded run of the store, crashed at each of its operations and judged; ordering bugs
-planted), `torn` (files cut at random bytes and bits flipped, of this store and of SQLite), `store` (memory,
-CPU, syncs and bytes of each; time to read), `power` (real processes that lose power at once: what each finds,
-what is served).
-The rest of what the issue asks (24 proxies, scripts by seed, in turns with recovery off) is missing; see
-docs/ROADMAP.md.
+Parts:
+    points: a recorded run of the store that crashes at each of its operations; checks the state after each
+        crash, and that planted ordering bugs are found.
+    torn: files of this store and of SQLite, cut at random bytes or with a flipped bit.
+    store: memory, CPU, syncs, bytes and reading time of both stores.
+    power: real processes that lose power at the same time; checks what each one finds and how many requests
+        are served.
+
+The rest of the issue's requirements (24 proxies, scripts by seed, alternate runs with recovery off) is
+missing; see docs/ROADMAP.md.
 """
 
 from __future__ import annotations
@@ -30,13 +34,13 @@
 from service_proxy.recovery.store import Store
 
 PARTS = ("points", "torn", "store", "power")
-RECOVERED_SHARE = 0.9  # of the usual rate, which counts as service
-MAX_RECOVERY_S = 30.0  # from the last endpoint's start
+RECOVERED_SHARE = 0.9  # Share of the usual rate at which service counts as recovered.
+MAX_RECOVERY_S = 30.0  # Longest accepted time from the last endpoint's start to recovered service.
 STEADY_TIMEOUT_S = 120.0
 
 
 def measure_crash_points(report: BenchmarkReport) -> None:
-    """Judge what a crash leaves at each operation of recorded runs."""
+    """Check the state that a crash leaves at each operation of recorded runs."""
     runs, batches = (4, 20) if report.short else (40, 60)
     operations = 0
     faults: list[str] = []
@@ -53,18 +57,24 @@
     planted = len(ORDERING_BUGS) + len(BUGS_SEEN_ON_FAULTY_DISK)
     wrong = sum(map(bool, faults))
     wrong_on_faulty_disks = sum(map(bool, faults_of_faulty_disks))
-    report.record("points_steps", operations, f"writes, syncs and changes of names in {runs} recorded runs")
-    report.record("points", len(faults), f"states that a crash may leave, {wrong} neither before nor after")
-    unit = f"of runs on a disk that fails, {wrong_on_faulty_disks} of them neither"
+    report.record("points_steps", operations, f"writes, syncs and renames in {runs} recorded runs")
+    report.record(
+        "points",
+        len(faults),
+        f"possible states after a crash, {wrong} neither the one before nor the one after",
+    )
+    unit = f"possible states after a crash on a failing disk, {wrong_on_faulty_disks} of them neither"
     report.record("points_faulty", len(faults_of_faulty_disks), unit)
-    report.record("points_planted", planted, f"bugs planted, {len(undetected)} not found")
+    report.record("points_planted", planted, f"planted bugs, {len(undetected)} not found")
     all_wrong = wrong + wrong_on_faulty_disks
-    report.check(not all_wrong, f"{all_wrong} crashes leave neither the state before nor the one after")
+    report.check(
+        not all_wrong, f"{all_wrong} crashes leave neither the state before nor the state after the operation"
+    )
     report.check(not undetected, f"planted bugs that were not found: {undetected}")
 
 
 def undetected_bugs(seed: int) -> list[str]:
-    """Return the planted bugs that no crash point shows."""
+    """Return the planted bugs that no crash point reveals."""
     undetected = [
         name
         for name, store_class in ORDERING_BUGS.items()
@@ -81,7 +91,10 @@
 
 
 async def measure_power_loss(report: BenchmarkReport) -> None:
-    """Cut the power of all proxies under load, and start them in the worst order, endpoints late."""
+    """Cut the power of all proxies under load, and start all proxies before the endpoints.
+
+    The endpoints start last and in random order, which is the worst case.
+    """
     members, warm_up_s = (6, 2.0) if report.short else (24, 8.0)
     endpoints = members
     options = FleetOptions(
@@ -104,21 +117,27 @@
         tracebacks = [
             line for lines in fleet.observer.lines.values() for line in lines if "Traceback" in line
         ]
-    report.record("power_members", members, f"proxies, {endpoints} nodos cold for {warm_up_s:g} s")
-    report.record("power_verdicts", findings, "of them said that everybody lost power")
-    report.record("power_usual", usual_rate, "calls served a second before")
+    report.record("power_members", members, f"proxies, {endpoints} endpoints warming up for {warm_up_s:g} s")
+    report.record("power_verdicts", findings, "proxies determined an outage of the whole fleet")
+    report.record("power_usual", usual_rate, "requests/s served before the outage")
     report.record(
-        "power_back", recovered_after or "never", "s from the last nodo's start to nine tenths of that"
+        "power_back", recovered_after or "never", "s from the last endpoint's start to 90% of the usual rate"
+    )
+    report.record(
+        "power_steady", steady_after, "s from the last endpoint's start until all proxies are steady"
+    )
+    report.check(
+        findings == members, f"{members - findings} proxies did not determine an outage of the whole fleet"
+    )
+    report.check(
+        recovered_after, "90% of the usual rate was not reached within 30 s of the last endpoint's start"
     )
-    report.record("power_steady", steady_after, "s from it to the last proxy's being steady")
-    report.check(findings == members, f"{members - findings} proxies said something else happened")
-    report.check(recovered_after, "nine tenths were not served again within 30 s of the last nodo's start")
     report.check(not violations, f"rules broken: {violations[:2]}")
     report.check(not tracebacks, f"exceptions in logs: {tracebacks[:2]}")
 
 
 async def restart_after_power_loss(fleet: FleetHarness, endpoints: int, random: Random) -> None:
-    """Cut the power, start the proxies, then the endpoints in random order."""
+    """Cut the power, start the proxies, then start the endpoints in random order."""
     fleet.power_off()
     await asyncio.sleep(1.0)
     for slot in fleet.slots:
@@ -131,19 +150,19 @@
 
 
 def served_requests(fleet: FleetHarness) -> int:
-    """Return how many requests were served so far."""
+    """Return the number of requests that have been served so far."""
     return sum(client.status_codes[200] for client in fleet.clients)
 
 
 async def served_rate(fleet: FleetHarness, duration: float) -> float:
-    """Return the requests that are served in a second, over this many seconds."""
+    """Return the requests served per second, measured over `duration` seconds."""
     served = served_requests(fleet)
     await asyncio.sleep(duration)
     return (served_requests(fleet) - served) / duration
 
 
 async def wait_for_rate(fleet: FleetHarness, rate: float) -> float:
-    """Return the time until so many requests are served in a second, s; 0 if never."""
+    """Return the seconds until the served rate reaches `rate`, or 0 after MAX_RECOVERY_S without success."""
     started_at = time.monotonic()
     while time.monotonic() < started_at + MAX_RECOVERY_S:
         if await served_rate(fleet, 1.0) >= rate:
@@ -152,7 +171,10 @@
 
 
 def steady_members(fleet: FleetHarness, min_changes: int, log_positions: dict[str, int] | None = None) -> int:
-    """Return the members that are steady after more than so many changes of phase since these positions."""
+    """Return the number of steady members with more than `min_changes` phase changes.
+
+    Only log lines after `log_positions` count.
+    """
     fleet.observer.read_logs()
     count = 0
     for slot in fleet.slots:
@@ -163,14 +185,14 @@
 
 
 def fleet_outage_findings(fleet: FleetHarness, log_positions: dict[str, int]) -> int:
-    """Return how many members found since these positions that the whole fleet lost power."""
+    """Return how many members have found since `log_positions` that the whole fleet lost power."""
     fleet.observer.read_logs()
     logs = ["\n".join(fleet.observer.lines[slot.name][log_positions[slot.name] :]) for slot in fleet.slots]
     return sum("outage_determined scope=fleet" in log for log in logs)
 
 
 async def measure(report: BenchmarkReport, options: argparse.Namespace) -> None:
-    """Measure the parts that are asked for."""
+    """Run the requested parts."""
     parts = [part for part in PARTS if part in (options.only or PARTS)]
     if "points" in parts:
         measure_crash_points(report)
@@ -184,8 +206,8 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add this benchmark's own arguments."""
-    parser.add_argument("--only", nargs="+", choices=PARTS, help="these parts alone")
+    """Add this benchmark's arguments to the command line."""
+    parser.add_argument("--only", nargs="+", choices=PARTS, help="run only these parts")
 
 
 if __name__ == "__main__":
--- a/benchmarks/recovery_stores.py
+++ b/benchmarks/recovery_stores.py
@@ -1,4 +1,4 @@
-"""This program's store beside SQLite: what each costs, and what each reads of corrupted files."""
+"""Comparison of this program's store with SQLite: their costs, and what they read from corrupted files."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 from service_proxy.recovery.store_directory import StoreDirectory
 
 OWNER = StoreOwner("p0", "m0")
-BATCH = 20  # records that become durable together
-LOADING_BATCH = 500  # records, where a store is filled
-MAX_READ_S = 2.0  # to read a whole store
+BATCH = 20  # Number of records that become durable together.
+LOADING_BATCH = 500  # Records per batch while a store is filled.
+MAX_READ_S = 2.0  # Longest accepted time to read a whole store.
 
 KeyedRecord = tuple[str, PersistedRecord]
 
 
 def sample_records(count: int) -> list[KeyedRecord]:
-    """Return so many endpoints and as many keyed requests."""
+    """Return `count` endpoint records and `count` keyed-request records."""
     records: list[KeyedRecord] = []
     for number in range(count):
         address = f"10.0.{number >> 8}.{number & 255}:8081"
@@ -46,14 +46,14 @@
 
 
 class StoredRecords(NamedTuple):
-    """Each record as text, and whether the store says that it is whole."""
+    """Records as text, and whether the store reports that its content is complete."""
 
     records: dict[str, str]
     is_complete: bool
 
 
 class CountingDirectory(StoreDirectory):
-    """A store's directory that counts what it is asked."""
+    """Store directory that counts syncs and written bytes."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path)
@@ -61,23 +61,23 @@
         self.byte_count = 0
 
     def fsync(self, file: int) -> None:
-        """Count and sync."""
+        """Count the sync and execute it."""
         self.sync_count += 1
         super().fsync(file)
 
     def write(self, file: int, data: bytes) -> None:
-        """Count and write."""
+        """Count the bytes and write them."""
         self.byte_count += len(data)
         super().write(file, data)
 
     def fsync_directory(self) -> None:
-        """Count and sync."""
+        """Count the sync and execute it."""
         self.sync_count += 1
         super().fsync_directory()
 
 
 class WillowwingStore:
-    """The store of this program."""
+    """Store of this program."""
 
     name = "ours"
 
@@ -89,7 +89,7 @@
 
     @property
     def sync_count(self) -> int:
-        """Syncs so far."""
+        """Return the number of syncs so far."""
         return self.directory.sync_count
 
     def append(self, batch: list[KeyedRecord]) -> None:
@@ -102,12 +102,12 @@
 
     @staticmethod
     def load(path: Path) -> StoreContents:
-        """Read records with their types checked."""
+        """Read the records and check their types."""
         return read_store(StoreDirectory(path), OWNER)
 
     @staticmethod
     def read(path: Path) -> StoredRecords:
-        """Read records as text."""
+        """Read the records as text."""
         contents = WillowwingStore.load(path)
         records = {
             f"{kind} {key}": json.dumps(put_operation(key, record))
@@ -118,7 +118,7 @@
 
 
 class SqliteStore:
-    """SQLite as its documents say it is safe: a write-ahead log, synced at each commit."""
+    """SQLite store as its documentation recommends for durability: a write-ahead log, synced per commit."""
 
     name = "sqlite"
 
@@ -128,7 +128,8 @@
         self.database.execute("PRAGMA journal_mode=WAL")
         self.database.execute("PRAGMA synchronous=FULL")
         self.database.execute("CREATE TABLE facts (place TEXT PRIMARY KEY, said TEXT) WITHOUT ROWID")
-        # Of the log at each commit; checkpoints sync twice more, which can't be seen from here.
+        # Syncs of the write-ahead log, one per commit. A checkpoint syncs twice more, which is not visible
+        # here.
         self.sync_count = 0
 
     def append(self, batch: list[KeyedRecord]) -> None:
@@ -147,7 +148,7 @@
 
     @staticmethod
     def load(path: Path) -> PersistedState:
-        """Read records with their types checked, as the other store does."""
+        """Read the records and check their types, as the other store does."""
         database = sqlite3.connect(path / "facts.db")
         state = PersistedState()
         for (text,) in database.execute("SELECT said FROM facts"):
@@ -157,7 +158,7 @@
 
     @staticmethod
     def read(path: Path) -> StoredRecords:
-        """Read records as text."""
+        """Read the records as text."""
         database = sqlite3.connect(path / "facts.db")
         try:
             is_complete = database.execute("PRAGMA integrity_check").fetchone() == ("ok",)
@@ -173,12 +174,12 @@
 
 
 def resident_bytes() -> int:
-    """Return this process's resident memory."""
+    """Return the resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize()
 
 
 def store_costs(store_type: StoreType, count: int, batches: int) -> dict[str, float]:
-    """Return what a store costs; to be run in a process of its own."""
+    """Return the costs of a store. Each call needs a new process, because memory is measured."""
     records = sample_records(count)
     random = Random(1)
     with tempfile.TemporaryDirectory() as text:
@@ -219,31 +220,33 @@
     """Compare the costs of both stores."""
     count, batches = (1000, 100) if report.short else (10_000, 1000)
     costs = {kind.name: pool.submit(store_costs, kind, count, batches).result() for kind in STORE_TYPES}
-    report.record("store_facts", count, f"servers, as many keyed requests, {batches} batches of {BATCH}")
+    report.record("store_facts", count, f"endpoints and as many keyed requests, {batches} batches of {BATCH}")
     units = {
-        "cpu_us": "us of CPU a record",
-        "batch_ms": "ms of a batch, median",
-        "worst_ms": "ms, worst",
-        "memory_mb": "MB more than before",
-        "read_s": "s to read it all",
-        "syncs": "syncs a batch",
-        "size_mb": "MB on the disk",
+        "cpu_us": "us of CPU per record",
+        "batch_ms": "ms per batch, median",
+        "worst_ms": "ms per batch, worst",
+        "memory_mb": "MB of added memory",
+        "read_s": "s to read the whole store",
+        "syncs": "syncs per batch",
+        "size_mb": "MB on disk",
     }
     for name, unit in units.items():
         ours = costs[WillowwingStore.name][name]
         sqlite = costs[SqliteStore.name][name]
         report.record(f"store_{name}", f"{ours:.3g} ours, {sqlite:.3g} SQLite", unit)
-    report.check(costs[WillowwingStore.name]["read_s"] < MAX_READ_S, "reading takes over 2 s")
+    report.check(
+        costs[WillowwingStore.name]["read_s"] < MAX_READ_S, "reading the whole store takes 2 s or more"
+    )
 
 
 @dataclass
 class CorruptionResult:
-    """What is read of corrupted files.
+    """Results of reading corrupted files.
 
     Attributes:
-        share_after_cut, share_after_bit_flip: shares of the records that were found, one for each file.
-        undetected: bit flips that lose records and are not reported.
-        invented: records that were never written.
+        share_after_cut, share_after_bit_flip: shares of the records that were found, one per corrupted file.
+        undetected: number of bit flips that lost records without being reported.
+        invented: number of records that were read but never written.
     """
 
     share_after_cut: list[float] = field(default_factory=list)
@@ -253,19 +256,19 @@
 
 
 def cut_at_random(data: bytearray, random: Random) -> None:
-    """Drop the end of a file."""
+    """Remove the end of a file from a random position."""
     del data[random.randrange(len(data)) :]
 
 
 def flip_random_bit(data: bytearray, random: Random) -> None:
-    """Flip one bit of a file."""
+    """Flip one random bit of a file."""
     data[random.randrange(len(data))] ^= 1 << random.randrange(8)
 
 
 def corrupt_files(
     files: dict[str, bytes], path: Path, corrupt: Callable[[bytearray, Random], None], random: Random
 ) -> None:
-    """Write files into a new directory, one of them corrupted."""
+    """Write files into a new directory and corrupt one of the files."""
     name = random.choice(sorted(files))
     data = bytearray(files[name])
     corrupt(data, random)
@@ -275,7 +278,7 @@
 
 
 def read_corrupted(store_type: StoreType, tries: int, random: Random) -> CorruptionResult:
-    """Corrupt the files of a store in two ways, so often each, and read them."""
+    """Corrupt the files of a store by cuts and by bit flips, `tries` times each, and read them."""
     records = sample_records(100)
     result = CorruptionResult()
     with tempfile.TemporaryDirectory() as text:
@@ -302,16 +305,20 @@
 
 
 def measure_corruption(report: BenchmarkReport) -> None:
-    """Count how much of what was durable is found in corrupted files, and whether the loss is reported."""
+    """Measure the share of durable records found in corrupted files, and whether a loss is reported."""
     tries = 20 if report.short else 200
     random = Random(report.seed)
     for store_type in STORE_TYPES:
         result = read_corrupted(store_type, tries, random)
         name = f"torn_{store_type.name}"
-        report.record(f"{name}_cut", sum(result.share_after_cut) / tries, "of the facts found, mean of cuts")
+        report.record(
+            f"{name}_cut", sum(result.share_after_cut) / tries, "of the records found after a cut, mean"
+        )
         share = sum(result.share_after_bit_flip) / tries
-        report.record(f"{name}_turned", share, "the same, one bit turned")
-        report.record(f"{name}_silent", result.undetected, f"of {tries} turned bits lose facts unsaid")
-        report.record(f"{name}_false", result.invented, "facts found that were never said")
+        report.record(f"{name}_turned", share, "of the records found after a bit flip, mean")
+        report.record(
+            f"{name}_silent", result.undetected, f"of {tries} bit flips lost records without a report"
+        )
+        report.record(f"{name}_false", result.invented, "records read that were never written")
         if store_type is WillowwingStore:
-            report.check(not result.invented, f"{result.invented} facts were found that were never said")
+            report.check(not result.invented, f"{result.invented} records were read that were never written")
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""What all benchmarks share: their arguments, the lines they print, and the verdict."""
+"""Command line, printed figures and verdict that all benchmarks share."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BenchmarkReport:
-    """Figures and failed assertions of one run."""
+    """Report of one benchmark run with its figures and failed checks."""
 
     def __init__(self, name: str, short: bool, seed: int) -> None:
         self.name = name
@@ -23,19 +23,19 @@
         self.failed: list[str] = []
 
     def record(self, name: str, value: float | str, unit: str = "") -> None:
-        """Print a figure and keep it for --json."""
+        """Print a figure and store it for --json."""
         self.figures[name] = value, unit
         shown = f"{value:.4g}" if isinstance(value, float) else str(value)
         print(f"{name} {shown} {unit}".rstrip(), flush=True)
 
     def check(self, passed: object, message: str) -> None:
-        """Assert something; `message` says what is wrong where it failed."""
+        """Record a failed check unless `passed` is true; `message` describes the failure."""
         if not passed:
             self.failed.append(message)
             print(f"failed: {message}", flush=True)
 
     def as_json(self) -> str:
-        """Write the figures and failed assertions as JSON."""
+        """Return the figures and failed checks as JSON."""
         figures = {name: {"value": value, "unit": unit} for name, (value, unit) in self.figures.items()}
         return json.dumps({"figures": figures, "failed": self.failed}, indent=1) + "\n"
 
@@ -46,11 +46,15 @@
     argv: list[str] | None = None,
     add_arguments: Callable[[argparse.ArgumentParser], None] | None = None,
 ) -> int:
-    """Run a benchmark by its command line; return exit code 0 where all assertions passed, else 1."""
+    """Run a benchmark with its command line and return the exit code: 0 if all checks passed, else 1."""
     parser = argparse.ArgumentParser(prog=f"python -m benchmarks.{name}")
-    parser.add_argument("--short", action="store_true", help="ends within 45 s, with the same assertions")
+    parser.add_argument(
+        "--short", action="store_true", help="short run that ends within 45 s, with the same checks"
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--json", type=Path, metavar="FILE", help="the figures, too")
+    parser.add_argument(
+        "--json", type=Path, metavar="FILE", help="also write the figures and failed checks to FILE"
+    )
     if add_arguments is not None:
         add_arguments(parser)
     options = parser.parse_args(argv)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,21 +1,23 @@
-"""What one proxy needs before fleets with up to sixteen times the endpoints, against the usual 200.
+"""Benchmark of one proxy with up to sixteen times the usual number of endpoints, which is 200.
 
     python -m benchmarks.scale [--short] [--seed N] [--json FILE] [--turns N] [--sizes N ...] [--rate N]
 
-The program itself, as a process, is driven with the same traffic before 200, 800, 1,600 and 3,200 endpoints
-(--short: 200 and 3,200). What is assumed of the fleet:
+The proxy runs as a real process and receives the same traffic with 200, 800, 1,600 and 3,200 endpoints
+(--short: 200 and 3,200). The benchmark assumes:
 
-- 200 proxies share the endpoints, in three zones; this process is one of them, and the only one that runs.
-- The capacity of all endpoints together stays the same: `SLOTS` requests at a time at 200, in proportion
-  fewer at each endpoint of a larger fleet, `SERVICE_TIME_S` each.
-- Changes come in proportion to the fleet, evenly over the run: three in ten endpoints drain and are replaced
-  by new ones, one in ten dies and is back after 0.3 s, cold.
+- 200 proxies in three zones share the endpoints. Only the measured proxy runs.
+- The capacity of all endpoints together is constant. At 200 endpoints, each endpoint executes `SLOTS`
+  requests at a time; in a larger fleet, each endpoint executes proportionally fewer. A request takes
+  `SERVICE_TIME_S`.
+- Changes are proportional to the fleet and spread evenly over the run: three in ten endpoints drain and are
+  replaced by new endpoints, and one in ten crashes and restarts cold after 0.3 s.
 
-Then the proxy is a busy one, with several times the mean traffic, before the smallest and the largest fleet:
-judged is the share that it serves.
+A second part sends several times the mean traffic through the proxy, with the smallest and the largest fleet,
+and checks the share of served requests.
 
-Each bound is the standing test's. Counts (connections, descriptors, bytes, served) are judged as they are;
-of CPU and peak memory the cheapest turn is judged, and the spread over the turns is printed as their noise.
+The bounds are those of the standing scale test. Counts (connections, descriptors, bytes, served requests) are
+checked without correction. For CPU and peak memory the cheapest turn is checked, and the spread over the
+turns is printed as noise.
 """
 
 from __future__ import annotations
@@ -39,32 +41,33 @@
 from harness.recorder import Recorder
 from service_proxy.net.http_status import OK
 
-BASE = 200  # endpoints at the usual size
+BASE_ENDPOINTS = 200  # Number of endpoints at the usual size.
 SIZES = (200, 800, 1600, 3200)
 SIZES_SHORT = (200, 3200)
 SECONDS = 20.0
 SECONDS_SHORT = 7.0
 TURNS = 3
 TURNS_SHORT = 1
-RATE = 30.0  # requests a second
-BUSY_RATE = 120.0  # the same of a busy proxy
-BUSY_SERVICE_TIME_S = 0.25  # of its requests: it needs twice its fair share of the capacity
+RATE = 30.0  # Requests per second.
+BUSY_RATE = 120.0  # Requests per second through a busy proxy.
+# Service time of a busy proxy's requests, which then need twice the proxy's fair share of the capacity.
+BUSY_SERVICE_TIME_S = 0.25
 BUSY_SECONDS = 15.0
 BUSY_SECONDS_SHORT = 4.0
 PROXIES = 200
 PROXY_INDEX = 7
 ZONES = ("a", "b", "c")
-SLOTS = 16  # requests that an endpoint executes at a time at the usual size
+SLOTS = 16  # Requests that an endpoint executes at a time at the usual size.
 SERVICE_TIME_S = 0.05
-REPLACED_SHARE = 0.3  # of the endpoints, over the run
+REPLACED_SHARE = 0.3  # Share of the endpoints that are replaced over the run.
 RESTARTED_SHARE = 0.1
-DRAIN_S = 1.0  # from an endpoint's drain to its end
-DOWN_S = 0.3  # of a restart
-SAMPLE_INTERVAL_S = 0.05  # between two counts of the descriptors
-MIN_SERVED = 0.85  # of the share served at the usual size
+DRAIN_S = 1.0  # Time from an endpoint's drain to its end.
+DOWN_S = 0.3  # Downtime of a restarted endpoint.
+SAMPLE_INTERVAL_S = 0.05  # Interval between two counts of the descriptors.
+MIN_SERVED = 0.85  # Required part of the share that is served at the usual size.
 
-# The standing test's bounds: so many times the figure at the usual size, so much more, and so much for each
-# 1,000 endpoints.
+# Bounds of the standing scale test as (factor, addend, addend per 1,000 endpoints). The factor applies to the
+# figure at the usual size.
 BOUNDS = {
     "cpu": (1.4, 0.02, 0.12),
     "peak_memory": (1.5, 8.0, 4.0),
@@ -75,28 +78,28 @@
 UNITS = {
     "cpu": "s",
     "peak_memory": "MB",
-    "descriptors": "at most at a time",
-    "connections": "made",
+    "descriptors": "open at the same time, at most",
+    "connections": "opened",
     "list_bytes": "KB",
     "served": "share",
     "requests": "sent",
     "health_checks": "sent",
-    "endpoints_used": "endpoints that got a request",
-    "lists": "lists that came",
+    "endpoints_used": "endpoints that received a request",
+    "lists": "lists that discovery sent",
 }
-NOISY = ("cpu", "peak_memory")  # judged by their cheapest turn
+NOISY = ("cpu", "peak_memory")  # Figures that are checked by their cheapest turn.
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one run cost."""
+    """Cost of one run."""
 
-    cpu: float  # s
-    peak_memory: float  # MB
+    cpu: float  # Seconds.
+    peak_memory: float  # Megabytes.
     descriptors: int
     connections: int
-    list_bytes: float  # KB
-    served: float  # share of the requests
+    list_bytes: float  # Kilobytes.
+    served: float  # Share of the requests.
     requests: int
     health_checks: int
     endpoints_used: int
@@ -105,24 +108,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What one run consists of."""
+    """Parameters of one run."""
 
     endpoints: int
     seconds: float
-    rate: float  # requests a second
+    rate: float  # Requests per second.
     seed: int
-    root: Path | None = None  # another checkout of the program
+    root: Path | None = None  # Another checkout of the program.
     service_time: float = SERVICE_TIME_S
 
 
 class CountingRegistry(EndpointRegistry):
-    """Discovery that counts what it sends."""
+    """Discovery service that counts the lists and bytes that it sends."""
 
     sent_bytes = 0
     sent_lists = 0
 
     def encode_list(self, since: int | None) -> bytes:
-        """Return what is sent, and count it."""
+        """Return the encoded list and count it as sent."""
         body = super().encode_list(since)
         self.sent_bytes += len(body)
         self.sent_lists += 1
@@ -130,37 +133,37 @@
 
 
 class Churn:
-    """Restarts and replacements, evenly over the run and in proportion to the fleet."""
+    """Restarts and replacements of endpoints, evenly spread over the run and proportional to the fleet."""
 
     def __init__(self, fleet: EndpointFleet, registry: EndpointRegistry, seed: int) -> None:
         self.fleet = fleet
         self.registry = registry
         self.random = Random(seed)
-        self.settled = sorted(fleet.names())  # that nothing has happened to
+        self.unchanged_names = sorted(fleet.names())  # Names of the endpoints that have not been changed.
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Let everything happen within so many seconds."""
+        """Start all restarts and replacements within `seconds`."""
         loop = asyncio.get_running_loop()
-        count = len(self.settled)
+        count = len(self.unchanged_names)
         replaced = round(REPLACED_SHARE * count)
         kinds = [True] * replaced + [False] * round(RESTARTED_SHARE * count)
         self.random.shuffle(kinds)
         started_at = loop.time()
         for number, is_replaced in enumerate(kinds):
             await asyncio.sleep(max(0.0, started_at + seconds * number / len(kinds) - loop.time()))
-            name = self.settled.pop(self.random.randrange(len(self.settled)))
+            name = self.unchanged_names.pop(self.random.randrange(len(self.unchanged_names)))
             task = loop.create_task(self._replace(name) if is_replaced else self._restart(name))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
     async def _replace(self, name: str) -> None:
         new = await self.fleet.add()
-        self.registry.put(listed(new, time.time()))
+        self.registry.put(list_entry(new, time.time()))
         old = self.fleet.endpoints[name]
-        self.registry.put(listed(old, status="Terminating"))
+        self.registry.put(list_entry(old, status="Terminating"))
         await asyncio.sleep(DRAIN_S)
-        self.registry.put(listed(old, status="Gone"))
+        self.registry.put(list_entry(old, status="Gone"))
         self.fleet.remove(name)
 
     async def _restart(self, name: str) -> None:
@@ -168,17 +171,17 @@
         endpoint.stop()
         await asyncio.sleep(DOWN_S)
         await endpoint.start()
-        self.registry.put(listed(endpoint, time.time()))
+        self.registry.put(list_entry(endpoint, time.time()))
 
     async def stop(self) -> None:
-        """End what is still going on."""
+        """Cancel the unfinished restarts and replacements."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def listed(endpoint: FleetEndpoint, started_at: float = 0.0, status: str = "Ready") -> Entry:
-    """Return an endpoint as discovery lists it."""
+def list_entry(endpoint: FleetEndpoint, started_at: float = 0.0, status: str = "Ready") -> Entry:
+    """Return an endpoint's entry in discovery's list."""
     number = int(endpoint.name.removeprefix("s-"), 16)
     address = f"{endpoint.host}:{endpoint.port}"
     zone = ZONES[number % len(ZONES)]
@@ -186,27 +189,27 @@
 
 
 async def sample_descriptors(pid: int, counts: list[int]) -> None:
-    """Count a process's descriptors again and again, until cancelled."""
+    """Count a process's open descriptors repeatedly until the task is cancelled."""
     while True:
         counts.append(sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir()))
         await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
 async def run_once(load: Load) -> Cost:
-    """Start a fleet, its discovery and one proxy, drive them and return what the proxy cost."""
+    """Start a fleet, its discovery and one proxy, send the traffic, and return the proxy's cost."""
     registry = CountingRegistry(Recorder(), load.seed)
     await registry.start()
-    fleet = EndpointFleet(max(1, SLOTS * BASE // load.endpoints), load.service_time)
+    fleet = EndpointFleet(max(1, SLOTS * BASE_ENDPOINTS // load.endpoints), load.service_time)
     for _ in range(load.endpoints):
-        registry.put(listed(await fleet.add()))
+        registry.put(list_entry(await fleet.add()))
     known = {"index": registry.index, "snapshot": True, "endpoints": list(registry.entries.values())}
-    more: dict[str, Any] = {"overrides": {"known": known}, "balancers": PROXIES, "me": PROXY_INDEX}
+    extra: dict[str, Any] = {"overrides": {"known": known}, "balancers": PROXIES, "me": PROXY_INDEX}
     if load.root is not None:
-        more["root"] = load.root
+        extra["root"] = load.root
     counts = [0]
     churn = Churn(fleet, registry, load.seed)
     async with contextlib.AsyncExitStack() as stack:
-        proxy = await stack.enter_async_context(running_proxy("scale", registry.address, [], **more))
+        proxy = await stack.enter_async_context(running_proxy("scale", registry.address, [], **extra))
         clients = ClientPool(Recorder(), proxy.address, "c", load.seed)
         tasks = [asyncio.create_task(sample_descriptors(proxy.process.pid, counts))]
         tasks.append(asyncio.create_task(churn.run(load.seconds)))
@@ -242,42 +245,42 @@
     )
 
 
-def judged(costs: list[Cost], name: str) -> float:
-    """Return the figure of a size that is judged: the cheapest where there is noise, else the worst."""
+def checked_value(costs: list[Cost], name: str) -> float:
+    """Return the checked value of a size: the lowest of noisy figures and of `served`, else the highest."""
     values = [float(getattr(cost, name)) for cost in costs]
     return min(values) if name in NOISY or name == "served" else max(values)
 
 
-def bound(name: str, usual: float, endpoints: int) -> float:
-    """Return the most that a figure may be before so many endpoints."""
-    times, more, per_thousand = BOUNDS[name]
-    return times * usual + more + per_thousand * endpoints / 1000
+def bound(name: str, base_value: float, endpoints: int) -> float:
+    """Return the upper bound of a figure for the given number of endpoints."""
+    times, extra, per_thousand = BOUNDS[name]
+    return times * base_value + extra + per_thousand * endpoints / 1000
 
 
 def judge(report: BenchmarkReport, by_size: dict[int, list[Cost]]) -> None:
-    """Record the figures of all sizes, and check them against those of the smallest."""
+    """Record the figures of all sizes, and check them against the figures of the smallest size."""
     base = min(by_size)
     for endpoints, costs in by_size.items():
         for name, unit in UNITS.items():
-            value = judged(costs, name)
+            value = checked_value(costs, name)
             report.record(f"{name}_{endpoints}", value, unit)
             if name in NOISY:
                 values = [float(getattr(cost, name)) for cost in costs]
                 report.record(f"{name}_{endpoints}_noise", max(values) - min(values), unit)
             if endpoints == base:
                 continue
-            usual = judged(by_size[base], name)
+            base_value = checked_value(by_size[base], name)
             if name == "served":
-                least = MIN_SERVED * usual
+                least = MIN_SERVED * base_value
                 report.check(value >= least, f"served_{endpoints}: {value:.3f}, at least {least:.3f}")
             elif name in BOUNDS:
-                most = bound(name, usual, endpoints)
+                most = bound(name, base_value, endpoints)
                 report.record(f"{name}_{endpoints}_bound", most, unit)
                 report.check(value <= most, f"{name}_{endpoints}: {value:.4g}, at most {most:.4g} {unit}")
 
 
 def judge_busy(report: BenchmarkReport, served: dict[int, float]) -> None:
-    """Record the shares that a busy proxy serves, and check them against that of the smallest size."""
+    """Record the shares that a busy proxy serves, and check them against the share at the smallest size."""
     least = MIN_SERVED * served[min(served)]
     for size, value in served.items():
         report.record(f"busy_served_{size}", value, "share")
@@ -285,7 +288,7 @@
 
 
 async def measure(report: BenchmarkReport, options: argparse.Namespace) -> None:
-    """Run all sizes, turn by turn, and judge them."""
+    """Run all sizes in turns and check the figures."""
     sizes = options.sizes or (SIZES_SHORT if report.short else SIZES)
     seconds = options.seconds or (SECONDS_SHORT if report.short else SECONDS)
     root = options.root.resolve() if options.root else None
@@ -306,12 +309,14 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add this benchmark's own arguments."""
-    parser.add_argument("--turns", type=int, help="runs of each size")
-    parser.add_argument("--sizes", type=int, nargs="+", help="endpoints; the smallest is the usual size")
-    parser.add_argument("--seconds", type=float, help="of traffic in each run")
-    parser.add_argument("--rate", type=float, default=RATE, help="requests a second")
-    parser.add_argument("--root", type=Path, metavar="CHECKOUT", help="another checkout of the program")
+    """Add this benchmark's arguments to the command line."""
+    parser.add_argument("--turns", type=int, help="number of runs per size")
+    parser.add_argument(
+        "--sizes", type=int, nargs="+", help="numbers of endpoints; the smallest is the usual size"
+    )
+    parser.add_argument("--seconds", type=float, help="duration of the traffic per run")
+    parser.add_argument("--rate", type=float, default=RATE, help="requests per second")
+    parser.add_argument("--root", type=Path, metavar="CHECKOUT", help="run the proxy of another checkout")
 
 
 if __name__ == "__main__":
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -1,10 +1,10 @@
-"""The sidecar's checker and its process: mutations, harmless edits, a large fleet, restarts under load.
+"""Benchmark of the sidecar's checker and process: mutations, harmless edits, a large fleet, restarts.
 
     python -m benchmarks.sidecar [--short] [--seed N] [--json FILE]
 
-Of the mutations of good descriptions that break a rule (`sidecar_mutations`) none may be accepted; of the
-edits that change no value (comments, order, spacing) none may be refused. Then a fleet of 37 sidecars before
-87 nodes is checked. Last come the restarts, on real processes (`sidecar_restarts`).
+The checker has to refuse each mutation of a valid description that breaks a rule (`sidecar_mutations`), and
+to accept each edit that changes no value (comments, order, spacing). A fleet of 37 sidecars in front of 87
+nodes is checked next. Real processes restart under load at the end (`sidecar_restarts`).
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from service_proxy.sidecar.description import load
 
 CORPUS = Path(__file__).parent.parent / "tests" / "corpus" / "good"
-# Written so that an edit by lines does not find its place; they are the corpus's to test.
+# Descriptions whose notation the line-based edits can't handle. The tests of the corpus cover these files.
 UNSUITABLE = frozenset(
     ("comments", "crlf", "inline-tables", "dotted", "quoted-names", "tabs", "long-strings")
 )
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GoodDescription:
-    """A description of the corpus that check accepts."""
+    """Description of the corpus that the checker accepts."""
 
     name: str
     text: str
@@ -49,11 +49,11 @@
 
 @dataclass(slots=True)
 class MutationResults:
-    """How many mutations of each kind were checked, and which were not refused by their rule."""
+    """Number of checked mutations by kind, and the mutations that their own rule did not refuse."""
 
     counts: Counter[str] = field(default_factory=Counter)
     accepted: list[str] = field(default_factory=list)
-    refused_otherwise: list[str] = field(default_factory=list)
+    refused_by_other_rule: list[str] = field(default_factory=list)
 
 
 def good_descriptions() -> list[GoodDescription]:
@@ -63,7 +63,7 @@
 
 
 def check_mutation(file: Path, good: GoodDescription, random: Random, results: MutationResults) -> None:
-    """Mutate a description and check it, unless the drawn mutation does not suit it."""
+    """Mutate a description and check it, unless the chosen mutation can't be applied to the description."""
     file.write_text(good.text)
     _, description = load(str(file))
     assert description is not None, good.name
@@ -77,32 +77,33 @@
     if not codes:
         results.accepted.append(f"{mutation.name} of {good.name}")
     elif mutation.code not in codes:
-        results.refused_otherwise.append(f"{mutation.name} of {good.name}: {sorted(codes)}")
+        results.refused_by_other_rule.append(f"{mutation.name} of {good.name}: {sorted(codes)}")
 
 
 def measure_mutations(
     report: BenchmarkReport, folder: Path, descriptions: list[GoodDescription], random: Random
 ) -> None:
-    """Check that each mutation is refused by the rule that it breaks."""
+    """Check that each mutation is refused by the rule that the mutation breaks."""
     count = MUTATIONS_SHORT if report.short else MUTATIONS
     results = MutationResults()
     while results.counts.total() < count:
         check_mutation(folder / "app.toml", random.choice(descriptions), random, results)
     for kind, checked in sorted(results.counts.items()):
         report.record(f"mutations_{kind}", checked, "")
-    report.record("mutations", results.counts.total(), "that break a rule")
-    report.record("slipped", len(results.accepted), "of them accepted")
-    report.record("told_otherwise", len(results.refused_otherwise), "of them refused for another reason")
-    report.check(not results.accepted, f"accepted: {results.accepted[:3]}")
+    report.record("mutations", results.counts.total(), "mutations that break a rule")
+    report.record("slipped", len(results.accepted), "mutations accepted")
+    report.record("told_otherwise", len(results.refused_by_other_rule), "mutations refused by another rule")
+    report.check(not results.accepted, f"mutations accepted: {results.accepted[:3]}")
     report.check(
-        not results.refused_otherwise, f"refused, but not by their rule: {results.refused_otherwise[:3]}"
+        not results.refused_by_other_rule,
+        f"mutations refused by another rule: {results.refused_by_other_rule[:3]}",
     )
 
 
 def measure_edits(
     report: BenchmarkReport, folder: Path, descriptions: list[GoodDescription], random: Random
 ) -> None:
-    """Check that no edit is refused that changes no value."""
+    """Check that edits that change no value are accepted."""
     file = folder / "app.toml"
     refused = []
     count = EDITS_SHORT if report.short else EDITS
@@ -113,12 +114,12 @@
         if problems:
             refused.append(f"{good.name}: {problems[0]}")
     report.record("harmless_edits", count, "")
-    report.record("harmless_refused", len(refused), "of them")
-    report.check(not refused, f"refused: {refused[:2]}")
+    report.record("harmless_refused", len(refused), "harmless edits refused")
+    report.check(not refused, f"harmless edits refused: {refused[:2]}")
 
 
 def write_fleet(folder: Path) -> list[str]:
-    """Write 37 descriptions of one sidecar each, of two tiers with 87 nodes in all; return their files."""
+    """Write 37 descriptions of one sidecar each, with two tiers and 87 nodes in total; return the files."""
     plain = (CORPUS / "plain.toml").read_text()
     portal_nodes = NODES // 3
     tiers = plain[: plain.index("[[sidecar]]")]
@@ -145,14 +146,14 @@
     started_at = time.perf_counter()
     problems = check(files, "")
     elapsed = time.perf_counter() - started_at
-    report.record("fleet", len(files), f"sidecars before {NODES} nodes")
-    report.record("fleet_time", elapsed / len(files) * 1000, "ms a file")
-    report.record("memory", resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, "MB at the most")
+    report.record("fleet", len(files), f"sidecars in front of {NODES} nodes")
+    report.record("fleet_time", elapsed / len(files) * 1000, "ms per file")
+    report.record("memory", resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, "MB at most")
     report.check(not problems, f"the fleet was refused: {problems[:1]}")
 
 
 async def measure(report: BenchmarkReport, _options: argparse.Namespace) -> None:
-    """Run all parts."""
+    """Run all parts of the benchmark."""
     random = Random(report.seed)
     descriptions = good_descriptions()
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/sidecar_mutations.py
+++ b/benchmarks/sidecar_mutations.py
@@ -1,7 +1,7 @@
-"""Changes of a good description: mutations that break one of the four rules, and edits that change nothing.
+"""Changes to a valid description: mutations that break one of the four rules, and edits without effect.
 
-A mutation sets one value so that a rule is broken by construction: the values before and after say so, not
-the checker.
+A mutation sets one value so that the description breaks a rule by construction. The values before and after
+the mutation prove the violation, so that the proof doesn't depend on the checker.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 
 from service_proxy.sidecar.model import Description
 
-ALWAYS_SHARE = 0.5  # of the retried unsafe classes get retry = "always", the others "by-key"
+# Share of the retried unsafe classes that get retry = "always". The other classes get "by-key".
+ALWAYS_SHARE = 0.5
 MAX_RETRY_FOR_MS = 9000
 MIN_WINDOW_S = 0.05
-WINDOW_MARGIN_S = 0.02  # by which a window ends before the last retry
-MIN_LAST_RETRY_S = 0.1  # below it there is no room for a shorter window
-STOP_MARGIN_S = 0.01  # by which a host is stopped before a deadline
-MIN_DRAIN_S = 2.01  # rule 3 allows 2 s
+WINDOW_MARGIN_S = 0.02  # Shortest time between the end of the key window and the last retry.
+MIN_LAST_RETRY_S = 0.1  # Earliest last retry that leaves room for a shorter key window.
+STOP_MARGIN_S = 0.01  # Shortest time between the stop of a host and the deadline.
+MIN_DRAIN_S = 2.01  # Rule 3 allows 2 s.
 MAX_DRAIN_S = 600
 MAX_EXTRA_PUSH = 20
 COMMENT_CHARACTERS = "ab=\"[]{}'#"
@@ -30,7 +31,7 @@
 
 
 def table_span(text: str, header: str) -> tuple[int, int] | None:
-    """Return where a table's lines begin and end, or None where there is no such table."""
+    """Return the start and end of a table's lines, or None if the table doesn't exist."""
     found = re.search(rf"^\[{re.escape(header)}\][^\n]*\n", text, re.M)
     if found is None:
         return None
@@ -39,7 +40,7 @@
 
 
 def set_key(text: str, header: str, key: str, value: str) -> str | None:
-    """Set a key of a table, in place of the value it has; a missing route is added with the key."""
+    """Set a key of a table and replace its present value. A missing route table is added with the key."""
     span = table_span(text, header)
     if span is None:
         return f"{text.rstrip()}\n\n[{header}]\n{key} = {value}\n" if header.startswith("route.") else None
@@ -49,7 +50,7 @@
 
 
 def retry_unsafe_class(text: str, description: Description, random: Random) -> str | None:
-    """Rule 2: retry a class that is not idempotent after it may have run."""
+    """Break rule 2: retry a class that is not idempotent after the request may have run."""
     unsafe = [name for name, cls in description.classes.items() if cls.effect == "once"]
     name = random.choice(unsafe)
     if description.routes[name].attempts == 1:
@@ -62,7 +63,7 @@
 
 
 def hedge_class(text: str, description: Description, random: Random) -> str | None:
-    """Rule 2: allow two attempts in flight at once."""
+    """Break rule 2: allow two attempts in flight at the same time."""
     name = random.choice(list(description.classes))
     if description.routes[name].attempts == 1:
         return None
@@ -70,7 +71,7 @@
 
 
 def retry_outside_group(text: str, description: Description, random: Random) -> str | None:
-    """Rule 2: retry a keyed class at endpoints that don't know its key."""
+    """Break rule 2: retry a keyed class at endpoints that don't share the deduplication of its key."""
     for name, cls in description.classes.items():
         wider_groups = {"cell": ["zone", "all"], "zone": ["all"], "all": []}[cls.group]
         if cls.effect == "by-key" and description.routes[name].retry == "by-key" and wider_groups:
@@ -79,7 +80,7 @@
 
 
 def shorten_key_window(text: str, description: Description, random: Random) -> str | None:
-    """Rule 2: retry a keyed class after its key is forgotten."""
+    """Break rule 2: retry a keyed class after the deduplication window of its key."""
     for name, cls in description.classes.items():
         route = description.routes[name]
         last_retry = min(route.retry_for, cls.deadline)
@@ -90,7 +91,7 @@
 
 
 def stop_before_deadline(text: str, description: Description, random: Random) -> str | None:
-    """Rule 1: stop a host before the longest deadline of what it has accepted."""
+    """Break rule 1: stop a host before the longest deadline of its accepted requests."""
     name = random.choice(list(description.tiers))
     longest = max(description.classes[cls].deadline for cls in description.tiers[name].classes)
     stop_after = random.uniform(0, longest - STOP_MARGIN_S)
@@ -98,13 +99,13 @@
 
 
 def prolong_drain(text: str, description: Description, random: Random) -> str | None:
-    """Rule 3: send new requests for more than 2 s of a drain."""
+    """Break rule 3: send new requests for more than 2 s after the start of a drain."""
     name = random.choice(list(description.tiers))
     return set_key(text, f"tier.{name}", "drain", f'"{random.uniform(MIN_DRAIN_S, MAX_DRAIN_S):.3f}s"')
 
 
 def overload_warming_endpoint(text: str, description: Description, random: Random) -> str | None:
-    """Rule 4: send an endpoint that warms up more than it survives."""
+    """Break rule 4: send a warming endpoint more requests than it survives."""
     name = random.choice(list(description.tiers))
     tier = description.tiers[name]
     if tier.cold_from == 1.0:
@@ -115,11 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A kind of mutation: its name in the figures, and the code that check must report."""
+    """Kind of mutation, with its name in the figures and the code that the checker must report."""
 
     name: str
     code: str
-    mutate: Mutate  # returns the changed text, or None where the description does not suit
+    # Function that returns the changed text, or None if the mutation can't be applied to the description.
+    mutate: Mutate
 
 
 MUTATION_KINDS = (
@@ -134,20 +136,20 @@
 
 
 def insert_comment(lines: list[str], random: Random) -> str:
-    """Insert a comment of brackets and quotes at any line."""
+    """Insert a comment that contains brackets and quotes at a random line."""
     number = random.randint(0, len(lines))
     comment = "# " + "".join(random.choices(COMMENT_CHARACTERS, k=COMMENT_LENGTH))
     return join_lines([*lines[:number], comment, *lines[number:]])
 
 
 def insert_blank_line(lines: list[str], random: Random) -> str:
-    """Insert a blank line anywhere."""
+    """Insert a blank line at a random position."""
     number = random.randint(0, len(lines))
     return join_lines([*lines[:number], "", *lines[number:]])
 
 
 def change_spacing(lines: list[str], random: Random) -> str:
-    """Change the white space round the `=` of one key, and put a comment behind its value."""
+    """Change the white space around the `=` of one key, and add a comment after its value."""
     number = random.choice([n for n, line in enumerate(lines) if re.match(r"[a-z_.]+\s*=", line)])
     key, _, value = lines[number].partition("=")
     indent = " " * random.randint(0, MAX_SPACES)
@@ -157,12 +159,12 @@
 
 
 def use_crlf(lines: list[str], _random: Random) -> str:
-    """End all lines with CR LF."""
+    """Terminate all lines with CR LF."""
     return "\r\n".join(lines) + "\r\n"
 
 
 def shuffle_tables(lines: list[str], random: Random) -> str:
-    """Put the tables in another order, with the arrays of tables at the end."""
+    """Shuffle the tables and move the arrays of tables to the end."""
     head, *tables = re.split(r"(?m)^(?=\[)", join_lines(lines))
     arrays = [part for part in tables if part.startswith("[[")]
     plain = [part for part in tables if not part.startswith("[[")]
@@ -171,7 +173,7 @@
 
 
 def join_lines(lines: list[str]) -> str:
-    """Return the text of these lines."""
+    """Return the text of the lines."""
     return "\n".join(lines) + "\n"
 
 
@@ -179,5 +181,5 @@
 
 
 def edit_harmlessly(text: str, random: Random) -> str:
-    """Return the text with an edit that changes no value."""
+    """Return the text after a random edit that changes no value."""
     return random.choice(HARMLESS_EDITS)(text.splitlines(), random)
--- a/benchmarks/sidecar_restarts.py
+++ b/benchmarks/sidecar_restarts.py
@@ -1,7 +1,7 @@
-"""Two tiers and four applications on real processes: each application and each sidecar restarts under load.
+"""Restarts of each application and each sidecar of two tiers under load, on real processes.
 
-An application dies without notice and comes back warming up; a sidecar gets SIGTERM and ends by itself. Every
-accepted request must get its one response, by the recorder.
+An application crashes without notice and warms up after its restart. A sidecar receives SIGTERM and ends by
+itself. The recorder checks that every accepted request gets exactly one response.
 """
 
 from __future__ import annotations
@@ -19,20 +19,21 @@
 from service_proxy.sidecar.description import load
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "application.toml"
-SETTLING_S = 1.0  # of traffic before the first restart and after the last
+SETTLING_S = 1.0  # Duration of the traffic before the first restart and after the last restart.
 MAX_TRAFFIC_S = 600.0
-MIN_SERVED_SHARE = 0.9  # one of two endpoints of a tier is down for most of the time
-MIN_INNER_SHARE = 0.5  # requests to the second tier, of those to the first
+# Share of the requests. One of the two endpoints of a tier is down for most of the time.
+MIN_SERVED_SHARE = 0.9
+MIN_INNER_SHARE = 0.5  # Ratio of the requests to the second tier to the requests to the first tier.
 LAST_RESPONSE_MARGIN_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class RestartSize:
-    """The size of a run."""
+    """Size of a run."""
 
-    rate: float  # requests a second
-    rounds: int  # restarts of each application and each sidecar
-    downtime: float  # s for which an application is down
+    rate: float  # Requests per second.
+    rounds: int  # Number of restarts of each application and each sidecar.
+    downtime: float  # Downtime of a restarted application in seconds.
 
 
 FULL_SIZE = RestartSize(120.0, 5, 2.0)
@@ -41,40 +42,42 @@
 
 @dataclass(slots=True)
 class RestartResults:
-    """What was measured: s, one for each restart."""
+    """Measured times in seconds, one per restart."""
 
-    application_recovery: list[float] = field(default_factory=list)  # until it got a request again
-    sidecar_shutdown: list[float] = field(default_factory=list)  # from SIGTERM to its end
+    # Times until the application receives a request again.
+    application_recovery: list[float] = field(default_factory=list)
+    # Times from SIGTERM to the end of the sidecar.
+    sidecar_shutdown: list[float] = field(default_factory=list)
 
 
 def has_more_requests(endpoint: StubEndpoint, count: int) -> bool:
-    """Tell whether the endpoint got a request after that many."""
+    """Return whether the endpoint has received more than `count` requests."""
     return endpoint.request_count > count
 
 
 async def restart_application(host: SidecarHost, downtime: float) -> float:
-    """Restart an application; return the time until it gets a request again, s."""
+    """Restart an application, and return the seconds until it receives a request again."""
     count = host.application.request_count
     await host.restart_application(downtime)
     started_at = asyncio.get_running_loop().time()
-    await until(partial(has_more_requests, host.application, count), f"calls to {host.name}")
+    await until(partial(has_more_requests, host.application, count), f"requests to {host.name}")
     return asyncio.get_running_loop().time() - started_at
 
 
 async def restart_sidecar(report: BenchmarkReport, deployment: Deployment, host: SidecarHost) -> float:
-    """Restart a sidecar by SIGTERM; return the time until its end, s."""
+    """Restart a sidecar with SIGTERM, and return the seconds until the sidecar has ended."""
     loop = asyncio.get_running_loop()
     signalled_at = loop.time()
     await host.stop_sidecar()
     elapsed = loop.time() - signalled_at
-    report.check(host.exit_code == 0, f"{host.name} ended with {host.exit_code}")
+    report.check(host.exit_code == 0, f"the sidecar of {host.name} ended with exit code {host.exit_code}")
     await host.start_sidecar()
     deployment.update_lists(host.sidecar.tier, host.list_entry)
     return elapsed
 
 
 async def restart_all(report: BenchmarkReport, deployment: Deployment, size: RestartSize) -> RestartResults:
-    """Restart all applications, then all sidecars, one after another, in each round."""
+    """Restart all applications and then all sidecars, one after another, in each round."""
     results = RestartResults()
     for _ in range(size.rounds):
         for host in deployment.hosts:
@@ -85,7 +88,7 @@
 
 
 async def measure_restarts(report: BenchmarkReport) -> None:
-    """Restart each application and each sidecar under load, and audit what became of the requests."""
+    """Restart each application and each sidecar under load, and audit the requests."""
     size = SHORT_SIZE if report.short else FULL_SIZE
     _, description = load(str(EXAMPLE))
     assert description is not None
@@ -110,23 +113,25 @@
 
 
 def report_restarts(report: BenchmarkReport, results: RestartResults, size: RestartSize) -> None:
-    """Record how many restarts there were."""
+    """Record the number of restarts."""
     count = len(results.application_recovery)
-    report.record("restarts_applications", count, f"each away for {size.downtime:g} s")
-    report.record("restarts_sidecars", len(results.sidecar_shutdown), "by SIGTERM")
+    report.record("restarts_applications", count, f"restarts, each with {size.downtime:g} s of downtime")
+    report.record("restarts_sidecars", len(results.sidecar_shutdown), "restarts by SIGTERM")
 
 
 def report_times(report: BenchmarkReport, results: RestartResults) -> None:
-    """Record the longest times of restarts."""
+    """Record the longest times of the restarts."""
     recovery = max(results.application_recovery)
-    report.record("application_back", recovery, "s at the most until it was called again")
-    report.record("sidecar_ended", max(results.sidecar_shutdown), "s at the most from SIGTERM to its end")
+    report.record("application_back", recovery, "s at most until it received a request again")
+    report.record(
+        "sidecar_ended", max(results.sidecar_shutdown), "s at most from SIGTERM to the end of the sidecar"
+    )
 
 
 def report_requests(
     report: BenchmarkReport, deployment: Deployment, size: RestartSize, elapsed: float
 ) -> None:
-    """Record what became of the requests, and check that none was lost and no rule broken."""
+    """Record the outcomes of the requests, and check that no request was lost and no rule broken."""
     clients = deployment.clients
     assert clients is not None
     codes = clients.status_codes
@@ -137,14 +142,14 @@
         {name: cls.idempotency for name, cls in deployment.classes.items()}
     )
     inner = sum(request.proxy != EDGE_PROXY_NAME for request in deployment.recorder.requests)
-    report.record("calls", total, f"in {elapsed:.1f} s, and {inner} of them to the second tier")
+    report.record("calls", total, f"requests in {elapsed:.1f} s, and {inner} to the second tier")
     report.record("served", codes[200], "")
-    report.record("refused", codes[503], "with 503, harmless to try again")
-    report.record("failed", total - codes[200] - codes[503] - unanswered, "with another code")
-    report.record("lost", lost, "taken and not answered in time, or not taken")
-    report.record("rules_broken", len(violations), "by the ledger")
+    report.record("refused", codes[503], "with 503, safe to retry")
+    report.record("failed", total - codes[200] - codes[503] - unanswered, "with another status code")
+    report.record("lost", lost, "accepted and not answered in time, or not accepted")
+    report.record("rules_broken", len(violations), "violations found by the recorder")
     is_enough = total > size.rate and inner > MIN_INNER_SHARE * total
-    report.check(is_enough, "too few calls to tell anything")
-    report.check(not lost, f"{lost} calls lost")
+    report.check(is_enough, "too few requests for a result")
+    report.check(not lost, f"{lost} requests lost")
     report.check(not violations, f"rules broken: {[str(violation) for violation in violations[:3]]}")
-    report.check(codes[200] >= MIN_SERVED_SHARE * total, f"{codes[200]} of {total} calls served")
+    report.check(codes[200] >= MIN_SERVED_SHARE * total, f"{codes[200]} of {total} requests served")
--- a/benchmarks/websocket.py
+++ b/benchmarks/websocket.py
@@ -1,10 +1,10 @@
-"""WebSocket: sessions through drains and kills of half the endpoints, a fuzz, cost and memory.
+"""WebSocket benchmark: sessions while half of the endpoints drain or crash, fuzzing, cost and memory.
 
     python -m benchmarks.websocket [--short] [--seed N] [--json FILE]
 
-Half of the sessions are in message mode, half are tunnels. While all of them send, a quarter of the endpoints
-drain and a quarter are killed; each tunnel to these must end in time, reconnect after the delay of its close
-frame, and be served again.
+Half of the sessions are in message mode and half are tunnels. While all sessions send, a quarter of the
+endpoints drain and a quarter are killed. Each tunnel to these endpoints must end in time, reconnect after the
+delay in its close frame, and be served again.
 """
 
 from __future__ import annotations
@@ -42,33 +42,33 @@
     "stream": True,
 }
 UNLIMITED_RATE = "messages_per_s = 10000.0\nburst = 10000.0\nopen_messages = 1000\n"
-MAX_DRAIN_S = 2.0  # for which rule 3 allows sessions at a draining endpoint
-DRAIN_TOLERANCE_S = 0.05  # of the recorder's audit
-CONNECT_BATCH = 50  # connections that are opened at once
-SEND_BATCH = 20  # sessions that send at the same moment
-SEND_INTERVAL_S = 2.0  # between two messages of a session
-RECOVERY_TIMEOUT_S = 20.0  # after six times the reconnect spread
+MAX_DRAIN_S = 2.0  # Longest time that rule 3 allows for sessions at a draining endpoint.
+DRAIN_TOLERANCE_S = 0.05  # Tolerance of the recorder's audit.
+CONNECT_BATCH = 50  # Number of connections that are opened at the same time.
+SEND_BATCH = 20  # Number of sessions that send at the same time.
+SEND_INTERVAL_S = 2.0  # Interval between two messages of a session.
+RECOVERY_TIMEOUT_S = 20.0  # Time to recover in addition to six times the reconnect spread.
 PEAK_WINDOW_S = 0.1
-MAX_PEAK_RATIO = 3.0  # reconnects in PEAK_WINDOW_S, in multiples of an even spread
-PEAK_TOLERANCE = 3  # reconnects
-MAX_IDLE_KB = 12.0  # of memory of the proxy, of an idle session
-WARM_UP_SESSIONS = 50  # before memory is measured
+MAX_PEAK_RATIO = 3.0  # Reconnects within PEAK_WINDOW_S, as a multiple of the even distribution.
+PEAK_TOLERANCE = 3  # Accepted number of reconnects in addition to MAX_PEAK_RATIO.
+MAX_IDLE_KB = 12.0  # Memory of the proxy per idle session.
+WARM_UP_SESSIONS = 50  # Number of sessions that are opened before memory is measured.
 TURNS = 3
 COST_SESSIONS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How large a run is.
+    """Size of a run.
 
     Attributes:
-        sessions: half of them in message mode, half of them tunnels.
-        endpoints: of the run with faults.
-        reconnect_spread: s over which closed clients are to reconnect.
-        streams: of fuzzed frames.
-        histories: of the session registry.
-        echoes: of each turn of the measurement of cost.
-        calm: s before the faults, and after all sessions are served again.
+        sessions: number of sessions, half in message mode and half tunnels.
+        endpoints: number of endpoints in the run with faults.
+        reconnect_spread: seconds over which clients with closed sessions reconnect.
+        streams: number of fuzzed streams of frames.
+        histories: number of session registry histories.
+        echoes: number of echoes per turn of the cost measurement.
+        calm: seconds before the faults, and seconds after all sessions are served again.
     """
 
     sessions: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A proxy, its endpoints and its clients."""
+    """Running proxy with its endpoints and clients."""
 
     proxy: ProxyProcess
     client_pool: WebSocketClientPool
@@ -95,7 +95,10 @@
     recorder: Recorder
 
     def notification_times(self, first: int) -> dict[str, float]:
-        """Return when the proxy was notified of which draining endpoint, from this notification on."""
+        """Return the time of the proxy's notification for each draining endpoint.
+
+        Notifications before the index `first` are ignored.
+        """
         return {
             notification.endpoint: notification.notified_at
             for notification in self.recorder.notifications[first:]
@@ -105,7 +108,7 @@
 
 @asynccontextmanager
 async def running_deployment(size: Size, endpoint_count: int, config: str = "") -> AsyncIterator[Deployment]:
-    """Run a proxy that accepts all sessions; `config`: more of its WebSocket table."""
+    """Run a proxy that accepts all sessions. `config` holds additional settings for [websocket]."""
     recorder = Recorder()
     registry = EndpointRegistry(recorder)
     endpoints = [WebSocketEndpoint(recorder, f"n-{n}", zone="abc"[n % 3]) for n in range(endpoint_count)]
@@ -137,7 +140,7 @@
 
 
 async def connect_clients(pool: WebSocketClientPool, count: int, path: str) -> list[WebSocketClient]:
-    """Connect so many more clients."""
+    """Connect `count` additional clients."""
     clients: list[WebSocketClient] = []
     for first in range(0, count, CONNECT_BATCH):
         names = [f"{path[1]}{first + n}" for n in range(min(CONNECT_BATCH, count - first))]
@@ -149,7 +152,7 @@
 
 
 async def keep_sending(pool: WebSocketClientPool, random: Random) -> None:
-    """Send one message of each session every SEND_INTERVAL_S, spread evenly."""
+    """Send one message per session every SEND_INTERVAL_S, evenly distributed over the interval."""
     shares = [request_class.share for request_class in DEFAULT_CLASSES]
     while True:
         started_at = time.monotonic()
@@ -167,21 +170,22 @@
 
 
 def served_messages(client: WebSocketClient) -> int:
-    """Return how many messages of a client were served or echoed."""
+    """Return the number of a client's messages that were served or echoed."""
     return client.served_count if client.is_message_mode else len(client.texts)
 
 
 @dataclass(slots=True)
 class FaultResult:
-    """What drains and kills led to.
+    """Results of the drains and kills.
 
     Attributes:
         draining, killed: names of the endpoints.
-        sessions: that were open at these.
-        max_drain: until the last session at a draining endpoint ended, from its notification, s.
-        recovered_after: until all sessions were served again, s; -1: never.
-        unserved: sessions that were not served again.
-        reconnect_times: of the connections after the faults, in order.
+        sessions: number of sessions that were open at these endpoints.
+        max_drain: longest time in seconds from the notification of a drain to the end of the endpoint's last
+            session.
+        recovered_after: seconds until all sessions were served again, or -1 if they never were.
+        unserved: number of sessions that were not served again.
+        reconnect_times: times of the connections after the faults, in ascending order.
     """
 
     draining: list[str]
@@ -194,7 +198,7 @@
 
     @property
     def peak_reconnects(self) -> int:
-        """The largest number of reconnects within PEAK_WINDOW_S."""
+        """Return the largest number of reconnects within PEAK_WINDOW_S."""
         times = self.reconnect_times
         in_windows = (sum(1 for time in times if start <= time < start + PEAK_WINDOW_S) for start in times)
         return max(in_windows, default=0)
@@ -233,7 +237,10 @@
 async def wait_for_recovery(
     pool: WebSocketClientPool, draining: list[WebSocketEndpoint], size: Size, result: FaultResult
 ) -> dict[str, float]:
-    """Wait until all sessions are served again; return when the last session of a draining endpoint ended."""
+    """Wait until all sessions are served again.
+
+    Return when the last session of each draining endpoint ended.
+    """
     started_at = time.monotonic()
     deadline = started_at + 6 * size.reconnect_spread + RECOVERY_TIMEOUT_S
     served_before = {client: served_messages(client) for client in pool.clients}
@@ -252,13 +259,13 @@
 
 
 async def measure_faults(report: BenchmarkReport, size: Size) -> None:
-    """Drain and kill endpoints under all sessions."""
+    """Drain and kill endpoints while all sessions are open."""
     async with running_deployment(size, size.endpoints) as deployment:
         pool = deployment.client_pool
         started_at = time.monotonic()
         message_sessions = await connect_clients(pool, size.sessions // 2, MESSAGE_PATH)
         tunnels = await connect_clients(pool, size.sessions - size.sessions // 2, TUNNEL_PATH)
-        unit = f"over {size.endpoints} nodes, half of them tunnels"
+        unit = f"sessions over {size.endpoints} endpoints, half of them tunnels"
         report.record("sessions", len(message_sessions) + len(tunnels), unit)
         report.record("opened_in", time.monotonic() - started_at, "s")
         sending = asyncio.create_task(keep_sending(pool, Random(report.seed)))
@@ -272,67 +279,74 @@
 
 
 def report_faults(report: BenchmarkReport, result: FaultResult, size: Size) -> None:
-    """Record what drains and kills led to, and check it."""
-    even = result.sessions * PEAK_WINDOW_S / size.reconnect_spread
+    """Record the results of the drains and kills, and check them."""
+    even_count = result.sessions * PEAK_WINDOW_S / size.reconnect_spread
     peak = result.peak_reconnects
-    faults = f"tunnels on {len(result.draining)} nodes that drain, {len(result.killed)} killed"
+    faults = f"sessions at {len(result.draining)} draining and {len(result.killed)} killed endpoints"
     report.record("hit_sessions", result.sessions, faults)
-    drained = "s after it was told, the last session of a node that drains"
+    drained = "s from the notification to the end of the last session at a draining endpoint"
     report.record("drained_after", result.max_drain, drained)
-    report.record("served_again", result.recovered_after, "s until all sessions were")
-    spread = f"after the faults, at most {peak} in 100 ms (even: {even:.1f})"
+    report.record("served_again", result.recovered_after, "s until all sessions were served again")
+    spread = f"after the faults, at most {peak} in 100 ms (evenly spread: {even_count:.1f})"
     report.record("reconnects", len(result.reconnect_times), spread)
-    report.check(result.sessions > 0, "no session was on the nodes that were hit")
+    report.check(result.sessions > 0, "no session was open at the draining and killed endpoints")
     is_drained = result.max_drain <= MAX_DRAIN_S + DRAIN_TOLERANCE_S
-    report.check(is_drained, f"a node that drains was held for {result.max_drain:.2f} s")
+    report.check(is_drained, f"a draining endpoint had sessions for {result.max_drain:.2f} s")
     report.check(not result.unserved, f"{result.unserved} sessions were not served again")
-    report.check(peak <= MAX_PEAK_RATIO * even + PEAK_TOLERANCE, f"{peak} reconnects in 100 ms")
+    report.check(peak <= MAX_PEAK_RATIO * even_count + PEAK_TOLERANCE, f"{peak} reconnects in 100 ms")
 
 
 def report_messages(report: BenchmarkReport, deployment: Deployment) -> None:
-    """Record closes, messages and outcomes, and check that they pair and break no rule."""
+    """Record closes, messages and outcomes, and check that messages match outcomes and no rule is broken."""
     pool = deployment.client_pool
     recorder = deployment.recorder
     closes = ", ".join(f"{code}: {count}" for code, count in sorted(pool.close_codes.items()))
     outcomes = ", ".join(f"{outcome} {count}" for outcome, count in sorted(pool.outcomes.items()))
     violations = recorder.audit({**IDEMPOTENCY_BY_CLASS, "vigia": Idempotency("repeatable")})
     report.record("closes", sum(pool.close_codes.values()), closes)
-    report.record("messages", len(recorder.requests), "taken in message mode")
+    report.record("messages", len(recorder.requests), "accepted in message mode")
     report.record("outcomes", sum(pool.outcomes.values()), outcomes)
-    report.record("echoes", pool.echo_count, "of tunnels")
-    report.record("rules_broken", len(violations), "by the ledger's audit")
+    report.record("echoes", pool.echo_count, "echoes through tunnels")
+    report.record("rules_broken", len(violations), "violations found by the recorder's audit")
     for violation in violations[:3]:
         print(violation)
     has_equal_counts = len(recorder.requests) == len(recorder.answers) == sum(pool.outcomes.values())
     sent = {request.request_id for request in recorder.requests}
     answered = {answer.request_id for answer in recorder.answers}
-    report.check(has_equal_counts and answered == sent, "messages and outcomes don't pair")
+    report.check(has_equal_counts and answered == sent, "messages and outcomes don't match")
     report.check(not violations, f"{len(violations)} rules broken")
-    report.check(set(pool.close_codes) <= {1012}, f"sessions closed otherwise: {closes}")
+    report.check(set(pool.close_codes) <= {1012}, f"sessions closed with another code than 1012: {closes}")
 
 
 async def measure_memory(report: BenchmarkReport, size: Size) -> None:
-    """Measure the proxy's memory of an idle session in each mode."""
+    """Measure the proxy's memory per idle session in each mode."""
     async with running_deployment(size, 4) as deployment:
         for name, path in (("talk", MESSAGE_PATH), ("tunnel", TUNNEL_PATH)):
             await connect_clients(deployment.client_pool, WARM_UP_SESSIONS, path)
             resident_before = deployment.proxy.resident_mb()
             count = size.sessions // 2 - WARM_UP_SESSIONS
             await connect_clients(deployment.client_pool, count, path)
-            each = (deployment.proxy.resident_mb() - resident_before) * 1024 / count
-            report.record(f"idle_{name}", each, f"kB of the proxy's memory, each of {count}")
-            report.check(each < MAX_IDLE_KB, f"an idle {name} holds {each:.1f} kB")
+            kb_per_session = (deployment.proxy.resident_mb() - resident_before) * 1024 / count
+            report.record(
+                f"idle_{name}", kb_per_session, f"kB of the proxy's memory per session, for {count} sessions"
+            )
+            report.check(
+                kb_per_session < MAX_IDLE_KB, f"an idle {name} session takes {kb_per_session:.1f} kB"
+            )
 
 
 class Cost(NamedTuple):
-    """What messages cost in one turn: CPU s of one, and how many in a second."""
+    """Cost of messages in one turn: CPU seconds per message, and messages per second."""
 
     cpu: float
     rate: float
 
 
 async def measure_cost(report: BenchmarkReport, size: Size) -> None:
-    """Compare an echo through a tunnel with one through a bare relay, in turns; and messages as requests."""
+    """Compare the cost of echoes through a tunnel and through a bare relay in turns, and measure messages.
+
+    The messages in message mode are requests.
+    """
     async with AsyncExitStack() as stack:
         deployment = await stack.enter_async_context(running_deployment(size, 1, UNLIMITED_RATE))
         relay = await stack.enter_async_context(running_relay(deployment.endpoints[0].address))
@@ -349,19 +363,19 @@
                 costs[name].append(await run_echoes(pid, clients, size.echoes))
             costs["talk"].append(await run_requests(proxy_pid, message_clients, size.echoes // 4))
         relay_pool.close()
-    for name, turns in costs.items():
-        cpu = median(cost.cpu for cost in turns) * US_PER_S
-        report.record(f"cpu_{name}", cpu, "us a message and its answer")
-        rate = median(cost.rate for cost in turns)
-        report.record(f"rate_{name}", rate, f"a second, one at a time on {COST_SESSIONS} sessions")
+    for name, turn_costs in costs.items():
+        cpu = median(cost.cpu for cost in turn_costs) * US_PER_S
+        report.record(f"cpu_{name}", cpu, "us per message and its answer")
+        rate = median(cost.rate for cost in turn_costs)
+        report.record(f"rate_{name}", rate, f"messages/s, one at a time on {COST_SESSIONS} sessions")
     pairs = zip(costs["tunnel"], costs["relay"], strict=True)
-    ratios = [tunnel.cpu / bare.cpu for tunnel, bare in pairs]
-    spread = f"times its CPU, {min(ratios):.2f} to {max(ratios):.2f}"
+    ratios = [tunnel.cpu / relay_cost.cpu for tunnel, relay_cost in pairs]
+    spread = f"times the CPU of the relay, {min(ratios):.2f} to {max(ratios):.2f}"
     report.record("tunnel_to_relay", median(ratios), spread)
 
 
 async def run_echoes(pid: int, clients: list[WebSocketClient], count: int) -> Cost:
-    """Send messages through tunnels, each client one at a time."""
+    """Send messages through tunnels. Each client sends one message at a time."""
 
     async def run_client(client: WebSocketClient) -> None:
         for _ in range(count // len(clients)):
@@ -376,7 +390,7 @@
 
 
 async def run_requests(pid: int, clients: list[WebSocketClient], count: int) -> Cost:
-    """Send messages that are requests, each client one at a time."""
+    """Send messages that are requests. Each client sends one message at a time."""
 
     async def run_client(client: WebSocketClient) -> None:
         for _ in range(count // len(clients)):
@@ -390,7 +404,7 @@
 
 
 async def cost_of(pid: int, work: list[Coroutine[Any, Any, None]], count: int) -> Cost:
-    """Run work that sends so many messages through a process; return what one costs it."""
+    """Run coroutines that send `count` messages through a process, and return the cost per message."""
     cpu_before = cpu_seconds(pid)
     started_at = time.monotonic()
     await asyncio.gather(*work)
@@ -398,7 +412,7 @@
 
 
 async def measure(report: BenchmarkReport, _options: argparse.Namespace) -> None:
-    """Measure all parts."""
+    """Run all parts of the benchmark."""
     size = SHORT if report.short else FULL
     measure_fuzz(report, size.streams, size.histories)
     await measure_memory(report, size)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Hypothesis draws what it drew before, and each test finds the log as it was."""
+"""Reproducible Hypothesis draws, and a check that no test leaves the log levels changed."""
 
 from __future__ import annotations
 
@@ -15,20 +15,27 @@
 settings.load_profile("same")
 
 
-def levels() -> dict[str, int]:
-    """Of the root ("") and of all loggers of the program; 0 is one whose parent decides."""
+def log_levels() -> dict[str, int]:
+    """Return the log levels of the root logger ("") and the program's loggers. Level 0 is inherited."""
     known = [name for name in logging.Logger.manager.loggerDict if name.split(".")[0] == "service_proxy"]
     return {name: logging.getLogger(name).level for name in ["", *known]}
 
 
 @pytest.fixture(autouse=True)
-def log_as_it_was() -> Iterator[None]:
-    """Parts of the program say more when they are on, which no later test may rely on; a test that leaves
-    less said fails itself, and not one that looks for a line after it."""
-    before = levels()
+def restore_log_levels() -> Iterator[None]:
+    """Restore the log levels after each test, and fail a test that leaves a logger silenced.
+
+    Some parts of the program lower log levels when they are enabled, and no later test may rely on the extra
+    log lines. A silenced logger would make a later test fail that looks for a log line.
+    """
+    levels_before = log_levels()
     yield
-    left = levels()
-    for name in left:
-        logging.getLogger(name).setLevel(before.get(name, logging.NOTSET))
-    quiet = [name for name, level in left.items() if level > max(before.get(name, 0), logging.WARNING)]
-    assert not quiet, f"this test left the log silenced for those that follow: {quiet}"
+    levels_after = log_levels()
+    for name in levels_after:
+        logging.getLogger(name).setLevel(levels_before.get(name, logging.NOTSET))
+    silenced = [
+        name
+        for name, level in levels_after.items()
+        if level > max(levels_before.get(name, 0), logging.WARNING)
+    ]
+    assert not silenced, f"this test left loggers silenced for later tests: {silenced}"
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,10 @@
-"""KNOWN-RED.txt: tests that fail because of a known fault in the code, which CI expects and prints.
+"""Support for KNOWN-RED.txt, the list of tests that fail because of a known fault in the code.
 
-One line per test, `TEST | COMMAND | SEED | SEEN | ISSUE`, at most three lines; the file exists only while it
-is needed. TEST is a node id as pytest prints it, COMMAND reproduces the failure, SEED is `-` if the test uses
-no seed, SEEN is what the failing run showed. A listed test that passes fails the run, unless the line ends
-with a sixth field, `intermittent`: such a test may fail or pass. A malformed line fails the run, too.
+CI expects the listed tests to fail and prints the list. Each line has the form
+`TEST | COMMAND | SEED | SEEN | ISSUE`. The list has at most three lines, and the file exists only while it is
+needed. TEST is a node ID as pytest prints it, COMMAND reproduces the failure, SEED is `-` if the test uses no
+seed, and SEEN is the output of the failing run. A listed test that passes fails the run, unless the line ends
+with a sixth field, `intermittent`: such a test may fail or pass. A malformed line also fails the run.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 from _pytest.terminal import TerminalReporter
 
 FILE_NAME = "KNOWN-RED.txt"
-MAX_ENTRIES = 3  # the operators' limit
+MAX_ENTRIES = 3  # Limit that the operators set.
 INTERMITTENT = "intermittent"
-FIELD_COUNT = 5  # without the optional field
-FORM = f"TEST | COMMAND | SEED | SEEN | ISSUE, and | {INTERMITTENT} if the test fails only now and then"
+FIELD_COUNT = 5  # Number of fields without the optional field.
+FORM = f"TEST | COMMAND | SEED | SEEN | ISSUE, and | {INTERMITTENT} if the test fails only in some runs"
 
 
 class KnownRedError(Exception):
-    """The list can't be used; the message names the line and what to write."""
+    """Invalid list. The message names the line and the required form."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that is known to fail."""
+    """Test that is known to fail."""
 
-    test: str  # node id
+    test: str  # Node ID.
     command: str
     seed: str
     seen: str
     issue: str
-    is_intermittent: bool = False  # the test fails in some runs only
+    is_intermittent: bool = False  # The test fails only in some runs.
 
     @property
     def summary(self) -> str:
-        """Return what was seen, how to reproduce it and the issue, on one line."""
+        """Return the observed failure, the command that reproduces it and the issue on one line."""
         kind = f"{INTERMITTENT}; " if self.is_intermittent else ""
         return f"{kind}{self.seen} ({self.issue}; seed {self.seed}; {self.command})"
 
@@ -55,31 +56,39 @@
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Read the list. Raises KnownRedError."""
+    """Parse the list.
+
+    Raises:
+        KnownRedError: a line is malformed or the list is too long.
+    """
     lines = enumerate(text.splitlines(), 1)
     entries = [_parse_entry(line, number) for number, line in lines if line.strip()]
     if len(entries) > MAX_ENTRIES:
         raise KnownRedError(
-            f"{FILE_NAME}: {len(entries)} tests are listed: mend until {MAX_ENTRIES} are left"
+            f"{FILE_NAME}: {len(entries)} tests are listed; fix tests until {MAX_ENTRIES} are left"
         )
     return entries
 
 
 def read_known_red(root: Path) -> list[KnownRed]:
-    """Read the list of a checkout; empty where there is none. Raises KnownRedError."""
+    """Read the list of a checkout, or return an empty list if the file doesn't exist.
+
+    Raises:
+        KnownRedError: the list is malformed, too long or empty, or a listed test doesn't exist.
+    """
     try:
         text = (root / FILE_NAME).read_text(encoding="utf-8")
     except FileNotFoundError:
         return []
     entries = parse_known_red(text)
     if not entries:
-        raise KnownRedError(f"{FILE_NAME}: is empty: remove it")
+        raise KnownRedError(f"{FILE_NAME}: the file is empty; remove it")
     for entry in entries:
         path, _, name = entry.test.partition("::")
         source = root / path
         function = name.rpartition("::")[2].partition("[")[0]
         if not source.is_file() or f"def {function}(" not in source.read_text(encoding="utf-8"):
-            raise KnownRedError(f"{FILE_NAME}: there is no test {entry.test}")
+            raise KnownRedError(f"{FILE_NAME}: there is no test {entry.test}; correct or remove its line")
     return entries
 
 
@@ -91,7 +100,10 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes fails the run, unless it is listed as intermittent."""
+    """Mark the listed tests as expected failures.
+
+    A listed test that passes fails the run, unless its entry is intermittent.
+    """
     listed = {entry.test: entry for entry in _entries(config)}
     for item in items:
         entry = listed.get(item.nodeid)
@@ -100,7 +112,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    """Print the list after the results."""
+    """Print the list after the test results."""
     entries = _entries(terminalreporter.config)
     if entries:
         terminalreporter.section("known red")
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name what is there: modules, classes, functions and links exist."""
+"""Modules, classes, functions, tests and links that the pages name exist."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     "CONTRIBUTING.md",
     *(str(p.relative_to(ROOT)) for p in sorted((ROOT / "docs").rglob("*.md"))),
 ]
-# As they were taken, in the words of their time.
-OLD_WORDS = "docs/measurements/"
+# Pages of past measurements, which keep the names of their time.
+PAST_MEASUREMENTS = "docs/measurements/"
 SPAN = re.compile(r"`([^`\n]+)`")
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 PATH = re.compile(r"[\w./-]+\.(?:py|toml|md|sh|txt)|[\w./-]+/")
@@ -26,7 +26,10 @@
 
 @cache
 def defined_names() -> frozenset[str]:
-    """Return all classes, functions and constants of the package, as NAME, CLASS.MEMBER and MODULE.NAME."""
+    """Return all classes, functions and constants of the package.
+
+    The forms are NAME, CLASS.MEMBER and MODULE.NAME.
+    """
     names: set[str] = set()
     for file in PACKAGE.rglob("*.py"):
         for node in ast.parse(file.read_text(encoding="utf-8")).body:
@@ -50,16 +53,17 @@
 
 
 def exists(path: str) -> bool:
-    if "*" in path or path.startswith(("/", "..")) or path == "KNOWN-RED.txt":  # that one, when it is needed
+    # KNOWN-RED.txt exists only while it is needed.
+    if "*" in path or path.startswith(("/", "..")) or path == "KNOWN-RED.txt":
         return True
     if (ROOT / path).exists() or (PACKAGE / path).exists():
         return True
-    # A module may be named by its last part, below a folder that the page has named before.
+    # A page may name a module by its file name alone, after the page has named the module's folder.
     return "/" not in path.rstrip("/") and any(PACKAGE.rglob(path.rstrip("/")))
 
 
-@pytest.mark.parametrize("page", [page for page in PAGES if not page.startswith(OLD_WORDS)])
-def test_links_lead_somewhere(page: str) -> None:
+@pytest.mark.parametrize("page", [page for page in PAGES if not page.startswith(PAST_MEASUREMENTS)])
+def test_link_targets_exist(page: str) -> None:
     text = (ROOT / page).read_text(encoding="utf-8")
     targets = [target for target in LINK.findall(text) if "://" not in target]
     assert [target for target in targets if not (ROOT / page).parent.joinpath(target).exists()] == []
@@ -73,7 +77,7 @@
 
 
 def names_of_tests() -> set[str]:
-    """Return the names of all tests, without `test_`."""
+    """Return the names of all tests without `test_`."""
     found: set[str] = set()
     for file in (ROOT / "tests").rglob("test_*.py"):
         found |= set(re.findall(r"def test_(\w+)\(", file.read_text(encoding="utf-8")))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail is short, exact and printed."""
+"""The list of known failing tests is short, exact and printed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from known_red import KnownRed, KnownRedError, parse_known_red, read_known_red
 
-HERE = Path(__file__).parent
+TESTS_FOLDER = Path(__file__).parent
 TESTS = """
 def test_red():
     assert False
@@ -23,10 +23,10 @@
 GREEN = "test_it.py::test_green | pytest test_it.py | - | answer 500 | issue 9"
 
 
-def checkout(root: Path, listed: str | None) -> Path:
-    """A folder with one test that fails and one that passes, and the list."""
+def create_checkout(root: Path, listed: str | None) -> Path:
+    """Create a folder with a failing test, a passing test and the list."""
     (root / "conftest.py").write_text(
-        f"import sys\nsys.path.insert(0, {str(HERE)!r})\n"
+        f"import sys\nsys.path.insert(0, {str(TESTS_FOLDER)!r})\n"
         "from known_red import pytest_collection_modifyitems, pytest_terminal_summary\n"
     )
     (root / "test_it.py").write_text(TESTS)
@@ -36,48 +36,48 @@
     return root
 
 
-def run(root: Path) -> subprocess.CompletedProcess[str]:
+def run_pytest(root: Path) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "no:xdist", "."]
     return subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=60, check=False)
 
 
 def test_a_listed_test_may_fail_and_is_printed(tmp_path: Path) -> None:
-    result = run(checkout(tmp_path, f"{RED}\n"))
+    result = run_pytest(create_checkout(tmp_path, f"{RED}\n"))
     assert result.returncode == 0, result.stdout
     assert "1 passed, 1 xfailed" in result.stdout
     assert "test_it.py::test_red: answer 500 (issue 9; seed 7; pytest test_it.py)" in result.stdout
 
 
 def test_a_listed_test_that_passes_fails_the_run(tmp_path: Path) -> None:
-    result = run(checkout(tmp_path, f"{RED}\n{GREEN}\n"))
+    result = run_pytest(create_checkout(tmp_path, f"{RED}\n{GREEN}\n"))
     assert result.returncode == 1
     assert "1 failed, 1 xfailed" in result.stdout
 
 
 def test_an_intermittent_test_may_fail_or_pass_and_is_printed(tmp_path: Path) -> None:
-    result = run(checkout(tmp_path, f"{RED} | intermittent\n{GREEN} | intermittent\n"))
+    result = run_pytest(create_checkout(tmp_path, f"{RED} | intermittent\n{GREEN} | intermittent\n"))
     assert result.returncode == 0, result.stdout
     assert "1 xfailed, 1 xpassed" in result.stdout
     assert "test_it.py::test_red: intermittent; answer 500 (issue 9; seed 7;" in result.stdout
     assert "test_it.py::test_green: intermittent; answer 500 (issue 9; seed -;" in result.stdout
 
 
-def test_an_intermittent_entry_excuses_no_other_test(tmp_path: Path) -> None:
-    result = run(checkout(tmp_path, f"{GREEN} | intermittent\n"))
+def test_an_intermittent_entry_applies_to_no_other_test(tmp_path: Path) -> None:
+    result = run_pytest(create_checkout(tmp_path, f"{GREEN} | intermittent\n"))
     assert result.returncode == 1
     assert "1 failed, 1 xpassed" in result.stdout
 
 
 def test_without_a_list_a_failing_test_fails_the_run(tmp_path: Path) -> None:
-    assert run(checkout(tmp_path, None)).returncode == 1
+    assert run_pytest(create_checkout(tmp_path, None)).returncode == 1
 
 
 def test_a_test_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
-    assert run(checkout(tmp_path, f"{GREEN}\n")).returncode == 1
+    assert run_pytest(create_checkout(tmp_path, f"{GREEN}\n")).returncode == 1
 
 
-def test_a_list_of_four_fails_the_run(tmp_path: Path) -> None:
-    result = run(checkout(tmp_path, f"{RED}\n" * 4))
+def test_a_list_of_four_tests_fails_the_run(tmp_path: Path) -> None:
+    result = run_pytest(create_checkout(tmp_path, f"{RED}\n" * 4))
     assert result.returncode == 4
     assert "4 tests are listed" in result.stderr
 
@@ -95,7 +95,7 @@
         "a | b | c | d | e | intermittent | f",
     ],
 )
-def test_a_line_of_another_form_is_refused(line: str) -> None:
+def test_a_malformed_line_is_refused(line: str) -> None:
     with pytest.raises(
         KnownRedError, match=r"KNOWN-RED.txt:2: write TEST \| COMMAND \| SEED \| SEEN \| ISSUE"
     ):
@@ -105,15 +105,15 @@
 @pytest.mark.parametrize("test", ["test_it.py::test_blue", "test_that.py::test_red", "test_it.py"])
 def test_a_line_that_names_no_test_is_refused(tmp_path: Path, test: str) -> None:
     with pytest.raises(KnownRedError, match="there is no test"):
-        read_known_red(checkout(tmp_path, f"{test} | command | 1 | seen | issue"))
+        read_known_red(create_checkout(tmp_path, f"{test} | command | 1 | seen | issue"))
 
 
 def test_an_empty_list_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(KnownRedError, match="is empty"):
-        read_known_red(checkout(tmp_path, "\n"))
+    with pytest.raises(KnownRedError, match="the file is empty; remove it"):
+        read_known_red(create_checkout(tmp_path, "\n"))
 
 
 def test_a_parameter_is_part_of_the_name(tmp_path: Path) -> None:
     listed = "test_it.py::test_red[1-a] | command | 1 | seen | issue"
-    entries = read_known_red(checkout(tmp_path, listed))
+    entries = read_known_red(create_checkout(tmp_path, listed))
     assert entries == [KnownRed("test_it.py::test_red[1-a]", "command", "1", "seen", "issue")]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs as it stands."""
+"""The example in the README runs unchanged."""
 
 from __future__ import annotations
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""Modules are read in one sitting: under 500 lines, functions under 40."""
+"""Modules have at most 500 lines, and functions at most 40."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 FOLDERS = ("service_proxy", "granitepoint", "harness", "benchmarks")
 MAX_MODULE_LINES = 500
 MAX_FUNCTION_LINES = 40
-# What is longer, each with its reason; an entry that is no longer needed fails the test.
+# Functions above the limit, each with its reason. An entry that is no longer needed fails the test.
 LONG_FUNCTIONS = {
     "harness/recovery/crash_points.py:record_store_run": "one recorded run, in the order of its steps",
 }
@@ -26,24 +26,26 @@
 def long_functions(file: Path) -> list[str]:
     found = []
 
-    def look(node: ast.AST, prefix: str) -> None:
+    def visit(node: ast.AST, prefix: str) -> None:
         for child in ast.iter_child_nodes(node):
             if isinstance(child, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
                 name = f"{prefix}{child.name}"
                 is_function = not isinstance(child, ast.ClassDef)
                 if is_function and (child.end_lineno or 0) - child.lineno + 1 > MAX_FUNCTION_LINES:
                     found.append(f"{name_of(file)}:{name}")
-                look(child, f"{name}.")
+                visit(child, f"{name}.")
             else:
-                look(child, prefix)
+                visit(child, prefix)
 
-    look(ast.parse(file.read_text(encoding="utf-8")), "")
+    visit(ast.parse(file.read_text(encoding="utf-8")), "")
     return found
 
 
-def test_modules_are_read_in_one_sitting() -> None:
-    long = {name_of(file) for file in modules() if file.read_text("utf-8").count("\n") > MAX_MODULE_LINES}
-    assert long == set()
+def test_modules_are_short() -> None:
+    long_modules = {
+        name_of(file) for file in modules() if file.read_text("utf-8").count("\n") > MAX_MODULE_LINES
+    }
+    assert long_modules == set()
 
 
 def test_functions_are_short() -> None:
