--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -54,8 +54,8 @@
 # Requests that a first-tier application sends to the inner tier per request, one after another.
 CALLS_EACH = 2
 CLIENT_BUDGET_SHARES = (0.5, 1.0)  # Shares of the request class's deadline that a client waits.
-CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICE_TIMES["nucleo"] / CALLS_EACH  # Requests per second.
-CALM_LOAD = 0.5  # Share of the capacity.
+CAPACITY = HOSTS * SLOTS["nucleo"] / SERVICE_TIMES["nucleo"] / CALLS_EACH  # Client requests per second.
+CALM_LOAD = 0.5  # Load of the calm phase as a share of the capacity.
 OVERLOAD = 1.5
 PHASE_S = 15.0
 SHORT_PHASE_S = 4.5
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -94,12 +94,12 @@
 class Cost:
     """Cost of one run."""
 
-    cpu: float  # Seconds.
-    peak_memory: float  # Megabytes.
+    cpu: float  # CPU time in seconds.
+    peak_memory: float  # Peak resident memory in megabytes.
     descriptors: int
     connections: int
-    list_bytes: float  # Kilobytes.
-    served: float  # Share of the requests.
+    list_bytes: float  # Size of the sent lists in kilobytes.
+    served: float  # Share of the requests that were served.
     requests: int
     health_checks: int
     endpoints_used: int
