--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -161,7 +161,7 @@
     nodes = [numbered_node(number) for number in range(LISTED)]
     cache.preload(nodes)
     merger.update(MEMBERSHIP, [to_endpoint(node, 0.0) for node in nodes], 0.0)
-    merger.take_changes(0.0)
+    merger.collect_changes(0.0)
     started_at = time.process_time()
     for number in range(CHANGES):
         node = nodes[number * 7 % LISTED]
@@ -170,7 +170,7 @@
             merger.report_ended(MEMBERSHIP, [node.name], now, ReportedStatus.LOST)
         else:
             merger.update(MEMBERSHIP, [to_endpoint(node.draining(), 0.0)], now)
-        merger.take_changes(now)
+        merger.collect_changes(now)
     elapsed = time.process_time() - started_at
     report.record("cpu_of_1000_changes", elapsed, "s, each given out alone")
 
--- a/benchmarks/fleet_baselines.py
+++ b/benchmarks/fleet_baselines.py
@@ -22,9 +22,9 @@
 class FixedSuspicion(ProtocolTiming):
     """A suspicion lasts as long as the shortest of ours, whoever else shares it."""
 
-    def suspicion_timeout(self, living: int, _confirmations: int) -> float:
+    def suspicion_timeout(self, live_count: int, _confirmations: int) -> float:
         """Return the shortest suspicion, s."""
-        return self.min_suspicion(living)
+        return self.min_suspicion(live_count)
 
 
 class PlainSwim(MembershipProtocol):
--- a/harness/deployment.py
+++ b/harness/deployment.py
@@ -26,7 +26,7 @@
 from service_proxy.net.endpoint_list import parse_address
 from service_proxy.sidecar.model import Description, Sidecar
 from service_proxy.sidecar.toml import description_text
-from service_proxy.sidecar.write import platform
+from service_proxy.sidecar.write import platform_config
 
 MAX_SIDECARS = 16  # processes; what the description has beyond it is left out
 PLAIN_ENDPOINTS_PER_TIER = 3  # of a tier that has no sidecars
@@ -264,7 +264,7 @@
             outbound={self.entry_tier: "127.0.0.1:1"},
         )
         description = replace(self.description, sidecars=(sidecar,))
-        configuration = platform(description, sidecar, self.entry_tier)
+        configuration = platform_config(description, sidecar, self.entry_tier)
         # Clients here never retry by themselves: one that waits less than another has not waited before.
         settings = {**configuration["settings"], "callers": {"marks_retry": True}}
         return {"settings": settings, "forms": configuration["forms"]}
--- a/harness/fleet/virtual_fleet.py
+++ b/harness/fleet/virtual_fleet.py
@@ -219,7 +219,7 @@
                 EPOCH_S,
                 self.authenticator,
             )
-            member.protocol.adopt(entries, order, digest)
+            member.protocol.start_with_entries(entries, order, digest)
             self._apply_effects(member)
 
     def kill(self, number: int) -> None:
--- a/harness/tier_chain.py
+++ b/harness/tier_chain.py
@@ -26,14 +26,22 @@
 from harness.deployment import ApplicationProfile, Deployment, DeploymentOptions, running_deployment
 from harness.recorder import RecordedAttempt
 from service_proxy.operator_file.schema import Budgets
-from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier, Top
+from service_proxy.sidecar.model import (
+    ClassDescription,
+    Description,
+    Features,
+    Route,
+    Sidecar,
+    Tier,
+    TopLevelKeys,
+)
 
 TIERS = ("portal", "nucleo", "almacen", "fondo")
 ZONES = ("sala-a", "sala-b")
 CLASSES = {  # shorter than the site's, so that a run is
-    "stock": Class("repeatable", 0.5, 1.0, 12.0),
-    "reserva": Class("by-key", 0.8, 1.5, 1.0, "zone", 3.0),
-    "canje": Class("once", 1.0, 2.0, 1.0),
+    "stock": ClassDescription("repeatable", 0.5, 1.0, 12.0),
+    "reserva": ClassDescription("by-key", 0.8, 1.5, 1.0, "zone", 3.0),
+    "canje": ClassDescription("once", 1.0, 2.0, 1.0),
 }
 ROUTES = {
     "stock": Route("always", "all"),
@@ -79,7 +87,7 @@
         described[TIERS[tiers]] = Tier(
             ZONES, tuple(CLASSES), hosts, padron=PLACEHOLDER_ADDRESS, stop_after=3.0
         )
-    top = Top(2, "chain", padron=PLACEHOLDER_ADDRESS)
+    top = TopLevelKeys(2, "chain", padron=PLACEHOLDER_ADDRESS)
     return Description(
         "chain", top, dict(CLASSES), dict(ROUTES), described, {}, tuple(sidecars), Features(), budgets
     )
--- a/service_proxy/__main__.py
+++ b/service_proxy/__main__.py
@@ -24,7 +24,7 @@
 )
 from service_proxy.log_setup import configure_logging
 from service_proxy.net.config import ConfigError, ProxyConfig, load_config, reload_discovery_address
-from service_proxy.net.limits import LOOP_TURN_S
+from service_proxy.net.limits import LOOP_ITERATION_S
 
 if TYPE_CHECKING:
     from service_proxy.operator_file import Operator
@@ -63,7 +63,7 @@
     longest = max(cls.deadline for cls in proxy.dispatcher.settings.classes)
     drain_s = min(longest, MAX_DEADLINE_WAIT_S) + KILL_GRACE_S - KILL_MARGIN_S
     started_at = time.monotonic()
-    proxy.end_all_by(started_at + drain_s)
+    proxy.start_drain(started_at + drain_s)
     if proxy.admin is not None and proxy.admin.has_successor:
         await proxy.admin.hand_over_listener()
         close_at = started_at + HANDOVER_IDLE_S
@@ -81,7 +81,7 @@
     """
     await asyncio.sleep(LISTENER_GRACE_S)
     while proxy.server.has_pending_accept and time.monotonic() < close_at:
-        await asyncio.sleep(LOOP_TURN_S)  # connections are queued mainly after a stall of this process
+        await asyncio.sleep(LOOP_ITERATION_S)  # connections are queued mainly after a stall of this process
     proxy.server.stop_listening()
 
 
@@ -103,11 +103,11 @@
 
 def _reload_configuration(proxy: Proxy) -> None:
     if proxy.admin is None:
-        proxy.move_discovery(reload_discovery_address(os.environ))
+        proxy.change_discovery_address(reload_discovery_address(os.environ))
         return
     discovery = proxy.admin.reload(os.environ)
     if discovery != proxy.dispatcher.discovery.address:
-        proxy.move_discovery(discovery)
+        proxy.change_discovery_address(discovery)
 
 
 def create_proxy(config: ProxyConfig, operator: Operator | None) -> Proxy:
--- a/service_proxy/admin/maintenance.py
+++ b/service_proxy/admin/maintenance.py
@@ -108,14 +108,14 @@
         listed = [self.endpoints[name] for name in names if name in self.endpoints]
         return EndpointList(0, False, [self._override_endpoint(endpoint) for endpoint in listed])
 
-    def count_unavailable(self, avoided: set[int]) -> int:
+    def count_unavailable(self, ejected_endpoint_ids: set[int]) -> int:
         """Count the listed endpoints that get no requests.
 
-        An endpoint gets no requests if it is in maintenance or if the policy avoids it (`avoided`: endpoint
-        ids).
+        An endpoint gets no requests if it is in maintenance, or if the policy has ejected the endpoint
+        (`ejected_endpoint_ids`).
         """
         return sum(
-            name in self.in_maintenance or endpoint.entry.endpoint_id in avoided
+            name in self.in_maintenance or endpoint.entry.endpoint_id in ejected_endpoint_ids
             for name, endpoint in self.endpoints.items()
         )
 
--- a/service_proxy/admin/service.py
+++ b/service_proxy/admin/service.py
@@ -170,7 +170,7 @@
         gauges = {
             "inflight": downstream.requests_in_flight,
             "hosts_listed": len(self.maintenance.endpoints),
-            "hosts_down": self.maintenance.count_unavailable(set(dispatcher.balancer.avoided)),
+            "hosts_down": self.maintenance.count_unavailable(set(dispatcher.balancer.ejected_endpoint_ids)),
         }
         counters = {"backend_calls": dispatcher.cluster.attempts_sent}
         return AdminResponse(HTTPStatus.OK, self.metrics.render(gauges, counters))
--- a/service_proxy/composition.py
+++ b/service_proxy/composition.py
@@ -172,7 +172,7 @@
             await self.admin.start(self.dispatcher, self.server)
         await self.server.listen(*self.config.listen, reuse_port=self.admin is not None)
 
-    def move_discovery(self, discovery: Address) -> None:
+    def change_discovery_address(self, discovery: Address) -> None:
         """Change the address of discovery from now on."""
         log.info("discovery_address_changed address=%s:%d", *discovery)
         self.dispatcher.discovery.change_address(discovery)
@@ -188,7 +188,7 @@
             except ValueError as error:
                 log.error("subsystem_reload_rejected error=%s", " | ".join(str(error).splitlines()))
 
-    def end_all_by(self, end_by: float) -> None:
+    def start_drain(self, end_by: float) -> None:
         """Start draining: all requests and sessions end by `end_by` (monotonic, s)."""
         self.dispatcher.set_shutdown_deadline(end_by)
         if self.websocket is not None:
--- a/service_proxy/ephemeral_nodes/merger.py
+++ b/service_proxy/ephemeral_nodes/merger.py
@@ -35,7 +35,7 @@
 
 
 class EndpointListMerger:
-    """Merger that receives the sources' reports and returns the resulting changes (`take_changes`).
+    """Merger that receives the sources' reports and returns the resulting changes (`collect_changes`).
 
     More than `share` of a source's endpoints lost within `within` s is a mass loss.
     """
@@ -201,7 +201,7 @@
             self.dirty.update(dict.fromkeys(self.index.dependent_names(name)))
 
     # Effective endpoints
-    def take_changes(self, now: float) -> EndpointList | None:
+    def collect_changes(self, now: float) -> EndpointList | None:
         """Return the changes since the last call as an incremental list, or None if nothing has changed."""
         self.tick(now)
         changed = []
--- a/service_proxy/ephemeral_nodes/source.py
+++ b/service_proxy/ephemeral_nodes/source.py
@@ -278,7 +278,7 @@
     def _publish_changes(self, now: float) -> bool:
         """Publish the merged changes to the dispatcher; return whether there were any."""
         before = self.merger.serving_count
-        endpoint_list = self.merger.take_changes(now)
+        endpoint_list = self.merger.collect_changes(now)
         if endpoint_list is not None:
             self.consumer.apply_endpoint_list(endpoint_list)
         if self.merger.serving_count < before:
--- a/service_proxy/fleet/member_base.py
+++ b/service_proxy/fleet/member_base.py
@@ -278,8 +278,8 @@
     @property
     def is_minority(self) -> bool:
         """Whether less than half of the known members that did not leave are live, or the name conflicts."""
-        living = len(self.table)
-        return 2 * living < living + self.table.dead_count or self.status is MembershipStatus.CONFLICT
+        live_count = len(self.table)
+        return 2 * live_count < live_count + self.table.dead_count or self.status is MembershipStatus.CONFLICT
 
     @property
     def is_isolated(self) -> bool:
--- a/service_proxy/fleet/protocol.py
+++ b/service_proxy/fleet/protocol.py
@@ -353,7 +353,9 @@
         return min(wire.CONTACT_UNKNOWN_MS - 1, int(max(0.0, self.now - last_contact_at) * 1000))
 
     # Simulations in virtual time.
-    def adopt(self, entries: dict[MemberKey, MemberEntry], order: list[MemberKey], digest: int) -> None:
+    def start_with_entries(
+        self, entries: dict[MemberKey, MemberEntry], order: list[MemberKey], digest: int
+    ) -> None:
         """Start as a member that already has these entries, its own among them; for simulations."""
         local = entries[self.key]
         self.ownership.incarnation = local.incarnation
--- a/service_proxy/fleet/proxy_count.py
+++ b/service_proxy/fleet/proxy_count.py
@@ -20,19 +20,19 @@
 
 
 def effective_proxy_count(
-    configured: int, living: int, settled: bool, is_minority: bool, current: int
+    configured: int, live_count: int, settled: bool, is_minority: bool, current: int
 ) -> int:
     """Return the number of proxies among which the policy divides its limits.
 
     Args:
         configured: number of proxies in the platform's settings.
-        living: live members of this tier, this one included.
+        live_count: live members of this tier, this one included.
         settled: whether the view has settled.
         is_minority: whether less than half of the known members are live.
         current: number that the policy uses now.
     """
-    if is_minority or 2 * living <= configured:
-        return max(configured, living)
+    if is_minority or 2 * live_count <= configured:
+        return max(configured, live_count)
     if not settled:
-        return max(current, living)
-    return living
+        return max(current, live_count)
+    return live_count
--- a/service_proxy/fleet/service.py
+++ b/service_proxy/fleet/service.py
@@ -367,9 +367,9 @@
         self.was_settled = settled
         if not self.settings.counts:
             return
-        living = self.protocol.serving_member_count()
+        live_count = self.protocol.serving_member_count()
         count = effective_proxy_count(
-            self.configured_count, living, settled, self.protocol.is_minority, self.reported_count
+            self.configured_count, live_count, settled, self.protocol.is_minority, self.reported_count
         )
         if count != self.reported_count:
             self._log_limited(log_lines.proxy_count_changed(self.reported_count, count))
--- a/service_proxy/fleet/timing.py
+++ b/service_proxy/fleet/timing.py
@@ -54,28 +54,28 @@
     suspicion_multiplier: float = 3.0
     tombstone_ttl: float = 600.0
 
-    def min_suspicion(self, living: int) -> float:
+    def min_suspicion(self, live_count: int) -> float:
         """Return the duration of a suspicion that enough other members confirm, s.
 
         A member that stalls for less than this duration, counted from the start of the suspicion, is not
         declared dead by the members that can reach it after the stall.
         """
-        return self.suspicion_multiplier * max(1.0, math.log10(living + 1)) * self.period
+        return self.suspicion_multiplier * max(1.0, math.log10(live_count + 1)) * self.period
 
-    def max_suspicion(self, living: int) -> float:
+    def max_suspicion(self, live_count: int) -> float:
         """Return the duration of a suspicion that no other member confirms, s."""
-        return 2.0 * self.min_suspicion(living)
+        return 2.0 * self.min_suspicion(live_count)
 
-    def suspicion_timeout(self, living: int, confirmations: int) -> float:
+    def suspicion_timeout(self, live_count: int, confirmations: int) -> float:
         """Return the duration of a suspicion with this number of confirmations, s (Lifeguard, 4.2)."""
-        minimum = self.min_suspicion(living)
-        maximum = self.max_suspicion(living)
-        enough = min(CONFIRMATIONS, max(0, living - 2))
+        minimum = self.min_suspicion(live_count)
+        maximum = self.max_suspicion(live_count)
+        enough = min(CONFIRMATIONS, max(0, live_count - 2))
         if confirmations >= enough:
             return minimum
         return maximum - (maximum - minimum) * math.log(confirmations + 1) / math.log(enough + 1)
 
     @staticmethod
-    def transmissions(living: int) -> int:
+    def transmissions(live_count: int) -> int:
         """Return how many times each member sends an update (SWIM, 5: lambda log n)."""
-        return math.ceil(6 * math.log10(living + 1) + 1)
+        return math.ceil(6 * math.log10(live_count + 1) + 1)
--- a/service_proxy/net/downstream/connection.py
+++ b/service_proxy/net/downstream/connection.py
@@ -24,7 +24,7 @@
     RequestReader,
 )
 from service_proxy.net.http_status import BAD_GATEWAY, BODILESS, OK, REASON_PHRASES
-from service_proxy.net.limits import LOOP_TURN_S
+from service_proxy.net.limits import LOOP_ITERATION_S
 from service_proxy.net.protocols import ResponseSource
 from service_proxy.net.request_body import RequestBody, encode_chunk
 from service_proxy.net.socket_polling import has_ended, has_input
@@ -438,7 +438,7 @@
         if self.has_unread_input and not self.read_paused:
             # After a stall of this process the loop runs timers before it reads sockets. The rest of the
             # request may already be in the socket.
-            self.server.loop.call_later(LOOP_TURN_S, self._on_partial_request_timeout, progress_at)
+            self.server.loop.call_later(LOOP_ITERATION_S, self._on_partial_request_timeout, progress_at)
         else:
             self.on_request_timeout()
 
--- a/service_proxy/net/downstream/http_server.py
+++ b/service_proxy/net/downstream/http_server.py
@@ -11,7 +11,7 @@
 from service_proxy.net.downstream.request import LocalResponses, RequestCounter, RequestHandler
 from service_proxy.net.downstream.request_parser import MAX_BUFFERED_BODY_BYTES, NO_HEADER_NAMES
 from service_proxy.net.downstream.request_reader import UpgradeHandler
-from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S, UPSTREAM_DESCRIPTOR_SHARE
+from service_proxy.net.limits import LOOP_ITERATION_S, LOOP_STALL_S, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.net.socket_polling import ended_by_peer, is_readable
 from service_proxy.policy.settings_types import Idempotency
 
@@ -236,7 +236,7 @@
             # This process stalled, and the loop runs timers before it reads sockets. The missing input may
             # already be in the sockets.
             self.next_sweep_at = now
-            self.loop.call_later(LOOP_TURN_S, self._sweep)
+            self.loop.call_later(LOOP_ITERATION_S, self._sweep)
             return
         for state_table, timeout, on_timeout in (
             (self.awaiting_request, REQUEST_TIMEOUT_S, DownstreamConnection.on_request_timeout),
--- a/service_proxy/net/limits.py
+++ b/service_proxy/net/limits.py
@@ -10,4 +10,4 @@
 UPSTREAM_DESCRIPTOR_SHARE = 0.4
 # Delay of a timer that counts as a stall of the event loop; the sockets are then read before the timer acts.
 LOOP_STALL_S = 0.01
-LOOP_TURN_S = 0.001  # Delay of a postponed timer, in which the loop reads its sockets.
+LOOP_ITERATION_S = 0.001  # Delay of a postponed timer; during the delay the event loop reads its sockets.
--- a/service_proxy/net/open_request_table.py
+++ b/service_proxy/net/open_request_table.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import service_proxy as api
-from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S
+from service_proxy.net.limits import LOOP_ITERATION_S, LOOP_STALL_S
 from service_proxy.net.open_request import OpenRequest
 from service_proxy.net.upstream import UpstreamAttempt
 
@@ -108,7 +108,7 @@
             # This process was stalled, and expired timers run before sockets are read: the response may have
             # arrived.
             open_request.deadline_timer = self.loop.call_later(
-                LOOP_TURN_S, self._on_deadline, open_request, True
+                LOOP_ITERATION_S, self._on_deadline, open_request, True
             )
             return
         self._expire(open_request, b"out of time\n", api.AttemptStatus.TIMEOUT)
--- a/service_proxy/net/upstream/attempt.py
+++ b/service_proxy/net/upstream/attempt.py
@@ -20,7 +20,7 @@
     SERVICE_UNAVAILABLE,
     SWITCHING_PROTOCOLS,
 )
-from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S
+from service_proxy.net.limits import LOOP_ITERATION_S, LOOP_STALL_S
 from service_proxy.net.protocols import ResponseSource, UpgradeNegotiation
 from service_proxy.net.request_body import RequestBody
 from service_proxy.policy.events import AttemptStatus
@@ -186,7 +186,7 @@
         if time.monotonic() > self.deadline + LOOP_STALL_S:
             # The event loop stalled, and timers run before sockets are read: the response may have arrived.
             self.deadline = math.inf
-            self.timeout_timer = self.loop.call_later(LOOP_TURN_S, self._on_timeout)
+            self.timeout_timer = self.loop.call_later(LOOP_ITERATION_S, self._on_timeout)
             return
         if self.sent and self.pool.last_received_at < self.started_at:
             # The endpoint has sent nothing on any connection since the attempt started. A machine that
--- a/service_proxy/net/upstream/connection.py
+++ b/service_proxy/net/upstream/connection.py
@@ -16,7 +16,7 @@
 
 from service_proxy.net.header_fields import closes_connection, parse_field
 from service_proxy.net.http_status import CONTINUE, OK, SWITCHING_PROTOCOLS
-from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S, MAX_MESSAGE_BYTES
+from service_proxy.net.limits import LOOP_ITERATION_S, LOOP_STALL_S, MAX_MESSAGE_BYTES
 from service_proxy.net.protocols import ResponseSink
 from service_proxy.net.request_body import RequestBody, encode_chunk
 from service_proxy.net.socket_polling import has_input
@@ -241,7 +241,7 @@
         if time.monotonic() > deadline + LOOP_STALL_S:
             # The event loop stalled, and timers run before sockets are read: the end of the response may have
             # arrived, or a reset that makes the attempt a failed one.
-            self.buffering_timer = self.pool.cluster.loop.call_later(LOOP_TURN_S, self._start_streaming)
+            self.buffering_timer = self.pool.cluster.loop.call_later(LOOP_ITERATION_S, self._start_streaming)
         else:
             self._start_streaming()
 
--- a/service_proxy/net/upstream/endpoint_pool.py
+++ b/service_proxy/net/upstream/endpoint_pool.py
@@ -7,12 +7,12 @@
 from typing import Protocol
 
 from service_proxy.net.endpoint_list import Address
-from service_proxy.net.limits import LOOP_TURN_S
+from service_proxy.net.limits import LOOP_ITERATION_S
 from service_proxy.net.upstream.connection import ConnectionCluster, UpstreamConnection
 from service_proxy.policy.events import EndpointState
 
 # Pause between a response and the next use of its connection, in which excess bytes are detected.
-REUSE_DELAY_S = LOOP_TURN_S
+REUSE_DELAY_S = LOOP_ITERATION_S
 
 
 class PoolCluster(ConnectionCluster, Protocol):
--- a/service_proxy/operator_file/positions.py
+++ b/service_proxy/operator_file/positions.py
@@ -108,7 +108,7 @@
         self.open_brackets = max(0, self.open_brackets + opened - closed)
 
 
-def place_of(found: dict[Path, Place], path: Path) -> Place:
+def find_place(found: dict[Path, Place], path: Path) -> Place:
     """Return the position of the key at `path`, or of the nearest table that encloses the key."""
     while path not in found:
         path = path[:-1]
--- a/service_proxy/operator_file/reader.py
+++ b/service_proxy/operator_file/reader.py
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 from service_proxy.operator_file.codes import CODES
-from service_proxy.operator_file.positions import Path, find_positions, place_of
+from service_proxy.operator_file.positions import Path, find_place, find_positions
 
 MAX_FILE_BYTES = 1 << 20  # a larger file is not an operator's file
 TOML_ERROR_PLACE = re.compile(r"^(.*) \(at (?:line (\d+), column (\d+)|end of document)\)$")
@@ -102,7 +102,7 @@
 
     def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
         """Record a problem of the key at `path`."""
-        place = place_of(self.places, path)
+        place = find_place(self.places, path)
         self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
     def read_table(self, cls: type[T], raw: object, path: Path) -> T | None:
--- a/service_proxy/policy/balancer.py
+++ b/service_proxy/policy/balancer.py
@@ -182,9 +182,9 @@
         )
 
     @property
-    def avoided(self) -> list[int]:
+    def ejected_endpoint_ids(self) -> list[int]:
         """Ids of endpoints that are listed as serving and get no requests because they are ejected."""
-        return self.endpoints.avoided
+        return self.endpoints.ejected_endpoint_ids
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         """Process a batch of events at the time `now` and return the resulting actions in order."""
--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -170,6 +170,6 @@
         return sum(endpoint.weight for endpoint in self.members) / len(self.members)
 
     @property
-    def avoided(self) -> list[int]:
+    def ejected_endpoint_ids(self) -> list[int]:
         """Ids of endpoints that are listed as serving and get no requests because they are ejected."""
         return [endpoint.endpoint_id for endpoint in self.ejected]
--- a/service_proxy/sidecar/checking.py
+++ b/service_proxy/sidecar/checking.py
@@ -4,7 +4,7 @@
 
 from service_proxy.operator_file import Operator
 from service_proxy.operator_file.loader import load as load_operator
-from service_proxy.operator_file.positions import find_positions, place_of
+from service_proxy.operator_file.positions import find_place, find_positions
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, read_text
 from service_proxy.operator_file.schema import TABLES as OPERATOR_TABLES
 from service_proxy.sidecar.description import LayeredReader, load
@@ -94,7 +94,7 @@
 
 
 def _fleet_problem(file: str, key: str, code: str, text: str, remedy: str) -> Problem:
-    place = place_of(find_positions(read_text(file)[0]), ("fleet", key))
+    place = find_place(find_positions(read_text(file)[0]), ("fleet", key))
     return Problem(file, place.line, code, text, remedy, place.column)
 
 
--- a/service_proxy/sidecar/description.py
+++ b/service_proxy/sidecar/description.py
@@ -15,12 +15,21 @@
 from typing import Any
 
 from service_proxy.operator_file.contradictions import check_membership, check_registration
-from service_proxy.operator_file.positions import Path, Place, find_positions, place_of
+from service_proxy.operator_file.positions import Path, Place, find_place, find_positions
 from service_proxy.operator_file.reader import OperatorError, Problem, TableReader, read_text, suggest_name
 from service_proxy.operator_file.schema import Budgets
 from service_proxy.operator_file.value_checks import find_address_problem
 from service_proxy.sidecar.description_checks import check_description
-from service_proxy.sidecar.model import FORMAT, TABLES, Class, Description, Features, Route, Sidecar, Top
+from service_proxy.sidecar.model import (
+    FORMAT,
+    TABLES,
+    ClassDescription,
+    Description,
+    Features,
+    Route,
+    Sidecar,
+    TopLevelKeys,
+)
 
 MAX_FILES = 32  # maximum number of files of one description, with its includes
 MAX_DEPTH = 32  # maximum nesting depth of tables and lists; the format needs 4
@@ -69,13 +78,13 @@
                 nested = target.get(name)
                 if not isinstance(nested, dict):
                     nested = target[name] = {}
-                self.origins.setdefault(key_path, Origin(file, place_of(places, key_path)))
+                self.origins.setdefault(key_path, Origin(file, find_place(places, key_path)))
                 self._merge(nested, value, key_path, file, places)
                 continue
             target[name] = value
             for replaced in [replaced for replaced in self.origins if replaced[: len(key_path)] == key_path]:
                 del self.origins[replaced]
-            self.origins[key_path] = Origin(file, place_of(places, key_path))
+            self.origins[key_path] = Origin(file, find_place(places, key_path))
             if isinstance(value, list):
                 for path_of_element, place in places.items():
                     if path_of_element[: len(key_path)] == key_path:
@@ -128,7 +137,7 @@
 
     def read_file(name: str, including: tuple[str, ...]) -> None:
         text, raw = read_text(name)
-        layers.origins[("include",)] = Origin(name, place_of(find_positions(text), ("include",)))
+        layers.origins[("include",)] = Origin(name, find_place(find_positions(text), ("include",)))
         included = raw.get("include", [])
         for entry in included if isinstance(included, list) else []:
             if not isinstance(entry, str):
@@ -245,14 +254,14 @@
     return description
 
 
-def _read_top(layers: LayeredReader) -> Top | None:
+def _read_top(layers: LayeredReader) -> TopLevelKeys | None:
     """Read the keys before the first table, and check the format."""
     raw = layers.raw
-    top_names = {entry.name for entry in fields(Top)}
+    top_names = {entry.name for entry in fields(TopLevelKeys)}
     known_names = top_names | set(TABLES) | {"budgets", "defaults", "features", "sidecar"}
     for name in raw.keys() - known_names:
         layers.add_problem((name,), "S102", f"unknown table or key {name}", suggest_name(name, known_names))
-    top = layers.read_table(Top, {name: raw[name] for name in raw.keys() & top_names}, ())
+    top = layers.read_table(TopLevelKeys, {name: raw[name] for name in raw.keys() & top_names}, ())
     if top is not None and top.format != FORMAT:
         remedy = "run migrate" if top.format < FORMAT else f"write format = {FORMAT}"
         text = f"the file has format {top.format}, but this program reads format {FORMAT}"
@@ -331,4 +340,4 @@
             yield value
 
 
-__all__ = ["Class", "LayeredReader", "Origin", "build", "load", "overlay_of"]
+__all__ = ["ClassDescription", "LayeredReader", "Origin", "build", "load", "overlay_of"]
--- a/service_proxy/sidecar/explain.py
+++ b/service_proxy/sidecar/explain.py
@@ -9,7 +9,17 @@
 from service_proxy.operator_file.reader import Duration
 from service_proxy.operator_file.schema import Budgets
 from service_proxy.sidecar import rule_model
-from service_proxy.sidecar.model import NAME, TABLES, Class, Description, Features, Route, Sidecar, Tier, Top
+from service_proxy.sidecar.model import (
+    NAME,
+    TABLES,
+    ClassDescription,
+    Description,
+    Features,
+    Route,
+    Sidecar,
+    Tier,
+    TopLevelKeys,
+)
 
 KINDS: dict[type, dict[str, Any]] = {
     str: {"type": "string"},
@@ -42,7 +52,7 @@
 
 def schema() -> dict[str, Any]:
     """Return the JSON Schema (draft 2020-12) of a description, with types and names but without ranges."""
-    document = table_schema(Top)
+    document = table_schema(TopLevelKeys)
     for name, cls in TABLES.items():
         entry = table_schema(cls)
         if cls is Route:
@@ -61,7 +71,7 @@
 
 def effective_values(description: Description) -> Iterator[tuple[tuple[str, ...], Any]]:
     """Yield each effective value, defaults included, with its path. Times are in seconds."""
-    for entry in dataclasses.fields(Top):
+    for entry in dataclasses.fields(TopLevelKeys):
         yield (entry.name,), getattr(description.top, entry.name)
     for entry in dataclasses.fields(Features):
         yield ("features", entry.name), getattr(description.features, entry.name)
@@ -89,7 +99,7 @@
             yield (*path, entry.name), field_value
 
 
-def behaviour(cls: Class, route: Route) -> dict[str, Any]:
+def behaviour(cls: ClassDescription, route: Route) -> dict[str, Any]:
     """Return the meaning of the settings for a request of a class."""
     retries = route.attempts - 1
     retries_after_break = retries if route.retry in ("by-key", "always") else 0
--- a/service_proxy/sidecar/inbound.py
+++ b/service_proxy/sidecar/inbound.py
@@ -16,7 +16,7 @@
 from service_proxy.net.endpoint_list import Endpoint, EndpointList, parse_address
 from service_proxy.net.header_fields import HOP_BY_HOP
 from service_proxy.net.http_status import OK
-from service_proxy.net.limits import LOOP_STALL_S, LOOP_TURN_S, UPSTREAM_DESCRIPTOR_SHARE
+from service_proxy.net.limits import LOOP_ITERATION_S, LOOP_STALL_S, UPSTREAM_DESCRIPTOR_SHARE
 from service_proxy.net.request_filters import (
     HeaderFields,
     Rejection,
@@ -405,7 +405,7 @@
         if not is_recheck and time.monotonic() > inbound.deadline + LOOP_STALL_S:
             # The event loop stalled, and its timers run before its sockets. The response may have arrived
             # already.
-            inbound.deadline_timer = self.loop.call_later(LOOP_TURN_S, self._on_deadline, inbound, True)
+            inbound.deadline_timer = self.loop.call_later(LOOP_ITERATION_S, self._on_deadline, inbound, True)
             return
         attempt = inbound.attempt
         if attempt is None:
--- a/service_proxy/sidecar/model.py
+++ b/service_proxy/sidecar/model.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Class:
+class ClassDescription:
     """[class.NAME]: properties of a class of requests, as its owner defines them."""
 
     effect: str = key(str, '"once"', check=one_of(EFFECTS))  # type: ignore[arg-type]
@@ -153,7 +153,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Top:
+class TopLevelKeys:
     """Keys before the first table."""
 
     format: int = key(int, str(FORMAT), check=between(1, 1000))
@@ -164,7 +164,7 @@
     attempts_over_tiers: int = key(int, "12", 12, between(1, 10_000))
 
 
-TABLES: dict[str, type] = {"class": Class, "route": Route, "tier": Tier, "tenant": Tenant}
+TABLES: dict[str, type] = {"class": ClassDescription, "route": Route, "tier": Tier, "tenant": Tenant}
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,8 +172,8 @@
     """Description of an application after includes, overlay and route defaults are applied."""
 
     file: str
-    top: Top
-    classes: dict[str, Class]
+    top: TopLevelKeys
+    classes: dict[str, ClassDescription]
     routes: dict[str, Route]
     tiers: dict[str, Tier]
     tenants: dict[str, Tenant]
--- a/service_proxy/sidecar/platform.py
+++ b/service_proxy/sidecar/platform.py
@@ -14,11 +14,11 @@
 
 from service_proxy.net.config import flatten_settings
 from service_proxy.net.endpoint_list import parse_address
-from service_proxy.operator_file.positions import Path, Place, place_of
+from service_proxy.operator_file.positions import Path, Place, find_place
 from service_proxy.operator_file.reader import MAX_FILE_BYTES, OperatorError, Problem, suggest_name
 from service_proxy.settings import read_settings
 from service_proxy.sidecar import rule_model
-from service_proxy.sidecar.model import Class, Description, Route
+from service_proxy.sidecar.model import ClassDescription, Description, Route
 
 TOP_LEVEL_KEYS = frozenset(
     "name listen discovery seed limits peer_listen peers peers_all known settings written forms".split()
@@ -115,7 +115,7 @@
 
     def add_problem(self, path: Path, code: str, text: str, remedy: str) -> None:
         """Add a problem at the position of a path."""
-        place = place_of(self.places, path)
+        place = find_place(self.places, path)
         self.problems.append(Problem(self.file, place.line, code, text, remedy, place.column))
 
     @property
@@ -177,7 +177,7 @@
 
     def compare_with(self, descriptions: list[Description]) -> Iterator[Problem]:
         """Yield a problem for each class whose treatment breaks rule 2 according to its description."""
-        described: dict[str, tuple[Class, Description]] = {}
+        described: dict[str, tuple[ClassDescription, Description]] = {}
         for description in descriptions:
             for name, cls in description.classes.items():
                 described.setdefault(name, (cls, description))
--- a/service_proxy/sidecar/rule_model.py
+++ b/service_proxy/sidecar/rule_model.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from service_proxy.sidecar.model import Class, Route, Tier
+from service_proxy.sidecar.model import ClassDescription, Route, Tier
 
 MAX_EVENTS = 8  # maximum length of a sequence; every breach under these settings has fewer events
 AFTER_LIMIT_S = 0.001  # delay of an event that happens just after a limit
@@ -85,7 +85,7 @@
     return is_within and state.now <= first.sent_at + route.retry_for
 
 
-def find_breach(cls: Class, state: ModelState, server: str) -> str | None:
+def find_breach(cls: ClassDescription, state: ModelState, server: str) -> str | None:
     """Return the reason if an attempt at this server now breaks the second rule, or None."""
     if any(attempt.state == "out" for attempt in state.attempts):
         return "a second attempt while one is in flight"
@@ -101,7 +101,7 @@
     return None
 
 
-def rule_two(name: str, cls: Class, route: Route) -> CounterExample | None:
+def rule_two(name: str, cls: ClassDescription, route: Route) -> CounterExample | None:
     """Find the shortest sequence of events that breaks rule 2.
 
     Rule 2 is broken if a request has its effect twice, or if two of its attempts are in flight.
@@ -157,7 +157,7 @@
             yield replace(state, now=at), f"{at:g} s have passed since the first attempt"
 
 
-def rule_one(cls_name: str, cls: Class, tier: Tier) -> CounterExample | None:
+def rule_one(cls_name: str, cls: ClassDescription, tier: Tier) -> CounterExample | None:
     """Find a sequence in which the host kills its sidecar before a response is sent.
 
     The host sends SIGKILL `stop_after` seconds after SIGTERM.
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -42,7 +42,7 @@
 from service_proxy.sidecar.explain import effective_values
 from service_proxy.sidecar.inbound import IDEMPOTENCY_BY_EFFECT, InboundListener
 from service_proxy.sidecar.model import Description, Sidecar
-from service_proxy.sidecar.write import platform
+from service_proxy.sidecar.write import platform_config
 
 log = logging.getLogger("service_proxy.sidecar")
 
@@ -114,7 +114,7 @@
 def outbound_config(description: Description, sidecar: Sidecar, called: str) -> ProxyConfig:
     """Return the configuration of the proxy that sends requests to a tier. Raises ConfigError."""
     sockets, memory_mb = listener_limits(sidecar)
-    raw = platform(description, sidecar, called)
+    raw = platform_config(description, sidecar, called)
     raw["limits"] = {"sockets": sockets, "memory_mb": memory_mb}
     raw["seed"] = secrets.token_hex(8)
     try:
@@ -217,7 +217,7 @@
         self.description = description
         self.sidecar = sidecar
         for called, proxy in self.outbound.items():
-            proxy.move_discovery(parse_address(description.padron(called)))
+            proxy.change_discovery_address(parse_address(description.padron(called)))
         self.inbound.update(sidecar)
         return []
 
@@ -228,7 +228,7 @@
         drain_deadline = now + tier.stop_after - RESPONSE_MARGIN_S
         self.inbound.drain(drain_deadline)
         for proxy in self.outbound.values():
-            proxy.end_all_by(drain_deadline)
+            proxy.start_drain(drain_deadline)
         if self.registration_task is not None and self.registrar is not None:
             self.registration_task.cancel()
             self.registrar.update(self.registrar.node.draining())
--- a/service_proxy/sidecar/write.py
+++ b/service_proxy/sidecar/write.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from service_proxy.operator_file.reader import Problem
-from service_proxy.sidecar.model import Class, Description, Features, Route, Sidecar, Tier
+from service_proxy.sidecar.model import ClassDescription, Description, Features, Route, Sidecar, Tier
 from service_proxy.sidecar.toml import format_table
 
 DIGEST_KEY = "written"
@@ -47,7 +47,7 @@
         for called in sorted(sidecar.outbound):
             stem = f"{base_path}-{called}"
             plain_units.append(f"willowwing-{sidecar.tier}-{called}.service")
-            contents[f"{stem}.json"] = with_json_digest(platform(description, sidecar, called))
+            contents[f"{stem}.json"] = with_json_digest(platform_config(description, sidecar, called))
             membership = description.tiers[called].membership
             operator_tables: dict[str, Any] = {}
             if membership is not None:
@@ -81,7 +81,7 @@
     return "\n".join(lines).encode()
 
 
-def platform(description: Description, sidecar: Sidecar, called: str) -> dict[str, Any]:
+def platform_config(description: Description, sidecar: Sidecar, called: str) -> dict[str, Any]:
     """Return the platform's configuration (DEPLOY) of the sidecar's proxy for one tier."""
     tier = description.tiers[called]
     names = [name for name in tier.classes if name in description.classes]
@@ -126,7 +126,7 @@
     }
 
 
-def _grade(name: str, cls: Class, route: Route) -> dict[str, Any]:
+def _grade(name: str, cls: ClassDescription, route: Route) -> dict[str, Any]:
     """Return one entry of the settings' `grades`: a class with the treatment that its route defines."""
     effect = IDEMPOTENCY_BY_RETRY[route.retry]
     grade: dict[str, Any] = {
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -13,7 +13,7 @@
 
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     DiscoveryServer,
     EndpointServer,
@@ -23,8 +23,8 @@
     endpoint_entry,
     endpoint_list,
     idle_proxy_loads,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     read_message,
     run_async,
     start_proxy,
@@ -180,14 +180,14 @@
 
         discovery = await DiscoveryServer().start()
         endpoint_server = EndpointServer(respond)
-        async with proxy_with_admin({"s-1": endpoint_server}, discovery, **patient_settings()) as proxy:
+        async with proxy_with_admin({"s-1": endpoint_server}, discovery, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             slow_client = await proxy.connect()
             for n in range(3):
-                assert (await client.request("stock", f"a{n}", PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("stock", f"a{n}", LONG_TIME_BUDGET)).status_code == 200
             assert (await client.request("reserva", "b")).status_code != 200
             assert (await client.request("nosuch", "c")).status_code == 404
-            slow_client.send("canje", "d", PATIENT_BUDGET)
+            slow_client.send("canje", "d", LONG_TIME_BUDGET)
             while (await next_request(endpoint_server)).headers["x-call-id"] != "d":
                 pass
             found = await proxy.metrics()
@@ -235,7 +235,7 @@
         discovery = await DiscoveryServer().start()
         one = EndpointServer()
         two = EndpointServer()
-        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as proxy:
+        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **long_timeout_settings()) as proxy:
             assert (await proxy.admin("POST /backends/s-9/maint")).status_code == 404
             for _ in range(2):
                 assert (await proxy.admin("POST /backends/s-1/maint")).status_code == 200
@@ -248,10 +248,10 @@
             # opened late, because the first poll may take longer than the idle timeout of a connection
             client = await proxy.connect()
             for n in range(20):
-                assert (await client.request("canje", f"a{n}", budget=PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("canje", f"a{n}", budget=LONG_TIME_BUDGET)).status_code == 200
             assert one.received_count == before and (await proxy.metrics())["hosts_down"] == 1
             assert (await proxy.admin("POST /backends/s-1/ready")).status_code == 200
-            assert (await client.request("canje", "b", budget=PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("canje", "b", budget=LONG_TIME_BUDGET)).status_code == 200
             assert one.received_count == before + 1 and (await proxy.metrics())["hosts_down"] == 0
 
     run_async(test())
@@ -262,7 +262,7 @@
         discovery = await DiscoveryServer().start()
         one = EndpointServer()
         two = EndpointServer()
-        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **patient_settings()) as proxy:
+        async with proxy_with_admin({"s-1": one, "s-2": two}, discovery, **long_timeout_settings()) as proxy:
             assert (await proxy.admin("POST /backends/s-1/maint")).status_code == 200
             proxy.process.kill()
             await proxy.process.wait()
@@ -273,7 +273,7 @@
                 before = one.received_count
                 client = await proxy.connect()
                 for n in range(10):
-                    assert (await client.request("stock", f"a{n}", PATIENT_BUDGET)).status_code == 200
+                    assert (await client.request("stock", f"a{n}", LONG_TIME_BUDGET)).status_code == 200
                 assert one.received_count == before
                 assert (await proxy.metrics())["hosts_down"] == 1
             finally:
@@ -284,7 +284,7 @@
 
 
 def request_classes(**changes: Any) -> list[dict[str, Any]]:
-    classes: list[dict[str, Any]] = patient_settings()["grades"]
+    classes: list[dict[str, Any]] = long_timeout_settings()["grades"]
     for request_class in classes:
         request_class.update(changes.get(request_class["name"], {}))
     return classes
@@ -301,20 +301,20 @@
 
         discovery = await DiscoveryServer().start()
         endpoint_server = EndpointServer(respond)
-        async with proxy_with_admin({"s-1": endpoint_server}, discovery, **patient_settings()) as proxy:
+        async with proxy_with_admin({"s-1": endpoint_server}, discovery, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             slow_client = await proxy.connect()
-            slow_client.send("canje", "held", budget=PATIENT_BUDGET)
+            slow_client.send("canje", "held", budget=LONG_TIME_BUDGET)
             assert (await next_request(endpoint_server)).headers["x-call-id"] == "held"
             classes = [g for g in request_classes(stock={"effect": "once"}) if g["name"] != "canje"]
             classes.append({**classes[0], "name": "express"})
             proxy.reload(settings={**proxy.initial_config["settings"], "grades": classes})
             await proxy.until_metric("reconfig_ok", 1)
             # new classes take effect at once
-            assert (await client.request("express", "e", PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("express", "e", LONG_TIME_BUDGET)).status_code == 200
             served = 0
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                while (code := (await client.request("canje", "x", PATIENT_BUDGET)).status_code) != 404:
+                while (code := (await client.request("canje", "x", LONG_TIME_BUDGET)).status_code) != 404:
                     served += code == 200
                     await asyncio.sleep(0.02)
             head = b"POST /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: s\r\nX-Budget: 9000m\r\n"
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     Client,
     DiscoveryServer,
@@ -21,7 +21,7 @@
     config,
     endpoint_entry,
     endpoint_list,
-    patient_settings,
+    long_timeout_settings,
     run_async,
     start_proxy,
 )
@@ -141,7 +141,7 @@
         known = endpoint_list(1, endpoint_entry("s-1", one.address), endpoint_entry("s-2", two.address))
         listen = free_port()
         with tempfile.TemporaryDirectory() as folder:
-            raw = config(discovery.address, known, f"127.0.0.1:{listen}", **patient_settings())
+            raw = config(discovery.address, known, f"127.0.0.1:{listen}", **long_timeout_settings())
             running: list[ProxyWithAdmin] = []
 
             async def start() -> ProxyWithAdmin:
@@ -168,7 +168,7 @@
                 while not stop.is_set():
                     if client is None:
                         client = Client(*await asyncio.open_connection("127.0.0.1", listen))
-                    response = await client.request("stock", f"{name}{n}", PATIENT_BUDGET)
+                    response = await client.request("stock", f"{name}{n}", LONG_TIME_BUDGET)
                     status_codes.append(response.status_code)
                     n += 1
                     if response.headers.get("connection") == "close" or name.startswith("once"):
@@ -197,7 +197,7 @@
                 assert one.received_count == 0
                 assert (await current_proxy.admin("POST /backends/s-1/ready")).status_code == 200
                 client = Client(*await asyncio.open_connection("127.0.0.1", listen))
-                assert (await client.request("stock", "back", PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("stock", "back", LONG_TIME_BUDGET)).status_code == 200
                 assert one.received_count == 1
                 names = {path.name.rpartition(".")[2] for path in Path(folder).glob("granitepoint-*")}
                 assert names == {"maintenance", str(len(running))}
--- a/tests/ephemeral_nodes/test_merger.py
+++ b/tests/ephemeral_nodes/test_merger.py
@@ -50,11 +50,11 @@
         self.merger.update(MEMBERSHIP, [entry(name) for name in names], self.now)
         if both:
             self.merger.update(DISCOVERY, [entry(name) for name in names], self.now)
-        self.take_changes()
+        self.collect_changes()
 
-    def take_changes(self, after: float = 0.0) -> None:
+    def collect_changes(self, after: float = 0.0) -> None:
         self.now += after
-        listing = self.merger.take_changes(self.now)
+        listing = self.merger.collect_changes(self.now)
         for listed in listing.endpoints if listing else ():
             if listed.entry.state is GONE:
                 del self.published[listed.name]
@@ -63,13 +63,13 @@
 
     def update(self, source: str, *entries: Endpoint) -> None:
         self.merger.update(source, entries, self.now)
-        self.take_changes()
+        self.collect_changes()
 
     def report_lost(
         self, *names: str, source: str = MEMBERSHIP, status: ReportedStatus = ReportedStatus.LOST
     ) -> None:
         self.merger.report_ended(source, names, self.now, status)
-        self.take_changes()
+        self.collect_changes()
 
     def states(self) -> dict[str, EndpointState]:
         return {name: listed.entry.state for name, listed in self.published.items()}
@@ -91,7 +91,7 @@
     assert harness.states()["s-1"] is DRAINING
     for _ in range(100):
         harness.merger.update(DISCOVERY, [entry("s-1"), entry("s-2"), entry("s-3")], harness.now)
-        harness.take_changes(10.0)
+        harness.collect_changes(10.0)
         assert harness.states()["s-1"] is DRAINING
     notes = [note for note in harness.merger.take_notes() if "s-1" in note]
     assert len(notes) == 1 and "source=membership reason=lost, which overrides ready" in notes[0]
@@ -101,9 +101,9 @@
     harness = MergerWithConsumer("s-1", "s-2", "s-3", both=False)
     harness.report_lost("s-1")
     assert harness.states()["s-1"] is DRAINING
-    harness.take_changes(LOSS_WINDOW_S - 0.1)
+    harness.collect_changes(LOSS_WINDOW_S - 0.1)
     assert harness.states()["s-1"] is DRAINING
-    harness.take_changes(0.2)
+    harness.collect_changes(0.2)
     assert "s-1" not in harness.states()
 
 
@@ -111,19 +111,19 @@
     """Discovery lists a server for the first time, seconds after the server's session was reported lost."""
     harness = MergerWithConsumer("s-1", "s-2", "s-3", both=False)
     harness.report_lost("s-1")
-    harness.take_changes(LOSS_WINDOW_S + 1)
+    harness.collect_changes(LOSS_WINDOW_S + 1)
     harness.update(DISCOVERY, entry("s-1"))
     assert harness.states()["s-1"] is DRAINING
-    harness.take_changes(END_RETENTION_S * 2)
+    harness.collect_changes(END_RETENTION_S * 2)
     assert harness.states()["s-1"] is DRAINING
 
 
 def test_reports_of_an_end_are_removed_after_the_retention_time() -> None:
     harness = MergerWithConsumer(*(f"s-{n}" for n in range(9)), both=False)
     harness.report_lost("s-1")
-    harness.take_changes(LOSS_WINDOW_S)
-    harness.take_changes(END_RETENTION_S)
-    harness.take_changes(0.1)
+    harness.collect_changes(LOSS_WINDOW_S)
+    harness.collect_changes(END_RETENTION_S)
+    harness.collect_changes(0.1)
     assert "s-1" not in harness.merger.sources[MEMBERSHIP].reports and not harness.merger.tombstones
     assert not any("s-1" in names for names in harness.merger.index.names_by_address.values())
 
@@ -132,10 +132,10 @@
     harness = MergerWithConsumer("s-1", "s-2", "s-3")
     start = harness.published["s-1"].entry.started_at
     harness.report_lost("s-1")
-    harness.take_changes(1.0)
+    harness.collect_changes(1.0)
     harness.update(MEMBERSHIP, entry("s-1"))
     assert harness.states()["s-1"] is READY and harness.published["s-1"].entry.started_at == start
-    harness.take_changes(LOSS_WINDOW_S)
+    harness.collect_changes(LOSS_WINDOW_S)
     assert harness.states()["s-1"] is READY  # The loss window of the old session has no effect.
 
 
@@ -189,7 +189,7 @@
     harness.update(DISCOVERY, entry("s-1", GONE))
     assert harness.states()["s-1"] is DRAINING
     harness.report_lost("s-1")
-    harness.take_changes(LOSS_WINDOW_S)
+    harness.collect_changes(LOSS_WINDOW_S)
     assert "s-1" not in harness.states()
 
 
@@ -198,10 +198,10 @@
     harness.update(DISCOVERY, entry("s-1", port=7))
     assert harness.published["s-1"].address != ("127.0.0.1", 7)
     harness.merger.set_health(MEMBERSHIP, SourceHealth.STALE)
-    harness.take_changes()
+    harness.collect_changes()
     assert harness.published["s-1"].address == ("127.0.0.1", 7)
     harness.merger.set_health(DISCOVERY, SourceHealth.UNREACHABLE)
-    harness.take_changes()
+    harness.collect_changes()
     assert harness.published["s-1"].address != ("127.0.0.1", 7)
 
 
@@ -227,7 +227,7 @@
     harness = MergerWithConsumer("s-1", "s-2")
     for source in (MEMBERSHIP, DISCOVERY):
         harness.merger.set_health(source, health)
-        harness.take_changes(1000.0)
+        harness.collect_changes(1000.0)
     assert harness.serving() == {"s-1", "s-2"}
 
 
@@ -235,8 +235,8 @@
     names = [f"s-{n}" for n in range(87)]
     harness = MergerWithConsumer(*names, both=False)
     harness.merger.replace_all(MEMBERSHIP, [], harness.now, ReportedStatus.LOST)
-    harness.take_changes()
-    harness.take_changes(MIN_WITHHOLD_S * 3)
+    harness.collect_changes()
+    harness.collect_changes(MIN_WITHHOLD_S * 3)
     assert harness.serving() == set(names)
     assert sum("mass_loss_withheld" in note for note in harness.merger.take_notes()) == 1
 
@@ -246,7 +246,7 @@
     harness = MergerWithConsumer(*names, both=False)
     for name in names:
         harness.report_lost(name)
-        harness.take_changes(0.05)
+        harness.collect_changes(0.05)
     assert len(harness.serving()) == 87 - int(0.34 * 87)
 
 
@@ -255,7 +255,7 @@
     harness = MergerWithConsumer(*names, both=False)
     for name in names:
         harness.report_lost(name)
-        harness.take_changes(11.0)
+        harness.collect_changes(11.0)
     assert harness.serving() == {"s-11"}
 
 
@@ -270,7 +270,7 @@
     names = [f"s-{n}" for n in range(9)]
     harness = MergerWithConsumer(*names)
     harness.merger.replace_all(MEMBERSHIP, [], harness.now, ReportedStatus.LOST)
-    harness.take_changes()
+    harness.collect_changes()
     assert harness.merger.sources[MEMBERSHIP].withheld_count == 9
     harness.update(DISCOVERY, entry("s-1", DRAINING))
     assert harness.serving() == set(names) - {"s-1"}
@@ -285,9 +285,9 @@
     harness = MergerWithConsumer(*names, both=False)
     harness.merger.replace_all(MEMBERSHIP, [], harness.now, ReportedStatus.LOST)
     harness.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
-    harness.take_changes(MIN_WITHHOLD_S - 1)
+    harness.collect_changes(MIN_WITHHOLD_S - 1)
     assert harness.serving() == set(names)
-    harness.take_changes(2)
+    harness.collect_changes(2)
     assert harness.serving() == set(names[2:])
 
 
@@ -297,7 +297,7 @@
     harness.merger.replace_all(MEMBERSHIP, [], harness.now, ReportedStatus.LOST)
     harness.update(MEMBERSHIP, *(entry(name) for name in names[2:]))
     harness.merger.set_health(MEMBERSHIP, SourceHealth.UNREACHABLE)
-    harness.take_changes(MIN_WITHHOLD_S * 10)
+    harness.collect_changes(MIN_WITHHOLD_S * 10)
     assert harness.serving() == set(names)
 
 
@@ -305,12 +305,12 @@
     names = [f"s-{n}" for n in range(9)]
     harness = MergerWithConsumer(*names)
     harness.merger.replace_all(DISCOVERY, [], harness.now)
-    harness.take_changes()
+    harness.collect_changes()
     assert harness.serving() == set(names)
     harness = MergerWithConsumer()
     harness.update(DISCOVERY, *(entry(name) for name in names))
     harness.merger.replace_all(DISCOVERY, [], harness.now)
-    harness.take_changes()
+    harness.collect_changes()
     assert not harness.serving()  # No other source contradicts the platform's list.
 
 
@@ -319,7 +319,7 @@
     harness = MergerWithConsumer(*names, both=False)
     harness.update(MEMBERSHIP, *(entry(name, DRAINING) for name in names[:8]))
     harness.report_lost(*names[:8])
-    harness.take_changes(LOSS_WINDOW_S)
+    harness.collect_changes(LOSS_WINDOW_S)
     assert set(harness.states()) == {"s-8"}
 
 
@@ -351,12 +351,12 @@
 
 def test_only_changes_are_published() -> None:
     harness = MergerWithConsumer("s-1", "s-2")
-    assert harness.merger.take_changes(harness.now) is None
+    assert harness.merger.collect_changes(harness.now) is None
     harness.merger.update(MEMBERSHIP, [entry("s-1"), entry("s-2")], harness.now)
     harness.merger.update(DISCOVERY, [entry("s-1")], harness.now)
-    assert harness.merger.take_changes(harness.now) is None
+    assert harness.merger.collect_changes(harness.now) is None
     harness.merger.update(MEMBERSHIP, [entry("s-2", DRAINING)], harness.now)
-    listing = harness.merger.take_changes(harness.now)
+    listing = harness.merger.collect_changes(harness.now)
     assert listing is not None and [listed.name for listed in listing.endpoints] == ["s-2"]
     assert [listed.name for listed in harness.merger.effective_endpoints()] == [
         "s-1",
@@ -386,8 +386,8 @@
     for number in range(50):
         harness.update(MEMBERSHIP, entry(f"s-{number}", DRAINING))
         harness.report_lost(f"s-{number}")
-        harness.take_changes(LOSS_WINDOW_S)
-    harness.take_changes(LOSS_WINDOW_S)
+        harness.collect_changes(LOSS_WINDOW_S)
+    harness.collect_changes(LOSS_WINDOW_S)
     assert len(harness.merger.sources[MEMBERSHIP].reports) <= 2 + 6
 
 
@@ -434,7 +434,7 @@
             merger.set_health(step[1], step[2])
         else:
             harness.now += step[1]
-        harness.take_changes()
+        harness.collect_changes()
         if step[0] == "lose":
             base = merger.sources[MEMBERSHIP].ready_count + len(merger.sources[MEMBERSHIP].loss_times)
             # The factor 2 allows for two names that differ only in case and end together.
--- a/tests/net/net_harness.py
+++ b/tests/net/net_harness.py
@@ -79,7 +79,7 @@
 
     def __init__(self, respond: Responder = respond_ok) -> None:
         self.respond = respond
-        self.health_answer: bool | None = True  # Result of a health check; None: no response.
+        self.health_check_result: bool | None = True  # Result of a health check; None: no response.
         self.health_checked = asyncio.Event()
         self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.received_count = 0
@@ -105,8 +105,10 @@
                 received_request = ReceivedRequest(*await read_message(reader), number)
                 if received_request.target in ("/load", "/healthz"):
                     self.health_checked.set()
-                    if self.health_answer is not None:
-                        writer.write(response(200 if self.health_answer else 503, b"inflight=0,queue=0"))
+                    if self.health_check_result is not None:
+                        writer.write(
+                            response(200 if self.health_check_result else 503, b"inflight=0,queue=0")
+                        )
                     continue
                 self.received_count += 1
                 self.received.put_nowait(received_request)
@@ -405,15 +407,15 @@
     raise AssertionError(f"the set-up was late {MAX_LATE_SETUPS} times in a row, so nothing was tested")
 
 
-PATIENT_BUDGET = f"{TEST_TIMEOUT_S * 1000:.0f}m"
+LONG_TIME_BUDGET = f"{TEST_TIMEOUT_S * 1000:.0f}m"
 
 
-def patient_settings() -> dict[str, Any]:
+def long_timeout_settings() -> dict[str, Any]:
     """Return settings under which attempts end only by the behavior of the endpoint.
 
-    The endpoints run in the test process, which a busy machine may stall. With PATIENT_BUDGET, an attempt may
-    last as long as the test. No overdue attempt is cancelled and retried. There are no health checks, which
-    could stay unanswered, or occupy a connection so that a request opens another one.
+    The endpoints run in the test process, which a busy machine may stall. With LONG_TIME_BUDGET, an attempt
+    may last as long as the test. No overdue attempt is cancelled and retried. There are no health checks,
+    which could stay unanswered, or occupy a connection so that a request opens another one.
     """
     long_times = {"objective": TEST_TIMEOUT_S, "deadline": TEST_TIMEOUT_S}
     limits = {**SETTINGS["policy_limits"], "probes": False, "may_cancel": False}
--- a/tests/net/socket_helpers.py
+++ b/tests/net/socket_helpers.py
@@ -74,7 +74,7 @@
     return any((row.port, row.peer_port) == ports for row in tcp_table() if row.state == ESTABLISHED)
 
 
-class Unreachable:
+class SlowConnectListener:
     """Listener with a full backlog, so that a connect completes about a second late."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
         for each in (self.listener, *self.backlog_fillers):
             each.close()
 
-    async def tried(self, count: int) -> None:
+    async def wait_for_connects(self, count: int) -> None:
         """Wait until at least `count` connects of the proxy are in progress by the kernel's table."""
         port = self.listener.getsockname()[1]
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -111,7 +111,7 @@
                 accepted.append(connection)
         return accepted
 
-    async def first(self) -> bytes:
+    async def first_bytes(self) -> bytes:
         """Return the first bytes of the proxy's connection, or b"" if the connection ends without any."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             (connection,) = await self.accept_connections(1)
--- a/tests/net/test_attempt_start.py
+++ b/tests/net/test_attempt_start.py
@@ -29,7 +29,7 @@
     response,
     run_async,
 )
-from socket_helpers import Unreachable, fin, half_close, reset
+from socket_helpers import SlowConnectListener, fin, half_close, reset
 
 from service_proxy.composition import Proxy
 from service_proxy.net.attempt_start import AttemptStart
@@ -39,7 +39,7 @@
 STALL_S = 0.15  # Longest stall between a clock reading and a write that the operators' page allows.
 KEY_WINDOW_S = 0.6
 SOCKET_SLACK_S = 0.05  # Tolerance that the operators' page adds to each time limit on sockets.
-MIN_CONNECT_S = 0.9  # Shortest duration of a connect to an Unreachable endpoint.
+MIN_CONNECT_S = 0.9  # Shortest duration of a connect to a SlowConnectListener.
 TEST_DELAY_SLACK_S = 0.4  # Tolerance for the test's own delay between the write and the clock reading.
 SETTLE_S = 0.3  # Time within which every request that the proxy is going to send has arrived.
 
@@ -252,7 +252,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         discovery = await DiscoveryServer().start()
-        slow_endpoint = Unreachable()
+        slow_endpoint = SlowConnectListener()
         initial_list = endpoint_list(1, endpoint_entry("s-1", slow_endpoint.address))
         limits = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
         raw = config(
@@ -268,8 +268,8 @@
         client = connect(proxy.server.listener.sockets[0].getsockname()[:2])
         sent_at = time.monotonic()
         client.send(get_request("2"))  # The request has a time budget of 5 s.
-        await slow_endpoint.tried(1)
-        received = await slow_endpoint.first()
+        await slow_endpoint.wait_for_connects(1)
+        received = await slow_endpoint.first_bytes()
         elapsed = time.monotonic() - sent_at
         assert elapsed > MIN_CONNECT_S and budget_header_s(received) <= 5.0 - elapsed + TEST_DELAY_SLACK_S
         proxy.stop()
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -7,15 +7,15 @@
 
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     SETTINGS,
     TEST_TIMEOUT_S,
     DiscoveryServer,
     EndpointServer,
     ReceivedRequest,
     endpoint_entry,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     respond_ok,
     response,
@@ -74,10 +74,10 @@
 def test_a_rejection_marked_as_never_executed_is_retried_on_another_endpoint() -> None:
     async def test() -> None:
         endpoints = {"s-1": EndpointServer(marked_rejection), "s-2": EndpointServer()}
-        async with proxy_under_test(endpoints, **patient_settings()) as proxy:
+        async with proxy_under_test(endpoints, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             replies = [
-                (await client.request("canje", f"{n:016x}", PATIENT_BUDGET)).status_code for n in range(4)
+                (await client.request("canje", f"{n:016x}", LONG_TIME_BUDGET)).status_code for n in range(4)
             ]
         assert replies == [200] * 4
 
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -24,7 +24,7 @@
     run_async,
 )
 from net_harness import DiscoveryServer as DiscoveryServer
-from socket_helpers import Unreachable, fin, half_close, reset, reset_on_close
+from socket_helpers import SlowConnectListener, fin, half_close, reset, reset_on_close
 
 from service_proxy.net.downstream import HttpServer
 from service_proxy.net.limits import MAX_MESSAGE_BYTES
@@ -158,7 +158,7 @@
 
 @contextlib.asynccontextmanager
 async def proxy_with_slow_endpoint(
-    slow_endpoint: Unreachable,
+    slow_endpoint: SlowConnectListener,
 ) -> AsyncIterator[tuple[ProxyUnderTest, DiscoveryServer]]:
     """Run a proxy with only this endpoint and a connect timeout that is longer than the slow connect."""
     settings = {**SETTINGS["policy_limits"], "connect_timeout": 8.0, "probes": False}
@@ -176,14 +176,14 @@
     end: Callable[[socket.socket], None],
 ) -> None:
     async def test() -> None:
-        slow_endpoint = Unreachable()
+        slow_endpoint = SlowConnectListener()
         async with proxy_with_slow_endpoint(slow_endpoint) as (proxy, _):
             client = await proxy.connect()
             connected_client = await proxy.connect()
             client.send("canje", "a" * 16, budget="8000m")
-            await slow_endpoint.tried(1)
+            await slow_endpoint.wait_for_connects(1)
             connected_client.send("canje", "b" * 16, budget="8000m")
-            await slow_endpoint.tried(2)
+            await slow_endpoint.wait_for_connects(2)
             raw = client.writer.get_extra_info("socket")
             if end is half_close:
                 half_close(raw)
@@ -214,12 +214,12 @@
     """
 
     async def test() -> None:
-        slow_endpoint = Unreachable()
+        slow_endpoint = SlowConnectListener()
         other_endpoint = await EndpointServer().start()
         async with proxy_with_slow_endpoint(slow_endpoint) as (proxy, discovery):
             client = await proxy.connect()
             client.send("canje", "a" * 16, budget="8000m")
-            await slow_endpoint.tried(1)
+            await slow_endpoint.wait_for_connects(1)
             discovery.publish(
                 3,
                 endpoint_entry("s-2", slow_endpoint.address, status),
@@ -227,7 +227,8 @@
             )
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert "from=3&" in await discovery.polls.get()
-            assert await slow_endpoint.first() == b""  # The connection was established and closed unused.
+            # The connection was established and closed unused.
+            assert await slow_endpoint.first_bytes() == b""
             # The request was never executed, so it is retried on the other endpoint if time remains.
             answer = await client.response()
             assert (answer.status_code, other_endpoint.received_count) in ((200, 1), (503, 0))
--- a/tests/net/test_discovery_polling.py
+++ b/tests/net/test_discovery_polling.py
@@ -12,20 +12,20 @@
 
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     EndpointServer,
     ProxyUnderTest,
     endpoint_entry,
     endpoint_list,
-    patient_settings,
+    long_timeout_settings,
     proxy_under_test,
     read_message,
     response,
     run_async,
 )
 from net_harness import DiscoveryServer as SilentDiscovery
-from socket_helpers import Unreachable
+from socket_helpers import SlowConnectListener
 
 from service_proxy.net.discovery import DiscoveryClient
 from service_proxy.net.endpoint_list import EndpointList
@@ -351,7 +351,7 @@
 ) -> None:
     client = await proxy.connect()
     for number in range(20):
-        assert (await client.request("stock", f"{number:016x}", budget=PATIENT_BUDGET)).status_code == 200
+        assert (await client.request("stock", f"{number:016x}", budget=LONG_TIME_BUDGET)).status_code == 200
     assert (removed.received_count, remaining.received_count) == (0, 20)
 
 
@@ -364,7 +364,7 @@
         remaining = EndpointServer()
         await agent.start()
         async with proxy_under_test(
-            {"s-1": removed, "s-2": remaining}, agent, discovery="push", **patient_settings()
+            {"s-1": removed, "s-2": remaining}, agent, discovery="push", **long_timeout_settings()
         ) as proxy:
             assert "from=1&" in await agent.next_poll()
             await agent.publish_changes(endpoint_entry("s-1", removed.address, "Terminating"))
@@ -380,7 +380,7 @@
         remaining = EndpointServer()
         await agent.start()
         async with proxy_under_test(
-            {"s-1": removed, "s-2": remaining}, agent, discovery="push", **patient_settings()
+            {"s-1": removed, "s-2": remaining}, agent, discovery="push", **long_timeout_settings()
         ) as proxy:
             await agent.next_poll()
             agent.is_silent = True
@@ -438,7 +438,7 @@
     """The backlog of the address is full, so the kernel completes no connection."""
 
     async def test() -> None:
-        unreachable = Unreachable()
+        unreachable = SlowConnectListener()
         host, _, port = unreachable.address.rpartition(":")
         client_under_test = ClientUnderTest(
             replace(
@@ -467,7 +467,7 @@
         remaining = EndpointServer()
         await new_discovery.start()
         async with proxy_under_test(
-            {"s-1": removed, "s-2": remaining}, old_discovery, **patient_settings()
+            {"s-1": removed, "s-2": remaining}, old_discovery, **long_timeout_settings()
         ) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 # The old address leaves this poll unanswered.
--- a/tests/net/test_downstream_clients.py
+++ b/tests/net/test_downstream_clients.py
@@ -11,14 +11,14 @@
 
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     Client,
     EndpointServer,
     ProxyUnderTest,
     ReceivedRequest,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     respond_ok,
     run_async,
@@ -54,7 +54,7 @@
 
 
 async def is_served(proxy: ProxyUnderTest) -> bool:
-    return (await (await proxy.connect()).request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
+    return (await (await proxy.connect()).request("stock", "2" * 16, LONG_TIME_BUDGET)).status_code == 200
 
 
 ENDLESS = {
@@ -74,7 +74,7 @@
     """
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": EndpointServer()}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             client.writer.write(begin)
             writing = asyncio.create_task(write_endlessly(client, more))
@@ -101,7 +101,7 @@
 
 
 async def complete_one_then_send_partial(client: Client) -> None:
-    assert (await client.request("stock", "3" * 16, PATIENT_BUDGET)).status_code == 200
+    assert (await client.request("stock", "3" * 16, LONG_TIME_BUDGET)).status_code == 200
     await send_partial_request(client)
 
 
@@ -118,7 +118,7 @@
     act: Callable[[Client], Awaitable[None]], code: int
 ) -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": EndpointServer()}, **long_timeout_settings()) as proxy:
             begun = asyncio.get_running_loop().time()
             client = await proxy.connect()
             acting = asyncio.ensure_future(act(client))
@@ -186,7 +186,7 @@
 
 def test_a_60_mb_body_is_rejected() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": EndpointServer()}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             length = 60 << 20
             client.writer.write(b"POST /canje" + HEAD + b"Content-Length: %d\r\n\r\n" % length)
@@ -222,7 +222,7 @@
 def test_a_request_hidden_in_a_body_is_not_forwarded(rest: bytes) -> None:
     async def test() -> None:
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             client.writer.write(b"POST /canje" + HEAD + rest)
             assert await status_until_close(client) == 400
@@ -245,7 +245,7 @@
 def test_a_trailer_field_is_not_forwarded_as_a_header() -> None:
     async def test() -> None:
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             body = b"2\r\nhi\r\n0\r\nIdempotency-Key: k\r\nX-T: 1\r\n\r\n"
             data = b"POST /canje" + HEAD + CHUNKED + b"\r\n" + body
             assert (await (await proxy.connect()).send_raw(data)).status_code == 200
@@ -266,7 +266,7 @@
 
     async def test() -> None:
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             assert (
                 await (await proxy.connect()).send_raw(b"GET /stock" + HEAD + spoil + b"\r\n")
             ).status_code == 400
--- a/tests/net/test_endpoint_lists.py
+++ b/tests/net/test_endpoint_lists.py
@@ -5,12 +5,12 @@
 import asyncio
 
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     DiscoveryServer,
     EndpointServer,
     endpoint_entry,
-    patient_settings,
+    long_timeout_settings,
     proxy_under_test,
     response,
     run_async,
@@ -21,7 +21,7 @@
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, discovery, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, discovery, **long_timeout_settings()) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await discovery.polls.get()
                 discovery.changes.put_nowait(response(503))
@@ -29,7 +29,7 @@
                 discovery.changes.put_nowait(b"no HTTP at all")
                 await discovery.polls.get()
             assert (
-                await (await proxy.connect()).request("stock", "1" * 16, PATIENT_BUDGET)
+                await (await proxy.connect()).request("stock", "1" * 16, LONG_TIME_BUDGET)
             ).status_code == 200
 
     run_async(test())
@@ -77,7 +77,7 @@
     async def test() -> None:
         discovery = await DiscoveryServer().start()
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, discovery, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, discovery, **long_timeout_settings()) as proxy:
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await discovery.polls.get()).startswith("/v1/servers?from=1&hold_ms=")
                 discovery.publish(7)
@@ -85,7 +85,7 @@
                 discovery.changes.put_nowait(response(200, b'{"index": 9, "endpoints": [{"name": 3}]}'))
                 assert (await discovery.polls.get()).startswith("/v1/servers?from=7&hold_ms=")
             assert (
-                await (await proxy.connect()).request("stock", "1" * 16, PATIENT_BUDGET)
+                await (await proxy.connect()).request("stock", "1" * 16, LONG_TIME_BUDGET)
             ).status_code == 200
 
     run_async(test())
@@ -97,9 +97,9 @@
         draining = EndpointServer()
         replaced = await EndpointServer().start()
         replacement = await EndpointServer().start()
-        async with proxy_under_test({"s-1": draining}, discovery, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": draining}, discovery, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
-            assert (await client.request("canje", "0" * 16, PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("canje", "0" * 16, LONG_TIME_BUDGET)).status_code == 200
             discovery.publish(
                 2,
                 endpoint_entry("s-1", draining.address, "Terminating"),
@@ -109,12 +109,12 @@
                 # The proxy closes its idle connections after it is notified of the drain.
                 await draining.closed_connections.get()
             for number in range(1, 5):
-                assert (await client.request("canje", f"{number:016x}", PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("canje", f"{number:016x}", LONG_TIME_BUDGET)).status_code == 200
             assert (draining.received_count, replaced.received_count) == (1, 4)
             discovery.publish(3, endpoint_entry("s-2", replacement.address))
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await replaced.closed_connections.get()
-            assert (await client.request("canje", f"{9:016x}", PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("canje", f"{9:016x}", LONG_TIME_BUDGET)).status_code == 200
             assert (replaced.received_count, replacement.received_count) == (4, 1)
         await replacement.stop()
 
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     Client,
     DiscoveryServer,
@@ -23,8 +23,8 @@
     config,
     endpoint_list,
     get_request,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     repeat_until_timely,
     run_async,
@@ -51,7 +51,7 @@
 
     async def test() -> None:
         endpoint = EndpointServer(never_respond)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             clients = [await proxy.connect() for _ in range(12)]
             for number, client in enumerate(clients):
                 cls = ("stock", "reserva", "canje")[number % 3]
@@ -144,7 +144,7 @@
 
     async def test() -> None:
         endpoint = EndpointServer(never_respond)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             hanging_client = await proxy.connect()
             late_client = await proxy.connect()
             hanging_client.send("canje", "a" * 16, budget="9000m")
@@ -174,7 +174,7 @@
             writer.write(half)
 
         endpoint = EndpointServer(respond)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             other_client = await proxy.connect()
             client.send("canje", "a" * 16, budget="9000m")
@@ -208,7 +208,7 @@
                     await writer.drain()
 
         endpoint = EndpointServer(respond)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             raw = socket.create_connection(proxy.address)
             raw.send(get_request("1").replace(b"/stock", b"/stock?"))
             await next_request(endpoint)
@@ -233,14 +233,14 @@
         loop = asyncio.get_running_loop()
 
         async def set_up(number: int) -> bool:
-            async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
+            async with proxy_under_test({"s-1": EndpointServer()}, **long_timeout_settings()) as proxy:
                 client = await proxy.connect()
-                assert (await client.request("stock", "1" * 16, PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("stock", "1" * 16, LONG_TIME_BUDGET)).status_code == 200
                 terminated_at = loop.time()
                 proxy.terminate()
                 try:
                     client = await proxy.connect()
-                    assert (await client.request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
+                    assert (await client.request("stock", "2" * 16, LONG_TIME_BUDGET)).status_code == 200
                     await suspend(proxy.process)
                     late_client = await proxy.connect()  # The kernel accepts the connection and its request.
                 except OSError:
@@ -248,7 +248,7 @@
                     return False
                 if loop.time() >= terminated_at + LISTENER_GRACE_S:
                     return False
-                late_client.send("stock", "3" * 16, PATIENT_BUDGET)
+                late_client.send("stock", "3" * 16, LONG_TIME_BUDGET)
                 await asyncio.sleep(LISTENER_GRACE_S)  # Duration of the stall.
                 proxy.process.send_signal(signal.SIGCONT)
                 assert (await late_client.response()).status_code == 200
--- a/tests/net/test_http_message_rules.py
+++ b/tests/net/test_http_message_rules.py
@@ -10,12 +10,12 @@
 import contextlib
 
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     Client,
     EndpointServer,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     run_async,
 )
@@ -142,7 +142,7 @@
     async def test() -> None:
         endpoint = EndpointServer()
         mismatches = []
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             for name, (section, code, data) in REJECTED_REQUESTS.items():
                 client = await proxy.connect()
                 client.writer.write(data)
@@ -153,7 +153,7 @@
                     endpoint.received_count = 0
             assert not mismatches, mismatches
             assert (
-                await (await proxy.connect()).request("stock", "2" * 16, PATIENT_BUDGET)
+                await (await proxy.connect()).request("stock", "2" * 16, LONG_TIME_BUDGET)
             ).status_code == 200
 
     run_async(test())
@@ -162,7 +162,7 @@
 def test_what_the_rfcs_allow_is_served() -> None:
     async def test() -> None:
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             for name, (_, data) in ACCEPTED_REQUESTS.items():
                 answer = await (await proxy.connect()).send_raw(data)
                 assert answer.status_code == 200, name
@@ -179,7 +179,7 @@
 
     async def test() -> None:
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             fields = b"Connection: keep-alive, X-HOP\r\nX-Hop: 1\r\nX-Stay: 2\r\n"
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await (await proxy.connect()).send_raw(get(GET, HOST + fields))).status_code == 200
--- a/tests/net/test_overload.py
+++ b/tests/net/test_overload.py
@@ -6,12 +6,12 @@
 from collections import Counter
 
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     SETTINGS,
     TEST_TIMEOUT_S,
     EndpointServer,
     ReceivedRequest,
-    patient_settings,
+    long_timeout_settings,
     proxy_under_test,
     repeat_until_timely,
     respond_ok,
@@ -145,17 +145,17 @@
             await respond_ok(received, writer)
 
         async with proxy_under_test(
-            {"s-1": EndpointServer(respond)}, sockets=64, **patient_settings()
+            {"s-1": EndpointServer(respond)}, sockets=64, **long_timeout_settings()
         ) as proxy:
             clients = [await proxy.connect() for _ in range(32)]
             for number, client in enumerate(clients):
-                client.send("canje", f"{number:016x}", budget=PATIENT_BUDGET)
+                client.send("canje", f"{number:016x}", budget=LONG_TIME_BUDGET)
             for number in range(100, 150):
                 reply = await (await proxy.connect()).request("stock", f"{number:016x}")
                 assert reply.status_code == 503 and float(reply.headers["retry-after"]) > 0
             release.set()
             assert all([(await client.response()).status_code in (200, 503) for client in clients])
-            assert (await clients[0].request("stock", "9" * 16, PATIENT_BUDGET)).status_code == 200
+            assert (await clients[0].request("stock", "9" * 16, LONG_TIME_BUDGET)).status_code == 200
 
     run_async(test())
 
@@ -164,13 +164,15 @@
     """Guards against idle connections that keep new clients out."""
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, sockets=64, **patient_settings()) as proxy:
+        async with proxy_under_test(
+            {"s-1": EndpointServer()}, sockets=64, **long_timeout_settings()
+        ) as proxy:
             idle = [await proxy.connect() for _ in range(29)]
             for number, client in enumerate(idle):
-                assert (await client.request("stock", f"{number:016x}", PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("stock", f"{number:016x}", LONG_TIME_BUDGET)).status_code == 200
             for number in range(100, 10_000):
                 client = await proxy.connect()
-                if (await client.request("stock", f"{number:016x}", PATIENT_BUDGET)).status_code == 200:
+                if (await client.request("stock", f"{number:016x}", LONG_TIME_BUDGET)).status_code == 200:
                     break
             assert await idle[0].is_closed()
 
--- a/tests/net/test_proxy_end_to_end.py
+++ b/tests/net/test_proxy_end_to_end.py
@@ -10,15 +10,15 @@
 
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     SETTINGS,
     TEST_TIMEOUT_S,
     EndpointServer,
     ReceivedRequest,
     config,
     endpoint_list,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     repeat_until_timely,
     respond_ok,
@@ -79,22 +79,22 @@
 def test_a_malformed_request_reaches_no_endpoint_and_harms_no_other(code: int, data: bytes) -> None:
     async def test() -> None:
         endpoint = EndpointServer()
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             malformed_client = await proxy.connect()
             other_client = await proxy.connect()
             assert (await malformed_client.send_raw(data)).status_code == code
             assert endpoint.received_count == 0
-            assert (await other_client.request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
+            assert (await other_client.request("stock", "2" * 16, LONG_TIME_BUDGET)).status_code == 200
 
     run_async(test())
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": EndpointServer()}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             for number in range(40):
-                client.send("stock", f"{number:016x}", PATIENT_BUDGET)
+                client.send("stock", f"{number:016x}", LONG_TIME_BUDGET)
             bodies = [(await client.response()).body for _ in range(40)]
         # On a busy machine the policy may refuse some requests; the order of the responses stays the same.
         expected = [b"done " + f"{n:016x}".encode() for n in range(40)]
@@ -118,16 +118,16 @@
             await respond_ok(received, writer)
 
         endpoint = EndpointServer(respond)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             open_client = await proxy.connect()
             idle_client = await proxy.connect()
-            assert (await idle_client.request("stock", "1" * 16, PATIENT_BUDGET)).status_code == 200
-            open_client.send("canje", "a" * 16, budget=PATIENT_BUDGET)
+            assert (await idle_client.request("stock", "1" * 16, LONG_TIME_BUDGET)).status_code == 200
+            open_client.send("canje", "a" * 16, budget=LONG_TIME_BUDGET)
             await next_request(endpoint)
             await next_request(endpoint)
             proxy.terminate()
             late_client = await proxy.connect()  # New connections are still accepted.
-            assert (await late_client.request("stock", "2" * 16, PATIENT_BUDGET)).status_code == 200
+            assert (await late_client.request("stock", "2" * 16, LONG_TIME_BUDGET)).status_code == 200
             assert await idle_client.is_closed()  # Idle client connections are closed without haste.
             assert proxy.process.returncode is None
             release.set()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -6,14 +6,14 @@
 
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     DiscoveryServer,
     EndpointServer,
     ReceivedRequest,
     endpoint_entry,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     respond_ok,
     run_async,
@@ -31,9 +31,9 @@
     async def test() -> None:
         first_endpoint = EndpointServer()
         second_endpoint = await EndpointServer().start()
-        async with proxy_under_test({"s-1": first_endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": first_endpoint}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
-            assert (await client.request("stock", "1" * 16, PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("stock", "1" * 16, LONG_TIME_BUDGET)).status_code == 200
             for round, endpoint in enumerate([second_endpoint, first_endpoint, second_endpoint]):
                 server = await DiscoveryServer().start()
                 server.publish(round, endpoint_entry(f"s-{round}", endpoint.address), snapshot=True)
@@ -41,7 +41,7 @@
                 assert await next_poll(server) == "/v1/servers"
                 assert (await next_poll(server)).startswith(f"/v1/servers?from={round}&hold_ms=")
                 before = endpoint.received_count
-                assert (await client.request("canje", f"{round:016x}", PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("canje", f"{round:016x}", LONG_TIME_BUDGET)).status_code == 200
                 assert endpoint.received_count == before + 1
         await second_endpoint.stop()
 
@@ -55,7 +55,7 @@
         new_discovery = DiscoveryServer()
         await new_discovery.start()
         second_endpoint = await EndpointServer().start()
-        async with proxy_under_test({"s-1": EndpointServer()}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": EndpointServer()}, **long_timeout_settings()) as proxy:
             new_discovery.changes.put_nowait(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             new_discovery.publish(9, endpoint_entry("s-2", second_endpoint.address), snapshot=True)
             started_at = asyncio.get_running_loop().time()
@@ -64,7 +64,7 @@
             assert "from=9" in await next_poll(new_discovery)
             assert asyncio.get_running_loop().time() - started_at < 2.0
             assert (
-                await (await proxy.connect()).request("canje", "1" * 16, PATIENT_BUDGET)
+                await (await proxy.connect()).request("canje", "1" * 16, LONG_TIME_BUDGET)
             ).status_code == 200
             assert second_endpoint.received_count == 1
         await second_endpoint.stop()
@@ -80,7 +80,7 @@
     async def test() -> None:
         endpoint = EndpointServer()
         discovery = await DiscoveryServer().start()
-        async with proxy_under_test({"s-1": endpoint}, discovery, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, discovery, **long_timeout_settings()) as proxy:
             assert "from=1" in await next_poll(discovery)
             proxy.reload(text=text)
             async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -90,7 +90,7 @@
             discovery.publish(2)
             assert "from=2" in await next_poll(discovery)  # The watch continues.
             assert (
-                await (await proxy.connect()).request("stock", "1" * 16, PATIENT_BUDGET)
+                await (await proxy.connect()).request("stock", "1" * 16, LONG_TIME_BUDGET)
             ).status_code == 200
             assert proxy.process.returncode is None
 
@@ -138,19 +138,19 @@
 
         loop = asyncio.get_running_loop()
         endpoints = {f"s-{number}": EndpointServer(respond) for number in range(3)}
-        async with proxy_under_test(endpoints, **patient_settings()) as proxy:
+        async with proxy_under_test(endpoints, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             hanging_client = await proxy.connect()
-            assert (await client.request("stock", "1" * 16, PATIENT_BUDGET)).status_code == 200
+            assert (await client.request("stock", "1" * 16, LONG_TIME_BUDGET)).status_code == 200
             started_at = loop.time()
             proxy.terminate(kill_after=3.6)
             number = 2
             while loop.time() < started_at + 1.5:
-                reply = await client.request("stock", f"{number:016x}", PATIENT_BUDGET)
+                reply = await client.request("stock", f"{number:016x}", LONG_TIME_BUDGET)
                 assert reply.status_code == 200 and "connection" not in reply.headers
                 number += 1
                 if number == 3:
-                    hanging_client.send("canje", "a" * 16, budget=PATIENT_BUDGET)
+                    hanging_client.send("canje", "a" * 16, budget=LONG_TIME_BUDGET)
                 await asyncio.sleep(0.1)
             assert (await hanging_client.response()).status_code in (502, 504)
             assert await proxy.exit_code() == 0
--- a/tests/net/test_streamed_responses.py
+++ b/tests/net/test_streamed_responses.py
@@ -22,13 +22,13 @@
     streaming_endpoint,
 )
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     EndpointServer,
     ReceivedRequest,
     buffering_for,
+    long_timeout_settings,
     next_request,
-    patient_settings,
     proxy_under_test,
     repeat_until_timely,
     response,
@@ -64,7 +64,7 @@
 
 def test_an_http_1_0_client_gets_a_long_response_that_ends_with_its_connection() -> None:
     async def test() -> None:
-        async with proxy_under_test({"s-1": streaming_endpoint(CHUNKED)}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": streaming_endpoint(CHUNKED)}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
             client.writer.write(b"GET /stock HTTP/1.0\r\nX-Call-Id: a\r\nX-Budget: 9000m\r\n\r\n")
             code, headers = await read_head(client)
@@ -80,9 +80,9 @@
 
     async def test() -> None:
         endpoint = streaming_endpoint(framing, pieces=4, is_complete=False)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
-            client.send("stock", "a" * 16, PATIENT_BUDGET)
+            client.send("stock", "a" * 16, LONG_TIME_BUDGET)
             code, headers = await read_head(client)
             assert code == 200
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -126,10 +126,10 @@
             writer.write(chunk(PIECE) + chunk(PIECE) + chunk(b""))
 
         async def set_up(number: int) -> bool:
-            client.send("canje", f"a{number:015x}", budget=PATIENT_BUDGET)
+            client.send("canje", f"a{number:015x}", budget=LONG_TIME_BUDGET)
             code, headers = await read_head(client)
             assert code == 200 and (await read_body(client, headers, no_delay))[1] == 1000 + 2 * len(PIECE)
-            answer = await client.request("canje", f"b{number:015x}", budget=PATIENT_BUDGET)
+            answer = await client.request("canje", f"b{number:015x}", budget=LONG_TIME_BUDGET)
             assert answer.status_code == (502 if is_timely else 200)
             first, second = [await next_request(endpoint) for _ in range(2)]
             assert first.connection == second.connection and endpoint.received_count == 2 * (number + 1)
@@ -137,7 +137,7 @@
 
         endpoint = EndpointServer(respond)
         async with proxy_under_test(
-            {"s-1": endpoint}, program=buffering_for(BUFFERING_S), **patient_settings()
+            {"s-1": endpoint}, program=buffering_for(BUFFERING_S), **long_timeout_settings()
         ) as proxy:
             client = await proxy.connect()
             await repeat_until_timely(set_up)
@@ -185,7 +185,7 @@
             nonlocal is_first_attempt
             is_first_attempt = True
             received_before = endpoint.received_count
-            answer = await (await proxy.connect()).request("stock", f"{number:016x}", budget=PATIENT_BUDGET)
+            answer = await (await proxy.connect()).request("stock", f"{number:016x}", budget=LONG_TIME_BUDGET)
             assert answer.status_code == 200
             if is_timely:
                 assert answer.body == b"whole" and endpoint.received_count == received_before + 2
@@ -194,7 +194,7 @@
         endpoint = EndpointServer(respond)
         # The reset after such a long stall may eject an endpoint, so the retry needs a second name.
         async with proxy_under_test(
-            {"s-1": endpoint, "s-2": endpoint}, program=buffering_for(BUFFERING_S), **patient_settings()
+            {"s-1": endpoint, "s-2": endpoint}, program=buffering_for(BUFFERING_S), **long_timeout_settings()
         ) as proxy:
             await repeat_until_timely(set_up)
 
@@ -204,9 +204,9 @@
 def test_a_client_that_disconnects_during_a_response_closes_the_upstream_connection() -> None:
     async def test() -> None:
         endpoint = streaming_endpoint(WITH_LENGTH)
-        async with proxy_under_test({"s-1": endpoint}, **patient_settings()) as proxy:
+        async with proxy_under_test({"s-1": endpoint}, **long_timeout_settings()) as proxy:
             client = await proxy.connect()
-            client.send("stock", "a" * 16, PATIENT_BUDGET)
+            client.send("stock", "a" * 16, LONG_TIME_BUDGET)
             assert (await read_head(client))[0] == 200
             client.writer.transport.abort()
             async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -238,13 +238,15 @@
     """
 
     async def test() -> None:
-        async with proxy_under_test({"s-1": streaming_endpoint(WITH_LENGTH)}, **patient_settings()) as proxy:
+        async with proxy_under_test(
+            {"s-1": streaming_endpoint(WITH_LENGTH)}, **long_timeout_settings()
+        ) as proxy:
             before = resident_mb(proxy)
             clients = [await proxy.connect() for _ in range(40)]
             heads = 0
             for n, client in enumerate(clients):
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-                client.send("stock", f"{n:016x}", budget=PATIENT_BUDGET)
+                client.send("stock", f"{n:016x}", budget=LONG_TIME_BUDGET)
             await asyncio.sleep(1.0)
             assert resident_mb(proxy) - before < 40 * 0.3
             for client in clients:
--- a/tests/net/test_upstream_responses.py
+++ b/tests/net/test_upstream_responses.py
@@ -13,11 +13,11 @@
 import httptools
 import pytest
 from net_harness import (
-    PATIENT_BUDGET,
+    LONG_TIME_BUDGET,
     TEST_TIMEOUT_S,
     EndpointServer,
     ReceivedRequest,
-    patient_settings,
+    long_timeout_settings,
     proxy_under_test,
     response,
     run_async,
@@ -228,20 +228,20 @@
             writer.write(response(200, b"done"))
 
         endpoints = {"s-1": EndpointServer(respond), "s-2": EndpointServer(respond)}
-        async with proxy_under_test(endpoints, **patient_settings()) as proxy:
+        async with proxy_under_test(endpoints, **long_timeout_settings()) as proxy:
             clients = [await proxy.connect() for _ in range(4)]
             for number in range(6):
                 for client_index, client in enumerate(clients):
-                    client.send("canje", f"{number:015x}{client_index}", PATIENT_BUDGET)
+                    client.send("canje", f"{number:015x}{client_index}", LONG_TIME_BUDGET)
                 assert [(await client.response()).status_code for client in clients] == [200] * 4
             before = [endpoint.received_count for endpoint in endpoints.values()]
-            assert (await clients[0].request("canje", "dead" + "0" * 12, PATIENT_BUDGET)).status_code == 502
+            assert (await clients[0].request("canje", "dead" + "0" * 12, LONG_TIME_BUDGET)).status_code == 502
             reset_endpoint = next(
                 b for b, count in zip(endpoints.values(), before, strict=True) if b.received_count > count
             )
             count = reset_endpoint.received_count
             for number, client in enumerate(clients):
-                client.send("canje", f"hold{number:012x}", budget=PATIENT_BUDGET)
+                client.send("canje", f"hold{number:012x}", budget=LONG_TIME_BUDGET)
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while sum(endpoint.received_count for endpoint in endpoints.values()) < sum(before) + 5:
                     await asyncio.sleep(0.001)
@@ -271,12 +271,12 @@
 
         healthy_endpoint = EndpointServer()
         async with proxy_under_test(
-            {"s-1": EndpointServer(respond), "s-2": healthy_endpoint}, **patient_settings()
+            {"s-1": EndpointServer(respond), "s-2": healthy_endpoint}, **long_timeout_settings()
         ) as proxy:
             client = await proxy.connect()
             for number in range(40):
-                assert (await client.request("canje", f"c{number:015x}", PATIENT_BUDGET)).status_code == 200
-                assert (await client.request("stock", f"s{number:015x}", PATIENT_BUDGET)).status_code == 200
+                assert (await client.request("canje", f"c{number:015x}", LONG_TIME_BUDGET)).status_code == 200
+                assert (await client.request("stock", f"s{number:015x}", LONG_TIME_BUDGET)).status_code == 200
         # Routing each class by load alone sends about half of the 40 to the rejecting endpoint.
         assert rejected_count <= 6
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -107,7 +107,7 @@
         driver.feed(StreamStarted(attempt.request_id, 0, attempt.endpoint_id))
     assert driver.balancer.in_flight.counted == 0
     driver.advance(1.5)  # Many times the mean latency.
-    assert driver.balancer.avoided == []
+    assert driver.balancer.ejected_endpoint_ids == []
     actions = driver.feed(
         AttemptEnded(1, 0, sent_attempts[0].endpoint_id, AttemptStatus.CONNECT_FAILED, 1.5, False)
     )
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -248,4 +248,4 @@
             balancer.endpoints, proxy_settings
         )
         serving = [e for e in balancer.endpoints.known.values() if e.state is EndpointState.SERVING]
-        assert balancer.avoided == [e.endpoint_id for e in serving if e.ejected_until]
+        assert balancer.ejected_endpoint_ids == [e.endpoint_id for e in serving if e.ejected_until]
--- a/tests/sidecar/test_inbound_health.py
+++ b/tests/sidecar/test_inbound_health.py
@@ -36,13 +36,13 @@
 def test_an_application_that_answers_no_probe_gets_no_new_request() -> None:
     async def test() -> None:
         async with running_inbound() as inbound:
-            inbound.application.health_answer = None
+            inbound.application.health_check_result = None
             await inbound.wait_for_state(ApplicationState.SLOW)
             assert await inbound.get("/healthz") == (503, b"the application is slow\n")
             answer = await inbound.request("canje", "1" * 16)
             assert_rejected(answer)
             assert inbound.application.received_count == 0
-            inbound.application.health_answer = True
+            inbound.application.health_check_result = True
             await inbound.wait_for_state(ApplicationState.UP)
             assert (await inbound.request("canje", "2" * 16)).status_code == 200
             # The application was not restarted, so it is not warming up.
@@ -54,7 +54,7 @@
 def test_an_application_that_is_not_ready_gets_no_new_request() -> None:
     async def test() -> None:
         async with running_inbound() as inbound:
-            inbound.application.health_answer = False
+            inbound.application.health_check_result = False
             await inbound.wait_for_state(ApplicationState.UNREADY)
             assert (await inbound.request("canje", "1" * 16)).status_code == 503
 
@@ -154,7 +154,7 @@
             await inbound.start_canje()
             started_at = time.monotonic()
             queued = await inbound.queue_canje("5900m")
-            inbound.application.health_answer = False
+            inbound.application.health_check_result = False
             answer = await queued.response()
             assert answer.body == b"the application is unready\n"
             assert answer.headers["x-rejected"] == "1"
--- a/tests/sidecar/test_rule_model.py
+++ b/tests/sidecar/test_rule_model.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from service_proxy.sidecar.model import Class, Route, Tier
+from service_proxy.sidecar.model import ClassDescription, Route, Tier
 from service_proxy.sidecar.rule_model import MAX_DRAIN_S, rule_four, rule_one, rule_three, rule_two
 
-CANJE = Class("once", 2.5, 6.0)
-RESERVA = Class("by-key", 1.5, 4.0, 1.0, "zone", 6.0)
-STOCK = Class("repeatable", 0.5, 1.2)
+CANJE = ClassDescription("once", 2.5, 6.0)
+RESERVA = ClassDescription("by-key", 1.5, 4.0, 1.0, "zone", 6.0)
+STOCK = ClassDescription("repeatable", 0.5, 1.2)
 KEYED = Route("by-key", "zone", 6.0)
 TIER = Tier(("a", "b"), ("canje",), 16, stop_after=7.0)
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("cls", [CANJE, RESERVA, STOCK], ids=["canje", "reserva", "stock"])
-def test_two_attempts_in_flight_break_the_rule_for_every_class(cls: Class) -> None:
+def test_two_attempts_in_flight_break_the_rule_for_every_class(cls: ClassDescription) -> None:
     example = rule_two("x", cls, Route("never", hedge=True))
     assert example is not None
     assert example.events[-1].endswith("a second attempt while one is in flight")
@@ -75,7 +75,7 @@
         (1, 2, 5),
         (False, True),
     ):
-        cls = Class(effect, 1.0, 4.0, 1.0, group, window if effect == "by-key" else 0.0)
+        cls = ClassDescription(effect, 1.0, 4.0, 1.0, group, window if effect == "by-key" else 0.0)
         route = Route(retry, retry_within, retry_for, attempts, hedge)
         is_retried = attempts > 1 and retry in ("by-key", "always")
         if hedge and attempts > 1:
--- a/tests/sidecar/test_run.py
+++ b/tests/sidecar/test_run.py
@@ -222,11 +222,11 @@
 def test_the_inbound_health_check_fails_while_the_application_is_not_ready(tmp_path: Path) -> None:
     async def test() -> None:
         application = EndpointServer()
-        application.health_answer = False
+        application.health_check_result = False
         async with running_sidecar(tmp_path, application, EndpointServer(), ready=False) as sidecar:
             await application.health_checked.wait()
             assert await sidecar.health_status(sidecar.addresses.inbound) == 503
-            application.health_answer = True
+            application.health_check_result = True
             await sidecar.wait_until_healthy(sidecar.addresses.inbound)
 
     run_async(test())
@@ -341,7 +341,7 @@
         service = CoordinationService()
         ((host, port),) = await service.start()
         application = EndpointServer()
-        application.health_answer = False
+        application.health_check_result = False
         membership = f'[tier.portal.membership]\nservers = ["{host}:{port}"]\npath = "/salas/portal"\n\n'
         async with running_sidecar(
             tmp_path, application, EndpointServer(), membership, ready=False
@@ -365,12 +365,12 @@
 
             await application.health_checked.wait()
             assert status() == ""
-            application.health_answer = True
+            application.health_check_result = True
             await until(lambda: status() == "Ready", "registered")
             first_data = service.tree.nodes[path].data
-            application.health_answer = False
+            application.health_check_result = False
             await until(lambda: status() == "Terminating", "drains with its application")
-            application.health_answer = True
+            application.health_check_result = True
             await until(lambda: status() == "Ready", "registered again")
             # The new start time makes clients treat the endpoint as warming up.
             assert service.tree.nodes[path].data != first_data
