--- a/harness/fleet/fault_script.py
+++ b/harness/fleet/fault_script.py
@@ -106,7 +106,7 @@
     try:
         raw = tomllib.loads(text)
     except ValueError as error:
-        raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {error}", "mend this line")]) from None
+        raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {error}", "correct this line")]) from None
     reader = TableReader(file, text)
     tables = raw.pop("fault", [])
     top = reader.read_table(ScriptHeader, raw, ())
--- a/service_proxy/deadlines/propagation.py
+++ b/service_proxy/deadlines/propagation.py
@@ -75,7 +75,7 @@
         """
         if load(file).budgets != self.settings:
             text = "[budgets] has changed, and only its keys can while the proxy runs"
-            raise OperatorError([Problem(file, 1, "S109", text, "start the proxy anew")])
+            raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
         self.reread_keys()
 
     def reread_keys(self) -> None:
--- a/service_proxy/fleet/service.py
+++ b/service_proxy/fleet/service.py
@@ -148,7 +148,7 @@
         for name in RESTART_SETTINGS:
             if getattr(settings, name) != getattr(self.settings, name):
                 text = f"{name} of [fleet] can't change while the proxy runs"
-                raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy to change it")])
+                raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
         self.settings = settings
         timing = make_timing(settings)
         self.protocol.timing = timing
--- a/service_proxy/operator_file/codes.py
+++ b/service_proxy/operator_file/codes.py
@@ -45,23 +45,25 @@
 S107 contradiction
     Two values of this file can't both hold.
 S108 name
-    Names of classes, tiers and hosts are small ASCII letters, digits, - and _, so that none looks
-    like another.
+    Names of classes, tiers and hosts consist of lowercase ASCII letters, digits, - and _, so that
+    no two names look alike.
 S109 not while running
-    This value can't change while the proxy runs; start it anew.
+    This value can't change while the proxy runs. Restart the proxy.
 S110 number's form (warning)
-    The number is written in octal, binary or hex, which nobody expects here.
+    The number is written in octal, binary or hexadecimal, which readers don't expect here.
 R201 rule 1: exactly one answer in time
-    With these values a taken request may get its answer after its caller's time, or none.
+    With these values an accepted request may be answered after the client's deadline, or never.
 R202 rule 2: no effect twice
-    With these values a request may run twice: it is sent again although an earlier attempt may have
-    run, outside the group or the time in which repeats are dropped, or while one is still out. The
-    example is the shortest there is.
+    With these values a request may be executed twice. The request is sent again although an earlier
+    attempt may have been executed: either outside the group or after the time in which repeats are
+    discarded, or while an earlier attempt is still in flight. The example in the finding is the
+    shortest sequence of events that breaks the rule.
 R203 rule 3: drains are kept
-    With these values something new may go to a server later than 2 s after the proxy was told that
-    it drains or is gone.
+    With these values new requests may be sent to a server more than 2 s after the proxy was
+    notified that the server is draining or was removed.
 R204 rule 4: a cold server is not pushed over
-    With these values all proxies together may send a cold server more than it survives.
+    With these values all proxies together may send a cold server more load than the server can
+    take without failing.
 F301 port claimed twice
     Two listeners on one host want the same address and port; 0.0.0.0 and [::] stand for all
     addresses of a host.
@@ -75,7 +77,8 @@
 F305 tenants over 100%
     The tenants' shares add up to more than there is.
 F306 class without a tier
-    No tier serves this class, or a caller sends it to one that doesn't.
+    No tier serves this class, or a caller sends requests of this class to a tier that does not
+    serve the class.
 F307 attempts multiply
     Attempts of one tier times those of the next pass the stated bound: an outage inside would be
     hit by that many times its load.
@@ -83,14 +86,16 @@
     Repeats are dropped by the nodes of one zone, and there is only one: the setting has no use, and
     hides that repeats are dropped by all.
 F309 key forgotten too soon
-    An inner tier drops repeats of a keyed call for a shorter time than an outer one may send it
-    again: each time the inner one is called with the same key.
+    An inner tier discards repeats of a request with an idempotency key for a shorter time than an
+    outer tier may retry the request. Each retry calls the inner tier with the same key.
 F310 name given twice
     Two files give one name other meanings.
 F311 two fleets of one name
-    Two operators' files name a fleet alike and share no member: if they ever meet, they become one.
+    Two operators' files give their fleets the same name, and the fleets share no member. The two
+    fleets become one as soon as a member of one fleet reaches a member of the other.
 F312 members of one fleet differ
-    Members of one fleet have other times or another network: each would suspect by its own clock.
+    Members of one fleet are configured with different times or different networks. Each member
+    would apply its own times to its suspicions of other members.
 """
 
 
--- a/service_proxy/sidecar/running.py
+++ b/service_proxy/sidecar/running.py
@@ -275,7 +275,7 @@
             if not_reloadable[MAX_LOGGED_FINDINGS:]
             else ""
         )
-        reason = f"{options.file}: S109: {names} can't change while the sidecar runs: restart it"
+        reason = f"{options.file}: S109: {names} can't change while the sidecar runs: restart the sidecar"
         log.error("reload_rejected error=%s", reason)
         return
     log.info("reload_accepted file=%s", options.file)
--- a/service_proxy/websocket/listener.py
+++ b/service_proxy/websocket/listener.py
@@ -155,7 +155,7 @@
         late = [name for name in fixed if new is None or getattr(new, name) != getattr(self.settings, name)]
         if new is None or late:
             text = f"[websocket] {', '.join(late)} can't change while the proxy runs"
-            raise OperatorError([Problem(file, 1, "S109", text, "start the proxy anew")])
+            raise OperatorError([Problem(file, 1, "S109", text, "restart the proxy")])
         self.settings = new
         self.spread.span = new.reconnect_spread
 
