--- a/benchmarks/fleet_baselines.py
+++ b/benchmarks/fleet_baselines.py
@@ -22,9 +22,9 @@
 class FixedSuspicion(ProtocolTiming):
     """Protocol timing whose suspicions always last the minimum time, regardless of confirmations."""
 
-    def suspicion_timeout(self, living: int, _confirmations: int) -> float:
+    def suspicion_timeout(self, live_count: int, _confirmations: int) -> float:
         """Return the shortest suspicion in seconds."""
-        return self.min_suspicion(living)
+        return self.min_suspicion(live_count)
 
 
 class PlainSwim(MembershipProtocol):
