--- a/service_proxy/fleet/join.py
+++ b/service_proxy/fleet/join.py
@@ -1,6 +1,6 @@
-"""How a member acquires its name, joins the fleet and reconnects to lost members.
+"""Join layer of a member: acquires the member's name, joins the fleet and reconnects to dead members.
 
-Performs no I/O and reads no clock.
+The module performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 )
 from service_proxy.fleet.wire import Datagram, DatagramWriter, MemberUpdate, MessageType, Section, update_of
 
-MAX_REPORTED_SOURCES = 16  # Distinct source addresses that each kind of warning names in the log.
+MAX_REPORTED_SOURCES = 16  # Upper bound of the distinct source addresses per kind of warning in the log.
 
 
 class JoinProtocol(FailureDetector):
-    """Layer by which a member acquires its name, joins the fleet and reconnects to lost members.
+    """Layer by which a member acquires its name, joins the fleet and reconnects to dead members.
 
     Attributes:
         join_attempts: join attempts since the status became JOINING.
         join_answered: whether any member has answered a join request of these attempts.
         reconnects_since_broadcast: reconnect attempts of an isolated member since its last broadcast.
-        reconnect_candidates: addresses that are tried one per attempt: those of dead members, and seeds
-            that are the address of no live or departed member.
+        reconnect_candidates: addresses of dead members, and seeds whose address belongs to no live and no
+            departed member; one address is tried per reconnect attempt.
         claimants: addresses of other processes that requested this member's name.
         announced_at: time of this member's last announcement of its own entry, s.
     """
@@ -81,7 +81,8 @@
     def _on_announce_timer(self, _number: int, _key: bytes) -> None:
         known = self.table.entries.get(self.key)
         if self.status is not MembershipStatus.MEMBER or known is None:
-            return  # The first announcement includes the current phase and metadata.
+            # This process announces its current phase and metadata when it becomes a member.
+            return
         if (known.phase, known.metadata) != (self.phase, self.metadata):
             self.ownership.refute(self.incarnation)
             self._announce(f"is {self.phase.name.lower()}")
@@ -162,7 +163,10 @@
 
     # Joining.
     def _on_join_timer(self, _number: int, _key: bytes) -> None:
-        """Send join requests; become a member after a reply, or after MAX_JOIN_ATTEMPTS without one."""
+        """Send join requests, or become a member after a reply or after MAX_JOIN_ATTEMPTS.
+
+        A process without other addresses becomes a member at once.
+        """
         if self.status is MembershipStatus.CONTESTING:
             self._set_timer(self.timing.period, TimerKind.JOIN)
             return
@@ -176,7 +180,8 @@
         self.join_attempts += 1
         for address in self.random.sample(self.seeds, min(JOIN_FANOUT, len(self.seeds))):
             self._send_join(address)
-        # The broadcast is the last resort, because it costs every member of the tier a datagram.
+        # The broadcast is sent only without seeds or in the last attempt, because it costs every member of
+        # the tier a datagram.
         if self.broadcast_address is not None and (not self.seeds or self.join_attempts == MAX_JOIN_ATTEMPTS):
             self._send_join(self.broadcast_address, broadcast=True)
         self._set_timer(self.timing.period * self.random.uniform(0.75, 1.25), TimerKind.JOIN)
@@ -190,7 +195,7 @@
         self._send_datagram(address, MessageType.JOIN, writer)
 
     def _answer_join(self, message: Datagram, source: Address) -> None:
-        """Answer a join request with the entry of the requested name, this member's entry and some live ones.
+        """Answer a join request with the requested name's entry, this member's and some live members'.
 
         The requester does not become a member by the request. Of the members that a broadcast request
         reaches, only a random few reply.
@@ -218,8 +223,9 @@
     def _on_reconnect_timer(self, _number: int, _key: bytes) -> None:
         """Try to reach one dead member, or one seed that is the address of no known member.
 
-        A member that was declared dead may only have been partitioned, and a seed may have started since. In
-        a name conflict, the process instead tries to join again.
+        A member that was declared dead may only have been partitioned, and a seed may have started since. An
+        isolated member also broadcasts a join request every RECONNECTS_PER_BROADCAST attempts. In a name
+        conflict, the process instead tries to join again.
         """
         self._set_timer(
             RECONNECT_INTERVAL * self.timing.period * self.random.uniform(0.9, 1.1), TimerKind.RECONNECT
@@ -247,7 +253,10 @@
             self._introduce_to(address, dead_keys[0] if dead_keys else b"")
 
     def _refill_reconnect_candidates(self) -> None:
-        """Collect the addresses of dead members and of seeds that are not in use, in random order."""
+        """Collect, in random order, the dead members' addresses and the seeds that can be tried.
+
+        An address that a live member uses is left out, and so is a seed whose member has left.
+        """
         in_use = {entry.record.address for entry in self.table.entries.values()}
         dead: list[Address] = []
         departed: set[Address] = set()
@@ -266,8 +275,8 @@
     def _on_same_name_datagram(self, message_type: MessageType, message: Datagram, source: Address) -> None:
         """Handle a datagram of another process with this member's name.
 
-        The holder of the name answers the other process's request for the name, and both processes log the
-        conflict.
+        The member that holds the name answers a request for the name. This member and the requester both log
+        the conflict.
         """
         if message_type is MessageType.ACK:
             if self.ownership.is_rival(message.incarnation):
@@ -279,12 +288,15 @@
                     self.log_lines.append(log_lines.name_requested(self.record.name, format_address(source)))
                 self._send_datagram(source, MessageType.ACK, self._start_reply(message))
         elif message_type is MessageType.JOIN:
-            # The sender is a successor of this process or uses the name by mistake. The reply informs it that
-            # the name is in use.
+            # The sender is a successor of this process or uses the name by mistake. The reply informs the
+            # sender that the name is in use.
             self._answer_join(message, source)
 
     def _on_contest_timer(self, number: int, _key: bytes) -> None:
-        """Ping the process that holds this member's name; take the name over if no answer arrives."""
+        """Ping the process that holds this member's name; take the name over if no answer arrives.
+
+        The pings are sent twice per protocol period, for the minimum duration of a suspicion.
+        """
         if self.ownership.rival is None:
             return
         min_suspicion = self.timing.min_suspicion(len(self.table))
--- a/service_proxy/fleet/member_base.py
+++ b/service_proxy/fleet/member_base.py
@@ -9,7 +9,7 @@
     member_base.MemberBase             state, timers, sending
 
 The layers share one state, and each layer calls only the layers below it. The import contract in
-pyproject.toml enforces this order. Performs no I/O and reads no clock.
+pyproject.toml enforces this order. The module performs no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -52,17 +52,19 @@
 )
 from service_proxy.fleet.wire import Datagram, DatagramWriter, LoadSummary, MemberUpdate, MessageType
 
-MAX_TRACKED_PATHS = 20_000  # Members whose paths and last contacts are recorded.
+# Upper bound of the members with a recorded path, and of those with a last contact.
+MAX_TRACKED_PATHS = 20_000
 # Age in protocol periods up to which a member's last datagram counts as recent contact.
 RECENT_CONTACT_PERIODS = 0.75
-# Exceeds the rounding error of a clock reading that was converted to a timer's wait and back.
+# Tolerance of a timer's due time, which exceeds the rounding error of a clock reading that was converted to a
+# timer's wait and back.
 TIMER_TOLERANCE_S = 1e-6
-# Consecutive probes answered only through other members, after which the path is logged; fewer can be lost
-# datagrams.
+# The path to a member is logged after this number of consecutive probes that were answered only through other
+# members. A shorter series can result from lost datagrams.
 PATH_REPORT_THRESHOLD = 3
 # Wildcard in place of the fleet id in view requests, because operators need not know the fleet's name.
 ANY_FLEET = bytes(4)
-PADDING_SECTION = 250  # Type of the section that only makes a request as long as its expected reply.
+PADDING_SECTION = 250  # Type of the section whose only purpose is to pad a request to the size of its reply.
 
 
 class TimerKind(Enum):
@@ -91,7 +93,7 @@
     Attributes:
         due: time at which the timer fires, on the corrected clock, s.
         order: number that orders the timers with the same due time.
-        number: passed to the handler.
+        number: argument of the handler; its meaning depends on the kind, for example a probe's id.
         key: member key, passed to the handler; empty if the timer concerns no single member.
     """
 
@@ -157,7 +159,7 @@
 
 
 class MemberBase:
-    """State and functions that all layers of a member share; the module describes the layers.
+    """State and functions that all layers of a member share; the module's docstring describes the layers.
 
     Attributes:
         table: this member's view.
@@ -292,7 +294,11 @@
         return bool(self.seeds) or self.broadcast_address is not None
 
     def is_settled(self) -> bool:
-        """Return whether the view was stable for a while and all recently received digests equal its own."""
+        """Return whether the view has not changed for QUIET_PERIODS and equals the views of recent senders.
+
+        The views are compared by the digests in the datagrams of the last RECENT_PERIODS. A view with a
+        suspicion, or without another live member although other addresses are configured, is not settled.
+        """
         if self.status is not MembershipStatus.MEMBER or self.table.suspicions:
             return False
         if self.is_isolated and self.knows_other_addresses:
@@ -307,17 +313,20 @@
         )
 
     def serving_member_count(self) -> int:
-        """Return how many members of this tier, this one included, serve requests or will; at least 1."""
+        """Return the number of members of this tier, including this one, that serve or will serve requests.
+
+        The number is at least 1.
+        """
         tier = self.record.tier
         living = self.table.entries.values()
         return max(1, sum(e.record.tier == tier and e.phase is not ServicePhase.LEAVING for e in living))
 
     # Clock and timers.
     def _advance_clock(self, now: float) -> None:
-        """Set the current time from a clock reading; `now` never decreases even if the reading does.
+        """Set the current time from a clock reading; `self.now` never decreases even if the reading does.
 
-        If this process was stalled, all times are shifted by the stall, so that other members are not blamed
-        for datagrams that this process did not read in time.
+        If this process was stalled, all times are shifted by the stall. Without the shift, datagrams that
+        this process did not read in time would count as missing answers of other members.
         """
         corrected_now = now + self.clock_offset
         if corrected_now < self.now:
--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -1,8 +1,8 @@
 """Request dispatcher, which connects the downstream side, the policy and the upstream side.
 
 The dispatcher owns the table of open requests. Retries, endpoint selection and queueing are decisions of the
-policy. The dispatcher adds each request's deadline: the client receives a response before its own timeout,
-whatever the policy does.
+policy. The dispatcher itself enforces each request's deadline, so that the client receives a response before
+its own timeout even if the policy sends no answer in time.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
 
 log = logging.getLogger(__name__)
 
-# Upper bound of the margin that starts at MIN_DEADLINE_MARGIN_S and grows with the lag of the event loop.
+# Upper bound of the margin between the response and the end of the client's time budget. The margin is at
+# least MIN_DEADLINE_MARGIN_S and grows with the lag of the event loop.
 MAX_DEADLINE_MARGIN_S = 0.15
 POLICY_MARGIN_S = 0.02  # Margin by which the policy's deadline precedes the dispatcher's deadline.
 # Number of open requests that counts as full load if the settings set no limit.
@@ -112,7 +113,7 @@
         self.deadline_by_class = {cls.name: cls.deadline for cls in settings.classes}
 
     def _create_policy_runner(self) -> None:
-        """Create the policy runner, and register the handlers of the policy's actions."""
+        """Create the policy runner and the request table, and register the policy's action handlers."""
         self.policy = PolicyRunner(
             self.balancer, self.settings.quantum, lambda request_id: self.table.fail(request_id)
         )
@@ -153,7 +154,10 @@
         self.discovery.stop()
 
     def set_resource_share(self, share: float) -> None:
-        """Limit the connections to endpoints to this process's share of the descriptors."""
+        """Limit the connections to endpoints to those that `share` of all descriptors allows.
+
+        The additional connections for upgraded requests are not reduced by the share.
+        """
         self.cluster.max_connections = (
             int(self.config.max_descriptors * share * UPSTREAM_DESCRIPTOR_SHARE)
             + self.upgraded_connection_allowance
@@ -183,7 +187,8 @@
 
     def endpoint_list_failed(self) -> None:
         """Notify the policy that discovery did not respond."""
-        if self.settings.polls_discovery:  # The policy can't act on the failure of a pushed list.
+        # With pushed lists, the policy can't react to a failure.
+        if self.settings.polls_discovery:
             self.enqueue_event(api.EndpointListUpdate(api.ListScope.FAILED))
 
     def update_settings(
@@ -252,7 +257,8 @@
             writer.respond(503, ((b"retry-after", b"1"),), b"too many calls\n")
             return None
         self.requests_accepted += 1
-        # Time that the budget lost before the request was read is visible only as the lag of this event loop.
+        # A request may have waited in the socket before it was read. The wait reduces the client's budget,
+        # and the lag of this event loop is the only indication of its length.
         margin = min(MAX_DEADLINE_MARGIN_S, MIN_DEADLINE_MARGIN_S + 2 * self.policy.loop_lag)
         # A client of a class waits no longer than the deadline of the class, whatever budget the client
         # states.
@@ -310,8 +316,8 @@
         endpoint_id = action.endpoint_id
         open_request = self.table.requests.get(action.request_id)
         if open_request is None:
-            # The request ended after the batch reached the policy. The policy requires an outcome for every
-            # attempt.
+            # The request ended after the policy received its batch of events. The policy requires an outcome
+            # for every attempt.
             not_sent = api.AttemptStatus.NOT_SENT
             self.enqueue_event(api.AttemptEnded(action.request_id, 0, endpoint_id, not_sent, 0.0, True))
             return
@@ -345,7 +351,10 @@
 
     @staticmethod
     def _attempt_headers(open_request: OpenRequest, timeout: float) -> bytes | None:
-        """Return the header lines that filters and upgrade add to an attempt; None if a filter forbids it."""
+        """Return the header lines that filters and the upgrade add to an attempt.
+
+        Return None if a filter forbids the attempt.
+        """
         extra_headers = b""
         for state in open_request.filter_states:
             header_lines = state.on_attempt_start(timeout)
@@ -399,15 +408,20 @@
         headers = [pair for pair in attempt.response_headers if pair[0] not in removed]
         if attempt.response_source is None:
             self.table.respond(open_request, 200, headers, attempt.response_body)
-        else:  # The policy has nothing left to decide; the response is streamed without the table.
+        # A streamed response needs no more decisions of the policy, so the request leaves the table.
+        else:
             self.table.finish(open_request, True)
             open_request.writer.stream(headers, attempt.response_length, attempt.response_source)
 
     def _on_upgrade(
         self, open_request: OpenRequest, attempt_number: int, endpoint_id: int, attempt: UpgradeAttempt
     ) -> None:
-        """Pass the upgraded connection on; for the policy, the request is a stream until it ends."""
-        # Locals, so that the long-lived callback keeps no reference to the attempt or the request.
+        """Pass the upgraded connection to the negotiation, and report the request to the policy as a stream.
+
+        The stream ends when the upgraded connection ends.
+        """
+        # The callback exists as long as the connection. It references these local variables, so that the
+        # attempt and the request can be freed earlier.
         started_at = attempt.started_at
         request_id = open_request.request_id
         connection = attempt.upgraded_connection
--- a/service_proxy/net/downstream/connection.py
+++ b/service_proxy/net/downstream/connection.py
@@ -66,8 +66,8 @@
         over_limit: the connection was accepted above the server's limit; its requests are rejected.
         state_since: when `state_table` last changed or the timeout restarted (monotonic, s).
         last_unsent_bytes: response bytes that the client had not read at the previous linger timeout.
-        write_blocked: the write buffer is full because the client does not read; `read_paused`: the proxy
-            has paused reading from the client.
+        write_blocked: the write buffer is full because the client does not read.
+        read_paused: the proxy has paused reading from the client.
     """
 
     __slots__ = (
@@ -108,7 +108,7 @@
         self.write_blocked = False
         self.read_paused = False
 
-    # asyncio.BufferedProtocol
+    # asyncio.BufferedProtocol callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Create the parser and register the connection with the server."""
         # uvloop's transport class isn't a subclass of asyncio.Transport.
@@ -118,8 +118,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the cause is not used
         """Release the connection's resources, and abandon the open request and the streamed response."""
-        # The parser refers to this object. The reference cycle would stay in memory until a garbage
-        # collection.
+        # The parser refers to this object; this reference cycle would stay until a garbage collection.
         self.transport = None
         self.parser = None
         self.is_closing = True
@@ -148,21 +147,16 @@
         self._update_flow_control()
 
     def _update_flow_control(self) -> None:
-        """Pause or resume reading from the client.
-
-        Reading is paused while the client does not read, while requests are queued and while the body buffer
-        is full.
-        """
+        """Pause reading while the client does not read, requests are queued or the body buffer is full."""
         if self.transport is not None and not self.is_closing:
-            # A connection therefore buffers the bodies of at most one read.
+            # Queued requests pause reading, so a connection buffers the bodies of at most one read.
             pause = self.write_blocked or bool(self.pending_requests) or self.body.is_full
             if pause and not self.read_paused:
                 self.transport.pause_reading()
             elif self.read_paused and not pause:
                 self.transport.resume_reading()
                 if self.early_request is not None and self.state_table is not None:
-                    # The proxy had paused reading, so the client could not send. The request timeout
-                    # restarts.
+                    # The client could not send while reading was paused, so the request timeout restarts.
                     self.server.set_state(self, self.state_table)
             self.read_paused = pause
 
@@ -178,8 +172,7 @@
         self.raw_bytes += nbytes
         try:
             self.parser.feed_data(self.server.read_buffer[:nbytes])
-            # httptools buffers an unterminated header without any callback, so the raw bytes are counted
-            # here.
+            # httptools buffers an endless header without a callback, so the raw bytes are counted here.
             if self.raw_bytes > MAX_HEAD_BYTES and not self.head_done:
                 raise BadRequestError(431, "headers too large")  # noqa: TRY301 - one handler for all errors
             if self.raw_bytes > MAX_RAW_REQUEST_BYTES + 8 * self.body.received_bytes:
@@ -269,9 +262,8 @@
             elif isinstance(request, BadRequestError):
                 self.respond(request.status_code, NO_HEADERS, f"{request}\n".encode())
             elif self.over_limit:
-                # The request is rejected before it is forwarded, so nothing was executed. Requests that were
-                # read together with this one get a response too, so the connection stays open until the last
-                # of them.
+                # Nothing was executed, because the request is rejected before it is forwarded. The connection
+                # stays open until each request of the same read has received its response.
                 self.keep_alive = self.keep_alive and bool(self.pending_requests)
                 headers = ((b"retry-after", b"1"), *self.server.rejection_headers)
                 self.respond(503, headers, b"too many connections\n")
@@ -295,7 +287,7 @@
         if self.response_due:
             self.open_request = open_request
 
-    # net.downstream.request.ResponseWriter
+    # net.downstream.request.ResponseWriter methods
     def respond(self, status_code: int, headers: Any, body: bytes) -> None:
         """Write the one response to the open request.
 
@@ -374,7 +366,7 @@
             source.pause()
         transport.write(b"".join(parts))
 
-    # net.protocols.ResponseSink
+    # net.protocols.ResponseSink methods
     def write(self, data: bytes) -> None:
         """Write the next piece of the streamed response."""
         if self.transport is None or not data:
@@ -436,8 +428,7 @@
         if self.is_closing or self.response_due or not self.in_message or self.progress_at != progress_at:
             return
         if self.has_unread_input and not self.read_paused:
-            # After a stall of this process the loop runs timers before it reads sockets. The rest of the
-            # request may already be in the socket.
+            # After a stall, timers run before sockets are read, so the rest of the request may be unread.
             self.server.loop.call_later(LOOP_TURN_S, self._on_partial_request_timeout, progress_at)
         else:
             self.on_request_timeout()
@@ -492,10 +483,7 @@
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def on_linger_timeout(self) -> None:
-        """Abort the connection at the linger timeout, unless the client has read some of the response.
-
-        If the client has read part of the response since the previous check, the timeout restarts.
-        """
+        """Abort the connection, or restart the linger timeout if the client has read part of the response."""
         unsent = self.unsent_bytes
         if unsent and unsent != self.last_unsent_bytes:
             self.last_unsent_bytes = unsent
--- a/service_proxy/net/upstream/connection.py
+++ b/service_proxy/net/upstream/connection.py
@@ -148,8 +148,9 @@
         if self.attempt is not None:
             attempt = self.attempt
             self.attempt = None
-            # After the last byte was sent the endpoint may have executed the request, so the request is not
-            # resent.
+            # After the last byte of the request was sent, the endpoint may have executed the request. RESET,
+            # unlike CONNECT_FAILED, marks the request as possibly executed, so that it is sent again only if
+            # a repeat is safe.
             attempt.end(AttemptStatus.RESET if attempt.sent else AttemptStatus.CONNECT_FAILED)
 
     def eof_received(self) -> None:
@@ -178,7 +179,7 @@
             if self.complete_response is None and self.raw_bytes > (
                 MAX_RAW_RESPONSE_BYTES + 8 * self.body_bytes if self.head_done else MAX_HEAD_BYTES
             ):
-                raise InvalidResponseError("head or framing too large")  # noqa: TRY301 - handled below
+                raise InvalidResponseError("response head or chunk framing too large")  # noqa: TRY301 - handled below
         except httptools.HttpParserUpgrade as upgrade:
             self.surplus = bytes(data[upgrade.args[0] :])
         except Exception as error:  # noqa: BLE001 - any malformed response; the request may have run
@@ -239,8 +240,9 @@
 
     def _on_buffering_timeout(self, deadline: float) -> None:
         if time.monotonic() > deadline + LOOP_STALL_S:
-            # The event loop stalled, and timers run before sockets are read: the end of the response may have
-            # arrived, or a reset that makes the attempt a failed one.
+            # The event loop stalled, and timers run before sockets are read, so the end of the response or a
+            # reset may be unread in the socket. The sockets are read before streaming starts, because a reset
+            # at this point makes the attempt a failed one.
             self.buffering_timer = self.pool.cluster.loop.call_later(LOOP_TURN_S, self._start_streaming)
         else:
             self._start_streaming()
@@ -261,7 +263,7 @@
         self.last_progress_at = time.monotonic()
         attempt.on_response_streaming(self.parser.get_status_code(), headers, self, self.response_length)
         if self.sink is None:
-            self.abort()  # No sink was attached, because the request no longer needs the response.
+            self.abort()  # The attempt attached no sink, because the request no longer needs the response.
             return
         for part in body_parts:
             if self.sink is not None:
@@ -302,8 +304,8 @@
     def _cancel_buffering_timer(self) -> None:
         """Cancel the buffering timer, if one is set.
 
-        A timer that outlives its response would end the next attempt on this connection as a 200 before the
-        next response is read.
+        A timer that outlives its response would make the next attempt on this connection a streamed 200
+        before the next response is read.
         """
         if self.buffering_timer is not None:
             self.buffering_timer.cancel()
@@ -346,7 +348,7 @@
         if body.is_complete and not body.parts and body.length is None and not body.is_replayable:
             body.length = body.received_bytes
             transport.write(b"0\r\n\r\n")
-        # Part of the request is still in the write buffer, so the endpoint cannot have received all of the
+        # Part of the request is still in the write buffer, so the endpoint cannot have received the complete
         # request.
         if self.write_blocked:
             return
@@ -390,7 +392,8 @@
         status_code = self.parser.get_status_code()
         if status_code == OK:
             self._start_streaming()
-        # The body of a response other than 200 is not used, and the status code determines the outcome.
+        # A response other than 200 is complete without its body, because only the status code determines the
+        # outcome. The connection is closed, so the body need not be read.
         else:
             self.complete_response = status_code, False
 
@@ -466,9 +469,9 @@
             self.transport.abort()
 
     def fail_response(self) -> None:
-        """End the attempt as an error that may have been executed, because the response is unusable.
+        """End the attempt with the status ERROR, because the response is unusable; the request may have run.
 
-        Unlike a reset, an unusable response is no evidence of whether the endpoint is up.
+        An unusable response, unlike a reset, does not indicate that the endpoint is down.
         """
         attempt = self.attempt
         sink = self._end_streaming() if self.sink is not None else None
--- a/service_proxy/policy/attempt_feedback.py
+++ b/service_proxy/policy/attempt_feedback.py
@@ -11,11 +11,14 @@
 
 MIN_LATENCY_S = 1e-4  # Lower bound of a recorded latency, which keeps mean latencies above 0.
 CLASS_LATENCY_SAMPLES = 50  # Attempts over which the latency of a class is averaged.
-# Upper bound of a recorded latency, in mean latencies; a failed attempt is always recorded with this value.
+# Upper bound of the latency in a sample of capacity or of connection cost, as a multiple of the class's mean
+# latency. The capacity sample of a failed attempt always has this value.
 MAX_LATENCIES = 8.0
-# Mean latencies above which a failed connect counts as a sample of the cost of a new connection.
+# Duration of a failed connect, as a multiple of the class's mean latency, above which the connect counts as a
+# sample of the cost of a new connection.
 SLOW_CONNECT_LATENCIES = 0.1
-# Timeouts without a success in between after which an endpoint counts as hanging.
+# Consecutive slow attempts (timed out or overdue) at which an endpoint counts as hanging, if it has not
+# answered since the last of these attempts was sent.
 MAX_CONSECUTIVE_TIMEOUTS = 3
 
 
@@ -36,7 +39,10 @@
         self.is_stalled = False  # True if this batch of events follows a pause of the proxy itself.
 
     def record(self, attempt: AttemptState, status: int, elapsed: float, in_flight: int, now: float) -> None:
-        """Record an attempt that took `elapsed` seconds while `in_flight` attempts counted to the limit."""
+        """Record an ended attempt, which took `elapsed` seconds.
+
+        `in_flight` is the number of attempts that counted toward the concurrency limit.
+        """
         if status in (AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT):
             return
         endpoint = attempt.endpoint
@@ -45,10 +51,10 @@
                 self.outliers.record_response(endpoint, now)
             return
         if self.is_stalled and status in (AttemptStatus.OK, AttemptStatus.TIMEOUT):
-            # After a pause of the proxy, answers that look slow or overdue may have arrived long before.
-            # Without this check, the proxy would treat its own pause as slow endpoints, lower the limit and
-            # eject the endpoints. Cost: an endpoint that was slow during the pause is detected one batch
-            # later.
+            # After a pause of the proxy, an attempt that appears slow or timed out may have been answered
+            # long before the proxy read the answer. Without this check, the proxy would treat its own pause
+            # as slow endpoints, lower the limit and eject the endpoints. Cost: an endpoint that was slow
+            # during the pause is detected one batch of events later.
             if status == AttemptStatus.OK:
                 endpoint.last_success_at = now
                 self.outliers.record_response(endpoint, now)
@@ -66,7 +72,7 @@
         self._update_health(attempt, status, is_broken, is_connection_fault, now)
 
     def _is_connection_fault(self, attempt: AttemptState, status: int, now: float) -> bool:
-        """Count a broken connection and return whether the fault is that of the connection alone."""
+        """Count a broken connection and return whether only the connection is at fault, not the endpoint."""
         attempt.endpoint.consecutive_broken += 1
         is_idle_loss = status == AttemptStatus.RESET and self.connections.detect_idle_loss(attempt)
         return is_idle_loss or self.outliers.is_alive(attempt.endpoint, now)
@@ -86,7 +92,9 @@
         if status == AttemptStatus.ERROR:
             shows_overload = not self.outliers.has_excess_errors(attempt.endpoint)
         elif status == AttemptStatus.REJECTED and fails_class:
-            shows_overload = False  # The endpoint itself is at fault, because it fails the class.
+            # The endpoint fails this class far more often than the pool does, so the rejection is the
+            # endpoint's own fault and no sign of overload.
+            shows_overload = False
         else:
             is_answer = is_ok or is_timeout or status == AttemptStatus.REJECTED
             shows_overload = is_answer and attempt.counts_to_limit and not attempt.is_late
@@ -96,17 +104,23 @@
     def _update_capacity(
         self, attempt: AttemptState, status: int, elapsed: float, is_connection_fault: bool
     ) -> None:
-        """Record a capacity sample: load of the endpoint, and latency in units of the class's mean."""
+        """Record the latency of an attempt, as a multiple of the class's mean latency.
+
+        The latency is a sample of the cost of a new or an open connection. It is also a sample of the
+        endpoint's capacity, together with the endpoint's load when the attempt was sent.
+        """
         is_ok = status == AttemptStatus.OK
         mean_latency = attempt.request.request_class.mean_latency.value
         latency = elapsed / mean_latency
         is_slow_connect = elapsed > SLOW_CONNECT_LATENCIES * mean_latency
         if is_ok or (status == AttemptStatus.CONNECT_FAILED and is_slow_connect):
             self.connections.record_latency(attempt, min(MAX_LATENCIES, latency + (not is_ok)))
-        # A fault of the connection alone contains no information about the speed of the endpoint.
+        # A rejection, a failed connect and a fault of the connection alone contain no information about the
+        # speed of the endpoint.
         if status in (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED) or is_connection_fault:
             return
-        # An endpoint that fails fast looks idle, so a failure is recorded as a slow answer.
+        # An endpoint that fails fast would appear to have spare capacity, so a failure is recorded as a slow
+        # answer.
         latency = min(latency, MAX_LATENCIES) if is_ok else MAX_LATENCIES
         self.loads.record_sample(attempt.endpoint, attempt.load, latency)
 
--- a/service_proxy/policy/endpoint_pool.py
+++ b/service_proxy/policy/endpoint_pool.py
@@ -10,12 +10,14 @@
 from service_proxy.policy.settings_types import Settings
 from service_proxy.policy.settings_user import SettingsUser
 
-MAX_POOL_LOCAL = 10  # Endpoints of the proxy's own zone among the first MAX_POOL members of the pool.
-MAX_POOL = 16  # Endpoints that a proxy uses at most, unless the pool is enlarged.
-MAX_LARGE_POOL = 48  # Endpoints that a proxy uses at most if endpoints are many and small.
-# Even shares of the endpoints per proxy in a pool, because some proxies get several times the mean traffic.
+MAX_POOL_LOCAL = 10  # Upper bound of the local-zone endpoints among the first MAX_POOL members.
+MAX_POOL = 16  # Upper bound of the members of a pool that is not enlarged.
+MAX_LARGE_POOL = 48  # Upper bound of the members of an enlarged pool, for many small endpoints.
+# Upper bound of an enlarged pool, as a multiple of one proxy's even share of the endpoints (serving endpoints
+# divided by proxies). The multiple exceeds 1 because some proxies get several times the mean traffic.
 FAIR_SHARES = 3.0
-ENDPOINTS_PER_MEMBER = 50  # Serving endpoints per member of the pool; the pool grows above 800 endpoints.
+# Serving endpoints per member of an enlarged pool, so a pool is enlarged above 800 serving endpoints.
+ENDPOINTS_PER_MEMBER = 50
 # Multiples of this number modulo 1 are evenly spread, whatever their count.
 GOLDEN_RATIO_FRACTION = 0.6180339887498949
 
@@ -36,7 +38,8 @@
         self._listed_count = 0  # Number of endpoints that were ever listed.
         self._rings: dict[str, list[int]] = {}  # Ids of the serving endpoints in ascending order, by zone.
         self._ejected: dict[int, TrackedEndpoint] = {}
-        # Removed endpoints that still have attempts in flight.
+        # Removed endpoints; discarded at the first update of the list at which no attempt to them is in
+        # flight.
         self._removed: dict[int, TrackedEndpoint] = {}
 
     def apply_update(self, update: EndpointListUpdate) -> None:
@@ -116,8 +119,9 @@
     def rebuild(self) -> None:
         """Choose the members of the pool.
 
-        The endpoints of each zone form a ring. The start positions of the proxies are spread evenly by
-        proxy index. Ejected endpoints are last in their ring.
+        The endpoints of each zone form a ring, in the order of their ids. Each proxy uses consecutive
+        endpoints of a ring. The start positions of the proxies are spread evenly by proxy index, so that the
+        endpoints are used by similar numbers of proxies. Ejected endpoints are chosen last.
         """
         size = self._size()
         local: list[TrackedEndpoint] = []
@@ -129,7 +133,7 @@
                 remote.append(self._first_of_ring(zone, size))
         pool = local[:MAX_POOL_LOCAL]
         others = [ring[position] for position in range(size) for ring in remote if position < len(ring)]
-        # The first MAX_POOL members are those of a pool of the usual size.
+        # The first MAX_POOL members are the same as in a pool that is not enlarged.
         first_others = MAX_POOL - len(pool)
         pool += others[:first_others]
         pool += local[MAX_POOL_LOCAL:]
@@ -138,7 +142,7 @@
     def _size(self) -> int:
         """Return the largest number of endpoints that this proxy uses.
 
-        If more endpoints share the same work, each endpoint does less, and sixteen endpoints may be too
+        If more endpoints share the same work, each endpoint does less, and MAX_POOL endpoints may be too
         few for one proxy. With a fixed size, proxies with several times the mean traffic would reject
         requests while other endpoints are idle. Cost: more connections and health checks.
         """
@@ -154,7 +158,7 @@
         start = int(position * len(ring))
         first: list[TrackedEndpoint] = []
         ejected: list[TrackedEndpoint] = []
-        for index in range(start - len(ring), start):  # Starts at `start` and wraps around the ring.
+        for index in range(start - len(ring), start):  # Negative indices wrap around the ring.
             endpoint = self.known[ring[index]]
             if endpoint.ejected_until:
                 ejected.append(endpoint)
--- a/service_proxy/policy/retry_guard.py
+++ b/service_proxy/policy/retry_guard.py
@@ -1,8 +1,9 @@
-"""Idempotency and retry guard: the only gate for attempts and final answers.
+"""Retry guard: checks every attempt before it is sent, and allows one final answer to each request.
 
 The guard enforces four rules regardless of the heuristics of the other modules. Each request gets
-one final answer. No request with an effect is executed twice. No attempt is sent to a draining
-endpoint. No attempt is sent after the client's deadline.
+one final answer. A request that is not idempotent is never repeated after it may have been executed,
+unless its idempotency key prevents a second execution. No attempt is sent to a draining endpoint. No
+attempt is sent after the client's deadline.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-# Number of stored ids of finished requests, so that no finished request is executed again.
+# Upper bound of the stored ids of finished requests. An arrival with a stored id is ignored, so that no
+# finished request is executed again.
 MAX_FINISHED_REQUESTS = 1000
-# Lower bound of a timeout; timers can't distinguish shorter ones.
+# Lower bound of an attempt's timeout; timers can't measure shorter times.
 MIN_ATTEMPT_TIMEOUT_S = CONTROL_INTERVAL_S / 10
-# Margin before the end of an idempotency window. The operators' page allows a delay of the proxy of 0.15 s
-# between reading the clock and writing, and a tolerance of 0.05 s for each limit. The rest is for the
-# transmission.
+# Margin before the end of an idempotency window. The operators' page allows the proxy a delay of 0.15 s
+# between reading the clock and writing, and each limit has a tolerance of 0.05 s. The margin covers the
+# remaining 0.10 s of the delay, and 0.02 s for the transmission.
 WINDOW_MARGIN_S = 0.12
 
 
@@ -74,7 +76,11 @@
         return same_scope and now < self._send_by(request)
 
     def _send_by(self, request: RequestState) -> float:
-        """Return the time by which a further attempt must be sent; later, endpoints discard its key."""
+        """Return the time by which a further attempt must be sent, because endpoints discard the key later.
+
+        The time is infinite if the class is not idempotent with a key, or if no earlier attempt can have been
+        executed.
+        """
         request_class = request.request_class
         first = self.first_possible_execution(request)
         if first is None or request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
@@ -91,7 +97,7 @@
         return first.zone == other.zone and first.cell == other.cell
 
     def can_reject(self, request: RequestState) -> bool:
-        """Return whether a rejection is allowed, because the client can safely send the request again."""
+        """Return whether the request may be rejected, which requires that a repeat by the client is safe."""
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -101,7 +107,7 @@
         return self.first_possible_execution(request) is None
 
     def can_retry(self, request: RequestState) -> bool:
-        """Return whether a further attempt could still be allowed."""
+        """Return whether a further attempt may still become possible, now or later, at any endpoint."""
         if request.has_ended or request.is_streaming or len(request.attempts) >= request.max_attempts:
             return False
         if request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT:
@@ -118,8 +124,8 @@
         attempt = AttemptState(request, len(request.attempts), endpoint, now, load)
         request.attempts.append(attempt)
         request.in_flight += 1
-        allowed = max(MIN_ATTEMPT_TIMEOUT_S, min(timeout, request.deadline - now))
-        self.actions.append(StartAttempt(request.request_id, endpoint.endpoint_id, allowed, send_by))
+        attempt_timeout = max(MIN_ATTEMPT_TIMEOUT_S, min(timeout, request.deadline - now))
+        self.actions.append(StartAttempt(request.request_id, endpoint.endpoint_id, attempt_timeout, send_by))
         return attempt
 
     def answer(self, request: RequestState, retry_after: float = 0.0) -> None:
@@ -133,14 +139,17 @@
         self.end(request)
 
     def cancel_attempts(self, request: RequestState) -> None:
-        """Cancel the attempts in flight of a request that needs no answer, if cancelling is allowed."""
+        """Cancel the attempts in flight of a request that no longer needs an answer, if that is allowed."""
         if request.in_flight and self.settings.can_cancel and not request.is_streaming:
             for attempt in request.attempts:
                 if attempt.status == STATUS_IN_FLIGHT:
                     self.actions.append(CancelAttempt(request.request_id, attempt.number))
 
     def reject_invalid(self, request_id: int) -> None:
-        """Reject an invalid request once: its class is unknown or its time budget has run out."""
+        """Reject a request whose class is unknown or whose time budget has run out, and store its id.
+
+        A second arrival with the same id is ignored, so the request is rejected only once.
+        """
         self.actions.append(Reject(request_id))
         self._record_finished(request_id)
 
--- a/service_proxy/policy/scheduling.py
+++ b/service_proxy/policy/scheduling.py
@@ -1,4 +1,4 @@
-"""Scheduling: queued requests are sent as attempts within the concurrency limit."""
+"""Scheduler that sends queued requests as attempts within the concurrency limit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AttemptScheduler:
-    """Scheduler that sends the heaviest queued requests first and rejects those without enough time."""
+    """Scheduler that sends queued requests by priority weight and rejects those without enough time."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.connections = connections
 
     def run(self, now: float) -> None:
-        """Send the queued requests that the concurrency limit allows."""
+        """Send queued requests up to the concurrency limit, and reject those with too little time left."""
         position = 0
         requests = self.queue.requests
         while position < len(requests) and self.in_flight.counted + 1 <= self.limiter.limit:
@@ -61,12 +61,14 @@
                 elif request.attempts:
                     position += 1
                 else:
-                    # Without an endpoint for a first attempt, there is none for the next requests either.
+                    # No endpoint is available for a first attempt, so none is available for the next requests
+                    # in the queue either.
                     return
 
     def _is_infeasible(self, request: RequestState, now: float) -> bool:
-        """Return whether the answer would probably arrive too late.
+        """Return whether the request should be rejected, because its answer would probably arrive too late.
 
+        A request whose earlier attempt is in flight is not rejected, because that attempt may still succeed.
         If no other attempt is in flight, the request is sent anyway, so that a mean latency that rose too
         far can fall again.
         """
@@ -97,7 +99,10 @@
         self.in_flight.add(attempt)
 
     def reject_infeasible(self, now: float) -> None:
-        """Reject the queued requests whose wait would exceed their remaining useful time."""
+        """Reject the queued requests whose wait would exceed their remaining useful time.
+
+        A request with an attempt in flight is removed from the queue but not rejected.
+        """
         wait_per_position = self.limiter.mean_latency / self.limiter.limit
         for request in self.queue.remove_infeasible(now, wait_per_position):
             if not request.in_flight:
--- a/service_proxy/recovery/admission.py
+++ b/service_proxy/recovery/admission.py
@@ -26,11 +26,11 @@
 
 
 class InFlightCounter(Protocol):
-    """Source of the number of requests in flight; the dispatcher implements it."""
+    """Source of the number of open requests; the dispatcher implements it."""
 
     @property
     def open_request_count(self) -> int:
-        """Number of requests in flight."""
+        """Number of open requests, which the filter treats as the requests in flight."""
 
 
 class RecoveryFilter:
@@ -40,8 +40,8 @@
         phase: phase of the recovery, set by the recovery service.
         settings: settings in force.
         keyed_requests: log of the keyed requests; None without a store.
-        restart_context: returns the context against which restored requests are assessed.
-        dispatcher: must be set before the first request.
+        restart_context: function that returns the context for assessing restored requests.
+        dispatcher: source of the number of open requests; must be set before the first request.
     """
 
     consumed_headers: frozenset[bytes] = frozenset()
@@ -111,7 +111,7 @@
         return self.dispatcher.open_request_count
 
     def _initial_capacity(self) -> float:
-        """Return the number of requests in flight that is harmless if all endpoints are warming up.
+        """Return the number of requests that may be in flight while every endpoint may still be warming up.
 
         Each answering endpoint can take IMMEDIATE_STARTS requests. This capacity is divided by the number of
         proxies in the settings or the number of live proxies, whichever is larger.
@@ -120,7 +120,7 @@
         return max(1.0, IMMEDIATE_STARTS * len(self.override.first_answers) / proxies)
 
     def _warm_share(self) -> float:
-        """Return the share of the known endpoints' capacity that has warmed up."""
+        """Return the warmed-up capacity as a share of the capacity of all known endpoints."""
         known = max(1, len(self.override.known))
         return self.schedule.capacity(time.monotonic(), self.override.first_answers.values()) / known
 
--- a/service_proxy/recovery/restoration.py
+++ b/service_proxy/recovery/restoration.py
@@ -41,7 +41,7 @@
 
 
 def restore_state(state: PersistedState, context: RestartContext) -> RestoredState:
-    """Return the usable records of a store while the outage is unknown."""
+    """Return the usable records of a store, assessed before the scope of the outage is known."""
     restored = RestoredState()
     for name, record in state.tables[MemberRecord.KIND].items():
         if isinstance(record, MemberRecord) and _is_usable(record, context):
