--- a/service_proxy/net/dispatcher.py
+++ b/service_proxy/net/dispatcher.py
@@ -408,8 +408,8 @@
         headers = [pair for pair in attempt.response_headers if pair[0] not in removed]
         if attempt.response_source is None:
             self.table.respond(open_request, 200, headers, attempt.response_body)
-        # A streamed response needs no more decisions of the policy, so the request leaves the table.
         else:
+            # A streamed response needs no more decisions of the policy, so the request leaves the table.
             self.table.finish(open_request, True)
             open_request.writer.stream(headers, attempt.response_length, attempt.response_source)
 
--- a/service_proxy/net/upstream/connection.py
+++ b/service_proxy/net/upstream/connection.py
@@ -392,9 +392,9 @@
         status_code = self.parser.get_status_code()
         if status_code == OK:
             self._start_streaming()
-        # A response other than 200 is complete without its body, because only the status code determines the
-        # outcome. The connection is closed, so the body need not be read.
         else:
+            # A response other than 200 is complete without its body, because only the status code determines
+            # the outcome. The connection is closed, so the body need not be read.
             self.complete_response = status_code, False
 
     def on_body(self, chunk: bytes) -> None:
