--- a/harness/__init__.py
+++ b/harness/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins, scripted peers and the recorder. Loopback only; never imported by service_proxy."""
+"""Test harnesses: stub servers, scripted peers and the recorder.
+
+They use loopback addresses only, and service_proxy never imports them.
+"""
--- a/harness/budget_history.py
+++ b/harness/budget_history.py
@@ -1,7 +1,7 @@
 """Random histories of request budgets over a tree of three processes, checked at each step.
 
-Each attempt's receiver has a budget of its own, of what was granted to it, and reports what it used, if it
-reports anything.
+The receiver of each attempt has its own budget, which holds the attempts that the sender granted. The
+receiver either reports how many of them it used or reports nothing.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 OBJECTIVE_AT = 50.0
 MAX_ALLOWANCE = 20  # attempts
 MAX_STEPS = 60
-MAX_EXPECTED = 4  # calls or attempts
+MAX_EXPECTED = 4  # requests or attempts
 REPEATED_REPORT_SHARE = 0.2
 
 
 class Step(IntEnum):
-    """What happens next; an attempt is started and ended twice as often as the rest."""
+    """A random step; starts and ends of attempts have two members each, so they are twice as frequent."""
 
     ALLOCATE_CHILD = 0
     START_ATTEMPT = 1
@@ -33,16 +33,16 @@
 
 
 class AttemptEnd(IntEnum):
-    """How an attempt ends."""
+    """The way an attempt ends."""
 
     ANSWERED = 0
-    LOST = 1  # it may have run, and its receiver goes on spending
+    LOST = 1  # the request may have been executed, and its receiver continues to spend its budget
     NEVER_RAN = 2
-    LOST_AND_CLOSED = 3  # its receiver's own process notices it
+    LOST_AND_CLOSED = 3  # the receiver's process notices the loss and closes its budget
 
 
 class OpenAttempt(NamedTuple):
-    """An attempt under way, and its receiver's budget."""
+    """An attempt in flight, and its receiver's budget."""
 
     grant: AttemptGrant
     received: RequestBudget
@@ -50,12 +50,12 @@
 
 @dataclass(slots=True)
 class BudgetHistory:
-    """What a random history did, and what it broke.
+    """Result of a random history.
 
     Attributes:
         allowance: attempts of the outermost request.
-        sent_attempts: of all budgets.
-        violations: of the budgets' invariants, as text.
+        sent_attempts: attempts of all budgets.
+        violations: violated invariants of the budgets, as text.
     """
 
     allowance: int
@@ -64,7 +64,7 @@
 
 
 def play_history(seed: int) -> BudgetHistory:
-    """Play random calls, attempts, answers, losses and ends."""
+    """Run random child allocations, attempts, answers, losses and closes; return the result."""
     return _HistoryPlayer(Random(seed)).play()
 
 
@@ -79,16 +79,16 @@
 
     def play(self) -> BudgetHistory:
         for number in range(self.random.randint(1, MAX_STEPS)):
-            self._take(Step(self.random.randrange(len(Step))), float(number))
+            self._apply(Step(self.random.randrange(len(Step))), float(number))
             self._check()
         self.outermost.close()
         self._check()
         history = self.history
         if history.sent_attempts > history.allowance:
-            history.violations.append(f"{history.sent_attempts} attempts of {history.allowance}")
+            history.violations.append(f"{history.sent_attempts} attempts sent, {history.allowance} allowed")
         return history
 
-    def _take(self, step: Step, now: float) -> None:
+    def _apply(self, step: Step, now: float) -> None:
         budget = self.random.choice(self.budgets)
         if step is Step.ALLOCATE_CHILD:
             child = budget.allocate_child(self.random.randint(1, MAX_EXPECTED), now)
@@ -108,7 +108,7 @@
             return
         self.history.sent_attempts += 1
         if budget.spent != spent + 1:
-            self.history.violations.append("not debited once")
+            self.history.violations.append("an attempt was not debited exactly once")
         received = root_budget(grant.attempts, DEADLINE, OBJECTIVE_AT, 1.0, "stock", "")
         self.budgets.append(received)
         self.open_attempts.append(OpenAttempt(grant, received))
@@ -134,6 +134,6 @@
         for budget in self.budgets:
             parts = (budget.available, budget.reserved, budget.spent)
             if min(parts) < 0:
-                self.history.violations.append(f"negative: {parts}")
+                self.history.violations.append(f"negative count among available, reserved and spent: {parts}")
             if sum(parts) != budget.allowance:
-                self.history.violations.append("attempts created or lost")
+                self.history.violations.append("available, reserved and spent do not add up to the allowance")
--- a/harness/clients.py
+++ b/harness/clients.py
@@ -1,6 +1,7 @@
-"""Clients of a proxy: requests of the usual classes at a steady rate, each recorded with what came of it.
+"""Clients of a proxy, which send requests of the usual classes at a steady rate and record each outcome.
 
-Open loop: requests are drawn ahead and don't wait for answers, so that a slow proxy is not sent less.
+The load is an open loop: send times are drawn in advance and do not depend on answers, so a slow proxy
+receives requests at the same rate as a fast one.
 """
 
 from __future__ import annotations
@@ -17,20 +18,21 @@
 
 from harness.recorder import Idempotency, ReceivedAnswer, Recorder, SentRequest
 
-MAX_CONNECTIONS = 400  # of one pool; beyond it a request is not sent, and counted as such
-IDLE_REUSE_S = 2.0  # for which an idle connection is used again; the proxy closes it some seconds later
-GIVE_UP_MARGIN_S = 0.25  # beyond its budget, after which a request without an answer is written off
-ANSWERS_POLL_S = 0.02  # between two looks at what is still owed
-NOT_SENT = -1  # in place of a status code
+MAX_CONNECTIONS = 400  # connections per pool; a request beyond this limit is not sent and counts as unsent
+# longest idle time of a connection that is reused; the proxy closes idle connections some seconds later
+IDLE_REUSE_S = 2.0
+GIVE_UP_MARGIN_S = 0.25  # time after a request's budget until a request without an answer counts as timed out
+ANSWER_POLL_INTERVAL_S = 0.02  # interval between two checks for requests without an answer
+NOT_SENT = -1  # stands in place of a status code
 
 
 @dataclass(frozen=True, slots=True)
 class ClientClass:
-    """A request class as clients know it."""
+    """A request class as the clients' settings define it."""
 
     name: str
-    share: float  # of all requests
-    budget: float  # s
+    share: float  # share of all requests
+    budget: float  # time budget in s
     idempotency: Idempotency
 
 
@@ -58,7 +60,7 @@
 def format_request(
     cls: ClientClass, request_id: str, via: str = "", key: str = "", extra_header: str = ""
 ) -> bytes:
-    """Write one request as the protocol page has it; `via` names who sent it."""
+    """Return the bytes of one request in the protocol page's format; `via` names the sender."""
     is_get = cls.idempotency.kind == "repeatable"
     lines = [
         f"{'GET' if is_get else 'POST'} /{cls.name}/1 HTTP/1.1",
@@ -78,7 +80,7 @@
 
 
 class ClientPool:
-    """Clients of one name, with kept connections, that send requests and record the answers."""
+    """Pool of keep-alive connections of one client name, which sends requests and records the answers."""
 
     def __init__(
         self,
@@ -92,12 +94,12 @@
         self.recorder = recorder
         self.name = name
         self.classes = classes
-        self.proxies = [proxy]  # connections are dealt out among them in turn
+        self.proxies = [proxy]  # new connections use these addresses in turn
         self.random = Random(f"{name} {seed}")
         self.idle: list[_ClientConnection] = []
         self.live_connections: set[_ClientConnection] = set()
         self.connection_count = 0
-        self.budget_shares = (1.0, 1.0)  # a request's budget is drawn between these shares of its class's
+        self.budget_shares = (1.0, 1.0)  # range of a request's budget, as shares of its class's budget
         self.request_count = 0
         self.unsent_count = 0
         self.open_requests: set[str] = set()
@@ -105,7 +107,10 @@
         self.status_codes: Counter[int] = Counter()
 
     async def run(self, seconds: float, rate: float, wait_and_close: bool = True) -> None:
-        """Send for so long; then wait for what is owed and close, unless more is to come."""
+        """Send requests for `seconds`.
+
+        With `wait_and_close`, then wait for the open requests and close the idle connections.
+        """
         started_at = self.loop.time()
         next_send_at = started_at
         while (next_send_at := next_send_at + self.random.expovariate(rate)) < started_at + seconds:
@@ -117,23 +122,24 @@
         longest = max(cls.budget for cls in self.classes) + GIVE_UP_MARGIN_S
         end = self.loop.time() + longest
         while self.open_requests and self.loop.time() < end:
-            await asyncio.sleep(ANSWERS_POLL_S)
+            await asyncio.sleep(ANSWER_POLL_INTERVAL_S)
         self.close()
 
     def send(self, cls: ClientClass, key: str = "", extra_header: str = "", parent_id: str = "") -> str:
         """Send one request and return its id.
 
         Args:
-            cls: Its class.
-            key: The idempotency key of a keyed class, if it is not the id.
-            extra_header: A further header line.
-            parent_id: The request that it is made for, if its own id is to begin with that one's.
+            cls: Class of the request.
+            key: Idempotency key of a keyed request; the request id if empty.
+            extra_header: Additional header line.
+            parent_id: Id of the incoming request that causes this one, as a prefix of the new id; none if
+                empty.
         """
         self.request_count += 1
         request_id = f"{parent_id or self.name}-{self.request_count:08x}"
         self.open_requests.add(request_id)
         while self.idle and self.idle[-1].idle_since < self.loop.time() - IDLE_REUSE_S:
-            self.idle.pop().close()  # a request could cross its end
+            self.idle.pop().close()  # the proxy could close the connection while a request is on its way
         if self.idle:
             self.idle.pop().send(cls, request_id, key, extra_header)
         elif self.connection_count < MAX_CONNECTIONS:
@@ -146,11 +152,11 @@
     async def request(
         self, cls: ClientClass, key: str = "", extra_header: str = "", parent_id: str = ""
     ) -> int:
-        """Send one request and return its status code: 0 for no answer, NOT_SENT where it was never sent."""
+        """Send one request; return its status code, 0 without an answer, or NOT_SENT if it was never sent."""
         return await self.wait_for(self.send(cls, key, extra_header, parent_id))
 
     async def wait_for(self, request_id: str) -> int:
-        """Return the status code of a request that was sent just now."""
+        """Return the status code of a request; call this right after `send`, before the event loop runs."""
         self.waiters[request_id] = self.loop.create_future()
         return await self.waiters[request_id]
 
@@ -170,14 +176,14 @@
             connection.send(cls, request_id, key, extra_header)
 
     def on_not_sent(self, request_id: str) -> None:
-        """Count a request for which there was no connection."""
+        """Count a request that could not be sent because there was no connection."""
         self.unsent_count += 1
         self._resolve(request_id, NOT_SENT)
 
     def on_answer(
         self, request_id: str, received_at: float, status_code: int, client_gave_up: bool = False
     ) -> None:
-        """Record what came of a request; status code 0 where its connection ended without an answer."""
+        """Record the outcome of a request; status code 0: its connection ended without an answer."""
         self.status_codes[NOT_SENT if client_gave_up else status_code] += 1
         self.recorder.answers.append(ReceivedAnswer(request_id, received_at, status_code, client_gave_up))
         self._resolve(request_id, status_code)
@@ -195,7 +201,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection, with one request at a time."""
+    """One client connection, which carries one request at a time."""
 
     def __init__(self, pool: ClientPool) -> None:
         self.pool = pool
@@ -226,16 +232,16 @@
         self.parser = httptools.HttpResponseParser(self)
         now = time.monotonic()
         deadline = now + cls.budget
-        self.timer = pool.loop.call_later(cls.budget + GIVE_UP_MARGIN_S, self._give_up, deadline)
+        self.timer = pool.loop.call_later(cls.budget + GIVE_UP_MARGIN_S, self._on_timeout, deadline)
         pool.recorder.requests.append(
             SentRequest(request_id, cls.name, now, deadline, key or request_id, pool.name)
         )
         self.transport.write(format_request(cls, request_id, pool.name, key, extra_header))
 
     def data_received(self, data: bytes) -> None:
-        if not self.request_id:  # an answer to nobody: the audit is to find it
+        if not self.request_id:  # an answer without a request is recorded, so that the audit reports it
             self.pool.recorder.answers.append(
-                ReceivedAnswer(f"nobody's of {self.pool.name}", time.monotonic(), 1)
+                ReceivedAnswer(f"unrequested answer to {self.pool.name}", time.monotonic(), 1)
             )
             return
         self.parser.feed_data(data)
@@ -257,7 +263,7 @@
         if request_id:
             self.pool.on_answer(request_id, time.monotonic(), status_code)
 
-    def _give_up(self, deadline: float) -> None:
+    def _on_timeout(self, deadline: float) -> None:
         request_id = self.request_id
         self.request_id = ""
         self.pool.on_answer(request_id, deadline, 0, client_gave_up=True)
--- a/harness/clock_skew.py
+++ b/harness/clock_skew.py
@@ -1,14 +1,15 @@
-"""Run a module as if its machine's clocks were others: off, stepping, or turned while it runs.
+"""Run a module with skewed clocks, which can have an offset, step once, or follow a file.
 
     python -m harness.clock_skew [--wall S] [--step S --at S] [--monotonic S] [--steer FILE] MODULE [ARG...]
 
-`--wall`: seconds that the wall clock is ahead; `--step`, `--at`: so much more from so many seconds after the
-start; `--monotonic`: seconds that the monotonic clock is ahead, as on a machine that was started earlier.
-`--steer`: a file of two doubles, the offsets in seconds of the wall clock and of the monotonic clock as
-`service_proxy.clock` reads it, which another process may change at any time.
+`--wall`: seconds by which the wall clock is ahead. `--step`, `--at`: additional seconds, and the time after
+the start at which the wall clock steps by them. `--monotonic`: seconds by which the monotonic clock is ahead,
+as on a machine that booted earlier. `--steer`: a file of two doubles, the offsets in seconds of the wall
+clock and of the monotonic clock that `service_proxy.clock` reads; another process may change the file at any
+time.
 
-The machine's clocks stay as they are: only what this process reads through `time` is changed, not the
-kernel's time-outs.
+The machine's clocks do not change. Only the times that this process reads through `time` are skewed; the
+timeouts of the kernel are not.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
 from service_proxy.clock import Clock
 
-OFFSETS = struct.Struct("!dd")  # s, of the wall clock and of the monotonic one
+OFFSETS = struct.Struct("!dd")  # offsets in s of the wall clock and of the monotonic clock
 
 
 def follow_offsets(file: str) -> None:
-    """From now on the file says how far this process's clocks are off."""
+    """Skew this process's clocks by the offsets in the file, which is read again at each use."""
     with Path(file).open("rb") as source:
         offsets = mmap.mmap(source.fileno(), OFFSETS.size, prot=mmap.PROT_READ)
     real_wall = time.time
@@ -44,7 +45,7 @@
 
 
 def apply_skew(wall: float, step: float, step_at: float, monotonic: float) -> None:
-    """Move the clocks that this process reads through `time`; all arguments in seconds."""
+    """Skew the clocks that this process reads through `time`; all arguments are in seconds."""
     real_wall = time.time
     real_monotonic = time.monotonic
     started_at = real_monotonic()
@@ -61,7 +62,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Skew the clocks, then run the module as `python -m` would."""
+    """Skew the clocks, then run the module like `python -m`."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.clock_skew",
         description=__doc__,
--- a/harness/coordination.py
+++ b/harness/coordination.py
@@ -1,20 +1,20 @@
-"""A stand-in for a coordination service: the ZooKeeper client protocol, to any client, with scripted faults.
+"""Stand-in for a coordination service, which speaks the ZooKeeper client protocol and runs scripted faults.
 
     python -m harness.coordination --listen 127.0.0.1:0 [--ensemble 3] [--script FILE] [--seconds 600]
 
-It prints `listening HOST:PORT`, then one such line for each further server of the ensemble. One process holds
-all servers and one tree, so an ensemble is consistent at once; what goes wrong is the script's to say:
+It prints `listening HOST:PORT` for the first server of the ensemble, then one such line for each further
+server. One process holds all servers and one tree, so the ensemble is always consistent. Only the script's
+steps cause faults:
 
-    {"at": 2.0, "do": "expire", "path": "/salas/portal/s-1"}      the session of the znode; or "session": ID
-    {"at": 3.0, "do": "partition", "servers": [0, 1], "mode": "silent"}     or "reset"; sessions time out
-    {"at": 5.0, "do": "heal"}
-    {"at": 6.0, "do": "slow", "seconds": 0.5}                     each reply of all servers; 0 ends it
-    {"at": 7.0, "do": "lose_leader", "seconds": 1.5}              no server serves; sessions do not time out
-    {"at": 8.0, "do": "lose_watches", "on": true}                 watches fire unsent
-    {"at": 9.0, "do": "empty"}                                    restored empty: no znodes, no sessions
-    {"at": 9.5, "do": "save"}, {"at": 10, "do": "restore"}        the tree as saved, with the zxid of then
-    {"at": 11.0, "do": "read_only", "servers": [2], "on": true}
-    {"at": 12.0, "do": "drop"}                                    all connections end
+    {"at": 2.0, "do": "expire", "path": "/salas/portal/s-1"}      expires the znode's session; or "session":
+    ID {"at": 3.0, "do": "partition", "servers": [0, 1], "mode": "silent"}     or "reset"; sessions time out
+    {"at": 5.0, "do": "heal"}                                     ends a partition {"at": 6.0, "do": "slow",
+    "seconds": 0.5}                     delays each reply of all servers; 0 ends it {"at": 7.0, "do":
+    "lose_leader", "seconds": 1.5}              no server serves; sessions do not time out {"at": 8.0, "do":
+    "lose_watches", "on": true}                 fired watches are not sent {"at": 9.0, "do": "empty"}
+    loses all znodes and sessions {"at": 9.5, "do": "save"}, {"at": 10, "do": "restore"}        restores the
+    saved tree with its zxid {"at": 11.0, "do": "read_only", "servers": [2], "on": true} {"at": 12.0, "do":
+    "drop"}                                    ends all connections
 
 Sources: zookeeper.jute and the programmer's guide (sessions, watches, ephemeral nodes, multi).
 """
@@ -39,8 +39,8 @@
 from service_proxy.ephemeral_nodes import records
 from service_proxy.ephemeral_nodes.records import ANY_VERSION
 
-EXPIRY_CHECK_INTERVAL_S = 0.05  # between looks at sessions
-# That a session is granted.
+EXPIRY_CHECK_INTERVAL_S = 0.05  # interval between two checks for expired sessions
+# Range of the session timeout that a client can negotiate.
 MIN_SESSION_TIMEOUT_MS = 200
 MAX_SESSION_TIMEOUT_MS = 40_000
 LISTEN_BACKLOG = 1024
@@ -48,11 +48,11 @@
 RESET = "reset"
 MAX_SERVERS = 9
 
-Step = dict[str, Any]  # of a script
+Step = dict[str, Any]  # one step of a script
 
 
 class ExpiredSession(NamedTuple):
-    """When a session ended (monotonic, s), its id, and the paths of its ephemeral znodes."""
+    """An ended session: the time of its end (monotonic, s), its id, and the paths of its ephemeral znodes."""
 
     at: float
     session_id: int
@@ -60,14 +60,14 @@
 
 
 class SavedTree(NamedTuple):
-    """A backup."""
+    """A backup of the tree."""
 
     zxid: int
     nodes: dict[str, Znode]
 
 
 class CoordinationService:
-    """The ensemble: one tree, the sessions, and what the script does to them."""
+    """The ensemble: its servers, one tree, the sessions, and the steps of a script."""
 
     def __init__(self, servers: int = 1, persistent_watches: bool = True) -> None:
         self.loop = asyncio.get_running_loop()
@@ -77,14 +77,16 @@
         self.ids = count((int(time.time() * 1000) << 20) & 0x00FFFFFFFFFFFFFF | 1)
         self.persistent_watches = persistent_watches
         self.servers = [EnsembleServer(self, number) for number in range(servers)]
-        self.credentials: dict[str, str] = {}  # user: password; an unknown user's digest is refused if any
-        self.slow = 0.0  # s that each reply takes
+        # password by user; if not empty, the digest of an unknown user is rejected
+        self.credentials: dict[str, str] = {}
+        self.slow = 0.0  # delay of each reply in s
         self.watches_lost = False
         self.leaderless = False
         self.saved: SavedTree | None = None
-        self.requests: dict[int, int] = defaultdict(int)  # by type
+        self.requests: dict[int, int] = defaultdict(int)  # number of requests by type
         self.expired: list[ExpiredSession] = []
-        # What was just written to a client: an event and its znode's name, or 0 and all names of a path.
+        # Called after a write to a client: with an event and the name of its znode, or with 0 and the names
+        # of all children of a path.
         self.on_sent: Callable[[ServiceConnection, int, list[str]], None] | None = None
         self._expiry_task: asyncio.Task[None] | None = None
         self._script_task: asyncio.Task[None] | None = None
@@ -107,7 +109,7 @@
         }
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> list[tuple[str, int]]:
-        """Return the addresses of the servers; the first has the port asked for."""
+        """Start all servers and return their addresses; the first server listens on the requested port."""
         for server in self.servers:
             await server.listen(host, port if server.number == 0 else 0)
         self._expiry_task = self.loop.create_task(self._expire_sessions())
@@ -126,7 +128,7 @@
         while True:
             await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
             now = time.monotonic()
-            if self.leaderless:  # without a leader no session can end
+            if self.leaderless:  # without a leader no session can expire
                 for session in self.sessions.values():
                     session.last_request_at = now
                 continue
@@ -134,7 +136,7 @@
                 self.expire(session.id)
 
     def expire(self, number: int) -> None:
-        """End a session, its ephemeral znodes and its connection."""
+        """Expire a session: delete its ephemeral znodes and drop its connection."""
         session = self.sessions.pop(number, None)
         if session is None:
             return
@@ -146,9 +148,9 @@
             session.connection.drop()
 
     def connect(self, request: records.ConnectRequest, connection: ServiceConnection) -> SessionRecord | None:
-        """Return a new session, or the one asked for; None where it has expired.
+        """Return a new session, or the requested session; None if that session has expired.
 
-        A session that moves to another connection ends its old one.
+        If the session was open on another connection, that connection is dropped.
         """
         timeout = min(MAX_SESSION_TIMEOUT_MS, max(MIN_SESSION_TIMEOUT_MS, request.timeout_ms)) / 1000
         now = time.monotonic()
@@ -174,9 +176,9 @@
             for connection in list(server.connections):
                 connection.fire(event, path)
 
-    # The script
+    # Script
     def run_script(self, steps: list[Step]) -> None:
-        """Run the steps, each at its time from now."""
+        """Run the steps in the background, each at its time after this call."""
         self._script_task = self.loop.create_task(self._run_steps(steps))
 
     async def _run_steps(self, steps: list[Step]) -> None:
@@ -189,15 +191,17 @@
         """Run one step now.
 
         Raises:
-            ValueError: there is no such step.
+            ValueError: the step is unknown.
         """
         action = self._actions.get(step["do"])
         if action is None:
-            raise ValueError(f"unknown step {step['do']!r}; the module's docstring lists them")
+            raise ValueError(
+                f"unknown step {step['do']!r}; write one that the docstring of harness.coordination lists"
+            )
         action(step)
 
     def _for_each(self, step: Step, action: Callable[[EnsembleServer], None]) -> None:
-        """Act on the servers that the step names, or on all."""
+        """Apply an action to the servers that the step names, or to all servers."""
         for number in step.get("servers", range(len(self.servers))):
             action(self.servers[number])
 
@@ -211,7 +215,7 @@
         self.watches_lost = bool(step["on"])
 
     def lose_leader(self, seconds: float) -> None:
-        """Serve nobody until another leader is elected."""
+        """Stop serving on all servers for some seconds, until another leader is elected."""
         self.leaderless = True
         for server in self.servers:
             server.partition(RESET)
@@ -224,7 +228,7 @@
             server.heal()
 
     def empty(self) -> None:
-        """Restore from nothing: zxids go on, sessions and znodes are lost, and no watch fires."""
+        """Lose all sessions and znodes without firing watches; zxids continue."""
         self.sessions.clear()
         self.tree.reset()
         self.tree.zxid += 1
@@ -232,17 +236,17 @@
             server.drop_all()
 
     def save(self) -> None:
-        """Make a backup."""
+        """Save a backup of the tree."""
         self.saved = SavedTree(self.tree.zxid, copy.deepcopy(self.tree.nodes))
 
     def restore(self) -> None:
-        """Go back to the backup.
+        """Restore the tree from the backup.
 
         Raises:
-            ValueError: there is none.
+            ValueError: there is no backup.
         """
         if self.saved is None:
-            raise ValueError("nothing was saved: put a step save before restore")
+            raise ValueError("no backup to restore: put a step save before restore")
         self.tree.zxid = self.saved.zxid
         self.tree.nodes = copy.deepcopy(self.saved.nodes)
         for server in self.servers:
@@ -259,7 +263,7 @@
         self.address = ("127.0.0.1", 0)
         self.mode = ""  # "", SILENT or RESET
         self.read_only = False
-        self.accepted = 0  # connections
+        self.accepted = 0  # number of accepted connections
         self.listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -282,29 +286,29 @@
             connection.drop()
 
     def partition(self, mode: str) -> None:
-        """Cut the server off: SILENT leaves its connections open, RESET ends them, and new ones at once."""
+        """Partition the server: SILENT leaves connections open, RESET ends open and new ones at once."""
         self.mode = mode
         if mode == RESET:
             self.drop_all()
 
     def heal(self) -> None:
-        """Serve again; connections from before are dropped with what was sent on them."""
+        """End the partition. Connections from a SILENT partition are dropped with all unanswered requests."""
         mode = self.mode
         self.mode = ""
         if mode == SILENT:
             self.drop_all()
 
     def set_read_only(self, on: bool) -> None:
-        """Serve reads only, as a server without its quorum."""
+        """Switch read-only mode, in which a server without a quorum serves; drop all connections."""
         self.read_only = on
         self.drop_all()
 
 
 def read_script(path: Path) -> list[Step]:
-    """Read one JSON object a line.
+    """Read a script with one JSON object per line.
 
     Raises:
-        ValueError: with file and line.
+        ValueError: a line is not a step; names file and line.
     """
     steps = []
     for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
@@ -315,14 +319,14 @@
             float(step["at"])
             str(step["do"])
         except (ValueError, KeyError, TypeError) as error:
-            text = f"{path}:{number}: no step: {error!r}; write an object with at and do"
+            text = f"{path}:{number}: not a step: {error!r}; write an object with at and do"
             raise ValueError(text) from None
         steps.append(step)
     return steps
 
 
 async def serve(listen: str, ensemble: int, script: Path | None, seconds: float) -> None:
-    """Run an ensemble for this many seconds."""
+    """Run an ensemble for `seconds`."""
     host, _, port = listen.rpartition(":")
     service = CoordinationService(ensemble)
     steps = read_script(script) if script else []
@@ -347,7 +351,7 @@
         "--ensemble", type=int, default=1, choices=range(1, MAX_SERVERS + 1), metavar="SERVERS"
     )
     parser.add_argument("--script", type=Path, metavar="FILE")
-    parser.add_argument("--seconds", type=float, default=600.0, help="after which it ends by itself")
+    parser.add_argument("--seconds", type=float, default=600.0, help="time until the program ends")
     arguments = parser.parse_args(argv)
     try:
         asyncio.run(serve(arguments.listen, arguments.ensemble, arguments.script, arguments.seconds))
--- a/harness/coordination_connection.py
+++ b/harness/coordination_connection.py
@@ -22,25 +22,26 @@
 if TYPE_CHECKING:
     from harness.coordination import EnsembleServer
 
-SYNC_CONNECTED = 3  # state in a notification
+SYNC_CONNECTED = 3  # state field of a notification
 FOUR_LETTER_WORDS = {b"ruok": b"imok", b"isro": b"rw", b"srvr": b"Zookeeper version: 3.8.0\n"}
 FOUR_LETTERS = 4
 WRITE_OPS = frozenset(
     (OpCode.CREATE, OpCode.CREATE2, OpCode.CREATE_CONTAINER, OpCode.DELETE, OpCode.SET_DATA, OpCode.MULTI)
 )
 MULTI_OPS = (OpCode.CREATE, OpCode.CREATE2, OpCode.DELETE, OpCode.SET_DATA)
-# Permissions of an ACL.
+# Permissions of an ACL entry.
 READ = 1
 WRITE = 2
 CREATE = 4
 DELETE = 8
-REFUSAL_LINGER_S = 0.05  # for a refusal to be read before the connection ends
-CLOSE_LINGER_S = 0.01  # the same for the reply to a close
+# time between an error reply and the end of the connection, so that the client can read the reply
+REFUSAL_LINGER_S = 0.05
+CLOSE_LINGER_S = 0.01  # time between the reply to a close request and the end of the connection
 
 
 @dataclass(slots=True)
 class SessionRecord:
-    """A session as the service has it. Times in s, monotonic."""
+    """A session as the service stores it. Times are in s, monotonic."""
 
     id: int
     password: bytes
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class ConnectionWatches:
-    """Paths by the kind of their watch."""
+    """The watched paths of a connection, by kind of watch."""
 
     data: set[str] = field(default_factory=set)
     exists: set[str] = field(default_factory=set)
@@ -66,20 +67,21 @@
             paths.discard(path)
 
     def fires(self, event: int, path: str) -> bool:
-        """Return whether a watch fires; one-shot watches are spent.
+        """Return whether an event fires a watch; a one-shot watch is removed when it fires.
 
-        A persistent recursive one fires for each znode below its path, and not for changes of children.
+        A persistent recursive watch fires for each znode below its path, but not for changes of a list of
+        children.
         """
         one_shot: tuple[set[str], ...] = (self.child,)
         if event != EventType.CHILDREN_CHANGED:
             one_shot = (self.data, self.exists)
             if event == EventType.DELETED:
                 one_shot += (self.child,)
-        hit = any([path in paths for paths in one_shot])
+        has_one_shot = any([path in paths for paths in one_shot])
         for paths in one_shot:
             paths.discard(path)
         is_below = event != EventType.CHILDREN_CHANGED and self._is_below_recursive(path)
-        return hit or path in self.persistent or is_below
+        return has_one_shot or path in self.persistent or is_below
 
     def _is_below_recursive(self, path: str) -> bool:
         if not self.recursive:
@@ -92,7 +94,7 @@
 
 
 class _TreeState(NamedTuple):
-    """What a multi that fails puts back."""
+    """State of the tree and the sessions before a multi, which a failed multi restores."""
 
     zxid: int
     nodes: dict[str, Znode]
@@ -108,10 +110,10 @@
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.session: SessionRecord | None = None
-        self.is_connect_due = True
+        self.awaits_connect_request = True
         self.watches = ConnectionWatches()
-        self.users: set[str] = set()  # that it has authenticated as
-        self.delayed: deque[tuple[float, bytes]] = deque()  # frames, with when each is due
+        self.users: set[str] = set()  # authenticated users, as user:digest
+        self.delayed: deque[tuple[float, bytes]] = deque()  # delayed frames, each with its due time
         self.handlers: dict[int, Callable[[RecordReader], bytes]] = {
             OpCode.PING: lambda _source: b"",
             OpCode.CLOSE: self._close,
@@ -136,7 +138,7 @@
 
     # asyncio.Protocol
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server, which may be partitioned."""
+        """Register with the server; drop the connection if the server is in a RESET partition."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
         self.server.accepted += 1
@@ -144,24 +146,24 @@
             self.drop()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the server; the session lives on."""
+        """Remove the connection from the server; the session stays open."""
         self.transport = None
         self.server.connections.discard(self)
         if self.session is not None and self.session.connection is self:
             self.session.connection = None
 
     def data_received(self, data: bytes) -> None:
-        """Answer a four-letter word, or the frames that are complete."""
+        """Answer a four-letter word, or handle each complete frame."""
         if self.server.mode:
             return
-        if self.is_connect_due and not self.buffer and data[:FOUR_LETTERS] in FOUR_LETTER_WORDS:
+        if self.awaits_connect_request and not self.buffer and data[:FOUR_LETTERS] in FOUR_LETTER_WORDS:
             self._answer_four_letter_word(data[:FOUR_LETTERS])
             return
         self.buffer += data
         try:
             for frame in split_frames(self.buffer):
-                if self.is_connect_due:
-                    self.is_connect_due = False
+                if self.awaits_connect_request:
+                    self.awaits_connect_request = False
                     self._connect(frame)
                 elif self.session is not None:
                     self._on_request(frame, self.session)
@@ -184,7 +186,7 @@
 
     # Replies and notifications
     def _send(self, frame: bytes) -> None:
-        """Send in the order in which frames were made, also where they are slow."""
+        """Send a frame; delayed frames keep their order."""
         if self.server.mode or self.transport is None:
             return
         if not self.service.slow and not self.delayed:
@@ -204,7 +206,7 @@
             self.service.loop.call_at(self.delayed[0][0], self._send_delayed)
 
     def fire(self, event: int, path: str) -> None:
-        """Notify the client of an event, if it watches."""
+        """Notify the client of an event if one of its watches fires."""
         if self.watches.fires(event, path) and not self.service.watches_lost:
             self._notify(event, path)
 
@@ -219,7 +221,8 @@
     # Requests
     def _connect(self, frame: bytes) -> None:
         request = records.parse_connect_request(frame)
-        is_behind = request.last_zxid > self.service.tree.zxid  # the client has seen what this server has not
+        # a client that has seen newer changes has to connect to another server
+        is_behind = request.last_zxid > self.service.tree.zxid
         if is_behind or (self.server.read_only and not request.read_only):
             self.drop()
             return
@@ -276,8 +279,8 @@
         self.users.add(f"{user}:{digest}")
         return b""
 
-    def _permitted(self, path: str, permission: int) -> Znode:
-        """Return the znode, if this client may do this with it."""
+    def _permitted_node(self, path: str, permission: int) -> Znode:
+        """Return the znode. Raises ServiceError (NO_AUTH) if the client lacks the permission."""
         node = self.service.tree.node(path)
         for entry in node.acl:
             if entry.perms & permission and (entry.scheme == "world" or entry.id in self.users):
@@ -298,14 +301,14 @@
         acl = source.vector(lambda: records.read_acl(source))
         flags = source.int32()
         assert self.session is not None
-        self._permitted(parent_of(path), CREATE)
+        self._permitted_node(parent_of(path), CREATE)
         created = self.service.tree.create(path, data, self._resolve_acl(acl, path), flags, self.session.id)
         if flags in EPHEMERAL_MODES:
             self.session.nodes.add(created)
         return created
 
     def _resolve_acl(self, acl: list[records.Acl], path: str) -> list[records.Acl]:
-        """Replace the scheme `auth` by the users that this client is."""
+        """Replace each entry of scheme `auth` by entries for the client's authenticated users."""
         resolved = []
         for entry in acl:
             if entry.scheme != "auth":
@@ -322,7 +325,7 @@
         path = source.string()
         version = source.int32()
         if path != "/":
-            self._permitted(parent_of(path), DELETE)
+            self._permitted_node(parent_of(path), DELETE)
         node = self.service.tree.delete(path, version)
         owner = self.service.sessions.get(node.owner)
         if owner is not None:
@@ -344,7 +347,7 @@
     def _get_data(self, source: RecordReader) -> bytes:
         path = source.string()
         watch = source.boolean()
-        node = self._permitted(path, READ)
+        node = self._permitted_node(path, READ)
         if watch:
             self.watches.data.add(path)
         return node.stat().write(RecordWriter().buffer(node.data)).to_bytes()
@@ -353,7 +356,7 @@
         path = source.string()
         data = source.buffer() or b""
         version = source.int32()
-        self._permitted(path, WRITE)
+        self._permitted_node(path, WRITE)
         return self.service.tree.set_data(path, data, version).write(RecordWriter()).to_bytes()
 
     def _get_children(self, source: RecordReader) -> bytes:
@@ -366,7 +369,7 @@
     def _list_children(self, source: RecordReader) -> tuple[Znode, RecordWriter]:
         path = source.string()
         watch = source.boolean()
-        node = self._permitted(path, READ)
+        node = self._permitted_node(path, READ)
         if watch:
             self.watches.child.add(path)
         names = sorted(node.children)
@@ -385,20 +388,22 @@
         return b""
 
     def _set_watches(self, source: RecordReader) -> bytes:
-        """Set watches again, from a zxid: what has changed since fires at once (DataTree.setWatches)."""
+        """Register watches again; those of znodes changed after a zxid fire at once (DataTree.setWatches)."""
         since = source.int64()
         data = source.vector(source.string)
         exists = source.vector(source.string)
         child = source.vector(source.string)
         nodes = self.service.tree.nodes
         watches = self.watches
-        self._watch_again(data, watches.data, since, EventType.DATA_CHANGED, lambda node: node.mzxid)
+        self._restore_watches(data, watches.data, since, EventType.DATA_CHANGED, lambda node: node.mzxid)
         for path in exists:
             if path in nodes:
                 self._notify(EventType.CREATED, path)
             else:
                 watches.exists.add(path)
-        self._watch_again(child, watches.child, since, EventType.CHILDREN_CHANGED, lambda node: node.pzxid)
+        self._restore_watches(
+            child, watches.child, since, EventType.CHILDREN_CHANGED, lambda node: node.pzxid
+        )
         return b""
 
     def _set_watches2(self, source: RecordReader) -> bytes:
@@ -407,7 +412,7 @@
         self.watches.recursive.update(source.vector(source.string))
         return b""
 
-    def _watch_again(
+    def _restore_watches(
         self,
         paths: list[str],
         watches: set[str],
@@ -426,23 +431,23 @@
 
     # Multi
     def _multi(self, source: RecordReader) -> bytes:
-        """Perform all operations or none: where one fails, each has an error in the reply."""
+        """Perform all operations of a multi, or none: if one fails, the reply has an error for each."""
         tree = self.service.tree
-        before = self._save_tree()
+        saved_state = self._snapshot_tree()
         fired: list[tuple[int, str]] = []
         results: list[tuple[int, bytes]] = []
         failure: ServiceError | None = None
         fire = tree.fire
         tree.fire = lambda event, path: fired.append((event, path))
         try:
-            self._perform_all(source, results)
+            self._perform_operations(source, results)
         except ServiceError as error:
             failure = error
         finally:
             tree.fire = fire
         reply = RecordWriter()
         if failure is not None:
-            self._restore_tree(before)
+            self._restore_tree(saved_state)
             for code in [int(ErrorCode.OK)] * len(results) + [int(failure.code)]:
                 reply.int32(OpCode.ERROR).boolean(False).int32(code).int32(code)
         else:
@@ -452,7 +457,7 @@
                 tree.fire(event, path)
         return reply.int32(END_OF_MULTI).boolean(True).int32(END_OF_MULTI).to_bytes()
 
-    def _perform_all(self, source: RecordReader, results: list[tuple[int, bytes]]) -> None:
+    def _perform_operations(self, source: RecordReader, results: list[tuple[int, bytes]]) -> None:
         while True:
             op = source.int32()
             is_last = source.boolean()
@@ -473,7 +478,7 @@
             raise ServiceError(ErrorCode.BAD_VERSION, path)
         return b""
 
-    def _save_tree(self) -> _TreeState:
+    def _snapshot_tree(self) -> _TreeState:
         tree = self.service.tree
         nodes_by_session = {number: set(record.nodes) for number, record in self.service.sessions.items()}
         return _TreeState(tree.zxid, copy.deepcopy(tree.nodes), nodes_by_session)
--- a/harness/deployment.py
+++ b/harness/deployment.py
@@ -1,8 +1,9 @@
-"""A described deployment on loopback: its sidecars for real, and stand-ins for all else.
+"""A described deployment on loopback: real sidecar processes, and stand-ins for everything else.
 
-Each [[sidecar]] is a process of the program itself beside an application that sends requests to the next
-tiers through it; each proxy has a discovery stand-in of its own, so that the recorder knows which proxy was
-notified of what; a plain proxy is before the first tier. Everything is recorded in one recorder.
+Each [[sidecar]] of the description is a process of the proxy, beside an application that sends requests to
+the next tiers through the sidecar. Each proxy has its own discovery stand-in, so that the recorder can
+attribute each notification to the proxy that received it. A plain proxy stands before the first tier. One
+recorder records the requests, attempts and notifications of the whole deployment.
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
 from service_proxy.sidecar.toml import description_text
 from service_proxy.sidecar.write import platform
 
-MAX_SIDECARS = 16  # processes; what the description has beyond it is left out
-PLAIN_ENDPOINTS_PER_TIER = 3  # of a tier that has no sidecars
+MAX_SIDECARS = 16  # maximum number of sidecar processes; further sidecars of the description are left out
+PLAIN_ENDPOINTS_PER_TIER = 3  # number of endpoints in a tier without sidecars
 IDEMPOTENCY_KINDS = {"repeatable": "repeatable", "by-key": "by_key", "once": "once"}
 EDGE_PROXY_NAME = "edge"
 
@@ -41,29 +42,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplicationProfile:
-    """What applications do for a request."""
+    """Behavior of the applications for each request."""
 
-    requests_per_tier: int = 1  # to each next tier, one after another
-    propagates_deadline: bool = True  # X-Budget is the time left; otherwise the class's deadline
-    copies_budget_header: bool = False  # Tier-Budget goes on to the requests that it makes
-    extends_ids: bool = False  # the ids of its requests begin with that of the incoming one
-    service_time: float = 0.01  # s before it sends requests to the next tiers
-    service_time_by_tier: dict[str, float] = field(default_factory=dict)  # the same for some tiers
+    requests_per_tier: int = 1  # requests to each next tier, one after another
+    propagates_deadline: bool = True  # X-Budget is the remaining time; if False, it is the class's deadline
+    # the Tier-Budget header of an incoming request is copied to the requests that it causes
+    copies_budget_header: bool = False
+    # the id of a request that an incoming request causes begins with the incoming request's id
+    extends_ids: bool = False
+    service_time: float = 0.01  # s of work before the application sends requests to the next tiers
+    # s, in place of service_time, by tier
+    service_time_by_tier: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentOptions:
-    """How a deployment differs from its description."""
+    """Differences between a running deployment and its description."""
 
     profile: ApplicationProfile = field(default_factory=ApplicationProfile)
-    routes: Mapping[str, str] = field(default_factory=dict)  # a tier: another whose endpoint list it gets
-    skews: Mapping[str, list[str]] = field(default_factory=dict)  # a sidecar: arguments of harness.clock_skew
-    edge_operator: str = ""  # the operator's file of the proxy before the first tier
-    tiers_without_budgets: frozenset[str] = frozenset()  # whose sidecars know of no deadline propagation
+    # by tier: another tier, whose endpoint list is delivered instead
+    routes: Mapping[str, str] = field(default_factory=dict)
+    # by sidecar: the arguments of harness.clock_skew
+    skews: Mapping[str, list[str]] = field(default_factory=dict)
+    edge_operator: str = ""  # operator file of the proxy before the first tier
+    # tiers whose sidecars run without deadline propagation
+    tiers_without_budgets: frozenset[str] = frozenset()
 
 
 class SidecarHost:
-    """One sidecar with its application."""
+    """One sidecar process with its application."""
 
     def __init__(self, deployment: Deployment, sidecar: Sidecar) -> None:
         self.deployment = deployment
@@ -80,13 +87,13 @@
         self.process: asyncio.subprocess.Process | None = None
         self.file = deployment.folder / f"{self.name}.toml"
         self.log_file = deployment.folder / f"{self.name}.log"
-        self.exit_code: int | None = None  # of its last process
+        self.exit_code: int | None = None  # exit code of the last process
         self.list_entry = entry(self.name, sidecar.inbound, zone=sidecar.zone)
 
     async def handle_request(self, incoming: IncomingRequest) -> bool:
-        """Do the application's work: requests, one after another, to each next tier that serves the class.
+        """Send requests, one after another, to each next tier that serves the class of an incoming request.
 
-        Returns whether all of them were served.
+        Returns whether all requests were served.
         """
         profile = self.deployment.options.profile
         cls = self.deployment.classes[incoming.class_name]
@@ -113,7 +120,7 @@
         return True
 
     async def start(self) -> None:
-        """Start the application, the discovery stand-ins of its sidecar, and the sidecar."""
+        """Start the application, the discovery stand-ins of the sidecar, and the sidecar."""
         self.application.address = self.sidecar.application
         await self.application.start()
         tiers = dict(self.deployment.description.tiers)
@@ -130,7 +137,7 @@
         await self.start_sidecar()
 
     async def start_sidecar(self) -> None:
-        """Start the sidecar; return once it listens and has seen its application work."""
+        """Start the sidecar; return after it listens and its application has passed a health check."""
         sidecar = self.sidecar
         skew = self.deployment.options.skews.get(self.name)
         module = ["harness.clock_skew", *skew, "service_proxy.sidecar"] if skew else ["service_proxy.sidecar"]
@@ -148,14 +155,14 @@
             await until(outbound.is_ready, f"{self.name} towards {called} ready")
 
     async def stop_sidecar(self) -> None:
-        """Stop the sidecar as a planned restart does: discovery lists it as Terminating, then SIGTERM."""
+        """Stop the sidecar like a planned restart: list it as Terminating in discovery, then send SIGTERM."""
         assert self.process is not None
         self.deployment.update_lists(self.sidecar.tier, {**self.list_entry, "status": "Terminating"})
         self.process.terminate()
         self.exit_code = await self.process.wait()
 
     async def restart_application(self, downtime: float) -> None:
-        """End the application as a process that dies, and start it, warming up, after the downtime (s)."""
+        """Stop the application like a crash, and start it again, warming up, after `downtime` seconds."""
         self.application.stop()
         await asyncio.sleep(downtime)
         await self.application.start(warming_up=True)
@@ -168,12 +175,12 @@
 
 
 class Deployment:
-    """All processes and stand-ins of a description; made by `running_deployment`."""
+    """All processes and stand-ins of a description; `running_deployment` creates it."""
 
     def __init__(self, description: Description, folder: Path, options: DeploymentOptions) -> None:
         self.folder = folder
         self.options = options
-        # By request of an application, the request that it was made for.
+        # Maps the id of each application's request to the id of the incoming request that caused it.
         self.parent_requests: dict[str, str] = {}
         self.recorder = Recorder()
         self.registries: dict[tuple[str, str], EndpointRegistry] = {}  # by proxy and tier
@@ -191,7 +198,7 @@
         self.clients: ClientPool | None = None
 
     def _plain_endpoints(self) -> list[tuple[str, StubEndpoint]]:
-        """Return the endpoints of the tiers that have no sidecars, each with its tier."""
+        """Return the endpoints of the tiers without sidecars, as pairs of tier and endpoint."""
         tiers_with_sidecars = {host.sidecar.tier for host in self.hosts}
         endpoints = []
         for name, tier in self.description.tiers.items():
@@ -204,16 +211,16 @@
         return endpoints
 
     def service_time(self, tier: str) -> float:
-        """Return how long an application of the tier works before it sends requests to the next tiers, s."""
+        """Return how many seconds a tier's application works before it sends requests to the next tiers."""
         profile = self.options.profile
         return profile.service_time_by_tier.get(tier, profile.service_time)
 
     def key_group(self, zone: str) -> str:
-        """Name the group of endpoints that drop one another's repetitions of a key."""
+        """Return the name of the endpoint group within which repeated idempotency keys are recognized."""
         return "all" if self.groups == {"all"} else zone
 
     def on_loopback(self, description: Description) -> Description:
-        """Return the same with free ports here, at most MAX_SIDECARS, and no coordination service."""
+        """Return the description, cut to MAX_SIDECARS, on free ports, without a coordination service."""
         sidecars = tuple(
             replace(
                 sidecar,
@@ -227,15 +234,15 @@
         return replace(description, sidecars=sidecars)
 
     def update_lists(self, tier: str, item: dict[str, object]) -> None:
-        """Change one entry in all lists of a tier."""
-        for (_, of), registry in self.registries.items():
-            if of == tier:
+        """Change one entry in all endpoint lists of a tier."""
+        for (_, listed_tier), registry in self.registries.items():
+            if listed_tier == tier:
                 registry.put(item)
 
     async def start_registry(self, proxy: str, tier: str) -> str:
-        """Start the discovery stand-in of a proxy towards a tier; return its address."""
+        """Start the discovery stand-in of a proxy for the endpoint list of a tier; return its address."""
         registry = self.registries[proxy, tier] = EndpointRegistry(self.recorder, proxy=proxy)
-        tier = self.options.routes.get(tier, tier)  # a misroute: the list of another tier
+        tier = self.options.routes.get(tier, tier)  # a misroute delivers the list of another tier
         for host in self.hosts:
             if host.sidecar.tier == tier:
                 registry.put(host.list_entry)
@@ -245,7 +252,7 @@
         return await registry.start()
 
     def bypass_edge_proxy(self) -> None:
-        """Have clients go to the sidecars of the first tier, with no proxy before these."""
+        """Direct the clients to the sidecars of the first tier, without the proxy before them."""
         assert self.clients is not None
         inbound_addresses = [
             host.sidecar.inbound for host in self.hosts if host.sidecar.tier == self.entry_tier
@@ -253,7 +260,7 @@
         self.clients.proxies = [parse_address(address) for address in inbound_addresses]
 
     def edge_settings(self) -> dict[str, object]:
-        """Return the settings of the proxy before the first tier, as if it were a sidecar that calls it."""
+        """Return the settings of the proxy before the first tier: those of a sidecar that calls this tier."""
         tier = self.description.tiers[self.entry_tier]
         sidecar = Sidecar(
             "edge",
@@ -265,12 +272,13 @@
         )
         description = replace(self.description, sidecars=(sidecar,))
         configuration = platform(description, sidecar, self.entry_tier)
-        # Clients here never retry by themselves: one that waits less than another has not waited before.
+        # The harness's clients never retry by themselves: a request with less time left than another one is
+        # not a retry of it.
         settings = {**configuration["settings"], "callers": {"marks_retry": True}}
         return {"settings": settings, "forms": configuration["forms"]}
 
     async def close(self) -> None:
-        """End what still runs, by the processes that were started here."""
+        """Close the stand-ins, and kill the processes that the deployment started and that still run."""
         for host in self.hosts:
             host.close()
             if host.process is not None and host.process.returncode is None:
@@ -286,7 +294,7 @@
 async def running_deployment(
     description: Description, options: DeploymentOptions | None = None
 ) -> AsyncIterator[Deployment]:
-    """Start a deployment and yield it when it is ready."""
+    """Start a deployment and yield it after it is ready."""
     options = options or DeploymentOptions()
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment(description, Path(folder), options)
--- a/harness/endpoint_fleet.py
+++ b/harness/endpoint_fleet.py
@@ -1,8 +1,8 @@
-"""Stand-ins for a large fleet of endpoints: one listener each, on a loopback address of its own.
+"""Stub endpoints of a large fleet, with one listener each on a loopback address of its own.
 
-All are in one process. Each executes a few requests at a time and lets others wait. What is counted is what a
-proxy costs its endpoints: connections, requests and health checks. A request that waits for longer than its
-budget is still executed, as with an endpoint that does not look at it.
+All endpoints run in one process. Each executes a few requests at a time and queues the rest. The counters
+show the load that a proxy puts on its endpoints: connections, requests and health checks. A request that
+waits longer than its budget is still executed, as at an endpoint that ignores the budget.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from harness.stub_endpoint import HEALTH_CHECKS
 
 OK_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: "
-FIRST_NETWORK = 16  # 127.16.0.0 upwards: 127.0.0.1 is everybody's
+FIRST_NETWORK = 16  # addresses start at 127.16.0.0, because 127.0.0.1 is used by all other programs
 BACKLOG = 16
 
 
@@ -28,7 +28,7 @@
 
 
 class FleetCounters:
-    """What all endpoints of a fleet have seen."""
+    """Connections, requests and health checks of all endpoints of a fleet."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -39,7 +39,7 @@
 
 
 class FleetEndpoint:
-    """One endpoint: `slots` requests at a time, `service_time` s each."""
+    """One endpoint, which executes `slots` requests at a time for `service_time` seconds each."""
 
     def __init__(
         self, counters: FleetCounters, name: str, host: str, port: int, slots: int, service_time: float
@@ -57,13 +57,13 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on the endpoint's address."""
         self.server = await self.loop.create_server(
             lambda: _FleetConnection(self), self.host, self.port, reuse_address=True, backlog=BACKLOG
         )
 
     def stop(self) -> None:
-        """End as a process that dies: connections are reset, new ones refused."""
+        """Stop like a crashed process: open connections are reset and new ones refused."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -72,8 +72,8 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    def take(self, connection: _FleetConnection) -> None:
-        """Execute a request, now or once a slot is free."""
+    def execute(self, connection: _FleetConnection) -> None:
+        """Execute a request, now or after a slot becomes free."""
         if self.executing >= self.slots:
             self.waiting.append(connection)
             return
@@ -84,16 +84,16 @@
         self.executing -= 1
         connection.answer(b"done")
         if self.waiting:
-            self.take(self.waiting.popleft())
+            self.execute(self.waiting.popleft())
 
     @property
     def load_report(self) -> bytes:
-        """Its load report, with the fields that `platform_settings` names."""
+        """Return the load report, with the fields that `platform_settings` names."""
         return b"busy_reqs=%d,pending=%d" % (self.executing + len(self.waiting), len(self.waiting))
 
 
 class _FleetConnection(asyncio.Protocol):
-    """One connection of a proxy."""
+    """One connection from a proxy."""
 
     def __init__(self, endpoint: FleetEndpoint) -> None:
         self.endpoint = endpoint
@@ -130,7 +130,7 @@
         else:
             counters.requests += 1
             counters.requested_endpoints.add(self.endpoint.name)
-            self.endpoint.take(self)
+            self.endpoint.execute(self)
 
     def answer(self, body: bytes) -> None:
         if self.transport is not None:
@@ -138,7 +138,7 @@
 
 
 class EndpointFleet:
-    """Endpoints that come and go, each at an address that no other had before."""
+    """Fleet to which endpoints are added and from which they are removed; no address is ever reused."""
 
     def __init__(self, slots: int, service_time: float) -> None:
         self.slots = slots
@@ -149,7 +149,7 @@
         self._next_number = 1
 
     async def add(self) -> FleetEndpoint:
-        """Start a further endpoint."""
+        """Start one more endpoint and return it."""
         number = self._next_number
         self._next_number += 1
         host = endpoint_host(number)
@@ -161,14 +161,14 @@
         return endpoint
 
     def remove(self, name: str) -> None:
-        """End an endpoint for good."""
+        """Stop an endpoint and remove it from the fleet."""
         self.endpoints.pop(name).stop()
 
     def names(self) -> Sequence[str]:
-        """Return the names of all that run."""
+        """Return the names of all running endpoints."""
         return list(self.endpoints)
 
     def stop(self) -> None:
-        """End all."""
+        """Stop all endpoints."""
         for endpoint in self.endpoints.values():
             endpoint.stop()
--- a/harness/endpoint_registry.py
+++ b/harness/endpoint_registry.py
@@ -1,7 +1,7 @@
-"""A stand-in for the endpoint registry ("padron" in the pages): its list and watches, answered late.
+"""Stand-in for the endpoint registry ("padron" in the pages), which applies changes of its list late.
 
-Each change is put in force after a delay that is drawn from a range; whom it then notifies of what, and when,
-goes to the recorder. Loopback, port 0.
+It answers polls and watches of the list. Each change takes effect after a delay that is drawn from a range.
+The registry records which proxy was notified of which state and when. It listens on loopback, port 0.
 """
 
 from __future__ import annotations
@@ -23,15 +23,16 @@
 
 
 def entry(name: str, address: str, **more: Any) -> Entry:
-    """Return an endpoint as the list has it; `more` overrides zone, type, group, status, weight, since_ms."""
+    """Return an endpoint list entry; `more` overrides zone, type, group, status, weight and since_ms."""
     usual = {"zone": "a", "type": "m", "group": 1, "status": "Ready", "weight": 1.0, "since_ms": 0}
     return {"name": name, "address": address, **usual, **more}
 
 
 class EndpointRegistry:
-    """The registry: its entries, and the connections of those that poll it.
+    """The registry's entries, and the connections of the proxies that poll it.
 
-    `delay_range`: s by which changes are late; `proxy`: the one that polls it, where each has its own.
+    `delay_range` bounds the delay of changes in s. `proxy` names the only proxy that polls the registry, if
+    each proxy has its own registry.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self.random = Random(seed)
         self.index = 1
         self.entries: dict[str, Entry] = {}
-        self.changed_at_index: dict[str, int] = {}  # name: the index of its last change
+        self.changed_at_index: dict[str, int] = {}  # list index of each endpoint's last change, by name
         self.watchers: set[RegistryConnection] = set()
         self.connections: set[RegistryConnection] = set()
         self.server: asyncio.Server | None = None
@@ -56,7 +57,7 @@
         self.is_silent = False
 
     async def start(self) -> str:
-        """Listen; return the address."""
+        """Listen on a free port; return the address."""
         self.server, self.address = await listen(lambda: RegistryConnection(self))
         return self.address
 
@@ -69,7 +70,7 @@
                 connection.transport.abort()
 
     def put(self, item: Entry, delay_range: tuple[float, float] | None = None) -> None:
-        """Put an entry in force after the delay."""
+        """Apply a change of an entry after the delay."""
         low, high = self.delay_range if delay_range is None else delay_range
         wait = self.random.uniform(low, high)
         if wait:
@@ -85,7 +86,7 @@
             connection.respond()
 
     def encode_list(self, since: int | None) -> bytes:
-        """Return the changes since an index, or the full list without one."""
+        """Return the changes since an index, or the full list if `since` is None or unknown."""
         is_snapshot = since is None or since > self.index
         if since is None or is_snapshot:
             changed = [item for item in self.entries.values() if item["status"] != "Gone"]
@@ -95,7 +96,7 @@
 
 
 class RegistryConnection(asyncio.Protocol):
-    """One connection of a proxy that polls."""
+    """One connection from a proxy that polls."""
 
     def __init__(self, registry: EndpointRegistry) -> None:
         self.registry = registry
@@ -111,7 +112,7 @@
         self.registry.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from the registry."""
         self.transport = None
         self.registry.connections.discard(self)
         self.registry.watchers.discard(self)
@@ -121,11 +122,11 @@
         self.parser.feed_data(data)
 
     def on_url(self, url: bytes) -> None:
-        """Take the target."""
+        """Store the request target."""
         self.target = url
 
     def on_message_complete(self) -> None:
-        """Answer now, or once something changes or the hold ends."""
+        """Answer now, or after a change or the end of the hold time."""
         query = parse_qs(urlsplit(self.target.decode()).query)
         self.since_index = int(query["from"][0]) if "from" in query else None
         hold = float(query.get("hold_ms", ["0"])[0]) / 1000
@@ -136,7 +137,7 @@
         self.hold_timer = self.registry.loop.call_later(hold, self.respond)
 
     def respond(self) -> None:
-        """Send what has changed, and record whom it notifies of what."""
+        """Send the changes, and record which endpoints' states they notify the proxy of."""
         if self.registry.is_silent:
             return
         self.registry.watchers.discard(self)
--- a/harness/event_loop.py
+++ b/harness/event_loop.py
@@ -1,4 +1,4 @@
-"""What harnesses and tests share: waiting with a bound, listening, measured pauses, a loop in a thread."""
+"""Shared tools of harnesses and tests: bounded waits, listeners, stall measurement, a loop in a thread."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from collections.abc import AsyncIterator, Callable, Coroutine
 from typing import Any, TypeVar
 
-DEFAULT_TIMEOUT_S = 20.0  # what takes longer has failed
+DEFAULT_TIMEOUT_S = 20.0  # longest wait for a condition before it counts as failed
 POLL_INTERVAL_S = 0.005
-STALL_CHECK_INTERVAL_S = 0.005  # between two looks whether the loop stood still
-MIN_STALL_S = 0.005  # beyond the interval
+STALL_CHECK_INTERVAL_S = 0.005  # interval between two checks whether the event loop was stalled
+MIN_STALL_S = 0.005  # shortest delay of a check that counts as a stall
 
 T = TypeVar("T")
 
@@ -20,18 +20,18 @@
 async def until(
     condition: Callable[[], object], description: str = "", timeout: float = DEFAULT_TIMEOUT_S
 ) -> None:
-    """Wait until the condition holds; raise TimeoutError with the description where it does not."""
+    """Wait until the condition holds. Raises TimeoutError with the description after `timeout` seconds."""
     deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(description or "the condition never held")
+            raise TimeoutError(description or "the condition did not become true in time")
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def listen(
     factory: Callable[[], asyncio.Protocol], address: str = "", backlog: int = 256
 ) -> tuple[asyncio.Server, str]:
-    """Listen on loopback, at the address's port or at a free one; return the address it has now."""
+    """Listen on loopback, at the address's port or at a free one; return the server and its address."""
     port = int(address.rpartition(":")[2]) if address else 0
     server = await asyncio.get_running_loop().create_server(
         factory, "127.0.0.1", port, reuse_address=True, backlog=backlog
@@ -41,7 +41,7 @@
 
 
 class StallMonitor:
-    """Tells when the running loop stood still: what happened meanwhile is seen, and recorded, late.
+    """Monitor that reports stalls of the running event loop, because events during a stall are recorded late.
 
     Args:
         on_stall: called with the begin and the end of each stall (monotonic, s).
@@ -54,12 +54,12 @@
         self._expected_at = 0.0
 
     def start(self) -> None:
-        """Look from now on."""
+        """Start to check for stalls."""
         self._expected_at = time.monotonic() + STALL_CHECK_INTERVAL_S
         self._timer = self._loop.call_later(STALL_CHECK_INTERVAL_S, self._check)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop to check for stalls."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -72,7 +72,7 @@
 
 
 class LoopThread:
-    """An event loop in a thread of its own, for harnesses beside clients that block."""
+    """An event loop in a thread of its own, for harnesses beside blocking clients."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -86,10 +86,10 @@
     def call(self, function: Callable[[], T]) -> T:
         """Call a function on the loop's thread and wait for its result."""
 
-        async def called() -> T:
+        async def call_function() -> T:
             return function()
 
-        return self.run(called())
+        return self.run(call_function())
 
     def stop(self) -> None:
         """Stop the loop and end its thread."""
@@ -99,7 +99,7 @@
 
 
 class LongestStall:
-    """The longest stall of a loop in a block.
+    """The longest stall of an event loop within a block.
 
     Attributes:
         duration: s.
@@ -109,18 +109,19 @@
         self.duration = 0.0
 
     def on_stall(self, began_at: float, ended_at: float) -> None:
-        """Take in a stall."""
+        """Record a stall."""
         self.duration = max(self.duration, ended_at - began_at)
 
 
 @contextlib.asynccontextmanager
 async def measured_stalls() -> AsyncIterator[LongestStall]:
-    """Measure the stalls of the running loop in a block."""
+    """Measure the stalls of the running event loop within a block."""
     longest = LongestStall()
     monitor = StallMonitor(longest.on_stall)
     monitor.start()
     try:
         yield longest
     finally:
-        await asyncio.sleep(2 * STALL_CHECK_INTERVAL_S)  # a stall that has just ended is measured, too
+        # so that a stall that has just ended is measured, too
+        await asyncio.sleep(2 * STALL_CHECK_INTERVAL_S)
         monitor.stop()
--- a/harness/proxy_process.py
+++ b/harness/proxy_process.py
@@ -1,4 +1,4 @@
-"""Start the program itself as a process on loopback, with its JSON and its operator's file."""
+"""Start the proxy as a process on loopback, with its JSON configuration and its operator file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from harness.event_loop import until
 
 ROOT = Path(__file__).parent.parent
-MAX_LOG_CHARACTERS = 2000  # of a log that an error quotes
+MAX_LOG_CHARACTERS = 2000  # number of characters at the end of a log that an error quotes
 
 POLICY_LIMITS: dict[str, Any] = {
     "send_cap": 5,
@@ -34,7 +34,7 @@
 
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
-    """The platform's settings of a first tier that asks discovery and probes."""
+    """Return the platform settings of a first-tier proxy that polls discovery and sends health checks."""
     return {
         "balancers": 1,
         "me": 0,
@@ -62,13 +62,13 @@
 
 
 class PortAllocator:
-    """Ports for programs that listen on configured ports.
+    """Allocator of ports for programs that listen on configured ports.
 
-    Nobody else can take one before the program listens: they are below the kernel's ephemeral ports, and no
-    other process of this machine has the same block.
+    No other program can take an allocated port before its program listens: all ports are below the kernel's
+    ephemeral range, and each process of this machine that allocates ports has a block of its own.
     """
 
-    # ports 10,240 to 32,239
+    # The blocks cover ports 10,240 to 32,239.
     FIRST = 10_240
     BLOCK = 100
     BLOCKS = 220
@@ -83,10 +83,10 @@
                 self.block_lock.bind(f"\0granitepoint-ports-{block}")
                 self.first = self.FIRST + block * self.BLOCK
                 return
-        raise RuntimeError("all blocks of ports are in use: end some of the programs that hold them")
+        raise RuntimeError("all blocks of ports are in use by other processes; end some of these processes")
 
     def next(self) -> int:
-        """Return the next free port of the block. Raises RuntimeError where all are in use."""
+        """Return the next free port of the block. Raises RuntimeError if all its ports are in use."""
         for _ in range(self.BLOCK):
             port = self.first + self.next_offset % self.BLOCK
             self.next_offset += 1
@@ -94,7 +94,9 @@
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 probe.bind(("127.0.0.1", port))
                 return port
-        raise RuntimeError("all ports of the block are in use: end some of the programs that listen there")
+        raise RuntimeError(
+            "all ports of this process's block are in use; end some of the programs that listen on them"
+        )
 
 
 @functools.cache
@@ -104,18 +106,18 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody else on this machine is given."""
+    """Return a port that no other allocator on this machine returns."""
     return port_allocator().next()
 
 
 def process_memory_mb(pid: int, field: str) -> float:
-    """Return a field of a live process's memory in MB (proc(5), status)."""
+    """Return a memory field of a live process in MB (proc(5), status)."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.partition(f"{field}:")[2].split()[0]) / 1024
 
 
 class ProxyProcess:
-    """A running proxy."""
+    """A running proxy process with its address and its log file."""
 
     def __init__(self, process: asyncio.subprocess.Process, address: tuple[str, int], log: Path) -> None:
         self.process = process
@@ -131,7 +133,7 @@
         return process_memory_mb(self.process.pid, "VmHWM")
 
     def is_ready(self) -> bool:
-        """Tell whether its health check answers 200."""
+        """Return whether the proxy answers a health check with 200."""
         with contextlib.suppress(OSError), socket.create_connection(self.address, 0.2) as client:
             client.settimeout(0.5)
             client.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -139,14 +141,14 @@
         return False
 
     async def wait_until_ready(self, name: str) -> None:
-        """Wait until its health check answers 200. Raises RuntimeError, with its log, where it ends first."""
+        """Wait until the proxy is ready. Raises RuntimeError, with its log, if the process ends first."""
         await until(lambda: self.process.returncode is not None or self.is_ready(), f"{name} ready")
         if self.process.returncode is not None:
             log = self.log_file.read_text()[-MAX_LOG_CHARACTERS:]
             raise RuntimeError(f"{name} ended with {self.process.returncode}: {log}")
 
     async def kill(self) -> None:
-        """End it at once, if it still runs."""
+        """Kill the process if it still runs, and wait for its end."""
         if self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
@@ -160,9 +162,10 @@
     overrides: dict[str, Any] | None = None,
     **changes: Any,
 ) -> dict[str, Any]:
-    """Return the JSON of one proxy.
+    """Return the JSON configuration of one proxy.
 
-    `overrides` are added to it or replace what it has; `changes` do the same with its settings.
+    `overrides` adds or replaces members of the configuration; `changes` adds or replaces members of its
+    settings.
     """
     return {
         "name": name,
@@ -179,12 +182,13 @@
 async def start_process(
     folder: Path, raw: dict[str, Any], operator: str = "", root: Path = ROOT, runner: tuple[str, ...] = ()
 ) -> asyncio.subprocess.Process:
-    """Start a process of the program, whose log is appended to `folder`/log.
+    """Start the program as a process that appends its log to `folder`/log.
 
-    `runner`: a module and its arguments that run the program's.
+    `runner` is a module with its arguments that runs the program, such as harness.clock_skew.
     """
     (folder / "config.json").write_text(json.dumps(raw))
-    package = "service_proxy" if (root / "service_proxy").is_dir() else "granitepoint"  # its name until 0.2
+    # the package's name before 0.2 was granitepoint
+    package = "service_proxy" if (root / "service_proxy").is_dir() else "granitepoint"
     command = [sys.executable, "-m", *runner, package]
     if operator:
         (folder / "operator.toml").write_text(operator.replace("{folder}", str(folder)))
@@ -207,18 +211,18 @@
     overrides: dict[str, Any] | None = None,
     **changes: Any,
 ) -> AsyncIterator[ProxyProcess]:
-    """Start a proxy and yield it when it is `ready`, or at once; end it afterwards.
+    """Start a proxy and yield it, after it is ready if `ready` is set; kill it afterwards.
 
     Args:
-        name: Its name.
-        discovery: The address of its discovery.
-        known: The endpoint list that it starts with.
-        operator: Text of its operator's file, in which `{folder}` is replaced by its folder.
-        files: Further files of that folder.
-        root: The checkout whose program is started.
-        ready: Whether to wait for it.
-        overrides: What its JSON has beside the usual, or in its place.
-        changes: Settings in place of the usual.
+        name: Name of the proxy.
+        discovery: Address of its discovery.
+        known: Endpoint list that the proxy starts with.
+        operator: Text of the operator file, in which `{folder}` is replaced by the proxy's folder.
+        files: Additional files of that folder, by name.
+        root: Checkout whose program is started.
+        ready: Whether to wait until the proxy is ready.
+        overrides: Members that are added to the JSON configuration or replaced in it.
+        changes: Members that are added to the settings or replaced in them.
     """
     with tempfile.TemporaryDirectory() as text:
         folder = Path(text)
--- a/harness/recorder.py
+++ b/harness/recorder.py
@@ -1,9 +1,9 @@
-"""The recorder that all harnesses share, and the audit of the four rules over what it recorded.
+"""The recorder that all harnesses share, and the audit of the four rules over its records.
 
-It sees the proxy from outside alone: clients record what they sent and what came back, endpoints what
-reached them and what they executed, sources what they notified. It has no sockets and no clock: who records
-brings the time (seconds, one monotonic clock for all of a run). A run of several processes writes a file each
-and reads all of them.
+It observes the proxy from outside only: clients record the requests they sent and the answers they received,
+endpoints record the requests they received and executed, and sources record their notifications. The recorder
+has no sockets and no clock: each caller passes the time (seconds on one monotonic clock for the whole run).
+In a run of several processes, each process writes a file, and the audit reads all files.
 """
 
 from __future__ import annotations
@@ -17,17 +17,19 @@
 from pathlib import Path
 from typing import Any
 
-REJECTION_CODES = (429, 503)  # by these the proxy says that a retry is harmless
-SOCKET_SLACK_S = 0.05  # that each limit is longer on sockets: scheduling of two processes on a busy machine
+# with these codes the proxy states that a retry cannot execute the request twice
+REJECTION_CODES = (429, 503)
+# Tolerance that is added to each limit, because two processes on a busy machine are scheduled with a delay.
+SOCKET_SLACK_S = 0.05
 STILL_OPEN = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures that the rules name. Times in seconds."""
+    """Limits that the four rules use. Times are in seconds."""
 
     drain_grace: float = 2.0
-    slow_start_initial_share: float = 0.16  # of its capacity that an endpoint has at its start
+    slow_start_initial_share: float = 0.16  # share of its capacity that an endpoint has at its start
     slow_start_window: float = 24.0
     overload_multiple: float = 3.0
     overload_window: float = 3.0
@@ -36,11 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Idempotency:
-    """What may be executed again in a class, by the settings' words for it."""
+    """Idempotency of a request class, in the terms of the settings."""
 
-    kind: str  # `repeatable`, `by_key` (by one group, within the window) or `once`
+    kind: str  # `repeatable`, `by_key` (repeatable within one group and the window) or `once`
     window: float = 0.0  # s
-    all_endpoints: bool = False  # by_key: all know the key, so a rejection is harmless (WIRE, rule 2)
+    # by_key: all endpoints share the keys, so a rejected request can be repeated without harm (WIRE, rule 2)
+    all_endpoints: bool = False
 
 
 @dataclass(slots=True)
@@ -50,14 +53,14 @@
     request_id: str
     class_name: str
     sent_at: float
-    deadline: float  # when its client gives up
+    deadline: float  # time at which its client abandons it
     key: str = ""
     proxy: str = ""
 
 
 @dataclass(slots=True)
 class ReceivedAnswer:
-    """What a client got for a request."""
+    """The outcome of a request at its client."""
 
     request_id: str
     received_at: float
@@ -67,20 +70,21 @@
 
 @dataclass(slots=True)
 class RecordedAttempt:
-    """A request as an endpoint saw it."""
+    """An attempt as its endpoint observed it."""
 
     request_id: str
     endpoint: str
     group: str
     first_byte_at: float
-    ended_at: float = STILL_OPEN  # when the endpoint answered, or its connection closed
+    ended_at: float = STILL_OPEN  # time at which the endpoint answered or the connection closed
     last_byte_at: float = STILL_OPEN
     executed: bool = False
     executed_at: float = STILL_OPEN
-    rejected: bool = False  # the endpoint said that it did not execute it
+    rejected: bool = False  # the endpoint answered that it did not execute the request
     key: str = ""
     work: float = 0.0  # core seconds
-    proxy: str = ""  # that sent it; a notification binds the proxy that had it
+    # sender of the attempt; rule 3 applies to a proxy only after this proxy itself was notified
+    proxy: str = ""
 
 
 @dataclass(slots=True)
@@ -96,7 +100,7 @@
 
 @dataclass(slots=True)
 class EndpointStart:
-    """An endpoint that started cold, with its full capacity in core seconds each second."""
+    """Start of an endpoint that has to warm up; its full capacity is in core seconds per second."""
 
     endpoint: str
     started_at: float
@@ -105,7 +109,7 @@
 
 @dataclass(slots=True)
 class RecorderStall:
-    """A time in which the process that records stood still: what came meanwhile is recorded at its end."""
+    """A period in which the recording process was stalled; events within it are recorded at its end."""
 
     began_at: float
     ended_at: float
@@ -113,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken."""
+    """A violation of one of the four rules."""
 
     rule: int  # 1 to 4
     description: str
@@ -125,7 +129,7 @@
 
 @dataclass(slots=True)
 class Recorder:
-    """All that was recorded in a run."""
+    """All records of a run."""
 
     requests: list[SentRequest] = field(default_factory=list)
     answers: list[ReceivedAnswer] = field(default_factory=list)
@@ -133,7 +137,8 @@
     notifications: list[Notification] = field(default_factory=list)
     starts: list[EndpointStart] = field(default_factory=list)
     stalls: list[RecorderStall] = field(default_factory=list)
-    excused_requests: set[str] = field(default_factory=set)  # whose proxy was killed or stopped under them
+    # requests whose proxy was killed or stopped while they were open
+    excused_requests: set[str] = field(default_factory=set)
 
     def attempt(
         self,
@@ -147,7 +152,7 @@
         work: float = 0.0,
         proxy: str = "",
     ) -> RecordedAttempt:
-        """Record an attempt that begins now; the endpoint fills in the rest."""
+        """Record an attempt; the endpoint fills in the remaining fields."""
         entry = RecordedAttempt(
             request_id,
             endpoint,
@@ -162,15 +167,15 @@
         return entry
 
     def add_stall(self, began_at: float, ended_at: float) -> None:
-        """Record that this process stood still."""
+        """Record a stall of this process."""
         self.stalls.append(RecorderStall(began_at, ended_at))
 
     def stalled_time(self, since: float, until: float) -> float:
-        """Return for how long of this span the process that recorded stood still."""
+        """Return how many seconds of a period the recording process was stalled."""
         return sum(max(0.0, min(stall.ended_at, until) - max(stall.began_at, since)) for stall in self.stalls)
 
     def write(self, path: Path) -> None:
-        """Write one JSON object a line: its kind and its fields."""
+        """Write the records as one JSON object per line, with the kind of the record and its fields."""
         with path.open("w", encoding="utf-8") as sink:
             for name in ENTRY_TYPES:
                 for entry in getattr(self, name):
@@ -178,7 +183,7 @@
 
     @classmethod
     def read(cls, paths: Iterable[Path]) -> Recorder:
-        """Read what several processes wrote. Raises ValueError with file and line of what can't be read."""
+        """Read the files of several processes. Raises ValueError with file and line of a bad record."""
         recorder = cls()
         for path in paths:
             for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
@@ -187,23 +192,23 @@
                     name = fields.pop("kind")
                     getattr(recorder, name).append(ENTRY_TYPES[name](**fields))
                 except (ValueError, KeyError, TypeError, AttributeError) as error:
-                    text = f"{path}:{number}: no ledger line: {error}; record the run again"
+                    text = f"{path}:{number}: unreadable record: {error}; record the run again"
                     raise ValueError(text) from None
         return recorder
 
     def audit(self, classes: Mapping[str, Idempotency], rules: Rules | None = None) -> list[Violation]:
-        """Find what was broken, the earliest first."""
+        """Return the violations of all rules, the earliest first."""
         rules = rules or Rules()
         violations = [
             *self._check_one_answer(rules),
-            *self._check_no_effect_twice(classes, rules),
+            *self._check_no_unsafe_retry(classes, rules),
             *self._check_drains(rules),
             *self._check_slow_start(rules),
         ]
         return sorted(violations, key=lambda violation: violation.happened_at)
 
     def _check_one_answer(self, rules: Rules) -> Iterable[Violation]:
-        """Rule 1: each request has exactly one answer, in time."""
+        """Yield violations of rule 1: each request has exactly one answer, within its deadline."""
         answers_by_request = defaultdict(list)
         for answer in self.answers:
             answers_by_request[answer.request_id].append(answer)
@@ -213,7 +218,9 @@
                 continue
             yield from self._check_answers_of(request, answers, rules)
         for request_id, answers in answers_by_request.items():
-            yield Violation(1, f"an answer to call {request_id}, which nobody sent", answers[0].received_at)
+            yield Violation(
+                1, f"an answer to call {request_id}, which no client sent", answers[0].received_at
+            )
 
     @staticmethod
     def _check_answers_of(
@@ -223,8 +230,8 @@
         if any(answer.client_gave_up for answer in answers):
             early = request.deadline - rules.slack
             if not any(answer.client_gave_up and answer.received_at < early for answer in answers):
-                # Its client waited for all of its time and had nothing.
-                yield Violation(1, f"{name} had no answer in time", request.deadline)
+                # The client waited until its deadline without an answer.
+                yield Violation(1, f"{name} had no answer before its deadline", request.deadline)
             return
         if len(answers) != 1:
             yield Violation(1, f"{name} had {len(answers)} answers", request.sent_at)
@@ -233,10 +240,10 @@
             if not answer.status_code:
                 yield Violation(1, f"{name} lost its connection without an answer", answer.received_at)
             elif late_by > rules.slack:
-                yield Violation(1, f"{name} answered {late_by:.3f} s late", answer.received_at)
+                yield Violation(1, f"{name} answered {late_by:.3f} s after its deadline", answer.received_at)
 
-    def _check_no_effect_twice(self, classes: Mapping[str, Idempotency], rules: Rules) -> Iterable[Violation]:
-        """Rule 2: nothing is executed again that must not be, and never two attempts at once."""
+    def _check_no_unsafe_retry(self, classes: Mapping[str, Idempotency], rules: Rules) -> Iterable[Violation]:
+        """Yield violations of rule 2: no unsafe second execution, and no two attempts at the same time."""
         attempts_by_request = defaultdict(list)
         for attempt in self.attempts:
             attempts_by_request[attempt.request_id].append(attempt)
@@ -260,10 +267,11 @@
         self, request: SentRequest, attempts: list[RecordedAttempt], rules: Rules
     ) -> Iterable[Violation]:
         for earlier, later in pairwise(attempts):
-            # The end of a connection passes more turns of the recorder's loop than a request on another one.
+            # In the recorder's event loop, the end of a connection takes more iterations to be noticed than a
+            # request on another connection.
             stalled = self.stalled_time(later.first_byte_at, earlier.ended_at)
             if later.first_byte_at + stalled + rules.slack < earlier.ended_at:
-                text = f"call {request.request_id}: a second attempt while one is out"
+                text = f"call {request.request_id}: a second attempt while another is in flight"
                 yield Violation(2, text, later.first_byte_at)
 
     @staticmethod
@@ -276,18 +284,18 @@
         executed = any(attempt.executed for attempt in attempts)
         rejected = answer is not None and answer.status_code in REJECTION_CODES
         if answer is not None and executed and rejected and not idempotency.all_endpoints:
-            text = f"call {request.request_id} ran and was refused as harmless to repeat"
+            text = f"call {request.request_id} was executed and then rejected as safe to retry"
             yield Violation(2, text, answer.received_at)
 
     @staticmethod
     def _check_executed_once(request: SentRequest, attempts: list[RecordedAttempt]) -> Iterable[Violation]:
         executed = [attempt for attempt in attempts if attempt.executed]
         if len(executed) > 1:
-            text = f"call {request.request_id} ran {len(executed)} times"
+            text = f"call {request.request_id} was executed {len(executed)} times"
             yield Violation(2, text, executed[1].first_byte_at)
         for earlier, later in pairwise(attempts):
             if earlier.last_byte_at < STILL_OPEN and not earlier.rejected:
-                text = f"call {request.request_id} sent again though it may have run"
+                text = f"call {request.request_id} retried although an earlier attempt may have been executed"
                 yield Violation(2, text, later.first_byte_at)
                 break
 
@@ -299,17 +307,19 @@
         if not may_have_run:
             return
         first = may_have_run[0]
-        forgotten_at = first.first_byte_at + idempotency.window + rules.slack
+        key_expires_at = first.first_byte_at + idempotency.window + rules.slack
         for later in attempts[attempts.index(first) + 1 :]:
             if later.group != first.group:
-                text = f"call {request.request_id} left the group that knows its key"
+                text = (
+                    f"call {request.request_id} was retried outside the group that stores its idempotency key"
+                )
                 yield Violation(2, text, later.first_byte_at)
-            elif forgotten_at < later.last_byte_at < STILL_OPEN:
-                text = f"call {request.request_id} came again after its key was forgotten"
+            elif key_expires_at < later.last_byte_at < STILL_OPEN:
+                text = f"call {request.request_id} was retried after its idempotency key expired"
                 yield Violation(2, text, later.last_byte_at)
 
     def _check_drains(self, rules: Rules) -> Iterable[Violation]:
-        """Rule 3: nothing new after the grace to an endpoint that was announced as draining or gone."""
+        """Yield violations of rule 3: no new attempt to a draining or gone endpoint after the grace."""
         notifications = defaultdict(list)
         for entry in sorted(self.notifications, key=lambda entry: entry.notified_at):
             notifications[entry.proxy, entry.endpoint].append(entry)
@@ -323,14 +333,16 @@
                 draining_since = entry.notified_at
             late = attempt.first_byte_at - draining_since
             if late > rules.drain_grace + rules.slack:
-                text = f"{attempt.endpoint} got call {attempt.request_id} {late:.3f} s after its end was told"
+                text = (
+                    f"{attempt.endpoint} got call {attempt.request_id} {late:.3f} s after its draining began"
+                )
                 yield Violation(3, text, attempt.first_byte_at)
 
     def _check_slow_start(self, rules: Rules) -> Iterable[Violation]:
-        """Rule 4: no endpoint is overloaded while it warms up.
+        """Yield violations of rule 4: no endpoint is overloaded while it warms up.
 
-        Counted as the platform does: the work sent within any overload window stays under the overload
-        multiple of what the endpoint can do at that moment, for the length of the window.
+        The calculation is the platform's: the work that is sent within any overload window has to stay below
+        the overload multiple of the work that the endpoint's present capacity allows in a window.
         """
         attempts_by_endpoint = defaultdict(list)
         for attempt in self.attempts:
@@ -355,11 +367,13 @@
             while attempts[oldest].first_byte_at < attempt.first_byte_at - rules.overload_window:
                 work_in_window -= attempts[oldest].work
                 oldest += 1
-            warm = min(1.0, (attempt.first_byte_at - start.started_at) / rules.slow_start_window)
-            share = rules.slow_start_initial_share + (1 - rules.slow_start_initial_share) * warm
+            window_progress = min(1.0, (attempt.first_byte_at - start.started_at) / rules.slow_start_window)
+            share = rules.slow_start_initial_share + (1 - rules.slow_start_initial_share) * window_progress
             if work_in_window > rules.overload_multiple * start.capacity * share * rules.overload_window:
                 sent = f"{work_in_window:.2f} core s in {rules.overload_window:g} s"
-                yield Violation(4, f"{start.endpoint} was sent {sent}", attempt.first_byte_at)
+                yield Violation(
+                    4, f"{start.endpoint} was overloaded while warming up: {sent}", attempt.first_byte_at
+                )
                 break
 
 
--- a/harness/stub_endpoint.py
+++ b/harness/stub_endpoint.py
@@ -1,7 +1,7 @@
-"""Stand-ins for endpoints: HTTP/1.1 servers on loopback that record what reaches them and what they execute.
+"""Stub endpoints: HTTP/1.1 servers on loopback that record the requests they receive and execute.
 
-A plain one: it serves each request after its service time, or says nothing while it is `silent`. Queues,
-warming up and scripted faults are not its job.
+A stub endpoint serves each request after its service time, or answers nothing while it is `silent`. It
+simulates no queues, no slow start and no scripted faults.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 from harness.recorder import EndpointStart, RecordedAttempt, Recorder
 
 LOAD_REPORT = b"inflight=0,queue=0"
-DEFAULT_BUDGET_S = 60.0  # of a request that states none
+DEFAULT_BUDGET_S = 60.0  # time budget of a request without X-Budget
 HEALTH_CHECKS = (b"/load", b"/healthz")
 
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A request that has come completely."""
+    """A completely received request."""
 
     class_name: str
     request_id: str
     key: str
-    deadline: float  # monotonic: when who sent it stops waiting
-    budget: bytes = b""  # its Tier-Budget
+    deadline: float  # monotonic time at which the sender stops waiting
+    budget: bytes = b""  # value of its Tier-Budget header
 
 
 class StubEndpoint:
-    """One endpoint."""
+    """One stub endpoint."""
 
     def __init__(
         self,
@@ -45,15 +45,16 @@
         capacity: float = 2.0,
         handler: Callable[[IncomingRequest], Coroutine[Any, Any, bool]] | None = None,
     ) -> None:
-        """Make one that does not listen yet.
+        """Create an endpoint that does not listen yet.
 
         Args:
-            recorder: Where attempts and starts are recorded.
-            name: Its name in discovery.
-            zone: Its zone.
+            recorder: Recorder of its attempts and starts.
+            name: Name in discovery.
+            zone: Zone of the endpoint.
             service_time: Seconds that a request takes.
-            capacity: Core seconds each second.
-            handler: What else it does for a request (requests to the next tier); whether that succeeded.
+            capacity: Core seconds per second.
+            handler: Further work for a request, such as requests to the next tier; returns whether it
+                succeeded.
         """
         self.handler = handler
         self.loop = asyncio.get_running_loop()
@@ -63,17 +64,17 @@
         self.service_time = service_time
         self.capacity = capacity
         self.silent = False
-        self.paused_until = 0.0  # monotonic: takes requests meanwhile, and works on them after
+        self.paused_until = 0.0  # monotonic; requests received before this time are executed at this time
         self.connections: set[_EndpointConnection] = set()
         self.tasks: set[asyncio.Task[bool]] = set()
         self.server: asyncio.Server | None = None
         self.address = ""
         self.since_ms = 0
-        self.request_count = 0  # without health checks
-        self.last_request_by_proxy: dict[str, float] = {}  # when each proxy last began one here
+        self.request_count = 0  # excludes health checks
+        self.last_request_by_proxy: dict[str, float] = {}  # first-byte time of each proxy's last request
 
     async def start(self, warming_up: bool = False) -> str:
-        """Listen where it did before, if it did; return the address."""
+        """Listen, at the previous address if there is one; return the address."""
         self.server, self.address = await listen(lambda: _EndpointConnection(self), self.address)
         if warming_up:
             self.since_ms = int(time.time() * 1000)
@@ -81,7 +82,7 @@
         return self.address
 
     def stop(self) -> None:
-        """End as a process that dies: connections are reset, new ones refused."""
+        """Stop like a crashed process: open connections are reset and new ones refused."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -93,7 +94,7 @@
 
 
 class _EndpointConnection(asyncio.Protocol):
-    """One connection of a proxy."""
+    """One connection from a proxy."""
 
     def __init__(self, endpoint: StubEndpoint) -> None:
         self.endpoint = endpoint
@@ -176,7 +177,7 @@
             self._answer(LOAD_REPORT)
 
     def _on_pause_end(self, attempt: RecordedAttempt, incoming: IncomingRequest) -> None:
-        """Begin a request after a pause, unless its connection has ended meanwhile."""
+        """Execute a request after a pause, unless its connection has ended in the meantime."""
         if self.transport is not None:
             self._execute(attempt, incoming)
 
@@ -206,7 +207,7 @@
 
 
 def parse_budget(text: bytes) -> float:
-    """Read X-Budget, in seconds; a minute where there is none."""
+    """Return the value of X-Budget in seconds, or DEFAULT_BUDGET_S without the header."""
     if not text:
         return DEFAULT_BUDGET_S
     return float(text[:-1]) / (1e3 if text.endswith(b"m") else 1e6)
--- a/harness/tcp_relay.py
+++ b/harness/tcp_relay.py
@@ -1,9 +1,9 @@
-"""A bare relay on the proxy's kind of loop: bytes from each caller's connection to one of its own, and back.
+"""TCP relay on the same kind of event loop as the proxy, with one connection to the target for each client.
 
     python -m harness.tcp_relay --listen 127.0.0.1:0 --to 127.0.0.1:8081
 
-What it costs a call is what any proxy on this loop and machine must cost; benchmarks/per_call.py subtracts
-it.
+The relay's cost per request is the lowest possible cost of any proxy on this event loop and machine;
+benchmarks/per_call.py subtracts the relay's cost from the proxy's.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import uvloop
 
-LIFETIME_S = 600.0  # after which it ends by itself
+LIFETIME_S = 600.0  # the program ends after this time
 
 
 class _RelayedConnection(asyncio.Protocol):
@@ -56,7 +56,7 @@
 
 
 async def serve(listen: str, to: str) -> None:
-    """Relay between the two addresses until the process's lifetime is over."""
+    """Relay connections from one address to the other for the process's lifetime."""
     host, _, port = listen.rpartition(":")
     to_host, _, to_port = to.rpartition(":")
     loop = asyncio.get_running_loop()
@@ -66,7 +66,7 @@
 
 
 def main() -> None:
-    """Run the relay by the command line."""
+    """Run the relay with the command line's addresses."""
     parser = argparse.ArgumentParser(prog="python -m harness.tcp_relay")
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
     parser.add_argument("--to", required=True, metavar="HOST:PORT")
--- a/harness/tier_chain.py
+++ b/harness/tier_chain.py
@@ -3,9 +3,9 @@
     python -m harness.tier_chain [--tiers 2] [--hosts 2] [--budgets on|off] [--misroute] [--skew]
                          [--seconds 5] [--rate 20]
 
-Prints what became of the calls, and who worked on which request when nobody waited for it any more.
-`--misroute`: the last tier's applications are sent back to the first tier. `--skew`: the clocks of every
-second sidecar are an hour off, and step by another hour in the middle.
+Prints the outcomes of the requests, and the work that began after the client's deadline. With `--misroute`,
+the last tier's requests are routed back to the first tier. With `--skew`, the clocks of every second sidecar
+are an hour off, and step by another hour in the middle of the run.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 TIERS = ("portal", "nucleo", "almacen", "fondo")
 ZONES = ("sala-a", "sala-b")
-CLASSES = {  # shorter than the site's, so that a run is
+CLASSES = {  # shorter times than the site's, so that a run is short
     "stock": Class("repeatable", 0.5, 1.0, 12.0),
     "reserva": Class("by-key", 0.8, 1.5, 1.0, "zone", 3.0),
     "canje": Class("once", 1.0, 2.0, 1.0),
@@ -41,10 +41,11 @@
     "canje": Route("never-ran"),
 }
 ATTEMPTS_PER_TREE = 12
-SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # requests at a time of one application
-SERVICE_TIMES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}  # s that it works on each
+SLOTS = {"portal": 64, "nucleo": 6, "almacen": 8, "fondo": 8}  # concurrent requests of one application
+# s of an application's work per request
+SERVICE_TIMES = {"portal": 0.05, "nucleo": 0.08, "almacen": 0.004, "fondo": 0.004}
 MAX_WAITING = 64  # requests that wait for a slot
-PLACEHOLDER_ADDRESS = "127.0.0.1:1"  # which the deployment replaces
+PLACEHOLDER_ADDRESS = "127.0.0.1:1"  # the deployment replaces it
 
 
 def describe_sidecar(number: int, tier: str, calls: tuple[str, ...]) -> Sidecar:
@@ -62,15 +63,15 @@
 
 
 def describe_chain(tiers: int, hosts: int, budgets: Budgets | None, misroute: bool = False) -> Description:
-    """Describe tiers that call one another in turn.
+    """Describe tiers of which each calls the next.
 
-    Where `misroute`, the last one calls a further tier, which has no endpoints.
+    With `misroute`, the last tier calls a further tier, which has no endpoints.
     """
     names = TIERS[:tiers]
     described = {}
     sidecars = []
-    for place, name in enumerate(names):
-        calls = (TIERS[place + 1],) if place + 1 < tiers or misroute else ()
+    for index, name in enumerate(names):
+        calls = (TIERS[index + 1],) if index + 1 < tiers or misroute else ()
         described[name] = Tier(
             ZONES, tuple(CLASSES), hosts, calls, padron=PLACEHOLDER_ADDRESS, stop_after=3.0
         )
@@ -87,19 +88,19 @@
 
 @dataclass(slots=True)
 class Chain:
-    """A running chain, and its trees of requests by the recorder."""
+    """A running chain, and the trees of requests that its recorder recorded."""
 
     deployment: Deployment
-    key_file: Path  # of all its processes
+    key_file: Path  # key file of all processes of the chain
 
     def root_request(self, request_id: str) -> str:
-        """Return the outermost request that a request was made for."""
+        """Return the id of the outermost request that caused a request."""
         while request_id in self.deployment.parent_requests:
             request_id = self.deployment.parent_requests[request_id]
         return request_id
 
     def depth(self, request_id: str) -> int:
-        """Count the hops of a request from the edge: 1 in the first tier."""
+        """Return the number of hops from the edge to a request's tier; the first tier has 1."""
         hops = 1
         while request_id in self.deployment.parent_requests:
             request_id = self.deployment.parent_requests[request_id]
@@ -107,12 +108,12 @@
         return hops
 
     def attempts_by_root(self) -> Counter[str]:
-        """Count the attempts that reached an application, for each outermost request."""
+        """Return the number of attempts that reached an application, by outermost request."""
         return Counter(self.root_request(attempt.request_id) for attempt in self.deployment.recorder.attempts)
 
     def late_attempts(self, allowance: float) -> list[tuple[RecordedAttempt, float]]:
-        """Find work that began after the deadline of the outermost client, and how late (s)."""
-        deadlines = {taken.request_id: taken.deadline for taken in self.deployment.recorder.requests}
+        """Return attempts whose work began over `allowance` s after the client's deadline, with delays."""
+        deadlines = {request.request_id: request.deadline for request in self.deployment.recorder.requests}
         found = []
         for attempt in self.deployment.recorder.attempts:
             late_by = attempt.executed_at - deadlines.get(self.root_request(attempt.request_id), float("inf"))
@@ -121,12 +122,12 @@
         return found
 
     def reported_loops(self) -> int:
-        """Count the log lines of the sidecars that name the path of a loop."""
+        """Return the number of log lines of the sidecars that name the path of a loop."""
         return sum(host.log_file.read_text().count(": loop_rejected path=") for host in self.deployment.hosts)
 
 
 def write_key_file(folder: Path) -> Path:
-    """Write one key for the processes of a run."""
+    """Write a key file with one key for the processes of a run."""
     keys = folder / "keys"
     keys.touch(0o600)
     keys.write_text(f"k1 {os.urandom(16).hex()}\n")
@@ -134,7 +135,10 @@
 
 
 def skew_arguments(sidecars: tuple[Sidecar, ...]) -> dict[str, list[str]]:
-    """Skew every second sidecar's clock by an hour, to the future or the past, with a step in the middle."""
+    """Return arguments that skew every second sidecar's clocks by an hour, with a step after 2 s.
+
+    The wall clocks are ahead or behind in turn.
+    """
     skews = {}
     for number, sidecar in enumerate(sidecars):
         if number % 2 == 0:
@@ -159,7 +163,7 @@
     profile: ApplicationProfile | None = None,
     tiers_without_budgets: frozenset[str] = frozenset(),
 ) -> AsyncIterator[Chain]:
-    """Start a chain and yield it; `tiers_without_budgets` know of no deadline propagation."""
+    """Start a chain and yield it; `tiers_without_budgets` run without deadline propagation."""
     with tempfile.TemporaryDirectory() as folder:
         keys = write_key_file(Path(folder))
         profile = profile or ApplicationProfile(
@@ -183,7 +187,7 @@
 
 
 async def run_and_print(options: argparse.Namespace) -> int:
-    """Run a chain and print what came of its requests; return the exit code."""
+    """Run a chain and print the outcomes of its requests; return the exit code."""
     on = options.budgets == "on"
     async with running_chain(options.tiers, options.hosts, on, options.misroute, options.skew) as chain:
         clients = chain.deployment.clients
@@ -200,17 +204,17 @@
         )
         print(f"calls {codes.total()}: served {codes[200]}, refused {codes[503]}")
         print(
-            f"work begun for nobody: {len(late)}, the latest {max((by for _, by in late), default=0.0):.3f} s"
+            f"started late: {len(late)}, by up to {max((late_by for _, late_by in late), default=0.0):.3f} s"
         )
-        print(f"attempts of a request: {max_attempts} at the most; hops {max_depth}")
-        print(f"loops told: {chain.reported_loops()}; rules broken: {len(violations)}")
+        print(f"attempts of a request: {max_attempts} at most; hops {max_depth}")
+        print(f"loops reported: {chain.reported_loops()}; rules broken: {len(violations)}")
         for violation in violations[:3]:
             print(violation)
     return 1 if violations else 0
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a chain by the command line."""
+    """Run a chain with the command line's options; return the exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.tier_chain",
         description=__doc__,
--- a/harness/trial.py
+++ b/harness/trial.py
@@ -1,9 +1,10 @@
-"""A described installation, tried here: its sidecars for real, embedded stand-ins for all else, real calls.
+"""Run a described deployment here: real sidecars, real requests, embedded stand-ins for everything else.
 
     python -m harness.trial FILE [--environment NAME] [--seconds 10] [--rate 40]
 
-`python -m service_proxy.sidecar try FILE` is the same, after a check of the file. A live table on a terminal,
-else a line a second. Exit code 0 where all calls were served and no rule was broken.
+`python -m service_proxy.sidecar try FILE` does the same after a check of the file. A terminal shows a live
+table; any other output gets one line a second. The exit code is 0 if all calls were served and no rule was
+broken.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from service_proxy.sidecar.description import load
 from service_proxy.sidecar.model import Description
 
-REFRESH_INTERVAL_S = 0.5  # s between two looks at a terminal
-LINE_INTERVAL_S = 1.0  # s between two lines elsewhere
+REFRESH_INTERVAL_S = 0.5  # interval between two updates of the table on a terminal
+LINE_INTERVAL_S = 1.0  # interval between two progress lines if the output is not a terminal
 MAX_ROWS = 24
-# ECMA-48: cursor to the top left, erase to the end
+# ECMA-48 control sequences: move the cursor to the top left; erase from the cursor to the end of the screen
 CURSOR_HOME = "\x1b[H"
 ERASE_TO_END = "\x1b[J"
 
 
 def table_rows(deployment: Deployment, elapsed: float, seconds: float) -> list[str]:
-    """Format the table: each endpoint with what it did."""
+    """Return the lines of the progress table: totals, then each endpoint with its requests."""
     assert deployment.clients is not None
     assert deployment.edge_proxy is not None
     codes = deployment.clients.status_codes
@@ -39,7 +40,7 @@
     in_flight = len(deployment.clients.open_requests)
     lines = [
         f"{application}: {elapsed:.0f} of {seconds:.0f} s; calls to http://{host}:{port}",
-        f"served {codes[200]}  refused {codes[503]}  failed {failed}  under way {in_flight}",
+        f"served {codes[200]}  refused {codes[503]}  failed {failed}  in flight {in_flight}",
         f"{'server':<24}{'zone':<10}{'inbound':<18}{'calls':>7}{'a second':>10}",
     ]
     endpoints = [(h.name, h.sidecar.zone, h.sidecar.inbound, h.application) for h in deployment.hosts]
@@ -53,7 +54,7 @@
 
 
 async def print_progress(deployment: Deployment, seconds: float, live: bool) -> None:
-    """Print the table, or a line each second, until cancelled."""
+    """Print the table (`live`) or one line a second until the task is cancelled."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     while True:
@@ -71,7 +72,7 @@
 
 
 async def run_trial(description: Description, seconds: float, rate: float, live: bool) -> int:
-    """Run a deployment and its clients; return the exit code."""
+    """Run a deployment and its clients for `seconds`; return the exit code."""
     print(f"starting {len(description.sidecars)} sidecars and their stand-ins ...", flush=True)
     async with running_deployment(description) as deployment:
         assert deployment.clients is not None
@@ -98,7 +99,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Try a description by the command line; return the exit code."""
+    """Try the description that the command line names; return the exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.trial",
         description=__doc__,
@@ -115,7 +116,10 @@
         print(fault, file=sys.stderr)
         return 2
     if description is None or not description.tiers:
-        print(f"{options.file}: see `check`, or add a tier", file=sys.stderr)
+        print(
+            f"{options.file}: no deployment to run: see the findings of `check`, or add a tier",
+            file=sys.stderr,
+        )
         return 1
     work = run_trial(description, options.seconds, options.rate, sys.stdout.isatty())
     return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(work)
--- a/harness/websocket_clients.py
+++ b/harness/websocket_clients.py
@@ -1,7 +1,7 @@
-"""WebSocket clients: many sessions from one process, each message and each outcome recorded.
+"""WebSocket clients: many sessions from one process, with a record of each message and each outcome.
 
-A client of message mode sends messages and reads outcomes. When its connection ends, it resumes its session
-after the delay of the close frame. A client of a tunnel sends texts and reads what the endpoint echoes.
+A client in message mode sends messages and reads outcomes. After its connection ends, it waits for the delay
+in the close frame and resumes its session. A client of a tunnel sends texts and reads the endpoint's echoes.
 """
 
 from __future__ import annotations
@@ -26,9 +26,10 @@
 
 RECONNECT_WAIT = re.compile(r"reconnect in ([0-9.]+) s")
 STATUS_BY_OUTCOME = {"served": 200, "refused": 503, "failed": 502}
-GIVE_UP_MARGIN_S = 0.25  # after a message's budget; one without an outcome counts as given up then
-MESSAGE_ROUTE = "/pantalla"  # the route of message mode; any other is a tunnel
-MAX_DEFAULT_WAIT_S = 1.0  # before it reconnects where no close frame had a delay
+# time after a message's budget until a message without an outcome counts as timed out
+GIVE_UP_MARGIN_S = 0.25
+MESSAGE_ROUTE = "/pantalla"  # route of message mode; every other route is a tunnel
+MAX_DEFAULT_WAIT_S = 1.0  # longest wait before a reconnect if no close frame stated a delay
 
 
 class WebSocketClientPool:
@@ -40,10 +41,9 @@
         self.random = Random(seed)
         self.loop = asyncio.get_running_loop()
         self.clients: list[WebSocketClient] = []
-        self.close_codes: Counter[int] = (
-            Counter()
-        )  # received; 1006: the connection ended without a close frame
-        self.connect_times: list[float] = []  # start of each connection attempt
+        # Received close codes; 1006 means that the connection ended without a close frame.
+        self.close_codes: Counter[int] = Counter()
+        self.connect_times: list[float] = []  # start time of each connection attempt
         self.rejected_handshakes: Counter[int] = Counter()  # by status code; 0: no connection
         self.outcomes: Counter[str] = Counter()
         self.echo_count = 0
@@ -56,12 +56,12 @@
 
     @property
     def connected_count(self) -> int:
-        """Count the clients with a session."""
+        """Return the number of clients with a session."""
         return sum(client.is_connected for client in self.clients)
 
     @property
     def open_message_count(self) -> int:
-        """Count the messages without an outcome."""
+        """Return the number of messages without an outcome."""
         return sum(len(client.open_messages) for client in self.clients)
 
     def close(self) -> None:
@@ -71,7 +71,7 @@
 
 
 class WebSocketClient(asyncio.Protocol):
-    """One client: its session, over as many connections as it takes."""
+    """One client, which keeps its session over several connections."""
 
     def __init__(self, pool: WebSocketClientPool, name: str, path: str, reconnects: bool) -> None:
         self.pool = pool
@@ -89,13 +89,13 @@
         self.is_connected = False
         self.is_closed = False
         self.parts: list[str] = []
-        self.texts: list[str] = []  # received through a tunnel
+        self.texts: list[str] = []  # texts received through a tunnel
         self.served_count = 0  # outcomes of served messages
-        self.received = asyncio.Event()  # set when a message is received
-        self.reconnect_wait: float | None = None  # delay of the last close frame, s
+        self.received = asyncio.Event()  # set after each received message
+        self.reconnect_wait: float | None = None  # delay in the last close frame, s
         self.close_code = 1006
 
-    # connections
+    # Connections
     async def connect(self) -> None:
         """Open a connection to one of the proxies."""
         pool = self.pool
@@ -123,7 +123,7 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count the close, and reconnect after the delay."""
+        """Count the close, and schedule a reconnect."""
         if self.is_connected:
             self.pool.close_codes[self.close_code] += 1
         self.transport = None
@@ -157,7 +157,7 @@
             self._on_frame(self.frames, frame)
 
     def _read_handshake(self, data: bytes) -> bytes | None:
-        """Return the bytes behind a 101; None where there was no 101 yet."""
+        """Return the bytes after a complete 101 response; None if there is no complete 101 response yet."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
@@ -202,7 +202,7 @@
         if self.transport is not None:
             self.transport.write(data)
 
-    # messages
+    # Messages
     def _on_text(self, text: str) -> None:
         self.received.set()
         if not text.startswith("{"):
@@ -219,9 +219,9 @@
             self._on_outcome(message)
 
     def _on_session(self, message: dict[str, Any]) -> None:
-        """Note the session of this connection; messages of one that ended get no outcome any more."""
+        """Store the session of this connection; if it is a new session, fail all open messages."""
         self.session = message["session"]
-        self.is_connected = True  # from here on, what it sends belongs to this session
+        self.is_connected = True  # messages that are sent from now on belong to this session
         if not message["resumed"]:
             for id in list(self.open_messages):
                 self._finish(id, HTTPStatus.BAD_GATEWAY)
@@ -234,7 +234,7 @@
         self.served_count += result == "served"
         if id in self.open_messages:
             self._finish(id, STATUS_BY_OUTCOME[result])
-        else:  # the audit finds it as an answer too many
+        else:  # the audit reports it as a superfluous answer
             answer = ReceivedAnswer(id, time.monotonic(), STATUS_BY_OUTCOME[result])
             self.pool.recorder.answers.append(answer)
 
@@ -243,7 +243,7 @@
         self.pool.recorder.answers.append(ReceivedAnswer(id, time.monotonic(), code))
 
     def send(self, cls: ClientClass = DEFAULT_CLASSES[0], key: str = "", budget: float = 0.0) -> str:
-        """Send one message that is a request; return its id, or "" where there is no connection."""
+        """Send one message that is a request; return its id, or "" without a connection."""
         if not self.is_connected or self.frames is None:
             return ""
         self.message_count += 1
@@ -255,12 +255,12 @@
             fields["key"] = key or id
         deadline = now + budget
         self.pool.recorder.requests.append(SentRequest(id, cls.name, now, deadline, key or id, "kiosks"))
-        timer = self.pool.loop.call_later(budget + GIVE_UP_MARGIN_S, self._give_up, id, deadline)
+        timer = self.pool.loop.call_later(budget + GIVE_UP_MARGIN_S, self._on_timeout, id, deadline)
         self.open_messages[id] = timer
         self.send_text(json.dumps(fields))
         return id
 
-    def _give_up(self, id: str, deadline: float) -> None:
+    def _on_timeout(self, id: str, deadline: float) -> None:
         self.open_messages.pop(id)
         self.pool.recorder.answers.append(ReceivedAnswer(id, deadline, 0, client_gave_up=True))
 
@@ -275,7 +275,7 @@
             self.transport.abort()
 
     def close(self) -> None:
-        """End the session by a close frame, for good."""
+        """End the session with a close frame; the client does not reconnect."""
         self.is_closed = True
         if self.is_connected and self.frames is not None:
             self._write(bytes(self.frames.close(1000)))
--- a/harness/websocket_endpoint.py
+++ b/harness/websocket_endpoint.py
@@ -1,10 +1,11 @@
-"""A test endpoint that speaks WebSocket and serves requests, with scripted faults.
+"""Test endpoint that speaks WebSocket and serves requests, with scripted faults.
 
     python -m harness.websocket_endpoint --listen 127.0.0.1:0 [--script FILE]
 
-It echoes each message with its own name in front. The script is JSON, `{"faults": [{"session": 3, "after": 2,
-"what": "silent"}]}`: what it does in its nth session (0: in each) after so many messages. `what` is one of
-FAULT_KINDS. Each opening handshake and each request is recorded as an attempt.
+It echoes each message with its own name as a prefix. The script is JSON, `{"faults": [{"session": 3, "after":
+2, "what": "silent"}]}`: `session` is the number of the session (0: each session), `after` the number of
+messages before the fault, and `what` one of FAULT_KINDS. Each opening handshake and each request is recorded
+as an attempt.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 FAULT_KINDS = (
     "silent",  # reads and sends nothing more; the connection stays open
-    "mute",  # reads, answers nothing, not even pings
+    "mute",  # reads, but answers neither messages nor pings
     "slow",  # reads nothing for SLOW_S, so that the sender's buffers fill
     "reset",
     "close",
@@ -44,7 +45,7 @@
     "long",
     "unasked",
     "close-1",
-    # In the handshake; `after` has no effect:
+    # Faults of the handshake, for which `after` has no effect:
     "decline",
     "reject",
     "wrong-key",
@@ -57,7 +58,7 @@
 HANDSHAKE_FAULT_KINDS = frozenset(
     ("decline", "reject", "wrong-key", "no-answer", "plain", "extension", "behind", "late")
 )
-SLOW_S = 0.5  # without reading, or before a late response
+SLOW_S = 0.5  # time without reading, or delay of a late handshake response
 SCRIPTED_CLOSE_CODE = 4321
 DECLINING_RESPONSES = {
     "decline": b"HTTP/1.1 403 Forbidden\r\nContent-Length: 2\r\n\r\nno",
@@ -65,27 +66,27 @@
     "plain": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno",
 }
 INVALID_FRAMES = {
-    "close-1": b"\x88\x01x",  # a close frame of one byte
+    "close-1": b"\x88\x01x",  # a close frame with a payload of one byte
     "masked": b"\x81\x81abcdx",
     "reserved": b"\xc1\x01x",
     "opcode": b"\x83\x01x",
     "utf8": b"\x81\x02\xc3\x28",
-    "long": b"\x82\x7f" + struct.pack("!Q", 1 << 40),  # a length of 1 TiB
+    "long": b"\x82\x7f" + struct.pack("!Q", 1 << 40),  # a length field of 1 TiB
     "unasked": b"\x80\x01x",  # a continuation frame without a message
 }
 
 
 @dataclass(frozen=True, slots=True)
 class ScriptedFault:
-    """What the endpoint does in its nth session, after so many messages."""
+    """A fault that the endpoint injects into a session after some messages."""
 
     kind: str
-    session: int = 0  # 0: each
-    after: int = 0  # messages
+    session: int = 0  # number of the session; 0: each session
+    after: int = 0  # number of messages before the fault
 
 
 def line_of(text: str, number: int) -> int:
-    """Return the line of the nth entry of the list, each of which begins with a brace."""
+    """Return the line of the list's entry with this number (from 0); each entry begins with a brace."""
     position = text.find("[")
     for _ in range(number + 1):
         position = max(position, text.find("{", position + 1))
@@ -93,7 +94,7 @@
 
 
 def read_script(text: str, file: str = "script") -> list[ScriptedFault]:
-    """Read a script of faults. Raises ValueError with file and line."""
+    """Read a script of faults. Raises ValueError with file and line if the script is invalid."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -103,13 +104,13 @@
     if not isinstance(entries, list):
         raise ValueError(f'{file}:1: write {{"faults": [...]}}')  # noqa: TRY004 - a fault of the file
     for number, entry in enumerate(entries):
-        place = f"{file}:{line_of(text, number)}: fault {number + 1}"
+        location = f"{file}:{line_of(text, number)}: fault {number + 1}"
         try:
             fault = ScriptedFault(**{"kind" if key == "what" else key: value for key, value in entry.items()})
         except TypeError as error:
-            raise ValueError(f"{place}: {error}") from None
+            raise ValueError(f"{location}: {error}") from None
         if fault.kind not in FAULT_KINDS:
-            raise ValueError(f"{place}: what must be one of {', '.join(FAULT_KINDS)}")
+            raise ValueError(f"{location}: what must be one of {', '.join(FAULT_KINDS)}")
         faults.append(fault)
     return faults
 
@@ -137,16 +138,16 @@
         self.session_count = 0
         self.answers_closes = True
         self.open_sessions: set[_EndpointConnection] = set()
-        self.close_codes: Counter[int] = Counter()  # received; 1006: no close frame
+        self.close_codes: Counter[int] = Counter()  # received close codes; 1006: no close frame
         self.messages: list[str | bytes] = []
 
     async def start(self) -> str:
-        """Listen, on the same address as before if it was started before; return the address."""
+        """Listen, on the previous address if there is one; return the address."""
         self.server, self.address = await listen(lambda: _EndpointConnection(self), self.address, 1024)
         return self.address
 
     def stop(self) -> None:
-        """Abort all connections, as a process that is killed."""
+        """Abort all connections, like a killed process."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -200,7 +201,7 @@
             self._receive_frames(surplus)
 
     def _next_request(self) -> tuple[bytes, dict[bytes, bytes]] | None:
-        """Take the next complete request from the buffer: its request line and headers."""
+        """Remove the next complete request from the buffer; return its request line and headers, or None."""
         head, separator, rest = bytes(self.buffered).partition(b"\r\n\r\n")
         if not separator:
             return None
@@ -243,7 +244,7 @@
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def _scripted_fault(self, is_handshake: bool) -> str:
-        """Return the kind of the fault that is due in this session, "" if none is."""
+        """Return the kind of the scripted fault that is due in this session, or ""."""
         for fault in self.endpoint.faults:
             if fault.session not in (0, self.number):
                 continue
@@ -336,7 +337,7 @@
             self.transport.write(bytes(self.frames.send_data(echo)))
 
     def _inject(self, fault: str) -> None:
-        """Inject a fault of FAULT_KINDS; "" is none."""
+        """Inject a fault of FAULT_KINDS; "" injects none."""
         if fault == "silent":
             self.is_silent = True
         elif fault == "mute":
@@ -358,7 +359,7 @@
 
 
 async def serve(listen: str, faults: list[ScriptedFault], seconds: float) -> None:
-    """Run one endpoint for so long, then print what it received."""
+    """Run one endpoint for `seconds`, then print the counts of sessions, messages and close codes."""
     endpoint = WebSocketEndpoint(Recorder(), "wsnode", tuple(faults))
     endpoint.address = listen
     print(f"listening {await endpoint.start()}", flush=True)
@@ -369,7 +370,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one endpoint by the command line; return the exit code."""
+    """Run one endpoint with the command line's options; return the exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m harness.websocket_endpoint",
         description=__doc__,
@@ -377,7 +378,7 @@
     )
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--script", type=Path)
-    parser.add_argument("--seconds", type=float, default=60.0, help="then it ends")
+    parser.add_argument("--seconds", type=float, default=60.0, help="time until the program ends")
     options = parser.parse_args(argv)
     faults: list[ScriptedFault] = []
     if options.script is not None:
--- a/harness/websocket_frames.py
+++ b/harness/websocket_frames.py
@@ -1,4 +1,4 @@
-"""WebSocket frames as a client sends them, also those that it must not, and seeded sequences of them."""
+"""Builder of client WebSocket frames, valid and invalid, and of seeded random sequences of frames."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def frame(
     opcode: int, data: bytes = b"", fin: bool = True, rsv: int = 0, mask: bool = True, length: bytes = b""
 ) -> bytes:
-    """Build one frame; `length`: the bytes of its length field, in place of the correct ones."""
+    """Return one frame; `length` replaces the bytes of its length field."""
     if not length:
         size = len(data)
         length = bytes([size]) if size < 126 else b"\x7e" + struct.pack("!H", size)
@@ -25,7 +25,7 @@
 
 
 def random_frames(random: Random) -> bytes:
-    """Draw up to five frames, most of them valid."""
+    """Return one to five random frames, most of them valid."""
     return b"".join(
         frame(
             random.choice((1, 2, 2, 9, 10)) if random.random() < 0.9 else random.randrange(16),
--- a/harness/work_counter.py
+++ b/harness/work_counter.py
@@ -1,4 +1,4 @@
-"""How much work something is, without a clock: the byte codes of Python that it runs."""
+"""Measure of work without a clock: the number of Python byte codes that an action executes."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def count_opcodes(action: Callable[[], object]) -> int:
-    """Run something and return how many byte codes it took, in all that it called.
+    """Run an action and return the number of byte codes that it and its callees execute.
 
-    What C code loops over alone (`sorted`, `list`) counts as one.
+    A loop within C code (`sorted`, `list`) counts as one byte code.
     """
     count = 0
 
--- a/harness/znode_tree.py
+++ b/harness/znode_tree.py
@@ -1,4 +1,4 @@
-"""The znodes of the stand-in for a coordination service, and the one order of their changes (zxid)."""
+"""Tree of znodes of the stand-in for a coordination service; zxids order all changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from service_proxy.ephemeral_nodes.errors import ServiceError
 from service_proxy.ephemeral_nodes.records import ANY_VERSION, Stat
 
-EPOCH_BITS = 32  # a zxid has the leader's epoch above so many bits of a counter
+EPOCH_BITS = 32  # number of the counter's bits in a zxid; the leader's epoch is above these bits
 SEQUENTIAL_MODES = (CreateMode.PERSISTENT_SEQUENTIAL, CreateMode.EPHEMERAL_SEQUENTIAL)
 EPHEMERAL_MODES = (CreateMode.EPHEMERAL, CreateMode.EPHEMERAL_SEQUENTIAL)
 CREATE_MODES = tuple(CreateMode)
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Znode:
-    """One znode; the fields are those of its Stat."""
+    """One znode; its fields are those of its Stat."""
 
     data: bytes
     acl: list[records.Acl]
@@ -35,7 +35,7 @@
     sequence: int = 0
 
     def stat(self) -> Stat:
-        """Return its Stat."""
+        """Return the znode's Stat."""
         return Stat(
             self.czxid,
             self.mzxid,
@@ -66,7 +66,7 @@
 
 
 class ZnodeTree:
-    """All znodes. `fire` is called with the event and the path of each change."""
+    """Tree of all znodes. It calls `fire` with the event and the path of each change."""
 
     def __init__(self) -> None:
         self.zxid = 1 << EPOCH_BITS
@@ -75,19 +75,19 @@
         self.reset()
 
     def reset(self) -> None:
-        """Drop all znodes but the root."""
+        """Remove all znodes except the root."""
         now = _now_ms()
         self.nodes = {"/": Znode(b"", list(records.OPEN_ACL), 0, 0, 0, now, now)}
 
     def begin_epoch(self) -> None:
-        """Count zxids in a new leader's epoch."""
+        """Continue with zxids of a new leader's epoch."""
         self.zxid = ((self.zxid >> EPOCH_BITS) + 1) << EPOCH_BITS
 
     def node(self, path: str) -> Znode:
         """Return a znode.
 
         Raises:
-            ServiceError: NO_NODE.
+            ServiceError: the znode does not exist (NO_NODE).
         """
         found = self.nodes.get(path)
         if found is None:
@@ -98,7 +98,7 @@
         """Create a znode for the session `owner`; return its path, with its number if it is sequential.
 
         Raises:
-            ServiceError: as the service would.
+            ServiceError: the service would reject the request, with the same code.
         """
         if flags in SEQUENTIAL_MODES:
             path = f"{path}{self.node(parent_of(path)).sequence:010d}"
@@ -124,10 +124,10 @@
         return path
 
     def delete(self, path: str, version: int) -> Znode:
-        """Delete a znode, if its data version is this one; return it.
+        """Delete a znode if its data version matches `version`; return the deleted znode.
 
         Raises:
-            ServiceError: as the service would.
+            ServiceError: the service would reject the request, with the same code.
         """
         node = self.node(path)
         if version not in (ANY_VERSION, node.version):
@@ -145,10 +145,10 @@
         return node
 
     def set_data(self, path: str, data: bytes, version: int) -> Stat:
-        """Replace a znode's data, if its data version is this one.
+        """Replace a znode's data if its data version matches `version`; return the new Stat.
 
         Raises:
-            ServiceError: as the service would.
+            ServiceError: the service would reject the request, with the same code.
         """
         node = self.node(path)
         if version not in (ANY_VERSION, node.version):
--- a/tests/harness/test_coordination.py
+++ b/tests/harness/test_coordination.py
@@ -204,7 +204,7 @@
 def test_a_bad_script_is_told_with_its_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     script = tmp_path / "script"
     script.write_text('{"at": 1, "do": "empty"}\n{"do": "empty"}\n')
-    with pytest.raises(ValueError, match="script:2: no step"):
+    with pytest.raises(ValueError, match="script:2: not a step"):
         read_script(script)
     assert main(["--script", str(script), "--seconds", "0.1"]) == 2
     assert "script:2" in capsys.readouterr().err
--- a/tests/harness/test_recorder.py
+++ b/tests/harness/test_recorder.py
@@ -230,5 +230,5 @@
     clean().write(tmp_path / "one")
     text = (tmp_path / "one").read_text()
     (tmp_path / "one").write_text(text[:-9])
-    with pytest.raises(ValueError, match="one:4: no ledger line"):
+    with pytest.raises(ValueError, match="one:4: unreadable record"):
         Recorder.read([tmp_path / "one"])
