--- a/harness/fleet/__init__.py
+++ b/harness/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Whole fleets: many members with faults between them, as real processes or as pure cores in virtual time."""
+"""Fleets of many members with faults between them, as real processes or as protocol cores in virtual time."""
--- a/harness/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -1,13 +1,13 @@
-"""Plays a script of faults and judges the views.
+"""Play a script of faults and check the members' views at its end.
 
     python -m harness.fleet play SCRIPT [--real] [--seed N] [--transcript FILE] [--replay FILE]
     python -m harness.fleet schema
 
-Without --real: the pure protocol, in virtual time. --transcript writes one line for each datagram's delivery,
-[s, from, to, number on that link, bytes, [[delay s, bit turned or -1], ...]]; --replay decides by such a
-file.
-Exit code 0 where all views of the living were equal and right at the end, and nobody dead came back; else 1;
-2: a file can't be used.
+Without --real, the protocol runs without processes, in virtual time. --transcript writes one line for each
+delivery of a datagram: [s, sender, receiver, its number on this link, bytes, [[delay s, flipped bit or -1],
+...]]. --replay uses the deliveries of such a file. Exit code 0: at the end, all views of the living members
+were equal and right, and no dead incarnation was alive again in a view. Exit code 1: otherwise. Exit code 2:
+a file can't be used.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 from service_proxy.operator_file.reader import OperatorError, read_text
 from service_proxy.sidecar.explain import table_schema
 
-SETTLING = 30.0  # periods that are waited for after the last fault
-PERIOD = 0.5  # s, on real processes
+SETTLING_PERIODS = 30.0  # longest wait, in periods, for equal views after the last fault
+PERIOD_S = 0.5  # s, on real processes
 
 
 def schema() -> dict[str, object]:
@@ -45,7 +45,7 @@
     }
 
 
-def virtual(script: FaultScript, network: Network) -> int:
+def play_virtual(script: FaultScript, network: Network) -> int:
     """Play a script in virtual time; return the exit code."""
     fleet = VirtualFleet(script.header.members, ProtocolTiming(period=1.0), script.header.seed, network)
     for number in range(script.header.members):
@@ -57,46 +57,48 @@
     player.start()
     while not player.is_finished and fleet.now < 8.0 + script.header.seconds:
         fleet.run(fleet.now + 0.25)
-    last = fleet.now
-    while not fleet.is_converged() and fleet.now < last + SETTLING:
+    ended_at = fleet.now
+    while not fleet.is_converged() and fleet.now < ended_at + SETTLING_PERIODS:
         fleet.run(fleet.now + 0.25)
     print(
         f"{fleet.datagrams} datagrams, {fleet.network.lost} lost; "
-        f"settled {fleet.now - last:.2f} periods after the end"
+        f"settled {fleet.now - ended_at:.2f} periods after the end"
     )
     print(
-        "equal and right" if fleet.is_converged() else "NOT equal",
+        "views equal and right" if fleet.is_converged() else "views NOT equal",
         *(f"; {line}" for line in target.resurrections),
     )
     return 0 if fleet.is_converged() and not target.resurrections else 1
 
 
-async def real(script: FaultScript, network: Network) -> int:
+async def play_real(script: FaultScript, network: Network) -> int:
     """Play a script on real processes; return the exit code."""
-    top = script.header
-    async with running_fleet(FleetOptions(members=top.members, seed=top.seed, period=PERIOD)) as harness:
+    header = script.header
+    async with running_fleet(
+        FleetOptions(members=header.members, seed=header.seed, period=PERIOD_S)
+    ) as harness:
         harness.network.recorded_plans = network.recorded_plans
         harness.network.transcript = network.transcript
-        await harness.observer.wait_until_settled(SETTLING, True)
+        await harness.observer.wait_until_settled(SETTLING_PERIODS, True)
         player = FaultPlayer(script, harness, lambda line: print(line, flush=True))
         harness.observer.on_event = player.on_event
         player.start()
-        await until(lambda: player.is_finished, "the script's end", top.seconds)
+        await until(lambda: player.is_finished, "the script's end", header.seconds)
         try:
-            settling = await harness.observer.wait_until_settled(SETTLING * PERIOD)
+            settling = await harness.observer.wait_until_settled(SETTLING_PERIODS * PERIOD_S)
         except TimeoutError:
-            print("NOT equal")
+            print("views NOT equal")
             return 1
         await harness.finish_requests()
         harness.observer.read_logs()
-        revived = harness.observer.resurrections()
-        broken = harness.audit()
+        resurrections = harness.observer.resurrections()
+        violations = harness.audit()
         deaths = len(harness.observer.deaths())
-        print(f"settled {settling / PERIOD:.2f} periods after the end; deaths told: {deaths}")
-        print(f"dead that came back: {len(revived)}; rules broken: {len(broken)}")
-        for violation in broken[:3]:
+        print(f"settled {settling / PERIOD_S:.2f} periods after the end; deaths logged: {deaths}")
+        print(f"dead incarnations live again: {len(resurrections)}; rules broken: {len(violations)}")
+        for violation in violations[:3]:
             print(violation)
-        return 1 if revived or broken else 0
+        return 1 if resurrections or violations else 0
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -110,7 +112,7 @@
     play = commands.add_parser("play", help="play a script")
     play.add_argument("script", metavar="SCRIPT")
     play.add_argument("--real", action="store_true", help="on real processes")
-    play.add_argument("--seed", type=int, help="in place of the script's")
+    play.add_argument("--seed", type=int, help="seed in place of the script's")
     play.add_argument("--transcript", type=Path, metavar="FILE")
     play.add_argument("--replay", type=Path, metavar="FILE")
     commands.add_parser("schema", help="JSON Schema of a script")
@@ -134,8 +136,8 @@
         return 2
     try:
         if options.real:
-            return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(real(script, network))
-        return virtual(script, network)
+            return asyncio.Runner(loop_factory=uvloop.new_event_loop).run(play_real(script, network))
+        return play_virtual(script, network)
     finally:
         if network.transcript is not None:
             network.transcript.close()
--- a/harness/fleet/fault_relay.py
+++ b/harness/fleet/fault_relay.py
@@ -1,8 +1,9 @@
-"""The fault relay between real processes: every datagram and every TCP connection between them goes through.
+"""Fault relay through which all datagrams and TCP connections between real processes pass.
 
-Each member has an address of its own on which it listens (127.77.x.y), and another by which the others know
-it (127.78.x.y): there the relay takes what they send, decides on it by `network.Network`, and hands it on
-from the sender's known address, as a platform's network would. No root, no kernel rules.
+Each member listens on one address (127.77.x.y), and the other members send to another address of this member
+(127.78.x.y). The relay receives the datagrams there, and `network.Network` decides on each. The relay then
+forwards the datagram from the sender's 127.78 address, as a platform's network would. The relay needs neither
+root nor rules of the kernel.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 
 from harness.fleet.network import Network
 
-HOSTS = 200  # members for each third byte
-NOBODY = -1  # a sender that is no member
+MEMBERS_PER_THIRD_BYTE = 200  # number of members per value of an address's third byte
+NOT_A_MEMBER = -1  # sender that is not a member
 
 
 def loopback_address(net: int, number: int) -> str:
     """Return a member's address in one of the relay's two networks."""
-    return f"127.{net}.{number // HOSTS}.{number % HOSTS + 1}"
+    return f"127.{net}.{number // MEMBERS_PER_THIRD_BYTE}.{number % MEMBERS_PER_THIRD_BYTE + 1}"
 
 
 class _MemberSocket(asyncio.DatagramProtocol):
-    """The socket at the address by which one member is known."""
+    """Socket at the address to which the other members of one member send."""
 
     def __init__(self, relay: DatagramRelay, number: int) -> None:
         self.relay = relay
@@ -37,15 +38,15 @@
         self.relay.relay_datagram(addr, self.number, data)
 
     def error_received(self, exc: Exception) -> None:
-        pass  # nobody listens there now: it is lost
+        pass  # the receiver does not listen; the datagram is lost
 
 
 class DatagramRelay:
-    """Takes all datagrams between members, and hands on what the network lets pass.
+    """Relay that receives all datagrams between members and forwards those that the network delivers.
 
     Attributes:
-        number_of: members by the address at which they listen.
-        relayed_count, bytes: of what came.
+        number_by_address: member numbers by the address on which the member listens.
+        relayed_count, bytes: received datagrams and their bytes.
     """
 
     def __init__(self, members: int, port: int, network: Network) -> None:
@@ -54,13 +55,13 @@
         self.port = port
         self.network = network
         self.member_sockets = [_MemberSocket(self, number) for number in range(members)]
-        self.number_of = {loopback_address(77, number): number for number in range(members)}
+        self.number_by_address = {loopback_address(77, number): number for number in range(members)}
         self.relayed_count = 0
         self.bytes = 0
         self.started = self.loop.time()
 
     def addresses(self) -> list[str]:
-        """Return the addresses by which members know one another."""
+        """Return the addresses to which members send."""
         return [f"{loopback_address(78, number)}:{self.port}" for number in range(self.members)]
 
     async def start(self) -> None:
@@ -78,33 +79,33 @@
                 member_socket.transport.close()
 
     def relay_datagram(self, source: tuple[str | Any, int], receiver: int, data: bytes) -> None:
-        """Take a datagram to a member."""
-        sender = self.number_of.get(str(source[0]), NOBODY)
-        if sender == NOBODY or source[1] != self.port:
+        """Forward a datagram to a member, after the delays and faults of the network."""
+        sender = self.number_by_address.get(str(source[0]), NOT_A_MEMBER)
+        if sender == NOT_A_MEMBER or source[1] != self.port:
             return
         self.relayed_count += 1
         self.bytes += len(data)
         copies = self.network.carry(sender, receiver, data, self.loop.time() - self.started)
         for wait, sent in copies:
             if wait > 0:
-                self.loop.call_later(wait, self._hand_on, sender, receiver, sent)
+                self.loop.call_later(wait, self._forward, sender, receiver, sent)
             else:
-                self._hand_on(sender, receiver, sent)
+                self._forward(sender, receiver, sent)
 
-    def _hand_on(self, sender: int, receiver: int, data: bytes) -> None:
+    def _forward(self, sender: int, receiver: int, data: bytes) -> None:
         transport = self.member_sockets[sender].transport
         if transport is not None and not transport.is_closing():
             transport.sendto(data, (loopback_address(77, receiver), self.port))
 
     def inject(self, receiver: int, data: bytes) -> None:
-        """Send straight to a member's own socket, from the address of one that others know."""
+        """Send a datagram to a member's listen address directly, from the address of another member."""
         transport = self.member_sockets[(receiver + 1) % self.members].transport
         if transport is not None:
             transport.sendto(data, (loopback_address(77, receiver), self.port))
 
 
 class _RelayedConnection(asyncio.Protocol):
-    """One side of a connection that is passed on."""
+    """One side of a relayed connection."""
 
     def __init__(self, relay: TcpRelay, other: _RelayedConnection | None = None) -> None:
         self.relay = relay
@@ -117,14 +118,14 @@
         self.relay.connections.add(self)
         if self.relay.silent:
             self.transport.pause_reading()
-        if self.other is None:  # it came in; its other side is made now
-            self.task = self.relay.loop.create_task(self._reach())
+        if self.other is None:  # an accepted connection; the connection to the target is opened now
+            self.task = self.relay.loop.create_task(self._connect_target())
 
-    async def _reach(self) -> None:
+    async def _connect_target(self) -> None:
         other = _RelayedConnection(self.relay, self)
         self.other = other
         try:
-            await self.relay.loop.create_connection(lambda: other, *self.relay.to())
+            await self.relay.loop.create_connection(lambda: other, *self.relay.target_address())
         except OSError:
             if self.transport is not None:
                 self.transport.abort()
@@ -151,19 +152,19 @@
 
 
 class TcpRelay:
-    """One address in front of another, for one member's connections to it."""
+    """Relay of one member's TCP connections to one target address."""
 
-    def __init__(self, to: Callable[[], tuple[str, int]]) -> None:
+    def __init__(self, target_address: Callable[[], tuple[str, int]]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.to = to
+        self.target_address = target_address
         self.connections: set[_RelayedConnection] = set()
         self.silent = False
         self.server: asyncio.Server | None = None
 
-    async def start(self, at: str, port: int) -> str:
+    async def start(self, host: str, port: int) -> str:
         """Listen; return the address."""
-        self.server = await self.loop.create_server(lambda: _RelayedConnection(self), at, port, backlog=256)
-        return f"{at}:{port}"
+        self.server = await self.loop.create_server(lambda: _RelayedConnection(self), host, port, backlog=256)
+        return f"{host}:{port}"
 
     def stop(self) -> None:
         """Stop listening, and reset all connections."""
@@ -178,7 +179,7 @@
                 connection.transport.abort()
 
     def set_silent(self, on: bool) -> None:
-        """Keep connections up and let nothing pass; new ones come up to nobody."""
+        """Stop reading on all connections, which stay open, or resume it; new ones follow the setting."""
         self.silent = on
         for connection in list(self.connections):
             if connection.transport is not None and not connection.transport.is_closing():
--- a/harness/fleet/fault_script.py
+++ b/harness/fleet/fault_script.py
@@ -1,4 +1,4 @@
-"""The script of a run: what goes wrong, when, and for how long. Played in virtual time or on real processes.
+"""Script of a run: its faults, with their start and duration, in virtual time or on real processes.
 
     members = 12                     # p0 to p11
     seconds = 40.0
@@ -7,13 +7,13 @@
     do = "kill"
     who = ["p3"]
     [[fault]]
-    when = "p3 is dead"              # ... or an event: NAME is STATE, in anybody's view, or "settled"
-    after = 0.5                      # s behind it
+    when = "p3 is dead"              # ... or an event: NAME is STATE in any member's view, or "settled"
+    after = 0.5                      # s after the event
     do = "partition"
     groups = ["p0-p5", "p6-p11"]
     lasts = 10.0
 
-`python -m harness.fleet schema` prints the JSON Schema; errors say file, line and what to write.
+`python -m harness.fleet schema` prints the JSON Schema. Errors name the file, the line and what to write.
 """
 
 from __future__ import annotations
@@ -28,49 +28,53 @@
 from service_proxy.operator_file.reader import OperatorError, Problem, TableReader, between, key
 
 MAX_FAULTS = 1000
-MIN_GROUPS = 2  # of a partition
+MIN_GROUPS = 2  # minimum number of groups of a partition
 ACTIONS = {
-    "kill": "SIGKILL; `lasts`: starts again after so long",
-    "term": "SIGTERM; `lasts`: starts again after so long",
+    "kill": "SIGKILL; with `lasts`, a new process starts after this time",
+    "term": "SIGTERM; with `lasts`, a new process starts after this time",
     "stop": "SIGSTOP, and SIGCONT after `lasts`",
-    "start": "starts a process that was killed, ended or never started",
-    "restart": "SIGKILL and at once a new process of the same name",
+    "start": "a new process, if the former one was killed, ended or never started",
+    "restart": "SIGKILL, and at once a new process of the same name",
     "rename": "SIGKILL, and a new process at the same address with the name `name`",
-    "loss": "`share` of the datagrams between `who` and all others is lost",
-    "delay": "`by` s on each datagram of `who`, and up to `share` s of jitter, so that they pass one another",
-    "duplicate": "`share` of the datagrams of `who` comes twice",
-    "corrupt": "`share` of the datagrams of `who` has a bit turned",
+    "loss": "`share` of the datagrams between `who` and all other members is lost",
+    "delay": "`by` s on each datagram of `who`, and up to `share` s of jitter, which reorders datagrams",
+    "duplicate": "`share` of the datagrams of `who` is delivered twice",
+    "corrupt": "`share` of the datagrams of `who` has a bit flipped",
     "cut": "no datagram from `who` reaches `to`",
     "partition": "`groups` can't reach one another",
-    "clock": "the program's clock reading of `who` jumps by `by` s; `name` = wall or monotonic",
-    "storm": "`share` datagrams a second of garbage and of another fleet's fall on `who`",
+    "clock": "the clock that the program reads in `who` jumps by `by` s; `name` = wall or monotonic",
+    "storm": "`share` datagrams per second, garbage and another fleet's, are sent to `who`",
     "reset": "all TCP connections of `who` to its servers are reset",
-    "silence": "nothing passes on TCP between `who` and its servers",
-    "drain": "the list says that the servers `who` (n0, n1, ...) drain; `lasts`: ready again after so long",
+    "silence": "no data passes on the TCP connections between `who` and its servers",
+    "drain": "the list has the servers `who` (n0, n1, ...) as draining; with `lasts`, then as ready again",
 }
 LASTING_ACTIONS = frozenset(
     ("loss", "delay", "duplicate", "corrupt", "cut", "partition", "silence", "storm", "stop")
 )
-WHEN = re.compile(r"settled|([A-Za-z0-9_-]+) is (alive|suspect|dead|left)")
-SPAN = re.compile(r"([A-Za-z_]+)(\d+)-\1(\d+)")
+EVENT_PATTERN = re.compile(r"settled|([A-Za-z0-9_-]+) is (alive|suspect|dead|left)")
+MEMBER_RANGE = re.compile(r"([A-Za-z_]+)(\d+)-\1(\d+)")
 
 
-def _deed(value: str) -> str | None:
+def _find_action_problem(value: str) -> str | None:
     return None if value in ACTIONS else "must be one of " + ", ".join(ACTIONS)
 
 
-def _when(value: str) -> str | None:
-    return None if not value or WHEN.fullmatch(value) else 'must be "settled" or such as "p7 is suspect"'
+def _find_event_problem(value: str) -> str | None:
+    return (
+        None
+        if not value or EVENT_PATTERN.fullmatch(value)
+        else 'must be "settled" or such as "p7 is suspect"'
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class ScriptedFault:
     """One [[fault]] of a script."""
 
-    do: str = key(str, '"kill" (or another of: ' + ", ".join(ACTIONS) + ")", check=_deed)
+    do: str = key(str, '"kill" (or another of: ' + ", ".join(ACTIONS) + ")", check=_find_action_problem)
     at: float = key(float, "5.0", -1.0, between(0, 3600))
-    when: str = key(str, '"p7 is suspect"', "", _when)
-    after: float = key(float, "0.5 (s behind `when`)", 0.0, between(0, 600))
+    when: str = key(str, '"p7 is suspect"', "", _find_event_problem)
+    after: float = key(float, "0.5 (s after `when`)", 0.0, between(0, 600))
     who: tuple[str, ...] = key(tuple, '["p3", "p5-p9"] (or ["all"])', ())
     to: tuple[str, ...] = key(tuple, '["p4"]', ())
     groups: tuple[str, ...] = key(tuple, '["p0-p5", "p6-p11"]', ())
@@ -82,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptHeader:
-    """What stands before the first [[fault]]."""
+    """The keys before the first [[fault]]."""
 
     members: int = key(int, "12", 12, between(1, 100_000))
     seconds: float = key(float, "40.0", 40.0, between(0.1, 3600))
@@ -91,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultScript:
-    """A script that was read."""
+    """A parsed script."""
 
     header: ScriptHeader
     faults: tuple[ScriptedFault, ...] = field(default=())
@@ -101,18 +105,20 @@
     """Return the script.
 
     Raises:
-        OperatorError: with all problems, each with its line.
+        OperatorError: the script is invalid; lists all problems, each with its line.
     """
     try:
         raw = tomllib.loads(text)
     except ValueError as error:
-        raise OperatorError([Problem(file, 1, "C002", f"is no TOML: {error}", "mend this line")]) from None
+        raise OperatorError(
+            [Problem(file, 1, "C002", f"is not TOML: {error}", "correct this line")]
+        ) from None
     reader = TableReader(file, text)
     tables = raw.pop("fault", [])
     top = reader.read_table(ScriptHeader, raw, ())
     faults = []
     if not isinstance(tables, list) or len(tables) > MAX_FAULTS:
-        reader.add_problem(("fault",), "S104", "fault is no list of tables", "write [[fault]] before each")
+        reader.add_problem(("fault",), "S104", "fault is not a list of tables", "write [[fault]] before each")
         tables = []
     for number, item in enumerate(tables):
         path = ("fault", str(number))
@@ -134,11 +140,11 @@
                 path, "S103", "a partition has two groups or more", 'write groups = ["p0-p5", "p6"]'
             )
     elif not fault.who:
-        reader.add_problem(path, "S103", f"{fault.do} of whom?", 'write who = ["p3"]')
+        reader.add_problem(path, "S103", f"{fault.do} has no `who`", 'write who = ["p3"]')
     if fault.do == "cut" and not fault.to:
-        reader.add_problem(path, "S103", "a cut is from `who` to whom?", 'write to = ["p4"]')
+        reader.add_problem(path, "S103", "cut has no `to`", 'write to = ["p4"]')
     if fault.do in LASTING_ACTIONS and not fault.lasts:
-        reader.add_problem(path, "S103", f"{fault.do} for how long?", "write lasts = 5.0")
+        reader.add_problem(path, "S103", f"{fault.do} has no `lasts`", "write lasts = 5.0")
     if fault.do != "drain":
         _check_members(reader, path, fault, members)
 
@@ -153,72 +159,72 @@
 
 
 def member_numbers(names: Iterable[str], members: int) -> list[int]:
-    """Return the numbers of the members that `p3`, `p5-p9` and `all` name.
+    """Return the numbers of the members that names such as `p3`, `p5-p9` and `all` stand for.
 
     Raises:
         ValueError: there is no such member.
     """
     numbers: list[int] = []
     for name in names:
-        span = SPAN.fullmatch(name)
+        member_range = MEMBER_RANGE.fullmatch(name)
         if name == "all":
             numbers += range(members)
-        elif span:
-            numbers += range(int(span[2]), int(span[3]) + 1)
+        elif member_range:
+            numbers += range(int(member_range[2]), int(member_range[3]) + 1)
         elif re.fullmatch(r"[A-Za-z_]+\d+", name):
             numbers.append(int(name.lstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ_")))
         else:
-            raise ValueError("is no member")
+            raise ValueError("is not a member")
     if any(number >= members for number in numbers):
-        raise ValueError(f"there are members 0 to {members - 1}")
+        raise ValueError(f"the members are 0 to {members - 1}")
     return numbers
 
 
 class FaultTarget(Protocol):
-    """Where a script is played."""
+    """Interface of a fleet on which a script is played."""
 
     network: Network
 
     @property
     def names(self) -> Sequence[str]:
-        """Names of the members, now."""
+        """Current names of the members."""
 
-    def schedule(self, wait: float, what: Callable[[], None]) -> None:
-        """Call something after so many seconds."""
+    def schedule(self, wait: float, callback: Callable[[], None]) -> None:
+        """Call a function after `wait` seconds."""
 
     def kill(self, number: int) -> None:
-        """End a process at once."""
+        """Kill a process."""
 
     def terminate(self, number: int) -> None:
-        """End a process by its own will."""
+        """Terminate a process gracefully."""
 
     def start(self, number: int, name: str = "") -> None:
-        """Start a process, by another name if one is given."""
+        """Start a process, with another name if one is given."""
 
     def suspend(self, number: int) -> None:
-        """Let a process do nothing."""
+        """Suspend a process."""
 
     def resume(self, number: int) -> None:
-        """Let a suspended process go on."""
+        """Resume a suspended process."""
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
-        """Move a process's clocks by so many seconds."""
+        """Move a process's clocks by some seconds."""
 
     def flood(self, number: int, rate: float, lasts: float) -> None:
-        """Send so many useless datagrams a second to a member."""
+        """Send `rate` useless datagrams per second to a member for `lasts` seconds."""
 
     def reset_connections(self, number: int) -> None:
         """Reset a member's TCP connections."""
 
     def set_silent(self, number: int, on: bool) -> None:
-        """Let nothing pass on a member's TCP connections, or let it pass again."""
+        """Stop or resume all traffic on a member's TCP connections."""
 
     def set_draining(self, server: str, on: bool) -> None:
-        """Have the endpoint lists say that an endpoint drains, or is ready."""
+        """List an endpoint as draining or as ready in the endpoint lists."""
 
 
 class FaultPlayer:
-    """Plays a script's faults; who watches the views reports what happens in them."""
+    """Player of a script's faults; an observer of the views reports the events to it."""
 
     def __init__(
         self, script: FaultScript, target: FaultTarget, on_line: Callable[[str], None] | None = None
@@ -228,7 +234,7 @@
         self.on_line = on_line or (lambda _line: None)
         self.waiting_faults: list[ScriptedFault] = []
         self.played = 0
-        self.active_faults = 0  # faults that last
+        self.active_faults = 0  # number of faults that have not ended yet
 
     def start(self) -> None:
         """Schedule all faults that have a time."""
@@ -239,14 +245,14 @@
                 self.target.schedule(fault.at, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     def on_event(self, event: str) -> None:
-        """Take an event: `p7 is dead`, in anybody's view, or `settled`."""
+        """Schedule the faults that wait for an event: `p7 is dead` in any member's view, or `settled`."""
         for fault in [fault for fault in self.waiting_faults if fault.when == event]:
             self.waiting_faults.remove(fault)
             self.target.schedule(fault.after, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     @property
     def is_finished(self) -> bool:
-        """Whether all faults were played and are over."""
+        """Whether all faults were played and have ended."""
         return not self.active_faults and self.played >= len(self.script.faults)
 
     def apply(self, fault: ScriptedFault) -> None:
@@ -309,14 +315,14 @@
         for link in links:
             network.link_faults[link] = replace(network.link_faults.get(link, LinkFaults()), **changes)
 
-        def ended() -> None:
+        def restore_links() -> None:
             for link in links:
                 network.link_faults[link] = replace(network.link_faults.get(link, LinkFaults()), **clear)
 
-        return [ended]
+        return [restore_links]
 
     def _apply_to_member(self, fault: ScriptedFault, number: int) -> list[Callable[[], None]]:
-        """Play a fault of single members on one of them; return what ends it."""
+        """Play a fault on one member; return the functions that end it."""
         target = self.target
         match fault.do:
             case "kill" | "term":
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -1,6 +1,6 @@
-"""A fleet of real processes of the program on loopback, with the fault relay between all of them.
+"""A fleet of real proxy processes on loopback, with the fault relay between all of them.
 
-Each proxy has its endpoints, endpoint registry and clients; an observer sees every member's view.
+Each proxy has its endpoints, its endpoint registry and its clients. An observer polls every member's view.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 from harness.stub_endpoint import StubEndpoint
 from service_proxy.net.endpoint_list import parse_address
 
-READY_POLL_INTERVAL_S = 0.1  # between two requests whether a process is ready
-READY_TIMEOUT_S = 90.0  # for all processes to be up on a busy machine
+READY_POLL_INTERVAL_S = 0.1  # interval between two readiness checks of a process
+READY_TIMEOUT_S = 90.0  # longest wait until all processes are ready on a busy machine
 FLOOD_DATAGRAM_BYTES = 64
 FLOODS_PER_S = 100
-GARBAGE_SHARE = 0.5  # of a flood; the rest is another fleet's
-DOWNTIME_MARGIN_S = 1.0  # before a downtime, in which a deadline is excused as well
-REQUEST_DURATION_S = 3600.0  # for which clients send requests; the end comes before
-FOREIGN_HEADER = bytes((1, 5)) + b"OTHR" + bytes((32,))  # of a datagram of another fleet
+GARBAGE_SHARE = 0.5  # share of garbage in a flood; the rest are another fleet's datagrams
+DOWNTIME_MARGIN_S = 1.0  # time before a downtime within which a deadline is excused as well
+REQUEST_DURATION_S = 3600.0  # time for which clients send requests; the harness ends earlier
+FOREIGN_HEADER = bytes((1, 5)) + b"OTHR" + bytes((32,))  # header of another fleet's datagram
 
 
 class FleetHarness:
-    """The target of a fault script on real processes.
+    """Fleet of real processes, the target of a fault script.
 
     Attributes:
-        slots: of the proxies.
-        endpoints: before which all of them stand.
-        registries: of endpoints, one for each proxy.
-        clients: one pool for each proxy.
-        ledger: of all requests, by which the rules are audited.
-        network: what the relay does to datagrams.
+        slots: slots of the proxies.
+        endpoints: endpoints of all proxies.
+        registries: endpoint registries, one per proxy.
+        clients: client pools, one per proxy.
+        ledger: recorder of all requests, whose audit checks the rules.
+        network: delays and faults of the datagrams in the relay.
         starting: number of processes that are being started.
     """
 
@@ -78,7 +78,7 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of the members, now."""
+        """Current names of the members."""
         return [slot.name for slot in self.slots]
 
     @property
@@ -86,9 +86,9 @@
         """Slots whose process runs and is not suspended."""
         return [slot for slot in self.slots if slot.alive and not slot.suspended]
 
-    # start
+    # Start
     async def start_all(self) -> None:
-        """Start the relay, the endpoints, all proxies unless a script does, the observer and the clients."""
+        """Start relay, endpoints, observer and clients, and all proxies unless a script starts them."""
         self.stall_monitor.start()
         await self.relay.start()
         for endpoint in self.endpoints:
@@ -107,7 +107,7 @@
                 self.create_task(pool.run(REQUEST_DURATION_S, self.options.rate, wait_and_close=False))
 
     async def _prepare_slot(self, slot: Slot) -> None:
-        """Create a slot's folder, endpoint registry, connections to the endpoints, and clients."""
+        """Create a slot's folder, endpoint registry, relays to the endpoints, and clients."""
         slot.folder.mkdir()
         (slot.folder / "machine").write_text(f"machine {slot.name}\n")
         self.renew_boot_id(slot.number)
@@ -142,15 +142,15 @@
                 keys = slot.folder / "keys"
                 keys.write_text(f"k1 {FLEET_KEY}\n")
                 keys.chmod(0o600)
-            through: tuple[str, ...] = ("harness.clock_skew", "--steer", str(slot.folder / "clock"))
+            runner: tuple[str, ...] = ("harness.clock_skew", "--steer", str(slot.folder / "clock"))
             if slot.number in self.options.next_version_members:
-                through += ("harness.fleet.next_version",)
+                runner += ("harness.fleet.next_version",)
             process = await start_process(
                 slot.folder,
                 self._configuration(slot),
                 operator_file(self.options, slot),
                 self.options.root,
-                through,
+                runner,
             )
             slot.process = process
             address = (loopback_address(77, slot.number), self.http)
@@ -163,9 +163,9 @@
             self.starting -= 1
 
     async def _wait_for(self, program: ProxyProcess, process: asyncio.subprocess.Process) -> None:
-        """Wait until a process says that it is ready, or has ended."""
-        due = self.loop.time() + READY_TIMEOUT_S
-        while process.returncode is None and self.loop.time() < due:
+        """Wait until a process is ready or has ended, for READY_TIMEOUT_S at most."""
+        due_at = self.loop.time() + READY_TIMEOUT_S
+        while process.returncode is None and self.loop.time() < due_at:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(*program.address)
                 writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -190,12 +190,12 @@
         task.add_done_callback(self.tasks.discard)
 
     # fault_script.FaultTarget
-    def schedule(self, wait: float, what: Callable[[], None]) -> None:
-        """Call something after so many seconds."""
-        self.loop.call_later(wait, what)
+    def schedule(self, wait: float, callback: Callable[[], None]) -> None:
+        """Call a function after `wait` seconds."""
+        self.loop.call_later(wait, callback)
 
     def start(self, number: int, name: str = "") -> None:
-        """Start a process in a free slot, by another name if one is given."""
+        """Start a process in a free slot, with another name if one is given."""
         slot = self.slots[number]
         if slot.alive:
             return
@@ -211,8 +211,8 @@
         if slot.alive and slot.process is not None:
             self._mark_down(slot)
             slot.process.kill()
-            slot.process = None  # it is reaped by the loop
-            self.observer.forget(slot)
+            slot.process = None  # the event loop reaps the process
+            self.observer.discard_view(slot)
 
     def terminate(self, number: int) -> None:
         """Send SIGTERM."""
@@ -220,7 +220,7 @@
         if slot.alive and slot.process is not None:
             self._mark_down(slot)
             slot.process.send_signal(signal.SIGTERM)
-            self.observer.forget(slot)
+            self.observer.discard_view(slot)
 
     def suspend(self, number: int) -> None:
         """Send SIGSTOP."""
@@ -239,46 +239,46 @@
         slot.suspended = False
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
-        """Move the clocks that the process reads by so many seconds."""
+        """Move the clocks that the process reads by some seconds."""
         file = self.slots[number].folder / "clock"
         before = OFFSETS.unpack(file.read_bytes())
         with file.open("r+b") as sink:
             sink.write(OFFSETS.pack(before[0] + wall, before[1] + monotonic))
 
     def flood(self, number: int, rate: float, lasts: float) -> None:
-        """Send so many datagrams a second of garbage and of another fleet to a member."""
+        """Send garbage and another fleet's datagrams to a member, `rate` per second for `lasts` seconds."""
         self.create_task(self._send_flood(number, rate, lasts))
 
     async def _send_flood(self, number: int, rate: float, lasts: float) -> None:
         started_at = self.loop.time()
-        due = started_at
-        while due < started_at + lasts:
+        due_at = started_at
+        while due_at < started_at + lasts:
             for _ in range(max(1, int(rate / FLOODS_PER_S))):
                 data = self.random.randbytes(FLOOD_DATAGRAM_BYTES)
                 self.relay.inject(
                     number, data if self.random.random() < GARBAGE_SHARE else FOREIGN_HEADER + data
                 )
-            due += 1 / FLOODS_PER_S
-            await asyncio.sleep(max(0.0, due - self.loop.time()))
+            due_at += 1 / FLOODS_PER_S
+            await asyncio.sleep(max(0.0, due_at - self.loop.time()))
 
     def reset_connections(self, number: int) -> None:
-        """Reset all TCP connections of a proxy to endpoints and registry."""
+        """Reset all TCP connections of a proxy to its endpoints and its registry."""
         for relay in self.slots[number].relays:
             relay.reset()
 
     def set_silent(self, number: int, on: bool) -> None:
-        """Let nothing pass on these connections, or let it pass again."""
+        """Stop or resume all traffic on a proxy's TCP connections to its endpoints and its registry."""
         for relay in self.slots[number].relays:
             relay.set_silent(on)
 
-    # a power loss
+    # Power loss
     def renew_boot_id(self, number: int) -> None:
-        """Give a slot's machine another boot id, as after a power loss."""
+        """Change the boot id of a slot's machine, as after a power loss."""
         boot_id = f"boot {self.random.getrandbits(64):016x}\n"
         (self.slots[number].folder / "boot").write_text(boot_id)
 
     def power_off(self, zones: str = ZONES) -> None:
-        """End proxies and endpoints of these zones in one moment; their machines will have booted anew."""
+        """Kill proxies and endpoints of these zones at once, and change the boot ids of their machines."""
         for slot in self.slots:
             if zone_of(slot.number) in zones:
                 self.kill(slot.number)
@@ -288,16 +288,16 @@
                 endpoint.stop()
 
     async def restart_endpoint(self, number: int) -> None:
-        """Start an endpoint again; it is warming up, and its registry entry does not say so yet."""
+        """Start an endpoint again, warming up; its registry entry does not state the new start yet."""
         await self.endpoints[number].start(warming_up=True)
 
     def set_draining(self, server: str, on: bool) -> None:
-        """Have all registries say that an endpoint drains, or is ready."""
+        """List an endpoint as draining or as ready in all registries."""
         for registry in self.registries:
             item = dict(registry.entries[server], status="Terminating" if on else "Ready")
             registry.put(item)
 
-    # the end
+    # Shutdown
     async def finish_requests(self) -> None:
         """Send no further requests, and wait for those in flight."""
         for task in list(self.tasks):
@@ -306,9 +306,10 @@
             await pool.run(0.0, 1.0)
 
     def audit(self) -> list[Violation]:
-        """Return what breaks the rules of requests.
+        """Return the violations of the request rules.
 
-        Requests of a proxy that was killed, suspended or ending meanwhile can't be answered by it.
+        A proxy that is killed, suspended or terminated before a request's deadline can't answer this request,
+        so the request is excused.
         """
         downtimes = {slot.name: slot.downtimes for slot in self.slots}
         for request in self.ledger.requests:
@@ -343,11 +344,11 @@
 
 @contextlib.asynccontextmanager
 async def running_fleet(options: FleetOptions) -> AsyncIterator[FleetHarness]:
-    """Run a fleet in a folder of its own; it ends with the context."""
+    """Run a fleet in a temporary folder; stop it at the end of the context."""
     with tempfile.TemporaryDirectory() as text:
-        made = FleetHarness(options, Path(text))
+        fleet = FleetHarness(options, Path(text))
         try:
-            await made.start_all()
-            yield made
+            await fleet.start_all()
+            yield fleet
         finally:
-            await made.stop_all()
+            await fleet.stop_all()
--- a/harness/fleet/network.py
+++ b/harness/fleet/network.py
@@ -1,7 +1,7 @@
-"""What a network does to datagrams: one decision for each, by seed, link and the datagram's number there.
+"""Model of a network's faults: one delivery plan for each datagram, from seed, link and its number there.
 
-Used by the virtual fleet and by the relay between real processes alike. A decision hangs on nothing but these
-three and the faults in force, so that a recording of a run says what another one will do.
+The virtual fleet and the relay between real processes both use it. A plan depends on nothing but these three
+values and the active faults, so a recorded run can be replayed in another run.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from random import Random
 from typing import TextIO
 
-BASE_DELAY_RANGE_S = (0.0002, 0.001)  # s of a datagram's way
-DRAW_MODULUS = 1 << 61  # numbers that a decision is drawn from
+BASE_DELAY_RANGE_S = (0.0002, 0.001)  # s of a datagram's delay
+DRAW_MODULUS = 1 << 61  # number of possible values of the random draw for a plan
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """What is wrong with a link; shares are of its datagrams."""
+    """Faults of one link; shares refer to its datagrams."""
 
     loss: float = 0.0
-    delay: float = 0.0  # s on top of the usual
-    jitter: float = 0.0  # s, drawn up to that; so datagrams pass one another
+    delay: float = 0.0  # s in addition to the base delay
+    jitter: float = 0.0  # s, maximum of an additional random delay; datagrams can overtake one another
     duplicate: float = 0.0
     corrupt: float = 0.0
 
@@ -33,45 +33,43 @@
 
 NO_FAULTS = LinkFaults()
 Link = tuple[int, int]
-DeliveryPlan = list[
-    tuple[float, int]
-]  # of a datagram: each copy's delay in s, and its bit that is turned or -1
+# Delivery plan of a datagram: for each copy its delay in s, and its flipped bit or -1.
+DeliveryPlan = list[tuple[float, int]]
 
 
 @dataclass
 class Network:
-    """The links between members, by their numbers.
+    """Links between members, which are identified by their numbers.
 
     Attributes:
-        base_delay_range: of a datagram on a link without faults, s.
-        link_faults: of single links; default_faults: of all others.
-        cuts: links on which nothing passes, and how many faults cut each.
-        partitions: each a list of groups that can't reach one another.
-        counts: datagrams on each link.
-        lost: datagrams that never arrived.
-        on_datagram: is shown each datagram.
-        transcript: takes a line for each decision.
-        recorded_plans: decisions of a recording, by link and number.
+        base_delay_range: delay of a datagram on a link without faults, s.
+        link_faults: faults of single links; default_faults: faults of all other links.
+        cuts: links that deliver nothing, each with the number of faults that cut it.
+        partitions: lists of groups between which nothing is delivered.
+        counts: number of datagrams by link.
+        lost: number of datagrams that were not delivered.
+        on_datagram: called with each datagram.
+        transcript: receives a line for each plan.
+        recorded_plans: plans of a recording, by link and number.
     """
 
     seed: int
     base_delay_range: tuple[float, float] = BASE_DELAY_RANGE_S
     link_faults: dict[Link, LinkFaults] = field(default_factory=dict)
     default_faults: LinkFaults = NO_FAULTS
-    cuts: dict[Link, int] = field(default_factory=dict)  # one way, and how many faults hold it
-    partitions: list[list[frozenset[int]]] = field(
-        default_factory=list
-    )  # groups that can't reach one another
+    # One-way links, each with the number of faults that cut it.
+    cuts: dict[Link, int] = field(default_factory=dict)
+    # Groups between which nothing is delivered.
+    partitions: list[list[frozenset[int]]] = field(default_factory=list)
     counts: dict[Link, int] = field(default_factory=dict)
     lost: int = 0
-    on_datagram: Callable[[bytes], None] | None = None  # is shown each datagram
-    transcript: TextIO | None = None  # a line for each decision
-    recorded_plans: dict[tuple[int, int, int], DeliveryPlan] = field(
-        default_factory=dict
-    )  # by link and number
+    on_datagram: Callable[[bytes], None] | None = None  # called with each datagram
+    transcript: TextIO | None = None  # receives a line for each plan
+    # Plans by link and number.
+    recorded_plans: dict[tuple[int, int, int], DeliveryPlan] = field(default_factory=dict)
 
     def cut(self, senders: Iterable[int], receivers: Iterable[int], by: int = 1) -> None:
-        """Cut all links from these senders to these receivers; by -1: mend them."""
+        """Cut all links from senders to receivers; with by = -1, undo one such cut."""
         receivers = list(receivers)
         for sender in senders:
             for receiver in receivers:
@@ -83,7 +81,7 @@
                         self.cuts.pop((sender, receiver), None)
 
     def is_open(self, sender: int, receiver: int) -> bool:
-        """Return whether anything passes from one to the other."""
+        """Return whether the link from one member to another delivers datagrams."""
         if (sender, receiver) in self.cuts:
             return False
         return all(
@@ -91,7 +89,7 @@
         )
 
     def carry(self, sender: int, receiver: int, data: bytes, now: float) -> list[tuple[float, bytes]]:
-        """Return the copies of a datagram that arrive, each with its delay, s; none: it is lost."""
+        """Return the delivered copies of a datagram, each with its delay in s; no copies if it is lost."""
         if self.on_datagram is not None:
             self.on_datagram(data)
         link = sender, receiver
@@ -104,15 +102,14 @@
         if self.transcript is not None:
             line = [round(now, 4), sender, receiver, number, len(data), plan]
             self.transcript.write(json.dumps(line) + "\n")
-        return [(wait, data if place < 0 else flip_bit(data, place)) for wait, place in plan]
+        return [(wait, data if bit < 0 else flip_bit(data, bit)) for wait, bit in plan]
 
     def _plan_delivery(self, sender: int, receiver: int, number: int, size: int) -> DeliveryPlan:
         if not self.is_open(sender, receiver):
             return []
         faults = self.link_faults.get((sender, receiver)) or self.default_faults
-        drawn = (
-            hash((self.seed, sender, receiver, number)) % DRAW_MODULUS
-        )  # of whole numbers: the same everywhere
+        # The hash of integers is equal in every process.
+        drawn = hash((self.seed, sender, receiver, number)) % DRAW_MODULUS
         minimum, maximum = self.base_delay_range
         base_delay = minimum + (maximum - minimum) * drawn / DRAW_MODULUS
         if not faults:
@@ -123,28 +120,28 @@
         plan = []
         for _ in range(2 if random.random() < faults.duplicate else 1):
             wait = base_delay + faults.delay + random.uniform(0, faults.jitter)
-            spoilt = random.random() < faults.corrupt
-            plan.append((wait, random.randrange(size * 8) if spoilt else -1))
+            is_corrupted = random.random() < faults.corrupt
+            plan.append((wait, random.randrange(size * 8) if is_corrupted else -1))
         return plan
 
     def load_recording(self, file: Path) -> None:
-        """Decide as a recording says, datagram by datagram, and by itself beyond its end.
+        """Use a recording's plans for its datagrams; later datagrams get plans of their own.
 
         Raises:
-            ValueError: with file and line, where it is no recording.
+            ValueError: a line is not a recorded plan; names file and line.
         """
-        for place, line in enumerate(file.read_text(encoding="utf-8").splitlines(), 1):
+        for line_number, line in enumerate(file.read_text(encoding="utf-8").splitlines(), 1):
             try:
                 _, sender, receiver, number, _, plan = json.loads(line)
                 self.recorded_plans[sender, receiver, number] = [
                     (float(wait), int(bit)) for wait, bit in plan
                 ]
             except (ValueError, TypeError) as fault:
-                text = f"{file}:{place}: no decision: {fault}; record the run again"
+                text = f"{file}:{line_number}: not a recorded delivery: {fault}; record the run again"
                 raise ValueError(text) from None
 
 
 def flip_bit(data: bytes, bit: int) -> bytes:
-    """Return the data with one bit turned."""
+    """Return the data with one bit flipped."""
     at = bit // 8 % len(data)
     return data[:at] + bytes((data[at] ^ 1 << bit % 8,)) + data[at + 1 :]
--- a/harness/fleet/next_version.py
+++ b/harness/fleet/next_version.py
@@ -1,6 +1,6 @@
-"""Run a module as the next version of the program would speak.
+"""Run a module that sends datagrams like the next version of the protocol.
 
-Version 2 at each datagram's head, two bytes more in its header, and a section that is not known yet.
+Each datagram has version 2 at its head, two additional bytes in its header, and a section of an unknown type.
 
     python -m harness.fleet.next_version MODULE [ARGUMENT...]
 """
@@ -13,28 +13,40 @@
 
 from service_proxy.fleet import wire
 
-UNKNOWN = bytes((199, 3)) + b"n+1"
+UNKNOWN_SECTION = bytes((199, 3)) + b"n+1"
 
 
-def speak_next_version() -> None:
-    """From now on have this process write so."""
-    write = wire.encode_datagram
+def install_next_version() -> None:
+    """Replace this process's datagram encoder by one that encodes the next version."""
+    encode = wire.encode_datagram
 
-    def newer(*arguments: Any) -> bytes:
-        data = write(*arguments)
+    def encode_next_version(*arguments: Any) -> bytes:
+        data = encode(*arguments)
         end = wire.HEADER_LAYOUT.size + data[6]
-        more = (
-            UNKNOWN if len(data) + 2 + len(UNKNOWN) + wire.AUTH_TAG_BYTES <= wire.MAX_DATAGRAM_BYTES else b""
+        unknown_section = (
+            UNKNOWN_SECTION
+            if len(data) + 2 + len(UNKNOWN_SECTION) + wire.AUTH_TAG_BYTES <= wire.MAX_DATAGRAM_BYTES
+            else b""
+        )
+        extended = (
+            bytes((2,))
+            + data[1:6]
+            + bytes((data[6] + 2,))
+            + data[7:end]
+            + b"\0\0"
+            + data[end:]
+            + unknown_section
+        )
+        return (
+            extended if len(extended) + wire.AUTH_TAG_BYTES <= wire.MAX_DATAGRAM_BYTES else b"\x02" + data[1:]
         )
-        grown = bytes((2,)) + data[1:6] + bytes((data[6] + 2,)) + data[7:end] + b"\0\0" + data[end:] + more
-        return grown if len(grown) + wire.AUTH_TAG_BYTES <= wire.MAX_DATAGRAM_BYTES else b"\x02" + data[1:]
 
-    wire.encode_datagram = newer  # type: ignore[assignment]
+    wire.encode_datagram = encode_next_version  # type: ignore[assignment]
 
 
 def main(argv: list[str]) -> None:
     """Run the module that the command line names."""
-    speak_next_version()
+    install_next_version()
     sys.argv = argv
     runpy.run_module(argv[0], run_name="__main__", alter_sys=True)
 
--- a/harness/fleet/observer.py
+++ b/harness/fleet/observer.py
@@ -1,6 +1,6 @@
-"""The observer of a fleet of real processes: it asks each member for its view.
+"""Observer of a fleet of real processes.
 
-And reads each member's log.
+It polls each member's view, and reads each member's log.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from service_proxy.fleet.errors import MalformedDatagramError
 from service_proxy.fleet.view_query import ViewPage, ViewRow, decode_view_page, encode_view_request
 
-POLL_INTERVAL_S = 0.1  # between two requests for each view
+POLL_INTERVAL_S = 0.1  # interval between two requests for each view
 VIEW_TIMEOUT_S = 2.0
 MAX_ID = 65535
-FLEET_KEY = "0123456789abcdef" * 4  # of fleets whose datagrams are authenticated
+FLEET_KEY = "0123456789abcdef" * 4  # key of fleets that authenticate their datagrams
 CHANGE_LINE = re.compile(
     r"service_proxy\.fleet: member_state_changed revision=(\d+) at_s=([\d.]+) member=(\S+) "
     r"before=(\w+) after=(\w+) incarnation=(\S+) source=(\S+) reason=(.*)"
 )
-KEPT_LINES = ("service_proxy.fleet", "service_proxy.recovery", "ERROR", "Traceback")
+KEPT_LINE_MARKERS = ("service_proxy.fleet", "service_proxy.recovery", "ERROR", "Traceback")
 
 
 @dataclass(slots=True)
 class LoggedChange:
-    """A line of a member's log about a change of its view."""
+    """A log line of a member about a change of its view."""
 
     observer: str
     revision: int
@@ -47,7 +47,7 @@
 
 
 class ObservedFleet(Protocol):
-    """What the observer reads of the harness."""
+    """Interface of the harness that the observer uses."""
 
     loop: asyncio.AbstractEventLoop
     options: FleetOptions
@@ -65,7 +65,7 @@
 
 
 class _ViewSocket(asyncio.DatagramProtocol):
-    """The socket at which members' answers arrive."""
+    """Socket that receives the members' answers."""
 
     def __init__(self, observer: FleetObserver) -> None:
         self.observer = observer
@@ -78,12 +78,12 @@
 
 
 class FleetObserver:
-    """Collects every member's view: what it answers, and each change that its log tells.
+    """Collector of every member's view, from its answers, and of each change in its log.
 
     Attributes:
-        pages: the last first page of each member's view, with the time at which it arrived.
-        changes: that were logged, in the order in which they were read.
-        on_event: is called with "NAME is STATE" once for each, when the first log tells it.
+        pages: the last received first page of each member's view, with its arrival time.
+        changes: logged changes, in the order in which they were read.
+        on_event: called once with each "NAME is STATE", when the first log contains this change.
     """
 
     def __init__(self, harness: ObservedFleet) -> None:
@@ -93,13 +93,14 @@
         self.last_request_id = 0
         self.pages: dict[str, tuple[float, ViewPage]] = {}
         self.changes: list[LoggedChange] = []
-        self.lines: dict[str, list[str]] = {}  # of the fleet's, by slot's name, that tell no change
+        # log lines of the fleet that report no change, by the slot's name
+        self.lines: dict[str, list[str]] = {}
         self.on_event: Callable[[str], None] | None = None
         self.reported_events: set[str] = set()
         self.pending_requests: dict[int, asyncio.Future[ViewPage]] = {}
 
     def start(self) -> None:
-        """Begin to poll all views and logs."""
+        """Start to poll all views and logs."""
         self.harness.create_task(self._poll_views())
 
     async def _poll_views(self) -> None:
@@ -125,20 +126,20 @@
         return self.last_request_id
 
     def on_answer(self, at: str, data: bytes) -> None:
-        """Take a page that a member sent."""
+        """Store a page that a member sent."""
         try:
             page = decode_view_page(data, self.authenticator)
         except MalformedDatagramError:
             return
         pending = self.pending_requests.pop(page.request_id, None)
         if pending is None:
-            slot = self.harness.slots[self.harness.relay.number_of[at]]
+            slot = self.harness.slots[self.harness.relay.number_by_address[at]]
             self.pages[slot.name] = time.monotonic(), page
         elif not pending.done():
             pending.set_result(page)
 
     async def fetch_view(self, slot: Slot) -> tuple[ViewPage, list[ViewRow]]:
-        """Return all of one member's view."""
+        """Return the last page and all rows of one member's view."""
         rows: list[ViewRow] = []
         while True:
             number = self._request_view(slot, len(rows))
@@ -149,7 +150,7 @@
                 return page, rows
 
     def read_logs(self) -> None:
-        """Read what is new in all logs."""
+        """Read the new lines of all logs."""
         for slot in self.harness.slots:
             log = slot.folder / "log"
             if not log.exists():
@@ -165,7 +166,7 @@
     def _read_line(self, slot: Slot, line: str) -> None:
         match = CHANGE_LINE.search(line)
         if match is None:
-            if any(text in line for text in KEPT_LINES):
+            if any(text in line for text in KEPT_LINE_MARKERS):
                 self.lines.setdefault(slot.name, []).append(line)
             return
         revision, at, name, before, after, incarnation, source, reason = match.groups()
@@ -178,8 +179,8 @@
             self.reported_events.add(event)
             self.on_event(event)
 
-    def forget(self, slot: Slot) -> None:
-        """Drop the last view of a slot whose process ends."""
+    def discard_view(self, slot: Slot) -> None:
+        """Discard the last page of a slot whose process ends."""
         self.pages.pop(slot.name, None)
 
     def stop(self) -> None:
@@ -187,11 +188,11 @@
         if self.transport is not None:
             self.transport.close()
 
-    # what it judges
+    # Checks
     def views_agree(self, since: float = 0.0, settled: bool = False) -> bool:
-        """Return whether all the living have the same view, and it is the living.
+        """Return whether all living members have the same view, which lists the living members.
 
-        By answers after `since`.
+        Only answers after `since` count.
         """
         slots = self.harness.living
         pages = [self.pages.get(slot.name) for slot in slots]
@@ -205,7 +206,7 @@
         )
 
     async def wait_until_settled(self, timeout: float, settled: bool = False) -> float:
-        """Wait until all views of the living are equal and right; return how long that took, s.
+        """Wait until all living members' views are equal and right; return the duration in s.
 
         Raises:
             TimeoutError: it took longer than `timeout`.
@@ -223,7 +224,7 @@
         return [change for change in self.changes if change.after == "dead"]
 
     def false_deaths(self) -> list[LoggedChange]:
-        """Return deaths of members whose process ran, and was not suspended, when they were declared."""
+        """Return the deaths of members whose process was running, not suspended, at that time."""
         downtimes = {slot.name: slot.downtimes for slot in self.harness.slots}
         return [
             death
@@ -232,12 +233,13 @@
         ]
 
     def resurrections(self) -> list[LoggedChange]:
-        """Return changes that bring an incarnation back that the same view had declared dead."""
+        """Return the changes that mark an incarnation as live after the same view had declared it dead."""
         declared_dead: dict[tuple[str, str], set[str]] = {}
         revisions: dict[str, int] = {}
         found = []
         for change in self.changes:
-            if change.revision < revisions.get(change.observer, 0):  # a new process, with a view of its own
+            # a new process, which starts with a new view
+            if change.revision < revisions.get(change.observer, 0):
                 for pair in [pair for pair in declared_dead if pair[0] == change.observer]:
                     del declared_dead[pair]
             revisions[change.observer] = change.revision
--- a/harness/fleet/proxy_files.py
+++ b/harness/fleet/proxy_files.py
@@ -1,4 +1,4 @@
-"""The configuration and the operator's file of each proxy of a fleet harness."""
+"""Configuration and operator file of each proxy of a fleet harness."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     peers: list[str],
     endpoint_entries: list[dict[str, Any]],
 ) -> dict[str, Any]:
-    """Return the platform's configuration of the proxy in a slot, as JSON has it."""
+    """Return the platform's JSON configuration of the proxy in a slot."""
     number = slot.number
     seed = Random(f"{options.seed} {number} {slot.starts}").getrandbits(62)
-    more = {
+    overrides = {
         "seed": f"{seed:x}",
         "peer_listen": f"{loopback_address(77, number)}:{fleet_port}",
         "peers": peers,
@@ -32,7 +32,7 @@
         f"{loopback_address(77, number)}:{http_port}",
         f"127.79.250.{number + 1}:{http_port}",
         endpoint_entries,
-        more,
+        overrides,
         balancers=options.members,
         me=number,
         zone=zone_of(number),
@@ -42,7 +42,7 @@
 
 
 def operator_file(options: FleetOptions, slot: Slot) -> str:
-    """Return the text of the operator's file of the proxy in a slot."""
+    """Return the text of the operator file of the proxy in a slot."""
     if not options.fleet_enabled:
         return ""
     fleet = options.fleet + (" (another)" if slot.number in options.foreign_members else "")
--- a/harness/fleet/slots.py
+++ b/harness/fleet/slots.py
@@ -1,4 +1,4 @@
-"""What a fleet harness is asked to run, and the slot that each of its proxies has."""
+"""Options of a fleet harness, and the slot of each of its proxies."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def zone_of(number: int) -> str:
-    """Return the zone of a slot or endpoint: they are spread over all zones in turn."""
+    """Return the zone of a slot or endpoint; the numbers are spread over all zones in turn."""
     return ZONES[number % len(ZONES)]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """What to run.
+    """Options of a fleet harness.
 
     Attributes:
-        rate: requests a second at each proxy; 0: none.
-        period, suspicion, fleet, counts: as in the operator's file.
-        keys: datagrams are authenticated with a key.
-        fleet_enabled: the operator's file has a [fleet].
-        start_all: all proxies start at once; else a script starts them.
-        recovery: the file has a [recovery], with a store for each proxy, as if each had a machine of its own.
-        warm_up_s: for which an endpoint is warming up.
-        next_version_members: that speak as the next version of the program would.
-        foreign_members: of another fleet, which have these addresses by mistake.
+        rate: requests per second at each proxy; 0: none.
+        period, suspicion, fleet, counts: values of the operator file.
+        keys: whether datagrams are authenticated with a key.
+        fleet_enabled: whether the operator file has a [fleet].
+        start_all: whether all proxies start at once; otherwise a script starts them.
+        recovery: whether the operator file has a [recovery], with a store and a machine mark for each proxy.
+        warm_up_s: duration of an endpoint's warm-up.
+        next_version_members: members that send datagrams like the next version of the protocol.
+        foreign_members: members of another fleet that use this fleet's addresses by mistake.
     """
 
     members: int = 12
@@ -53,14 +53,14 @@
 
 @dataclass(slots=True)
 class Slot:
-    """One proxy's place: its name, its process, and those before it.
+    """One proxy's slot: its name, its current process, and records of its former processes.
 
     Attributes:
-        suspended: its process is stopped (SIGSTOP).
-        starts: number of processes that were started in it.
-        log_position: bytes of its log that were read.
-        downtimes: from, until: when it could not answer its requests.
-        relays: of its connections to endpoints and to its registry.
+        suspended: whether its process is stopped (SIGSTOP).
+        starts: number of processes started in the slot.
+        log_position: number of bytes read from its log.
+        downtimes: start and end of each time in which it could not answer its requests.
+        relays: relays of its connections to the endpoints and to its registry.
     """
 
     number: int
@@ -76,5 +76,5 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it has a process that has not ended."""
+        """Whether the slot has a process that has not ended."""
         return self.process is not None and self.process.returncode is None
--- a/harness/fleet/state_model.py
+++ b/harness/fleet/state_model.py
@@ -1,10 +1,11 @@
-"""An exhaustive check of the table of states: one member, and two others that hold a view of it.
-
-Entries of different members never meet in the table, so three processes and one subject are all there is to
-a view. The subject is suspected, denies, changes what it says, leaves, crashes, and comes back once, with a
-clock that went back; what the three tell one another is lost, doubled and passed in any order. Every state
-that can be reached within the bounds is visited; in each, all that hold must hold, and an exchange without
-further faults must bring both views together. `MUTATIONS` break the rules one at a time, and are to be found.
+"""Exhaustive check of the member state table, with one member and two observers that have a view of it.
+
+The table never combines entries of different members, so three processes and one subject cover everything
+that can happen to a view. The subject is suspected, denies the suspicion, changes its own entry, leaves,
+crashes, and restarts once, with a clock that went back. Messages between the three are lost, duplicated and
+reordered. The check visits every state that can be reached within the bounds. In each state all invariants
+must hold, and an exchange without further faults must make both views agree. Each of the `MUTATIONS` breaks
+one rule, and the check must find the violation.
 """
 
 from __future__ import annotations
@@ -24,22 +25,23 @@
 )
 from service_proxy.fleet.members import Claim, Incarnation
 
-MAX_MESSAGES = 2  # under way at a time, of which each may come again and again
+MAX_MESSAGES = 2  # messages in flight at a time; each may be delivered repeatedly
 MAX_MODEL_VERSION = 1
-MAX_EXCHANGES = 8  # until all know all; fewer are needed
-PROGRESS_STATES = 100_000  # between two reports of progress
+MAX_EXCHANGES = 8  # upper bound of the exchanges until both views are final; fewer are needed
+PROGRESS_STATES = 100_000  # number of states between two reports of progress
 MAX_NEW_STATES_A_STEP = 8
 MAX_MODEL_GENERATION = 3
-A = 0
-B = 1
+OBSERVER_A = 0
+OBSERVER_B = 1
 SUBJECT = 2
-FIRST = Incarnation(2, 1, 0)
-SECOND = Incarnation(1, 2, 0)  # after a restart: its clock went back
-TableOf = Mapping[tuple[MemberState, ClaimEvent], tuple[MemberState, MergeAction]]
+FIRST_INCARNATION = Incarnation(2, 1, 0)
+# incarnation after a restart; its generation is lower because the clock went back
+SECOND_INCARNATION = Incarnation(1, 2, 0)
+TransitionTable = Mapping[tuple[MemberState, ClaimEvent], tuple[MemberState, MergeAction]]
 
 
 class Message(NamedTuple):
-    """A claim that is under way to one of the three."""
+    """A claim in flight to one of the three processes."""
 
     to: int
     incarnation: Incarnation
@@ -47,27 +49,27 @@
 
 
 class KnownState(NamedTuple):
-    """What an observer holds of the subject."""
+    """An observer's state and incarnation of the subject."""
 
     state: MemberState
     incarnation: Incarnation | None
 
 
 class ModelState(NamedTuple):
-    """The state of the subject, of both observers, and of the messages between the three.
+    """State of the subject, of both observers, and of the messages between the three.
 
     Attributes:
         local: the subject's own incarnation.
-        greatest: that it ever claimed.
-        joined: a second process claims nothing before it has asked.
-        messages: that are under way, sorted.
+        greatest: the greatest incarnation that the subject ever claimed.
+        joined: whether the subject may send claims; a restarted process first has to join.
+        messages: messages in flight, sorted.
     """
 
     up: bool
     left: bool
-    local: Incarnation  # the subject's own
-    greatest: Incarnation  # that it ever claimed
-    joined: bool  # a second process claims nothing before it has asked
+    local: Incarnation  # the subject's own incarnation
+    greatest: Incarnation  # greatest incarnation that the subject ever claimed
+    joined: bool  # a restarted process sends no claims before it has joined
     restarts: int
     views: tuple[KnownState, KnownState]
     messages: tuple[Message, ...]  # sorted
@@ -75,45 +77,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The rules as they are, or with one of them broken."""
+    """The protocol's rules, of which a mutation breaks one."""
 
-    table: TableOf
-    denies: bool = True  # a suspicion that it hears
-    outranks: bool = True  # what is left of its predecessor
-    newest: bool = True  # older claims are told apart from newer ones
+    table: TransitionTable
+    denies_suspicions: bool = True  # the subject denies a suspicion that it receives
+    outranks_predecessor: bool = True  # a restarted subject outranks the incarnation of its earlier process
+    ignores_older_claims: bool = True  # older claims are distinguished from newer claims
 
 
 CORRECT_RULES = Rules(TRANSITIONS)
 
 
-def _with(key: tuple[MemberState, ClaimEvent], value: tuple[MemberState, MergeAction]) -> TableOf:
+def _mutated_table(
+    key: tuple[MemberState, ClaimEvent], value: tuple[MemberState, MergeAction]
+) -> TransitionTable:
     return {**TRANSITIONS, key: value}
 
 
 MUTATIONS: dict[str, Rules] = {
-    "a suspicion is heard and not denied": Rules(TRANSITIONS, denies=False),
-    "the dead come back with the incarnation they died in": Rules(
-        _with((MemberState.DEAD, ClaimEvent.ALIVE_SAME), (MemberState.ALIVE, MergeAction.ACCEPT))
+    "the subject does not deny a suspicion": Rules(TRANSITIONS, denies_suspicions=False),
+    "a dead member is alive again with the same incarnation": Rules(
+        _mutated_table((MemberState.DEAD, ClaimEvent.ALIVE_SAME), (MemberState.ALIVE, MergeAction.ACCEPT))
+    ),
+    "a restarted subject does not outrank its earlier incarnation": Rules(
+        TRANSITIONS, outranks_predecessor=False
     ),
-    "a restart keeps its own run although an earlier one is known": Rules(TRANSITIONS, outranks=False),
-    "the last claim heard holds, whatever it is about": Rules(TRANSITIONS, newest=False),
-    "who left is suspected like anybody": Rules(
-        _with((MemberState.LEFT, ClaimEvent.SUSPECT_SAME), (MemberState.SUSPECT, MergeAction.START_SUSPICION))
+    "the last received claim is accepted, even an older one": Rules(TRANSITIONS, ignores_older_claims=False),
+    "a member that has left is suspected": Rules(
+        _mutated_table(
+            (MemberState.LEFT, ClaimEvent.SUSPECT_SAME), (MemberState.SUSPECT, MergeAction.START_SUSPICION)
+        )
     ),
-    "a suspicion is taken back by what it doubts": Rules(
-        _with((MemberState.SUSPECT, ClaimEvent.ALIVE_SAME), (MemberState.ALIVE, MergeAction.ACCEPT))
+    "the suspected incarnation's own claim ends the suspicion": Rules(
+        _mutated_table((MemberState.SUSPECT, ClaimEvent.ALIVE_SAME), (MemberState.ALIVE, MergeAction.ACCEPT))
     ),
 }
 
 
 class InvariantViolationError(Exception):
-    """An invariant does not hold; the message says which."""
+    """An invariant is violated; the message names it."""
 
 
 def merge_claim(rules: Rules, known: KnownState, incarnation: Incarnation, claim: Claim) -> KnownState:
-    """Return a view after a claim was merged into it by the rules."""
+    """Return a view after a claim was merged into it according to the rules."""
     event = classify_claim(known.incarnation, (incarnation, claim))
-    if not rules.newest and event is ClaimEvent.OLDER:
+    if not rules.ignores_older_claims and event is ClaimEvent.OLDER:
         event = {
             Claim.ALIVE: ClaimEvent.ALIVE_NEWER,
             Claim.SUSPECT: ClaimEvent.SUSPECT_NEWER,
@@ -126,7 +134,7 @@
 
 
 def disseminated_claim(known: KnownState) -> Claim | None:
-    """Return the claim as which a view is told to others: the dead as a suspicion."""
+    """Return the claim with which a view is sent to others; a dead member is sent as suspected."""
     if known.state is MemberState.UNKNOWN:
         return None
     if known.state is MemberState.ALIVE:
@@ -137,18 +145,18 @@
 def deliver_to_subject(
     rules: Rules, model: ModelState, incarnation: Incarnation, claim: Claim, bounded: bool = True
 ) -> ModelState:
-    """Return the model after the subject got a claim about itself."""
+    """Return the model after the subject received a claim about itself."""
     local = model.local
     if incarnation.process == local.process:
-        if claim is Claim.ALIVE or incarnation < local or not rules.denies:
+        if claim is Claim.ALIVE or incarnation < local or not rules.denies_suspicions:
             return model
         if bounded and local.version >= MAX_MODEL_VERSION:
-            return model  # beyond the bound of this check
+            return model  # outside the bound of this check
         local = max(local, incarnation).incremented()
         return model._replace(local=local, greatest=max(model.greatest, local))
     if (
         incarnation > local
-        and rules.outranks
+        and rules.outranks_predecessor
         and not (bounded and incarnation.generation >= MAX_MODEL_GENERATION)
     ):
         local = Incarnation(incarnation.generation + 1, local.nonce, 0)
@@ -157,7 +165,7 @@
 
 
 def deliver(rules: Rules, model: ModelState, message: Message, bounded: bool = True) -> ModelState:
-    """Return the model after a message arrived."""
+    """Return the model after the delivery of a message."""
     if message.to == SUBJECT:
         if not model.up or model.left:
             return model
@@ -168,144 +176,158 @@
 
 
 def with_message(model: ModelState, message: Message) -> ModelState:
-    """Return the model with one more message under way."""
+    """Return the model with one more message in flight."""
     return model._replace(messages=tuple(sorted((*model.messages, message))))
 
 
 def steps(rules: Rules, model: ModelState) -> Iterator[tuple[str, ModelState]]:
-    """Yield all that may happen next, each with its name."""
+    """Yield all possible next steps, each with its name."""
     can_send = len(model.messages) < MAX_MESSAGES
     if model.up and model.joined and can_send:
         claim = Claim.LEFT if model.left else Claim.ALIVE
-        for to in (A, B):
-            yield "the subject tells", with_message(model, Message(to, model.local, claim))
+        for to in (OBSERVER_A, OBSERVER_B):
+            yield "the subject sends its claim", with_message(model, Message(to, model.local, claim))
     if model.up and not model.left:
         yield from subject_steps(rules, model)
     if model.up:
-        yield "it crashes", model._replace(up=False)
+        yield "the subject crashes", model._replace(up=False)
     elif not model.restarts:
-        yield "it starts again", model._replace(up=True, left=False, joined=False, local=SECOND, restarts=1)
-    for observer in (A, B):
+        yield (
+            "the subject restarts",
+            model._replace(up=True, left=False, joined=False, local=SECOND_INCARNATION, restarts=1),
+        )
+    for observer in (OBSERVER_A, OBSERVER_B):
         yield from view_steps(rules, model, observer, can_send)
-    for place, message in enumerate(model.messages):
-        rest = model.messages[:place] + model.messages[place + 1 :]
+    for index, message in enumerate(model.messages):
+        rest = model.messages[:index] + model.messages[index + 1 :]
         yield "lost", model._replace(messages=rest)
         yield "delivered", deliver(rules, model._replace(messages=rest), message)
-        yield "delivered, and comes again", deliver(rules, model, message)
+        yield "delivered and duplicated", deliver(rules, model, message)
 
 
 def subject_steps(rules: Rules, model: ModelState) -> Iterator[tuple[str, ModelState]]:
-    """Yield what the subject may do by itself while it is up and has not left."""
+    """Yield the subject's own steps while it is up and has not left."""
     if not model.joined:
-        # It asks both, and goes on with what they say; or nobody answers, and it goes on alone.
-        asked = model
+        # The subject asks both observers and merges their answers, or no observer answers and it joins
+        # without answers.
+        merged = model
         for known in model.views:
             claim = disseminated_claim(known)
             if claim is not None and known.incarnation is not None:
-                asked = deliver_to_subject(rules, asked, known.incarnation, claim)
-        yield "it joins", asked._replace(joined=True, greatest=max(asked.greatest, asked.local))
-        yield "it joins alone", model._replace(joined=True, greatest=max(model.greatest, model.local))
+                merged = deliver_to_subject(rules, merged, known.incarnation, claim)
+        yield "the subject joins", merged._replace(joined=True, greatest=max(merged.greatest, merged.local))
+        yield (
+            "the subject joins without answers",
+            model._replace(joined=True, greatest=max(model.greatest, model.local)),
+        )
     elif model.local.version < MAX_MODEL_VERSION:
-        renewed = model.local.incremented()
-        yield "it says something new", model._replace(local=renewed, greatest=max(model.greatest, renewed))
+        changed = model.local.incremented()
+        yield (
+            "the subject changes its entry",
+            model._replace(local=changed, greatest=max(model.greatest, changed)),
+        )
     if model.joined:
-        yield "it leaves", model._replace(left=True)
+        yield "the subject leaves", model._replace(left=True)
 
 
 def view_steps(
     rules: Rules, model: ModelState, observer: int, can_send: bool
 ) -> Iterator[tuple[str, ModelState]]:
-    """Yield what an observer may do by itself."""
+    """Yield an observer's own steps."""
     known = model.views[observer]
     if known.state is MemberState.ALIVE and known.incarnation is not None:
         suspected = merge_claim(rules, known, known.incarnation, Claim.SUSPECT)
-        yield "it is suspected", with_view(model, observer, suspected)
+        yield "an observer suspects the subject", with_view(model, observer, suspected)
     if known.state is MemberState.SUSPECT:
         expired = KnownState(rules.table[known.state, ClaimEvent.SUSPICION_EXPIRED][0], known.incarnation)
-        yield "a suspicion runs out", with_view(model, observer, expired)
+        yield "a suspicion expires", with_view(model, observer, expired)
     claim = disseminated_claim(known)
     if claim is not None and known.incarnation is not None and can_send:
-        for to in (B if observer == A else A, SUBJECT):
-            yield "one tells another", with_message(model, Message(to, known.incarnation, claim))
+        for to in (OBSERVER_B if observer == OBSERVER_A else OBSERVER_A, SUBJECT):
+            yield "an observer sends its view", with_message(model, Message(to, known.incarnation, claim))
 
 
 def with_view(model: ModelState, observer: int, known: KnownState) -> ModelState:
-    """Return the model with another view of one observer."""
+    """Return the model with a new view of one observer."""
     views = list(model.views)
     views[observer] = known
     return model._replace(views=(views[0], views[1]))
 
 
-def check_step(before: ModelState, what: str, after: ModelState) -> None:
-    """Check that no view goes back.
+def check_step(before: ModelState, step_name: str, after: ModelState) -> None:
+    """Check that no view goes back to an earlier state.
 
     Raises:
-        InvariantViolationError: what went back.
+        InvariantViolationError: a view went back; the message names the change.
     """
     for old, new in zip(before.views, after.views, strict=True):
         if old.incarnation is None or new.incarnation is None:
             continue
         if new.incarnation < old.incarnation:
             raise InvariantViolationError(
-                f"{what}: a view goes back from {old.incarnation} to {new.incarnation}"
+                f"{step_name}: a view goes back from {old.incarnation} to {new.incarnation}"
             )
         if old.state is MemberState.DEAD and new.state in LIVE_STATES and new.incarnation <= old.incarnation:
             raise InvariantViolationError(
-                f"{what}: {old.incarnation} was dead in a view, and lives in it again"
+                f"{step_name}: {old.incarnation} was dead in a view and is live in it again"
             )
         if (
             old.state is MemberState.LEFT
             and new.state is not MemberState.LEFT
             and new.incarnation <= old.incarnation
         ):
-            raise InvariantViolationError(f"{what}: {old.incarnation} had left, and is {new.state.value}")
+            raise InvariantViolationError(
+                f"{step_name}: {old.incarnation} had left and is now {new.state.value}"
+            )
         ends_suspicion = old.state is MemberState.SUSPECT and new.state is MemberState.ALIVE
         if ends_suspicion and new.incarnation <= old.incarnation:
-            raise InvariantViolationError(f"{what}: a suspicion of {old.incarnation} ended without a denial")
+            raise InvariantViolationError(
+                f"{step_name}: a suspicion of {old.incarnation} ended without a denial"
+            )
 
 
 def check_state(model: ModelState) -> None:
-    """Check that no view holds what nobody has claimed.
+    """Check that no view has an incarnation that the subject never claimed.
 
     Raises:
-        InvariantViolationError: it does.
+        InvariantViolationError: a view has such an incarnation.
     """
     for known in model.views:
         if known.incarnation is not None and known.incarnation > model.greatest:
-            raise InvariantViolationError(f"a view holds {known.incarnation}, which nobody has claimed")
+            raise InvariantViolationError(f"a view has {known.incarnation}, which the subject never claimed")
 
 
-def settle(rules: Rules, model: ModelState) -> ModelState:
-    """Return what the model comes to when nothing goes wrong any more and all exchange all.
+def final_model(rules: Rules, model: ModelState) -> ModelState:
+    """Return the final model after exchanges of all claims without further faults.
 
-    Suspicions run out where the subject is down.
+    Suspicions expire if the subject is down.
     """
     model = model._replace(messages=())
     if model.up and not model.joined:
-        model = next(after for what, after in steps(rules, model) if what == "it joins")
+        model = next(after for step_name, after in steps(rules, model) if step_name == "the subject joins")
     for _ in range(MAX_EXCHANGES):
         before = model
         if model.up:
             claim = Claim.LEFT if model.left else Claim.ALIVE
-            for to in (A, B):
+            for to in (OBSERVER_A, OBSERVER_B):
                 model = deliver(rules, model, Message(to, model.local, claim), False)
-        for who in (A, B):
-            known = model.views[who]
+        for observer in (OBSERVER_A, OBSERVER_B):
+            known = model.views[observer]
             claim_of = disseminated_claim(known)
             if claim_of is None or known.incarnation is None:
                 continue
-            for to in (B if who == A else A, SUBJECT):
+            for to in (OBSERVER_B if observer == OBSERVER_A else OBSERVER_A, SUBJECT):
                 model = deliver(rules, model, Message(to, known.incarnation, claim_of), False)
-        if not model.up or model.left:  # it answers no probe
-            one, other = (without_answer(rules, known) for known in model.views)
+        if not model.up or model.left:  # the subject answers no probe
+            one, other = (after_missed_probe(rules, known) for known in model.views)
             model = model._replace(views=(one, other))
         if model == before:
             break
     return model
 
 
-def without_answer(rules: Rules, known: KnownState) -> KnownState:
-    """Return a view of the subject after it has not answered a probe."""
+def after_missed_probe(rules: Rules, known: KnownState) -> KnownState:
+    """Return a view of the subject after a probe without an answer."""
     if known.state is MemberState.SUSPECT:
         after, _ = rules.table[known.state, ClaimEvent.SUSPICION_EXPIRED]
         return KnownState(after, known.incarnation)
@@ -314,23 +336,27 @@
     return known
 
 
-def check_end(end: ModelState) -> None:
-    """Check that both views agree with what is so in the end.
+def check_final_views(final: ModelState) -> None:
+    """Check that both views agree with the subject's final state.
 
     Raises:
-        InvariantViolationError: they don't.
+        InvariantViolationError: a view does not agree.
     """
-    one, other = end.views
+    one, other = final.views
     if (one.state in LIVE_STATES) != (other.state in LIVE_STATES):
-        raise InvariantViolationError(f"it lives in one view and not in the other, for good: {one}, {other}")
-    if end.up and not end.left:
-        for known in end.views:
-            if known.state is not MemberState.ALIVE or known.incarnation != end.local:
-                raise InvariantViolationError(f"it lives as {end.local}, and a view has {known} for good")
-    if not end.up or end.left:
-        for known in end.views:
+        raise InvariantViolationError(f"the subject is live in only one of the final views: {one}, {other}")
+    if final.up and not final.left:
+        for known in final.views:
+            if known.state is not MemberState.ALIVE or known.incarnation != final.local:
+                raise InvariantViolationError(
+                    f"the subject is alive as {final.local}, but a final view has {known}"
+                )
+    if not final.up or final.left:
+        for known in final.views:
             if known.state in LIVE_STATES:
-                raise InvariantViolationError(f"it is gone, and lives in a view for good: {known}")
+                raise InvariantViolationError(
+                    f"the subject is down or has left, but is live in a final view: {known}"
+                )
 
 
 def explore(
@@ -341,10 +367,10 @@
     """Visit all states within the bounds; return their number.
 
     Raises:
-        InvariantViolationError: with what does not hold, and the events that led there.
+        InvariantViolationError: an invariant is violated; the message lists the steps to this state.
     """
-    known = KnownState(MemberState.ALIVE, FIRST)
-    start = ModelState(True, False, FIRST, FIRST, True, 0, (known, known), ())
+    known = KnownState(MemberState.ALIVE, FIRST_INCARNATION)
+    start = ModelState(True, False, FIRST_INCARNATION, FIRST_INCARNATION, True, 0, (known, known), ())
     unknown = start._replace(
         views=(KnownState(MemberState.UNKNOWN, None), KnownState(MemberState.UNKNOWN, None))
     )
@@ -354,13 +380,13 @@
         model = queue.popleft()
         try:
             check_state(model)
-            check_end(settle(rules, model))
-            for what, after in steps(rules, model):
-                check_step(model, what, after)
+            check_final_views(final_model(rules, model))
+            for step_name, after in steps(rules, model):
+                check_step(model, step_name, after)
                 if after not in reached:
-                    reached[after] = model, what
+                    reached[after] = model, step_name
                     if len(reached) > max_states:
-                        raise RuntimeError(f"over {max_states} states")
+                        raise RuntimeError(f"over {max_states} states are reachable; raise max_states")
                     queue.append(after)
         except InvariantViolationError as error:
             raise InvariantViolationError(f"{error}; after: {'; '.join(_steps_to(reached, model))}") from None
@@ -373,7 +399,7 @@
     names: list[str] = []
     step = reached[model]
     while step is not None:
-        model, what = step
-        names.append(what)
+        model, step_name = step
+        names.append(step_name)
         step = reached[model]
-    return names[::-1] or ["the beginning"]
+    return names[::-1] or ["no steps"]
--- a/harness/fleet/virtual_fleet.py
+++ b/harness/fleet/virtual_fleet.py
@@ -1,6 +1,7 @@
-"""Members in virtual time: a heap of events, seeded delays, and the network's faults. No sockets, no waiting.
+"""Members in virtual time: an event heap, seeded delays and network faults, without sockets or waiting.
 
-The same seed gives the same run, in another process too. Thousands of members fit, for entries are shared.
+The same seed gives the same run, also in another process. Thousands of members fit in memory because they
+share entries.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 from service_proxy.fleet.timing import ProtocolTiming
 
 EPOCH_S = 1_764_633_600.0  # s since 1970 at the start of a run
-BROADCAST_ADDRESS = "10.255.255.255", 7946  # reaches all
-MAX_INBOX = 512  # datagrams in the buffer of a suspended process's socket
+BROADCAST_ADDRESS = "10.255.255.255", 7946  # address that reaches all members
+MAX_INBOX = 512  # datagrams in the socket buffer of a suspended process
 ProtocolFactory = Callable[..., MembershipProtocol]
 
 
@@ -42,35 +43,35 @@
 
 @dataclass(slots=True)
 class VirtualMember:
-    """One name's process, and those before it.
+    """One member's current process, and records of its former processes.
 
     Attributes:
-        inbox: datagrams that arrived while it was suspended.
+        inbox: datagrams that arrived while the process was suspended.
         starts: number of its processes.
-        clock_offset: s by which its reading of the monotonic clock is off.
-        wall_offset: s by which its wall clock is off.
-        timer_deadline: of the tick that is scheduled; negative: none.
+        clock_offset: s by which its monotonic clock is ahead.
+        wall_offset: s by which its wall clock is ahead.
+        timer_deadline: time of the scheduled tick; negative: none.
     """
 
     number: int
     name: str
     protocol: MembershipProtocol | None = None
     suspended: bool = False
-    inbox: list[tuple[Address, bytes]] = field(default_factory=list)  # while it is stopped
+    inbox: list[tuple[Address, bytes]] = field(default_factory=list)  # datagrams received while suspended
     starts: int = 0
-    clock_offset: float = 0.0  # s by which its reading of the monotonic clock is off
-    wall_offset: float = 0.0  # of the wall clock
-    timer_deadline: float = -1.0  # the tick that is set
+    clock_offset: float = 0.0  # s by which its monotonic clock is ahead
+    wall_offset: float = 0.0  # s by which its wall clock is ahead
+    timer_deadline: float = -1.0  # time of the scheduled tick
 
 
 class VirtualFleet:
     """A fleet in virtual time.
 
     Attributes:
-        now: s since the beginning.
-        on_change: is called with each change of a member's view.
-        on_log_line: is called with each log line of a member.
-        datagrams, bytes: that were sent.
+        now: s since the start of the run.
+        on_change: called with each change of a member's view.
+        on_log_line: called with each log line of a member.
+        datagrams, bytes: sent datagrams and their bytes.
     """
 
     def __init__(
@@ -85,7 +86,10 @@
         authenticator: MessageAuthenticator | None = None,
         use_seeds: bool = True,
     ) -> None:
-        """`named`: each knows the others' addresses; else only the one that reaches all."""
+        """Create a fleet without running members.
+
+        With `use_seeds`, each member has the addresses of all members; otherwise only the broadcast address.
+        """
         self.use_seeds = use_seeds
         self.timing = timing
         self.seed = seed
@@ -104,23 +108,23 @@
         self.datagrams = 0
         self.bytes = 0
 
-    # running
-    def schedule(self, at: float, what: Callable[..., None], *args: Any) -> None:
-        """Call something at this time."""
-        heapq.heappush(self.events, (max(at, self.now), next(self.order), what, args))
+    # Event loop
+    def schedule(self, at: float, callback: Callable[..., None], *args: Any) -> None:
+        """Call a function at a time of the virtual clock."""
+        heapq.heappush(self.events, (max(at, self.now), next(self.order), callback, args))
 
     def run(self, until: float) -> None:
-        """Run all events until this time."""
+        """Run all events until a time of the virtual clock."""
         while self.events and self.events[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(self.events)
-            what(*args)
+            self.now, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
         self.now = until
 
     def _local_time(self, member: VirtualMember) -> float:
         return self.now + member.clock_offset
 
     def _apply_effects(self, member: VirtualMember) -> None:
-        """Carry out what a member has decided, and schedule its next tick."""
+        """Perform the effects that a member has decided on, and schedule its next tick."""
         core = member.protocol
         assert core is not None
         effects = core.take_effects()
@@ -132,13 +136,13 @@
         if self.on_log_line is not None:
             for line in effects.log_lines:
                 self.on_log_line(member, line.text)
-        due = max(self.now, core.next_timer_at - member.clock_offset)
-        if member.timer_deadline < 0 or due < member.timer_deadline - 1e-9:
-            member.timer_deadline = due
-            self.schedule(due, self._on_timer, member, core, due)
+        due_at = max(self.now, core.next_timer_at - member.clock_offset)
+        if member.timer_deadline < 0 or due_at < member.timer_deadline - 1e-9:
+            member.timer_deadline = due_at
+            self.schedule(due_at, self._on_timer, member, core, due_at)
 
-    def _on_timer(self, member: VirtualMember, core: MembershipProtocol, due: float) -> None:
-        if member.protocol is not core or member.timer_deadline != due or member.suspended:
+    def _on_timer(self, member: VirtualMember, core: MembershipProtocol, due_at: float) -> None:
+        if member.protocol is not core or member.timer_deadline != due_at or member.suspended:
             return
         member.timer_deadline = -1.0
         core.tick(self._local_time(member))
@@ -165,9 +169,9 @@
         member.protocol.receive_datagram(self._local_time(member), source, data)
         self._apply_effects(member)
 
-    # what happens to members
+    # Events of members
     def start(self, number: int, name: str = "") -> None:
-        """Start a new process of a member, by another name if one is given."""
+        """Start a new process of a member, with another name if one is given."""
         member = self.members[number]
         member.starts += 1
         if name:
@@ -194,7 +198,7 @@
         self._apply_effects(member)
 
     def adopt(self) -> None:
-        """Start all at once, as members that know one another."""
+        """Start all members at once, each with all others in its view."""
         entries = {}
         for member in self.members:
             zone = f"z{member.number % self.zones}"
@@ -223,11 +227,11 @@
             self._apply_effects(member)
 
     def kill(self, number: int) -> None:
-        """End a process at once."""
+        """Kill a process."""
         self.members[number].protocol = None
 
     def leave(self, number: int) -> None:
-        """End a process that says so before."""
+        """End a process that announces its leave first."""
         member = self.members[number]
         if member.protocol is not None:
             member.protocol.leave(self._local_time(member))
@@ -235,18 +239,19 @@
             member.protocol = None
 
     def suspend(self, number: int) -> None:
-        """Let a process do nothing."""
+        """Suspend a process."""
         self.members[number].suspended = True
 
     def resume(self, number: int) -> None:
-        """Let a suspended process go on: first its timers, then its datagrams."""
+        """Resume a suspended process: first its timers run, then its queued datagrams."""
         member = self.members[number]
         if member.protocol is None or not member.suspended:
             return
         member.suspended = False
         member.timer_deadline = -1.0
         core = member.protocol
-        core.tick(self._local_time(member))  # a process that wakes finds its timers due first
+        # the timers of a resumed process are due before its datagrams are read
+        core.tick(self._local_time(member))
         inbox = member.inbox
         member.inbox = []
         for source, data in inbox:
@@ -254,7 +259,7 @@
         self._apply_effects(member)
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
-        """Move a process's clocks by so many seconds."""
+        """Move a process's clocks by some seconds."""
         member = self.members[number]
         member.clock_offset += monotonic
         member.wall_offset += wall
@@ -263,32 +268,32 @@
             member.protocol.tick(self._local_time(member))
             self._apply_effects(member)
 
-    # what is seen
+    # Observation
     @property
     def living(self) -> list[VirtualMember]:
         """Members that have a process."""
         return [member for member in self.members if member.protocol is not None]
 
     def is_converged(self) -> bool:
-        """Return whether all the living have the same view, and it is the living."""
+        """Return whether all living members have the same view, which lists the living members."""
         names = {member_key(member.name) for member in self.living}
         tables = [member.protocol.table for member in self.living if member.protocol is not None]
         return len({table.digest for table in tables}) <= 1 and all(
             set(table.entries) == names and not table.suspicions for table in tables
         )
 
-    def states(self, of: int) -> dict[MemberState, int]:
-        """Return how many of the other living members have this one in which state."""
+    def states(self, subject: int) -> dict[MemberState, int]:
+        """Return the number of other living members by the state in which they have a member."""
         counts: dict[MemberState, int] = {}
         for member in self.living:
-            if member.protocol is not None and member.number != of:
-                state = member.protocol.table.state(member_key(self.members[of].name))
+            if member.protocol is not None and member.number != subject:
+                state = member.protocol.table.state(member_key(self.members[subject].name))
                 counts[state] = counts.get(state, 0) + 1
         return counts
 
 
 class VirtualFaultTarget:
-    """The target of a fault script in virtual time; it also sees whom a view brings back from the dead."""
+    """Virtual fleet as the target of a fault script, with a record of dead incarnations that became live."""
 
     def __init__(self, fleet: VirtualFleet) -> None:
         self.fleet = fleet
@@ -301,66 +306,68 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of the members, now."""
+        """Current names of the members."""
         return [member.name for member in self.fleet.members]
 
     def record_change(self, member: VirtualMember, change: MembershipChange) -> None:
-        """Take in a change of a member's view."""
-        view = f"{member.name}.{member.starts}"  # a new process begins with none
+        """Record a change of a member's view."""
+        view = f"{member.name}.{member.starts}"  # a new process has a new view
         dead = self.declared_dead.setdefault((view, change.entry.key), set())
         if change.after is MemberState.DEAD:
             dead.add(change.entry.incarnation)
         elif change.after in LIVE_STATES and change.entry.incarnation in dead:
-            who = f"{change.entry.name} {change.entry.incarnation}"
-            self.resurrections.append(f"{who} came back in {member.name}'s view")
+            incarnation_name = f"{change.entry.name} {change.entry.incarnation}"
+            self.resurrections.append(
+                f"{incarnation_name} was dead and is live again in {member.name}'s view"
+            )
         event = f"{change.entry.name} is {change.after.value}"
         if self.on_event is not None and event not in self.reported_events:
             self.reported_events.add(event)
             self.on_event(event)
 
-    def schedule(self, wait: float, what: Callable[[], None]) -> None:
-        """Call something after so many seconds."""
-        self.fleet.schedule(self.fleet.now + wait, what)
+    def schedule(self, wait: float, callback: Callable[[], None]) -> None:
+        """Call a function after `wait` seconds."""
+        self.fleet.schedule(self.fleet.now + wait, callback)
 
     def kill(self, number: int) -> None:
-        """End a process at once."""
+        """Kill a process."""
         self.fleet.kill(number)
 
     def terminate(self, number: int) -> None:
-        """End a process that says so before."""
+        """End a process that announces its leave first."""
         self.fleet.leave(number)
 
     def start(self, number: int, name: str = "") -> None:
-        """Start a process where there is none."""
+        """Start a process if the member has none."""
         if self.fleet.members[number].protocol is None:
             self.fleet.start(number, name)
 
     def suspend(self, number: int) -> None:
-        """Let a process do nothing."""
+        """Suspend a process."""
         self.fleet.suspend(number)
 
     def resume(self, number: int) -> None:
-        """Let a suspended process go on."""
+        """Resume a suspended process."""
         self.fleet.resume(number)
 
     def adjust_clock(self, number: int, monotonic: float = 0.0, wall: float = 0.0) -> None:
-        """Move a process's clocks by so many seconds."""
+        """Move a process's clocks by some seconds."""
         self.fleet.adjust_clock(number, monotonic, wall)
 
-    # What is not there in virtual time: sockets' buffers, TCP, lists.
+    # Virtual time has no socket buffers, no TCP and no endpoint lists, so these methods do nothing.
     def flood(self, number: int, rate: float, lasts: float) -> None:
-        """Do nothing: there are no buffers of sockets."""
+        """Do nothing, because there are no socket buffers."""
 
     def reset_connections(self, number: int) -> None:
-        """Do nothing: there is no TCP."""
+        """Do nothing, because there is no TCP."""
 
     def set_silent(self, number: int, on: bool) -> None:
-        """Do nothing: there is no TCP."""
+        """Do nothing, because there is no TCP."""
 
     def set_draining(self, server: str, on: bool) -> None:
-        """Do nothing: there are no endpoint lists."""
+        """Do nothing, because there are no endpoint lists."""
 
 
 def derive_seed(*parts: int) -> int:
-    """Return a seed made of these numbers; the same in every process."""
+    """Return a seed from several numbers, which is the same in every process."""
     return Random(",".join(map(str, parts))).getrandbits(62)
--- a/harness/recovery/__init__.py
+++ b/harness/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a power loss takes: disks that tear, fill, slow down and lose what was not synced."""
+"""Stand-ins for disks in a power loss: they tear writes, fill up, slow down and lose unsynced data."""
--- a/harness/recovery/crash_disk.py
+++ b/harness/recovery/crash_disk.py
@@ -1,9 +1,9 @@
-"""A disk in memory that says what a crash at any moment may leave, and that fails when told to.
+"""Disk in memory that yields every state a crash may leave, and that fails according to a plan.
 
-It promises what POSIX promises and no more ("All File Systems Are Not Created Equal", 2014): content is
-durable after an fsync of its file, names (created, renamed, removed) after an fsync of the directory; before
-that, any part of either may be there or not, names in any order. A `RecordingDirectory` records what a store
-does; `crash_images` replays each prefix of it.
+It guarantees only what POSIX guarantees ("All File Systems Are Not Created Equal", 2014): content is durable
+after an fsync of its file, and names (created, renamed, removed) are durable after an fsync of the directory.
+Before that, any part of the content may be missing, and any of the name changes, in any order. A
+`RecordingDirectory` records a store's operations; `crash_images` replays each prefix of them.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-Image = dict[str, bytes]  # the files of a directory
+Image = dict[str, bytes]  # content of a directory's files by name
 
 
 class Action(Enum):
-    """What a store asks of its directory."""
+    """An operation that a store requests from its directory."""
 
     CREATE = "create"
     WRITE = "write"
@@ -29,7 +29,7 @@
 
 
 class Progress(NamedTuple):
-    """How many records a store had been handed, and how many it had acknowledged as durable."""
+    """Number of records submitted to a store, and number of those that it acknowledged as durable."""
 
     submitted: int
     durable: int
@@ -44,20 +44,20 @@
 
 @dataclass(eq=False)
 class Inode:
-    """The content of a file: what is durable, and the writes since."""
+    """Content of a file: the durable part, and the writes after it."""
 
     durable: bytes = b""
     pending: list[bytes] = field(default_factory=list)
 
     @property
     def content(self) -> bytes:
-        """All that was written."""
+        """Durable and pending content."""
         return self.durable + b"".join(self.pending)
 
 
 @dataclass(frozen=True)
 class DiskOperation:
-    """One thing that a store did, and the progress before it."""
+    """One operation of a store, and the progress before it."""
 
     action: Action
     name: str = ""
@@ -71,13 +71,13 @@
     """A store.Directory in memory that records each operation.
 
     Attributes:
-        operations: so far, without those that failed.
-        submitted_count, durable_count: records, told by whoever drives the store.
+        operations: operations so far; failed ones only if they wrote a part.
+        submitted_count, durable_count: numbers of records, which the caller that drives the store sets.
         fault_for: returns the errno with which an action on a file fails, or 0.
     """
 
     def __init__(self, image: Image | None = None) -> None:
-        """Start with these files, or empty."""
+        """Start with the files of an image, or empty."""
         self.files: dict[str, int] = {}
         self.inodes: list[bytearray] = []
         self.initial_image = dict(image or {})
@@ -91,11 +91,11 @@
 
     @property
     def progress(self) -> Progress:
-        """What was submitted and acknowledged so far."""
+        """Numbers of submitted and of acknowledged records so far."""
         return Progress(self.submitted_count, self.durable_count)
 
     def image(self) -> Image:
-        """Return all files as they are now."""
+        """Return the current content of all files."""
         return {name: bytes(self.inodes[inode]) for name, inode in self.files.items()}
 
     def _record(
@@ -104,7 +104,7 @@
         fault = self.fault_for(action, name) if self.fault_for is not None else 0
         if fault and action is not Action.WRITE:
             raise OSError(fault, errno.errorcode[fault])
-        if fault:  # some of a failed write is there
+        if fault:  # a failed write leaves a part of its data
             data = data[: len(data) // 2]
             self.inodes[inode] += data
         self.operations.append(DiskOperation(action, name, new_name, inode, data, progress=self.progress))
@@ -138,7 +138,7 @@
         self._record(Action.FSYNC, file.name, inode=file.inode)
 
     def close(self, file: FileHandle) -> None:
-        """Close a file; nothing becomes durable by it."""
+        """Close a file; this makes nothing durable."""
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
@@ -156,9 +156,9 @@
 
 
 def crash_images(recording: RecordingDirectory) -> Iterator[tuple[Image, Progress]]:
-    """Yield each image that a crash may leave, with the progress by then.
+    """Yield each image that a crash may leave, with the progress at the time of the crash.
 
-    An image that was yielded before comes again only where the progress differs.
+    An image is yielded again only with another progress.
     """
     disk = _ReplayedDisk(recording.initial_image)
     seen: set[int] = set()
@@ -175,7 +175,7 @@
 
 
 class _ReplayedDisk:
-    """What is durable after a prefix of a recording, and what is not yet."""
+    """Durable and pending parts of the disk after a prefix of a recording."""
 
     def __init__(self, image: Image) -> None:
         self.inodes = {number: Inode(data) for number, data in enumerate(image.values())}
@@ -205,8 +205,8 @@
             names = dict(self.names)
             for operation in chosen:
                 _apply_name_change(names, operation)
-            for remains in (_all_written, _only_synced, _half_written, _hole_then_rest):
-                yield {name: remains(self.inodes[inode]) for name, inode in names.items()}
+            for recovered_content in (_all_written, _only_synced, _half_written, _zeros_then_rest):
+                yield {name: recovered_content(self.inodes[inode]) for name, inode in names.items()}
 
 
 def _apply_name_change(names: dict[str, int], operation: DiskOperation) -> None:
@@ -231,7 +231,7 @@
     return inode.durable + pending[: (len(pending) + 1) // 2]
 
 
-def _hole_then_rest(inode: Inode) -> bytes:
-    """The file has its length, and the first of what was not synced is zeros."""
+def _zeros_then_rest(inode: Inode) -> bytes:
+    """Return the full length of the file, with zeros in the first half of the unsynced content."""
     pending = b"".join(inode.pending)
     return inode.durable + bytes(len(pending) // 2) + pending[len(pending) // 2 :]
--- a/harness/recovery/crash_points.py
+++ b/harness/recovery/crash_points.py
@@ -1,4 +1,4 @@
-"""A recorded run of a store, crashed at each point, and judged: the state before or the one after."""
+"""Recorded runs of a store, with a crash at each point; the recovered state has to be a submitted one."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from service_proxy.recovery.store import Store, StoreContents, StoreOwner, StoreRejectedError, read_store
 
 OWNER = StoreOwner("p0", "m0")
-MIN_LOG_BYTES = 600  # so that a short run has several generations
+MIN_LOG_BYTES = 600  # small, so that a short run has several generations
 KEY_COUNT = 6
 DROP_SHARE = 0.2
 MAX_BATCH = 4  # records
 
 
 def random_operations(random: Random, count: int) -> Iterator[RawRecord]:
-    """Yield records of several kinds: added, replaced and dropped."""
+    """Yield random operations on records of several kinds, which add, replace and drop records."""
     for number in range(count):
         key = f"n{random.randrange(KEY_COUNT)}"
         records: list[PersistedRecord] = [
@@ -48,10 +48,10 @@
 
 
 class FaultPlan:
-    """Makes a recorded disk fail so often, from one of its operations on; removals always succeed."""
+    """Plan of a disk's faults: `fault_count` failures after `fault_at` operations; removals never fail."""
 
     def __init__(self, recording: RecordingDirectory, fault_at: int, fault_count: int) -> None:
-        """`fault_at`: number of operations after which it fails; negative: never."""
+        """Create a plan in which the disk fails after `fault_at` operations; never if negative."""
         self.recording = recording
         self.fault_at = fault_at
         self.remaining = fault_count
@@ -74,19 +74,19 @@
     fault_count: int = 0,
     min_log_bytes: int = MIN_LOG_BYTES,
 ) -> tuple[RecordingDirectory, list[PersistedState]]:
-    """Record what a store does on its disk.
+    """Record the disk operations of a store.
 
     Args:
-        store_class: the store or one with a planted bug.
-        seed: of the records.
-        batches: to append.
-        image: with which the disk starts.
-        fault_at: operation from which on the disk fails.
-        fault_count: how often it fails.
-        min_log_bytes: of a log before it is compacted.
+        store_class: the store, or one with a planted bug.
+        seed: seed of the records.
+        batches: number of batches to append.
+        image: files on the disk at the start.
+        fault_at: number of operations after which the disk fails.
+        fault_count: number of failures.
+        min_log_bytes: size of a log before it is compacted.
 
     Returns:
-        The recording, and the state after each record that the store was handed.
+        The recording, and the state after each submitted record.
     """
     random = Random(f"store {seed}")
     recording = RecordingDirectory(image)
@@ -99,20 +99,20 @@
     for _ in range(batches):
         batch = list(random_operations(random, random.randint(1, MAX_BATCH)))
         for record in batch:
-            following = states[-1].copy()
-            following.apply(record)
-            states.append(following)
+            next_state = states[-1].copy()
+            next_state.apply(record)
+            states.append(next_state)
         recording.submitted_count += len(batch)
         try:
             store.append(batch, float(recording.submitted_count))
         except OSError:
-            continue  # durable with the next that succeeds
+            continue  # the next successful batch makes these records durable
         recording.durable_count = recording.submitted_count
     return recording, states
 
 
 def crash_faults(recording: RecordingDirectory, states: list[PersistedState]) -> Iterator[str]:
-    """Yield a sentence for each crash that leaves a state that it must not; "" for each that is right."""
+    """Yield a description for each crash that leaves an invalid state, and "" for each other crash."""
     for image, progress in crash_images(recording):
         try:
             contents = read_store(RecordingDirectory(image), OWNER)
@@ -125,9 +125,9 @@
         )
         if not is_expected:
             counts = f"{progress.durable} records were durable, {progress.submitted} were submitted"
-            yield f"{counts}, and the state found is that of neither"
+            yield f"{counts}, and the recovered state is neither of these nor between them"
         elif contents.damage:
-            yield f"a crash is taken for damage: {contents.damage}"
+            yield f"a crash is reported as damage: {contents.damage}"
         else:
             yield ""
 
--- a/harness/recovery/planted_bugs.py
+++ b/harness/recovery/planted_bugs.py
@@ -1,4 +1,4 @@
-"""Stores with one ordering bug each, of the kind that works until the power fails. Never in the product."""
+"""Stores with one ordering bug each, which has no effect until the power fails; never in the product."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def _do_not_sync(file: Any) -> None:
-    """Leave a file as it is."""
+    """Do not sync the file."""
 
 
 class UnsyncedSnapshotStore(Store):
-    """Renames the snapshot before its content is durable."""
+    """Store that renames the snapshot before its content is durable."""
 
     def _write_snapshot_lines(self, file: Any, now: float) -> None:
         fsync = self.directory.fsync
@@ -24,7 +24,7 @@
 
 
 class UnsyncedDirectoryStore(Store):
-    """Removes the old generation before the new one's name is durable."""
+    """Store that removes the old generation before the name of the new one is durable."""
 
     def _publish_snapshot(self) -> None:
         name = snapshot_name(self.generation)
@@ -40,7 +40,7 @@
 
 
 class RemovesOldGenerationFirstStore(Store):
-    """Removes the old generation before the new one is written."""
+    """Store that removes the old generation before the new one is written."""
 
     def _write_snapshot(self, now: float) -> None:
         self._remove_old_generations()
@@ -48,14 +48,14 @@
 
 
 class AcknowledgesBeforeSyncStore(Store):
-    """Counts a batch as durable once it is written."""
+    """Store that acknowledges a batch as durable after the write, before the sync."""
 
     def _append_and_sync(self, log: Any, data: bytes) -> None:
         self.directory.write(log, data)
 
 
 class AppendsAfterFaultStore(Store):
-    """Goes on appending to a log after a write failed."""
+    """Store that continues to append to a log after a failed write."""
 
     def _append_and_sync(self, log: Any, data: bytes) -> None:
         try:
@@ -65,11 +65,11 @@
             raise
 
 
-# Found only where the disk fails.
-BUGS_SEEN_ON_FAULTY_DISK = {"a log is appended to after a fault": AppendsAfterFaultStore}
+# Bugs that only a failing disk reveals.
+BUGS_SEEN_ON_FAULTY_DISK = {"a log is appended to after a failed write": AppendsAfterFaultStore}
 ORDERING_BUGS: dict[str, type[Store]] = {
     "the rename comes before the content is durable": UnsyncedSnapshotStore,
     "the old generation is removed before the new name is durable": UnsyncedDirectoryStore,
     "the old generation is removed before the new one is written": RemovesOldGenerationFirstStore,
-    "a batch counts as durable once it is written": AcknowledgesBeforeSyncStore,
+    "a batch is acknowledged before it is synced": AcknowledgesBeforeSyncStore,
 }
--- a/harness/recovery/store_writer.py
+++ b/harness/recovery/store_writer.py
@@ -1,8 +1,8 @@
-"""A process that writes a store and says how much of it is durable, until it is killed.
+"""Process that writes a store and prints how many records are durable, until it is killed.
 
     python -m harness.recovery.store_writer DIRECTORY NAME
 
-It prints a line `safe N` for each batch, and ends by itself after a minute.
+It prints a line `safe N` for each durable batch, and ends after a minute if it is not killed.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from service_proxy.recovery.store_directory import StoreDirectory
 
 LIFETIME_S = 60.0
-BATCH = 20  # records
+BATCH_SIZE = 20  # records
 ENDPOINT_COUNT = 300
 PAUSE_S = 0.001
 DURABLE_TIMEOUT_S = 5.0
 
 
 def main(directory: str, name: str) -> int:
-    """Write numbered records until killed, continuing where the process before ended."""
+    """Write numbered records until the process is killed, after the last number in the store."""
     clock = Clock()
     writer = AsyncStoreWriter(StoreDirectory(Path(directory)), StoreOwner(name), clock)
     writer.start()
@@ -33,7 +33,7 @@
     number = last.version if isinstance(last, EndpointSourceRecord) else 0
     ends_at = clock.monotonic() + LIFETIME_S
     while clock.monotonic() < ends_at:
-        for _ in range(BATCH):
+        for _ in range(BATCH_SIZE):
             number += 1
             writer.put(
                 f"n{number % ENDPOINT_COUNT}", EndpointRecord("10.0.0.1:80", recorded_at=float(number))
--- a/tests/harness/test_coordination.py
+++ b/tests/harness/test_coordination.py
@@ -1,4 +1,4 @@
-"""The coordination stand-in, used by a stock client library that knows nothing of it."""
+"""The coordination stand-in, tested with an independent client library (kazoo)."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
         await service.start()
         return service
 
-    def client(self, timeout: float = 5.0, **more: object) -> KazooClient:
-        client = KazooClient(self.hosts, timeout=timeout, **more)
+    def client(self, timeout: float = 5.0, **options: object) -> KazooClient:
+        client = KazooClient(self.hosts, timeout=timeout, **options)
         client.start(DEFAULT_TIMEOUT_S)
         self.clients.append(client)
         return client
@@ -59,9 +59,9 @@
 
 @pytest.fixture
 def ensemble() -> Iterator[Ensemble]:
-    found = Ensemble()
-    yield found
-    found.stop()
+    running_ensemble = Ensemble()
+    yield running_ensemble
+    running_ensemble.stop()
 
 
 def test_a_stock_client_reads_and_writes(ensemble: Ensemble) -> None:
@@ -115,18 +115,18 @@
     client = ensemble.client()
     other = ensemble.client()
     client.ensure_path("/p")
-    seen: list[tuple[str, str]] = []
+    events: list[tuple[str, str]] = []
     done = threading.Semaphore(0)
 
     def watch(event: object) -> None:
-        seen.append((event.type, event.path))  # type: ignore[attr-defined]
+        events.append((event.type, event.path))  # type: ignore[attr-defined]
         done.release()
 
     client.get_children("/p", watch=watch)
     client.exists("/p/s", watch=watch)
     other.create("/p/s", b"", ephemeral=True)
     assert done.acquire(timeout=DEFAULT_TIMEOUT_S) and done.acquire(timeout=DEFAULT_TIMEOUT_S)
-    assert seen == [("CREATED", "/p/s"), ("CHILD", "/p")]
+    assert events == [("CREATED", "/p/s"), ("CHILD", "/p")]
     client.get("/p/s", watch=watch)
     other.set("/p/s", b"x")
     other.set("/p/s", b"y")
@@ -134,10 +134,12 @@
     client.get("/p/s", watch=watch)
     other.stop()
     assert done.acquire(timeout=DEFAULT_TIMEOUT_S)
-    assert seen[2:] == [("CHANGED", "/p/s"), ("DELETED", "/p/s")]
+    assert events[2:] == [("CHANGED", "/p/s"), ("DELETED", "/p/s")]
 
 
-def test_a_stock_client_moves_with_its_session_and_hears_of_its_expiry(ensemble: Ensemble) -> None:
+def test_a_stock_client_keeps_its_session_after_a_drop_and_is_notified_of_its_expiry(
+    ensemble: Ensemble,
+) -> None:
     client = ensemble.client()
     states: list[str] = []
     changed = threading.Condition()
@@ -174,7 +176,7 @@
     ensemble.do(do="heal")
 
 
-def test_a_stock_client_with_credentials(ensemble: Ensemble) -> None:
+def test_a_stock_client_authenticates_with_credentials(ensemble: Ensemble) -> None:
     client = ensemble.client(auth_data=[("digest", "u:p")])
     client.create("/mine", b"secret", acl=CREATOR_ALL_ACL)
     assert client.get("/mine")[0] == b"secret"
@@ -182,7 +184,7 @@
         ensemble.client().get("/mine")
 
 
-def test_a_stock_client_that_may_read_only(ensemble: Ensemble) -> None:
+def test_a_stock_client_reads_from_a_read_only_server(ensemble: Ensemble) -> None:
     client = ensemble.client()
     client.create("/a", b"1")
     ensemble.do(do="read_only", on=True)
@@ -201,7 +203,9 @@
     assert len(lines) == 3 and all(line.startswith("listening 127.0.0.1:") for line in lines)
 
 
-def test_a_bad_script_is_told_with_its_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_script_is_reported_with_its_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     script = tmp_path / "script"
     script.write_text('{"at": 1, "do": "empty"}\n{"do": "empty"}\n')
     with pytest.raises(ValueError, match="script:2: not a step"):
--- a/tests/harness/test_fleet_harness.py
+++ b/tests/harness/test_fleet_harness.py
@@ -1,4 +1,4 @@
-"""The fleet's rig itself: scripts and their errors, decisions that hang on seed, link and number alone."""
+"""The fleet harness: scripts and their errors; delivery plans depend on seed, link and number only."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from service_proxy.operator_file import OperatorError
 
 FAULT = '[[fault]]\nat = 1.0\ndo = "kill"\nwho = ["p1"]\n'
-BROKEN = {
-    "unknown deed": ('members = 3\n[[fault]]\nat = 1.0\ndo = "kil"\nwho = ["p1"]\n', 4, "must be one of"),
+INVALID_SCRIPTS = {
+    "unknown action": ('members = 3\n[[fault]]\nat = 1.0\ndo = "kil"\nwho = ["p1"]\n', 4, "must be one of"),
     "neither at nor when": ('[[fault]]\ndo = "kill"\nwho = ["p1"]\n', 1, "either `at` or `when`"),
-    "of whom": ('[[fault]]\nat = 1\ndo = "kill"\n', 1, "kill of whom"),
-    "for how long": ('[[fault]]\nat = 1\ndo = "loss"\nwho = ["all"]\n', 1, "for how long"),
-    "no such member": ("members = 1\n" + FAULT, 5, "there are members 0 to 0"),
+    "no who": ('[[fault]]\nat = 1\ndo = "kill"\n', 1, "kill has no `who`"),
+    "no lasts": ('[[fault]]\nat = 1\ndo = "loss"\nwho = ["all"]\n', 1, "loss has no `lasts`"),
+    "no such member": ("members = 1\n" + FAULT, 5, "the members are 0 to 0"),
     "no event": ('[[fault]]\nwhen = "p1 is ill"\ndo = "kill"\nwho = ["p1"]\n', 2, 'must be "settled"'),
     "one group": ('[[fault]]\nat = 1\ndo = "partition"\ngroups = ["p1"]\nlasts = 1.0\n', 1, "two groups"),
     "unknown key": (FAULT + "sahre = 0.1\n", 5, "write share"),
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
+@pytest.mark.parametrize("name", INVALID_SCRIPTS)
 def test_an_invalid_script_is_reported_with_its_line(name: str) -> None:
-    text, line, what = BROKEN[name]
-    with pytest.raises(OperatorError) as fault:
+    text, line, message = INVALID_SCRIPTS[name]
+    with pytest.raises(OperatorError) as raised:
         parse_script(text)
-    assert any(p.line == line and what in f"{p.text} {p.remedy}" for p in fault.value.problems)
+    assert any(p.line == line and message in f"{p.text} {p.remedy}" for p in raised.value.problems)
 
 
 def test_members_are_named_one_by_one_in_ranges_or_all() -> None:
@@ -40,7 +40,7 @@
 
 
 def test_delivery_plans_depend_on_seed_link_and_number_alone() -> None:
-    def fates(order: list[tuple[int, int]]) -> dict[tuple[int, int], list[object]]:
+    def plans_by_link(order: list[tuple[int, int]]) -> dict[tuple[int, int], list[object]]:
         network = Network(5, default_faults=LinkFaults(loss=0.3, jitter=0.1, duplicate=0.2, corrupt=0.2))
         found: dict[tuple[int, int], list[object]] = {}
         for link in order:
@@ -48,8 +48,8 @@
         return found
 
     links = [(0, 1), (1, 0), (2, 0)] * 40
-    assert fates(links) == fates(sorted(links))
-    assert len({str(fate) for fate in fates(links)[0, 1]}) > 20
+    assert plans_by_link(links) == plans_by_link(sorted(links))
+    assert len({str(plan) for plan in plans_by_link(links)[0, 1]}) > 20
 
 
 def test_cuts_are_one_way_and_add_up() -> None:
@@ -76,23 +76,23 @@
 
 
 def test_a_transcript_records_each_delivery_and_replays_to_the_datagram(tmp_path: Path) -> None:
-    """The replay has no faults in its script's weather, and loses the same datagrams."""
+    """The replayed script has no faults, but the replay loses the same datagrams."""
     script = tmp_path / "script.toml"
     script.write_text(
         'members = 5\n[[fault]]\nat = 1.0\ndo = "loss"\nwho = ["all"]\nshare = 0.2\nlasts = 4.0\n'
     )
-    calm = tmp_path / "calm.toml"
-    calm.write_text("members = 5\n")
+    no_faults = tmp_path / "calm.toml"
+    no_faults.write_text("members = 5\n")
     first = tmp_path / "first"
-    again = tmp_path / "again"
+    replayed = tmp_path / "again"
     assert main(["play", str(script), "--transcript", str(first)]) == 0
     lost = [line for line in first.read_text().splitlines() if json.loads(line)[5] == []]
     assert lost
-    assert main(["play", str(calm), "--replay", str(first), "--transcript", str(again)]) == 0
-    count = len(again.read_text().splitlines())
-    assert again.read_text().splitlines() == first.read_text().splitlines()[:count] and count > 100
+    assert main(["play", str(no_faults), "--replay", str(first), "--transcript", str(replayed)]) == 0
+    count = len(replayed.read_text().splitlines())
+    assert replayed.read_text().splitlines() == first.read_text().splitlines()[:count] and count > 100
     first.write_text("[1, 2]\n")
-    assert main(["play", str(calm), "--replay", str(first)]) == 2
+    assert main(["play", str(no_faults), "--replay", str(first)]) == 2
 
 
 def test_an_event_triggers_a_fault_and_the_schema_names_all_keys(
