--- a/harness/coordination.py
+++ b/harness/coordination.py
@@ -6,15 +6,16 @@
 server. One process holds all servers and one tree, so the ensemble is always consistent. Only the script's
 steps cause faults:
 
-    {"at": 2.0, "do": "expire", "path": "/salas/portal/s-1"}      expires the znode's session; or "session":
-    ID {"at": 3.0, "do": "partition", "servers": [0, 1], "mode": "silent"}     or "reset"; sessions time out
-    {"at": 5.0, "do": "heal"}                                     ends a partition {"at": 6.0, "do": "slow",
-    "seconds": 0.5}                     delays each reply of all servers; 0 ends it {"at": 7.0, "do":
-    "lose_leader", "seconds": 1.5}              no server serves; sessions do not time out {"at": 8.0, "do":
-    "lose_watches", "on": true}                 fired watches are not sent {"at": 9.0, "do": "empty"}
-    loses all znodes and sessions {"at": 9.5, "do": "save"}, {"at": 10, "do": "restore"}        restores the
-    saved tree with its zxid {"at": 11.0, "do": "read_only", "servers": [2], "on": true} {"at": 12.0, "do":
-    "drop"}                                    ends all connections
+    {"at": 2.0, "do": "expire", "path": "/salas/portal/s-1"}    expires the znode's session; or "session": ID
+    {"at": 3.0, "do": "partition", "servers": [0, 1], "mode": "silent"}     or "reset"; sessions time out
+    {"at": 5.0, "do": "heal"}                                   ends a partition
+    {"at": 6.0, "do": "slow", "seconds": 0.5}                   delays each reply of all servers; 0 ends it
+    {"at": 7.0, "do": "lose_leader", "seconds": 1.5}            no server serves; sessions do not time out
+    {"at": 8.0, "do": "lose_watches", "on": true}               fired watches are not sent
+    {"at": 9.0, "do": "empty"}                                  loses all znodes and sessions
+    {"at": 9.5, "do": "save"}, {"at": 10, "do": "restore"}      restores the saved tree with its zxid
+    {"at": 11.0, "do": "read_only", "servers": [2], "on": true}
+    {"at": 12.0, "do": "drop"}                                  ends all connections
 
 Sources: zookeeper.jute and the programmer's guide (sessions, watches, ephemeral nodes, multi).
 """
--- a/harness/deployment.py
+++ b/harness/deployment.py
@@ -2,7 +2,7 @@
 
 Each [[sidecar]] of the description is a process of the proxy, beside an application that sends requests to
 the next tiers through the sidecar. Each proxy has its own discovery stand-in, so that the recorder can
-attribute each notification to the proxy that received it. A plain proxy stands before the first tier. One
+attribute each notification to the proxy that received it. A plain proxy is in front of the first tier. One
 recorder records the requests, attempts and notifications of the whole deployment.
 """
 
--- a/harness/fleet/__main__.py
+++ b/harness/fleet/__main__.py
@@ -5,9 +5,12 @@
 
 Without --real, the protocol runs without processes, in virtual time. --transcript writes one line for each
 delivery of a datagram: [s, sender, receiver, its number on this link, bytes, [[delay s, flipped bit or -1],
-...]]. --replay uses the deliveries of such a file. Exit code 0: at the end, all views of the living members
-were equal and right, and no dead incarnation was alive again in a view. Exit code 1: otherwise. Exit code 2:
-a file can't be used.
+...]]. --replay uses the deliveries of such a file.
+
+Exit codes:
+    0: all views of the living members were equal and right at the end, and no dead incarnation became live.
+    1: otherwise.
+    2: a file can't be used.
 """
 
 from __future__ import annotations
--- a/harness/fleet/harness.py
+++ b/harness/fleet/harness.py
@@ -48,7 +48,7 @@
         endpoints: endpoints of all proxies.
         registries: endpoint registries, one per proxy.
         clients: client pools, one per proxy.
-        ledger: recorder of all requests, whose audit checks the rules.
+        recorder: recorder of all requests, whose audit checks the rules.
         network: delays and faults of the datagrams in the relay.
         starting: number of processes that are being started.
     """
@@ -61,10 +61,10 @@
         self.port = free_port()
         self.http = free_port()
         self.relay = DatagramRelay(options.members, self.port, self.network)
-        self.ledger = Recorder()
+        self.recorder = Recorder()
         self.slots = [Slot(number, f"p{number}", folder / f"p{number}") for number in range(options.members)]
         self.endpoints = [
-            StubEndpoint(self.ledger, f"n{number}", zone_of(number), capacity=4.0)
+            StubEndpoint(self.recorder, f"n{number}", zone_of(number), capacity=4.0)
             for number in range(options.endpoints)
         ]
         self.registries: list[EndpointRegistry] = []
@@ -73,7 +73,7 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.random = Random(options.seed)
         self.observer = FleetObserver(self)
-        self.stall_monitor = StallMonitor(self.ledger.add_stall)
+        self.stall_monitor = StallMonitor(self.recorder.add_stall)
         self.starting = 0
 
     @property
@@ -112,7 +112,7 @@
         (slot.folder / "machine").write_text(f"machine {slot.name}\n")
         self.renew_boot_id(slot.number)
         (slot.folder / "clock").write_bytes(OFFSETS.pack(0.0, 0.0))
-        registry = EndpointRegistry(self.ledger, self.options.seed + slot.number, proxy=slot.name)
+        registry = EndpointRegistry(self.recorder, self.options.seed + slot.number, proxy=slot.name)
         at = await registry.start()
         self.registries.append(registry)
         for number, endpoint in enumerate(self.endpoints):
@@ -126,7 +126,7 @@
         self.relays += slot.relays
         self.clients.append(
             ClientPool(
-                self.ledger, (loopback_address(77, slot.number), self.http), slot.name, self.options.seed
+                self.recorder, (loopback_address(77, slot.number), self.http), slot.name, self.options.seed
             )
         )
 
@@ -312,11 +312,11 @@
         so the request is excused.
         """
         downtimes = {slot.name: slot.downtimes for slot in self.slots}
-        for request in self.ledger.requests:
+        for request in self.recorder.requests:
             for down_from, down_until in downtimes.get(request.proxy, ()):
                 if request.sent_at <= down_until and request.deadline + DOWNTIME_MARGIN_S >= down_from:
-                    self.ledger.excused_requests.add(request.request_id)
-        return self.ledger.audit(IDEMPOTENCY_BY_CLASS)
+                    self.recorder.excused_requests.add(request.request_id)
+        return self.recorder.audit(IDEMPOTENCY_BY_CLASS)
 
     async def stop_all(self) -> None:
         """End all processes and close all sockets."""
--- a/harness/fleet/slots.py
+++ b/harness/fleet/slots.py
@@ -27,7 +27,8 @@
         keys: whether datagrams are authenticated with a key.
         fleet_enabled: whether the operator file has a [fleet].
         start_all: whether all proxies start at once; otherwise a script starts them.
-        recovery: whether the operator file has a [recovery], with a store and a machine mark for each proxy.
+        recovery: whether the operator file has a [recovery], with a store, a machine mark and a boot mark for
+            each proxy, as if each had a machine of its own.
         warm_up_s: duration of an endpoint's warm-up.
         next_version_members: members that send datagrams like the next version of the protocol.
         foreign_members: members of another fleet that use this fleet's addresses by mistake.
