--- a/benchmarks/ephemeral.py
+++ b/benchmarks/ephemeral.py
@@ -37,7 +37,7 @@
 
 FULL = Size(87, 400.0, 40, (60.0, 8.0, 8.0, 4.0, 4.0), 14.0, 2.5)
 SHORT = Size(24, 90.0, 6, (3.0, 2.0), 3.5, 1.0)
-LISTED = 10_000  # Number of listed nodes in the memory measurement and in the CPU measurement.
+LISTED_NODES = 10_000  # Number of listed nodes in the memory measurement and in the CPU measurement.
 CHANGES = 1000  # Number of list changes in the CPU measurement.
 CHANGE_INTERVAL_S = 0.001
 MASS_LOSS_WINDOW_S = 10.0
@@ -150,7 +150,7 @@
 async def measure_memory(report: BenchmarkReport) -> None:
     """Measure the memory of a proxy with 10,000 listed nodes and of a proxy with one node."""
     with_one = await resident_mb_with(1)
-    with_all = await resident_mb_with(LISTED)
+    with_all = await resident_mb_with(LISTED_NODES)
     report.record("memory_of_10000_nodes", with_all - with_one, "MB more than with one node")
     report.record("memory_with_10000_nodes", with_all, "MB in total")
 
@@ -159,13 +159,13 @@
     """Measure the CPU time of 1,000 changes to a list of 10,000 nodes."""
     cache = ChildrenCache()
     merger = EndpointListMerger(MASS_LOSS_SHARE, MASS_LOSS_WINDOW_S)
-    nodes = [numbered_node(number) for number in range(LISTED)]
+    nodes = [numbered_node(number) for number in range(LISTED_NODES)]
     cache.preload(nodes)
     merger.update(MEMBERSHIP, [to_endpoint(node, 0.0) for node in nodes], 0.0)
     merger.collect_changes(0.0)
     started_at = time.process_time()
     for number in range(CHANGES):
-        node = nodes[number * 7 % LISTED]
+        node = nodes[number * 7 % LISTED_NODES]
         now = number * CHANGE_INTERVAL_S
         if number % 2:
             merger.report_ended(MEMBERSHIP, [node.name], now, ReportedStatus.LOST)
--- a/service_proxy/fleet/service.py
+++ b/service_proxy/fleet/service.py
@@ -80,11 +80,7 @@
         clock: Clock,
         keys: Sequence[bytes] = (),
     ) -> None:
-        """Create the member without a socket.
-
-        Raises:
-            ConfigError: the settings or the member's name are invalid.
-        """
+        """Create the member without a socket, or raise ConfigError if its settings or name are invalid."""
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.proxy = proxy
--- a/service_proxy/operator_file/key_file.py
+++ b/service_proxy/operator_file/key_file.py
@@ -17,7 +17,7 @@
 MAX_KEY_BYTES = 64
 MAX_FILE_BYTES = 1024
 LINE = re.compile(r"([a-z0-9]{1,16}) ([0-9a-f]+)")
-EXAMPLE = 'write a line "k1 " and 32 to 128 small hex digits'
+EXAMPLE = 'write a line "k1 " and 32 to 128 lowercase hex digits'
 WORLD_ACCESS_BITS = 0o007  # permission bits of users other than the file's owner and group
 
 
--- a/service_proxy/recovery/admission.py
+++ b/service_proxy/recovery/admission.py
@@ -25,7 +25,7 @@
 OVER_INITIAL_CAPACITY = b"service returns: more than cold servers bear\n"
 
 
-class InFlightCounter(Protocol):
+class OpenRequestCounter(Protocol):
     """Source of the number of open requests; the dispatcher implements it."""
 
     @property
@@ -62,7 +62,7 @@
         self.keyed_requests = keyed_requests
         self.restart_context = restart_context
         self.phase = RecoveryPhase.UNAVAILABLE
-        self.dispatcher: InFlightCounter | None = None
+        self.dispatcher: OpenRequestCounter | None = None
 
     def on_settings_update(self, settings: Settings) -> None:
         """Use these settings from now on."""
--- a/tests/harness/test_benchmarks.py
+++ b/tests/harness/test_benchmarks.py
@@ -67,7 +67,7 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(ephemeral, "SHORT", ephemeral.Size(9, 90.0, 2, (1.0,), 3.0, 1.0))
-    monkeypatch.setattr(ephemeral, "LISTED", 300)
+    monkeypatch.setattr(ephemeral, "LISTED_NODES", 300)
     code = report.run_benchmark("ephemeral", ephemeral.measure, ["--short"])
     output = capsys.readouterr().out
     assert code == 0, output
--- a/tests/net/test_http_message_rules.py
+++ b/tests/net/test_http_message_rules.py
@@ -50,7 +50,7 @@
     "version 1.2": ("2.3", 400, get(b"GET /stock/1 HTTP/1.2\r\n")),
     "version 2.0": ("9110 15.6.6", 505, get(b"GET /stock/1 HTTP/2.0\r\n")),
     "version without a dot": ("2.3", 400, get(b"GET /stock/1 HTTP/11\r\n")),
-    "version in small letters": ("2.3", 400, get(b"GET /stock/1 http/1.1\r\n")),
+    "version in lowercase letters": ("2.3", 400, get(b"GET /stock/1 http/1.1\r\n")),
     "space before the method": ("3", 400, get(b" GET /stock/1 HTTP/1.1\r\n")),
     "tab behind the method": ("3", 400, get(b"GET\t/stock/1 HTTP/1.1\r\n")),
     "method that is no token": ("9110 5.6.2", 400, get(b"G@T /stock/1 HTTP/1.1\r\n")),
--- a/tests/net/test_short_budgets.py
+++ b/tests/net/test_short_budgets.py
@@ -13,7 +13,7 @@
 DROPPED_BELOW_S = 0.08  # Remaining time below which these endpoints drop a request.
 
 
-def patient_classes() -> list[dict[str, Any]]:
+def long_timeout_classes() -> list[dict[str, Any]]:
     request_classes: list[dict[str, Any]] = copy.deepcopy(SETTINGS["grades"])
     for grade in request_classes:
         grade["objective"] = grade["deadline"] = 9.0
@@ -37,7 +37,7 @@
                 await respond_ok(received, writer)
 
         endpoints = {f"s-{number}": EndpointServer(respond) for number in range(3)}
-        async with proxy_under_test(endpoints, grades=patient_classes()) as proxy:
+        async with proxy_under_test(endpoints, grades=long_timeout_classes()) as proxy:
             budgets_us = [1, 1000, 10_000, 20_000, 30_000, 40_000, 60_000, 80_000, 90_000] * 4
             client = await proxy.connect()
             for number, budget_us in enumerate(budgets_us):
