--- a/service_proxy/operator_file/codes.py
+++ b/service_proxy/operator_file/codes.py
@@ -32,6 +32,7 @@
 C008 edited by hand
     The digest in the file doesn't match the file's content, because the file was changed after
     `write` created it. Put the change into the description, or overwrite the file with --force.
+    `write` reports the same code for a file that it didn't create and for a link in the folder.
 S101 unknown key
     The program has no setting of this name, so the value would have no effect.
 S102 unknown table
@@ -70,9 +71,9 @@
     Two listeners on one host need the same address and port. 0.0.0.0 and [::] stand for all
     addresses of a host.
 F302 class differs between descriptions
-    Two descriptions give one class different deadlines, effects, groups or windows. An inner tier
-    must not allow a request more time than the outer tier has. If an inner sidecar may retry a
-    request, the outer sidecar must be configured with the same effect.
+    Two descriptions give one class different values of `deadline`, `effect`, `group` or `window`.
+    An inner tier must not allow a request more time than the outer tier has. If an inner sidecar
+    may retry a request, the outer sidecar must be configured with the same `effect`.
 F303 cycle of tier calls
     The calls between tiers form a cycle, so a call could return to a tier that the request has
     already passed through.
@@ -83,7 +84,7 @@
     The shares of all tenants add up to more than 100%.
 F306 unknown class or tier
     A tier, route or sidecar names a class or tier that is not described, or no tier serves this
-    class, or a caller sends requests of this class to a tier that does not serve the class.
+    class.
 F307 too many attempts over all tiers
     The attempts for a request multiply from tier to tier, and their product exceeds
     `attempts_over_tiers`. During an outage of the innermost tier, its load could grow by that
