--- a/service_proxy/policy/admission.py
+++ b/service_proxy/policy/admission.py
@@ -80,14 +80,14 @@
     def remaining_objective(self, request_class: RequestClassState, budget: float, is_retry: bool) -> float:
         """Return the seconds that remain of the latency objective.
 
-        At an inner tier, the time budget of a request is the useful time that the proxy of the tier above
-        left. At the first tier, a budget below the typical budget means that the client waited during
-        earlier attempts, and the difference to the deadline is the time that the client waited. The
-        subtraction of this time prevents work on answers that arrive too late. The typical budget is the
-        median, not the maximum, because a few unusually long budgets would otherwise make every first
-        attempt look late. If clients mark their retries, an unmarked request has not waited, however short
-        its budget is. Cost: if a client doesn't mark a retry, the proxy does work for an answer that
-        arrives too late.
+        At an inner tier, the proxy of the tier above has reduced the time budget to the useful time, so the
+        whole objective is returned and the caller bounds it by the budget. At the first tier, a budget below
+        the typical budget means that the client waited during earlier attempts. The difference between the
+        deadline of the class and the budget is the time that the client waited. The subtraction of this time
+        prevents work on answers that arrive too late. The typical budget is the median, not the maximum,
+        because a few unusually long budgets would otherwise make every first attempt look late. If clients
+        mark their retries, an unmarked request has not waited, however short its budget is. Cost: if a client
+        doesn't mark a retry, the proxy does work for an answer that arrives too late.
         """
         is_first = self.settings.clients_flag_retries and not is_retry
         typical = request_class.observe_budget(budget)  # First attempts also update the typical budget.
@@ -97,8 +97,8 @@
 
     def admit(self, request: RequestState, now: float) -> None:
         """Queue a request that was just opened, or reject it."""
-        # The limit grows only while it is reached. A shed threshold that kept requests from filling the limit
-        # would therefore stay in force.
+        # With slack, a request is admitted whatever its weight. The limit grows only while it is nearly
+        # reached, so a shed threshold that kept the requests in flight below this level would stay in force.
         has_slack = self.limiter.has_slack(self.in_flight.counted + len(self.queue.requests) + 1)
         if (has_slack or self.limiter.admits(request.weight)) and request.useful_until > now:
             self.queue.add(request)
@@ -106,7 +106,7 @@
             self.reject(request)
 
     def reject(self, request: RequestState) -> None:
-        """Give a request its final answer: a rejection, or a failure if a repeat could be harmful."""
+        """Send the final answer to a request: a rejection, or a failure if a repeat could be harmful."""
         self.guard.answer(request, self._retry_after())
 
     def _retry_after(self) -> float:
--- a/service_proxy/policy/balancer.py
+++ b/service_proxy/policy/balancer.py
@@ -69,7 +69,8 @@
         self._load_request_classes()
         self.proxy_count = settings.proxy_count  # Number of proxies that share the endpoints.
         self._proxy_count_is_known = False  # True after an event replaced the count of the settings.
-        self._capacity = 0.0  # Capacity of the endpoints in use to which the limit was last scaled.
+        # Capacity of the endpoints in use, in units of weight, at the last rescaling of the limit.
+        self._capacity = 0.0
         self._last_step_at = -1.0  # Time of the last control step; negative before the first step.
         self._timer_is_set = False
         self._arrived: list[RequestState] = []  # Requests that arrived in the present batch.
@@ -242,7 +243,7 @@
             self.in_flight.release(attempt)
 
     def _on_settings_updated(self, event: SettingsUpdated, _now: float) -> None:
-        """Apply new settings; open requests keep the class state and the rules that they arrived with."""
+        """Apply new settings; open requests keep the class settings that they arrived with."""
         settings = event.settings
         self.settings = settings
         for part in self._settings_users:
@@ -255,8 +256,8 @@
     def _on_proxy_count_updated(self, event: ProxyCountUpdated, _now: float) -> None:
         """Set the number of proxies that share the endpoints and adapt the allowances of this proxy.
 
-        With fewer proxies, each proxy may use a larger part of what all proxies may use together. With
-        more proxies, the part is smaller.
+        Slow start, health checks and tenant quotas each have a total for all proxies, and an allowance is the
+        part of one proxy. With fewer proxies each allowance is larger, with more proxies it is smaller.
         """
         self.proxy_count = max(1, event.count)
         self._proxy_count_is_known = True
--- a/service_proxy/policy/concurrency_limit.py
+++ b/service_proxy/policy/concurrency_limit.py
@@ -23,12 +23,15 @@
 LATE_SHARE = 0.2  # Share of answers past their target at which the limit stays constant.
 INITIAL_LIMIT = 4.0  # Limit in requests before the first measurement.
 MIN_LIMIT = 2.0  # Lowest limit in requests; the limit recovers poorly from lower values.
-# Requests per endpoint whose even split among first-tier proxies replaces MIN_LIMIT, if it is lower.
+# Requests in flight per endpoint, for all first-tier proxies together. If the equal part of one proxy is
+# less than MIN_LIMIT, this part is the lowest limit of the proxy, but at least 1.
 MIN_LIMIT_PER_ENDPOINT = 2.0
 MAX_ADJUSTMENT = 0.3  # Upper bound of the change by one answer, as a share of the limit.
 # Requests that each answer adds to the limit in the start phase, so that the limit grows by half each round.
+# A round is as many answers as the limit.
 START_ADJUSTMENT = 0.5
-# Consecutive timely answers that show that the limit is too low; chance alone causes 3 of 100 such streaks.
+# Consecutive timely answers that show that the limit is too low. At the right limit, 3 of 100 series of this
+# length are timely by chance.
 CONFIDENT_STREAK = 16
 # Weight of the mean age of attempts in flight in the mean latency, because attempts are half done on average.
 AGE_WEIGHT = 0.5
@@ -121,10 +124,10 @@
     def rescale(self, ratio: float) -> None:
         """Scale the limit with the capacity of the endpoints in use.
 
-        During a release the limit shrinks to the few endpoints that remain. Without this rule it would
-        grow back by a tenth of a request at a time, and meanwhile all but the heaviest requests would be
-        shed. Cost: an endpoint that is listed before it reaches the capacity of its weight receives its
-        share of requests until the limit has shrunk.
+        During a release the limit shrinks to the few endpoints that remain. Without this rule, the limit
+        would grow back by a tenth of a request at a time, and meanwhile all but the heaviest requests
+        would be shed. Cost: an endpoint that is listed before it reaches the capacity of its weight
+        receives its share of requests until the limit has shrunk.
         """
         self.limit = max(self.min_limit, self.limit * ratio)
 
--- a/service_proxy/policy/connections.py
+++ b/service_proxy/policy/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: reuse of idle ones, cost of new ones, and endpoints that accept no more."""
+"""Connections to endpoints: reuse, cost of opening, and endpoints that accept no further connections."""
 
 from __future__ import annotations
 
@@ -16,9 +16,11 @@
 # Share of the idle time of a lost connection up to which other connections are reused.
 REUSE_IDLE_SHARE = 0.7
 REUSE_IDLE_DOUBLING_S = 15.0  # Time in which the longest reusable idle time doubles after a loss reduced it.
-# Cost of a new connection, in mean latencies, from which connections past the reusable idle time are used.
+# Cost of a new connection, in mean latencies, from which an open connection is used even if its idle time
+# exceeds the longest reusable idle time.
 MAX_OPENING_COST = 1.5
-# Lowest cost of a new connection, in mean latencies, by which an endpoint with an open one is preferred.
+# Lower bound of the cost of a new connection, in mean latencies. Endpoints with an open connection are
+# preferred by this cost.
 MIN_OPENING_COST = 0.3
 OPENING_SAMPLES = 30  # Attempts over which the latencies on new and on open connections are averaged.
 # Failed connects without a success in between after which a live endpoint accepts no more connections.
@@ -54,8 +56,9 @@
         """Measured latency that a new connection adds, in mean latencies.
 
         If handshakes are slow, whatever the cause, this cost keeps requests on open connections. Requests
-        then concentrate on fewer endpoints, so the cost is only added to the load of an endpoint. With few
-        samples the error is a few tenths.
+        then concentrate on fewer endpoints. The cost is therefore only added to the cost that follows from
+        the load of an endpoint, and excludes no endpoint. With few samples the error is a few tenths of a
+        mean latency.
         """
         return max(MIN_OPENING_COST, self.new_latency.value - self.open_latency.value)
 
--- a/service_proxy/policy/endpoint.py
+++ b/service_proxy/policy/endpoint.py
@@ -58,7 +58,8 @@
         self.in_flight = 0  # Attempts of this proxy that are in flight.
         self.ejected_until = 0.0  # Time when the ejection ends; 0 if not ejected.
         self.ejection_count = 0
-        self.on_trial = False  # True after a readmission; the endpoint receives one request at a time.
+        # True from a readmission to the next success or ejection; one request at a time is then sent.
+        self.on_trial = False
         self.last_success_at = 0.0
         self.health_check_pending = False
         self.health_checked_at = -math.inf
@@ -76,7 +77,7 @@
         self.not_before = entry.not_before
 
     def reset_process_state(self) -> None:
-        """Reset the observations, because another process serves at this address."""
+        """Reset the observations of the process at this address, because a new process may serve there."""
         # Time of the last response of any kind to a request or a health check.
         self.last_response_at = -math.inf
         self.consecutive_broken = 0  # Connections refused or reset since the last response.
@@ -92,8 +93,8 @@
         self.load_change = 0  # Own attempts sent minus own attempts ended since the last load report.
         self.consecutive_slow = 0  # Consecutive attempts that timed out or are overdue.
         self.last_used_at = -math.inf  # Time of the last attempt that was sent or answered.
-        # Limit of connections, and the time when it expires, after the endpoint accepted no further
-        # connections.
+        # Upper bound of the attempts in flight, and the time when the bound expires, after the endpoint
+        # accepted no further connections.
         self.connection_limit = 0
         self.connection_limit_until = 0.0
         self.failed_connects = 0  # Failed connects since the last new connection that served a request.
--- a/service_proxy/policy/endpoint_load.py
+++ b/service_proxy/policy/endpoint_load.py
@@ -17,7 +17,8 @@
 # Reports over which the load of a zone is averaged: a few seconds at one request per second.
 ZONE_REPORTS = 10
 SAMPLE_DECAY = 0.9  # Factor that reduces the older samples of an endpoint at each new sample.
-SAMPLE_MEMORY_S = 30.0  # Decay time of samples without new ones, after which a slow endpoint is tried again.
+# Decay time of the samples of an endpoint; because of the decay, a slow endpoint is tried again.
+SAMPLE_MEMORY_S = 30.0
 MEAN_LOAD_SAMPLES = 100  # Attempts over which the load of all endpoints is averaged.
 INITIAL_LATENCY_S = 0.1  # Mean latency of a request before the first measurement.
 MIN_MEAN_LATENCY_S = 1e-3  # Lower bound of the mean latency, so that load reports don't decay at once.
@@ -28,7 +29,8 @@
 
     def __init__(self, pool: EndpointPool) -> None:
         self.pool = pool
-        self.mean_load = RunningMean(1.0)  # Mean load of an endpoint, in requests.
+        # Mean load at which attempts are sent, including the attempt, in requests.
+        self.mean_load = RunningMean(1.0)
         self.zone_loads: dict[str, RunningMean] = {}  # Reported requests per unit of weight, by zone.
         self.mean_latency = INITIAL_LATENCY_S  # Mean latency of a request, in seconds.
 
--- a/service_proxy/policy/endpoint_watch.py
+++ b/service_proxy/policy/endpoint_watch.py
@@ -14,17 +14,18 @@
 # Discovery has little capacity and all proxies may start at once, so the first watches are spread over time.
 # Until its first watch, a proxy is only required to follow the list that it was started with.
 FIRST_DELAY_SHARE = 1 / 2  # Longest delay of the first watch, as a share of the longest poll interval.
-# After a failed poll, a change counts as notified this long after discovery had the change and was reachable,
-# whether or not the change arrived (operators' page STANDING).
+# Time after which a change counts as notified although a poll failed and the change may not have arrived. The
+# time starts when discovery has the change and is reachable (operators' page STANDING).
 FAILED_POLL_NOTIFIED_S = 6.0
 # Part of FAILED_POLL_NOTIFIED_S for the answer to the next poll, because discovery answers one poll after
 # another.
 POLL_ANSWER_S = 0.5
 MAX_POLL_FAILURE_S = 2.0  # Longest time that a poll waits for discovery before the poll fails.
 MIN_BACKOFF_SHARE = 0.8  # Shortest backoff from the second failure on, as a share of the longest backoff.
-# Time over which proxies spread their rechecks, because all proxies see a contradiction at once.
+# Time over which proxies spread their rechecks, because all proxies detect at once that a listed endpoint
+# refuses connections.
 RECHECK_SPREAD_S = 2.0
-# Time after a request for the list, or after its arrival, within which no recheck starts.
+# Time after a request for the list, or after the arrival of the list, within which no recheck starts.
 RECHECK_INTERVAL_S = 8.0
 
 
@@ -61,14 +62,14 @@
         """Return the seconds until the next watch after a failed one.
 
         The next watch must be answered within the drain grace, even if discovery recovered right after the
-        failed poll began. This leaves no time for an exponential backoff. All proxies fail together, but
-        discovery is not overloaded when it recovers, because their polls are few and evenly spaced. The
-        first backoff is spread over the whole time, and later backoffs over the end of the time, which
-        preserves the spacing.
+        failed poll began. This leaves no time for an exponential backoff. The polls of all proxies fail
+        together, but discovery is not overloaded when it recovers, because the polls are few and evenly
+        spaced. The first backoff is drawn from the whole available time, and each later backoff from the last
+        fifth of this time, which preserves the spacing.
         """
         failed_for = now - self.last_update_at
         if failed_for > MAX_POLL_FAILURE_S + CONTROL_INTERVAL_S:
-            failed_for = 0.0  # The failed watch had worked until now, so no time is subtracted.
+            failed_for = 0.0  # A poll fails sooner, so the watch was active until now.
         longest = FAILED_POLL_NOTIFIED_S + self.settings.drain_grace - POLL_ANSWER_S - failed_for
         longest = min(longest, self.settings.max_poll_interval)
         shortest = 0.0 if self.failures == 1 else MIN_BACKOFF_SHARE * longest
@@ -87,7 +88,7 @@
 
         The present watch may depend on a peer that no longer answers, and a new watch returns the missed
         changes at once. This limits the effect of watches that hang or are lost without notice, and of
-        late lists. Cost: if endpoints crash, each proxy that detects the contradiction sends one more
+        late lists. Cost: if endpoints crash, each proxy that detects refused connections sends one more
         request per RECHECK_INTERVAL_S. These requests are spread over time.
         """
         if self.settings.polls_discovery and self.is_watching and math.isinf(self.recheck_at):
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -80,7 +80,8 @@
     # Upper bound of the attempts; 0 or a value above that of the class has no effect.
     max_attempts: int = 0
     weight_share: float = 1.0  # Share of the priority weight of the class.
-    # Seconds stated by the client, before the margins of this proxy; 0 means `time_budget`.
+    # Time budget stated by the client in seconds, before this proxy subtracts its margins; 0 means that
+    # `time_budget` is used.
     stated_budget: float = 0.0
 
 
@@ -151,7 +152,7 @@
     """Observed number of proxies that share the endpoints.
 
     `Settings.proxy_count` applies until the first of these events. The sender bounds the count, so
-    that the allowances that all proxies derive from their counts add up to less than 1.5.
+    that the allowances that all proxies derive from their counts add up to less than 1.5 times the total.
     """
 
     count: int
--- a/service_proxy/policy/health_checks.py
+++ b/service_proxy/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: choice of the endpoints to check, and of the time, for their health and load reports."""
+"""Health checks: choice of the endpoints and the times of the checks, and handling of the results."""
 
 from __future__ import annotations
 
@@ -20,19 +20,24 @@
 CHECKS_PER_REQUEST = 0.15  # Health checks per arriving request.
 # Lowest rate of health checks, so that an idle proxy has recent data about its endpoints.
 MIN_CHECKS_PER_S = 0.3
-# Health checks at the start over all zones, because proxies without load data all choose the same endpoints.
+# Health checks available at the start, for the endpoints of all zones. Without load data, all proxies would
+# choose the same endpoints.
 INITIAL_CHECKS = 8.0
 MAX_SAVED_CHECKS = 2.0  # Upper bound of the health checks that accumulate while none is due.
-CANDIDATES_BUDGET = 0.006  # Price points per request that health checks for a single request may cost.
+# Upper bound of the price of the health checks for a single request, in price points.
+CANDIDATES_BUDGET = 0.006
 # Endpoints checked for one request; more than three recent load reports improve the choice little.
 CANDIDATE_COUNT = 3
 CANDIDATES_WAIT_S = 0.01  # Time for which a request waits for the load reports of its candidates.
 CANDIDATES_TOKEN = 2  # Token of the timer that ends the wait.
-MIN_BUDGET_IN_WAITS = 3  # Shortest time, in multiples of the wait, that a request must have left to wait.
+# Shortest time to the deadline with which a request waits for load reports, in multiples of the wait.
+MIN_BUDGET_IN_WAITS = 3
 MIN_LATENCY_IN_WAITS = 2  # Shortest mean latency, in multiples of the wait, at which requests wait.
-CHECKED_PER_IN_FLIGHT = 3.0  # Checked endpoints of a large pool per request in flight.
+# Endpoints of a pool larger than MAX_POOL that are checked, per request in flight.
+CHECKED_PER_IN_FLIGHT = 3.0
 SENT_AT_JITTER_S = 1e-3  # Range of a random offset that puts checks sent at the same time in an order.
-MAX_FAILED_CHECKS = 2  # Failed health checks after which an endpoint without a success is ejected.
+# Consecutive failed health checks after which an endpoint without a recent success is ejected.
+MAX_FAILED_CHECKS = 2
 
 
 class HealthChecker(SettingsUser):
@@ -59,7 +64,8 @@
         self.outliers = outliers
         self.limiter = limiter
         self.watch = watch
-        self.allowance = 1.0  # Factor on the configured rate, which follows the number of proxies.
+        # Configured number of proxies divided by the present number; a factor on the lowest rate.
+        self.allowance = 1.0
         self.tokens = INITIAL_CHECKS
 
     def apply_settings(self, settings: Settings) -> None:
@@ -91,12 +97,12 @@
             self._send(self.random.choice([e for e in idle if e.health_checked_at == oldest]), now)
 
     def must_wait_for_reports(self, request: RequestState, now: float) -> bool:
-        """Return whether a request waits for load reports, after health checks of its candidates if needed.
+        """Return whether a request waits for load reports; first check its candidates if needed.
 
-        If requests are so rare that regular load reports are older than the latency of a request, and if
-        health checks are cheap, the candidates of a request are checked before the request is sent.
-        Otherwise, if many proxies share few requests, endpoints would be selected by outdated load
-        reports.
+        The candidates are a few usable endpoints that get a health check for this request alone. The checks
+        are sent if requests are so rare that regular load reports are older than the latency of a request,
+        and if health checks are cheap. Otherwise, if many proxies share few requests, endpoints would be
+        selected by outdated load reports.
         """
         if request.candidates is None:
             request.candidates = []
--- a/service_proxy/policy/outlier_detection.py
+++ b/service_proxy/policy/outlier_detection.py
@@ -10,26 +10,31 @@
 from service_proxy.policy.in_flight import InFlightAttempts
 from service_proxy.policy.running_mean import RunningMean
 
-# Length of the first ejection; each further ejection is twice as long, up to MAX_EJECTION_S.
+# Length of the first ejection; each further ejection is twice as long, up to MAX_EJECTION_S. Both lengths are
+# those before the random factor.
 FIRST_EJECTION_S = 0.5
 MAX_EJECTION_S = 8.0
 # Smallest random factor on the length of an ejection; the jitter keeps ejections from ending together.
 MIN_EJECTION_JITTER = 0.75
-EJECTION_JITTER_RANGE = 0.5  # Range of the random factor on the length of an ejection.
-MAX_EJECTION_EXPONENT = 6  # Upper bound of the doublings that failed health checks add.
-# Share of the pool that uncertain signs may eject; if more endpoints look faulty, the cause is elsewhere.
+EJECTION_JITTER_RANGE = 0.5  # Width of the range of the random factor, which ends at 1.25.
+MAX_EJECTION_EXPONENT = 6  # Upper bound of the ejection count after failed health checks.
+# Largest share of the pool that is ejected on uncertain signs, such as slow attempts. If more endpoints look
+# faulty, the cause is elsewhere.
 MAX_EJECTED_SHARE = 0.34
 ALIVE_S = 1.0  # Time after a response of any kind within which an endpoint counts as alive.
 # Consecutive broken connections without a response after which an endpoint no longer counts as alive.
 MAX_CONSECUTIVE_BROKEN = 3
-MAX_ERROR_EXCESS = 0.35  # Excess over the error share of the pool above which an endpoint is an outlier.
-# Excess over the error share of the pool above which errors don't indicate overload.
+# Excess of an endpoint's error share, over all requests or over those of one class, above that of the pool
+# from which the endpoint is an outlier.
+MAX_ERROR_EXCESS = 0.35
+# Excess of an endpoint's error share above that of the pool from which its errors don't indicate overload.
 OVERLOAD_ERROR_EXCESS = 0.1
 ERROR_WEIGHT = 0.2  # Weight of the newest attempt in the error share of an endpoint.
 POOL_ERROR_SAMPLES = 100  # Attempts over which the error share of the pool is averaged.
-# Weight of the newest response in the share of a class's requests that an endpoint fails.
+# Weight of the newest response in the failure share of a request class at an endpoint.
 FAILURE_WEIGHT = 0.3
-FAILURE_MEMORY_S = 5.0  # Decay time of the failure share of a class, so that the endpoint is tried again.
+# Decay time of a failure share; because of the decay, the endpoint is tried again for the class.
+FAILURE_MEMORY_S = 5.0
 
 
 class OutlierDetector:
@@ -52,11 +57,11 @@
         """Return whether recent responses show that an endpoint works despite a broken connection.
 
         A network that drops connections, a middlebox, or a worker or listener that restarts behind the
-        address can reset single connections. Without this check, each reset would eject an endpoint, until
-        the pool is empty although the endpoints answer all requests that are sent. A failed process
-        breaks several connections at once and answers on none, so its endpoint is ejected at the third
-        broken connection. Cost: an endpoint that fails with few requests in flight receives up to two more
-        requests, which fail at once.
+        address can reset single connections. Without this check, each reset would eject an endpoint, and the
+        pool could become empty although its endpoints answer all other requests. A failed process breaks
+        several connections at once and answers on none, so its endpoint is ejected at the third broken
+        connection. Cost: an endpoint that fails with few requests in flight receives up to two more requests,
+        which fail at once.
         """
         return (
             now - endpoint.last_response_at < ALIVE_S and endpoint.consecutive_broken < MAX_CONSECUTIVE_BROKEN
@@ -65,7 +70,7 @@
     def record_class_result(
         self, endpoint: TrackedEndpoint, class_name: str, has_failed: bool, now: float
     ) -> None:
-        """Record whether the endpoint served a request of a class."""
+        """Record whether an endpoint failed or rejected a request of a class."""
         share = self.failure_share(endpoint, class_name, now)
         endpoint.failure_shares[class_name] = share + (has_failed - share) * FAILURE_WEIGHT, now
 
@@ -76,13 +81,13 @@
         return share * math.exp((recorded_at - now) / FAILURE_MEMORY_S)
 
     def pool_failure_share(self, class_name: str, now: float) -> float:
-        """Return the share of a class's requests that the pool fails or rejects.
+        """Return the mean failure share of a class over the endpoints of the pool.
 
-        An endpoint that fails more requests of one class than the pool may serve other classes well, and
-        therefore looks idle and fast. The comparison with the pool detects endpoints that reject or fail
-        one kind of request, at once or slowly, because of a bad version, a limit of the endpoint or an
-        unavailable data store of the endpoint. Cost: under overload, some endpoints look worse by chance.
-        Failures that all endpoints share count against no endpoint.
+        An endpoint that fails requests of one class at once can serve other classes well, so the endpoint
+        looks idle and fast. The comparison with the pool detects endpoints that reject or fail one kind of
+        request, at once or slowly, because of a bad version, a limit of the endpoint or an unavailable data
+        store of the endpoint. Cost: under overload, some endpoints look worse by chance. Failures that all
+        endpoints share count against no endpoint.
         """
         members = self.pool.members
         recorded = [e.failure_shares[class_name] for e in members if class_name in e.failure_shares]
@@ -104,14 +109,17 @@
         return endpoint.error_share > self.error_share.value + OVERLOAD_ERROR_EXCESS
 
     def is_outlier(self, endpoint: TrackedEndpoint) -> bool:
-        """Return whether an endpoint must be ejected for its errors after a failed attempt."""
+        """Return whether an endpoint must be ejected after a failed attempt.
+
+        An endpoint on trial is ejected after any failed attempt, another endpoint because of its error share.
+        """
         return endpoint.on_trial or endpoint.error_share > self.error_share.value + MAX_ERROR_EXCESS
 
     def eject(self, endpoint: TrackedEndpoint, now: float, is_certain: bool) -> bool:
         """Eject an endpoint temporarily and return whether the ejection took place.
 
-        Uncertain signs eject only a limited share of the pool, because no endpoint is at fault if all
-        endpoints are slow.
+        On uncertain signs (`is_certain` is False), at most MAX_EJECTED_SHARE of the pool is ejected. If all
+        endpoints are slow, the cause is not a fault of single endpoints.
         """
         if endpoint.ejected_until:
             return False
@@ -136,7 +144,10 @@
         endpoint.ejection_count = min(endpoint.ejection_count + 1, MAX_EJECTION_EXPONENT)
 
     def readmit(self, endpoint: TrackedEndpoint) -> None:
-        """Readmit an ejected endpoint on trial."""
+        """Readmit an ejected endpoint on trial.
+
+        The endpoint receives one request at a time until an attempt succeeds.
+        """
         self.pool.set_ejection(endpoint, 0.0)
         endpoint.on_trial = True
         endpoint.error_share = 0.0
--- a/service_proxy/policy/request.py
+++ b/service_proxy/policy/request.py
@@ -40,7 +40,8 @@
         # Idle time of the connection before the attempt; 0 if the connection was in use or new.
         self.idle_time = 0.0
         self.on_new_connection = False
-        # True after the attempt was counted as overdue, or hedged because its class allows a repeat.
+        # True after the attempt was counted as overdue, or hedged or cancelled because its class allows a
+        # repeat.
         self.overdue_handled = False
 
 
--- a/service_proxy/policy/request_class.py
+++ b/service_proxy/policy/request_class.py
@@ -9,10 +9,13 @@
 from service_proxy.policy.running_mean import RunningMean
 from service_proxy.policy.settings_types import RequestClass
 
-TARGET_SHARE = 0.35  # Share of the latency objective that most answers should take at most.
+# Lower bound of the latency target at the first tier, as a share of the latency objective. Most answers
+# should take at most this time.
+TARGET_SHARE = 0.35
 # Upper bound and first value of the latency target, as a share of the latency objective.
 MAX_TARGET_SHARE = 0.9
-# Lower bound of the latency target in baseline latencies; a long tail exceeds smaller multiples.
+# Lower bound of the latency target in baseline latencies; normal answers from a long tail would miss a target
+# at a smaller multiple.
 BASELINE_RATIO = 1.75
 MIN_BASELINE_SAMPLES = 20  # Answers required before the baseline latency is derived.
 BASELINE_MEMORY_S = 60.0  # Time in which the baseline latency follows a lasting rise.
@@ -57,8 +60,8 @@
         # each tier.
         self.min_latency_target = TARGET_SHARE * settings.latency_objective / 2**tier_index
         # Until the baseline latency is known, the target has its upper bound. At one request per second, a
-        # baseline that was estimated too low would close the concurrency limit under light traffic and keep
-        # the limit closed.
+        # baseline that was estimated too low would reduce the concurrency limit to its minimum under light
+        # traffic and keep the limit there.
         self.latency_target = MAX_TARGET_SHARE * settings.latency_objective
         self.baseline_latency = math.inf  # Mean latency without congestion.
         self.mean_latency = RunningMean(self.min_latency_target / 2)
@@ -78,11 +81,10 @@
     def update_shedding_weight(self, classes: Iterable[RequestClassState]) -> None:
         """Set the position of the class in the shedding order.
 
-        A class is shed before another class only if its requests weigh less both per request and per time
-        in the concurrency limit. If the two measures disagree, both classes have the higher weight.
-        Otherwise a light and fast class could get nothing from a busy proxy, without a gain in served
-        weight. Cost: because of a wrong mean latency, two classes can share the shedding that should
-        affect only one of them.
+        A class is shed before another class only if its requests weigh less both per request and per second
+        in flight. If the two measures disagree, both classes have the higher weight. Otherwise a light and
+        fast class could get nothing from a busy proxy, without a gain in served weight. Cost: because of a
+        wrong mean latency, two classes can share the shedding that should affect only one of them.
         """
         heavier = (
             other.priority_weight
@@ -96,8 +98,8 @@
     def update_latency_target(self, span: float) -> None:
         """Update the latency target from the baseline latency over the last `span` seconds.
 
-        A target below the latency of a request without congestion would close the concurrency limit under
-        light traffic.
+        A target below the latency of a request without congestion would reduce the concurrency limit to its
+        minimum under light traffic.
         """
         mean = self.mean_latency
         if mean.count >= MIN_BASELINE_SAMPLES:
--- a/service_proxy/policy/request_queue.py
+++ b/service_proxy/policy/request_queue.py
@@ -36,9 +36,11 @@
         del self.requests[position]
 
     def remove_infeasible(self, now: float, wait_per_position: float) -> list[RequestState]:
-        """Remove and return the requests whose wait would exceed their remaining useful time.
+        """Remove and return the requests that can no longer be answered in time.
 
-        The wait at a position is about (position + 1) * mean latency / concurrency limit.
+        These are requests whose wait would exceed their remaining useful time, and requests whose deadline is
+        near. The wait at a position is about (position + 1) * `wait_per_position`, which is the mean latency
+        in seconds / concurrency limit.
         """
         remaining: list[RequestState] = []
         removed: list[RequestState] = []
--- a/service_proxy/policy/selection.py
+++ b/service_proxy/policy/selection.py
@@ -19,7 +19,7 @@
 from service_proxy.policy.slow_start import SlowStart
 
 PRIOR_SAMPLES = 8.0  # Weight of the prior capacity of an endpoint, in samples.
-# Latency objectives that equal one full cross-zone price in the comparison of costs.
+# Cost of an attempt in another zone at a cross-zone price of 1, in latency objectives.
 CROSS_ZONE_OBJECTIVES = 3.0
 # Cost, in mean latencies, of an attempt that certainly fails or that returns to an endpoint tried before.
 FAILURE_COST = 8.0
@@ -77,7 +77,7 @@
         return endpoint.slow_start_tokens >= 1 or self.slow_start.capacity_share(endpoint, now) >= 1
 
     def select(self, request: RequestState, guard: RetryGuard, now: float) -> Selection | None:
-        """Return the endpoint of lowest cost, in mean latencies, that the guard allows; None without one."""
+        """Return the usable endpoint of lowest cost (in mean latencies) that the guard allows, or None."""
         estimate_load = self.loads.estimate
         random = self.random.random
         zone = self.settings.zone
@@ -108,7 +108,8 @@
                 cost += FAILURE_COST * max(0.0, excess)
             cost *= 1 + TIE_BREAK_SHARE * random()
             if endpoint.awaits_first_request:
-                cost = 0.0  # Slow start would withhold requests, and the operator would assume a failure.
+                # The operator awaits this request, and would take a delay by slow start as a failure.
+                cost = 0.0
             if cost < best_cost and guard.can_send(request, endpoint, now):
                 best = endpoint
                 best_cost = cost
--- a/service_proxy/policy/slow_start.py
+++ b/service_proxy/policy/slow_start.py
@@ -12,7 +12,8 @@
 from service_proxy.policy.settings_user import SettingsUser
 from service_proxy.policy.timing import CONTROL_INTERVAL_S
 
-OVERLOAD_SHARE = 0.5  # Share of the allowed overload of a warming endpoint that all proxies together may use.
+# Share of the load at which a warming endpoint fails that all proxies together may send.
+OVERLOAD_SHARE = 0.5
 # Decay time of the highest send rate of a proxy: long compared with a slow-start window.
 PEAK_RATE_MEMORY_S = 60.0
 
@@ -23,14 +24,18 @@
     def __init__(self, settings: Settings, pool: EndpointPool) -> None:
         super().__init__(settings)
         self.pool = pool
-        # Factor on the configured share of a proxy, which follows the number of proxies.
+        # Configured number of proxies divided by the present number; a factor on the share of this proxy.
         self.allowance = 1.0
         self.sends = 0  # Attempts since the last control step.
         self.send_rate = 0.0  # Attempts per second.
         self.peak_send_rate = 0.0
 
     def capacity_share(self, endpoint: TrackedEndpoint, now: float) -> float:
-        """Return the share of its capacity that an endpoint has at least; warm-up is linear or faster."""
+        """Return the share of its full capacity that an endpoint has at this time; 1 after the warm-up.
+
+        The share grows linearly over the slow-start window. It is a lower bound, because endpoints warm up
+        linearly or faster.
+        """
         window = self.settings.slow_start_window
         age = now - endpoint.slow_start_at
         if endpoint.slow_start_at <= 0 or age >= window:
@@ -39,7 +44,7 @@
         return initial_share + (1 - initial_share) * max(0.0, age) / window
 
     def total_capacity(self, now: float) -> float:
-        """Return the capacity of the pool by weight and warm-up state; ejected endpoints count as well."""
+        """Return the present capacity of the pool in units of weight, including ejected endpoints."""
         return sum(endpoint.weight * self.capacity_share(endpoint, now) for endpoint in self.pool.members)
 
     def record_send(self, endpoint: TrackedEndpoint, now: float) -> None:
@@ -57,13 +62,13 @@
         """Refill the token buckets of warming endpoints for the last `span` seconds.
 
         A warming endpoint looks idle to all proxies at once. Each proxy may send at most its fair share of
-        the present capacity of the endpoint, so that all proxies together stay within the overload budget
-        of any window.
+        the present capacity of the endpoint, so that the load from all proxies stays below the load at which
+        the endpoint fails, in any overload window (`Settings.overload_window`).
         """
         total_weight = sum(endpoint.weight for endpoint in self.pool.members)
         share = OVERLOAD_SHARE * self.settings.overload_multiple * self.allowance
-        # The peak rate is used because a low present rate would allow even fewer attempts, and a fleet in a
-        # rollout would not warm up.
+        # The peak send rate is used because the present rate is low while a fleet in a rollout warms up. A
+        # low rate would allow even fewer attempts, and the fleet would not warm up.
         self.peak_send_rate = max(self.send_rate, self.peak_send_rate * (1 - span / PEAK_RATE_MEMORY_S))
         for endpoint in self.pool.members:
             capacity_share = self.capacity_share(endpoint, now)
--- a/service_proxy/policy/tenant_quotas.py
+++ b/service_proxy/policy/tenant_quotas.py
@@ -26,9 +26,9 @@
             self.remaining[name] = min(max(1.0, rate), self.remaining[name] + rate * span)
 
     def weight_share(self, tenant: str) -> float:
-        """Take a request from a tenant's quota and return the share of its weight that the request keeps.
+        """Count a request against a tenant's quota and return the share of its weight that the request keeps.
 
-        Only the first tier receives the tenant of a request.
+        The tenant of a request is known only at the first tier; at inner tiers a request keeps its weight.
         """
         if self.settings.tier_index != 0:
             return 1.0
