--- a/service_proxy/policy/admission.py
+++ b/service_proxy/policy/admission.py
@@ -112,8 +112,8 @@
     def _retry_after(self) -> float:
         """Return the seconds after which a rejected client should retry.
 
-        By then the requests that fill the limit now have been answered. A client without a retry-after
-        time retries sooner, while the limit is still full.
+        By then, some of the requests that fill the limit now have been answered. A client without a
+        retry-after time retries sooner, while the limit is still full.
         """
         if not self.settings.can_send_retry_after:
             return 0.0
--- a/service_proxy/policy/endpoint.py
+++ b/service_proxy/policy/endpoint.py
@@ -77,7 +77,7 @@
         self.not_before = entry.not_before
 
     def reset_process_state(self) -> None:
-        """Reset the observations of the process at this address, because a new process may serve there."""
+        """Reset the observations of a new endpoint, or of an endpoint whose process was replaced."""
         # Time of the last response of any kind to a request or a health check.
         self.last_response_at = -math.inf
         self.consecutive_broken = 0  # Connections refused or reset since the last response.
--- a/service_proxy/policy/endpoint_watch.py
+++ b/service_proxy/policy/endpoint_watch.py
@@ -69,7 +69,9 @@
         """
         failed_for = now - self.last_update_at
         if failed_for > MAX_POLL_FAILURE_S + CONTROL_INTERVAL_S:
-            failed_for = 0.0  # A poll fails sooner, so the watch was active until now.
+            # A poll fails within MAX_POLL_FAILURE_S, so this watch was active until now and no time is
+            # subtracted.
+            failed_for = 0.0
         longest = FAILED_POLL_NOTIFIED_S + self.settings.drain_grace - POLL_ANSWER_S - failed_for
         longest = min(longest, self.settings.max_poll_interval)
         shortest = 0.0 if self.failures == 1 else MIN_BACKOFF_SHARE * longest
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -76,7 +76,8 @@
     expected_work: float = 0.0  # Expected work in core seconds; 0 means unknown.
     is_retry: bool = False
     is_write: bool = False
-    affinity_key: str = ""  # Subject of the request; empty if the request has none.
+    # Routing key of the request, such as the session identifier from its cookie; empty if it has none.
+    affinity_key: str = ""
     # Upper bound of the attempts; 0 or a value above that of the class has no effect.
     max_attempts: int = 0
     weight_share: float = 1.0  # Share of the priority weight of the class.
--- a/service_proxy/policy/outlier_detection.py
+++ b/service_proxy/policy/outlier_detection.py
@@ -31,7 +31,7 @@
 OVERLOAD_ERROR_EXCESS = 0.1
 ERROR_WEIGHT = 0.2  # Weight of the newest attempt in the error share of an endpoint.
 POOL_ERROR_SAMPLES = 100  # Attempts over which the error share of the pool is averaged.
-# Weight of the newest response in the failure share of a request class at an endpoint.
+# Weight of the newest result in the failure share of a request class at an endpoint.
 FAILURE_WEIGHT = 0.3
 # Decay time of a failure share; because of the decay, the endpoint is tried again for the class.
 FAILURE_MEMORY_S = 5.0
--- a/service_proxy/policy/settings_types.py
+++ b/service_proxy/policy/settings_types.py
@@ -130,7 +130,7 @@
 
     name: str
     quota_per_s: float  # Requests per second over all proxies of the tier.
-    share: float = 0.0  # Share of the service.
+    share: float = 0.0  # Share of the service for this tenant; the shares of all tenants add up to at most 1.
 
     def __post_init__(self) -> None:
         _Checker(self, f"tenant {self.name}").not_negative("quota_per_s", "share")
