--- a/service_proxy/net/attempt_start.py
+++ b/service_proxy/net/attempt_start.py
@@ -87,7 +87,7 @@
         if open_request.writer.has_client_left():
             self.owner.client_disconnected(open_request)
             return False
-        # Sent parts of the body are discarded, so no second attempt is possible.
+        # The parts of a streamed body are discarded after they are sent, so a second attempt is not possible.
         if not open_request.request.body.is_replayable:
             self.owner.enqueue_event(
                 api.StreamStarted(open_request.request_id, self.attempt_number, self.endpoint_id)
@@ -103,12 +103,12 @@
 def create_attempt(
     start: AttemptStart, extra_headers: bytes, on_end: Callable[[UpstreamAttempt], None]
 ) -> UpstreamAttempt:
-    """Return the attempt, with these header lines added to the request's own."""
+    """Return an attempt whose request head is the head of the client's request plus `extra_headers`."""
     request = start.open_request.request
     body = request.body
     head = request.head + extra_headers
-    # Time limit without progress while the body is incomplete; the time budget starts with the body's last
-    # byte.
+    # While the body is incomplete, only the time without progress is limited. The time budget starts with the
+    # last byte of the body.
     timeout = STALL_TIMEOUT_S if start.is_streamed else max(0.0, start.timeout)
     if request.upgrade is not None:
         return UpgradeAttempt(start.pool, head, timeout, start, on_end, request.upgrade, start.time_left)
--- a/service_proxy/net/config.py
+++ b/service_proxy/net/config.py
@@ -34,8 +34,8 @@
         seed: Seed of all random draws.
         max_descriptors: Maximum number of file descriptors that the process may open.
         cached_endpoints: The last known endpoint list, in the JSON form of discovery.
-        request_idempotency: Idempotency of a class's requests, where it differs from the policy's idempotency
-            of the class.
+        request_idempotency: Idempotency of the requests, by request class; the policy's idempotency applies
+            to a class that is not listed.
         admin_address: Address of the admin service; None if the service is off.
         raw: Parsed JSON file, kept for the comparison with a reloaded file.
     """
@@ -74,15 +74,19 @@
 
     @property
     def tier_name(self) -> str:
-        """Return the name of the tier whose endpoints the proxy serves."""
+        """Return the name of the tier to whose endpoints the proxy sends requests."""
         names = (self.raw.get("settings") or {}).get("stages") or []
-        stage = self.settings.tier_index
-        return str(names[stage]) if isinstance(names, list) and stage < len(names) else f"tier{stage}"
+        tier_index = self.settings.tier_index
+        return (
+            str(names[tier_index])
+            if isinstance(names, list) and tier_index < len(names)
+            else f"tier{tier_index}"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Addresses of the other proxies, as PROTOCOL defines them; empty if the platform configures none."""
+    """Addresses of the other proxies (platform's page PROTOCOL); empty if the platform configures none."""
 
     listen: Address | None
     members: tuple[Address, ...]  # One address for each proxy of the tier, including this one.
@@ -90,11 +94,14 @@
 
 
 def flatten_settings(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
-    """Return the settings as flat path=value pairs, the simulator's form, so that both share one parser."""
+    """Return the settings as flat path=value pairs.
+
+    The simulator passes settings in this form, so the proxy and the simulator share one parser.
+    """
     pairs = {} if into is None else into
     if isinstance(value, dict):
         if not value and path:
-            pairs[path] = "{}"  # An empty object has no value, but the key is present.
+            pairs[path] = "{}"  # Keeps the key of an empty object, which has no values to list.
         for key, item in value.items():
             flatten_settings(item, f"{path}.{key}" if path else str(key), pairs)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
--- a/service_proxy/net/discovery.py
+++ b/service_proxy/net/discovery.py
@@ -1,8 +1,8 @@
 """Discovery client: polls for complete endpoint lists (fetch) or for changes (watch).
 
-A watch is a poll that the service answers at a change, or after the wait that the poll names. After a watch
-times out, the client sends polls without a wait until one is answered or the failure is reported to the
-policy.
+A watch is a poll that the service answers when the list changes, or after the wait that the poll requests.
+After a watch times out, the client sends polls without a wait until one is answered or the failure is
+reported to the policy.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-# Minimum time between the starts of two watch polls, in case discovery answers each at once.
+# Minimum time between the starts of two watch polls; limits the poll rate if discovery answers immediately.
 MIN_WATCH_SPACING_S = 0.05
 MAX_LOGGED_ERROR_CHARS = 200
 LIST_PATH = "/v1/servers"
@@ -35,11 +35,13 @@
 class DiscoveryClient:
     """Discovery client that polls on request of the policy, or continuously if lists are pushed.
 
-    A watch sends its next poll without the policy, and repeats failed polls while a retry window is open.
+    A watch sends its next poll without an action of the policy, and repeats failed polls until the retry
+    window ends.
 
     Args:
         address: Address of the discovery service.
-        version: Version of the known list; None if no version of this service is known yet.
+        version: Version of the known list; the attribute is None after a change of address, until the new
+            service sends a list.
         schedule: Waits and timeouts of the polls.
         seed: Seed of the random share of each wait.
         on_list: Called with each received list.
@@ -65,7 +67,10 @@
         self._fetch_tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Start the watch if lists are pushed, because a pushed list counts as notified at once."""
+        """Start the watch if lists are pushed.
+
+        A pushed list counts as notified from the moment that the discovery agent has the list.
+        """
         if self.schedule.is_pushed:
             self.watch(True)
 
@@ -108,12 +113,16 @@
                 task.cancel()
 
     async def _run_watch(self) -> None:
-        """Poll until a poll fails outside the retry window; the policy then decides about a new watch."""
+        """Poll until a poll fails outside the retry window, or until cancelled if lists are pushed.
+
+        The failure is reported to the policy, which decides about a new watch.
+        """
         connection = DiscoveryConnection()
         loop = asyncio.get_running_loop()
-        can_wait = True  # Allows the next poll to wait: the previous poll was answered.
+        can_wait = True  # Whether the next poll may wait for a change; False after a failed poll.
         failures = 0  # Number of failures in a row.
-        retry_until = -math.inf  # End of the retry window (loop time, s); a list is due until then.
+        # End of the retry window (loop time, s); failed polls are repeated until then.
+        retry_until = -math.inf
         if self.version is None:
             retry_until = loop.time() + self.schedule.address_change_window
         try:
@@ -129,8 +138,9 @@
                     continue
                 timed_out = isinstance(error, TimeoutError)
                 if timed_out and can_wait and self.version is not None:
-                    # The changes that this poll missed will count as notified. A poll without a wait returns
-                    # these changes, or confirms that there was no change.
+                    # Changes that this poll missed count as notified after some time, by the platform's
+                    # rules. A poll without a wait returns these changes, or confirms that there was no
+                    # change.
                     retry_until = loop.time() + schedule.retry_window
                 can_wait = False
                 if schedule.is_pushed or loop.time() >= retry_until:
--- a/service_proxy/net/downstream/http_server.py
+++ b/service_proxy/net/downstream/http_server.py
@@ -16,11 +16,13 @@
 from service_proxy.policy.settings_types import Idempotency
 
 READ_BUFFER_BYTES = 64 * 1024  # Bytes that are read from a connection at once.
-# Time from the accepted connection, or from a further request's first byte, to a complete head. After a quick
-# head the timeout restarts for the body, and again for each BODY_PROGRESS_BYTES of the body.
+# Time from the accepted connection, or from a further request's first byte, to a complete head. After a head
+# that is complete within MAX_QUICK_HEAD_S (request_reader.py), the timeout restarts for the body, and
+# again for each BODY_PROGRESS_BYTES of the body.
 REQUEST_TIMEOUT_S = 2.2
 KEEP_ALIVE_TIMEOUT_S = 5.0  # Time after a response for which an idle connection is kept.
-# Time within which the client must read some of a last response. Input is discarded meanwhile.
+# Time within which the client must read a part of the last response on a connection. Input is discarded
+# during this time.
 LINGER_TIMEOUT_S = 2.0
 SWEEP_INTERVAL_S = 0.1  # Interval between checks for connections whose timeout has expired.
 LISTEN_BACKLOG = 1024  # Limit of connections that wait to be accepted.
@@ -29,10 +31,11 @@
 RESERVED_DESCRIPTORS = 24
 # Divisor of the process's descriptors for the reserve, if the process may open fewer than 240.
 RESERVED_DESCRIPTOR_DIVISOR = 10
-# Order in which connections are closed to make room: connections that await a first or next request, or that
-# are idle, for at least this time (s).
+# Order in which connections are closed to make room: the state of the connection, and the minimum time (s) in
+# this state. "awaiting": the first or next request is not complete; "idle": no further request has begun.
 EVICTION_ORDER = (("awaiting", 0.3), ("idle", 2.0), ("awaiting", 0.05), ("idle", 0.5))
-# Share of the client connections that is left for new clients whose requests are rejected.
+# Share of the connection limit that is reserved for clients beyond the served connections. Their requests are
+# rejected.
 OVERFLOW_SHARE = 0.12
 MIN_CONNECTIONS = 8
 BASE_MEMORY_MB = 20  # Memory use of the process before it serves requests.
@@ -68,7 +71,7 @@
         awaiting_request: connections whose next request is not complete.
         idle: connections that have received a response and have sent no further request.
         closing: connections whose last response has been written.
-        is_draining: a response is the last on its connection, unless further input was read or lies unread.
+        is_draining: each connection closes after its response, unless the client has sent further input.
     """
 
     def __init__(
@@ -162,7 +165,7 @@
     def set_state(
         self, connection: DownstreamConnection, state_table: dict[DownstreamConnection, None] | None
     ) -> None:
-        """Move a connection to the end of the table of its new state; None: to no table."""
+        """Move a connection to the end of a state table; None: remove the connection from its table."""
         if connection.state_table is not None:
             del connection.state_table[connection]
         connection.state_table = state_table
@@ -214,7 +217,7 @@
             self.listener.close()
 
     def close_idle(self, include_partial: bool = False) -> None:
-        """Close the connections without a request, and with `include_partial` those with a partial one."""
+        """Close connections without a request; with `include_partial`, also those with a partial request."""
         for connection in [*self.idle, *self.awaiting_request]:
             if include_partial or not connection.raw_bytes:
                 connection.close_unless_unread()
--- a/service_proxy/net/downstream/request.py
+++ b/service_proxy/net/downstream/request.py
@@ -23,9 +23,10 @@
         affinity_key: session identifier from the request's cookie.
         expected_work: value of X-Call-Cost (s).
         is_retry: X-Again is set because the client has sent the request before.
-        head: the request head that is forwarded to an endpoint, without the last headers.
+        head: the request head that is forwarded to an endpoint, without the headers that are added for each
+            attempt (such as X-Budget) and without the final empty line.
         body: the request body; a streamed body may still be incomplete.
-        received_at: when the last byte was received, once the request is complete (monotonic, s).
+        received_at: when the last byte so far was received (monotonic, s); final after the body is complete.
         idempotency_key: value of Idempotency-Key.
         consumed: headers that a filter of this proxy consumes; `head` doesn't contain them.
         upgrade: the negotiation of the upgrade that the request asks for; None: it asks for no upgrade.
@@ -53,7 +54,7 @@
         """Write a complete response, or raise RuntimeError if the request already has a response."""
 
     def stream(self, headers: Any, length: int | None, source: ResponseSource) -> None:
-        """Stream a 200 response of this length from `source`; None: the end of the stream ends the body."""
+        """Stream a 200 response of `length` bytes from `source`; None: the body ends when `source` ends."""
 
     def has_client_left(self) -> bool:
         """Return whether the client has closed its side, even if the end is still unread in the socket."""
--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -82,7 +82,7 @@
 
 
 def connection_options(headers: Headers) -> frozenset[bytes]:
-    """Return the names of the fields that Connection lists, which end at this hop (RFC 9110, 7.6.1)."""
+    """Return the field names listed in Connection; these fields must not be forwarded (RFC 9110, 7.6.1)."""
     names: set[bytes] = set()
     for name, value in headers:
         if name == b"connection" and value not in (b"keep-alive", b"close"):
@@ -102,7 +102,7 @@
     """Build a `Request` from a request's head by the platform's protocol; header names are in lower case.
 
     `body` may be incomplete; `received_at` (monotonic, s) is when the last byte so far was received.
-    The headers in `consumed_headers` end at this proxy's filters. Raises BadRequestError.
+    This proxy's filters consume `consumed_headers`, which are not forwarded. Raises BadRequestError.
     """
     _validate_bytes(target, headers)
     class_name = target[1:].split(b"?", 1)[0].split(b"/", 1)[0].decode("latin-1")
@@ -161,7 +161,10 @@
 
 
 def _expected_work(headers: Headers) -> float:
-    """Return X-Call-Cost (us) in s, or 0 if the value is not finite."""
+    """Return X-Call-Cost (us) in s, or 0 if the value is not finite.
+
+    The difference of a number and itself is 0 only if the number is finite.
+    """
     try:
         expected_work = max(0.0, float(_single_value(headers, b"x-call-cost") or 0)) / 1e6
     except ValueError:
@@ -172,7 +175,10 @@
 def _forwarded_head(
     method: bytes, target: bytes, headers: Headers, body: RequestBody, consumed_headers: frozenset[bytes]
 ) -> bytes:
-    """Build the forwarded head, without the headers that end at this hop and without the last headers."""
+    """Build the forwarded head, without hop-by-hop and consumed headers and without the final empty line.
+
+    Headers such as X-Budget are added for each attempt.
+    """
     listed_in_connection = connection_options(headers)
     if listed_in_connection & PROTECTED_HEADERS:
         raise BadRequestError(400, "Connection names a header that belongs to the call")
--- a/service_proxy/net/downstream/request_reader.py
+++ b/service_proxy/net/downstream/request_reader.py
@@ -28,7 +28,8 @@
 from service_proxy.policy.settings_types import Idempotency
 
 MAX_HEAD_BYTES = 32 * 1024  # Size limit of a request's target and headers together.
-# Limit of a request's bytes as received, with chunk framing, in addition to 8 times its body's content.
+# Limit of a request's bytes as received, including chunk framing: this constant plus 8 times the bytes of
+# body content received so far.
 MAX_RAW_REQUEST_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
 # Size limit of a body that is buffered and not streamed while the body pool has room.
 MAX_POOLED_BODY_BYTES = 4 << 20
@@ -46,7 +47,7 @@
     """Handler of HTTP upgrade requests."""
 
     def start_upgrade(self, connection: Any, upgrade: UpgradeRequest) -> object | None:
-        """Respond, call the connection's `detach`, or return the open request that decides later."""
+        """Respond, detach the connection, or return the open request that will decide on the upgrade."""
 
 
 class ReaderServer(Protocol):
--- a/service_proxy/net/endpoint_list.py
+++ b/service_proxy/net/endpoint_list.py
@@ -81,7 +81,10 @@
 
 
 def endpoint_id_of(name: str) -> int:
-    """Return the endpoint id; the id is equal at every proxy, because the hash rings must agree."""
+    """Return the endpoint id, a hash of the name.
+
+    The id is equal at every proxy, because the hash rings of the proxies must agree.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
 
--- a/service_proxy/net/endpoint_sources.py
+++ b/service_proxy/net/endpoint_sources.py
@@ -1,7 +1,7 @@
 """Protocols of endpoint sources and of other subsystems that the operator's file enables.
 
-A source yields endpoint lists (`net.endpoint_list`) and its own health. The merger of the subsystem, which
-does no I/O, decides which source is used.
+A source yields endpoint lists (`net.endpoint_list`) and its own health. A merger, which is part of the
+subsystem and does no I/O, decides which source is used.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class SourceHealth(Enum):
-    """Health of an endpoint source; the values are written in its reports."""
+    """Health of an endpoint source; the reports of the source contain these values."""
 
     NEVER_RECEIVED = "never heard"
     UP_TO_DATE = "fresh"  # The last received list is current, apart from the usual delay.
--- a/service_proxy/net/fleet_protocols.py
+++ b/service_proxy/net/fleet_protocols.py
@@ -19,7 +19,8 @@
     name: str
     tier: str
     zone: str
-    # A greater value is later; the first two numbers are constant while a process runs.
+    # Incarnation of the member; a greater value is later. The first two numbers are constant while a process
+    # runs.
     incarnation: tuple[int, ...]
     state: str  # One of alive, suspect, dead and left.
     phase: str  # Phase reported by the member itself: starting, serving, draining or leaving.
@@ -43,7 +44,10 @@
 
     @property
     def is_minority(self) -> bool:
-        """Return True if less than half of the known members are alive; the rest may run without this one."""
+        """Return True if less than half of the known members are alive.
+
+        The other members may be running without this member, for example after a network partition.
+        """
 
     def members(self) -> list[FleetMember]:
         """Return all known members, including this one."""
--- a/service_proxy/net/health_checker.py
+++ b/service_proxy/net/health_checker.py
@@ -10,7 +10,7 @@
 from service_proxy.policy.settings_types import LoadReportSource
 
 MAX_HEALTH_CHECKS = 32  # Maximum number of concurrent health checks.
-HEALTH_CHECK_TIMEOUT_S = 0.2  # A later load report is outdated.
+HEALTH_CHECK_TIMEOUT_S = 0.2  # Timeout of a health check; a load report that arrives later is outdated.
 
 
 class HealthChecker:
@@ -18,7 +18,7 @@
 
     Args:
         cluster: Connection pools of the endpoints.
-        load_report_source: Value of the settings; with NONE, the checks request no load reports.
+        load_report_source: Source of load reports from the settings; with NONE, the checks request none.
         enqueue_event: Enqueues the result for the policy.
         report_outcome: Called with the endpoint id and the status of each check.
     """
--- a/service_proxy/net/open_request_table.py
+++ b/service_proxy/net/open_request_table.py
@@ -27,7 +27,8 @@
 
     Attributes:
         requests: Open requests by the request id of the policy.
-        attempts_in_flight: Attempts by the same id, including those whose client has disconnected.
+        attempts_in_flight: Attempts by the request id of the policy, including attempts whose client has
+            disconnected.
         ids_in_use: X-Call-Ids of open requests and of attempts still in flight.
         deadline_by_class: Longest time (s) that a client waits, by request class.
         shutdown_deadline: Time of the shutdown (monotonic, s); every request is answered by then.
@@ -77,12 +78,12 @@
             open_request.attempt.extend_deadline(open_request.deadline)
 
     def abandon(self, open_request: OpenRequest) -> None:
-        """End a request and its attempt, because no client waits for the operation that it belongs to."""
+        """End a request and its attempt, because no client waits for the result any more."""
         if open_request.is_open:
             self._expire(open_request, b"its caller has gone\n", api.AttemptStatus.CANCELLED)
 
     def client_disconnected(self, open_request: OpenRequest) -> None:
-        """End a request whose client has disconnected; its attempt continues, unless it is useless."""
+        """End a request whose client has disconnected; the attempt continues unless its result is useless."""
         if open_request.is_open:
             attempt = open_request.attempt
             self.finish(open_request, False)
@@ -114,7 +115,10 @@
         self._expire(open_request, b"out of time\n", api.AttemptStatus.TIMEOUT)
 
     def _expire(self, open_request: OpenRequest, text: bytes, status: api.AttemptStatus) -> None:
-        """Answer a request whose time has expired, and end its attempt with this status."""
+        """Answer a request that is expired or abandoned, and end its attempt with this status.
+
+        An attempt that was not sent ends with the status NOT_SENT.
+        """
         never_executed = not open_request.maybe_executed and (
             open_request.attempt is None or not open_request.attempt.sent
         )
--- a/service_proxy/net/policy_runner.py
+++ b/service_proxy/net/policy_runner.py
@@ -1,7 +1,7 @@
 """Runner of the single `Balancer`: collects events into batches, and passes each action to its handler.
 
-This module is the only caller of the policy. The runner owns the policy's timers, and no exception of the
-policy leaves it.
+This module is the only caller of the policy. The runner owns the policy's timers, and catches all exceptions
+of the policy.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-LOOP_LAG_DECAY = 0.995  # Share of the measured loop lag that remains at each timer.
+LOOP_LAG_DECAY = 0.995  # Factor by which the measured loop lag decays at each timer.
 RETRIED_TIMER_S = 0.05  # Delay before a timer event is repeated after the policy failed on it.
 
 
--- a/service_proxy/net/poll_schedule.py
+++ b/service_proxy/net/poll_schedule.py
@@ -1,9 +1,9 @@
 """Schedule of polling discovery: wait of a poll, timeouts, and delays after a failure.
 
-Requirement: no request goes to an endpoint that was notified as draining for longer than the settings'
-drain_grace. The platform's pages (STANDING) define when a change counts as notified although it never
-arrived. Every time in this module is a share of that time and of the grace, minus the duration of a new poll.
-This module does no I/O and reads no clock: it computes one table of times from the settings.
+Requirement: a draining endpoint receives no request later than the settings' drain_grace after its draining
+was notified. The platform's page STANDING defines when a change counts as notified although the change never
+reached the proxy. The times in this module are shares of that time and of the grace, minus the duration of a
+new poll. This module does no I/O and reads no clock: it computes one table of times from the settings.
 """
 
 from __future__ import annotations
@@ -16,25 +16,29 @@
 SILENT_CALL_NOTIFIED_S = 2.0
 ADDRESS_CHANGE_NOTIFIED_S = 4.0  # Time after SIGHUP at which the list of the new address counts as notified.
 WATCH_WAIT_S = 20.0  # Wait of a watch poll if discovery is a central service: three polls a minute.
-# Range of the waits around WATCH_WAIT_S, as a share of it; spreads polls that the same change ended.
+# Range of the waits around WATCH_WAIT_S, as a share of WATCH_WAIT_S. A change ends the polls of many proxies
+# at once, and random waits spread the next polls.
 WATCH_WAIT_SPREAD = 0.5
-RETRY_SPACING_S = 0.2  # Time between the first polls while a list is due.
+RETRY_SPACING_S = 0.2  # Time between the first polls after a failure.
 # Maximum number of doublings of RETRY_SPACING_S; the result exceeds every max_backoff.
 MAX_BACKOFF_DOUBLINGS = 10
 MAX_CONNECT_TIMEOUT_S = 1.0  # Timeout of establishing a connection to discovery.
-# A pushed list costs nothing, and counts as notified from the moment that the agent has it. One unanswered
-# poll, the backoff and the next poll must fit into the grace; the rest of the grace covers the lag of the
-# loop.
+# Pushed lists come from an agent that serves only this proxy. A pushed list costs nothing, and counts as
+# notified from the moment that the agent has the list. One unanswered poll, the backoff and the next poll
+# must fit into the grace; the rest of the grace covers the lag of the event loop.
 PUSH_GRACE_SHARE = 0.25  # Share of the grace for each of the wait, the silence timeout and the next poll.
-MAX_PUSH_WAIT_S = 0.5  # Upper bound of each of these three times.
-MIN_PUSH_WAIT_S = 0.02  # Lower bound of each of these three times; avoids a busy loop with a grace near 0.
+MAX_PUSH_WAIT_S = 0.5  # Upper bound of the wait, of the silence timeout and of the next poll.
+# Lower bound of the wait, of the silence timeout and of the next poll; avoids a busy loop if the grace is
+# near 0.
+MIN_PUSH_WAIT_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class PollSchedule:
     """Times of polling, all in s."""
 
-    # True if polls never stop, because each list counts as notified from the moment that the agent has it.
+    # True if an agent has the lists pushed to it. Polling then never stops, because each list counts as
+    # notified from the moment that the agent has the list.
     is_pushed: bool
     watch_wait: float  # Mean wait of a poll.
     watch_wait_spread: float  # Range of the waits around the mean.
--- a/service_proxy/net/protocols.py
+++ b/service_proxy/net/protocols.py
@@ -53,7 +53,7 @@
         surplus: bytes,
         on_end: Callable[[AttemptStatus], None],
     ) -> None:
-        """Receive the connection and the bytes after the 101; its end is reported once with `on_end`."""
+        """Receive the connection and the bytes after the 101; call `on_end` once when the connection ends."""
 
     def client_disconnected(self) -> None:
         """Record that the client disconnected before the upgrade."""
--- a/service_proxy/net/request_body.py
+++ b/service_proxy/net/request_body.py
@@ -1,6 +1,7 @@
 """Request body on its way from the client to an endpoint: buffered until complete, or streamed.
 
-This module contains no socket code. The reader is notified of new data, and the writer of free buffer space.
+This module contains no socket code. The component that sends the body (`reader`) is notified of new data,
+and the component that receives the body from the client is notified of free buffer space.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 def encode_chunk(data: bytes) -> tuple[bytes, bytes, bytes]:
-    """Return the parts of a chunk (RFC 9112, 7.1); empty `data` is not allowed, it would end the message."""
+    """Return the parts of a chunk (RFC 9112, 7.1); `data` must not be empty: that would end the message."""
     return b"%x\r\n" % len(data), data, b"\r\n"
 
 
@@ -88,7 +89,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Return True if the buffer is full, so that the writer has to wait."""
+        """Return True if the buffer is full, so that no more of the body may be read from the client."""
         return not self.is_replayable and self.buffered_bytes > STREAM_WINDOW_BYTES
 
     def take_parts(self) -> list[bytes]:
--- a/service_proxy/net/request_filters.py
+++ b/service_proxy/net/request_filters.py
@@ -79,8 +79,8 @@
     for request_filter in filters:
         state = request_filter.on_request(request, abandon)
         if isinstance(state, Rejection):
-            for earlier in states:
-                earlier.on_request_end(True)
+            for earlier_state in states:
+                earlier_state.on_request_end(True)
             return state
         if state is not None:
             states.append(state)
--- a/service_proxy/net/upstream/attempt.py
+++ b/service_proxy/net/upstream/attempt.py
@@ -285,7 +285,7 @@
         self.end(AttemptStatus.ERROR)
 
     def on_response(self, status_code: int, headers: Headers, body: bytes) -> None:
-        """Handle a response that refuses the upgrade; a 200 is a refusal, too."""
+        """Handle a response that refuses the upgrade; a 200 is a refusal, too, and is treated as a 502."""
         super().on_response(BAD_GATEWAY if status_code == OK else status_code, headers, body)
 
     def on_response_streaming(
--- a/service_proxy/net/upstream/cluster.py
+++ b/service_proxy/net/upstream/cluster.py
@@ -76,7 +76,7 @@
         return any(pool.is_serving for pool in self.pools.values())
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Apply the addresses and states of an endpoint list that has come into force.
+        """Apply the addresses and states of an endpoint list that is now in use.
 
         An incremental list is applied only to the pools of its endpoints, because changes are frequent and do
         not affect most pools.
--- a/service_proxy/net/upstream/endpoint_pool.py
+++ b/service_proxy/net/upstream/endpoint_pool.py
@@ -11,7 +11,8 @@
 from service_proxy.net.upstream.connection import ConnectionCluster, UpstreamConnection
 from service_proxy.policy.events import EndpointState
 
-# Pause between a response and the next use of its connection, in which excess bytes are detected.
+# Pause between a response and the next use of its connection; excess bytes that arrive meanwhile are
+# detected.
 REUSE_DELAY_S = LOOP_ITERATION_S
 
 
@@ -53,8 +54,8 @@
     def take_idle(self) -> UpstreamConnection | None:
         """Return the most recently used idle connection, or None if no idle connection is usable.
 
-        The remaining connections become older and are closed. A connection that was released less than
-        REUSE_DELAY_S ago is returned only if there is no other.
+        The connections that are not returned stay idle, and are closed after the idle timeout. A connection
+        that was released less than REUSE_DELAY_S ago is returned only if there is no other.
         """
         now = time.monotonic()
         idle_cutoff = now - self.cluster.idle_timeout
