--- a/service_proxy/net/downstream/request_parser.py
+++ b/service_proxy/net/downstream/request_parser.py
@@ -196,7 +196,7 @@
 
 
 def _affinity_key(headers: Headers) -> str:
-    """Return the session identifier from the cookie, by which the request is routed to a sticky endpoint."""
+    """Return the session identifier from the cookie, which names the subject of the request."""
     affinity_key = ""
     for part in _single_value(headers, b"cookie").split(b";"):
         name, _, value = part.strip().partition(b"=")
--- a/service_proxy/policy/events.py
+++ b/service_proxy/policy/events.py
@@ -76,8 +76,7 @@
     expected_work: float = 0.0  # Expected work in core seconds; 0 means unknown.
     is_retry: bool = False
     is_write: bool = False
-    # Routing key of the request, such as the session identifier from its cookie; empty if it has none.
-    affinity_key: str = ""
+    affinity_key: str = ""  # Subject of the request, such as a user or an object; empty if it has none.
     # Upper bound of the attempts; 0 or a value above that of the class has no effect.
     max_attempts: int = 0
     weight_share: float = 1.0  # Share of the priority weight of the class.
