--- a/service_proxy/fleet/member_base.py
+++ b/service_proxy/fleet/member_base.py
@@ -120,13 +120,14 @@
     consecutive: int
 
 
-# The index of each description is its number on the wire.
+# The index of each description is its number on the wire. Log lines (`path=`) and the JSON view (`reached`)
+# contain the text, and operators' tools match it.
 PATH_DESCRIPTIONS = (
     "",
-    "direct probes get no answer; only indirect probes do",
-    "its datagrams don't arrive here; ours arrive there",
-    "its datagrams arrive here; ours don't arrive there",
-    "no datagrams arrive in either direction; only indirect probes get an answer",
+    "answers no probe of ours: only through others",
+    "hears us, and we don't hear it",
+    "we hear it, and it does not hear us",
+    "neither way directly: only through others",
 )
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -203,7 +203,7 @@
             lambda: has_logged(
                 harness,
                 "p2",
-                "path_degraded member=p7 path=its datagrams arrive here; ours don't arrive there",
+                "path_degraded member=p7 path=we hear it, and it does not hear us",
             ),
             "named",
             TIMEOUT_S,
@@ -218,7 +218,7 @@
 def test_a_member_that_is_cut_from_half_of_the_others_stays_alive() -> None:
     async def check(harness: FleetHarness) -> None:
         await until(
-            lambda: has_logged(harness, "p0", " path=no datagrams arrive in either direction"),
+            lambda: has_logged(harness, "p0", " path=neither way directly"),
             "named",
             TIMEOUT_S,
         )
--- a/tests/fleet/test_virtual_fleet.py
+++ b/tests/fleet/test_virtual_fleet.py
@@ -280,7 +280,7 @@
     lines: list[tuple[str, str]] = []
     fleet.on_log_line = lambda member, line: lines.append((member.name, line))
     fleet.network.cut([2], [7])
-    path_line = ("p2", "path_degraded member=p7 path=its datagrams arrive here; ours don't arrive there")
+    path_line = ("p2", "path_degraded member=p7 path=we hear it, and it does not hear us")
     until(fleet, lambda: path_line in lines, 60)
     fleet.network.cut([2], [7], -1)
     until(fleet, lambda: ("p2", "path_restored member=p7") in lines, 60)
